--- a/crates/claims/src/keeper.rs
+++ b/crates/claims/src/controller.rs
@@ -89,7 +89,7 @@
 }
 
 /// Watches members and claims, and says when this process should claim a pool.
-pub struct ClaimKeeper {
+pub struct ClaimController {
     settings: ClaimSettings,
     me: MemberRow,
     started: Instant,
@@ -104,7 +104,7 @@
     notes: Vec<ClaimNote>,
 }
 
-impl ClaimKeeper {
+impl ClaimController {
     /// A keeper that knows only its own process.
     pub fn new(me: MemberRow, settings: ClaimSettings, now: Instant) -> Self {
         Self {
--- a/crates/claims/src/keeper/beating.rs
+++ b/crates/claims/src/controller/beating.rs
@@ -9,7 +9,7 @@
 
 use model::FastMap;
 
-use super::{ClaimKeeper, HeardPeer, FAR_BEATS_MISSED};
+use super::{ClaimController, HeardPeer, FAR_BEATS_MISSED};
 use crate::{
     rows::MemberRow,
     view::{NodeDigest, NodeId},
@@ -37,7 +37,7 @@
     pub const ALL: [Self; 3] = [Self::Owner, Self::Idle, Self::Far];
 }
 
-impl ClaimKeeper {
+impl ClaimController {
     /// The time between two signs of life.
     pub fn beat(&self, pace: BeatPace) -> Duration {
         match pace {
--- a/crates/claims/src/keeper/reading.rs
+++ b/crates/claims/src/controller/reading.rs
@@ -14,7 +14,7 @@
 use model::DataCentreId;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::ClaimKeeper;
+use super::ClaimController;
 use crate::rows::MemberRow;
 
 /// Processes without pools that stand by in each data centre: its next owners, two of which may be lost at once.
@@ -69,7 +69,7 @@
     },
 }
 
-impl ClaimKeeper {
+impl ClaimController {
     /// Whether the list of workers has to be read, or others that read it confirm what is known. What was heard of an earlier
     /// version says nothing; of the same or a later one with another digest, that something has changed.
     pub fn list_turn(&self, now: Instant, known: KnownList) -> ListTurn {
--- a/crates/claims/src/keeper/reason.rs
+++ b/crates/claims/src/controller/reason.rs
@@ -7,10 +7,10 @@
 
 use jobs::PoolId;
 
-use super::{Claim, ClaimKeeper};
+use super::{Claim, ClaimController};
 use crate::action::ClaimReason;
 
-impl ClaimKeeper {
+impl ClaimController {
     pub(super) fn claim_reason(&self, now: Instant, pool: &PoolId) -> Option<ClaimReason> {
         let Some(claim) = self.pools.get(pool).and_then(|watch| watch.claim.as_ref()) else {
             return Some(ClaimReason::Unowned);
--- a/crates/claims/src/keeper/succession.rs
+++ b/crates/claims/src/controller/succession.rs
@@ -11,7 +11,7 @@
 use model::{DataCentreId, FastMap};
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::ClaimKeeper;
+use super::ClaimController;
 use crate::{rows::MemberRow, view::NodeId};
 
 /// A process that could own pools.
@@ -38,7 +38,7 @@
     }
 }
 
-impl ClaimKeeper {
+impl ClaimController {
     /// This process's place among the candidates for each of these pools, 0 for the first. All processes that know the same
     /// divide the pools in the same way; where they do not, the store decides between two claims.
     pub(super) fn claim_ranks(&self, now: Instant, open: &[PoolId]) -> FastMap<PoolId, u32> {
--- a/crates/claims/src/keeper/yielding.rs
+++ b/crates/claims/src/controller/yielding.rs
@@ -4,14 +4,14 @@
 
 use jobs::{LifeId, PoolId};
 
-use super::ClaimKeeper;
+use super::ClaimController;
 use crate::strength::VmStrength;
 
 /// How many times as many pools a core a process owns before it hands one over. A handover costs some ten calls a
 /// worker.
 const UNEVEN: f64 = 1.5;
 
-impl ClaimKeeper {
+impl ClaimController {
     /// The workers of a pool that a former owner still uses while it hands it over. Once it is not heard, none.
     pub fn held_workers(&self, now: Instant, pool: &PoolId) -> Vec<LifeId> {
         let mut held = Vec::new();
--- a/crates/claims/src/lib.rs
+++ b/crates/claims/src/lib.rs
@@ -6,7 +6,7 @@
 //! fence, so a wrong suspicion costs a claim and never a task that runs twice.
 
 mod action;
-mod keeper;
+mod controller;
 mod rows;
 mod settings;
 mod strength;
@@ -14,7 +14,7 @@
 
 pub use crate::{
     action::{ClaimAction, ClaimEnd, ClaimNote, ClaimReason, OwnerView},
-    keeper::{BeatPace, ClaimKeeper, KnownList, ListTurn},
+    controller::{BeatPace, ClaimController, KnownList, ListTurn},
     rows::{ClaimRow, GroupRow, GroupSpread, MemberRow, RouteWait},
     settings::ClaimSettings,
     strength::{is_outgrown, plan_groups, VmStrength},
--- a/crates/claims/tests/beats.rs
+++ b/crates/claims/tests/beats.rs
@@ -6,7 +6,7 @@
 };
 
 use claims::{
-    BeatPace, ClaimKeeper, ClaimNote, ClaimRow, ClaimSettings, Heartbeat, LinkRate, MemberRow,
+    BeatPace, ClaimController, ClaimNote, ClaimRow, ClaimSettings, Heartbeat, LinkRate, MemberRow,
     NodeId,
 };
 use jobs::PoolId;
@@ -36,10 +36,10 @@
 }
 
 /// A process among so many, each `OWNER_ONE_IN`th of which owns a pool.
-fn keeper(me: usize, count: usize, now: Instant) -> ClaimKeeper {
-    let mut keeper = ClaimKeeper::new(member(me), ClaimSettings::default(), now);
+fn controller(me: usize, count: usize, now: Instant) -> ClaimController {
+    let mut controller = ClaimController::new(member(me), ClaimSettings::default(), now);
     for number in 0..count {
-        keeper.on_member(now, member(number));
+        controller.on_member(now, member(number));
         if number % OWNER_ONE_IN == 0 {
             let owner = member(number);
             let row = ClaimRow {
@@ -51,16 +51,16 @@
                 data_centre: owner.data_centre,
                 group: u32::try_from(number).unwrap(),
             };
-            keeper.on_claim(now, pool, row, 7);
+            controller.on_claim(now, pool, row, 7);
         }
     }
-    keeper
+    controller
 }
 
 /// Datagrams that it sends a second.
-fn sent(keeper: &ClaimKeeper) -> f64 {
-    let peers = keeper.peers();
-    let rates = peers.map(|(_, pace)| 1.0 / keeper.beat(pace).as_secs_f64());
+fn sent(controller: &ClaimController) -> f64 {
+    let peers = controller.peers();
+    let rates = peers.map(|(_, pace)| 1.0 / controller.beat(pace).as_secs_f64());
     rates.sum()
 }
 
@@ -71,12 +71,16 @@
     let mut all = 0.0;
     let mut mesh = 0.0;
     for me in 0..count {
-        let keeper = keeper(me, count, now);
-        all += sent(&keeper);
-        let near = keeper.peers().filter(|(_, pace)| *pace != BeatPace::Far);
-        let far = keeper.peers().filter(|(_, pace)| *pace == BeatPace::Far);
-        mesh += near.count() as f64 / keeper.beat(BeatPace::Owner).as_secs_f64();
-        mesh += far.count() as f64 / keeper.beat(BeatPace::Far).as_secs_f64();
+        let controller = controller(me, count, now);
+        all += sent(&controller);
+        let near = controller
+            .peers()
+            .filter(|(_, pace)| *pace != BeatPace::Far);
+        let far = controller
+            .peers()
+            .filter(|(_, pace)| *pace == BeatPace::Far);
+        mesh += near.count() as f64 / controller.beat(BeatPace::Owner).as_secs_f64();
+        mesh += far.count() as f64 / controller.beat(BeatPace::Far).as_secs_f64();
     }
     let count = count as f64;
     println!(
@@ -114,19 +118,19 @@
 fn silence(me: usize, other: usize) -> Duration {
     let count = 60 * CENTRES;
     let begun = Instant::now();
-    let mut keeper = keeper(me, count, begun);
+    let mut controller = controller(me, count, begun);
     let mut now = begun;
     let step = Duration::from_millis(20);
     while now < begun + Duration::from_secs(5) {
-        keeper.on_heartbeat(now, beat(&member(other)), member(other).address);
-        keeper.tick(now);
+        controller.on_heartbeat(now, beat(&member(other)), member(other).address);
+        controller.tick(now);
         now += step;
     }
     let last = now - step;
-    keeper.take_notes();
+    controller.take_notes();
     loop {
-        keeper.tick(now);
-        let notes = keeper.take_notes();
+        controller.tick(now);
+        let notes = controller.take_notes();
         let silent = notes
             .iter()
             .any(|note| matches!(note, ClaimNote::PeerSilent { .. }));
@@ -147,6 +151,6 @@
     assert!(silence(entry, owner) <= soon);
     assert!(silence(owner, entry) <= soon);
     assert!(silence(owner, other_owner) <= soon);
-    let idle = keeper(entry, 60 * CENTRES, Instant::now()).beat(BeatPace::Idle);
+    let idle = controller(entry, 60 * CENTRES, Instant::now()).beat(BeatPace::Idle);
     assert!(silence(entry, other_entry) >= idle * 3);
 }
--- a/crates/claims/tests/keeper.rs
+++ b/crates/claims/tests/keeper.rs
@@ -6,8 +6,8 @@
 };
 
 use claims::{
-    ClaimAction, ClaimEnd, ClaimKeeper, ClaimRow, ClaimSettings, Heartbeat, LinkRate, MemberRow,
-    NodeId, PoolNews,
+    ClaimAction, ClaimController, ClaimEnd, ClaimRow, ClaimSettings, Heartbeat, LinkRate,
+    MemberRow, NodeId, PoolNews,
 };
 use jobs::{FenceToken, LifeId, PoolId};
 use model::DataCentreId;
@@ -72,7 +72,7 @@
 
 /// One node's keeper in simulated time.
 struct Watch {
-    keeper: ClaimKeeper,
+    keeper: ClaimController,
     now: Instant,
     passed: Duration,
     reachable: bool,
@@ -86,7 +86,7 @@
     fn new(me: &MemberRow) -> Self {
         let now = Instant::now();
         Self {
-            keeper: ClaimKeeper::new(me.clone(), ClaimSettings::default(), now),
+            keeper: ClaimController::new(me.clone(), ClaimSettings::default(), now),
             now,
             passed: Duration::ZERO,
             reachable: true,
--- a/crates/claims/tests/reading.rs
+++ b/crates/claims/tests/reading.rs
@@ -3,8 +3,8 @@
 use std::time::{Duration, Instant};
 
 use claims::{
-    ClaimKeeper, ClaimRow, ClaimSettings, Heartbeat, KnownList, LinkRate, ListReading, ListTurn,
-    MemberRow, NodeId,
+    ClaimController, ClaimRow, ClaimSettings, Heartbeat, KnownList, LinkRate, ListReading,
+    ListTurn, MemberRow, NodeId,
 };
 use jobs::PoolId;
 
@@ -45,7 +45,7 @@
 
 struct ListNode {
     number: usize,
-    keeper: ClaimKeeper,
+    controller: ClaimController,
     known: KnownList,
     read: Option<Instant>,
     looked: Instant,
@@ -62,7 +62,7 @@
         let numbers = (0..count).filter(|number| number % CENTRES == 0 && owns(*number));
         let node = |number| ListNode {
             number,
-            keeper: keeper(number, count, now),
+            controller: controller(number, count, now),
             known: KnownList {
                 version: 1,
                 digest: 1,
@@ -100,14 +100,14 @@
         for node in self.nodes.iter_mut().filter(|node| !node.frozen) {
             for beat in &beats {
                 let address = member(0).address;
-                node.keeper.on_heartbeat(now, beat.clone(), address);
+                node.controller.on_heartbeat(now, beat.clone(), address);
             }
-            node.keeper.tick(now);
+            node.controller.tick(now);
             if now < node.looked + Duration::from_millis(100) {
                 continue;
             }
             node.looked = now;
-            match node.keeper.list_turn(now, node.known) {
+            match node.controller.list_turn(now, node.known) {
                 ListTurn::Confirmed { version, at } => {
                     node.known.version = node.known.version.max(version);
                     node.known.at = node.known.at.max(at);
@@ -179,10 +179,10 @@
     }
 }
 
-fn keeper(me: usize, count: usize, now: Instant) -> ClaimKeeper {
-    let mut keeper = ClaimKeeper::new(member(me), ClaimSettings::default(), now);
+fn controller(me: usize, count: usize, now: Instant) -> ClaimController {
+    let mut controller = ClaimController::new(member(me), ClaimSettings::default(), now);
     for number in 0..count {
-        keeper.on_member(now, member(number));
+        controller.on_member(now, member(number));
         if !owns(number) {
             continue;
         }
@@ -199,9 +199,9 @@
             address,
         };
         let group = u32::try_from(number).unwrap();
-        keeper.on_claim(now, PoolId { data_centre, group }, row, 7);
+        controller.on_claim(now, PoolId { data_centre, group }, row, 7);
     }
-    keeper
+    controller
 }
 
 /// Guards against a list that is read by each owner: one of a data centre reads it, whatever the size of the fleet.
@@ -223,7 +223,8 @@
         let now = Instant::now();
         let standing = (0..count).step_by(CENTRES);
         let standing = standing.filter(|number| !owns(*number));
-        let standing = standing.filter(|number| keeper(*number, count, now).stands_by(now, true));
+        let standing =
+            standing.filter(|number| controller(*number, count, now).stands_by(now, true));
         assert_eq!(standing.count(), 2, "{count}");
     }
 }
@@ -232,7 +233,7 @@
 #[test]
 fn others_read_where_nobody_divides() {
     let now = Instant::now();
-    let last = keeper(995, 1_000, now);
+    let last = controller(995, 1_000, now);
     assert!(!last.stands_by(now, false));
     assert!(last.stands_by(now + Duration::from_secs(45), false));
 }
@@ -242,7 +243,7 @@
 fn rows_of_members_do_not_grow_with_the_fleet() {
     for count in [30, 100, 300] {
         let now = Instant::now();
-        let beats = (0..count).map(|number| keeper(number, count, now).refresh_beat());
+        let beats = (0..count).map(|number| controller(number, count, now).refresh_beat());
         let writes: f64 = beats.map(|beat| 1.0 / beat.as_secs_f64()).sum();
         let owners = (OWNERS * CENTRES) as f64 / 4.0;
         assert!(writes <= owners + 2.5, "{count}: {writes}");
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -8,7 +8,7 @@
     time::{Duration, Instant, SystemTime, UNIX_EPOCH},
 };
 
-use claims::{ClaimKeeper, ClaimNote, ClaimSettings, LinkRate, MemberRow, NodeId, RouteWait};
+use claims::{ClaimController, ClaimNote, ClaimSettings, LinkRate, MemberRow, NodeId, RouteWait};
 use kernel::{ClockSource, SystemClock};
 use model::FastMap;
 use platform_adapter::{HttpCaller, RowWrite, StoreClient, StoreTable, Transaction, WorkerClient};
@@ -214,7 +214,11 @@
         pool_settings,
         system_addresses: vec![settings.store, customer_address, ready_address, address],
         table: RefCell::default(),
-        keeper: RefCell::new(ClaimKeeper::new(me, claim_settings.clone(), clock.now())),
+        keeper: RefCell::new(ClaimController::new(
+            me,
+            claim_settings.clone(),
+            clock.now(),
+        )),
         directory: RefCell::new(WorkerDirectory::default()),
         evacuations: RefCell::default(),
         pools: RefCell::default(),
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -8,7 +8,7 @@
     time::{Duration, Instant},
 };
 
-use claims::{ClaimKeeper, NodeId};
+use claims::{ClaimController, NodeId};
 use jobs::{PoolId, RouteTable};
 use kernel::ClockSource;
 use model::{DataCentreId, FastMap, Mechanism};
@@ -39,7 +39,7 @@
     pub(crate) store: StoreClient,
     pub(crate) workers: WorkerClient,
     pub(crate) table: RefCell<Option<Rc<RouteTable>>>,
-    pub(crate) keeper: RefCell<ClaimKeeper>,
+    pub(crate) keeper: RefCell<ClaimController>,
     pub(crate) directory: RefCell<WorkerDirectory>,
     pub(crate) evacuations: RefCell<EvacuationBook>,
     pub(crate) pools: RefCell<FastMap<PoolId, OwnedPool>>,
