--- a/crates/claims/src/action.rs
+++ b/crates/claims/src/action.rs
@@ -14,9 +14,9 @@
 /// What has to be done.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimAction {
-    /// Find out whether a worker of the pool can be reached, and tell `on_probe`.
+    /// Find out whether a worker of the pool can be reached, and tell `on_probe_result`.
     Probe(PoolId),
-    /// Write the claim if its row still has this version; tell `on_claim_end`.
+    /// Write the claim if its row still has this version; tell `on_claim_outcome`.
     Claim {
         /// The pool.
         pool: PoolId,
@@ -27,11 +27,11 @@
 
 /// How an attempt to claim ended at the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ClaimEnd {
+pub enum ClaimOutcome {
     /// The store decided: the claim is won, or another was faster.
-    Answered,
+    Decided,
     /// The store did not decide, or its answer is not known.
-    TurnedAway,
+    Undecided,
 }
 
 /// A change of belief, for the log.
--- a/crates/claims/src/controller.rs
+++ b/crates/claims/src/controller.rs
@@ -18,7 +18,7 @@
 use model::{DataCentreId, FastMap};
 
 use crate::{
-    action::{ClaimAction, ClaimEnd, ClaimNote, ClaimReason, OwnerView},
+    action::{ClaimAction, ClaimNote, ClaimOutcome, ClaimReason, OwnerView},
     rows::{ClaimRow, MemberRow},
     settings::ClaimSettings,
     strength::VmStrength,
@@ -64,7 +64,7 @@
     /// Its workers could not be reached when they were last tried.
     unreachable: bool,
     /// Claims in a row that the store turned away.
-    turned_away: u32,
+    undecided_claims: u32,
     has_workers: bool,
 }
 
@@ -273,7 +273,7 @@
     }
 
     /// Whether a worker of the pool could be reached.
-    pub fn on_probe(&mut self, now: Instant, pool: &PoolId, reachable: bool) {
+    pub fn on_probe_result(&mut self, now: Instant, pool: &PoolId, reachable: bool) {
         let listening = self.listening_time(pool);
         let Some(watch) = self.pools.get_mut(pool) else {
             return;
@@ -306,21 +306,21 @@
     }
 
     /// An attempt to claim has ended; if it succeeded, `on_claim` was told before.
-    pub fn on_claim_end(&mut self, now: Instant, pool: &PoolId, end: ClaimEnd) {
+    pub fn on_claim_outcome(&mut self, now: Instant, pool: &PoolId, outcome: ClaimOutcome) {
         let Some(watch) = self.pools.get_mut(pool) else {
             return;
         };
-        match end {
-            ClaimEnd::Answered => {
+        match outcome {
+            ClaimOutcome::Decided => {
                 watch.attempt = ClaimAttempt::None;
-                watch.turned_away = 0;
+                watch.undecided_claims = 0;
             }
-            ClaimEnd::TurnedAway => {
-                let doubled = 2_u32.saturating_pow(watch.turned_away.min(8));
+            ClaimOutcome::Undecided => {
+                let doubled = 2_u32.saturating_pow(watch.undecided_claims.min(8));
                 let pause = self.settings.claim_pause * doubled;
                 let pause = pause.min(self.settings.longest_claim_pause);
                 watch.attempt = ClaimAttempt::Paused(now + pause);
-                watch.turned_away += 1;
+                watch.undecided_claims += 1;
             }
         }
     }
--- a/crates/claims/tests/keeper.rs
+++ b/crates/claims/tests/keeper.rs
@@ -6,7 +6,7 @@
 };
 
 use claims::{
-    ClaimAction, ClaimController, ClaimEnd, ClaimRow, ClaimSettings, Heartbeat, LinkRate,
+    ClaimAction, ClaimController, ClaimOutcome, ClaimRow, ClaimSettings, Heartbeat, LinkRate,
     MemberRow, NodeId, PoolNews,
 };
 use jobs::{FenceToken, LifeId, PoolId};
@@ -77,7 +77,7 @@
     passed: Duration,
     reachable: bool,
     /// How the store answers claims.
-    claim_end: ClaimEnd,
+    claim_outcome: ClaimOutcome,
     probes: usize,
     claims: Vec<(String, Duration)>,
 }
@@ -90,7 +90,7 @@
             now,
             passed: Duration::ZERO,
             reachable: true,
-            claim_end: ClaimEnd::Answered,
+            claim_outcome: ClaimOutcome::Decided,
             probes: 0,
             claims: Vec::new(),
         }
@@ -119,11 +119,12 @@
                 match action {
                     ClaimAction::Probe(pool) => {
                         self.probes += 1;
-                        self.keeper.on_probe(self.now, &pool, self.reachable);
+                        self.keeper.on_probe_result(self.now, &pool, self.reachable);
                     }
                     ClaimAction::Claim { pool, .. } => {
                         self.claims.push((pool.to_string(), self.passed));
-                        self.keeper.on_claim_end(self.now, &pool, self.claim_end);
+                        self.keeper
+                            .on_claim_outcome(self.now, &pool, self.claim_outcome);
                     }
                 }
             }
@@ -382,11 +383,11 @@
     let me = member("east-1", 1);
     let mut watch = Watch::new(&me);
     watch.keeper.on_workers(&pool("east"), true);
-    watch.claim_end = ClaimEnd::TurnedAway;
+    watch.claim_outcome = ClaimOutcome::Undecided;
     watch.pass(millis(10_000), &[]);
     let tries = watch.claims.len();
     assert!(tries <= 18, "{tries} claims in 10 s");
-    watch.claim_end = ClaimEnd::Answered;
+    watch.claim_outcome = ClaimOutcome::Decided;
     watch.claims.clear();
     let begun = watch.passed;
     watch.pass(millis(1_000), &[]);
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -6,7 +6,7 @@
     time::{Duration, Instant},
 };
 
-use claims::{ClaimAction, ClaimEnd, ClaimRow, NodeId};
+use claims::{ClaimAction, ClaimOutcome, ClaimRow, NodeId};
 use futures::future::{select, Either, LocalBoxFuture};
 use jobs::{FenceToken, JobId, JobOutcome, LifeId, PoolId, RefusalKind, WorkerRecord};
 use model::{FastMap, Mechanism};
@@ -347,7 +347,10 @@
                 actix_rt::spawn(async move {
                     let reachable = probe(&state, &pool).await;
                     let now = state.now();
-                    state.keeper.borrow_mut().on_probe(now, &pool, reachable);
+                    state
+                        .keeper
+                        .borrow_mut()
+                        .on_probe_result(now, &pool, reachable);
                     let line = EventLine::new("pool_probed")
                         .text("pool", &pool)
                         .text("reachable", reachable);
@@ -401,8 +404,8 @@
     let transaction = Transaction::of(write);
     let answer = state.store.transact(&transaction).await;
     let end = match &answer {
-        Ok(_) => ClaimEnd::Answered,
-        Err(_) => ClaimEnd::TurnedAway,
+        Ok(_) => ClaimOutcome::Decided,
+        Err(_) => ClaimOutcome::Undecided,
     };
     let mut line = EventLine::new("claim_answered")
         .text("pool", pool)
@@ -417,7 +420,7 @@
         Err(error) => line = line.text("outcome", "unknown").text("error", error),
     }
     let now = state.now();
-    state.keeper.borrow_mut().on_claim_end(now, pool, end);
+    state.keeper.borrow_mut().on_claim_outcome(now, pool, end);
     state.log(EventKind::Kept, line);
 }
 
