--- a/crates/claims/src/action.rs
+++ b/crates/claims/src/action.rs
@@ -36,7 +36,7 @@
 
 /// A change of belief, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ClaimNote {
+pub enum ClaimEvent {
     /// A process was heard for the first time, or again.
     PeerHeard(NodeId),
     /// A process is not heard any more.
--- a/crates/claims/src/controller.rs
+++ b/crates/claims/src/controller.rs
@@ -18,7 +18,7 @@
 use model::{DataCentreId, FastMap};
 
 use crate::{
-    action::{ClaimAction, ClaimNote, ClaimOutcome, ClaimReason, OwnerView},
+    action::{ClaimAction, ClaimEvent, ClaimOutcome, ClaimReason, OwnerView},
     rows::{ClaimRow, MemberRow},
     settings::ClaimSettings,
     strength::VmStrength,
@@ -101,7 +101,7 @@
     owners: FastMap<NodeId, Instant>,
     /// The other processes of the data centre.
     near_members: u32,
-    notes: Vec<ClaimNote>,
+    events: Vec<ClaimEvent>,
 }
 
 impl ClaimController {
@@ -117,7 +117,7 @@
             pools: FastMap::default(),
             owners: FastMap::default(),
             near_members: 0,
-            notes: Vec::new(),
+            events: Vec::new(),
         }
     }
 
@@ -127,8 +127,8 @@
     }
 
     /// What was learned, in order.
-    pub fn take_notes(&mut self) -> Vec<ClaimNote> {
-        std::mem::take(&mut self.notes)
+    pub fn take_events(&mut self) -> Vec<ClaimEvent> {
+        std::mem::take(&mut self.events)
     }
 
     /// This process stops: it claims nothing more.
@@ -173,7 +173,7 @@
         {
             return;
         }
-        self.notes.push(ClaimNote::OwnerChanged {
+        self.events.push(ClaimEvent::OwnerChanged {
             pool,
             node: row.node.clone(),
             fence: FenceToken(version),
@@ -223,7 +223,7 @@
             return;
         }
         if known.is_none_or(|known| known.silent) {
-            self.notes.push(ClaimNote::PeerHeard(beat.node.clone()));
+            self.events.push(ClaimEvent::PeerHeard(beat.node.clone()));
         }
         // A process that has just started is known by its heartbeat sooner than by its row.
         let member = self.members.get(&beat.node);
@@ -371,7 +371,7 @@
 
     /// Decides what has to be done now.
     pub fn tick(&mut self, now: Instant) -> Vec<ClaimAction> {
-        self.note_silent(now);
+        self.detect_silent_peers(now);
         let mut actions = Vec::new();
         if self.leaving {
             return actions;
@@ -444,7 +444,7 @@
                 watch.attempt = ClaimAttempt::Writing(now);
                 let expected = watch.claim.as_ref().map_or(0, |claim| claim.version);
                 let pool = pool.clone();
-                self.notes.push(ClaimNote::Claiming {
+                self.events.push(ClaimEvent::Claiming {
                     pool: pool.clone(),
                     why: reason,
                     expected,
@@ -494,7 +494,7 @@
         now < self.started + self.settings.far_limit
     }
 
-    fn note_silent(&mut self, now: Instant) {
+    fn detect_silent_peers(&mut self, now: Instant) {
         let mut silent = Vec::new();
         for (node, peer) in &self.heard {
             if !peer.silent && !self.is_fresh(now, peer) {
@@ -505,7 +505,7 @@
             if let Some(peer) = self.heard.get_mut(&node) {
                 peer.silent = true;
             }
-            self.notes.push(ClaimNote::PeerSilent { node, age });
+            self.events.push(ClaimEvent::PeerSilent { node, age });
         }
     }
 }
--- a/crates/claims/src/lib.rs
+++ b/crates/claims/src/lib.rs
@@ -13,7 +13,7 @@
 mod view;
 
 pub use crate::{
-    action::{ClaimAction, ClaimNote, ClaimOutcome, ClaimReason, OwnerView},
+    action::{ClaimAction, ClaimEvent, ClaimOutcome, ClaimReason, OwnerView},
     controller::{BeatPace, ClaimController, KnownList, ListTurn},
     rows::{ClaimRow, GroupRow, GroupSpread, MemberRow, RouteWait},
     settings::ClaimSettings,
--- a/crates/claims/tests/beats.rs
+++ b/crates/claims/tests/beats.rs
@@ -6,7 +6,7 @@
 };
 
 use claims::{
-    BeatPace, ClaimController, ClaimNote, ClaimRow, ClaimSettings, Heartbeat, LinkRate, MemberRow,
+    BeatPace, ClaimController, ClaimEvent, ClaimRow, ClaimSettings, Heartbeat, LinkRate, MemberRow,
     NodeId,
 };
 use jobs::PoolId;
@@ -127,13 +127,13 @@
         now += step;
     }
     let last = now - step;
-    controller.take_notes();
+    controller.take_events();
     loop {
         controller.tick(now);
-        let notes = controller.take_notes();
-        let silent = notes
+        let events = controller.take_events();
+        let silent = events
             .iter()
-            .any(|note| matches!(note, ClaimNote::PeerSilent { .. }));
+            .any(|event| matches!(event, ClaimEvent::PeerSilent { .. }));
         if silent {
             return now - last;
         }
--- a/crates/node/src/notes.rs
+++ b/crates/node/src/notes.rs
@@ -1,6 +1,6 @@
 //! Log lines of decisions and changes of belief.
 
-use claims::ClaimNote;
+use claims::ClaimEvent;
 use jobs::{FenceToken, JobOutcome, PoolId};
 use pool::PoolNote;
 use telemetry::{EventKind, EventLine};
@@ -274,17 +274,17 @@
 }
 
 /// Logs what the claim keeper learned.
-pub(crate) fn log_claim(state: &NodeState, note: &ClaimNote) {
+pub(crate) fn log_claim(state: &NodeState, note: &ClaimEvent) {
     let line = match note {
-        ClaimNote::PeerHeard(node) => EventLine::new("peer_heard").text("peer", node),
-        ClaimNote::PeerSilent { node, age } => EventLine::new("peer_silent")
+        ClaimEvent::PeerHeard(node) => EventLine::new("peer_heard").text("peer", node),
+        ClaimEvent::PeerSilent { node, age } => EventLine::new("peer_silent")
             .text("peer", node)
             .millis("age_ms", *age),
-        ClaimNote::OwnerChanged { pool, node, fence } => EventLine::new("owner_changed")
+        ClaimEvent::OwnerChanged { pool, node, fence } => EventLine::new("owner_changed")
             .text("pool", pool)
             .text("owner", node)
             .number("fence", fence.0),
-        ClaimNote::Claiming {
+        ClaimEvent::Claiming {
             pool,
             why,
             expected,
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -8,7 +8,7 @@
     time::{Duration, Instant, SystemTime, UNIX_EPOCH},
 };
 
-use claims::{ClaimController, ClaimNote, ClaimSettings, LinkRate, MemberRow, NodeId, RouteWait};
+use claims::{ClaimController, ClaimEvent, ClaimSettings, LinkRate, MemberRow, NodeId, RouteWait};
 use kernel::{ClockSource, SystemClock};
 use model::FastMap;
 use platform_adapter::{HttpCaller, RowWrite, StoreClient, StoreTable, Transaction, WorkerClient};
@@ -416,9 +416,9 @@
         workers::drop_worker(state, &record);
     }
     let actions = state.keeper.borrow_mut().tick(now);
-    let notes = state.keeper.borrow_mut().take_notes();
+    let notes = state.keeper.borrow_mut().take_events();
     for note in notes {
-        if let ClaimNote::PeerSilent { node, .. } = &note {
+        if let ClaimEvent::PeerSilent { node, .. } = &note {
             state.links.lose(node);
             state.lost_peer(node).notify_waiters();
         }
