--- a/crates/claims/src/action.rs
+++ b/crates/claims/src/action.rs
@@ -98,5 +98,5 @@
     /// What its pool can take, as last heard.
     pub load: PoolLoad,
     /// When that was heard, if it was.
-    pub heard: Option<Instant>,
+    pub heard_at: Option<Instant>,
 }
--- a/crates/claims/src/controller.rs
+++ b/crates/claims/src/controller.rs
@@ -34,10 +34,10 @@
 
 #[derive(Clone, Debug)]
 struct HeardPeer {
-    beat: Heartbeat,
-    at: Instant,
+    heartbeat: Heartbeat,
+    heard_at: Instant,
     /// Since when this life of it has been heard without a pause.
-    since: Instant,
+    heard_since: Instant,
     silent: bool,
     /// Its port is closed since its last sign of life.
     refused: bool,
@@ -54,10 +54,10 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct PoolWatch {
+struct PoolState {
     claim: Option<Claim>,
     /// Since when the pool could be claimed, and why.
-    open_since: Option<(Instant, ClaimReason)>,
+    claimable_since: Option<(Instant, ClaimReason)>,
     /// This process's place among those that could claim it.
     rank: u32,
     attempt: ClaimAttempt,
@@ -85,18 +85,18 @@
     /// The claim is on its way to the store.
     Writing(Instant),
     /// The store turned it away; the next one waits until then.
-    Paused(Instant),
+    BackingOff(Instant),
 }
 
 /// Watches members and claims, and says when this process should claim a pool.
 pub struct ClaimController {
     settings: ClaimSettings,
-    me: MemberRow,
+    own_row: MemberRow,
     started: Instant,
     leaving: bool,
     members: FastMap<NodeId, Member>,
-    heard: FastMap<NodeId, HeardPeer>,
-    pools: FastMap<PoolId, PoolWatch>,
+    heard_peers: FastMap<NodeId, HeardPeer>,
+    pools: FastMap<PoolId, PoolState>,
     /// Who owns pools, and since when.
     owners: FastMap<NodeId, Instant>,
     /// The other processes of the data centre.
@@ -106,14 +106,14 @@
 
 impl ClaimController {
     /// A keeper that knows only its own process.
-    pub fn new(me: MemberRow, settings: ClaimSettings, now: Instant) -> Self {
+    pub fn new(own_row: MemberRow, settings: ClaimSettings, now: Instant) -> Self {
         Self {
             settings,
-            me,
+            own_row,
             started: now,
             leaving: false,
             members: FastMap::default(),
-            heard: FastMap::default(),
+            heard_peers: FastMap::default(),
             pools: FastMap::default(),
             owners: FastMap::default(),
             near_members: 0,
@@ -122,8 +122,8 @@
     }
 
     /// This process's row.
-    pub fn me(&self) -> &MemberRow {
-        &self.me
+    pub fn own_row(&self) -> &MemberRow {
+        &self.own_row
     }
 
     /// What was learned, in order.
@@ -138,7 +138,7 @@
 
     /// A member's row, as read from the store.
     pub fn on_member(&mut self, now: Instant, row: MemberRow) {
-        if row.node == self.me.node {
+        if row.node == self.own_row.node {
             return;
         }
         let older = self.members.get(&row.node).is_some_and(|known| {
@@ -165,8 +165,8 @@
 
     /// A claim's row, as read from the store.
     pub fn on_claim(&mut self, now: Instant, pool: PoolId, row: ClaimRow, version: u64) {
-        let watch = self.pools.entry(pool.clone()).or_default();
-        if watch
+        let state = self.pools.entry(pool.clone()).or_default();
+        if state
             .claim
             .as_ref()
             .is_some_and(|known| known.version >= version)
@@ -179,14 +179,14 @@
             fence: FenceToken(version),
         });
         let since = now;
-        watch.claim = Some(Claim {
+        state.claim = Some(Claim {
             row,
             version,
             since,
             let_go: false,
         });
-        watch.open_since = None;
-        watch.attempt = ClaimAttempt::None;
+        state.claimable_since = None;
+        state.attempt = ClaimAttempt::None;
         self.find_owners();
     }
 
@@ -196,7 +196,7 @@
         if let Some(claim) = self
             .pools
             .get_mut(pool)
-            .and_then(|watch| watch.claim.as_mut())
+            .and_then(|state| state.claim.as_mut())
         {
             claim.let_go = true;
         }
@@ -212,34 +212,35 @@
     }
 
     /// A sign of life of another process, which came from `address`.
-    pub fn on_heartbeat(&mut self, now: Instant, beat: Heartbeat, address: SocketAddr) {
-        if beat.node == self.me.node {
+    pub fn on_heartbeat(&mut self, now: Instant, heartbeat: Heartbeat, address: SocketAddr) {
+        if heartbeat.node == self.own_row.node {
             return;
         }
         // Datagrams may overtake each other: one of an earlier life says nothing while the later one is heard.
-        let known = self.heard.get(&beat.node);
-        let later = known.filter(|known| known.beat.incarnation > beat.incarnation);
+        let known = self.heard_peers.get(&heartbeat.node);
+        let later = known.filter(|known| known.heartbeat.incarnation > heartbeat.incarnation);
         if later.is_some_and(|later| self.is_fresh(now, later)) {
             return;
         }
         if known.is_none_or(|known| known.silent) {
-            self.events.push(ClaimEvent::PeerHeard(beat.node.clone()));
+            self.events
+                .push(ClaimEvent::PeerHeard(heartbeat.node.clone()));
         }
         // A process that has just started is known by its heartbeat sooner than by its row.
-        let member = self.members.get(&beat.node);
-        if member.is_none_or(|member| member.row.incarnation < beat.incarnation) {
+        let member = self.members.get(&heartbeat.node);
+        if member.is_none_or(|member| member.row.incarnation < heartbeat.incarnation) {
             let row = MemberRow {
-                node: beat.node.clone(),
-                incarnation: beat.incarnation,
-                data_centre: beat.data_centre.clone(),
-                cores: beat.cores,
-                link: beat.link,
+                node: heartbeat.node.clone(),
+                incarnation: heartbeat.incarnation,
+                data_centre: heartbeat.data_centre.clone(),
+                cores: heartbeat.cores,
+                link: heartbeat.link,
                 address,
                 refreshes: 0,
                 waits: Vec::new(),
             };
             self.members.insert(
-                beat.node.clone(),
+                heartbeat.node.clone(),
                 Member {
                     row,
                     refreshed: now,
@@ -247,18 +248,18 @@
             );
             self.count_near();
         }
-        let known = self.heard.get(&beat.node);
-        let node = beat.node.clone();
-        let unbroken =
-            known.filter(|known| !known.silent && known.beat.incarnation == beat.incarnation);
-        let since = unbroken.map_or(now, |known| known.since);
-        let (at, silent, refused) = (now, false, false);
-        self.heard.insert(
+        let known = self.heard_peers.get(&heartbeat.node);
+        let node = heartbeat.node.clone();
+        let unbroken = known
+            .filter(|known| !known.silent && known.heartbeat.incarnation == heartbeat.incarnation);
+        let heard_since = unbroken.map_or(now, |known| known.heard_since);
+        let (heard_at, silent, refused) = (now, false, false);
+        self.heard_peers.insert(
             node,
             HeardPeer {
-                beat,
-                at,
-                since,
+                heartbeat,
+                heard_at,
+                heard_since,
                 silent,
                 refused,
             },
@@ -267,7 +268,7 @@
 
     /// A connection to the process was refused: nobody listens there any more.
     pub fn on_refused(&mut self, node: &NodeId) {
-        if let Some(peer) = self.heard.get_mut(node) {
+        if let Some(peer) = self.heard_peers.get_mut(node) {
             peer.refused = true;
         }
     }
@@ -275,15 +276,15 @@
     /// Whether a worker of the pool could be reached.
     pub fn on_probe_result(&mut self, now: Instant, pool: &PoolId, reachable: bool) {
         let listening = self.listening_time(pool);
-        let Some(watch) = self.pools.get_mut(pool) else {
+        let Some(state) = self.pools.get_mut(pool) else {
             return;
         };
-        if !matches!(watch.attempt, ClaimAttempt::Probing(_)) {
+        if !matches!(state.attempt, ClaimAttempt::Probing(_)) {
             return;
         }
-        let healed = reachable && watch.unreachable;
-        watch.unreachable = !reachable;
-        watch.attempt = match (reachable, healed) {
+        let healed = reachable && state.unreachable;
+        state.unreachable = !reachable;
+        state.attempt = match (reachable, healed) {
             (false, _) => ClaimAttempt::Unreachable(now),
             (true, false) => ClaimAttempt::Reachable,
             (true, true) => ClaimAttempt::Listening(now + listening),
@@ -296,9 +297,9 @@
     /// workers again, and they take its pools, since the next sign of life of an owner that is far away comes up to a second
     /// later. All jobs of both sides are cut.
     fn listening_time(&self, pool: &PoolId) -> Duration {
-        let claim = self.pools.get(pool).and_then(|watch| watch.claim.as_ref());
-        let peer = claim.and_then(|claim| self.heard.get(&claim.row.node));
-        let near = peer.is_some_and(|peer| peer.beat.data_centre == self.me.data_centre);
+        let claim = self.pools.get(pool).and_then(|state| state.claim.as_ref());
+        let peer = claim.and_then(|claim| self.heard_peers.get(&claim.row.node));
+        let near = peer.is_some_and(|peer| peer.heartbeat.data_centre == self.own_row.data_centre);
         match near {
             true => self.settings.near_limit,
             false => self.far_limit(),
@@ -307,20 +308,20 @@
 
     /// An attempt to claim has ended; if it succeeded, `on_claim` was told before.
     pub fn on_claim_outcome(&mut self, now: Instant, pool: &PoolId, outcome: ClaimOutcome) {
-        let Some(watch) = self.pools.get_mut(pool) else {
+        let Some(state) = self.pools.get_mut(pool) else {
             return;
         };
         match outcome {
             ClaimOutcome::Decided => {
-                watch.attempt = ClaimAttempt::None;
-                watch.undecided_claims = 0;
+                state.attempt = ClaimAttempt::None;
+                state.undecided_claims = 0;
             }
             ClaimOutcome::Undecided => {
-                let doubled = 2_u32.saturating_pow(watch.undecided_claims.min(8));
+                let doubled = 2_u32.saturating_pow(state.undecided_claims.min(8));
                 let pause = self.settings.claim_pause * doubled;
                 let pause = pause.min(self.settings.longest_claim_pause);
-                watch.attempt = ClaimAttempt::Paused(now + pause);
-                watch.undecided_claims += 1;
+                state.attempt = ClaimAttempt::BackingOff(now + pause);
+                state.undecided_claims += 1;
             }
         }
     }
@@ -328,12 +329,13 @@
     /// The owner of a pool.
     pub fn owner(&self, now: Instant, pool: &PoolId) -> Option<OwnerView> {
         let claim = self.pools.get(pool)?.claim.as_ref()?;
-        let here = self.is_mine(claim);
-        let heard = self.heard.get(&claim.row.node);
+        let here = self.is_own_claim(claim);
+        let heard = self.heard_peers.get(&claim.row.node);
         let current = heard.filter(|peer| {
-            peer.beat.incarnation == claim.row.incarnation && self.is_fresh(now, peer)
+            peer.heartbeat.incarnation == claim.row.incarnation && self.is_fresh(now, peer)
         });
-        let news = current.and_then(|peer| peer.beat.pools.iter().find(|news| news.pool == *pool));
+        let news =
+            current.and_then(|peer| peer.heartbeat.pools.iter().find(|news| news.pool == *pool));
         Some(OwnerView {
             node: claim.row.node.clone(),
             address: claim.row.address,
@@ -341,30 +343,30 @@
             here,
             // One that is about to stop serves on while nobody can take its pool over.
             alive: here
-                || current.is_some_and(|peer| !peer.beat.leaving || news.is_some())
+                || current.is_some_and(|peer| !peer.heartbeat.leaving || news.is_some())
                     && news.is_none_or(|news| !news.yielding),
             load: news.map(|news| news.load).unwrap_or_default(),
-            heard: current.map(|peer| peer.at),
+            heard_at: current.map(|peer| peer.heard_at),
         })
     }
 
     /// The pools that are known, nearest first.
     pub fn pools(&self) -> Vec<PoolId> {
         let mut pools: Vec<PoolId> = self.pools.keys().cloned().collect();
-        pools.sort_by_key(|pool| (pool.data_centre != self.me.data_centre, pool.clone()));
+        pools.sort_by_key(|pool| (pool.data_centre != self.own_row.data_centre, pool.clone()));
         pools
     }
 
     /// Whether this process is among the first that would claim a pool which could be claimed now.
     pub fn may_claim_soon(&self) -> bool {
         let mut pools = self.pools.values();
-        pools.any(|watch| watch.open_since.is_some() && watch.rank <= SOON_RANK)
+        pools.any(|state| state.claimable_since.is_some() && state.rank <= SOON_RANK)
     }
 
     /// What the VMs of a data centre can carry, this one's among them.
     pub fn strengths(&self, centre: &DataCentreId) -> Vec<VmStrength> {
         let others = self.members.values().map(|member| &member.row);
-        let all = others.chain(std::iter::once(&self.me));
+        let all = others.chain(std::iter::once(&self.own_row));
         let there = all.filter(|row| row.data_centre == *centre);
         there.map(MemberRow::strength).collect()
     }
@@ -393,24 +395,24 @@
         };
         for (pool, reason) in pools.iter().zip(reasons) {
             let rank = ranks.get(pool).copied().unwrap_or_default();
-            actions.extend(self.watch_pool(now, pool, reason, rank));
+            actions.extend(self.advance_claim(now, pool, reason, rank));
         }
         actions
     }
 
     fn has_workers(&self, pool: &PoolId) -> bool {
-        self.pools.get(pool).is_some_and(|watch| watch.has_workers)
+        self.pools.get(pool).is_some_and(|state| state.has_workers)
     }
 
     /// Candidates come one after another. `rank` is this process's place among them.
-    fn watch_pool(
+    fn advance_claim(
         &mut self,
         now: Instant,
         pool: &PoolId,
         reason: Option<ClaimReason>,
         rank: u32,
     ) -> Option<ClaimAction> {
-        let far = self.me.data_centre != pool.data_centre;
+        let far = self.own_row.data_centre != pool.data_centre;
         let far_delay = if far {
             self.settings.far_delay
         } else {
@@ -420,29 +422,29 @@
         let limit = self.settings.attempt_limit;
         // Beside those that fall to it one at a time: with each pool that it gets, the next is more likely another's.
         let busy = rank > 0
-            && self.pools.values().any(|watch| {
+            && self.pools.values().any(|state| {
                 matches!(
-                    watch.attempt,
+                    state.attempt,
                     ClaimAttempt::Probing(_) | ClaimAttempt::Reachable | ClaimAttempt::Writing(_)
                 )
             });
-        let watch = self.pools.get_mut(pool)?;
+        let state = self.pools.get_mut(pool)?;
         let Some(reason) = reason else {
-            watch.open_since = None;
-            watch.attempt = ClaimAttempt::None;
-            watch.unreachable = false;
+            state.claimable_since = None;
+            state.attempt = ClaimAttempt::None;
+            state.unreachable = false;
             return None;
         };
-        let (since, _) = *watch.open_since.get_or_insert((now, reason));
-        watch.rank = rank;
-        match watch.attempt {
+        let (since, _) = *state.claimable_since.get_or_insert((now, reason));
+        state.rank = rank;
+        match state.attempt {
             ClaimAttempt::None if now >= since + delay && !busy => {
-                watch.attempt = ClaimAttempt::Probing(now);
+                state.attempt = ClaimAttempt::Probing(now);
                 Some(ClaimAction::Probe(pool.clone()))
             }
             ClaimAttempt::Reachable => {
-                watch.attempt = ClaimAttempt::Writing(now);
-                let expected = watch.claim.as_ref().map_or(0, |claim| claim.version);
+                state.attempt = ClaimAttempt::Writing(now);
+                let expected = state.claim.as_ref().map_or(0, |claim| claim.version);
                 let pool = pool.clone();
                 self.events.push(ClaimEvent::Claiming {
                     pool: pool.clone(),
@@ -453,19 +455,19 @@
             }
             ClaimAttempt::Probing(begun) | ClaimAttempt::Writing(begun) => {
                 if now >= begun + limit {
-                    watch.attempt = ClaimAttempt::None;
+                    state.attempt = ClaimAttempt::None;
                 }
                 None
             }
             ClaimAttempt::Unreachable(since) => {
                 if now >= since + self.settings.probe_pause {
-                    watch.attempt = ClaimAttempt::None;
+                    state.attempt = ClaimAttempt::None;
                 }
                 None
             }
-            ClaimAttempt::Listening(until) | ClaimAttempt::Paused(until) => {
+            ClaimAttempt::Listening(until) | ClaimAttempt::BackingOff(until) => {
                 if now >= until {
-                    watch.attempt = ClaimAttempt::None;
+                    state.attempt = ClaimAttempt::None;
                 }
                 None
             }
@@ -473,20 +475,20 @@
         }
     }
 
-    fn is_mine(&self, claim: &Claim) -> bool {
-        let own = claim.row.node == self.me.node;
-        own && claim.row.incarnation == self.me.incarnation && !claim.let_go
+    fn is_own_claim(&self, claim: &Claim) -> bool {
+        let own = claim.row.node == self.own_row.node;
+        own && claim.row.incarnation == self.own_row.incarnation && !claim.let_go
     }
 
     fn is_fresh(&self, now: Instant, peer: &HeardPeer) -> bool {
         let limit = self.silence_limit(now, peer);
-        now < peer.at + limit && !peer.refused
+        now < peer.heard_at + limit && !peer.refused
     }
 
     /// A process that is heard and does not stop.
-    fn staying(&self, now: Instant, node: &NodeId) -> Option<&HeardPeer> {
-        let heard = self.heard.get(node);
-        heard.filter(|peer| self.is_fresh(now, peer) && !peer.beat.leaving)
+    fn live_peer(&self, now: Instant, node: &NodeId) -> Option<&HeardPeer> {
+        let heard = self.heard_peers.get(node);
+        heard.filter(|peer| self.is_fresh(now, peer) && !peer.heartbeat.leaving)
     }
 
     /// Before the first heartbeats all members count, heard or not.
@@ -496,13 +498,13 @@
 
     fn detect_silent_peers(&mut self, now: Instant) {
         let mut silent = Vec::new();
-        for (node, peer) in &self.heard {
+        for (node, peer) in &self.heard_peers {
             if !peer.silent && !self.is_fresh(now, peer) {
-                silent.push((node.clone(), now.saturating_duration_since(peer.at)));
+                silent.push((node.clone(), now.saturating_duration_since(peer.heard_at)));
             }
         }
         for (node, age) in silent {
-            if let Some(peer) = self.heard.get_mut(&node) {
+            if let Some(peer) = self.heard_peers.get_mut(&node) {
                 peer.silent = true;
             }
             self.events.push(ClaimEvent::PeerSilent { node, age });
--- a/crates/claims/src/controller/beating.rs
+++ b/crates/claims/src/controller/beating.rs
@@ -49,10 +49,10 @@
 
     /// The other members, and how often each is told.
     pub fn peers(&self) -> impl Iterator<Item = (&MemberRow, BeatPace)> + '_ {
-        let mine = self.owners.contains_key(&self.me.node);
+        let mine = self.owners.contains_key(&self.own_row.node);
         self.members.values().map(move |member| {
             let row = &member.row;
-            let pace = if row.data_centre != self.me.data_centre {
+            let pace = if row.data_centre != self.own_row.data_centre {
                 BeatPace::Far
             } else if mine || self.owners.contains_key(&row.node) {
                 BeatPace::Owner
@@ -65,7 +65,7 @@
 
     /// The owners that this process hears: others ask for nobody else.
     pub fn heard_owners(&self, now: Instant) -> Vec<NodeDigest> {
-        let heard = self.heard.iter();
+        let heard = self.heard_peers.iter();
         let heard = heard
             .filter(|(node, peer)| self.owners.contains_key(*node) && self.is_fresh(now, peer));
         heard.map(|(node, _)| node.digest()).collect()
@@ -73,7 +73,10 @@
 
     /// Whether no other process is heard: then the rows of the store alone tell who lives.
     pub fn hears_nobody(&self, now: Instant) -> bool {
-        !self.heard.values().any(|peer| self.is_fresh(now, peer))
+        !self
+            .heard_peers
+            .values()
+            .any(|peer| self.is_fresh(now, peer))
     }
 
     /// With many processes less often: each one hears all others.
@@ -98,7 +101,7 @@
     /// How long a process may be silent.
     pub(super) fn silence_limit(&self, now: Instant, peer: &HeardPeer) -> Duration {
         let settings = &self.settings;
-        if peer.beat.data_centre != self.me.data_centre {
+        if peer.heartbeat.data_centre != self.own_row.data_centre {
             return self.far_limit();
         }
         let idle = self.idle_beat();
@@ -108,7 +111,7 @@
                 .get(node)
                 .is_some_and(|since| now >= *since + idle * 2)
         };
-        let often = long_owner(&self.me.node) || long_owner(&peer.beat.node);
+        let often = long_owner(&self.own_row.node) || long_owner(&peer.heartbeat.node);
         match often {
             true => settings.near_limit,
             false => settings.near_limit + idle * IDLE_BEATS_MISSED,
@@ -118,7 +121,7 @@
     /// Finds out again who owns pools, and since when.
     pub(super) fn find_owners(&mut self) {
         let mut owners: FastMap<NodeId, Instant> = FastMap::default();
-        for claim in self.pools.values().filter_map(|watch| watch.claim.as_ref()) {
+        for claim in self.pools.values().filter_map(|state| state.claim.as_ref()) {
             if claim.let_go {
                 continue;
             }
@@ -130,7 +133,7 @@
 
     pub(super) fn count_near(&mut self) {
         let rows = self.members.values().map(|member| &member.row);
-        let near = rows.filter(|row| row.data_centre == self.me.data_centre);
+        let near = rows.filter(|row| row.data_centre == self.own_row.data_centre);
         self.near_members = u32::try_from(near.count()).unwrap_or(u32::MAX);
     }
 }
--- a/crates/claims/src/controller/reading.rs
+++ b/crates/claims/src/controller/reading.rs
@@ -78,15 +78,15 @@
             return ListTurn::Read;
         }
         let mut confirmed = (known.at, known.version);
-        for peer in self.heard.values() {
-            let reading = peer.beat.reading.filter(|_| self.is_fresh(now, peer));
+        for peer in self.heard_peers.values() {
+            let reading = peer.heartbeat.reading.filter(|_| self.is_fresh(now, peer));
             let Some(reading) = reading.filter(|reading| reading.version >= known.version) else {
                 continue;
             };
             if reading.digest != known.digest {
                 return ListTurn::Read;
             }
-            let at = peer.at.checked_sub(reading.age);
+            let at = peer.heard_at.checked_sub(reading.age);
             confirmed = confirmed.max((at.unwrap_or(known.at), reading.version));
         }
         let limit = READING_AGE + NEXT_READING * (rank - 1);
@@ -102,10 +102,10 @@
         let owners = self.members.values().map(|member| &member.row);
         let owners = owners.filter(|row| {
             let owns = self.is_near(&row.data_centre) && self.owners.contains_key(&row.node);
-            owns && self.staying(now, &row.node).is_some()
+            owns && self.live_peer(now, &row.node).is_some()
         });
-        let owns = self.owners.contains_key(&self.me.node);
-        let mine = order(&self.me);
+        let owns = self.owners.contains_key(&self.own_row.node);
+        let mine = order(&self.own_row);
         let before = owners.filter(|row| !owns || order(row) < mine).count();
         u32::try_from(before).unwrap_or(u32::MAX)
     }
@@ -127,7 +127,7 @@
     /// itself cut off.
     pub fn refresh_beat(&self) -> Duration {
         let refresh = self.settings.refresh;
-        if self.owners.contains_key(&self.me.node) {
+        if self.owners.contains_key(&self.own_row.node) {
             return refresh;
         }
         let members = u32::try_from(self.members.len()).unwrap_or(u32::MAX);
@@ -137,7 +137,7 @@
 
     /// This process's place among those of its data centre that own no pool, the strongest first.
     fn standby_rank(&self, now: Instant) -> usize {
-        let mine = order(&self.me);
+        let mine = order(&self.own_row);
         let near = self.members.values().map(|member| &member.row);
         let near = near.filter(|row| self.is_near(&row.data_centre));
         let idle = near.filter(|row| !self.owners.contains_key(&row.node));
@@ -146,11 +146,11 @@
     }
 
     fn is_near(&self, centre: &DataCentreId) -> bool {
-        *centre == self.me.data_centre
+        *centre == self.own_row.data_centre
     }
 
     fn may_stand_by(&self, now: Instant, row: &MemberRow) -> bool {
-        self.is_starting(now) || self.staying(now, &row.node).is_some()
+        self.is_starting(now) || self.live_peer(now, &row.node).is_some()
     }
 }
 
--- a/crates/claims/src/controller/reason.rs
+++ b/crates/claims/src/controller/reason.rs
@@ -12,19 +12,19 @@
 
 impl ClaimController {
     pub(super) fn claim_reason(&self, now: Instant, pool: &PoolId) -> Option<ClaimReason> {
-        let Some(claim) = self.pools.get(pool).and_then(|watch| watch.claim.as_ref()) else {
+        let Some(claim) = self.pools.get(pool).and_then(|state| state.claim.as_ref()) else {
             return Some(ClaimReason::Unowned);
         };
-        if self.is_mine(claim) {
+        if self.is_own_claim(claim) {
             return None;
         }
         let owner = &claim.row.node;
         // An earlier life of this very process.
-        if *owner == self.me.node {
+        if *owner == self.own_row.node {
             return Some(ClaimReason::OwnerRestarted);
         }
-        let heard = self.heard.get(owner);
-        let latest = heard.map(|peer| peer.beat.incarnation);
+        let heard = self.heard_peers.get(owner);
+        let latest = heard.map(|peer| peer.heartbeat.incarnation);
         let latest = latest.max(self.members.get(owner).map(|member| member.row.incarnation));
         if latest.is_some_and(|latest| latest > claim.row.incarnation) {
             return Some(ClaimReason::OwnerRestarted);
@@ -33,8 +33,8 @@
             return Some(ClaimReason::OwnerGone);
         }
         if let Some(peer) = heard.filter(|peer| self.is_fresh(now, peer)) {
-            let news = peer.beat.pools.iter().find(|news| news.pool == *pool);
-            let yields = peer.beat.leaving || news.is_some_and(|news| news.yielding);
+            let news = peer.heartbeat.pools.iter().find(|news| news.pool == *pool);
+            let yields = peer.heartbeat.leaving || news.is_some_and(|news| news.yielding);
             return yields.then_some(ClaimReason::OwnerYields);
         }
         let listening = now < self.started + self.settings.listen_first;
@@ -55,10 +55,10 @@
             .members
             .get(owner)
             .map(|member| &member.row.data_centre);
-        self.heard.values().any(|peer| {
-            let near = owner_centre == Some(&peer.beat.data_centre);
-            let counts = near || settling || owner_centre != Some(&self.me.data_centre);
-            counts && self.is_fresh(now, peer) && peer.beat.hears.contains(&digest)
+        self.heard_peers.values().any(|peer| {
+            let near = owner_centre == Some(&peer.heartbeat.data_centre);
+            let counts = near || settling || owner_centre != Some(&self.own_row.data_centre);
+            counts && self.is_fresh(now, peer) && peer.heartbeat.hears.contains(&digest)
         })
     }
 
--- a/crates/claims/src/controller/succession.rs
+++ b/crates/claims/src/controller/succession.rs
@@ -60,16 +60,16 @@
 
     /// The processes that could claim, this one first.
     fn candidates(&self, now: Instant) -> Vec<ClaimCandidate<'_>> {
-        let owned = self.pools.values().filter_map(|watch| watch.claim.as_ref());
-        let owned = owned.filter(|claim| self.is_mine(claim)).count();
-        let mut candidates = vec![candidate(&self.me, owned)];
+        let owned = self.pools.values().filter_map(|state| state.claim.as_ref());
+        let owned = owned.filter(|claim| self.is_own_claim(claim)).count();
+        let mut candidates = vec![candidate(&self.own_row, owned)];
         for member in self.members.values() {
-            let heard = self.staying(now, &member.row.node);
+            let heard = self.live_peer(now, &member.row.node);
             // While it starts all count, so that one claims and not all.
             if heard.is_none() && !self.is_starting(now) {
                 continue;
             }
-            let owned = heard.map_or(0, |peer| peer.beat.pools.len());
+            let owned = heard.map_or(0, |peer| peer.heartbeat.pools.len());
             candidates.push(candidate(&member.row, owned));
         }
         candidates
--- a/crates/claims/src/controller/yielding.rs
+++ b/crates/claims/src/controller/yielding.rs
@@ -15,8 +15,16 @@
     /// The workers of a pool that a former owner still uses while it hands it over. Once it is not heard, none.
     pub fn held_workers(&self, now: Instant, pool: &PoolId) -> Vec<LifeId> {
         let mut held = Vec::new();
-        for peer in self.heard.values().filter(|peer| self.is_fresh(now, peer)) {
-            let news = peer.beat.pools.iter().filter(|news| news.pool == *pool);
+        for peer in self
+            .heard_peers
+            .values()
+            .filter(|peer| self.is_fresh(now, peer))
+        {
+            let news = peer
+                .heartbeat
+                .pools
+                .iter()
+                .filter(|news| news.pool == *pool);
             held.extend(news.flat_map(|news| news.held.iter().cloned()));
         }
         held
@@ -24,12 +32,15 @@
 
     /// Whether a former owner still has the pool, as far as it is heard: it finishes what runs there.
     pub fn is_shared(&self, now: Instant, pool: &PoolId) -> bool {
-        let version = self.pools.get(pool).and_then(|watch| watch.claim.as_ref());
+        let version = self.pools.get(pool).and_then(|state| state.claim.as_ref());
         let Some(version) = version.map(|claim| claim.version) else {
             return false;
         };
-        let fresh = self.heard.values().filter(|peer| self.is_fresh(now, peer));
-        let mut news = fresh.flat_map(|peer| &peer.beat.pools);
+        let fresh = self
+            .heard_peers
+            .values()
+            .filter(|peer| self.is_fresh(now, peer));
+        let mut news = fresh.flat_map(|peer| &peer.heartbeat.pools);
         news.any(|news| news.pool == *pool && news.fence.0 < version)
     }
 
@@ -41,8 +52,12 @@
             return None;
         }
         let mut mine = Vec::new();
-        for (pool, watch) in &self.pools {
-            let Some(claim) = watch.claim.as_ref().filter(|claim| self.is_mine(claim)) else {
+        for (pool, state) in &self.pools {
+            let Some(claim) = state
+                .claim
+                .as_ref()
+                .filter(|claim| self.is_own_claim(claim))
+            else {
                 continue;
             };
             if now < claim.since + self.settings.settle {
@@ -58,17 +73,17 @@
     }
 
     fn suits_another(&self, now: Instant, pool: &PoolId, owned: usize) -> bool {
-        let away = pool.data_centre != self.me.data_centre;
-        let mine = owned as f64 / self.me.strength().0;
-        self.heard.values().any(|peer| {
-            let beat = &peer.beat;
-            let near = beat.data_centre == pool.data_centre;
-            let settled = now >= peer.since + self.settings.settle;
-            if !near || !settled || beat.leaving || !self.is_fresh(now, peer) {
+        let away = pool.data_centre != self.own_row.data_centre;
+        let mine = owned as f64 / self.own_row.strength().0;
+        self.heard_peers.values().any(|peer| {
+            let heartbeat = &peer.heartbeat;
+            let near = heartbeat.data_centre == pool.data_centre;
+            let settled = now >= peer.heard_since + self.settings.settle;
+            if !near || !settled || heartbeat.leaving || !self.is_fresh(now, peer) {
                 return false;
             }
-            let theirs = VmStrength::new(beat.cores, beat.link).0;
-            let theirs = (beat.pools.len() as f64 + 1.0) / theirs;
+            let theirs = VmStrength::new(heartbeat.cores, heartbeat.link).0;
+            let theirs = (heartbeat.pools.len() as f64 + 1.0) / theirs;
             away || theirs * UNEVEN < mine
         })
     }
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -396,7 +396,7 @@
     }
     let sent = state.sent.borrow().get(pool).copied();
     let sent = sent
-        .filter(|(heard, _)| Some(*heard) == owner.heard)
+        .filter(|(heard, _)| Some(*heard) == owner.heard_at)
         .map_or(0, |(_, cpu)| cpu);
     PoolCandidate {
         near,
@@ -408,7 +408,7 @@
 
 /// Notes what was sent to a pool since its owner was last heard.
 fn note_sent(state: &NodeState, pool: &PoolId, owner: &OwnerView, call: &JobCall) {
-    let Some(heard) = owner.heard.filter(|_| !owner.here) else {
+    let Some(heard) = owner.heard_at.filter(|_| !owner.here) else {
         return;
     };
     let steps = call.request.steps.iter();
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -152,7 +152,7 @@
     version: RowVersion,
     store_clock: Duration,
 ) {
-    let me = state.keeper.borrow().me().clone();
+    let me = state.keeper.borrow().own_row().clone();
     let mine = row.node == me.node && row.incarnation == me.incarnation;
     state
         .keeper
@@ -386,7 +386,7 @@
 }
 
 async fn claim(state: &Rc<NodeState>, pool: &PoolId, expected: u64) {
-    let me = state.keeper.borrow().me().clone();
+    let me = state.keeper.borrow().own_row().clone();
     let row = ClaimRow {
         node: me.node,
         incarnation: me.incarnation,
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -174,11 +174,11 @@
         },
     });
     Heartbeat {
-        node: keeper.me().node.clone(),
-        incarnation: keeper.me().incarnation,
-        data_centre: keeper.me().data_centre.clone(),
-        cores: keeper.me().cores,
-        link: keeper.me().link,
+        node: keeper.own_row().node.clone(),
+        incarnation: keeper.own_row().incarnation,
+        data_centre: keeper.own_row().data_centre.clone(),
+        cores: keeper.own_row().cores,
+        link: keeper.own_row().link,
         leaving: state.leaving.get(),
         reading: state.directory.borrow().reading(now),
         hears: keeper.heard_owners(now),
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -334,7 +334,7 @@
 
 /// Writes this process's row, and again every while.
 async fn refresh_member(state: Rc<NodeState>) {
-    let mut row = state.keeper.borrow().me().clone();
+    let mut row = state.keeper.borrow().own_row().clone();
     let mut failed = false;
     loop {
         row.refreshes += 1;
@@ -404,7 +404,7 @@
 
 fn note_link_use(state: &NodeState, now: Instant) {
     let mut link_use = state.link_use.get();
-    let link = state.keeper.borrow().me().link;
+    let link = state.keeper.borrow().own_row().link;
     link_use.take(now, state.traffic.total(), link);
     state.link_use.set(link_use);
 }
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -95,7 +95,7 @@
     }
 
     pub(crate) fn node(&self) -> NodeId {
-        self.keeper.borrow().me().node.clone()
+        self.keeper.borrow().own_row().node.clone()
     }
 
     pub(crate) fn log(&self, kind: EventKind, line: EventLine) {
