--- a/crates/claims/src/controller.rs
+++ b/crates/claims/src/controller.rs
@@ -50,7 +50,7 @@
     /// When this process learned of it.
     since: Instant,
     /// Whether this process had it and has let go of it.
-    let_go: bool,
+    released: bool,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -183,7 +183,7 @@
             row,
             version,
             since,
-            let_go: false,
+            released: false,
         });
         state.claimable_since = None;
         state.attempt = ClaimAttempt::None;
@@ -192,13 +192,13 @@
 
     /// This process has let go of a pool although the claim is its own. It does not count as the owner any more, and
     /// whoever comes first claims the pool anew.
-    pub fn on_let_go(&mut self, pool: &PoolId) {
+    pub fn on_released(&mut self, pool: &PoolId) {
         if let Some(claim) = self
             .pools
             .get_mut(pool)
             .and_then(|state| state.claim.as_mut())
         {
-            claim.let_go = true;
+            claim.released = true;
         }
         self.find_owners();
     }
@@ -477,7 +477,7 @@
 
     fn is_own_claim(&self, claim: &Claim) -> bool {
         let own = claim.row.node == self.own_row.node;
-        own && claim.row.incarnation == self.own_row.incarnation && !claim.let_go
+        own && claim.row.incarnation == self.own_row.incarnation && !claim.released
     }
 
     fn is_fresh(&self, now: Instant, peer: &HeardPeer) -> bool {
--- a/crates/claims/src/controller/beating.rs
+++ b/crates/claims/src/controller/beating.rs
@@ -122,7 +122,7 @@
     pub(super) fn find_owners(&mut self) {
         let mut owners: FastMap<NodeId, Instant> = FastMap::default();
         for claim in self.pools.values().filter_map(|state| state.claim.as_ref()) {
-            if claim.let_go {
+            if claim.released {
                 continue;
             }
             let since = owners.entry(claim.row.node.clone()).or_insert(claim.since);
--- a/crates/claims/tests/keeper.rs
+++ b/crates/claims/tests/keeper.rs
@@ -346,7 +346,7 @@
     watch.owns("east", &me, 7);
     watch.pass(millis(3_000), &[]);
     assert_eq!(watch.claims, []);
-    watch.keeper.on_let_go(&pool("east"));
+    watch.keeper.on_released(&pool("east"));
     watch.pass(millis(300), &[]);
     assert!(watch.first_claim().is_some());
 }
--- a/crates/node/src/groups.rs
+++ b/crates/node/src/groups.rs
@@ -116,7 +116,7 @@
             .get(&pool)
             .map(|owned| owned.pool.fence());
         if fence.is_some_and(|fence| fence.0 < version.0) {
-            state.keeper.borrow_mut().on_let_go(&pool);
+            state.keeper.borrow_mut().on_released(&pool);
             owner::release(state, &pool, "divided_anew");
         }
         if group >= row.groups {
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -73,7 +73,7 @@
     }
     drop(pools);
     if let_go {
-        state.keeper.borrow_mut().on_let_go(id);
+        state.keeper.borrow_mut().on_released(id);
         release(state, id, "fenced_out");
     }
 }
