--- a/crates/claims/src/controller.rs
+++ b/crates/claims/src/controller.rs
@@ -275,7 +275,7 @@
 
     /// Whether a worker of the pool could be reached.
     pub fn on_probe_result(&mut self, now: Instant, pool: &PoolId, reachable: bool) {
-        let listening = self.listening_time(pool);
+        let listen_time = self.listen_time(pool);
         let Some(state) = self.pools.get_mut(pool) else {
             return;
         };
@@ -287,7 +287,7 @@
         state.attempt = match (reachable, healed) {
             (false, _) => ClaimAttempt::Unreachable(now),
             (true, false) => ClaimAttempt::Reachable,
-            (true, true) => ClaimAttempt::Listening(now + listening),
+            (true, true) => ClaimAttempt::Listening(now + listen_time),
         };
     }
 
@@ -296,13 +296,13 @@
     /// Failure prevented: a data centre that was cut off takes the pools of all others the moment that it reaches their
     /// workers again, and they take its pools, since the next sign of life of an owner that is far away comes up to a second
     /// later. All jobs of both sides are cut.
-    fn listening_time(&self, pool: &PoolId) -> Duration {
+    fn listen_time(&self, pool: &PoolId) -> Duration {
         let claim = self.pools.get(pool).and_then(|state| state.claim.as_ref());
         let peer = claim.and_then(|claim| self.heard_peers.get(&claim.row.node));
         let near = peer.is_some_and(|peer| peer.heartbeat.data_centre == self.own_row.data_centre);
         match near {
-            true => self.settings.near_limit,
-            false => self.far_limit(),
+            true => self.settings.near_silence_timeout,
+            false => self.far_silence_timeout(),
         }
     }
 
@@ -317,10 +317,10 @@
                 state.undecided_claims = 0;
             }
             ClaimOutcome::Undecided => {
-                let doubled = 2_u32.saturating_pow(state.undecided_claims.min(8));
-                let pause = self.settings.claim_pause * doubled;
-                let pause = pause.min(self.settings.longest_claim_pause);
-                state.attempt = ClaimAttempt::BackingOff(now + pause);
+                let factor = 2_u32.saturating_pow(state.undecided_claims.min(8));
+                let backoff = self.settings.min_claim_backoff * factor;
+                let backoff = backoff.min(self.settings.max_claim_backoff);
+                state.attempt = ClaimAttempt::BackingOff(now + backoff);
                 state.undecided_claims += 1;
             }
         }
@@ -419,7 +419,7 @@
             Duration::ZERO
         };
         let delay = self.settings.rank_delay * rank + far_delay;
-        let limit = self.settings.attempt_limit;
+        let timeout = self.settings.attempt_timeout;
         // Beside those that fall to it one at a time: with each pool that it gets, the next is more likely another's.
         let busy = rank > 0
             && self.pools.values().any(|state| {
@@ -454,13 +454,13 @@
                 Some(ClaimAction::Claim { pool, expected })
             }
             ClaimAttempt::Probing(begun) | ClaimAttempt::Writing(begun) => {
-                if now >= begun + limit {
+                if now >= begun + timeout {
                     state.attempt = ClaimAttempt::None;
                 }
                 None
             }
             ClaimAttempt::Unreachable(since) => {
-                if now >= since + self.settings.probe_pause {
+                if now >= since + self.settings.probe_retry_delay {
                     state.attempt = ClaimAttempt::None;
                 }
                 None
@@ -481,8 +481,8 @@
     }
 
     fn is_fresh(&self, now: Instant, peer: &HeardPeer) -> bool {
-        let limit = self.silence_limit(now, peer);
-        now < peer.heard_at + limit && !peer.refused
+        let timeout = self.silence_timeout(now, peer);
+        now < peer.heard_at + timeout && !peer.refused
     }
 
     /// A process that is heard and does not stop.
@@ -493,7 +493,7 @@
 
     /// Before the first heartbeats all members count, heard or not.
     fn is_starting(&self, now: Instant) -> bool {
-        now < self.started + self.settings.far_limit
+        now < self.started + self.settings.startup_time
     }
 
     fn detect_silent_peers(&mut self, now: Instant) {
--- a/crates/claims/src/controller/beating.rs
+++ b/crates/claims/src/controller/beating.rs
@@ -39,11 +39,11 @@
 
 impl ClaimController {
     /// The time between two signs of life.
-    pub fn beat(&self, pace: BeatPace) -> Duration {
+    pub fn heartbeat_interval(&self, pace: BeatPace) -> Duration {
         match pace {
-            BeatPace::Owner => self.settings.near_beat,
-            BeatPace::Idle => self.idle_beat(),
-            BeatPace::Far => self.far_beat(),
+            BeatPace::Owner => self.settings.near_heartbeat_interval,
+            BeatPace::Idle => self.idle_heartbeat_interval(),
+            BeatPace::Far => self.far_heartbeat_interval(),
         }
     }
 
@@ -80,31 +80,34 @@
     }
 
     /// With many processes less often: each one hears all others.
-    fn far_beat(&self) -> Duration {
+    fn far_heartbeat_interval(&self) -> Duration {
         let members = u32::try_from(self.members.len()).unwrap_or(u32::MAX);
         self.settings
-            .far_beat
-            .max(self.settings.far_beat_a_member * members)
+            .far_heartbeat_interval
+            .max(self.settings.far_heartbeat_interval_per_member * members)
     }
 
     /// How long a process of another data centre may be silent.
-    pub(super) fn far_limit(&self) -> Duration {
-        self.far_beat() * FAR_BEATS_MISSED + self.settings.near_beat
+    pub(super) fn far_silence_timeout(&self) -> Duration {
+        self.far_heartbeat_interval() * FAR_BEATS_MISSED + self.settings.near_heartbeat_interval
     }
 
-    fn idle_beat(&self) -> Duration {
+    fn idle_heartbeat_interval(&self) -> Duration {
         let settings = &self.settings;
-        let beat = settings.near_beat * self.near_members / OFTEN_TOLD;
-        beat.clamp(settings.near_beat, settings.longest_idle_beat)
+        let interval = settings.near_heartbeat_interval * self.near_members / OFTEN_TOLD;
+        interval.clamp(
+            settings.near_heartbeat_interval,
+            settings.max_idle_heartbeat_interval,
+        )
     }
 
     /// How long a process may be silent.
-    pub(super) fn silence_limit(&self, now: Instant, peer: &HeardPeer) -> Duration {
+    pub(super) fn silence_timeout(&self, now: Instant, peer: &HeardPeer) -> Duration {
         let settings = &self.settings;
         if peer.heartbeat.data_centre != self.own_row.data_centre {
-            return self.far_limit();
+            return self.far_silence_timeout();
         }
-        let idle = self.idle_beat();
+        let idle = self.idle_heartbeat_interval();
         // Whoever has just become an owner is told often only once the others know.
         let long_owner = |node: &NodeId| {
             self.owners
@@ -113,8 +116,8 @@
         };
         let often = long_owner(&self.own_row.node) || long_owner(&peer.heartbeat.node);
         match often {
-            true => settings.near_limit,
-            false => settings.near_limit + idle * IDLE_BEATS_MISSED,
+            true => settings.near_silence_timeout,
+            false => settings.near_silence_timeout + idle * IDLE_BEATS_MISSED,
         }
     }
 
--- a/crates/claims/src/controller/reading.rs
+++ b/crates/claims/src/controller/reading.rs
@@ -126,7 +126,7 @@
     /// The time between two writes of this process's row. That of an owner tells a process which hears nobody that it is
     /// itself cut off.
     pub fn refresh_beat(&self) -> Duration {
-        let refresh = self.settings.refresh;
+        let refresh = self.settings.row_refresh_interval;
         if self.owners.contains_key(&self.own_row.node) {
             return refresh;
         }
--- a/crates/claims/src/controller/reason.rs
+++ b/crates/claims/src/controller/reason.rs
@@ -37,7 +37,7 @@
             let yields = peer.heartbeat.leaving || news.is_some_and(|news| news.yielding);
             return yields.then_some(ClaimReason::OwnerYields);
         }
-        let listening = now < self.started + self.settings.listen_first;
+        let listening = now < self.started + self.settings.startup_listen_time;
         if listening || self.heard_by_others(now, claim) || self.may_be_cut_off(now, claim) {
             return None;
         }
@@ -48,7 +48,7 @@
     /// since few heartbeats travel there, so it counts only while the pool has just changed hands: without it two
     /// processes that do not hear each other would take the pool from each other all the time.
     fn heard_by_others(&self, now: Instant, claim: &Claim) -> bool {
-        let settling = now < claim.since + self.settings.settle;
+        let settling = now < claim.since + self.settings.settle_time;
         let owner = &claim.row.node;
         let digest = owner.digest();
         let owner_centre = self
@@ -67,7 +67,7 @@
         let member = self.members.get(&claim.row.node);
         // A claim shows as much as a row: whoever has just become an owner has not written its row lately.
         let shown = member.map(|member| member.refreshed).max(Some(claim.since));
-        let fresh_row = shown.is_some_and(|at| now < at + self.settings.isolated_delay);
+        let fresh_row = shown.is_some_and(|at| now < at + self.settings.isolated_claim_delay);
         fresh_row && self.hears_nobody(now)
     }
 }
--- a/crates/claims/src/controller/yielding.rs
+++ b/crates/claims/src/controller/yielding.rs
@@ -48,7 +48,7 @@
     /// elsewhere, or one that would own far fewer pools a core. After planned stops all pools would otherwise stay
     /// where they went, also in other data centres, which lose them when they are cut off.
     pub fn pool_to_yield(&self, now: Instant) -> Option<PoolId> {
-        if self.leaving || now < self.started + self.settings.settle {
+        if self.leaving || now < self.started + self.settings.settle_time {
             return None;
         }
         let mut mine = Vec::new();
@@ -60,7 +60,7 @@
             else {
                 continue;
             };
-            if now < claim.since + self.settings.settle {
+            if now < claim.since + self.settings.settle_time {
                 return None;
             }
             mine.push(pool);
@@ -78,7 +78,7 @@
         self.heard_peers.values().any(|peer| {
             let heartbeat = &peer.heartbeat;
             let near = heartbeat.data_centre == pool.data_centre;
-            let settled = now >= peer.heard_since + self.settings.settle;
+            let settled = now >= peer.heard_since + self.settings.settle_time;
             if !near || !settled || heartbeat.leaving || !self.is_fresh(now, peer) {
                 return false;
             }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -132,7 +132,7 @@
         let mut due = [false; BeatPace::ALL.len()];
         for pace in BeatPace::ALL {
             let place = pace as usize;
-            let beat = state.keeper.borrow().beat(pace);
+            let beat = state.keeper.borrow().heartbeat_interval(pace);
             due[place] = told[place].is_none_or(|at| now >= at + beat);
             if due[place] {
                 told[place] = Some(now);
