--- a/crates/claims/src/controller.rs
+++ b/crates/claims/src/controller.rs
@@ -1,12 +1,12 @@
 //! Decides when a pool is claimed.
 
-mod beating;
+mod heartbeats;
 mod reading;
 mod reason;
 mod succession;
 mod yielding;
 
-pub use beating::BeatPace;
+pub use heartbeats::HeartbeatClass;
 pub use reading::{KnownList, ListTurn};
 
 use std::{
@@ -154,13 +154,13 @@
                 refreshed: now,
             },
         );
-        self.count_near();
+        self.count_near_members();
     }
 
     /// A member's row is gone.
     pub fn on_member_gone(&mut self, node: &NodeId) {
         self.members.remove(node);
-        self.count_near();
+        self.count_near_members();
     }
 
     /// A claim's row, as read from the store.
@@ -187,7 +187,7 @@
         });
         state.claimable_since = None;
         state.attempt = ClaimAttempt::None;
-        self.find_owners();
+        self.update_owners();
     }
 
     /// This process has let go of a pool although the claim is its own. It does not count as the owner any more, and
@@ -200,7 +200,7 @@
         {
             claim.released = true;
         }
-        self.find_owners();
+        self.update_owners();
     }
 
     /// Whether a data centre has workers: a pool without any needs no owner.
@@ -246,7 +246,7 @@
                     refreshed: now,
                 },
             );
-            self.count_near();
+            self.count_near_members();
         }
         let known = self.heard_peers.get(&heartbeat.node);
         let node = heartbeat.node.clone();
@@ -360,7 +360,7 @@
     /// Whether this process is among the first that would claim a pool which could be claimed now.
     pub fn may_claim_soon(&self) -> bool {
         let mut pools = self.pools.values();
-        pools.any(|state| state.claimable_since.is_some() && state.rank <= SOON_RANK)
+        pools.any(|state| state.claimable_since.is_some() && state.rank <= MAX_SOON_RANK)
     }
 
     /// What the VMs of a data centre can carry, this one's among them.
@@ -513,7 +513,7 @@
 }
 
 /// The last place among the candidates of a pool that is ready to claim it. Each that is reads the list of all workers anew.
-const SOON_RANK: u32 = 2;
+const MAX_SOON_RANK: u32 = 2;
 
 /// Heartbeats to another data centre that may go missing before a process counts as silent.
-const FAR_BEATS_MISSED: u32 = 3;
+const MAX_MISSED_FAR_HEARTBEATS: u32 = 3;
--- a/crates/claims/src/controller/beating.rs
+++ b/crates/claims/src/controller/heartbeats.rs
@@ -9,21 +9,21 @@
 
 use model::FastMap;
 
-use super::{ClaimController, HeardPeer, FAR_BEATS_MISSED};
+use super::{ClaimController, HeardPeer, MAX_MISSED_FAR_HEARTBEATS};
 use crate::{
     rows::MemberRow,
     view::{NodeDigest, NodeId},
 };
 
 /// Processes of a data centre among which those without pools tell each other as often as owners do.
-const OFTEN_TOLD: u32 = 4;
+const FULL_RATE_MEMBERS: u32 = 4;
 
 /// Signs of life between processes without pools that may go missing before one counts as silent.
-const IDLE_BEATS_MISSED: u32 = 3;
+const MAX_MISSED_IDLE_HEARTBEATS: u32 = 3;
 
 /// How often one process tells another that it lives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BeatPace {
+pub enum HeartbeatClass {
     /// In one data centre, and one of the two owns a pool.
     Owner,
     /// In one data centre, and none does.
@@ -32,34 +32,34 @@
     Far,
 }
 
-impl BeatPace {
+impl HeartbeatClass {
     /// All, in the order of their numbers.
     pub const ALL: [Self; 3] = [Self::Owner, Self::Idle, Self::Far];
 }
 
 impl ClaimController {
     /// The time between two signs of life.
-    pub fn heartbeat_interval(&self, pace: BeatPace) -> Duration {
-        match pace {
-            BeatPace::Owner => self.settings.near_heartbeat_interval,
-            BeatPace::Idle => self.idle_heartbeat_interval(),
-            BeatPace::Far => self.far_heartbeat_interval(),
+    pub fn heartbeat_interval(&self, class: HeartbeatClass) -> Duration {
+        match class {
+            HeartbeatClass::Owner => self.settings.near_heartbeat_interval,
+            HeartbeatClass::Idle => self.idle_heartbeat_interval(),
+            HeartbeatClass::Far => self.far_heartbeat_interval(),
         }
     }
 
     /// The other members, and how often each is told.
-    pub fn peers(&self) -> impl Iterator<Item = (&MemberRow, BeatPace)> + '_ {
-        let mine = self.owners.contains_key(&self.own_row.node);
+    pub fn peers(&self) -> impl Iterator<Item = (&MemberRow, HeartbeatClass)> + '_ {
+        let is_owner = self.owners.contains_key(&self.own_row.node);
         self.members.values().map(move |member| {
             let row = &member.row;
-            let pace = if row.data_centre != self.own_row.data_centre {
-                BeatPace::Far
-            } else if mine || self.owners.contains_key(&row.node) {
-                BeatPace::Owner
+            let class = if row.data_centre != self.own_row.data_centre {
+                HeartbeatClass::Far
+            } else if is_owner || self.owners.contains_key(&row.node) {
+                HeartbeatClass::Owner
             } else {
-                BeatPace::Idle
+                HeartbeatClass::Idle
             };
-            (row, pace)
+            (row, class)
         })
     }
 
@@ -72,7 +72,7 @@
     }
 
     /// Whether no other process is heard: then the rows of the store alone tell who lives.
-    pub fn hears_nobody(&self, now: Instant) -> bool {
+    pub fn is_isolated(&self, now: Instant) -> bool {
         !self
             .heard_peers
             .values()
@@ -89,12 +89,13 @@
 
     /// How long a process of another data centre may be silent.
     pub(super) fn far_silence_timeout(&self) -> Duration {
-        self.far_heartbeat_interval() * FAR_BEATS_MISSED + self.settings.near_heartbeat_interval
+        self.far_heartbeat_interval() * MAX_MISSED_FAR_HEARTBEATS
+            + self.settings.near_heartbeat_interval
     }
 
     fn idle_heartbeat_interval(&self) -> Duration {
         let settings = &self.settings;
-        let interval = settings.near_heartbeat_interval * self.near_members / OFTEN_TOLD;
+        let interval = settings.near_heartbeat_interval * self.near_members / FULL_RATE_MEMBERS;
         interval.clamp(
             settings.near_heartbeat_interval,
             settings.max_idle_heartbeat_interval,
@@ -109,20 +110,21 @@
         }
         let idle = self.idle_heartbeat_interval();
         // Whoever has just become an owner is told often only once the others know.
-        let long_owner = |node: &NodeId| {
+        let is_settled_owner = |node: &NodeId| {
             self.owners
                 .get(node)
                 .is_some_and(|since| now >= *since + idle * 2)
         };
-        let often = long_owner(&self.own_row.node) || long_owner(&peer.heartbeat.node);
-        match often {
+        let owner_rate =
+            is_settled_owner(&self.own_row.node) || is_settled_owner(&peer.heartbeat.node);
+        match owner_rate {
             true => settings.near_silence_timeout,
-            false => settings.near_silence_timeout + idle * IDLE_BEATS_MISSED,
+            false => settings.near_silence_timeout + idle * MAX_MISSED_IDLE_HEARTBEATS,
         }
     }
 
     /// Finds out again who owns pools, and since when.
-    pub(super) fn find_owners(&mut self) {
+    pub(super) fn update_owners(&mut self) {
         let mut owners: FastMap<NodeId, Instant> = FastMap::default();
         for claim in self.pools.values().filter_map(|state| state.claim.as_ref()) {
             if claim.released {
@@ -134,7 +136,7 @@
         self.owners = owners;
     }
 
-    pub(super) fn count_near(&mut self) {
+    pub(super) fn count_near_members(&mut self) {
         let rows = self.members.values().map(|member| &member.row);
         let near = rows.filter(|row| row.data_centre == self.own_row.data_centre);
         self.near_members = u32::try_from(near.count()).unwrap_or(u32::MAX);
--- a/crates/claims/src/controller/reason.rs
+++ b/crates/claims/src/controller/reason.rs
@@ -68,6 +68,6 @@
         // A claim shows as much as a row: whoever has just become an owner has not written its row lately.
         let shown = member.map(|member| member.refreshed).max(Some(claim.since));
         let fresh_row = shown.is_some_and(|at| now < at + self.settings.isolated_claim_delay);
-        fresh_row && self.hears_nobody(now)
+        fresh_row && self.is_isolated(now)
     }
 }
--- a/crates/claims/src/lib.rs
+++ b/crates/claims/src/lib.rs
@@ -14,7 +14,7 @@
 
 pub use crate::{
     action::{ClaimAction, ClaimEvent, ClaimOutcome, ClaimReason, OwnerView},
-    controller::{BeatPace, ClaimController, KnownList, ListTurn},
+    controller::{ClaimController, HeartbeatClass, KnownList, ListTurn},
     rows::{ClaimRow, GroupRow, GroupSpread, MemberRow, RouteWait},
     settings::ClaimSettings,
     strength::{is_outgrown, plan_groups, VmStrength},
--- a/crates/claims/tests/beats.rs
+++ b/crates/claims/tests/beats.rs
@@ -6,8 +6,8 @@
 };
 
 use claims::{
-    BeatPace, ClaimController, ClaimEvent, ClaimRow, ClaimSettings, Heartbeat, LinkRate, MemberRow,
-    NodeId,
+    ClaimController, ClaimEvent, ClaimRow, ClaimSettings, Heartbeat, HeartbeatClass, LinkRate,
+    MemberRow, NodeId,
 };
 use jobs::PoolId;
 use model::DataCentreId;
@@ -60,7 +60,7 @@
 /// Datagrams that it sends a second.
 fn sent(controller: &ClaimController) -> f64 {
     let peers = controller.peers();
-    let rates = peers.map(|(_, pace)| 1.0 / controller.heartbeat_interval(pace).as_secs_f64());
+    let rates = peers.map(|(_, class)| 1.0 / controller.heartbeat_interval(class).as_secs_f64());
     rates.sum()
 }
 
@@ -75,12 +75,18 @@
         all += sent(&controller);
         let near = controller
             .peers()
-            .filter(|(_, pace)| *pace != BeatPace::Far);
+            .filter(|(_, class)| *class != HeartbeatClass::Far);
         let far = controller
             .peers()
-            .filter(|(_, pace)| *pace == BeatPace::Far);
-        mesh += near.count() as f64 / controller.heartbeat_interval(BeatPace::Owner).as_secs_f64();
-        mesh += far.count() as f64 / controller.heartbeat_interval(BeatPace::Far).as_secs_f64();
+            .filter(|(_, class)| *class == HeartbeatClass::Far);
+        mesh += near.count() as f64
+            / controller
+                .heartbeat_interval(HeartbeatClass::Owner)
+                .as_secs_f64();
+        mesh += far.count() as f64
+            / controller
+                .heartbeat_interval(HeartbeatClass::Far)
+                .as_secs_f64();
     }
     let count = count as f64;
     println!(
@@ -151,6 +157,7 @@
     assert!(silence(entry, owner) <= soon);
     assert!(silence(owner, entry) <= soon);
     assert!(silence(owner, other_owner) <= soon);
-    let idle = controller(entry, 60 * CENTRES, Instant::now()).heartbeat_interval(BeatPace::Idle);
+    let idle =
+        controller(entry, 60 * CENTRES, Instant::now()).heartbeat_interval(HeartbeatClass::Idle);
     assert!(silence(entry, other_entry) >= idle * 3);
 }
--- a/crates/node/src/feeds.rs
+++ b/crates/node/src/feeds.rs
@@ -143,7 +143,7 @@
     if age < FIRST_MEMBERS_TIME {
         return FIRST_MEMBERS_GAP;
     }
-    match state.keeper.borrow().hears_nobody(state.now()) {
+    match state.keeper.borrow().is_isolated(state.now()) {
         true => ALONE_MEMBERS_GAP,
         false => MEMBERS_GAP,
     }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -7,7 +7,7 @@
     time::{Duration, Instant},
 };
 
-use claims::{BeatPace, Heartbeat, NodeId, PoolNews};
+use claims::{Heartbeat, HeartbeatClass, NodeId, PoolNews};
 use model::FastMap;
 use peer::{connect_pool, decode_heartbeat, encode_heartbeat, PeerError, PoolLink};
 use telemetry::{EventKind, EventLine, TrafficKind};
@@ -115,7 +115,7 @@
 pub(crate) struct BeatSender {
     socket: Rc<UdpSocket>,
     /// When those of each pace were last told.
-    told: Cell<[Option<Instant>; BeatPace::ALL.len()]>,
+    told: Cell<[Option<Instant>; HeartbeatClass::ALL.len()]>,
 }
 
 impl BeatSender {
@@ -129,8 +129,8 @@
     pub(crate) fn tick(&self, state: &NodeState) {
         let now = state.now();
         let mut told = self.told.get();
-        let mut due = [false; BeatPace::ALL.len()];
-        for pace in BeatPace::ALL {
+        let mut due = [false; HeartbeatClass::ALL.len()];
+        for pace in HeartbeatClass::ALL {
             let place = pace as usize;
             let beat = state.keeper.borrow().heartbeat_interval(pace);
             due[place] = told[place].is_none_or(|at| now >= at + beat);
@@ -144,7 +144,7 @@
         }
     }
 
-    fn send(&self, state: &NodeState, due: [bool; BeatPace::ALL.len()]) {
+    fn send(&self, state: &NodeState, due: [bool; HeartbeatClass::ALL.len()]) {
         let bytes = encode_heartbeat(&heartbeat(state));
         let keeper = state.keeper.borrow();
         for (member, pace) in keeper.peers() {
