--- a/crates/claims/src/controller.rs
+++ b/crates/claims/src/controller.rs
@@ -1,13 +1,13 @@
 //! Decides when a pool is claimed.
 
 mod heartbeats;
-mod reading;
+mod polling;
 mod reason;
 mod succession;
 mod yielding;
 
 pub use heartbeats::HeartbeatClass;
-pub use reading::{KnownList, ListTurn};
+pub use polling::{KnownList, PollDecision};
 
 use std::{
     net::SocketAddr,
--- a/crates/claims/src/lib.rs
+++ b/crates/claims/src/lib.rs
@@ -14,7 +14,7 @@
 
 pub use crate::{
     action::{ClaimAction, ClaimEvent, ClaimOutcome, ClaimReason, OwnerView},
-    controller::{ClaimController, HeartbeatClass, KnownList, ListTurn},
+    controller::{ClaimController, HeartbeatClass, KnownList, PollDecision},
     rows::{ClaimRow, GroupRow, GroupSpread, MemberRow, RouteWait},
     settings::ClaimSettings,
     strength::{is_outgrown, plan_groups, VmStrength},
--- a/crates/claims/tests/reading.rs
+++ b/crates/claims/tests/reading.rs
@@ -4,7 +4,7 @@
 
 use claims::{
     ClaimController, ClaimRow, ClaimSettings, Heartbeat, KnownList, LinkRate, ListReading,
-    ListTurn, MemberRow, NodeId,
+    MemberRow, NodeId, PollDecision,
 };
 use jobs::PoolId;
 
@@ -107,13 +107,13 @@
                 continue;
             }
             node.looked = now;
-            match node.controller.list_turn(now, node.known) {
-                ListTurn::Confirmed { version, at } => {
+            match node.controller.poll_decision(now, node.known) {
+                PollDecision::Confirmed { version, at } => {
                     node.known.version = node.known.version.max(version);
                     node.known.at = node.known.at.max(at);
                 }
-                ListTurn::Read if node.refused => (),
-                ListTurn::Read => {
+                PollDecision::Read if node.refused => (),
+                PollDecision::Read => {
                     self.reads += 1;
                     node.read = Some(now);
                     node.looked = now + Duration::from_millis(150);
@@ -224,7 +224,7 @@
         let standing = (0..count).step_by(CENTRES);
         let standing = standing.filter(|number| !owns(*number));
         let standing =
-            standing.filter(|number| controller(*number, count, now).stands_by(now, true));
+            standing.filter(|number| controller(*number, count, now).is_standby(now, true));
         assert_eq!(standing.count(), 2, "{count}");
     }
 }
@@ -234,8 +234,8 @@
 fn others_read_where_nobody_divides() {
     let now = Instant::now();
     let last = controller(995, 1_000, now);
-    assert!(!last.stands_by(now, false));
-    assert!(last.stands_by(now + Duration::from_secs(45), false));
+    assert!(!last.is_standby(now, false));
+    assert!(last.is_standby(now + Duration::from_secs(45), false));
 }
 
 /// Guards against rows of members that are written more often the more there are.
@@ -243,7 +243,7 @@
 fn rows_of_members_do_not_grow_with_the_fleet() {
     for count in [30, 100, 300] {
         let now = Instant::now();
-        let beats = (0..count).map(|number| controller(number, count, now).refresh_beat());
+        let beats = (0..count).map(|number| controller(number, count, now).refresh_interval());
         let writes: f64 = beats.map(|beat| 1.0 / beat.as_secs_f64()).sum();
         let owners = (OWNERS * CENTRES) as f64 / 4.0;
         assert!(writes <= owners + 2.5, "{count}: {writes}");
--- a/crates/node/src/listing.rs
+++ b/crates/node/src/listing.rs
@@ -8,7 +8,7 @@
     time::{Duration, Instant},
 };
 
-use claims::ListTurn;
+use claims::PollDecision;
 use model::{text_set, WrongReason};
 use platform::RowVersion;
 use telemetry::{EventKind, EventLine};
@@ -85,9 +85,9 @@
     let now = state.now();
     let mut directory = state.directory.borrow_mut();
     let known = directory.known()?;
-    match state.keeper.borrow().list_turn(now, known) {
-        ListTurn::Read => None,
-        ListTurn::Confirmed { version, at } => {
+    match state.keeper.borrow().poll_decision(now, known) {
+        PollDecision::Read => None,
+        PollDecision::Confirmed { version, at } => {
             directory.note_confirmed(at, version);
             note_source(state, ListSource::Confirmed, version);
             Some(RowVersion(version))
@@ -154,5 +154,5 @@
 fn stands_by(state: &NodeState, now: Instant) -> bool {
     let centre = &state.settings.data_centre;
     let divided = state.directory.borrow().groups(centre).is_some();
-    state.keeper.borrow().stands_by(now, divided)
+    state.keeper.borrow().is_standby(now, divided)
 }
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -360,7 +360,7 @@
             continue;
         }
         let written = state.now();
-        while state.now() < written + state.keeper.borrow().refresh_beat() {
+        while state.now() < written + state.keeper.borrow().refresh_interval() {
             actix_rt::time::sleep(REFRESH_LOOK).await;
         }
     }
