--- a/crates/claims/src/controller.rs
+++ b/crates/claims/src/controller.rs
@@ -1,10 +1,10 @@
 //! Decides when a pool is claimed.
 
+mod handover;
 mod heartbeats;
 mod polling;
+mod ranking;
 mod reason;
-mod succession;
-mod yielding;
 
 pub use heartbeats::HeartbeatClass;
 pub use polling::{KnownList, PollDecision};
--- a/crates/claims/src/controller/yielding.rs
+++ b/crates/claims/src/controller/handover.rs
@@ -9,7 +9,7 @@
 
 /// How many times as many pools a core a process owns before it hands one over. A handover costs some ten calls a
 /// worker.
-const UNEVEN: f64 = 1.5;
+const MIN_IMBALANCE_RATIO: f64 = 1.5;
 
 impl ClaimController {
     /// The workers of a pool that a former owner still uses while it hands it over. Once it is not heard, none.
@@ -31,7 +31,7 @@
     }
 
     /// Whether a former owner still has the pool, as far as it is heard: it finishes what runs there.
-    pub fn is_shared(&self, now: Instant, pool: &PoolId) -> bool {
+    pub fn is_held_by_former_owner(&self, now: Instant, pool: &PoolId) -> bool {
         let version = self.pools.get(pool).and_then(|state| state.claim.as_ref());
         let Some(version) = version.map(|claim| claim.version) else {
             return false;
@@ -47,11 +47,11 @@
     /// A pool of this process that another process suits better: one of the pool's data centre if this one is
     /// elsewhere, or one that would own far fewer pools a core. After planned stops all pools would otherwise stay
     /// where they went, also in other data centres, which lose them when they are cut off.
-    pub fn pool_to_yield(&self, now: Instant) -> Option<PoolId> {
+    pub fn pool_to_hand_over(&self, now: Instant) -> Option<PoolId> {
         if self.leaving || now < self.started + self.settings.settle_time {
             return None;
         }
-        let mut mine = Vec::new();
+        let mut own_pools = Vec::new();
         for (pool, state) in &self.pools {
             let Some(claim) = state
                 .claim
@@ -63,28 +63,29 @@
             if now < claim.since + self.settings.settle_time {
                 return None;
             }
-            mine.push(pool);
+            own_pools.push(pool);
         }
-        mine.sort();
-        let owned = mine.len();
-        mine.into_iter()
-            .find(|pool| self.suits_another(now, pool, owned))
+        own_pools.sort();
+        let owned = own_pools.len();
+        own_pools
+            .into_iter()
+            .find(|pool| self.has_better_owner(now, pool, owned))
             .cloned()
     }
 
-    fn suits_another(&self, now: Instant, pool: &PoolId, owned: usize) -> bool {
-        let away = pool.data_centre != self.own_row.data_centre;
-        let mine = owned as f64 / self.own_row.strength().0;
+    fn has_better_owner(&self, now: Instant, pool: &PoolId, owned: usize) -> bool {
+        let is_remote = pool.data_centre != self.own_row.data_centre;
+        let own_ratio = owned as f64 / self.own_row.strength().0;
         self.heard_peers.values().any(|peer| {
             let heartbeat = &peer.heartbeat;
-            let near = heartbeat.data_centre == pool.data_centre;
+            let in_pool_centre = heartbeat.data_centre == pool.data_centre;
             let settled = now >= peer.heard_since + self.settings.settle_time;
-            if !near || !settled || heartbeat.leaving || !self.is_fresh(now, peer) {
+            if !in_pool_centre || !settled || heartbeat.leaving || !self.is_fresh(now, peer) {
                 return false;
             }
-            let theirs = VmStrength::new(heartbeat.cores, heartbeat.link).0;
-            let theirs = (heartbeat.pools.len() as f64 + 1.0) / theirs;
-            away || theirs * UNEVEN < mine
+            let peer_capacity = VmStrength::new(heartbeat.cores, heartbeat.link).0;
+            let peer_ratio = (heartbeat.pools.len() as f64 + 1.0) / peer_capacity;
+            is_remote || peer_ratio * MIN_IMBALANCE_RATIO < own_ratio
         })
     }
 }
--- a/crates/claims/src/controller/succession.rs
+++ b/crates/claims/src/controller/ranking.rs
@@ -30,11 +30,11 @@
 
 impl ClaimCandidate<'_> {
     fn order(&self, pool: &PoolId) -> CandidateOrder {
-        let weight = xxh3_64(format!("{pool}/{}", self.node).as_bytes());
+        let tie_break = xxh3_64(format!("{pool}/{}", self.node).as_bytes());
         let share = (self.pools + 1.0) / self.strength;
         // The cast saturates; millionths tell any two machines apart that differ.
         let share = (share * 1_000_000.0) as u64;
-        (*self.data_centre != pool.data_centre, share, weight)
+        (*self.data_centre != pool.data_centre, share, tie_break)
     }
 }
 
--- a/crates/claims/src/controller/reason.rs
+++ b/crates/claims/src/controller/reason.rs
@@ -34,11 +34,11 @@
         }
         if let Some(peer) = heard.filter(|peer| self.is_fresh(now, peer)) {
             let news = peer.heartbeat.pools.iter().find(|news| news.pool == *pool);
-            let yields = peer.heartbeat.leaving || news.is_some_and(|news| news.yielding);
-            return yields.then_some(ClaimReason::OwnerYields);
+            let is_yielding = peer.heartbeat.leaving || news.is_some_and(|news| news.yielding);
+            return is_yielding.then_some(ClaimReason::OwnerYields);
         }
-        let listening = now < self.started + self.settings.startup_listen_time;
-        if listening || self.heard_by_others(now, claim) || self.may_be_cut_off(now, claim) {
+        let is_listening = now < self.started + self.settings.startup_listen_time;
+        if is_listening || self.is_heard_by_others(now, claim) || self.may_be_cut_off(now, claim) {
             return None;
         }
         Some(ClaimReason::OwnerSilent)
@@ -47,8 +47,8 @@
     /// Whether others hear an owner that this process does not hear. What processes of other data centres say is old,
     /// since few heartbeats travel there, so it counts only while the pool has just changed hands: without it two
     /// processes that do not hear each other would take the pool from each other all the time.
-    fn heard_by_others(&self, now: Instant, claim: &Claim) -> bool {
-        let settling = now < claim.since + self.settings.settle_time;
+    fn is_heard_by_others(&self, now: Instant, claim: &Claim) -> bool {
+        let is_settling = now < claim.since + self.settings.settle_time;
         let owner = &claim.row.node;
         let digest = owner.digest();
         let owner_centre = self
@@ -56,9 +56,10 @@
             .get(owner)
             .map(|member| &member.row.data_centre);
         self.heard_peers.values().any(|peer| {
-            let near = owner_centre == Some(&peer.heartbeat.data_centre);
-            let counts = near || settling || owner_centre != Some(&self.own_row.data_centre);
-            counts && self.is_fresh(now, peer) && peer.heartbeat.hears.contains(&digest)
+            let in_owner_centre = owner_centre == Some(&peer.heartbeat.data_centre);
+            let is_relevant =
+                in_owner_centre || is_settling || owner_centre != Some(&self.own_row.data_centre);
+            is_relevant && self.is_fresh(now, peer) && peer.heartbeat.hears.contains(&digest)
         })
     }
 
@@ -66,8 +67,8 @@
     fn may_be_cut_off(&self, now: Instant, claim: &Claim) -> bool {
         let member = self.members.get(&claim.row.node);
         // A claim shows as much as a row: whoever has just become an owner has not written its row lately.
-        let shown = member.map(|member| member.refreshed).max(Some(claim.since));
-        let fresh_row = shown.is_some_and(|at| now < at + self.settings.isolated_claim_delay);
+        let last_seen = member.map(|member| member.refreshed).max(Some(claim.since));
+        let fresh_row = last_seen.is_some_and(|at| now < at + self.settings.isolated_claim_delay);
         fresh_row && self.is_isolated(now)
     }
 }
--- a/crates/claims/tests/keeper.rs
+++ b/crates/claims/tests/keeper.rs
@@ -320,18 +320,21 @@
     watch.owns("east", &me, 7);
     watch.pass(millis(3_000), &[beat(&near, &[], &[])]);
     assert_eq!(
-        watch.keeper.pool_to_yield(watch.now),
+        watch.keeper.pool_to_hand_over(watch.now),
         None,
         "it has just begun"
     );
     watch.pass(millis(3_000), &[beat(&near, &[], &[])]);
-    assert_eq!(watch.keeper.pool_to_yield(watch.now), Some(pool("east")));
+    assert_eq!(
+        watch.keeper.pool_to_hand_over(watch.now),
+        Some(pool("east"))
+    );
     let (me, other) = (member("east-1", 1), member("east-2", 2));
     let mut watch = Watch::new(&me);
     watch.owns("east", &me, 7);
     watch.pass(millis(9_000), &[beat(&other, &[], &[])]);
     assert_eq!(
-        watch.keeper.pool_to_yield(watch.now),
+        watch.keeper.pool_to_hand_over(watch.now),
         None,
         "as good here as there"
     );
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -248,7 +248,10 @@
 
 /// Tells a pool whether a former owner still finishes jobs of it.
 fn tell_awaiting(state: &Rc<NodeState>, id: &PoolId) {
-    let shared = state.keeper.borrow().is_shared(state.now(), id);
+    let shared = state
+        .keeper
+        .borrow()
+        .is_held_by_former_owner(state.now(), id);
     let filled = !state.unfilled.borrow().contains(id);
     let listed = filled && !state.directory.borrow().is_doubtful(state.now());
     with_pool(state, id, |pool, now| {
@@ -291,7 +294,7 @@
     let now = state.now();
     let yielding = state.yielding.borrow().clone();
     let Some((id, since)) = yielding else {
-        let wanted = state.keeper.borrow().pool_to_yield(now);
+        let wanted = state.keeper.borrow().pool_to_hand_over(now);
         let wanted = wanted.filter(|_| state.has(Mechanism::Yielding));
         if let Some(id) = wanted.filter(|id| state.pools.borrow().contains_key(id)) {
             state.log(
