--- a/crates/claims/src/controller.rs
+++ b/crates/claims/src/controller.rs
@@ -19,9 +19,9 @@
 
 use crate::{
     action::{ClaimAction, ClaimEvent, ClaimOutcome, ClaimReason, OwnerView},
+    capacity::VmCapacity,
     rows::{ClaimRow, MemberRow},
     settings::ClaimSettings,
-    strength::VmStrength,
     view::{Heartbeat, NodeId},
 };
 
@@ -364,11 +364,11 @@
     }
 
     /// What the VMs of a data centre can carry, this one's among them.
-    pub fn strengths(&self, centre: &DataCentreId) -> Vec<VmStrength> {
+    pub fn vm_capacities(&self, centre: &DataCentreId) -> Vec<VmCapacity> {
         let others = self.members.values().map(|member| &member.row);
         let all = others.chain(std::iter::once(&self.own_row));
         let there = all.filter(|row| row.data_centre == *centre);
-        there.map(MemberRow::strength).collect()
+        there.map(MemberRow::capacity).collect()
     }
 
     /// Decides what has to be done now.
--- a/crates/claims/src/controller/handover.rs
+++ b/crates/claims/src/controller/handover.rs
@@ -5,7 +5,7 @@
 use jobs::{LifeId, PoolId};
 
 use super::ClaimController;
-use crate::strength::VmStrength;
+use crate::capacity::VmCapacity;
 
 /// How many times as many pools a core a process owns before it hands one over. A handover costs some ten calls a
 /// worker.
@@ -75,7 +75,7 @@
 
     fn has_better_owner(&self, now: Instant, pool: &PoolId, owned: usize) -> bool {
         let is_remote = pool.data_centre != self.own_row.data_centre;
-        let own_ratio = owned as f64 / self.own_row.strength().0;
+        let own_ratio = owned as f64 / self.own_row.capacity().0;
         self.heard_peers.values().any(|peer| {
             let heartbeat = &peer.heartbeat;
             let in_pool_centre = heartbeat.data_centre == pool.data_centre;
@@ -83,7 +83,7 @@
             if !in_pool_centre || !settled || heartbeat.leaving || !self.is_fresh(now, peer) {
                 return false;
             }
-            let peer_capacity = VmStrength::new(heartbeat.cores, heartbeat.link).0;
+            let peer_capacity = VmCapacity::new(heartbeat.cores, heartbeat.link).0;
             let peer_ratio = (heartbeat.pools.len() as f64 + 1.0) / peer_capacity;
             is_remote || peer_ratio * MIN_IMBALANCE_RATIO < own_ratio
         })
--- a/crates/claims/src/controller/polling.rs
+++ b/crates/claims/src/controller/polling.rs
@@ -160,6 +160,6 @@
 /// Lower comes first: the strongest, then by hash.
 fn capacity_order(row: &MemberRow) -> (u64, u64) {
     // The cast saturates; millionths tell any two machines apart that differ.
-    let inverse_capacity = (1_000_000.0 / row.strength().0.max(1e-6)) as u64;
+    let inverse_capacity = (1_000_000.0 / row.capacity().0.max(1e-6)) as u64;
     (inverse_capacity, xxh3_64(row.node.0.as_bytes()))
 }
--- a/crates/claims/src/controller/ranking.rs
+++ b/crates/claims/src/controller/ranking.rs
@@ -19,19 +19,19 @@
     node: &'a NodeId,
     data_centre: &'a DataCentreId,
     /// What it can carry, in runs a second.
-    strength: f64,
+    capacity: f64,
     /// The pools that it has, and those that fall to it.
     pools: f64,
 }
 
-/// Lower comes first: processes of the pool's data centre, then those of whose strength their pools would take least, then by
+/// Lower comes first: processes of the pool's data centre, then those of whose capacity their pools would take least, then by
 /// hash. Machines differ fourfold and more.
 type CandidateOrder = (bool, u64, u64);
 
 impl ClaimCandidate<'_> {
     fn order(&self, pool: &PoolId) -> CandidateOrder {
         let tie_break = xxh3_64(format!("{pool}/{}", self.node).as_bytes());
-        let share = (self.pools + 1.0) / self.strength;
+        let share = (self.pools + 1.0) / self.capacity;
         // The cast saturates; millionths tell any two machines apart that differ.
         let share = (share * 1_000_000.0) as u64;
         (*self.data_centre != pool.data_centre, share, tie_break)
@@ -80,7 +80,7 @@
     ClaimCandidate {
         node: &row.node,
         data_centre: &row.data_centre,
-        strength: row.strength().0,
+        capacity: row.capacity().0,
         pools: owned as f64,
     }
 }
--- a/crates/claims/src/lib.rs
+++ b/crates/claims/src/lib.rs
@@ -6,17 +6,17 @@
 //! fence, so a wrong suspicion costs a claim and never a task that runs twice.
 
 mod action;
+mod capacity;
 mod controller;
 mod rows;
 mod settings;
-mod strength;
 mod view;
 
 pub use crate::{
     action::{ClaimAction, ClaimEvent, ClaimOutcome, ClaimReason, OwnerView},
+    capacity::{is_outgrown, plan_groups, VmCapacity},
     controller::{ClaimController, HeartbeatClass, KnownList, PollDecision},
     rows::{ClaimRow, GroupRow, GroupSpread, MemberRow, RouteWait},
     settings::ClaimSettings,
-    strength::{is_outgrown, plan_groups, VmStrength},
     view::{Heartbeat, LinkRate, ListReading, NodeDigest, NodeId, PoolNews},
 };
--- a/crates/claims/tests/groups.rs
+++ b/crates/claims/tests/groups.rs
@@ -2,15 +2,15 @@
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
-use claims::{is_outgrown, plan_groups, GroupRow, GroupSpread, LinkRate, VmStrength};
+use claims::{is_outgrown, plan_groups, GroupRow, GroupSpread, LinkRate, VmCapacity};
 use jobs::LifeId;
 
-fn vms(count: usize, cores: f64, megabits: f64) -> Vec<VmStrength> {
-    vec![VmStrength::new(cores, LinkRate::from_megabits(megabits)); count]
+fn vms(count: usize, cores: f64, megabits: f64) -> Vec<VmCapacity> {
+    vec![VmCapacity::new(cores, LinkRate::from_megabits(megabits)); count]
 }
 
 /// Each row: workers, VMs, pools.
-fn check(workers: usize, vms: &[VmStrength], expect: u32) {
+fn check(workers: usize, vms: &[VmCapacity], expect: u32) {
     assert_eq!(
         plan_groups(workers, vms),
         expect,
--- a/crates/node/src/groups.rs
+++ b/crates/node/src/groups.rs
@@ -10,7 +10,7 @@
     time::{Duration, Instant},
 };
 
-use claims::{is_outgrown, plan_groups, GroupRow, VmStrength};
+use claims::{is_outgrown, plan_groups, GroupRow, VmCapacity};
 use jobs::{PoolId, WorkerRecord};
 use model::{DataCentreId, FastMap};
 use platform::RowVersion;
@@ -160,7 +160,7 @@
                 .borrow()
                 .groups(&centre)
                 .map(|row| row.groups);
-            let vms = state.keeper.borrow().strengths(&centre);
+            let vms = state.keeper.borrow().vm_capacities(&centre);
             if groups.is_none() && !listed.have_settled(state.now(), &centre, workers, vms.len()) {
                 continue;
             }
@@ -207,7 +207,7 @@
 }
 
 /// The number that a data centre should have, if it is not what it has.
-fn wanted_groups(workers: usize, vms: &[VmStrength], groups: Option<u32>) -> Option<u32> {
+fn wanted_groups(workers: usize, vms: &[VmCapacity], groups: Option<u32>) -> Option<u32> {
     let planned = plan_groups(workers, vms);
     match groups {
         None => Some(planned),
