--- a/crates/claims/src/rows.rs
+++ b/crates/claims/src/rows.rs
@@ -101,7 +101,7 @@
     }
 
     /// The row for so many groups that makes the largest one smallest.
-    pub fn even<'a>(
+    pub fn balanced<'a>(
         groups: u32,
         workers: impl Iterator<Item = (&'a LifeId, SocketAddr)> + Clone,
     ) -> Self {
--- a/crates/claims/tests/groups.rs
+++ b/crates/claims/tests/groups.rs
@@ -88,7 +88,7 @@
 #[test]
 fn addresses_that_follow_each_other_divide_evenly() {
     let workers = workers(1);
-    let row = GroupRow::even(4, workers.iter().map(|(life, at)| (life, *at)));
+    let row = GroupRow::balanced(4, workers.iter().map(|(life, at)| (life, *at)));
     assert_eq!(row.spread, GroupSpread::Address);
     assert_eq!(sizes(row, &workers), [6, 6, 6, 6]);
 }
@@ -97,7 +97,7 @@
 #[test]
 fn addresses_that_divide_badly_are_not_used() {
     let workers = workers(4);
-    let row = GroupRow::even(4, workers.iter().map(|(life, at)| (life, *at)));
+    let row = GroupRow::balanced(4, workers.iter().map(|(life, at)| (life, *at)));
     assert_eq!(row.spread, GroupSpread::Life);
     assert!(sizes(row, &workers).len() > 1);
 }
--- a/crates/node/src/groups.rs
+++ b/crates/node/src/groups.rs
@@ -224,7 +224,7 @@
         .copied()
         .unwrap_or_default();
     let workers = state.directory.borrow().of_centre(centre);
-    let row = GroupRow::even(groups, workers.iter().map(|w| (&w.life, w.address)));
+    let row = GroupRow::balanced(groups, workers.iter().map(|w| (&w.life, w.address)));
     let Ok(value) = serde_json::to_vec(&row) else {
         return;
     };
