--- a/crates/jobs/src/ids.rs
+++ b/crates/jobs/src/ids.rs
@@ -12,7 +12,7 @@
 /// A text that is not a job id.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("not a job id of {JOB_ID_DIGITS} hexadecimal digits")]
-pub struct WrongJobId;
+pub struct InvalidJobId;
 
 /// The id of a job, chosen by its customer. The same id again is the same job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -25,16 +25,18 @@
 }
 
 impl FromStr for JobId {
-    type Err = WrongJobId;
+    type Err = InvalidJobId;
 
-    fn from_str(s: &str) -> Result<Self, WrongJobId> {
-        let plain = s
+    fn from_str(s: &str) -> Result<Self, InvalidJobId> {
+        let is_lower_hex = s
             .bytes()
             .all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(&b));
-        if s.len() != JOB_ID_DIGITS || !plain {
-            return Err(WrongJobId);
+        if s.len() != JOB_ID_DIGITS || !is_lower_hex {
+            return Err(InvalidJobId);
         }
-        u64::from_str_radix(s, 16).map(Self).map_err(|_| WrongJobId)
+        u64::from_str_radix(s, 16)
+            .map(Self)
+            .map_err(|_| InvalidJobId)
     }
 }
 
@@ -64,16 +66,16 @@
 }
 
 impl FromStr for TaskId {
-    type Err = WrongJobId;
+    type Err = InvalidJobId;
 
-    fn from_str(s: &str) -> Result<Self, WrongJobId> {
+    fn from_str(s: &str) -> Result<Self, InvalidJobId> {
         let mut parts = s.split('.');
-        let job = parts.next().ok_or(WrongJobId)?.parse()?;
+        let job = parts.next().ok_or(InvalidJobId)?.parse()?;
         let mut number = || {
             parts
                 .next()
                 .and_then(|part| part.parse().ok())
-                .ok_or(WrongJobId)
+                .ok_or(InvalidJobId)
         };
         let id = Self {
             job,
@@ -83,7 +85,7 @@
         };
         match parts.next() {
             None => Ok(id),
-            Some(_) => Err(WrongJobId),
+            Some(_) => Err(InvalidJobId),
         }
     }
 }
@@ -171,7 +173,7 @@
 /// A text that is not a pool id.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("not a pool id")]
-pub struct WrongPoolId;
+pub struct InvalidPoolId;
 
 impl fmt::Display for PoolId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -180,13 +182,13 @@
 }
 
 impl FromStr for PoolId {
-    type Err = WrongPoolId;
+    type Err = InvalidPoolId;
 
-    fn from_str(s: &str) -> Result<Self, WrongPoolId> {
-        let (data_centre, group) = s.rsplit_once('/').ok_or(WrongPoolId)?;
+    fn from_str(s: &str) -> Result<Self, InvalidPoolId> {
+        let (data_centre, group) = s.rsplit_once('/').ok_or(InvalidPoolId)?;
         Ok(Self {
-            data_centre: data_centre.parse().map_err(|_| WrongPoolId)?,
-            group: group.parse().map_err(|_| WrongPoolId)?,
+            data_centre: data_centre.parse().map_err(|_| InvalidPoolId)?,
+            group: group.parse().map_err(|_| InvalidPoolId)?,
         })
     }
 }
--- a/crates/jobs/src/kept.rs
+++ b/crates/jobs/src/kept.rs
@@ -65,12 +65,12 @@
 
 impl StepRecord {
     /// Notes that a worker died under a task. Says whether that was not known.
-    pub fn note_death(&mut self, death: TaskDeath) -> bool {
-        let new = !self.deaths.contains(&death);
-        if new {
+    pub fn record_death(&mut self, death: TaskDeath) -> bool {
+        let is_new = !self.deaths.contains(&death);
+        if is_new {
             self.deaths.push(death);
         }
-        new
+        is_new
     }
 
     /// How often a task has failed.
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -12,14 +12,15 @@
 pub use crate::{
     demand::{CpuMillis, MemoryMegabytes, ResourceDemand},
     ids::{
-        FenceToken, JobId, LifeId, PoolId, RunNumber, ServiceId, TaskId, WrongJobId, WrongPoolId,
+        FenceToken, InvalidJobId, InvalidPoolId, JobId, LifeId, PoolId, RunNumber, ServiceId,
+        TaskId,
     },
     kept::{KeptRow, KeptState, StepRecord, TaskDeath},
     request::{
-        longest_chain, JobOutcome, JobRequest, JobTerms, RefusalKind, StepSpec, TaskText,
+        critical_path, JobOutcome, JobRequest, JobTerms, RefusalKind, StepSpec, TaskText,
         UnsupportedNeed,
     },
-    route::{BodyLimits, RouteMatch, RouteRule, RouteTable, ServiceRule, TableVersion},
+    route::{RequestLimits, RouteMatch, RouteRule, RouteTable, ServiceRule, TableVersion},
     worker::{
         BirthTime, EndCause, EndedRun, RunningRun, WorkerClock, WorkerListing, WorkerRecord,
         WorkerState,
--- a/crates/jobs/src/request.rs
+++ b/crates/jobs/src/request.rs
@@ -70,7 +70,7 @@
 }
 
 /// The longest chain of predicted task times over the steps of a job.
-pub fn longest_chain(
+pub fn critical_path(
     steps: &[StepSpec],
     predict: impl Fn(usize, &StepSpec) -> Duration,
 ) -> Duration {
--- a/crates/jobs/src/route.rs
+++ b/crates/jobs/src/route.rs
@@ -50,7 +50,7 @@
 
 /// What a request may hold and how long its connection may idle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BodyLimits {
+pub struct RequestLimits {
     /// The longest body, in bytes.
     pub body_bytes: usize,
     /// The longest head, in bytes.
@@ -61,7 +61,7 @@
     pub idle_time: Duration,
 }
 
-impl Default for BodyLimits {
+impl Default for RequestLimits {
     fn default() -> Self {
         Self {
             body_bytes: 256 * 1024,
@@ -82,7 +82,7 @@
     /// The services.
     pub services: Vec<ServiceRule>,
     /// Limits on requests.
-    pub limits: BodyLimits,
+    pub limits: RequestLimits,
 }
 
 /// A request's route and what its path holds after the prefix.
@@ -96,9 +96,9 @@
 
 impl RouteTable {
     /// Whether a service is named here, by itself or as the one of a route.
-    pub fn names_service(&self, service: &ServiceId) -> bool {
-        let by_itself = self.services.iter().any(|rule| rule.id == *service);
-        by_itself || self.routes.iter().any(|rule| rule.service == *service)
+    pub fn references_service(&self, service: &ServiceId) -> bool {
+        let is_listed = self.services.iter().any(|rule| rule.id == *service);
+        is_listed || self.routes.iter().any(|rule| rule.service == *service)
     }
 
     /// The route with the longest prefix that the path begins with, among those of the host.
--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -8,7 +8,7 @@
 use actix_http::{body::BoxBody, HttpService, Request, Response};
 use actix_service::{Service as _, ServiceFactory as _};
 use futures::future::LocalBoxFuture;
-use jobs::BodyLimits;
+use jobs::RequestLimits;
 use kernel::accept_each;
 use telemetry::{EventKind, EventLine};
 use tokio::net::{TcpListener, TcpStream};
@@ -47,7 +47,7 @@
     Ok(())
 }
 
-fn limits(state: &NodeState) -> BodyLimits {
+fn limits(state: &NodeState) -> RequestLimits {
     let table = state.table.borrow();
     table.as_ref().map(|table| table.limits).unwrap_or_default()
 }
@@ -55,7 +55,7 @@
 /// Builds the server anew if the configuration has other limits now.
 async fn renew<F, Fut>(
     state: &Rc<NodeState>,
-    current: &RefCell<(BodyLimits, ConnectionServer)>,
+    current: &RefCell<(RequestLimits, ConnectionServer)>,
     answer: F,
 ) where
     F: Fn(Request) -> Fut + Clone + 'static,
@@ -76,7 +76,7 @@
 
 async fn build<F, Fut>(
     state: &Rc<NodeState>,
-    limits: BodyLimits,
+    limits: RequestLimits,
     answer: F,
 ) -> Result<ConnectionServer, NodeError>
 where
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -14,7 +14,9 @@
     future::{select, Either},
     StreamExt as _,
 };
-use jobs::{longest_chain, BodyLimits, JobId, JobOutcome, RefusalKind, RouteRule, UnsupportedNeed};
+use jobs::{
+    critical_path, JobId, JobOutcome, RefusalKind, RequestLimits, RouteRule, UnsupportedNeed,
+};
 use model::Mechanism;
 use platform_adapter::{
     decode_job, encode_outcome, encode_pending, encode_state, EncodedAnswer, StoreError,
@@ -241,7 +243,7 @@
 
 /// Whether the process will be gone before the job can be expected to end. Taken all the same, the job would be cut.
 fn is_past_stop(state: &NodeState, job: &EntryJob) -> bool {
-    let chain = longest_chain(&job.request.steps, |_, step| step.estimate);
+    let chain = critical_path(&job.request.steps, |_, step| step.estimate);
     let expected = chain.mul_f64(job.rule.stretch) + job.rule.goal;
     state
         .stop_limit
@@ -313,7 +315,7 @@
     waits.map(|waits| waits.min(LONGEST_DEADLINE))
 }
 
-async fn read_body(mut payload: Payload, limits: BodyLimits) -> Result<Vec<u8>, StatusCode> {
+async fn read_body(mut payload: Payload, limits: RequestLimits) -> Result<Vec<u8>, StatusCode> {
     let mut body = Vec::new();
     while let Some(chunk) = payload.next().await {
         let chunk = chunk.map_err(|_| StatusCode::BAD_REQUEST)?;
--- a/crates/node/src/workers.rs
+++ b/crates/node/src/workers.rs
@@ -116,7 +116,7 @@
     let table = state.table.borrow();
     let known = table
         .as_ref()
-        .map(|table| table.names_service(&record.service));
+        .map(|table| table.references_service(&record.service));
     // Before there is a configuration no entry names a worker, and none is wrong.
     (known != Some(true)).then(|| EntryFault::UnknownService(record.service.clone()))
 }
--- a/crates/peer/src/pool_message.rs
+++ b/crates/peer/src/pool_message.rs
@@ -262,7 +262,7 @@
 
 fn pool_id(read: Result<capnp::text::Reader<'_>, capnp::Error>) -> Result<PoolId, PeerError> {
     let parsed = text(read)?.parse();
-    parsed.map_err(|e: jobs::WrongPoolId| PeerError::BadMessage(e.to_string()))
+    parsed.map_err(|e: jobs::InvalidPoolId| PeerError::BadMessage(e.to_string()))
 }
 
 fn micros(time: Duration) -> u64 {
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -18,7 +18,7 @@
 };
 
 use jobs::{
-    longest_chain, FenceToken, JobId, JobOutcome, JobRequest, JobTerms, LifeId, RefusalKind,
+    critical_path, FenceToken, JobId, JobOutcome, JobRequest, JobTerms, LifeId, RefusalKind,
     RunNumber, WorkerRecord, WorkerState,
 };
 use model::{FastMap, Mechanism};
@@ -417,7 +417,7 @@
     /// its first one so early that the two others are still in time.
     fn queue_entry(&self, id: JobId) -> QueueEntry {
         let job = &self.jobs[&id];
-        let left = longest_chain(&job.request.steps, |step, spec| match job.is_done(step) {
+        let left = critical_path(&job.request.steps, |step, spec| match job.is_done(step) {
             true => Duration::ZERO,
             false => self.predict(&job.terms, spec),
         });
--- a/crates/pool/src/pool/admit.rs
+++ b/crates/pool/src/pool/admit.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use jobs::{
-    longest_chain, JobId, JobOutcome, JobRequest, JobTerms, RefusalKind, ServiceId, StepSpec,
+    critical_path, JobId, JobOutcome, JobRequest, JobTerms, RefusalKind, ServiceId, StepSpec,
 };
 
 use model::{FastMap, Mechanism};
@@ -267,7 +267,7 @@
 
     /// The predicted time of the longest chain of a job's steps.
     fn predict_chain(&self, request: &JobRequest, terms: &JobTerms) -> Duration {
-        longest_chain(&request.steps, |_, spec| self.predict(terms, spec))
+        critical_path(&request.steps, |_, spec| self.predict(terms, spec))
     }
 
     pub(super) fn objective(&self, request: &JobRequest, terms: &JobTerms) -> Duration {
--- a/crates/pool/src/pool/crashing.rs
+++ b/crates/pool/src/pool/crashing.rs
@@ -207,7 +207,7 @@
                     continue;
                 };
                 let task = task.index;
-                changed |= record.note_death(TaskDeath { task, life, born });
+                changed |= record.record_death(TaskDeath { task, life, born });
             }
             if changed {
                 kept.revision += 1;
--- a/crates/pool/src/pool/keeping.rs
+++ b/crates/pool/src/pool/keeping.rs
@@ -279,7 +279,7 @@
             }
         }
         for death in &record.deaths {
-            own.note_death(death.clone());
+            own.record_death(death.clone());
         }
         for failed in &record.failed {
             if !own.failed.contains(failed) {
