--- a/crates/claims/tests/beats.rs
+++ b/crates/claims/tests/beats.rs
@@ -15,7 +15,7 @@
 const CENTRES: usize = 5;
 
 /// One owner among so many processes.
-const OWNER_ONE_IN: usize = 6;
+const PROCESSES_PER_OWNER: usize = 6;
 
 fn centre(number: usize) -> DataCentreId {
     format!("dc-{}", number % CENTRES).parse().unwrap()
@@ -35,12 +35,12 @@
     }
 }
 
-/// A process among so many, each `OWNER_ONE_IN`th of which owns a pool.
+/// A process among so many, each `PROCESSES_PER_OWNER`th of which owns a pool.
 fn controller(me: usize, count: usize, now: Instant) -> ClaimController {
     let mut controller = ClaimController::new(member(me), ClaimSettings::default(), now);
     for number in 0..count {
         controller.on_member(now, member(number));
-        if number % OWNER_ONE_IN == 0 {
+        if number % PROCESSES_PER_OWNER == 0 {
             let owner = member(number);
             let row = ClaimRow {
                 node: owner.node,
@@ -58,7 +58,7 @@
 }
 
 /// Datagrams that it sends a second.
-fn sent(controller: &ClaimController) -> f64 {
+fn datagrams_per_second(controller: &ClaimController) -> f64 {
     let peers = controller.peers();
     let rates = peers.map(|(_, class)| 1.0 / controller.heartbeat_interval(class).as_secs_f64());
     rates.sum()
@@ -69,21 +69,21 @@
 fn check(count: usize, share: f64) {
     let now = Instant::now();
     let mut all = 0.0;
-    let mut mesh = 0.0;
+    let mut full_mesh = 0.0;
     for me in 0..count {
         let controller = controller(me, count, now);
-        all += sent(&controller);
+        all += datagrams_per_second(&controller);
         let near = controller
             .peers()
             .filter(|(_, class)| *class != HeartbeatClass::Far);
         let far = controller
             .peers()
             .filter(|(_, class)| *class == HeartbeatClass::Far);
-        mesh += near.count() as f64
+        full_mesh += near.count() as f64
             / controller
                 .heartbeat_interval(HeartbeatClass::Owner)
                 .as_secs_f64();
-        mesh += far.count() as f64
+        full_mesh += far.count() as f64
             / controller
                 .heartbeat_interval(HeartbeatClass::Far)
                 .as_secs_f64();
@@ -92,21 +92,21 @@
     println!(
         "{count} processes: {:.1} a second each of {:.1}",
         all / count,
-        mesh / count
+        full_mesh / count
     );
-    assert!(all <= mesh * share, "{all:.1} of {mesh:.1}");
+    assert!(all <= full_mesh * share, "{all:.1} of {full_mesh:.1}");
 }
 
 /// Each datagram costs some tens of microseconds at each end. What a process sends must not grow with its fleet as a full mesh
 /// does: from a few dozen processes on at least a third of that is saved, and more than half among hundreds.
 #[test]
-fn signs_of_life_do_not_grow_with_the_square_of_the_fleet() {
+fn heartbeats_do_not_grow_with_the_square_of_the_fleet() {
     check(30, 1.0);
     check(100, 0.67);
     check(300, 0.5);
 }
 
-fn beat(member: &MemberRow) -> Heartbeat {
+fn heartbeat(member: &MemberRow) -> Heartbeat {
     Heartbeat {
         node: member.node.clone(),
         incarnation: member.incarnation,
@@ -121,14 +121,14 @@
 }
 
 /// How long after its last sign of life `other` counts as silent at `me`.
-fn silence(me: usize, other: usize) -> Duration {
+fn time_until_silent(me: usize, other: usize) -> Duration {
     let count = 60 * CENTRES;
     let begun = Instant::now();
     let mut controller = controller(me, count, begun);
     let mut now = begun;
     let step = Duration::from_millis(20);
     while now < begun + Duration::from_secs(5) {
-        controller.on_heartbeat(now, beat(&member(other)), member(other).address);
+        controller.on_heartbeat(now, heartbeat(&member(other)), member(other).address);
         controller.tick(now);
         now += step;
     }
@@ -150,14 +150,14 @@
 /// An owner falls silent, or an entry whose jobs an owner runs: its caller comes back elsewhere 1.3 s later, when nothing of the
 /// job may run any more. That between two processes without pools may take longer; it is never taken for one too soon.
 #[test]
-fn silences_that_matter_are_noticed_at_once() {
+fn silent_owners_and_entries_are_detected_at_once() {
     let (owner, other_owner) = (0, 30);
     let (entry, other_entry) = (5, 10);
     let soon = Duration::from_millis(460);
-    assert!(silence(entry, owner) <= soon);
-    assert!(silence(owner, entry) <= soon);
-    assert!(silence(owner, other_owner) <= soon);
+    assert!(time_until_silent(entry, owner) <= soon);
+    assert!(time_until_silent(owner, entry) <= soon);
+    assert!(time_until_silent(owner, other_owner) <= soon);
     let idle =
         controller(entry, 60 * CENTRES, Instant::now()).heartbeat_interval(HeartbeatClass::Idle);
-    assert!(silence(entry, other_entry) >= idle * 3);
+    assert!(time_until_silent(entry, other_entry) >= idle * 3);
 }
--- a/crates/claims/tests/groups.rs
+++ b/crates/claims/tests/groups.rs
@@ -21,7 +21,7 @@
 /// Links of 2 Mbit/s carry some 170 starts a second. One owner for 24 workers, which start 170 to 300, would be full while
 /// the links of its neighbours stand empty.
 #[test]
-fn narrow_links_share_the_work() {
+fn narrow_links_get_one_pool_each() {
     check(24, &vms(4, 0.12, 2.0), 4);
     check(24, &vms(3, 0.12, 2.0), 3);
 }
@@ -39,7 +39,7 @@
 /// Two strong VMs and a dozen weak ones. An equal share is a little more than each strong one is planned to carry. Twelve pools of
 /// ten workers with twenty places each refuse jobs of eight tasks that two pools of sixty take.
 #[test]
-fn strong_vms_that_just_miss_their_share_do_not_make_way_for_weak_ones() {
+fn large_vms_just_below_their_share_are_not_replaced_by_small_ones() {
     let mut mixed = vms(2, 0.5, 200.0);
     mixed.extend(vms(11, 0.12, 25.0));
     check(117, &mixed, 2);
@@ -61,7 +61,7 @@
 
 /// No VM is known yet, or none suffices: there is still a pool for the workers.
 #[test]
-fn there_is_always_a_pool() {
+fn there_is_at_least_one_pool_without_vms_or_capacity() {
     check(5, &[], 1);
     check(0, &[], 1);
     check(1, &vms(9, 0.01, 0.1), 1);
@@ -86,7 +86,7 @@
 /// Workers at addresses that follow each other. By hash one group gets far more than another, and its owner is the first
 /// whose link is full.
 #[test]
-fn addresses_that_follow_each_other_divide_evenly() {
+fn consecutive_addresses_are_grouped_evenly() {
     let workers = workers(1);
     let row = GroupRow::balanced(4, workers.iter().map(|(life, at)| (life, *at)));
     assert_eq!(row.spread, GroupSpread::Address);
@@ -95,7 +95,7 @@
 
 /// Each fourth address is a worker's: by address all of them would be in one of four groups.
 #[test]
-fn addresses_that_divide_badly_are_not_used() {
+fn unbalanced_addresses_fall_back_to_hashes() {
     let workers = workers(4);
     let row = GroupRow::balanced(4, workers.iter().map(|(life, at)| (life, *at)));
     assert_eq!(row.spread, GroupSpread::Life);
--- a/crates/claims/tests/keeper.rs
+++ b/crates/claims/tests/keeper.rs
@@ -44,7 +44,7 @@
     }
 }
 
-fn beat(member: &MemberRow, hears: &[&str], pools: &[&str]) -> Heartbeat {
+fn heartbeat(member: &MemberRow, hears: &[&str], pools: &[&str]) -> Heartbeat {
     Heartbeat {
         node: member.node.clone(),
         incarnation: member.incarnation,
@@ -70,11 +70,11 @@
     }
 }
 
-/// One node's keeper in simulated time.
-struct Watch {
-    keeper: ClaimController,
+/// One node's controller in simulated time.
+struct ControllerSim {
+    controller: ClaimController,
     now: Instant,
-    passed: Duration,
+    sim_time: Duration,
     reachable: bool,
     /// How the store answers claims.
     claim_outcome: ClaimOutcome,
@@ -82,13 +82,13 @@
     claims: Vec<(String, Duration)>,
 }
 
-impl Watch {
+impl ControllerSim {
     fn new(me: &MemberRow) -> Self {
         let now = Instant::now();
         Self {
-            keeper: ClaimController::new(me.clone(), ClaimSettings::default(), now),
+            controller: ClaimController::new(me.clone(), ClaimSettings::default(), now),
             now,
-            passed: Duration::ZERO,
+            sim_time: Duration::ZERO,
             reachable: true,
             claim_outcome: ClaimOutcome::Decided,
             probes: 0,
@@ -96,40 +96,42 @@
         }
     }
 
-    fn owns(&mut self, name: &str, owner: &MemberRow, version: u64) {
+    fn set_owner(&mut self, name: &str, owner: &MemberRow, version: u64) {
         let row = ClaimRow {
             node: owner.node.clone(),
             incarnation: owner.incarnation,
             address: owner.address,
         };
-        self.keeper.on_workers(&pool(name), true);
-        self.keeper.on_claim(self.now, pool(name), row, version);
+        self.controller.on_workers(&pool(name), true);
+        self.controller.on_claim(self.now, pool(name), row, version);
     }
 
-    /// Lets time pass. `beats` come as often as processes send them.
-    fn pass(&mut self, time: Duration, beats: &[Heartbeat]) {
-        let until = self.passed + time;
-        while self.passed < until {
-            if self.passed.as_millis().is_multiple_of(100) {
-                for beat in beats {
-                    self.keeper.on_heartbeat(self.now, beat.clone(), address(1));
+    /// Lets time pass. `heartbeats` come as often as processes send them.
+    fn run_for(&mut self, time: Duration, heartbeats: &[Heartbeat]) {
+        let until = self.sim_time + time;
+        while self.sim_time < until {
+            if self.sim_time.as_millis().is_multiple_of(100) {
+                for heartbeat in heartbeats {
+                    self.controller
+                        .on_heartbeat(self.now, heartbeat.clone(), address(1));
                 }
             }
-            for action in self.keeper.tick(self.now) {
+            for action in self.controller.tick(self.now) {
                 match action {
                     ClaimAction::Probe(pool) => {
                         self.probes += 1;
-                        self.keeper.on_probe_result(self.now, &pool, self.reachable);
+                        self.controller
+                            .on_probe_result(self.now, &pool, self.reachable);
                     }
                     ClaimAction::Claim { pool, .. } => {
-                        self.claims.push((pool.to_string(), self.passed));
-                        self.keeper
+                        self.claims.push((pool.to_string(), self.sim_time));
+                        self.controller
                             .on_claim_outcome(self.now, &pool, self.claim_outcome);
                     }
                 }
             }
             self.now += STEP;
-            self.passed += STEP;
+            self.sim_time += STEP;
         }
     }
 
@@ -147,19 +149,19 @@
 #[test]
 fn a_new_process_does_not_take_a_pool_from_an_owner_that_it_has_not_heard_yet() {
     let (owner, peer) = (member("east-1", 1), member("east-2", 2));
-    let mut watch = Watch::new(&member("east-3", 3));
-    watch.keeper.on_member(watch.now, owner.clone());
-    watch.keeper.on_member(watch.now, peer.clone());
-    watch.owns("east", &owner, 7);
-    watch.pass(millis(900), &[beat(&peer, &["east-3"], &[])]);
-    watch.pass(
+    let mut sim = ControllerSim::new(&member("east-3", 3));
+    sim.controller.on_member(sim.now, owner.clone());
+    sim.controller.on_member(sim.now, peer.clone());
+    sim.set_owner("east", &owner, 7);
+    sim.run_for(millis(900), &[heartbeat(&peer, &["east-3"], &[])]);
+    sim.run_for(
         millis(5_000),
         &[
-            beat(&peer, &["east-1"], &[]),
-            beat(&owner, &["east-2"], &["east"]),
+            heartbeat(&peer, &["east-1"], &[]),
+            heartbeat(&owner, &["east-2"], &["east"]),
         ],
     );
-    assert_eq!(watch.claims, []);
+    assert_eq!(sim.claims, []);
 }
 
 /// The owner loses its power. Processes of its data centre stop hearing it within half a second; those of others are
@@ -167,18 +169,18 @@
 #[test]
 fn a_silent_owner_is_replaced_without_waiting_for_other_data_centres() {
     let (owner, far) = (member("east-1", 1), member("west-1", 2));
-    let mut watch = Watch::new(&member("east-2", 3));
-    watch.keeper.on_member(watch.now, owner.clone());
-    watch.keeper.on_member(watch.now, far.clone());
-    watch.owns("east", &owner, 7);
-    let hears = beat(&far, &["east-1", "east-2"], &[]);
-    watch.pass(
+    let mut sim = ControllerSim::new(&member("east-2", 3));
+    sim.controller.on_member(sim.now, owner.clone());
+    sim.controller.on_member(sim.now, far.clone());
+    sim.set_owner("east", &owner, 7);
+    let hears = heartbeat(&far, &["east-1", "east-2"], &[]);
+    sim.run_for(
         millis(5_000),
-        &[hears.clone(), beat(&owner, &["east-2"], &["east"])],
+        &[hears.clone(), heartbeat(&owner, &["east-2"], &["east"])],
     );
-    assert_eq!(watch.claims, []);
-    watch.pass(millis(1_200), &[hears]);
-    let after = watch.first_claim().expect("a claim") - millis(5_000);
+    assert_eq!(sim.claims, []);
+    sim.run_for(millis(1_200), &[hears]);
+    let after = sim.first_claim().expect("a claim") - millis(5_000);
     assert!(after <= millis(700), "claimed after {after:?}");
 }
 
@@ -186,43 +188,43 @@
 #[test]
 fn a_refused_connection_replaces_an_owner_at_once() {
     let (owner, far) = (member("east-1", 1), member("west-1", 2));
-    let mut watch = Watch::new(&member("east-2", 3));
-    watch.keeper.on_member(watch.now, owner.clone());
-    watch.owns("east", &owner, 7);
-    let beats = [
-        beat(&far, &["east-1"], &[]),
-        beat(&owner, &["east-2"], &["east"]),
+    let mut sim = ControllerSim::new(&member("east-2", 3));
+    sim.controller.on_member(sim.now, owner.clone());
+    sim.set_owner("east", &owner, 7);
+    let heartbeats = [
+        heartbeat(&far, &["east-1"], &[]),
+        heartbeat(&owner, &["east-2"], &["east"]),
     ];
-    watch.pass(millis(5_000), &beats);
-    watch.keeper.on_refused(&owner.node);
-    watch.pass(millis(500), &beats[..1]);
-    let after = watch.first_claim().expect("a claim") - millis(5_000);
+    sim.run_for(millis(5_000), &heartbeats);
+    sim.controller.on_refused(&owner.node);
+    sim.run_for(millis(500), &heartbeats[..1]);
+    let after = sim.first_claim().expect("a claim") - millis(5_000);
     assert!(after <= millis(200), "claimed after {after:?}");
 }
 
 /// A machine is cut off from all others, but not from the store and the workers. It must not take pools from owners
 /// that go on serving: each claim would stop what runs there, again and again for as long as the cut lasts.
 #[test]
-fn a_process_that_hears_nobody_takes_nothing_from_owners_that_refresh_their_rows() {
+fn an_isolated_process_takes_nothing_from_owners_that_refresh_their_rows() {
     let owner = member("east-1", 1);
-    let mut watch = Watch::new(&member("east-2", 3));
-    watch.keeper.on_member(watch.now, owner.clone());
-    watch.owns("east", &owner, 7);
-    watch.pass(millis(3_000), &[beat(&owner, &["east-2"], &["east"])]);
+    let mut sim = ControllerSim::new(&member("east-2", 3));
+    sim.controller.on_member(sim.now, owner.clone());
+    sim.set_owner("east", &owner, 7);
+    sim.run_for(millis(3_000), &[heartbeat(&owner, &["east-2"], &["east"])]);
     for refreshes in 2..8 {
-        watch.keeper.on_member(
-            watch.now,
+        sim.controller.on_member(
+            sim.now,
             MemberRow {
                 refreshes,
                 ..owner.clone()
             },
         );
-        watch.pass(millis(4_000), &[]);
+        sim.run_for(millis(4_000), &[]);
     }
-    assert_eq!(watch.claims, []);
-    watch.pass(millis(12_000), &[]);
+    assert_eq!(sim.claims, []);
+    sim.run_for(millis(12_000), &[]);
     assert!(
-        watch.first_claim().is_some(),
+        sim.first_claim().is_some(),
         "the owner's row stands still: it is gone"
     );
 }
@@ -232,38 +234,47 @@
 #[test]
 fn a_pool_whose_workers_cannot_be_reached_is_not_claimed() {
     let (owner, peer) = (member("west-1", 1), member("east-2", 2));
-    let mut watch = Watch::new(&member("east-1", 3));
-    watch.keeper.on_member(watch.now, owner.clone());
-    watch.keeper.on_member(watch.now, peer.clone());
-    watch.owns("west", &owner, 7);
-    watch.reachable = false;
-    let beats = [beat(&peer, &[], &[]), beat(&owner, &[], &["west"])];
-    watch.pass(millis(3_000), &beats);
-    watch.pass(millis(6_000), &beats[..1]);
-    assert_eq!(watch.claims, []);
-    assert!(watch.probes <= 8, "{} probes in 6 s", watch.probes);
+    let mut sim = ControllerSim::new(&member("east-1", 3));
+    sim.controller.on_member(sim.now, owner.clone());
+    sim.controller.on_member(sim.now, peer.clone());
+    sim.set_owner("west", &owner, 7);
+    sim.reachable = false;
+    let heartbeats = [
+        heartbeat(&peer, &[], &[]),
+        heartbeat(&owner, &[], &["west"]),
+    ];
+    sim.run_for(millis(3_000), &heartbeats);
+    sim.run_for(millis(6_000), &heartbeats[..1]);
+    assert_eq!(sim.claims, []);
+    assert!(sim.probes <= 8, "{} probes in 6 s", sim.probes);
 }
 
 /// A data centre was cut off and is reached again: first its workers, and most of a second later, with its next sign of life, its
 /// owner, which has served them all the while. Taken from it in between, all jobs there would be cut, and as the other side does
 /// the same, all jobs everywhere.
 #[test]
-fn a_pool_that_is_reached_again_is_left_to_an_owner_that_lives() {
+fn a_pool_reachable_again_stays_with_a_live_owner() {
     let (owner, peer) = (member("west-1", 1), member("east-2", 2));
     for lives in [true, false] {
-        let mut watch = Watch::new(&member("east-1", 3));
-        watch.keeper.on_member(watch.now, owner.clone());
-        watch.keeper.on_member(watch.now, peer.clone());
-        watch.owns("west", &owner, 7);
-        let beats = [beat(&peer, &[], &[]), beat(&owner, &[], &["west"])];
-        watch.pass(millis(3_000), &beats);
-        watch.reachable = false;
-        watch.pass(millis(6_000), &beats[..1]);
-        watch.reachable = true;
-        watch.pass(millis(1_000), &beats[..1]);
-        assert_eq!(watch.claims, []);
-        watch.pass(millis(5_000), if lives { &beats } else { &beats[..1] });
-        assert_eq!(watch.claims.is_empty(), lives);
+        let mut sim = ControllerSim::new(&member("east-1", 3));
+        sim.controller.on_member(sim.now, owner.clone());
+        sim.controller.on_member(sim.now, peer.clone());
+        sim.set_owner("west", &owner, 7);
+        let heartbeats = [
+            heartbeat(&peer, &[], &[]),
+            heartbeat(&owner, &[], &["west"]),
+        ];
+        sim.run_for(millis(3_000), &heartbeats);
+        sim.reachable = false;
+        sim.run_for(millis(6_000), &heartbeats[..1]);
+        sim.reachable = true;
+        sim.run_for(millis(1_000), &heartbeats[..1]);
+        assert_eq!(sim.claims, []);
+        sim.run_for(
+            millis(5_000),
+            if lives { &heartbeats } else { &heartbeats[..1] },
+        );
+        assert_eq!(sim.claims.is_empty(), lives);
     }
 }
 
@@ -272,40 +283,40 @@
 #[test]
 fn a_pool_that_has_just_changed_hands_is_left_to_an_owner_that_others_hear() {
     let (owner, far) = (member("east-1", 1), member("west-1", 2));
-    let mut watch = Watch::new(&member("east-2", 3));
-    watch.keeper.on_member(watch.now, owner.clone());
-    watch.keeper.on_member(watch.now, far.clone());
-    watch.pass(millis(5_000), &[beat(&far, &["east-1"], &[])]);
-    watch.owns("east", &owner, 9);
-    watch.pass(millis(2_000), &[beat(&far, &["east-1"], &[])]);
-    assert_eq!(watch.claims, []);
+    let mut sim = ControllerSim::new(&member("east-2", 3));
+    sim.controller.on_member(sim.now, owner.clone());
+    sim.controller.on_member(sim.now, far.clone());
+    sim.run_for(millis(5_000), &[heartbeat(&far, &["east-1"], &[])]);
+    sim.set_owner("east", &owner, 9);
+    sim.run_for(millis(2_000), &[heartbeat(&far, &["east-1"], &[])]);
+    assert_eq!(sim.claims, []);
 }
 
 /// An owner is told to stop. Its jobs may run for seconds; were its pool left to it for so long, a third of all workers
 /// would stand idle, and customers would be refused. A successor claims at once and leaves it the workers in use.
 #[test]
-fn a_leaving_owner_is_succeeded_at_once_and_keeps_the_workers_in_use() {
+fn a_leaving_owner_is_replaced_at_once_and_keeps_the_workers_in_use() {
     let owner = member("east-1", 1);
-    let mut watch = Watch::new(&member("east-2", 3));
-    watch.keeper.on_member(watch.now, owner.clone());
-    watch.owns("east", &owner, 7);
-    let serving = beat(&owner, &["east-2"], &["east"]);
-    watch.pass(millis(3_000), std::slice::from_ref(&serving));
-    assert_eq!(watch.claims, []);
+    let mut sim = ControllerSim::new(&member("east-2", 3));
+    sim.controller.on_member(sim.now, owner.clone());
+    sim.set_owner("east", &owner, 7);
+    let serving = heartbeat(&owner, &["east-2"], &["east"]);
+    sim.run_for(millis(3_000), std::slice::from_ref(&serving));
+    assert_eq!(sim.claims, []);
     let mut leaving = Heartbeat {
         leaving: true,
         ..serving
     };
     leaving.pools[0].held = vec![LifeId::from("i-3")];
-    watch.pass(millis(300), std::slice::from_ref(&leaving));
-    assert!(watch.first_claim().is_some());
+    sim.run_for(millis(300), std::slice::from_ref(&leaving));
+    assert!(sim.first_claim().is_some());
     assert_eq!(
-        watch.keeper.held_workers(watch.now, &pool("east")),
+        sim.controller.held_workers(sim.now, &pool("east")),
         [LifeId::from("i-3")]
     );
-    watch.pass(millis(600), &[]);
+    sim.run_for(millis(600), &[]);
     assert_eq!(
-        watch.keeper.held_workers(watch.now, &pool("east")),
+        sim.controller.held_workers(sim.now, &pool("east")),
         [],
         "silent: nothing is held"
     );
@@ -316,25 +327,25 @@
 #[test]
 fn a_pool_goes_back_to_its_data_centre() {
     let (me, near) = (member("west-1", 1), member("east-1", 2));
-    let mut watch = Watch::new(&me);
-    watch.owns("east", &me, 7);
-    watch.pass(millis(3_000), &[beat(&near, &[], &[])]);
+    let mut sim = ControllerSim::new(&me);
+    sim.set_owner("east", &me, 7);
+    sim.run_for(millis(3_000), &[heartbeat(&near, &[], &[])]);
     assert_eq!(
-        watch.keeper.pool_to_hand_over(watch.now),
+        sim.controller.pool_to_hand_over(sim.now),
         None,
         "it has just begun"
     );
-    watch.pass(millis(3_000), &[beat(&near, &[], &[])]);
+    sim.run_for(millis(3_000), &[heartbeat(&near, &[], &[])]);
     assert_eq!(
-        watch.keeper.pool_to_hand_over(watch.now),
+        sim.controller.pool_to_hand_over(sim.now),
         Some(pool("east"))
     );
     let (me, other) = (member("east-1", 1), member("east-2", 2));
-    let mut watch = Watch::new(&me);
-    watch.owns("east", &me, 7);
-    watch.pass(millis(9_000), &[beat(&other, &[], &[])]);
+    let mut sim = ControllerSim::new(&me);
+    sim.set_owner("east", &me, 7);
+    sim.run_for(millis(9_000), &[heartbeat(&other, &[], &[])]);
     assert_eq!(
-        watch.keeper.pool_to_hand_over(watch.now),
+        sim.controller.pool_to_hand_over(sim.now),
         None,
         "as good here as there"
     );
@@ -343,20 +354,20 @@
 /// All workers of a pool were taken by other owners while the claim stayed. The owner lets go; if it went on counting as
 /// the owner, nobody would ever serve the pool again.
 #[test]
-fn a_pool_that_was_let_go_is_claimed_anew() {
+fn a_released_pool_is_claimed_again() {
     let me = member("east-1", 1);
-    let mut watch = Watch::new(&me);
-    watch.owns("east", &me, 7);
-    watch.pass(millis(3_000), &[]);
-    assert_eq!(watch.claims, []);
-    watch.keeper.on_released(&pool("east"));
-    watch.pass(millis(300), &[]);
-    assert!(watch.first_claim().is_some());
+    let mut sim = ControllerSim::new(&me);
+    sim.set_owner("east", &me, 7);
+    sim.run_for(millis(3_000), &[]);
+    assert_eq!(sim.claims, []);
+    sim.controller.on_released(&pool("east"));
+    sim.run_for(millis(300), &[]);
+    assert!(sim.first_claim().is_some());
 }
 
 /// All processes start at once and nobody owns the pool: one takes it, the others see that it has.
 #[test]
-fn of_many_that_start_at_once_one_claims_first() {
+fn processes_that_start_together_claim_one_after_another() {
     let names = ["east-1", "east-2", "east-3", "west-1"];
     let members: Vec<MemberRow> = names
         .iter()
@@ -365,13 +376,13 @@
         .collect();
     let mut firsts = Vec::new();
     for me in &members {
-        let mut watch = Watch::new(me);
-        watch.keeper.on_workers(&pool("east"), true);
+        let mut sim = ControllerSim::new(me);
+        sim.controller.on_workers(&pool("east"), true);
         for other in members.iter().filter(|other| other.node != me.node) {
-            watch.keeper.on_member(watch.now, other.clone());
+            sim.controller.on_member(sim.now, other.clone());
         }
-        watch.pass(millis(2_500), &[]);
-        firsts.push(watch.first_claim().expect("a claim"));
+        sim.run_for(millis(2_500), &[]);
+        firsts.push(sim.first_claim().expect("a claim"));
     }
     firsts.sort();
     assert!(firsts[0] <= millis(60), "{firsts:?}");
@@ -382,19 +393,19 @@
 /// write that the store has to turn away; one each 42 ms from every process of a fleet keeps it busy. Once it answers, the
 /// pool still has to get its owner soon.
 #[test]
-fn claims_that_are_turned_away_come_ever_less_often() {
+fn undecided_claims_back_off() {
     let me = member("east-1", 1);
-    let mut watch = Watch::new(&me);
-    watch.keeper.on_workers(&pool("east"), true);
-    watch.claim_outcome = ClaimOutcome::Undecided;
-    watch.pass(millis(10_000), &[]);
-    let tries = watch.claims.len();
+    let mut sim = ControllerSim::new(&me);
+    sim.controller.on_workers(&pool("east"), true);
+    sim.claim_outcome = ClaimOutcome::Undecided;
+    sim.run_for(millis(10_000), &[]);
+    let tries = sim.claims.len();
     assert!(tries <= 18, "{tries} claims in 10 s");
-    watch.claim_outcome = ClaimOutcome::Decided;
-    watch.claims.clear();
-    let begun = watch.passed;
-    watch.pass(millis(1_000), &[]);
-    let first = watch.first_claim().expect("a claim");
+    sim.claim_outcome = ClaimOutcome::Decided;
+    sim.claims.clear();
+    let begun = sim.sim_time;
+    sim.run_for(millis(1_000), &[]);
+    let first = sim.first_claim().expect("a claim");
     assert!(first <= begun + millis(900), "after {:?}", first - begun);
 }
 
@@ -413,16 +424,16 @@
         .collect();
     let mut claims = Vec::new();
     for me in &members {
-        let mut watch = Watch::new(me);
+        let mut sim = ControllerSim::new(me);
         for pool in &pools {
-            watch.keeper.on_workers(pool, true);
+            sim.controller.on_workers(pool, true);
         }
         for other in members.iter().filter(|other| other.node != me.node) {
-            watch.keeper.on_member(watch.now, other.clone());
+            sim.controller.on_member(sim.now, other.clone());
         }
         // Two ticks: a worker is tried, then the claim goes out.
-        watch.pass(millis(40), &[]);
-        claims.extend(watch.claims.iter().map(|(pool, _)| pool.clone()));
+        sim.run_for(millis(40), &[]);
+        claims.extend(sim.claims.iter().map(|(pool, _)| pool.clone()));
     }
     claims.sort();
     let expected: Vec<String> = pools.iter().map(PoolId::to_string).collect();
--- a/crates/claims/tests/reading.rs
+++ b/crates/claims/tests/reading.rs
@@ -11,7 +11,7 @@
 const CENTRES: usize = 5;
 
 /// Processes of a data centre that own a pool, at most.
-const OWNERS: usize = 4;
+const OWNERS_PER_CENTRE: usize = 4;
 
 const STEP: Duration = Duration::from_millis(20);
 
@@ -30,37 +30,37 @@
 }
 
 fn owns(number: usize) -> bool {
-    number < OWNERS * CENTRES
+    number < OWNERS_PER_CENTRE * CENTRES
 }
 
 /// Processes of one data centre in simulated time, and what each knows of the list of workers.
-struct ListWorld {
+struct ListSim {
     now: Instant,
-    nodes: Vec<ListNode>,
+    nodes: Vec<SimNode>,
     /// The version of the store, and the digest of its list.
     version: u64,
     digest: u64,
     reads: usize,
 }
 
-struct ListNode {
+struct SimNode {
     number: usize,
     controller: ClaimController,
     known: KnownList,
     read: Option<Instant>,
-    looked: Instant,
+    polled_at: Instant,
     /// The store does not answer it.
     refused: bool,
     /// It stands still.
     frozen: bool,
 }
 
-impl ListWorld {
+impl ListSim {
     /// Of a fleet of so many, the owners of the first data centre.
     fn new(count: usize) -> Self {
         let now = Instant::now();
         let numbers = (0..count).filter(|number| number % CENTRES == 0 && owns(*number));
-        let node = |number| ListNode {
+        let node = |number| SimNode {
             number,
             controller: controller(number, count, now),
             known: KnownList {
@@ -69,19 +69,19 @@
                 at: now,
             },
             read: None,
-            looked: now,
+            polled_at: now,
             refused: false,
             frozen: false,
         };
-        let mut world = Self {
+        let mut sim = Self {
             now,
             nodes: numbers.map(node).collect(),
             version: 1,
             digest: 1,
             reads: 0,
         };
-        world.run(Duration::from_secs(3));
-        world
+        sim.run(Duration::from_secs(3));
+        sim
     }
 
     fn run(&mut self, span: Duration) {
@@ -96,17 +96,19 @@
 
     fn step(&mut self) {
         let now = self.now;
-        let beats: Vec<Heartbeat> = self.nodes.iter().filter_map(|n| n.beat(now)).collect();
+        let heartbeats: Vec<Heartbeat> =
+            self.nodes.iter().filter_map(|n| n.heartbeat(now)).collect();
         for node in self.nodes.iter_mut().filter(|node| !node.frozen) {
-            for beat in &beats {
+            for heartbeat in &heartbeats {
                 let address = member(0).address;
-                node.controller.on_heartbeat(now, beat.clone(), address);
+                node.controller
+                    .on_heartbeat(now, heartbeat.clone(), address);
             }
             node.controller.tick(now);
-            if now < node.looked + Duration::from_millis(100) {
+            if now < node.polled_at + Duration::from_millis(100) {
                 continue;
             }
-            node.looked = now;
+            node.polled_at = now;
             match node.controller.poll_decision(now, node.known) {
                 PollDecision::Confirmed { version, at } => {
                     node.known.version = node.known.version.max(version);
@@ -116,7 +118,7 @@
                 PollDecision::Read => {
                     self.reads += 1;
                     node.read = Some(now);
-                    node.looked = now + Duration::from_millis(150);
+                    node.polled_at = now + Duration::from_millis(150);
                     node.known = KnownList {
                         version: self.version,
                         digest: self.digest,
@@ -136,15 +138,15 @@
     }
 
     /// How long until all know of a change.
-    fn change(&mut self) -> Duration {
+    fn time_to_propagate(&mut self) -> Duration {
         self.version += 1;
         self.digest += 1;
         let begun = self.now;
-        let behind = |world: &Self| {
-            let mut nodes = world.nodes.iter().filter(|n| !n.frozen && !n.refused);
-            nodes.any(|node| node.known.digest != world.digest)
+        let is_behind = |sim: &Self| {
+            let mut nodes = sim.nodes.iter().filter(|n| !n.frozen && !n.refused);
+            nodes.any(|node| node.known.digest != sim.digest)
         };
-        while behind(self) {
+        while is_behind(self) {
             self.now += STEP;
             self.version += 1;
             self.step();
@@ -153,8 +155,8 @@
     }
 }
 
-impl ListNode {
-    fn beat(&self, now: Instant) -> Option<Heartbeat> {
+impl SimNode {
+    fn heartbeat(&self, now: Instant) -> Option<Heartbeat> {
         if self.frozen {
             return None;
         }
@@ -208,30 +210,30 @@
 #[test]
 fn one_owner_reads_for_a_data_centre() {
     for count in [30, 100, 300, 1_000] {
-        let mut world = ListWorld::new(count);
-        world.reads = 0;
-        world.run(Duration::from_secs(10));
-        assert!(world.reads <= 42, "{count}: {}", world.reads);
-        world.check_age(Duration::from_millis(700));
+        let mut sim = ListSim::new(count);
+        sim.reads = 0;
+        sim.run(Duration::from_secs(10));
+        assert!(sim.reads <= 42, "{count}: {}", sim.reads);
+        sim.check_age(Duration::from_millis(700));
     }
 }
 
 /// Guards against processes of a large fleet that all follow the list, and against one that none follows.
 #[test]
-fn few_stand_by_in_each_data_centre() {
+fn each_data_centre_has_two_standbys() {
     for count in [30, 100, 300, 1_000] {
         let now = Instant::now();
-        let standing = (0..count).step_by(CENTRES);
-        let standing = standing.filter(|number| !owns(*number));
-        let standing =
-            standing.filter(|number| controller(*number, count, now).is_standby(now, true));
-        assert_eq!(standing.count(), 2, "{count}");
+        let standbys = (0..count).step_by(CENTRES);
+        let standbys = standbys.filter(|number| !owns(*number));
+        let standbys =
+            standbys.filter(|number| controller(*number, count, now).is_standby(now, true));
+        assert_eq!(standbys.count(), 2, "{count}");
     }
 }
 
 /// Guards against a data centre that is never divided since the store refuses those that stand by: the others come after them.
 #[test]
-fn others_read_where_nobody_divides() {
+fn further_processes_read_while_workers_are_not_grouped() {
     let now = Instant::now();
     let last = controller(995, 1_000, now);
     assert!(!last.is_standby(now, false));
@@ -240,12 +242,14 @@
 
 /// Guards against rows of members that are written more often the more there are.
 #[test]
-fn rows_of_members_do_not_grow_with_the_fleet() {
+fn member_row_writes_do_not_grow_with_the_fleet() {
     for count in [30, 100, 300] {
         let now = Instant::now();
-        let beats = (0..count).map(|number| controller(number, count, now).refresh_interval());
-        let writes: f64 = beats.map(|beat| 1.0 / beat.as_secs_f64()).sum();
-        let owners = (OWNERS * CENTRES) as f64 / 4.0;
+        let heartbeats = (0..count).map(|number| controller(number, count, now).refresh_interval());
+        let writes: f64 = heartbeats
+            .map(|heartbeat| 1.0 / heartbeat.as_secs_f64())
+            .sum();
+        let owners = (OWNERS_PER_CENTRE * CENTRES) as f64 / 4.0;
         assert!(writes <= owners + 2.5, "{count}: {writes}");
     }
 }
@@ -253,11 +257,11 @@
 /// Guards against a change that reaches only its reader.
 #[test]
 fn changes_reach_all_owners() {
-    let mut world = ListWorld::new(100);
+    let mut sim = ListSim::new(100);
     for _ in 0..20 {
-        let took = world.change();
+        let took = sim.time_to_propagate();
         assert!(took <= Duration::from_millis(700), "{took:?}");
-        world.run(Duration::from_millis(330));
+        sim.run(Duration::from_millis(330));
     }
 }
 
@@ -266,28 +270,28 @@
 #[test]
 fn a_reader_that_fails_is_replaced() {
     for fault in [
-        |node: &mut ListNode| node.refused = true,
-        |node: &mut ListNode| node.frozen = true,
+        |node: &mut SimNode| node.refused = true,
+        |node: &mut SimNode| node.frozen = true,
     ] {
-        let mut world = ListWorld::new(100);
-        let reader = (0..world.nodes.len()).max_by_key(|place| world.nodes[*place].read);
+        let mut sim = ListSim::new(100);
+        let reader = (0..sim.nodes.len()).max_by_key(|place| sim.nodes[*place].read);
         let reader = reader.unwrap();
-        fault(&mut world.nodes[reader]);
+        fault(&mut sim.nodes[reader]);
         for _ in 0..20 {
-            world.run(Duration::from_millis(100));
-            world.check_age(Duration::from_millis(900));
+            sim.run(Duration::from_millis(100));
+            sim.check_age(Duration::from_millis(900));
         }
-        let took = world.change();
+        let took = sim.time_to_propagate();
         assert!(took <= Duration::from_millis(900), "{took:?}");
-        world.nodes[reader].refused = false;
-        world.nodes[reader].frozen = false;
-        let digest = world.digest;
-        world.run(Duration::from_millis(200));
-        let others = world.nodes.iter().enumerate();
+        sim.nodes[reader].refused = false;
+        sim.nodes[reader].frozen = false;
+        let digest = sim.digest;
+        sim.run(Duration::from_millis(200));
+        let others = sim.nodes.iter().enumerate();
         let mut others = others.filter(|(place, _)| *place != reader);
         assert!(others.all(|(_, node)| node.known.digest == digest));
-        world.reads = 0;
-        world.run(Duration::from_secs(10));
-        assert!(world.reads <= 44, "{}", world.reads);
+        sim.reads = 0;
+        sim.run(Duration::from_secs(10));
+        assert!(sim.reads <= 44, "{}", sim.reads);
     }
 }
