--- a/crates/claims/src/action.rs
+++ b/crates/claims/src/action.rs
@@ -1,4 +1,4 @@
-//! What a keeper of claims asks for, notes, and knows of an owner.
+//! Actions and events of the claim controller, and its view of a pool's owner.
 
 use std::{
     net::SocketAddr,
@@ -11,57 +11,57 @@
 
 use crate::view::NodeId;
 
-/// What has to be done.
+/// An action that the claim controller asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimAction {
-    /// Find out whether a worker of the pool can be reached, and tell `on_probe_result`.
+    /// Probe whether a worker of the pool can be reached, and report the result to `on_probe_result`.
     Probe(PoolId),
-    /// Write the claim if its row still has this version; tell `on_claim_outcome`.
+    /// Write the claim row if it still has this version, and report the outcome to `on_claim_outcome`.
     Claim {
-        /// The pool.
+        /// The pool to claim.
         pool: PoolId,
-        /// The version that the row must have; 0 for none.
+        /// The version that the claim row must have; 0 if there must be no row.
         expected: u64,
     },
 }
 
-/// How an attempt to claim ended at the store.
+/// The outcome of an attempt to claim a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimOutcome {
-    /// The store decided: the claim is won, or another was faster.
+    /// The store decided: this process or another one got the pool.
     Decided,
-    /// The store did not decide, or its answer is not known.
+    /// The store did not decide, or its answer is unknown.
     Undecided,
 }
 
-/// A change of belief, for the log.
+/// A change in what this process knows about its peers and the pools' owners, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimEvent {
-    /// A process was heard for the first time, or again.
+    /// A process is heard for the first time, or again after a silence.
     PeerHeard(NodeId),
-    /// A process is not heard any more.
+    /// A process is no longer heard, or refuses connections.
     PeerSilent {
-        /// Which.
+        /// The process.
         node: NodeId,
-        /// The age of its last sign of life.
+        /// The age of its last heartbeat.
         age: Duration,
     },
-    /// A pool has another owner.
+    /// A pool has a new owner.
     OwnerChanged {
         /// The pool.
         pool: PoolId,
         /// The owner.
         node: NodeId,
-        /// Its fence.
+        /// The owner's fencing token.
         fence: FenceToken,
     },
-    /// This process tries to become a pool's owner.
+    /// This process tries to claim a pool.
     Claiming {
         /// The pool.
         pool: PoolId,
-        /// Why the known owner does not count.
+        /// Why the pool can be claimed.
         why: ClaimReason,
-        /// The version of the row that is to be replaced.
+        /// The version of the claim row to replace; 0 if there is none.
         expected: u64,
     },
 }
@@ -69,15 +69,16 @@
 text_set! {
     /// Why a pool can be claimed.
     ClaimReason, "reason of a claim", WrongReason {
-        /// Nobody owns it.
+        /// The pool has no owner.
         Unowned => "unowned",
-        /// Its owner has started again and forgotten it.
+        /// The owner has restarted and no longer knows about the pool.
         OwnerRestarted => "owner_restarted",
-        /// Its owner hands it over. It finishes its jobs on the workers that they use, and leaves the others.
+        /// The owner hands the pool over. It finishes its jobs on the workers that they use and leaves the
+        /// other workers to its successor.
         OwnerYields => "owner_yields",
-        /// Connections to its owner are refused: the process is gone.
+        /// Connections to the owner are refused, so its process is gone.
         OwnerGone => "owner_gone",
-        /// Nobody hears its owner.
+        /// The owner is silent, and no peer whose report counts hears it.
         OwnerSilent => "owner_silent",
     }
 }
@@ -87,16 +88,16 @@
 pub struct OwnerView {
     /// The owner.
     pub node: NodeId,
-    /// Where it listens.
+    /// The address where it listens for other processes.
     pub address: SocketAddr,
-    /// Its fence.
+    /// The owner's fencing token.
     pub fence: FenceToken,
-    /// Whether it is this process.
+    /// Whether the owner is this process.
     pub here: bool,
-    /// Whether it gives signs of life and is not about to stop.
+    /// Whether the owner can be used: it is this process, or it is heard and does not hand the pool over.
     pub alive: bool,
-    /// What its pool can take, as last heard.
+    /// The load of the pool, from the owner's last heartbeat; the default if none was heard.
     pub load: PoolLoad,
-    /// When that was heard, if it was.
+    /// When the owner's last heartbeat arrived; `None` for this process and for a silent owner.
     pub heard_at: Option<Instant>,
 }
--- a/crates/claims/src/capacity.rs
+++ b/crates/claims/src/capacity.rs
@@ -1,48 +1,51 @@
-//! What a VM can carry, and into how many pools a data centre's workers are divided so that their owners can.
+//! The capacity of VMs, and the number of pools into which a data centre's workers are divided so that the
+//! owners can carry them.
 //!
-//! Load it is made for: VMs whose processor or link is small against the work of a data centre. Harm prevented: with
-//! pools of one size everywhere a single owner's link fills while those beside it stand empty, and hardly any job is served
-//! though the links together carry several times as many.
+//! Designed for VMs whose processor or link is small compared with the load of a data centre. With pools of
+//! one size everywhere, the link of a single owner fills up while neighbouring links are idle, and hardly any
+//! job is served although the links together carry several times the load.
 
 use crate::{rows::MemberRow, view::LinkRate};
 
-/// Processor time of a run at its owner, its entry's part and idle cost included, in core-seconds.
+/// The processor time of a run at its owner in core-seconds, including the entry's part and idle cost.
 const RUN_CORE_SECONDS: f64 = 0.000_4;
 
-/// Bytes of a run on its owner's link, in the busier direction: a start, a look, its part of the job that came, and of heartbeats
-/// and the store's feeds.
+/// The bytes of a run on its owner's link in the busier direction: a start, a poll, its part of the job that
+/// came in, and its part of heartbeats and the store's feeds.
 const RUN_LINK_BYTES: f64 = 1_500.0;
 
-/// Runs that a worker begins a second, before any load is seen.
+/// The runs that a worker is expected to start per second, before any load is seen.
 const WORKER_RUNS_PER_SECOND: f64 = 10.0;
 
-/// The share of what a VM can carry that its pool may take as planned. Bursts are nearly twofold, and a VM serves
-/// customers beside.
+/// The share of a VM's capacity that the planned load of its pool may take. Bursts are nearly twice the mean,
+/// and the VM also serves customers.
 const PLANNED_LOAD_SHARE: f64 = 0.4;
 
-/// The share of the planned work that suffices if the next owner would be weak: its small pool would take the places of wide
-/// jobs from all.
+/// The share of the planned load that suffices if the next owner would be a small VM, whose small pool would
+/// reduce the slots for wide jobs in all pools.
 const SUFFICIENT_LOAD_SHARE: f64 = 0.8;
 
-/// The share of their capacity up to which the owners of a division may be planned to work once it stands.
+/// The share of their capacity up to which the owners of an existing division may be loaded.
 const OUTGROWN_LOAD_SHARE: f64 = 0.8;
 
-/// An owner is weak below this share of what the strongest carries.
+/// A VM is small below this share of the largest VM's capacity.
 const SMALL_VM_SHARE: f64 = 0.5;
 
-/// The least share of a processor and of a link that are taken for true, in cores and bytes a second.
+/// The least processor share (in cores) and link rate (in bytes a second) that are believed; lower values are
+/// raised to them.
 const MIN_CORES: f64 = 0.01;
 const MIN_LINK_BYTES_PER_SECOND: f64 = 1_000.0;
 
-/// The most workers of one pool. Larger ones place hardly better, and a lost owner leaves as many workers without one.
+/// The most workers of a pool. Larger pools hardly improve placement, and the loss of their owner leaves that
+/// many workers without one.
 const MAX_POOL_WORKERS: usize = 64;
 
-/// What a VM can carry, in runs a second.
+/// The load that a VM can carry, in runs a second.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct VmCapacity(pub f64);
 
 impl VmCapacity {
-    /// That of a VM with a processor share in cores and a link.
+    /// The capacity of a VM with a processor share in cores and a link.
     pub fn new(cores: f64, link: LinkRate) -> Self {
         let by_cores = cores.max(MIN_CORES) / RUN_CORE_SECONDS;
         let by_link = link.0.max(MIN_LINK_BYTES_PER_SECOND) / RUN_LINK_BYTES;
@@ -51,17 +54,18 @@
 }
 
 impl MemberRow {
-    /// What its VM can carry.
+    /// The capacity of its VM.
     pub fn capacity(&self) -> VmCapacity {
         VmCapacity::new(self.cores, self.link)
     }
 }
 
-/// Into how many pools so many workers are divided among VMs: the fewest whose owners, the strongest VMs, together carry
-/// nearly all. One for each VM if no number suffices.
+/// The number of pools into which `workers` are divided: the fewest whose owners, the largest VMs, together
+/// carry nearly all of the planned load, or one for each VM if no number suffices.
 ///
-/// Together, since a strong VM may own several. Asked that the weakest owner carry an equal share, three strong VMs that just
-/// miss it made way for a dozen weak ones, whose small pools have no place for wide jobs of tasks half a worker wide.
+/// Capacities are added up because a large VM may own several pools. When the smallest owner had to carry an
+/// equal share, three large VMs that just missed it were replaced by a dozen small ones, whose small pools
+/// have no room for wide jobs of tasks half a worker wide.
 pub fn plan_groups(workers: usize, vms: &[VmCapacity]) -> u32 {
     let mut vms = vms.to_vec();
     vms.sort_by(|a, b| b.0.total_cmp(&a.0));
@@ -82,11 +86,11 @@
     u32::try_from(planned.min(workers.max(1))).unwrap_or(u32::MAX)
 }
 
-/// Whether workers have become more than the owners of so many pools can carry.
+/// Whether the workers have become more than the owners of `groups` pools can carry.
 ///
-/// Load it is made for: workers are added by a quarter while a division stands. Harm prevented: dividing anew moves workers
-/// between owners, and lets go of all jobs of the data centre, some hundreds at once; a plan that would only be better for
-/// the new number of workers is not worth that.
+/// Designed for a quarter more workers while a division exists. Dividing anew moves workers between owners
+/// and abandons all jobs of the data centre, some hundreds at once, so it is not worth a plan that would only
+/// be better for the new number of workers.
 pub fn is_outgrown(workers: usize, vms: &[VmCapacity], groups: u32) -> bool {
     let mut vms = vms.to_vec();
     vms.sort_by(|a, b| b.0.total_cmp(&a.0));
--- a/crates/claims/src/controller.rs
+++ b/crates/claims/src/controller.rs
@@ -1,4 +1,4 @@
-//! Decides when a pool is claimed.
+//! Decides when this process claims a pool.
 
 mod handover;
 mod heartbeats;
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug)]
 struct Member {
     row: MemberRow,
-    /// When its row last changed.
+    /// When the row last changed, as seen by this process.
     refreshed: Instant,
 }
 
@@ -36,10 +36,10 @@
 struct HeardPeer {
     heartbeat: Heartbeat,
     heard_at: Instant,
-    /// Since when this life of it has been heard without a pause.
+    /// Since when heartbeats of this incarnation have arrived without a silence.
     heard_since: Instant,
     silent: bool,
-    /// Its port is closed since its last sign of life.
+    /// Whether a connection to the peer was refused since its last heartbeat.
     refused: bool,
 }
 
@@ -47,48 +47,49 @@
 struct Claim {
     row: ClaimRow,
     version: u64,
-    /// When this process learned of it.
+    /// When this process learned of the claim.
     since: Instant,
-    /// Whether this process had it and has let go of it.
+    /// Whether this process owned the pool and has released it.
     released: bool,
 }
 
 #[derive(Clone, Debug, Default)]
 struct PoolState {
     claim: Option<Claim>,
-    /// Since when the pool could be claimed, and why.
+    /// Since when the pool has been claimable, and why.
     claimable_since: Option<(Instant, ClaimReason)>,
-    /// This process's place among those that could claim it.
+    /// This process's rank among the candidates for the pool.
     rank: u32,
     attempt: ClaimAttempt,
-    /// Its workers could not be reached when they were last tried.
+    /// Whether the last probe reached none of the pool's workers.
     unreachable: bool,
-    /// Claims in a row that the store turned away.
+    /// Claims in a row that the store left undecided.
     undecided_claims: u32,
     has_workers: bool,
 }
 
-/// How far an attempt to claim a pool is.
+/// The state of an attempt to claim a pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum ClaimAttempt {
     #[default]
     None,
-    /// Its workers are being tried. A process that is cut off from them must not take the pool from an owner that
-    /// reaches them.
+    /// The pool's workers have been probed since this time. A process that cannot reach them must not take
+    /// the pool from an owner that can.
     Probing(Instant),
-    /// A worker was reached.
+    /// A probe reached a worker.
     Reachable,
-    /// One was reached that could not be before. Until then this process listens whether the owner lives.
+    /// A probe reached a worker after earlier ones failed. Until this time, the process listens for the
+    /// owner's heartbeats.
     Listening(Instant),
-    /// None could be reached.
+    /// A probe reached no worker; it ended at this time.
     Unreachable(Instant),
-    /// The claim is on its way to the store.
+    /// The claim was sent to the store at this time.
     Writing(Instant),
-    /// The store turned it away; the next one waits until then.
+    /// The store left the claim undecided; the next attempt waits until this time.
     BackingOff(Instant),
 }
 
-/// Watches members and claims, and says when this process should claim a pool.
+/// Tracks members, heartbeats and claims, and decides when this process claims a pool.
 pub struct ClaimController {
     settings: ClaimSettings,
     own_row: MemberRow,
@@ -97,15 +98,15 @@
     members: FastMap<NodeId, Member>,
     heard_peers: FastMap<NodeId, HeardPeer>,
     pools: FastMap<PoolId, PoolState>,
-    /// Who owns pools, and since when.
+    /// The processes that own pools, each with the time at which its oldest claim became known.
     owners: FastMap<NodeId, Instant>,
-    /// The other processes of the data centre.
+    /// The number of other members in this data centre.
     near_members: u32,
     events: Vec<ClaimEvent>,
 }
 
 impl ClaimController {
-    /// A keeper that knows only its own process.
+    /// Creates a controller that knows only its own process.
     pub fn new(own_row: MemberRow, settings: ClaimSettings, now: Instant) -> Self {
         Self {
             settings,
@@ -121,22 +122,22 @@
         }
     }
 
-    /// This process's row.
+    /// This process's member row.
     pub fn own_row(&self) -> &MemberRow {
         &self.own_row
     }
 
-    /// What was learned, in order.
+    /// Takes the events since the last call, oldest first.
     pub fn take_events(&mut self) -> Vec<ClaimEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// This process stops: it claims nothing more.
+    /// Stops making claims, because this process is about to stop.
     pub fn leave(&mut self) {
         self.leaving = true;
     }
 
-    /// A member's row, as read from the store.
+    /// Takes in a member's row that was read from the store.
     pub fn on_member(&mut self, now: Instant, row: MemberRow) {
         if row.node == self.own_row.node {
             return;
@@ -157,13 +158,13 @@
         self.count_near_members();
     }
 
-    /// A member's row is gone.
+    /// Takes in the removal of a member's row.
     pub fn on_member_gone(&mut self, node: &NodeId) {
         self.members.remove(node);
         self.count_near_members();
     }
 
-    /// A claim's row, as read from the store.
+    /// Takes in a claim that was read from the store.
     pub fn on_claim(&mut self, now: Instant, pool: PoolId, row: ClaimRow, version: u64) {
         let state = self.pools.entry(pool.clone()).or_default();
         if state
@@ -190,8 +191,8 @@
         self.update_owners();
     }
 
-    /// This process has let go of a pool although the claim is its own. It does not count as the owner any more, and
-    /// whoever comes first claims the pool anew.
+    /// Takes in that this process has released a pool although the claim is still its own. It no longer
+    /// counts as the owner, and the first candidate claims the pool anew.
     pub fn on_released(&mut self, pool: &PoolId) {
         if let Some(claim) = self
             .pools
@@ -203,7 +204,7 @@
         self.update_owners();
     }
 
-    /// Whether a data centre has workers: a pool without any needs no owner.
+    /// Takes in whether a pool has workers: a pool without workers needs no owner.
     pub fn on_workers(&mut self, pool: &PoolId, has_workers: bool) {
         let known = self.pools.contains_key(pool);
         if known || has_workers {
@@ -211,12 +212,13 @@
         }
     }
 
-    /// A sign of life of another process, which came from `address`.
+    /// Takes in the heartbeat of another process, which came from `address`.
     pub fn on_heartbeat(&mut self, now: Instant, heartbeat: Heartbeat, address: SocketAddr) {
         if heartbeat.node == self.own_row.node {
             return;
         }
-        // Datagrams may overtake each other: one of an earlier life says nothing while the later one is heard.
+        // Datagrams may be reordered: a heartbeat of an earlier incarnation is ignored while the later one is
+        // heard.
         let known = self.heard_peers.get(&heartbeat.node);
         let later = known.filter(|known| known.heartbeat.incarnation > heartbeat.incarnation);
         if later.is_some_and(|later| self.is_fresh(now, later)) {
@@ -226,7 +228,7 @@
             self.events
                 .push(ClaimEvent::PeerHeard(heartbeat.node.clone()));
         }
-        // A process that has just started is known by its heartbeat sooner than by its row.
+        // The heartbeat of a new process arrives before its row is read.
         let member = self.members.get(&heartbeat.node);
         if member.is_none_or(|member| member.row.incarnation < heartbeat.incarnation) {
             let row = MemberRow {
@@ -266,14 +268,14 @@
         );
     }
 
-    /// A connection to the process was refused: nobody listens there any more.
+    /// Takes in that a connection to the process was refused: it no longer listens.
     pub fn on_refused(&mut self, node: &NodeId) {
         if let Some(peer) = self.heard_peers.get_mut(node) {
             peer.refused = true;
         }
     }
 
-    /// Whether a worker of the pool could be reached.
+    /// Takes in whether a worker of the pool could be reached.
     pub fn on_probe_result(&mut self, now: Instant, pool: &PoolId, reachable: bool) {
         let listen_time = self.listen_time(pool);
         let Some(state) = self.pools.get_mut(pool) else {
@@ -291,11 +293,12 @@
         };
     }
 
-    /// How long this process listens for the owner of a pool once a cut between the two seems to have healed.
+    /// How long this process listens for the owner of a pool after a network partition between the two seems
+    /// to have healed.
     ///
-    /// Failure prevented: a data centre that was cut off takes the pools of all others the moment that it reaches their
-    /// workers again, and they take its pools, since the next sign of life of an owner that is far away comes up to a second
-    /// later. All jobs of both sides are cut.
+    /// Without this wait, a data centre that was cut off would take the pools of all others as soon as it
+    /// reached their workers again, and they would take its pools, because the next heartbeat of a remote
+    /// owner arrives up to a second later. All jobs of both sides would be cut.
     fn listen_time(&self, pool: &PoolId) -> Duration {
         let claim = self.pools.get(pool).and_then(|state| state.claim.as_ref());
         let peer = claim.and_then(|claim| self.heard_peers.get(&claim.row.node));
@@ -306,7 +309,8 @@
         }
     }
 
-    /// An attempt to claim has ended; if it succeeded, `on_claim` was told before.
+    /// Takes in the outcome of an attempt to claim a pool. If the attempt succeeded, `on_claim` has been
+    /// called before.
     pub fn on_claim_outcome(&mut self, now: Instant, pool: &PoolId, outcome: ClaimOutcome) {
         let Some(state) = self.pools.get_mut(pool) else {
             return;
@@ -326,7 +330,7 @@
         }
     }
 
-    /// The owner of a pool.
+    /// The owner of a pool, if a claim is known.
     pub fn owner(&self, now: Instant, pool: &PoolId) -> Option<OwnerView> {
         let claim = self.pools.get(pool)?.claim.as_ref()?;
         let here = self.is_own_claim(claim);
@@ -341,7 +345,7 @@
             address: claim.row.address,
             fence: FenceToken(claim.version),
             here,
-            // One that is about to stop serves on while nobody can take its pool over.
+            // An owner that is about to stop keeps serving while no process can take its pool over.
             alive: here
                 || current.is_some_and(|peer| !peer.heartbeat.leaving || news.is_some())
                     && news.is_none_or(|news| !news.yielding),
@@ -350,20 +354,20 @@
         })
     }
 
-    /// The pools that are known, nearest first.
+    /// The known pools, those of this data centre first.
     pub fn pools(&self) -> Vec<PoolId> {
         let mut pools: Vec<PoolId> = self.pools.keys().cloned().collect();
         pools.sort_by_key(|pool| (pool.data_centre != self.own_row.data_centre, pool.clone()));
         pools
     }
 
-    /// Whether this process is among the first that would claim a pool which could be claimed now.
+    /// Whether this process is among the first candidates for a pool that can be claimed now.
     pub fn may_claim_soon(&self) -> bool {
         let mut pools = self.pools.values();
         pools.any(|state| state.claimable_since.is_some() && state.rank <= MAX_SOON_RANK)
     }
 
-    /// What the VMs of a data centre can carry, this one's among them.
+    /// The capacities of the VMs of a data centre, including this process's VM.
     pub fn vm_capacities(&self, centre: &DataCentreId) -> Vec<VmCapacity> {
         let others = self.members.values().map(|member| &member.row);
         let all = others.chain(std::iter::once(&self.own_row));
@@ -371,7 +375,7 @@
         there.map(MemberRow::capacity).collect()
     }
 
-    /// Decides what has to be done now.
+    /// Detects silent peers and decides which actions to take now.
     pub fn tick(&mut self, now: Instant) -> Vec<ClaimAction> {
         self.detect_silent_peers(now);
         let mut actions = Vec::new();
@@ -404,7 +408,8 @@
         self.pools.get(pool).is_some_and(|state| state.has_workers)
     }
 
-    /// Candidates come one after another. `rank` is this process's place among them.
+    /// Advances the attempt to claim a pool. Candidates claim one after another; `rank` is this process's
+    /// rank among them.
     fn advance_claim(
         &mut self,
         now: Instant,
@@ -420,7 +425,8 @@
         };
         let delay = self.settings.rank_delay * rank + far_delay;
         let timeout = self.settings.attempt_timeout;
-        // Beside those that fall to it one at a time: with each pool that it gets, the next is more likely another's.
+        // A process claims the pools for which it ranks first at once, and other pools one at a time: each
+        // pool that it gets makes it more likely that another process ranks first for the next one.
         let busy = rank > 0
             && self.pools.values().any(|state| {
                 matches!(
@@ -485,13 +491,14 @@
         now < peer.heard_at + timeout && !peer.refused
     }
 
-    /// A process that is heard and does not stop.
+    /// The peer, if it is heard and not about to stop.
     fn live_peer(&self, now: Instant, node: &NodeId) -> Option<&HeardPeer> {
         let heard = self.heard_peers.get(node);
         heard.filter(|peer| self.is_fresh(now, peer) && !peer.heartbeat.leaving)
     }
 
-    /// Before the first heartbeats all members count, heard or not.
+    /// Whether this process has just started. Before the first heartbeats arrive, all members count, heard or
+    /// not.
     fn is_starting(&self, now: Instant) -> bool {
         now < self.started + self.settings.startup_time
     }
@@ -512,8 +519,9 @@
     }
 }
 
-/// The last place among the candidates of a pool that is ready to claim it. Each that is reads the list of all workers anew.
+/// The last rank among a pool's candidates that prepares to claim it. Each process that prepares reads the
+/// list of all workers anew.
 const MAX_SOON_RANK: u32 = 2;
 
-/// Heartbeats to another data centre that may go missing before a process counts as silent.
+/// Heartbeats from another data centre that may be lost before a process counts as silent.
 const MAX_MISSED_FAR_HEARTBEATS: u32 = 3;
--- a/crates/claims/src/controller/handover.rs
+++ b/crates/claims/src/controller/handover.rs
@@ -7,12 +7,13 @@
 use super::ClaimController;
 use crate::capacity::VmCapacity;
 
-/// How many times as many pools a core a process owns before it hands one over. A handover costs some ten calls a
-/// worker.
+/// How many times as many pools per capacity as another process a process must own before it hands one over.
+/// A handover costs about ten calls per worker.
 const MIN_IMBALANCE_RATIO: f64 = 1.5;
 
 impl ClaimController {
-    /// The workers of a pool that a former owner still uses while it hands it over. Once it is not heard, none.
+    /// The workers that a former owner still uses while it hands the pool over; none once the former owner is
+    /// silent.
     pub fn held_workers(&self, now: Instant, pool: &PoolId) -> Vec<LifeId> {
         let mut held = Vec::new();
         for peer in self
@@ -30,7 +31,7 @@
         held
     }
 
-    /// Whether a former owner still has the pool, as far as it is heard: it finishes what runs there.
+    /// Whether a former owner that is heard still has the pool, because it finishes the jobs there.
     pub fn is_held_by_former_owner(&self, now: Instant, pool: &PoolId) -> bool {
         let version = self.pools.get(pool).and_then(|state| state.claim.as_ref());
         let Some(version) = version.map(|claim| claim.version) else {
@@ -44,9 +45,9 @@
         news.any(|news| news.pool == *pool && news.fence.0 < version)
     }
 
-    /// A pool of this process that another process suits better: one of the pool's data centre if this one is
-    /// elsewhere, or one that would own far fewer pools a core. After planned stops all pools would otherwise stay
-    /// where they went, also in other data centres, which lose them when they are cut off.
+    /// A pool of this process that suits another process better: one in the pool's data centre if this
+    /// process is elsewhere, or one that would own far fewer pools per capacity. Otherwise pools would stay
+    /// where planned stops moved them, including other data centres, which lose them when they are cut off.
     pub fn pool_to_hand_over(&self, now: Instant) -> Option<PoolId> {
         if self.leaving || now < self.started + self.settings.settle_time {
             return None;
--- a/crates/claims/src/controller/heartbeats.rs
+++ b/crates/claims/src/controller/heartbeats.rs
@@ -1,9 +1,10 @@
-//! How often processes tell each other that they live, and how long one may be silent.
+//! Intervals of heartbeats, and how long a peer may be silent.
 //!
-//! Load it is made for: hundreds of processes, of which a few dozen own pools. Harm prevented: told ten times a second to each
-//! other process of a data centre, signs of life grow with the square of the processes, and most of what a large fleet's
-//! processors do is to hear who is still there. Only two silences have to be noticed at once: an owner's, whose pool stands
-//! still, and that of an entry whose jobs an owner runs. So owners tell and are told often, and the others seldom.
+//! Designed for hundreds of processes, a few dozen of which own pools. If each process sent ten heartbeats a
+//! second to every other process of its data centre, heartbeats would grow with the square of the number of
+//! processes, and receiving them would take most of a large fleet's processor time. Only two silences have to
+//! be detected at once: that of an owner, whose pool stands still, and that of an entry whose jobs an owner
+//! runs. So owners send and receive heartbeats often, and other processes seldom.
 
 use std::time::{Duration, Instant};
 
@@ -15,30 +16,30 @@
     view::{NodeDigest, NodeId},
 };
 
-/// Processes of a data centre among which those without pools tell each other as often as owners do.
+/// Other members of a data centre up to which processes without pools send heartbeats as often as owners do.
 const FULL_RATE_MEMBERS: u32 = 4;
 
-/// Signs of life between processes without pools that may go missing before one counts as silent.
+/// Heartbeats between processes without pools that may be lost before the sender counts as silent.
 const MAX_MISSED_IDLE_HEARTBEATS: u32 = 3;
 
-/// How often one process tells another that it lives.
+/// The class of heartbeats between two processes, which determines their interval.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeartbeatClass {
-    /// In one data centre, and one of the two owns a pool.
+    /// Both are in one data centre, and at least one owns a pool.
     Owner,
-    /// In one data centre, and none does.
+    /// Both are in one data centre, and neither owns a pool.
     Idle,
-    /// In another data centre.
+    /// They are in different data centres.
     Far,
 }
 
 impl HeartbeatClass {
-    /// All, in the order of their numbers.
+    /// All classes, in the order of their discriminants.
     pub const ALL: [Self; 3] = [Self::Owner, Self::Idle, Self::Far];
 }
 
 impl ClaimController {
-    /// The time between two signs of life.
+    /// The interval between two heartbeats of a class.
     pub fn heartbeat_interval(&self, class: HeartbeatClass) -> Duration {
         match class {
             HeartbeatClass::Owner => self.settings.near_heartbeat_interval,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// The other members, and how often each is told.
+    /// The other members, and the class of the heartbeats to each.
     pub fn peers(&self) -> impl Iterator<Item = (&MemberRow, HeartbeatClass)> + '_ {
         let is_owner = self.owners.contains_key(&self.own_row.node);
         self.members.values().map(move |member| {
@@ -63,7 +64,7 @@
         })
     }
 
-    /// The owners that this process hears: others ask for nobody else.
+    /// The owners that this process hears. Other processes ask about owners only.
     pub fn heard_owners(&self, now: Instant) -> Vec<NodeDigest> {
         let heard = self.heard_peers.iter();
         let heard = heard
@@ -71,7 +72,7 @@
         heard.map(|(node, _)| node.digest()).collect()
     }
 
-    /// Whether no other process is heard: then the rows of the store alone tell who lives.
+    /// Whether no other process is heard. Then only the rows in the store tell which processes are alive.
     pub fn is_isolated(&self, now: Instant) -> bool {
         !self
             .heard_peers
@@ -79,7 +80,7 @@
             .any(|peer| self.is_fresh(now, peer))
     }
 
-    /// With many processes less often: each one hears all others.
+    /// Grows with the number of members, because each process receives the heartbeats of all others.
     fn far_heartbeat_interval(&self) -> Duration {
         let members = u32::try_from(self.members.len()).unwrap_or(u32::MAX);
         self.settings
@@ -87,7 +88,7 @@
             .max(self.settings.far_heartbeat_interval_per_member * members)
     }
 
-    /// How long a process of another data centre may be silent.
+    /// How long a process of another data centre may be silent before it counts as gone.
     pub(super) fn far_silence_timeout(&self) -> Duration {
         self.far_heartbeat_interval() * MAX_MISSED_FAR_HEARTBEATS
             + self.settings.near_heartbeat_interval
@@ -102,14 +103,14 @@
         )
     }
 
-    /// How long a process may be silent.
+    /// How long a peer may be silent before it counts as gone.
     pub(super) fn silence_timeout(&self, now: Instant, peer: &HeardPeer) -> Duration {
         let settings = &self.settings;
         if peer.heartbeat.data_centre != self.own_row.data_centre {
             return self.far_silence_timeout();
         }
         let idle = self.idle_heartbeat_interval();
-        // Whoever has just become an owner is told often only once the others know.
+        // Heartbeats of and to a new owner become frequent only once the other processes know that it is one.
         let is_settled_owner = |node: &NodeId| {
             self.owners
                 .get(node)
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Finds out again who owns pools, and since when.
+    /// Recomputes which processes own pools, and since when.
     pub(super) fn update_owners(&mut self) {
         let mut owners: FastMap<NodeId, Instant> = FastMap::default();
         for claim in self.pools.values().filter_map(|state| state.claim.as_ref()) {
--- a/crates/claims/src/controller/polling.rs
+++ b/crates/claims/src/controller/polling.rs
@@ -1,13 +1,16 @@
-//! Which processes read the tables of the store, and which write their own row, how often.
+//! Which processes read the store's tables, and how often processes write their own row.
 //!
-//! Load it is made for: hundreds of processes and thousands of workers, each with a row that changes every few seconds. Harm
-//! prevented: read by every process, the rows of the members grow with the square of the fleet, and those of the workers with
-//! its product with them; bytes of the store become the largest cost of a large fleet, though most processes own no pool and
-//! need none of it. So owners, whoever is about to be one and a few processes that stand by in each data centre know the
-//! workers, and one owner of each data centre reads them. The others hear from it up to which version it has read and a digest
-//! of what lasts; as long as that is what they know, too, their list is as fresh as its reading. Where it is not, or nothing
-//! is heard for a moment, they read for themselves: a reader that is lost, cut off, frozen or refused by the store costs no
-//! more than a few readings.
+//! Designed for hundreds of processes and thousands of workers, each with a row that changes every few
+//! seconds. If every process read all rows, reads of member rows would grow with the square of the fleet and
+//! reads of worker rows with the product of processes and workers. The store's traffic would become the
+//! largest cost of a large fleet, although most processes own no pool and need none of these rows.
+//!
+//! So only owners, processes that are about to become owners and a few standbys in each data centre know the
+//! workers, and one owner of each data centre reads their list. The others learn from its heartbeats up to
+//! which version it has read, and a digest of the lasting part of the list. While that digest matches their
+//! own, their list is as fresh as its reading. If it does not match, or nothing is heard for a moment, they
+//! read the list themselves, so a reader that is lost, cut off, frozen or refused by the store costs no more
+//! than a few additional reads.
 
 use std::time::{Duration, Instant};
 
@@ -17,50 +20,53 @@
 use super::ClaimController;
 use crate::rows::MemberRow;
 
-/// Processes without pools that stand by in each data centre: its next owners, two of which may be lost at once.
+/// Processes without pools that stand by in each data centre as its next owners: two may be lost at once.
 const STANDBY_COUNT: usize = 2;
 
-/// How long after its start a data centre may be without a division of its workers before more processes than those read them:
-/// longer than it takes until all workers of a large fleet are listed.
+/// How long after the start of a process its data centre may lack a division of the workers into groups
+/// before more processes than the standbys read them: longer than it takes until all workers of a large fleet
+/// are listed.
 const GROUPING_TIME: Duration = Duration::from_millis(5_000);
 
-/// After which time each further one does: those before it may be refused by the store.
+/// The interval at which each further process then does so: the store may refuse those before it.
 const EXTRA_STANDBY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Members beyond which a row that nobody needs soon is written less often, so that all of them together write as many.
+/// Other members for each refresh interval of a row. With more members, a row that no process needs soon is
+/// written less often, so that the total rate of writes stays the same.
 const MEMBERS_PER_REFRESH_INTERVAL: u32 = 8;
 
-/// The longest time between two writes of a row: a new process learns from the rows how long customers wait.
+/// The longest interval between two writes of a row. A new process learns from the rows how long customers
+/// wait.
 const MAX_REFRESH_INTERVAL: Duration = Duration::from_secs(120);
 
-/// How old another's reading may be for the first process that relies on it: the pause between two readings, a sign of life,
-/// and some.
+/// The age up to which the first process that relies on a peer's reading accepts it: the interval between two
+/// readings, a heartbeat interval and a margin.
 const FIRST_READING_AGE_LIMIT: Duration = Duration::from_millis(400);
 
-/// How much older for each further one, so that one reads in place of a reader that is lost, and its signs of life spare the
-/// others.
+/// How much older a reading may be for each further process, so that one process reads in place of a lost
+/// reader, and its heartbeats spare the others from reading.
 const READING_AGE_LIMIT_STEP: Duration = Duration::from_millis(100);
 
-/// The most: an owner's list counts as what is listed now for a little longer.
+/// The upper bound of these ages. An owner's list counts as current for a little longer than this.
 const MAX_READING_AGE_LIMIT: Duration = Duration::from_millis(650);
 
 /// What a process knows of the list of workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KnownList {
-    /// The version up to which it knows it.
+    /// The version of the store up to which the list is known.
     pub version: u64,
-    /// The digest of what lasts.
+    /// The digest of the lasting part of all entries.
     pub digest: u64,
-    /// When that was listed, as far as it knows.
+    /// When the list was last known to be current.
     pub at: Instant,
 }
 
-/// What a process does next about the list of workers.
+/// Whether a process reads the list of workers or relies on readings of its peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PollDecision {
-    /// It reads what has changed.
+    /// Read what has changed.
     Read,
-    /// What it knows was still listed at that time, up to that version.
+    /// The known list was still current at this time, up to this version.
     Confirmed {
         /// The version.
         version: u64,
@@ -70,8 +76,9 @@
 }
 
 impl ClaimController {
-    /// Whether the list of workers has to be read, or others that read it confirm what is known. What was heard of an earlier
-    /// version says nothing; of the same or a later one with another digest, that something has changed.
+    /// Decides whether the list of workers has to be read, or peers that read it confirm what is known. A
+    /// peer's reading of an earlier version is ignored; one of the same or a later version with another
+    /// digest means that the list has changed.
     pub fn poll_decision(&self, now: Instant, known: KnownList) -> PollDecision {
         let rank = self.reader_rank(now);
         if rank == 0 {
@@ -97,7 +104,8 @@
         }
     }
 
-    /// This process's place among the owners of its data centre, of which the first reads. Others come after them.
+    /// This process's rank among the owners of its data centre, the first of which reads the list. Processes
+    /// that own no pool rank after them.
     fn reader_rank(&self, now: Instant) -> u32 {
         let owners = self.members.values().map(|member| &member.row);
         let owners = owners.filter(|row| {
@@ -112,8 +120,8 @@
         u32::try_from(before).unwrap_or(u32::MAX)
     }
 
-    /// Whether this process should follow the list of workers although it owns no pool. `is_divided` says whether it is known how
-    /// the workers of its data centre are divided.
+    /// Whether this process should follow the list of workers although it owns no pool. `is_divided` says
+    /// whether the division of its data centre's workers into groups is known.
     pub fn is_standby(&self, now: Instant, is_divided: bool) -> bool {
         let age = now.saturating_duration_since(self.started);
         let late = age.saturating_sub(GROUPING_TIME);
@@ -125,8 +133,8 @@
         self.standby_rank(now) < STANDBY_COUNT + extra
     }
 
-    /// The time between two writes of this process's row. That of an owner tells a process which hears nobody that it is
-    /// itself cut off.
+    /// The interval between two writes of this process's row. An owner writes its row at the shortest
+    /// interval, because a fresh row tells an isolated process that it is itself cut off.
     pub fn refresh_interval(&self) -> Duration {
         let refresh = self.settings.row_refresh_interval;
         if self.owners.contains_key(&self.own_row.node) {
@@ -137,7 +145,8 @@
         interval.min(MAX_REFRESH_INTERVAL.max(refresh))
     }
 
-    /// This process's place among those of its data centre that own no pool, the strongest first.
+    /// This process's rank among the processes of its data centre that own no pool, the largest capacity
+    /// first.
     fn standby_rank(&self, now: Instant) -> usize {
         let own_order = capacity_order(&self.own_row);
         let near = self.members.values().map(|member| &member.row);
@@ -157,9 +166,9 @@
     }
 }
 
-/// Lower comes first: the strongest, then by hash.
+/// Sort key: the largest capacity first, then by hash.
 fn capacity_order(row: &MemberRow) -> (u64, u64) {
-    // The cast saturates; millionths tell any two machines apart that differ.
+    // The cast saturates. Millionths tell any two machines apart that differ.
     let inverse_capacity = (1_000_000.0 / row.capacity().0.max(1e-6)) as u64;
     (inverse_capacity, xxh3_64(row.node.0.as_bytes()))
 }
--- a/crates/claims/src/controller/ranking.rs
+++ b/crates/claims/src/controller/ranking.rs
@@ -1,9 +1,10 @@
 //! Which process claims which pool.
 //!
-//! Load it is made for: all processes start at once, or one that owned several pools is lost, and several pools have no owner.
-//! Harm prevented: claimed one after another, each after a pause in which the store's answer may arrive, the last pool has no
-//! owner for as long as all others took. So every process divides all pools that are open among all candidates in the same
-//! way, and claims those that fall to it at once.
+//! Designed for the start of all processes at once and for the loss of a process that owned several pools:
+//! several pools then have no owner. If they were claimed one after another, each after a pause for the
+//! store's answer, the last pool would lack an owner for as long as all others took. So every process divides
+//! all claimable pools among all candidates in the same way, and claims those that are assigned to it at
+//! once.
 
 use std::time::Instant;
 
@@ -18,36 +19,38 @@
 struct ClaimCandidate<'a> {
     node: &'a NodeId,
     data_centre: &'a DataCentreId,
-    /// What it can carry, in runs a second.
+    /// Its capacity, in runs a second.
     capacity: f64,
-    /// The pools that it has, and those that fall to it.
+    /// The pools that it owns and those that are assigned to it.
     pools: f64,
 }
 
-/// Lower comes first: processes of the pool's data centre, then those of whose capacity their pools would take least, then by
-/// hash. Machines differ fourfold and more.
+/// Sort key of a candidate, lowest first: processes of the pool's data centre, then those of whose capacity
+/// their pools would take the smallest share, then by hash. The capacities of machines differ fourfold and
+/// more.
 type CandidateOrder = (bool, u64, u64);
 
 impl ClaimCandidate<'_> {
     fn order(&self, pool: &PoolId) -> CandidateOrder {
         let tie_break = xxh3_64(format!("{pool}/{}", self.node).as_bytes());
         let share = (self.pools + 1.0) / self.capacity;
-        // The cast saturates; millionths tell any two machines apart that differ.
+        // The cast saturates. Millionths tell any two machines apart that differ.
         let share = (share * 1_000_000.0) as u64;
         (*self.data_centre != pool.data_centre, share, tie_break)
     }
 }
 
 impl ClaimController {
-    /// This process's place among the candidates for each of these pools, 0 for the first. All processes that know the same
-    /// divide the pools in the same way; where they do not, the store decides between two claims.
+    /// This process's rank among the candidates for each of these pools, 0 for the first. Processes with the
+    /// same knowledge compute the same division; where their knowledge differs, the store decides between two
+    /// claims.
     pub(super) fn claim_ranks(&self, now: Instant, open: &[PoolId]) -> FastMap<PoolId, u32> {
         let mut candidates = self.candidates(now);
         let mut ranks = FastMap::default();
         for pool in open {
             let orders = candidates.iter().map(|candidate| candidate.order(pool));
             let orders: Vec<CandidateOrder> = orders.collect();
-            // This process is the first of them.
+            // The first candidate is this process.
             let rank = orders.iter().filter(|order| **order < orders[0]).count();
             ranks.insert(pool.clone(), u32::try_from(rank).unwrap_or(u32::MAX));
             let first = (0..orders.len()).min_by_key(|place| orders[*place]);
@@ -58,14 +61,15 @@
         ranks
     }
 
-    /// The processes that could claim, this one first.
+    /// The candidates, this process first.
     fn candidates(&self, now: Instant) -> Vec<ClaimCandidate<'_>> {
         let owned = self.pools.values().filter_map(|state| state.claim.as_ref());
         let owned = owned.filter(|claim| self.is_own_claim(claim)).count();
         let mut candidates = vec![candidate(&self.own_row, owned)];
         for member in self.members.values() {
             let heard = self.live_peer(now, &member.row.node);
-            // While it starts all count, so that one claims and not all.
+            // While this process is starting, all members count, so that one process claims and not all of
+            // them.
             if heard.is_none() && !self.is_starting(now) {
                 continue;
             }
--- a/crates/claims/src/controller/reason.rs
+++ b/crates/claims/src/controller/reason.rs
@@ -1,7 +1,8 @@
 //! Why a process claims a pool.
 //!
-//! A claim that is not needed costs its pool's jobs, one that comes late costs those that arrive meanwhile. So a silent
-//! owner is replaced only by a process that hears others, or hears of nobody who hears the owner.
+//! An unnecessary claim costs the pool's jobs, and a late one costs the jobs that arrive in the meantime. So
+//! a silent owner is replaced only if no peer whose report counts hears it, and only by a process that hears
+//! other processes or finds the owner's row unchanged for long.
 
 use std::time::Instant;
 
@@ -19,7 +20,7 @@
             return None;
         }
         let owner = &claim.row.node;
-        // An earlier life of this very process.
+        // An earlier incarnation of this process, or this one after it has released the pool.
         if *owner == self.own_row.node {
             return Some(ClaimReason::OwnerRestarted);
         }
@@ -44,9 +45,10 @@
         Some(ClaimReason::OwnerSilent)
     }
 
-    /// Whether others hear an owner that this process does not hear. What processes of other data centres say is old,
-    /// since few heartbeats travel there, so it counts only while the pool has just changed hands: without it two
-    /// processes that do not hear each other would take the pool from each other all the time.
+    /// Whether peers hear an owner that this process does not hear. For an owner in this data centre, reports
+    /// from other data centres are out of date, since few heartbeats travel there, so they count only while
+    /// the pool has just changed hands. Without them, two processes that do not hear each other would keep
+    /// taking the pool from each other.
     fn is_heard_by_others(&self, now: Instant, claim: &Claim) -> bool {
         let is_settling = now < claim.since + self.settings.settle_time;
         let owner = &claim.row.node;
@@ -63,10 +65,11 @@
         })
     }
 
-    /// Whether this process hears nobody while the owner refreshes its row: then this process is the one cut off.
+    /// Whether this process may be cut off itself: it hears no peer while the owner refreshes its row.
     fn may_be_cut_off(&self, now: Instant, claim: &Claim) -> bool {
         let member = self.members.get(&claim.row.node);
-        // A claim shows as much as a row: whoever has just become an owner has not written its row lately.
+        // A claim is as good as a row here: a process that has just become an owner has not written its row
+        // lately.
         let last_seen = member.map(|member| member.refreshed).max(Some(claim.since));
         let fresh_row = last_seen.is_some_and(|at| now < at + self.settings.isolated_claim_delay);
         fresh_row && self.is_isolated(now)
--- a/crates/claims/src/lib.rs
+++ b/crates/claims/src/lib.rs
@@ -1,9 +1,10 @@
-//! Which process owns which pool of workers.
+//! Ownership of worker pools: which process owns which pool, and when another process takes it over.
 //!
-//! A claim is a row in the platform's store; its version is the owner's fence. Nobody renews it: the processes watch
-//! each other by heartbeats, and one that finds an owner gone replaces the row under the condition that it is still
-//! the one it knows. The store decides between two that do so at once, and the workers turn away orders under a lower
-//! fence, so a wrong suspicion costs a claim and never a task that runs twice.
+//! A claim is a row in the platform's store, and its version is the owner's fencing token. Claims are not
+//! renewed: the processes monitor each other by heartbeats, and a process that finds an owner gone replaces
+//! the row on the condition that its version is unchanged. The store decides between concurrent claims, and
+//! workers reject orders with a lower fencing token, so a false suspicion costs a claim and never runs a task
+//! twice.
 
 mod action;
 mod capacity;
--- a/crates/claims/src/rows.rs
+++ b/crates/claims/src/rows.rs
@@ -12,70 +12,72 @@
 
 use crate::view::{LinkRate, NodeId};
 
-/// A process of the system.
+/// The row of a process in the table of members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberRow {
-    /// Its name, which its VM keeps over restarts.
+    /// The process's name, which its VM keeps across restarts.
     pub node: NodeId,
-    /// Which life of it this is; later ones are greater.
+    /// The incarnation of the process; a later one is greater.
     pub incarnation: u64,
-    /// Where it is.
+    /// The data centre of the process.
     pub data_centre: DataCentreId,
     /// Its processor share, in cores.
     pub cores: f64,
-    /// What its link carries.
+    /// The rate of its network link.
     #[serde(default)]
     pub link: LinkRate,
-    /// Where it listens for others, over TCP and UDP.
+    /// The address where it listens for other processes, over TCP and UDP.
     pub address: SocketAddr,
-    /// Rises with each refresh.
+    /// Increases with each refresh of the row.
     pub refreshes: u64,
-    /// With how much time requests come to it, as it has learnt.
+    /// How much time requests have left when they arrive at this process, as learned per route.
     #[serde(default)]
     pub waits: Vec<RouteWait>,
 }
 
-/// With how much time a route's requests come.
+/// How much time a route's requests have left when they arrive.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteWait {
     /// The route.
     pub route: Arc<str>,
-    /// What nearly all have at least, in milliseconds.
+    /// The time that nearly all of them have at least, in milliseconds.
     pub least_ms: u64,
 }
 
-/// Who owns a pool.
+/// A claim: the row that says which process owns a pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRow {
     /// The owner.
     pub node: NodeId,
-    /// Which life of it. A later life knows nothing of the pool.
+    /// The incarnation of the owner. A later incarnation knows nothing about the pool.
     pub incarnation: u64,
-    /// Where it listens for others.
+    /// The address where the owner listens for other processes.
     pub address: SocketAddr,
 }
 
-/// Into how many groups the workers of a data centre are divided, one pool each.
+/// How the workers of a data centre are divided into groups, one pool each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupRow {
     /// The number of groups.
     pub groups: u32,
-    /// What decides to which of them a worker belongs.
+    /// The property of a worker that determines its group.
     #[serde(default)]
     pub spread: GroupSpread,
 }
 
-/// What decides to which group a worker belongs. Every process finds the same from the worker's own entry.
+/// The property of a worker that determines its group. Every process computes the same group from the
+/// worker's own entry.
 ///
-/// Harm prevented: by hash 24 workers in four groups came out as 2, 5, 8 and 9, and the owner of the largest was the first
-/// whose link was full. Addresses mostly follow each other and divide evenly; where they do not, hashes do better.
+/// By hash, 24 workers in four groups came out as 2, 5, 8 and 9, and the link of the largest group's owner
+/// was the first to fill up. Addresses are mostly consecutive and divide evenly; where they do not, hashes
+/// divide better.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum GroupSpread {
-    /// The hash of its life's name.
+    /// The hash of the worker's life id.
     #[default]
     Life,
-    /// The number that its address is.
+    /// The IP address as a number.
     Address,
 }
 
@@ -100,7 +102,8 @@
         u32::try_from(number % u64::from(self.groups.max(1))).unwrap_or(0)
     }
 
-    /// The row for so many groups that makes the largest one smallest.
+    /// Divides the workers into so many groups by the property whose largest group is smaller; by hash if
+    /// both are equal.
     pub fn balanced<'a>(
         groups: u32,
         workers: impl Iterator<Item = (&'a LifeId, SocketAddr)> + Clone,
--- a/crates/claims/src/settings.rs
+++ b/crates/claims/src/settings.rs
@@ -1,45 +1,52 @@
-//! Times of heartbeats and claims.
+//! Intervals, timeouts and delays of heartbeats and claims.
 
 use std::time::Duration;
 
-/// Times of heartbeats and claims.
+/// Intervals, timeouts and delays of heartbeats and claims.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimSettings {
-    /// The time between two heartbeats to processes of the same data centre.
+    /// The interval of heartbeats between processes of a data centre of which at least one owns a pool; the
+    /// shortest interval between processes without pools.
     pub near_heartbeat_interval: Duration,
-    /// The most that the time grows to between two heartbeats of processes without pools, as processes become more.
+    /// The longest interval of heartbeats between processes of a data centre without pools. The interval
+    /// grows with the number of processes.
     pub max_idle_heartbeat_interval: Duration,
-    /// The time between two heartbeats to other data centres, whose bytes are paid for.
+    /// The shortest interval of heartbeats to other data centres, whose traffic is paid for.
     pub far_heartbeat_interval: Duration,
-    /// Added to `far_heartbeat_interval` for each process beyond what it covers: at 32 processes one hears 28 heartbeats a second from
-    /// other data centres.
+    /// The interval of heartbeats to other data centres is at least this for each other member: with 32
+    /// processes, each receives 28 heartbeats a second from other data centres.
     pub far_heartbeat_interval_per_member: Duration,
-    /// How long a process of the same data centre may be silent before it counts as gone: three heartbeats, and the
-    /// time that a slowed process takes.
+    /// How long a process of the same data centre may be silent before it counts as gone: three heartbeats
+    /// and the delay of a slowed process.
     pub near_silence_timeout: Duration,
-    /// How long after its start a process takes all members for candidates, heard or not.
+    /// How long after its start a process treats all members as candidates, heard or not.
     pub startup_time: Duration,
-    /// How long a process that has just started listens before it takes a pool from an owner that it does not hear.
-    /// Others learn of it with its first heartbeat, and owners of other data centres send theirs within `far_heartbeat_interval`.
+    /// How long a process listens after its start before it takes a pool from an owner that it does not hear.
+    /// Other processes learn about it from its first heartbeat, and owners in other data centres send theirs
+    /// within `far_heartbeat_interval`.
     pub startup_listen_time: Duration,
-    /// How long after a pool has changed hands an owner is left alone that any process hears.
+    /// How long after a pool has changed hands its owner is left alone if any process hears it. Pools are
+    /// handed over only after the same time.
     pub settle_time: Duration,
-    /// How long after workers could not be reached they are tried again.
+    /// How long after workers could not be reached they are probed again.
     pub probe_retry_delay: Duration,
-    /// How long after the store has turned a claim away the next one goes out; doubled each time in a row.
+    /// The backoff after the store has left a claim undecided; doubled with each such claim in a row.
     pub min_claim_backoff: Duration,
-    /// The most that it is doubled to: outages last seconds, and a pool must not lack an owner for much longer than they do.
+    /// The longest backoff. Outages last seconds, and a pool must not lack an owner for much longer than an
+    /// outage.
     pub max_claim_backoff: Duration,
-    /// How much later each further candidate claims, so that usually one does: two round trips to the store.
+    /// The delay of a claim for each rank among the candidates, so that usually one process claims: two round
+    /// trips to the store.
     pub rank_delay: Duration,
-    /// How much later candidates of other data centres claim. They reach the workers over longer ways.
+    /// The additional delay of claims by processes of other data centres, which reach the workers over longer
+    /// paths.
     pub far_delay: Duration,
-    /// How long a member's row must stand still before a process that hears nobody takes its pool: such a process is
-    /// more likely to be cut off itself.
+    /// How long an owner's row must stay unchanged before an isolated process takes its pool: a process that
+    /// hears no other one is more likely to be cut off itself.
     pub isolated_claim_delay: Duration,
-    /// The time between two refreshes of a process's own row.
+    /// The interval between two refreshes of an owner's member row, and the shortest one for other processes.
     pub row_refresh_interval: Duration,
-    /// How long an attempt to claim may be under way before the next one.
+    /// How long a probe or a write of a claim may take before the attempt starts over.
     pub attempt_timeout: Duration,
 }
 
--- a/crates/claims/src/view.rs
+++ b/crates/claims/src/view.rs
@@ -1,4 +1,4 @@
-//! What processes tell each other.
+//! What processes tell each other in their heartbeats.
 
 use std::{fmt, sync::Arc, time::Duration};
 
@@ -26,9 +26,9 @@
 }
 
 impl NodeId {
-    /// A short stand-in for the name, where many are listed.
+    /// A 32-bit digest of the name, for lists of many processes.
     pub fn digest(&self) -> NodeDigest {
-        // The cut keeps the low half; among 720 names two share one once in 17,000 fleets.
+        // The cast keeps the low 32 bits. Among 720 names two share a digest in one of 17,000 fleets.
         NodeDigest(xxh3_64(self.0.as_bytes()) as u32)
     }
 }
@@ -37,20 +37,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct NodeDigest(pub u32);
 
-/// What a VM's link carries each way, in bytes a second.
+/// The rate of a VM's network link in each direction, in bytes a second.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct LinkRate(pub f64);
 
 impl Default for LinkRate {
-    /// A link of 1 Gbit/s, which is taken where nothing is said.
+    /// 1 Gbit/s, which is assumed where no rate is given.
     fn default() -> Self {
         Self::from_megabits(1_000.0)
     }
 }
 
 impl LinkRate {
-    /// A rate in megabits a second.
+    /// Converts a rate from megabits a second.
     pub fn from_megabits(megabits: f64) -> Self {
         Self(megabits * 1_000_000.0 / 8.0)
     }
@@ -61,46 +61,48 @@
 pub struct PoolNews {
     /// The pool.
     pub pool: PoolId,
-    /// The owner's fence.
+    /// The owner's fencing token.
     pub fence: FenceToken,
-    /// What it can take.
+    /// What the pool can take.
     pub load: PoolLoad,
-    /// Whether its owner hands it over: because it is about to stop, or because another suits it better.
+    /// Whether its owner hands it over, because the owner is about to stop or another process suits the pool
+    /// better.
     pub yielding: bool,
-    /// The workers that it still uses while it hands the pool over. Its successor takes the others already.
+    /// The workers that the owner still uses while it hands the pool over. Its successor already takes the
+    /// others.
     pub held: Vec<LifeId>,
 }
 
-/// What a process has read of the list of workers in the store, itself and not by another's word.
+/// A process's own reading of the list of workers in the store, as opposed to what its peers told it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListReading {
-    /// The version of the store up to which it was read.
+    /// The version of the store up to which the list was read.
     pub version: u64,
-    /// How long ago.
+    /// The time since that reading.
     pub age: Duration,
-    /// A digest of what lasts of all entries, which leaves out that workers live.
+    /// A digest of the lasting part of all entries. It leaves out the workers' liveness updates.
     pub digest: u64,
 }
 
-/// A sign of life.
+/// A heartbeat of a process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Heartbeat {
-    /// Who sends it.
+    /// The sender.
     pub node: NodeId,
-    /// Which life of it.
+    /// The incarnation of the sender.
     pub incarnation: u64,
-    /// Where it is.
+    /// The sender's data centre.
     pub data_centre: DataCentreId,
-    /// Its processor share, in cores.
+    /// The sender's processor share, in cores.
     pub cores: f64,
-    /// What its link carries.
+    /// The rate of the sender's network link.
     pub link: LinkRate,
-    /// Whether it is about to stop. It keeps its pools until their jobs have ended.
+    /// Whether the sender is about to stop. It keeps its pools until their jobs have ended.
     pub leaving: bool,
-    /// What it has read of the list of workers, if it follows that.
+    /// The sender's last reading of the list of workers, if it has a recent one.
     pub reading: Option<ListReading>,
-    /// Whom it hears.
+    /// The pool owners that the sender hears.
     pub hears: Vec<NodeDigest>,
-    /// The pools that it owns.
+    /// The pools that the sender owns.
     pub pools: Vec<PoolNews>,
 }
