--- a/crates/claims/tests/beats.rs
+++ b/crates/claims/tests/beats.rs
@@ -1,4 +1,4 @@
-//! How many signs of life a fleet exchanges, and how soon a silence is noticed.
+//! How many heartbeats a fleet exchanges, and how soon a silent process is detected.
 
 use std::{
     net::SocketAddr,
@@ -14,7 +14,7 @@
 
 const CENTRES: usize = 5;
 
-/// One owner among so many processes.
+/// One of this many processes owns a pool.
 const PROCESSES_PER_OWNER: usize = 6;
 
 fn centre(number: usize) -> DataCentreId {
@@ -35,7 +35,8 @@
     }
 }
 
-/// A process among so many, each `PROCESSES_PER_OWNER`th of which owns a pool.
+/// The controller of one process of a fleet of `count`, in which each `PROCESSES_PER_OWNER`th process owns a
+/// pool.
 fn controller(me: usize, count: usize, now: Instant) -> ClaimController {
     let mut controller = ClaimController::new(member(me), ClaimSettings::default(), now);
     for number in 0..count {
@@ -57,15 +58,15 @@
     controller
 }
 
-/// Datagrams that it sends a second.
+/// Heartbeats that the process sends per second.
 fn datagrams_per_second(controller: &ClaimController) -> f64 {
     let peers = controller.peers();
     let rates = peers.map(|(_, class)| 1.0 / controller.heartbeat_interval(class).as_secs_f64());
     rates.sum()
 }
 
-/// Compares what a fleet sends with what it would if all processes of a data centre told each other as often as owners do: at
-/// most `share` of it on the mean.
+/// Compares the heartbeats of a fleet with those that it would send if all processes of a data centre sent
+/// them as often as owners do: the mean must be at most `share` of that.
 fn check(count: usize, share: f64) {
     let now = Instant::now();
     let mut all = 0.0;
@@ -97,8 +98,9 @@
     assert!(all <= full_mesh * share, "{all:.1} of {full_mesh:.1}");
 }
 
-/// Each datagram costs some tens of microseconds at each end. What a process sends must not grow with its fleet as a full mesh
-/// does: from a few dozen processes on at least a third of that is saved, and more than half among hundreds.
+/// Each datagram costs some tens of microseconds at each end. Guards against heartbeats that grow with the
+/// fleet as in a full mesh: from a few dozen processes on, at least a third of them is saved, and more than
+/// half among hundreds.
 #[test]
 fn heartbeats_do_not_grow_with_the_square_of_the_fleet() {
     check(30, 1.0);
@@ -120,7 +122,7 @@
     }
 }
 
-/// How long after its last sign of life `other` counts as silent at `me`.
+/// How long after its last heartbeat `other` counts as silent at `me`.
 fn time_until_silent(me: usize, other: usize) -> Duration {
     let count = 60 * CENTRES;
     let begun = Instant::now();
@@ -147,8 +149,9 @@
     }
 }
 
-/// An owner falls silent, or an entry whose jobs an owner runs: its caller comes back elsewhere 1.3 s later, when nothing of the
-/// job may run any more. That between two processes without pools may take longer; it is never taken for one too soon.
+/// Guards against late detection of a silent owner, or of a silent entry whose jobs an owner runs: its caller
+/// comes back elsewhere after 1.3 s, when no part of the job may run any more. Between two processes without
+/// pools, detection may take longer but must not come too soon.
 #[test]
 fn silent_owners_and_entries_are_detected_at_once() {
     let (owner, other_owner) = (0, 30);
--- a/crates/claims/tests/groups.rs
+++ b/crates/claims/tests/groups.rs
@@ -1,4 +1,4 @@
-//! Into how many pools workers are divided, and which worker is in which.
+//! Into how many pools workers are divided, and which worker belongs to which pool.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -9,7 +9,7 @@
     vec![VmCapacity::new(cores, LinkRate::from_megabits(megabits)); count]
 }
 
-/// Each row: workers, VMs, pools.
+/// Checks the number of pools for so many workers and these VMs.
 fn check(workers: usize, vms: &[VmCapacity], expect: u32) {
     assert_eq!(
         plan_groups(workers, vms),
@@ -18,15 +18,15 @@
     );
 }
 
-/// Links of 2 Mbit/s carry some 170 starts a second. One owner for 24 workers, which start 170 to 300, would be full while
-/// the links of its neighbours stand empty.
+/// Links of 2 Mbit/s carry about 170 starts a second, and 24 workers start 170 to 300. A single owner's link
+/// would be full while those of its neighbours are idle.
 #[test]
 fn narrow_links_get_one_pool_each() {
     check(24, &vms(4, 0.12, 2.0), 4);
     check(24, &vms(3, 0.12, 2.0), 3);
 }
 
-/// Where links and processors carry many times the work, pools stay large, since large pools place better.
+/// Where links and processors carry many times the load, pools stay large, because large pools place better.
 #[test]
 fn wide_links_keep_large_pools() {
     let mut mixed = vms(3, 0.5, 200.0);
@@ -36,8 +36,9 @@
     check(12, &vms(2, 0.25, 1_000.0), 1);
 }
 
-/// Two strong VMs and a dozen weak ones. An equal share is a little more than each strong one is planned to carry. Twelve pools of
-/// ten workers with twenty places each refuse jobs of eight tasks that two pools of sixty take.
+/// Two large VMs and a dozen small ones, where an equal share is slightly more than each large VM is planned
+/// to carry. Twelve pools of ten workers with twenty slots each would refuse jobs of eight tasks that two
+/// pools of sixty take.
 #[test]
 fn large_vms_just_below_their_share_are_not_replaced_by_small_ones() {
     let mut mixed = vms(2, 0.5, 200.0);
@@ -46,9 +47,9 @@
     check(145, &mixed, 4);
 }
 
-/// A quarter more workers come to two strong owners. A plan made now would have five pools, and dividing anew would let go of all
-/// that runs; the two can carry them, so their callers notice nothing. Where a number was made from the first worker that was
-/// listed, its owner cannot.
+/// Two large owners get a quarter more workers. A new plan would have five pools, and dividing anew would
+/// abandon all running jobs; the two owners can carry the workers, so their callers must not notice anything.
+/// A division that was made when only the first worker was listed is outgrown.
 #[test]
 fn a_division_stands_while_its_owners_can_carry_it() {
     let mut mixed = vms(2, 0.5, 200.0);
@@ -59,7 +60,7 @@
     assert!(is_outgrown(24, &vms(4, 0.12, 2.0), 1));
 }
 
-/// No VM is known yet, or none suffices: there is still a pool for the workers.
+/// There is a pool for the workers even if no VM is known yet or none suffices.
 #[test]
 fn there_is_at_least_one_pool_without_vms_or_capacity() {
     check(5, &[], 1);
@@ -83,8 +84,8 @@
     workers.collect()
 }
 
-/// Workers at addresses that follow each other. By hash one group gets far more than another, and its owner is the first
-/// whose link is full.
+/// With consecutive addresses, one group gets far more workers by hash than another, and the link of its
+/// owner is the first to fill up.
 #[test]
 fn consecutive_addresses_are_grouped_evenly() {
     let workers = workers(1);
@@ -93,7 +94,7 @@
     assert_eq!(sizes(row, &workers), [6, 6, 6, 6]);
 }
 
-/// Each fourth address is a worker's: by address all of them would be in one of four groups.
+/// Workers have every fourth address, so by address all of them would be in one of four groups.
 #[test]
 fn unbalanced_addresses_fall_back_to_hashes() {
     let workers = workers(4);
@@ -102,7 +103,8 @@
     assert!(sizes(row, &workers).len() > 1);
 }
 
-/// A row of an earlier build has no word on what divides the workers. They stay where they are.
+/// Rows of earlier builds do not say which property divides the workers. The workers must stay in their
+/// groups.
 #[test]
 fn rows_of_earlier_builds_are_read() {
     let row: GroupRow = serde_json::from_str(r#"{"groups":3}"#).unwrap();
--- a/crates/claims/tests/keeper.rs
+++ b/crates/claims/tests/keeper.rs
@@ -70,7 +70,7 @@
     }
 }
 
-/// One node's controller in simulated time.
+/// The claim controller of one process in simulated time.
 struct ControllerSim {
     controller: ClaimController,
     now: Instant,
@@ -106,7 +106,7 @@
         self.controller.on_claim(self.now, pool(name), row, version);
     }
 
-    /// Lets time pass. `heartbeats` come as often as processes send them.
+    /// Advances the simulated time. `heartbeats` arrive as often as processes send them.
     fn run_for(&mut self, time: Duration, heartbeats: &[Heartbeat]) {
         let until = self.sim_time + time;
         while self.sim_time < until {
@@ -144,8 +144,8 @@
     Duration::from_millis(millis)
 }
 
-/// Customers see jobs cut when a VM is added: the new process has read who owns its data centre's pool, has heard that
-/// owner not once yet, and takes the pool from it. It has to listen for a while first.
+/// A VM is added. The new process has read who owns its data centre's pool but has not yet heard that owner.
+/// If it took the pool, customers would see their jobs cut, so it has to listen first.
 #[test]
 fn a_new_process_does_not_take_a_pool_from_an_owner_that_it_has_not_heard_yet() {
     let (owner, peer) = (member("east-1", 1), member("east-2", 2));
@@ -164,8 +164,9 @@
     assert_eq!(sim.claims, []);
 }
 
-/// The owner loses its power. Processes of its data centre stop hearing it within half a second; those of others are
-/// told of it less often and still name it for a second longer. The pool must not wait for them.
+/// The owner loses its power. Processes of its data centre stop hearing it within half a second; those of
+/// other data centres get fewer heartbeats and report it as heard for another second. The pool must not wait
+/// for them.
 #[test]
 fn a_silent_owner_is_replaced_without_waiting_for_other_data_centres() {
     let (owner, far) = (member("east-1", 1), member("west-1", 2));
@@ -184,7 +185,7 @@
     assert!(after <= millis(700), "claimed after {after:?}");
 }
 
-/// Its owner's process was killed: connections to it are refused, which needs no waiting.
+/// The owner's process was killed. Connections to it are refused, so no wait is necessary.
 #[test]
 fn a_refused_connection_replaces_an_owner_at_once() {
     let (owner, far) = (member("east-1", 1), member("west-1", 2));
@@ -202,8 +203,9 @@
     assert!(after <= millis(200), "claimed after {after:?}");
 }
 
-/// A machine is cut off from all others, but not from the store and the workers. It must not take pools from owners
-/// that go on serving: each claim would stop what runs there, again and again for as long as the cut lasts.
+/// A machine is cut off from all other processes, but not from the store and the workers. It must not take
+/// pools from owners that keep serving: each claim would stop the runs there, again and again for as long as
+/// the partition lasts.
 #[test]
 fn an_isolated_process_takes_nothing_from_owners_that_refresh_their_rows() {
     let owner = member("east-1", 1);
@@ -229,8 +231,8 @@
     );
 }
 
-/// A data centre is cut off. Its owner and workers reach each other; a process elsewhere reaches neither. It must not
-/// claim the pool, and must not knock on the workers' doors all the time either.
+/// A data centre is cut off. Its owner and workers reach each other; a process elsewhere reaches neither. It
+/// must not claim the pool, nor probe the workers all the time.
 #[test]
 fn a_pool_whose_workers_cannot_be_reached_is_not_claimed() {
     let (owner, peer) = (member("west-1", 1), member("east-2", 2));
@@ -249,9 +251,9 @@
     assert!(sim.probes <= 8, "{} probes in 6 s", sim.probes);
 }
 
-/// A data centre was cut off and is reached again: first its workers, and most of a second later, with its next sign of life, its
-/// owner, which has served them all the while. Taken from it in between, all jobs there would be cut, and as the other side does
-/// the same, all jobs everywhere.
+/// A data centre was cut off and is reachable again: first its workers, and most of a second later, with its
+/// next heartbeat, their owner, which has served them throughout. If the pool were taken in between, all jobs
+/// there would be cut, and since the other side does the same, all jobs everywhere.
 #[test]
 fn a_pool_reachable_again_stays_with_a_live_owner() {
     let (owner, peer) = (member("west-1", 1), member("east-2", 2));
@@ -278,8 +280,8 @@
     }
 }
 
-/// A partial cut: this process does not hear the owner, others do. Once it has taken the pool and lost it again, it
-/// listens to them, or the two would take it from each other all the time.
+/// A partial partition: this process does not hear the owner, other processes do. After it has taken the pool
+/// and lost it again, it must rely on their reports, or the two would keep taking the pool from each other.
 #[test]
 fn a_pool_that_has_just_changed_hands_is_left_to_an_owner_that_others_hear() {
     let (owner, far) = (member("east-1", 1), member("west-1", 2));
@@ -292,8 +294,9 @@
     assert_eq!(sim.claims, []);
 }
 
-/// An owner is told to stop. Its jobs may run for seconds; were its pool left to it for so long, a third of all workers
-/// would stand idle, and customers would be refused. A successor claims at once and leaves it the workers in use.
+/// An owner is told to stop while its jobs still run for seconds. If it kept its pool that long, a third of
+/// all workers would be idle and customers would be refused. A successor claims the pool at once and leaves
+/// the workers in use to the former owner.
 #[test]
 fn a_leaving_owner_is_replaced_at_once_and_keeps_the_workers_in_use() {
     let owner = member("east-1", 1);
@@ -322,8 +325,8 @@
     );
 }
 
-/// After planned stops a pool may have an owner in another data centre. It goes back when a process of its own data
-/// centre has been up for a while; two equal processes there do not push it to and fro.
+/// After planned stops a pool may have an owner in another data centre. It goes back once a process of its
+/// own data centre has been up for a while. Two equal processes there must not hand it back and forth.
 #[test]
 fn a_pool_goes_back_to_its_data_centre() {
     let (me, near) = (member("west-1", 1), member("east-1", 2));
@@ -351,8 +354,8 @@
     );
 }
 
-/// All workers of a pool were taken by other owners while the claim stayed. The owner lets go; if it went on counting as
-/// the owner, nobody would ever serve the pool again.
+/// All workers of a pool were taken by other owners while the claim stayed, and the owner released the pool.
+/// If it still counted as the owner, no process would ever serve the pool again.
 #[test]
 fn a_released_pool_is_claimed_again() {
     let me = member("east-1", 1);
@@ -365,7 +368,8 @@
     assert!(sim.first_claim().is_some());
 }
 
-/// All processes start at once and nobody owns the pool: one takes it, the others see that it has.
+/// All processes start at once and the pool has no owner: one process claims it first, and the others have
+/// time to see that claim.
 #[test]
 fn processes_that_start_together_claim_one_after_another() {
     let names = ["east-1", "east-2", "east-3", "west-1"];
@@ -389,9 +393,9 @@
     assert!(firsts[1] >= firsts[0] + millis(80), "{firsts:?}");
 }
 
-/// The store turns every write away for ten seconds while a pool has no owner. Each claim costs probes of workers and a
-/// write that the store has to turn away; one each 42 ms from every process of a fleet keeps it busy. Once it answers, the
-/// pool still has to get its owner soon.
+/// The store rejects every write for ten seconds while a pool has no owner. Each claim costs probes of
+/// workers and a write that the store has to reject; one every 42 ms from each process of a fleet keeps the
+/// store busy. Once the store answers again, the pool must get its owner soon.
 #[test]
 fn undecided_claims_back_off() {
     let me = member("east-1", 1);
@@ -409,8 +413,9 @@
     assert!(first <= begun + millis(900), "after {:?}", first - begun);
 }
 
-/// All processes start at once and none of eight pools has an owner. Each pool is claimed at once and by one process: claimed one
-/// after another, callers of the last would be refused for half a second longer than those of the first.
+/// All processes start at once and none of eight pools has an owner. Each pool must be claimed at once and by
+/// one process: if the pools were claimed one after another, callers of the last one would be refused for
+/// half a second longer than those of the first.
 #[test]
 fn many_pools_are_claimed_at_once() {
     let members: Vec<MemberRow> = (1..=6)
@@ -431,7 +436,7 @@
         for other in members.iter().filter(|other| other.node != me.node) {
             sim.controller.on_member(sim.now, other.clone());
         }
-        // Two ticks: a worker is tried, then the claim goes out.
+        // Two ticks: the first probes a worker, the second sends the claim.
         sim.run_for(millis(40), &[]);
         claims.extend(sim.claims.iter().map(|(pool, _)| pool.clone()));
     }
--- a/crates/claims/tests/reading.rs
+++ b/crates/claims/tests/reading.rs
@@ -1,4 +1,4 @@
-//! Who reads the list of workers, and what a fleet's readings grow with.
+//! Which processes read the list of workers, and how reads and writes grow with the fleet.
 
 use std::time::{Duration, Instant};
 
@@ -10,7 +10,7 @@
 
 const CENTRES: usize = 5;
 
-/// Processes of a data centre that own a pool, at most.
+/// The most processes of a data centre that own a pool.
 const OWNERS_PER_CENTRE: usize = 4;
 
 const STEP: Duration = Duration::from_millis(20);
@@ -33,11 +33,11 @@
     number < OWNERS_PER_CENTRE * CENTRES
 }
 
-/// Processes of one data centre in simulated time, and what each knows of the list of workers.
+/// The owners of one data centre in simulated time, and what each of them knows of the list of workers.
 struct ListSim {
     now: Instant,
     nodes: Vec<SimNode>,
-    /// The version of the store, and the digest of its list.
+    /// The version of the store, and the digest of its list of workers.
     version: u64,
     digest: u64,
     reads: usize,
@@ -49,14 +49,14 @@
     known: KnownList,
     read: Option<Instant>,
     polled_at: Instant,
-    /// The store does not answer it.
+    /// Whether the store refuses this process's reads.
     refused: bool,
-    /// It stands still.
+    /// Whether this process is frozen: it neither sends nor receives.
     frozen: bool,
 }
 
 impl ListSim {
-    /// Of a fleet of so many, the owners of the first data centre.
+    /// The owners of the first data centre, in a fleet of `count` processes.
     fn new(count: usize) -> Self {
         let now = Instant::now();
         let numbers = (0..count).filter(|number| number % CENTRES == 0 && owns(*number));
@@ -88,7 +88,7 @@
         let end = self.now + span;
         while self.now < end {
             self.now += STEP;
-            // Workers' heartbeats.
+            // Workers' heartbeats change the store's version but not the digest.
             self.version += 1;
             self.step();
         }
@@ -129,7 +129,7 @@
         }
     }
 
-    /// The most that any process that stands and is served lags behind the store.
+    /// Checks how far the lists of all processes lag that are neither frozen nor refused by the store.
     fn check_age(&self, limit: Duration) {
         for node in self.nodes.iter().filter(|n| !n.frozen && !n.refused) {
             let age = self.now.saturating_duration_since(node.known.at);
@@ -137,7 +137,7 @@
         }
     }
 
-    /// How long until all know of a change.
+    /// Changes the list and returns how long it takes until all processes know.
     fn time_to_propagate(&mut self) -> Duration {
         self.version += 1;
         self.digest += 1;
@@ -206,7 +206,8 @@
     controller
 }
 
-/// Guards against a list that is read by each owner: one of a data centre reads it, whatever the size of the fleet.
+/// Guards against a list that every owner reads: one owner of each data centre reads it, whatever the size of
+/// the fleet.
 #[test]
 fn one_owner_reads_for_a_data_centre() {
     for count in [30, 100, 300, 1_000] {
@@ -218,7 +219,7 @@
     }
 }
 
-/// Guards against processes of a large fleet that all follow the list, and against one that none follows.
+/// Guards against a large fleet in which all processes follow the list, and against one in which none does.
 #[test]
 fn each_data_centre_has_two_standbys() {
     for count in [30, 100, 300, 1_000] {
@@ -231,7 +232,8 @@
     }
 }
 
-/// Guards against a data centre that is never divided since the store refuses those that stand by: the others come after them.
+/// Guards against a data centre that is never divided because the store refuses its standbys: further
+/// processes follow them.
 #[test]
 fn further_processes_read_while_workers_are_not_grouped() {
     let now = Instant::now();
@@ -240,7 +242,7 @@
     assert!(last.is_standby(now + Duration::from_secs(45), false));
 }
 
-/// Guards against rows of members that are written more often the more there are.
+/// Guards against writes of member rows that grow with the number of members.
 #[test]
 fn member_row_writes_do_not_grow_with_the_fleet() {
     for count in [30, 100, 300] {
@@ -254,7 +256,7 @@
     }
 }
 
-/// Guards against a change that reaches only its reader.
+/// Guards against a change of the list that reaches only its reader.
 #[test]
 fn changes_reach_all_owners() {
     let mut sim = ListSim::new(100);
@@ -265,8 +267,8 @@
     }
 }
 
-/// Guards against a reader that is lost to the others: refused by the store, or frozen, with what it last said, and awake again
-/// with an old word.
+/// Guards against a lost reader: one that the store refuses, or one that freezes after a last report and
+/// wakes up with an outdated one.
 #[test]
 fn a_reader_that_fails_is_replaced() {
     for fault in [
