--- a/crates/jobs/src/demand.rs
+++ b/crates/jobs/src/demand.rs
@@ -1,4 +1,4 @@
-//! What a task needs and what a worker has.
+//! Resource demands of tasks and resources of workers.
 
 use std::fmt;
 
@@ -30,26 +30,26 @@
     }
 }
 
-/// Processor, memory and accelerators: the demand of a task, or the room of a worker.
+/// Processor, memory and accelerators: the demand of a task, or the resources of a worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ResourceDemand {
-    /// Processor share.
+    /// The processor share.
     pub cpu: CpuMillis,
-    /// Memory.
+    /// The memory.
     pub memory: MemoryMegabytes,
-    /// Whole accelerators.
+    /// The number of whole accelerators.
     pub accelerators: u64,
 }
 
 impl ResourceDemand {
-    /// Whether `other` fits into this room.
+    /// Whether a demand of `other` fits into these resources.
     pub fn holds(&self, other: &Self) -> bool {
         other.cpu <= self.cpu
             && other.memory <= self.memory
             && other.accelerators <= self.accelerators
     }
 
-    /// What is left of this room beside `other`; zero where nothing is.
+    /// These resources less `other`; zero where `other` is larger.
     pub fn minus(&self, other: &Self) -> Self {
         Self {
             cpu: CpuMillis(self.cpu.0.saturating_sub(other.cpu.0)),
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Both together.
+    /// The sum of both, saturating.
     pub fn plus(&self, other: &Self) -> Self {
         Self {
             cpu: CpuMillis(self.cpu.0.saturating_add(other.cpu.0)),
--- a/crates/jobs/src/ids.rs
+++ b/crates/jobs/src/ids.rs
@@ -9,12 +9,12 @@
 /// The length of a job id's text form: 64 bits in hexadecimal digits.
 const JOB_ID_DIGITS: usize = 16;
 
-/// A text that is not a job id.
+/// The error for a text that is not a job id.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("not a job id of {JOB_ID_DIGITS} hexadecimal digits")]
 pub struct InvalidJobId;
 
-/// The id of a job, chosen by its customer. The same id again is the same job.
+/// The id of a job, chosen by its customer. A request with the same id is for the same job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u64);
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// One task of a job.
+/// The id of one task of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
     /// The job.
@@ -116,11 +116,12 @@
 }
 
 number_id!(
-    /// Numbers the runs of a task. It only rises, over owners too.
+    /// The number of a run of a task. It only increases, also when the pool gets another owner.
     RunNumber
 );
 number_id!(
-    /// The version of the claim under which an owner acts. Workers turn away orders under a lower one.
+    /// A fencing token: the version of the claim under which an owner acts. Workers reject orders with a
+    /// lower one.
     FenceToken
 );
 
@@ -153,24 +154,25 @@
 }
 
 text_id!(
-    /// One life of a worker process. A restarted worker has another one and remembers no run and no fence.
+    /// The id of one life (incarnation) of a worker process. A restarted worker has another one and remembers
+    /// neither runs nor fencing tokens.
     LifeId
 );
 text_id!(
-    /// A service: the kind of work that a set of workers does.
+    /// The id of a service: the kind of work that a set of workers does.
     ServiceId
 );
 
-/// A pool: one group of the workers of a data centre. Each has one owner.
+/// The id of a pool: one group of the workers of a data centre. Each pool has one owner.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PoolId {
-    /// Where its workers are.
+    /// The data centre of its workers.
     pub data_centre: DataCentreId,
-    /// Which group of them, from 0.
+    /// The number of the group within the data centre, from 0.
     pub group: u32,
 }
 
-/// A text that is not a pool id.
+/// The error for a text that is not a pool id.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("not a pool id")]
 pub struct InvalidPoolId;
--- a/crates/jobs/src/kept.rs
+++ b/crates/jobs/src/kept.rs
@@ -1,4 +1,4 @@
-//! What is stored of a job that outlives the processes which run it.
+//! Stored state of kept jobs. A kept job outlives the processes that run it.
 
 use std::{sync::Arc, time::Duration};
 
@@ -6,19 +6,19 @@
 
 use crate::{BirthTime, JobId, JobRequest, JobTerms, LifeId, ServiceId, StepSpec, TaskText};
 
-/// How far a kept job is, as its customer may be told.
+/// The state of a kept job, as its customer may be told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum KeptState {
-    /// Nothing of it has begun, as far as was stored.
+    /// No task has begun, as far as was stored.
     Queued,
-    /// Some of it has begun.
+    /// Some tasks have begun.
     Running,
-    /// All its tasks are done.
+    /// All tasks are done.
     Completed,
     /// A task failed as often as the route allows.
     Failed,
-    /// Its customer has cancelled it.
+    /// The customer has cancelled the job.
     Cancelled,
 }
 
@@ -34,37 +34,39 @@
         }
     }
 
-    /// Whether nothing of it runs any more.
+    /// Whether no part of the job runs any more.
     pub fn is_final(self) -> bool {
         !matches!(self, Self::Queued | Self::Running)
     }
 }
 
-/// A worker that died under a task. The life is named, so that no death counts twice, whoever saw it.
+/// The death of a worker while it ran a task. The worker's life is recorded so that no death counts twice,
+/// whichever process saw it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskDeath {
     /// The task.
     pub task: u32,
     /// The worker.
     pub life: LifeId,
-    /// Which life under its id, if it said so.
+    /// The start time of the worker process, which tells lives with the same id apart; `None` if the worker
+    /// did not report it.
     pub born: Option<BirthTime>,
 }
 
-/// How far a step is.
+/// The progress of a step.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepRecord {
     /// The tasks that are done.
     pub done: Vec<u32>,
-    /// Failed runs, each by its task and its number, so that none counts twice.
+    /// Failed runs, each as the task's index and the run's number, so that none counts twice.
     pub failed: Vec<(u32, u64)>,
-    /// Workers that died under tasks which are not done.
+    /// Workers that died while they ran tasks that are not done.
     #[serde(default)]
     pub deaths: Vec<TaskDeath>,
 }
 
 impl StepRecord {
-    /// Notes that a worker died under a task. Says whether that was not known.
+    /// Records that a worker died while it ran a task. Returns whether this was new.
     pub fn record_death(&mut self, death: TaskDeath) -> bool {
         let is_new = !self.deaths.contains(&death);
         if is_new {
@@ -73,37 +75,38 @@
         is_new
     }
 
-    /// How often a task has failed.
+    /// The number of failed runs of a task.
     pub fn failures(&self, task: u32) -> u32 {
         let of_task = self.failed.iter().filter(|(failed, _)| *failed == task);
         u32::try_from(of_task.count()).unwrap_or(u32::MAX)
     }
 }
 
-/// A kept job's row.
+/// The stored row of a kept job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KeptRow {
-    /// The pool whose owner runs it.
+    /// The pool whose owner runs the job.
     pub home: Arc<str>,
-    /// The fence of the owner that wrote the row last.
+    /// The fencing token of the owner that wrote the row last.
     pub writer: u64,
-    /// Numbers what this writer wrote of the job. With `writer` it tells whose write took effect.
+    /// Numbers this writer's versions of the job. `writer` and `revision` together tell whose write took
+    /// effect.
     pub revision: u64,
-    /// How far it is.
+    /// The state of the job.
     pub state: KeptState,
-    /// What each task's worker gets.
+    /// The text that each task's worker gets.
     pub text: TaskText,
     /// The steps.
     pub steps: Vec<StepSpec>,
-    /// How far each step is.
+    /// The progress of each step.
     pub progress: Vec<StepRecord>,
-    /// Whose workers run the tasks.
+    /// The service whose workers run the tasks.
     pub service: ServiceId,
     /// The name of the route.
     pub route: Arc<str>,
-    /// 0 comes first.
+    /// The priority; 0 comes first.
     pub priority: u32,
-    /// Failed runs of one task after which the job has failed.
+    /// The number of failed runs of one task after which the job has failed.
     pub attempts: u32,
     /// See [`JobTerms::stretch`].
     pub stretch: f64,
@@ -123,7 +126,8 @@
         }
     }
 
-    /// What the route asked when the job was accepted. Nobody waits for a job's end.
+    /// The terms of the route when the job was accepted. They contain no waiting time, because no customer
+    /// waits for the end of a kept job.
     pub fn terms(&self) -> JobTerms {
         JobTerms {
             service: self.service.clone(),
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -1,6 +1,7 @@
-//! Plain data of jobs that run in steps on workers: ids, demands, job requests, routes and worker records.
+//! Plain data types for jobs that run in steps on workers: ids, demands, job requests, routes and worker
+//! records.
 //!
-//! Nothing here does I/O or reads a clock. Every type is decoded once at the platform's border.
+//! Nothing here does I/O or reads a clock. Every type is decoded once, where it enters the system.
 
 mod demand;
 mod ids;
--- a/crates/jobs/src/request.rs
+++ b/crates/jobs/src/request.rs
@@ -1,4 +1,4 @@
-//! A job as its customer hands it in, and how it ends.
+//! A job as submitted by its customer, and its outcome.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,58 +7,60 @@
 
 use crate::{JobId, ResourceDemand, ServiceId};
 
-/// The text that a task's worker gets. It is passed on unread.
+/// The text that a task's worker gets. It is passed on without being parsed.
 pub type TaskText = Arc<str>;
 
-/// One step of a job: tasks of the same shape that may run at the same time.
+/// One step of a job: tasks with the same demand that may run at the same time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepSpec {
     /// The number of tasks.
     pub count: u32,
-    /// The index of the first of them: more than 0 in a part of a job that is divided among pools.
+    /// The index of the first task: more than 0 in a part of a job that is divided among pools.
     pub first: u32,
-    /// What each task needs.
+    /// The demand of each task.
     pub demand: ResourceDemand,
     /// A rough estimate of a task's run time on a worker of mean speed.
     pub estimate: Duration,
-    /// Earlier steps whose tasks all have to be done first.
+    /// The earlier steps whose tasks must all be done before this step begins.
     pub after: Vec<u32>,
     /// A label that the worker must have.
     pub required_label: Option<Arc<str>>,
-    /// The rack where the data is; elsewhere a task takes longer.
+    /// The rack of the data; on workers elsewhere a task takes longer.
     pub data_rack: Option<Arc<str>>,
-    /// The most tasks of this step on one worker; none for no limit.
+    /// The most tasks of this step on one worker; `None` for no limit.
     pub most_per_worker: Option<u32>,
 }
 
 text_set! {
-    /// A need that this build does not serve yet. Such a job is refused before anything of it starts.
+    /// A need that this build does not serve. A job with such a need is refused before any of its tasks
+    /// starts.
     UnsupportedNeed, "need", WrongReason {
         /// Tasks that run until the job is cancelled.
         LastingJob => "lasting_job",
         /// Occurrences at given times.
         TimedJob => "timed_job",
-        /// Tasks that work only together.
+        /// Tasks that must run together.
         Gang => "gang",
-        /// Tasks that take the room that others leave unused.
+        /// Tasks that run on resources that others leave unused.
         Filler => "filler",
         /// Tasks that may run only where an adviser allows it.
         Advice => "advice",
     }
 }
 
-/// A job, as decoded at the border.
+/// A job, decoded where it enters the system.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobRequest {
     /// The job's id.
     pub id: JobId,
-    /// What each task's worker gets.
+    /// The text that each task's worker gets.
     pub text: TaskText,
     /// The steps.
     pub steps: Vec<StepSpec>,
-    /// Whether it is stored when it is accepted, outlives the processes that run it and is answered before its end.
+    /// Whether the job is stored when it is accepted, outlives the processes that run it, and is answered
+    /// before its end.
     pub kept: bool,
-    /// The first need that cannot be served.
+    /// The first need of the job that is not served.
     pub unsupported: Option<UnsupportedNeed>,
 }
 
@@ -69,7 +71,7 @@
     }
 }
 
-/// The longest chain of predicted task times over the steps of a job.
+/// The length of the critical path: the longest chain of predicted task times over the steps of a job.
 pub fn critical_path(
     steps: &[StepSpec],
     predict: impl Fn(usize, &StepSpec) -> Duration,
@@ -88,68 +90,69 @@
     ends.into_iter().max().unwrap_or_default()
 }
 
-/// What the route asks of a job, and how long its customer waits.
+/// The terms under which a job runs: what its route asks for, and how long its customer waits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobTerms {
-    /// Whose workers run the tasks.
+    /// The service whose workers run the tasks.
     pub service: ServiceId,
     /// The name of the route. Run times are learned per route.
     pub route: Arc<str>,
-    /// 0 comes first.
+    /// The priority; 0 comes first.
     pub priority: u32,
-    /// Failed runs of one task after which the job has failed.
+    /// The number of failed runs of one task after which the job has failed.
     pub attempts: u32,
-    /// The latency objective is this many times the longest chain of work, and `goal` more.
+    /// The latency objective is the critical path times `stretch`, plus `goal`.
     pub stretch: f64,
-    /// See `stretch`.
+    /// The constant part of the latency objective; see `stretch`.
     pub goal: Duration,
     /// The time that the customer still waits.
     pub time_left: Duration,
     /// The time since the customer's request arrived.
     pub waited: Duration,
-    /// Whether it is a part of a job that is divided among pools: the others are on their way, so that it is not
-    /// refused for its predicted end.
+    /// Whether this is a part of a job that is divided among pools. The other parts are already on their way,
+    /// so this one is not refused because of its predicted end.
     pub firm: bool,
 }
 
 text_set! {
     /// Why a job was refused before anything of it ran.
     RefusalKind, "refusal", WrongReason {
-        /// Its predicted end is too late to help its customer.
+        /// The predicted end is too late to be useful to the customer.
         TooLate => "too_late",
-        /// The queue's bound is reached.
+        /// The queue is full.
         QueueFull => "queue_full",
-        /// No worker can ever hold one of its tasks.
+        /// No worker can ever hold one of the tasks.
         NoRoomEver => "no_room_ever",
-        /// The pool's owner is not ready, or it is leaving.
+        /// The pool's owner is not ready, or it is about to stop.
         NotServing => "not_serving",
-        /// Its data centre is evacuated: nothing starts there.
+        /// The data centre is being evacuated, and no task starts there.
         Evacuated => "evacuated",
         /// No owner can be reached.
         Unreachable => "unreachable",
-        /// The job needs something that is not served.
+        /// The job has a need that is not served.
         Unsupported => "unsupported",
     }
 }
 
-/// How a job ended for its customer.
+/// The outcome of a job for its customer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobOutcome {
     /// All tasks are done.
     Completed,
     /// A task failed as often as the route allows.
     Failed,
-    /// It is stored and will be run.
+    /// The job is stored and will run.
     Accepted,
-    /// Nothing of it ran or ever will.
+    /// No task of the job has run or will run.
     Refused {
-        /// Why.
+        /// The reason.
         kind: RefusalKind,
-        /// When to come back.
+        /// After what time the customer should try again.
         retry_after: Duration,
-        /// How many of its tasks would have been in time. The entry may divide the job among pools.
+        /// The number of tasks that would have ended in time. The entry may divide the job among pools
+        /// accordingly.
         fits: u32,
     },
-    /// It was given up after something of it may have run, and what runs has been told to stop.
+    /// The job was given up after some of its tasks may have run. Running tasks have been told to stop.
     GivenUp,
 }
--- a/crates/jobs/src/route.rs
+++ b/crates/jobs/src/route.rs
@@ -1,10 +1,10 @@
-//! The configuration: which queue a request belongs to.
+//! The routing configuration, which says to which queue a request belongs.
 
 use std::{fmt, sync::Arc, time::Duration};
 
 use crate::ServiceId;
 
-/// The version of a configuration. It only rises, in uneven steps.
+/// The version of a configuration. It only increases, in steps of varying size.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TableVersion(pub u64);
 
@@ -14,24 +14,24 @@
     }
 }
 
-/// One queue: the requests of a host whose path begins with a prefix.
+/// One route and its queue: the requests to a host whose path begins with a prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteRule {
     /// The route's name.
     pub name: Arc<str>,
-    /// The host that requests name.
+    /// The host of the requests.
     pub host: Arc<str>,
-    /// What the path begins with.
+    /// The prefix of the path.
     pub prefix: Arc<str>,
-    /// Whose workers run the tasks.
+    /// The service whose workers run the tasks.
     pub service: ServiceId,
-    /// 0 comes first.
+    /// The priority; 0 comes first.
     pub priority: u32,
-    /// Failed runs of one task after which its job has failed.
+    /// The number of failed runs of one task after which its job has failed.
     pub attempts: u32,
-    /// The latency objective is this many times the longest chain of work, and `goal` more.
+    /// The latency objective is the critical path times `stretch`, plus `goal`.
     pub stretch: f64,
-    /// See `stretch`.
+    /// The constant part of the latency objective; see `stretch`.
     pub goal: Duration,
     /// The longest time that a request may take, if the route sets one.
     pub timeout: Option<Duration>,
@@ -42,13 +42,13 @@
 /// A service of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceRule {
-    /// The service.
+    /// The id of the service.
     pub id: ServiceId,
-    /// The path of its workers' health page.
+    /// The path of its workers' health check.
     pub health_path: Arc<str>,
 }
 
-/// What a request may hold and how long its connection may idle.
+/// Limits on the size of a request and on the times of its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestLimits {
     /// The longest body, in bytes.
@@ -72,7 +72,7 @@
     }
 }
 
-/// A whole configuration.
+/// A whole routing configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RouteTable {
     /// Its version.
@@ -85,23 +85,23 @@
     pub limits: RequestLimits,
 }
 
-/// A request's route and what its path holds after the prefix.
+/// A request's route and the rest of its path after the prefix.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RouteMatch<'a> {
     /// The route.
     pub rule: &'a RouteRule,
-    /// The rest of the path.
+    /// The path after the prefix.
     pub rest: &'a str,
 }
 
 impl RouteTable {
-    /// Whether a service is named here, by itself or as the one of a route.
+    /// Whether the configuration names a service, in the list of services or in a route.
     pub fn references_service(&self, service: &ServiceId) -> bool {
         let is_listed = self.services.iter().any(|rule| rule.id == *service);
         is_listed || self.routes.iter().any(|rule| rule.service == *service)
     }
 
-    /// The route with the longest prefix that the path begins with, among those of the host.
+    /// The route with the longest matching prefix among those of the host.
     pub fn find<'a>(&'a self, host: &str, path: &'a str) -> Option<RouteMatch<'a>> {
         let mut best: Option<RouteMatch<'a>> = None;
         for rule in &self.routes {
--- a/crates/jobs/src/worker.rs
+++ b/crates/jobs/src/worker.rs
@@ -1,4 +1,4 @@
-//! Workers: what the directory says of one, and what one says of itself.
+//! Workers: their entries in the directory, and what they report about themselves.
 
 use std::{fmt, net::SocketAddr, num::ParseIntError, str::FromStr, sync::Arc, time::Duration};
 
@@ -7,17 +7,17 @@
 
 use crate::{LifeId, ResourceDemand, RunNumber, ServiceId, TaskId};
 
-/// What the directory says a worker does.
+/// The state of a worker, according to the directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum WorkerState {
-    /// It takes new runs.
+    /// The worker takes new runs.
     Ready,
-    /// It will leave: it gets no new run.
+    /// The worker is about to leave and gets no new runs.
     Draining,
 }
 
-/// When a worker's life began, in milliseconds since 1970 by a clock that may jump. It tells lives under one id apart; it does
-/// not say which is later.
+/// The start time of a worker process, in milliseconds since 1970 by a clock that may jump. It tells lives
+/// with the same id apart, but not which of them is later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct BirthTime(pub u64);
@@ -39,25 +39,26 @@
 /// A worker's entry in the directory.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct WorkerRecord {
-    /// Which life of the worker this is.
+    /// The id of the worker's life.
     pub life: LifeId,
-    /// Which life under that id, if it says so.
+    /// The start time of the worker process, which tells lives with the same id apart; `None` if the worker
+    /// does not report it.
     pub born: Option<BirthTime>,
-    /// Whose tasks it runs.
+    /// The service whose tasks it runs.
     pub service: ServiceId,
-    /// Where it listens.
+    /// The address where it listens.
     pub address: SocketAddr,
-    /// Where it is.
+    /// Its data centre.
     pub data_centre: DataCentreId,
     /// Whether it takes new runs.
     pub state: WorkerState,
-    /// What it can hold at the same time.
+    /// The resources that its runs can use at the same time.
     pub room: ResourceDemand,
-    /// Its kind and its rack, among others.
+    /// Labels, among them its kind and its rack.
     pub labels: Vec<Arc<str>>,
 }
 
-/// A time on a worker's own steady clock, in milliseconds. Clocks of two workers cannot be compared.
+/// A time on a worker's own monotonic clock, in milliseconds. Times of two workers cannot be compared.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WorkerClock(pub u64);
 
@@ -69,29 +70,29 @@
     }
 }
 
-/// A run that is on a worker.
+/// A run that is active on a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunningRun {
-    /// The task, or none if its name is not one of a task.
+    /// The task; `None` if the run's name is not a task id.
     pub task: Option<TaskId>,
-    /// The run.
+    /// The number of the run.
     pub run: RunNumber,
-    /// How much of its work is done, in percent.
+    /// The progress of the run, in percent.
     pub percent: u8,
 }
 
 text_set! {
-    /// How a run ended.
+    /// The cause of a run's end.
     EndCause, "end of a run", WrongReason {
-        /// Its work is done.
+        /// The work is done.
         Done => "done",
-        /// It failed, by its own fault or the worker's.
+        /// The run failed, through its own fault or the worker's.
         Failed => "failed",
-        /// It was told to stop.
+        /// The run was told to stop.
         Stopped => "stopped",
-        /// Its lease ran out.
+        /// The run's lease expired.
         Lapsed => "lapsed",
-        /// It ended with its gang: another member ended, or the others did not come.
+        /// The run ended with its gang: another member ended, or the others did not arrive.
         Gang => "gang",
     }
 }
@@ -99,25 +100,26 @@
 /// A run that ended on a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndedRun {
-    /// The end's number within the worker's life, from 1.
+    /// The number of the end within the worker's life, from 1.
     pub number: u64,
-    /// The task, or none if its name is not one of a task.
+    /// The task; `None` if the run's name is not a task id.
     pub task: Option<TaskId>,
-    /// The run.
+    /// The number of the run.
     pub run: RunNumber,
     /// How it ended.
     pub cause: EndCause,
 }
 
-/// What a worker says of its runs.
+/// A worker's report on its runs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WorkerListing {
     /// The worker's clock when it answered.
     pub clock: WorkerClock,
-    /// Which life under its id answered, if it says so.
+    /// The start time of the worker process that answered, which tells lives with the same id apart; `None`
+    /// if it did not report it.
     pub born: Option<BirthTime>,
-    /// What runs.
+    /// The active runs.
     pub running: Vec<RunningRun>,
-    /// What ended after the last end that was acknowledged.
+    /// The runs that ended after the last acknowledged end.
     pub ended: Vec<EndedRun>,
 }
