--- a/crates/claims/src/rows.rs
+++ b/crates/claims/src/rows.rs
@@ -30,12 +30,12 @@
     pub address: SocketAddr,
     /// Increases with each refresh of the row.
     pub refreshes: u64,
-    /// How much time requests have left when they arrive at this process, as learned per route.
+    /// How much time new requests have left when they arrive at this process, as learned per route.
     #[serde(default)]
     pub waits: Vec<RouteWait>,
 }
 
-/// How much time a route's requests have left when they arrive.
+/// How much time new requests of a route have left when they arrive.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteWait {
     /// The route.
--- a/crates/jobs/src/request.rs
+++ b/crates/jobs/src/request.rs
@@ -107,7 +107,8 @@
     pub goal: Duration,
     /// The time that the customer still waits.
     pub time_left: Duration,
-    /// The time since the customer's request arrived.
+    /// The age of the customer's request, including the time for which it was under way before it arrived, as
+    /// far as that is known.
     pub waited: Duration,
     /// Whether this is a part of a job that is divided among pools. The other parts are already on their way,
     /// so this one is not refused because of its predicted end.
