--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -17,7 +17,7 @@
 use jobs::{longest_chain, BodyLimits, JobId, JobOutcome, RefusalKind, RouteRule, UnsupportedNeed};
 use model::Mechanism;
 use platform_adapter::{
-    decode_job, encode_outcome, encode_pending, encode_state, EncodedAnswer, StoreError,
+    decode_job, encode_outcome, encode_pending, encode_state, EncodedResponse, StoreError,
     DEADLINE_HEADER,
 };
 use telemetry::{EventKind, EventLine, TrafficKind};
@@ -326,14 +326,14 @@
 }
 
 fn not_ready() -> Response<BoxBody> {
-    encoded(&EncodedAnswer {
+    encoded(&EncodedResponse {
         status: 503,
         body: "{}",
         retry_after: Some(NOT_READY_RETRY),
     })
 }
 
-fn encoded(answer: &EncodedAnswer) -> Response<BoxBody> {
+fn encoded(answer: &EncodedResponse) -> Response<BoxBody> {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut response = plain(status, answer.body);
     if let Some(retry_after) = answer.retry_after {
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -11,7 +11,7 @@
 use claims::{ClaimKeeper, ClaimNote, ClaimSettings, LinkRate, MemberRow, NodeId, RouteWait};
 use kernel::{ClockSource, SystemClock};
 use model::FastMap;
-use platform_adapter::{HttpCaller, RowWrite, StoreClient, StoreTable, Transaction, WorkerClient};
+use platform_adapter::{HttpClient, RowWrite, StoreClient, StoreTable, Transaction, WorkerClient};
 use pool::PoolSettings;
 use settings::NodeSettings;
 use telemetry::{EventKind, EventLine, EventLog, TrafficBook};
@@ -183,7 +183,7 @@
     let socket = UdpSocket::bind(address).await;
     let socket = Rc::new(socket.map_err(|cause| NodeError::Listen { address, cause })?);
     let traffic = Arc::new(TrafficBook::default());
-    let http = HttpCaller::new(traffic.clone());
+    let http = HttpClient::new(traffic.clone());
     let pool_settings = PoolSettings {
         lease: PoolSettings::default()
             .lease
