--- a/crates/node/src/groups.rs
+++ b/crates/node/src/groups.rs
@@ -14,7 +14,7 @@
 use jobs::{PoolId, WorkerRecord};
 use model::{DataCentreId, FastMap};
 use platform::RowVersion;
-use platform_adapter::{RowWrite, StoreTable, Transaction, TransactionEnd};
+use platform_adapter::{RowWrite, StoreTable, Transaction, TransactionOutcome};
 use telemetry::{EventKind, EventLine};
 
 use crate::{owner, state::NodeState};
@@ -236,7 +236,9 @@
     };
     let transaction = Transaction::of(write);
     // Whoever loses the race, or whose answer is lost, hears the number by the feed.
-    if let Ok(TransactionEnd::Done { version, .. }) = state.store.transact(&transaction).await {
+    if let Ok(TransactionOutcome::Committed { version, .. }) =
+        state.store.transact(&transaction).await
+    {
         state
             .group_versions
             .borrow_mut()
--- a/crates/node/src/keeping.rs
+++ b/crates/node/src/keeping.rs
@@ -15,7 +15,7 @@
 use model::{FastMap, FastSet};
 use platform::{CallFailure, RowVersion};
 use platform_adapter::{
-    RowCheck, RowWrite, StoreError, StoreTable, StoredRow, Transaction, TransactionEnd,
+    RowCheck, RowWrite, StoreError, StoreTable, StoredRow, Transaction, TransactionOutcome,
 };
 use pool::{FoundJob, KeepAnswer, KeepOrder};
 use telemetry::{EventKind, EventLine};
@@ -121,24 +121,24 @@
         add_order(&mut transaction, &call.order, call.value.clone());
     }
     match state.store.transact(&transaction).await {
-        Ok(TransactionEnd::Done { version, .. }) => {
+        Ok(TransactionOutcome::Committed { version, .. }) => {
             for call in batch {
                 answer(state, &call, KeepAnswer::Stored(version.0));
             }
         }
         // One of them holds up all: each is looked at alone.
-        Ok(TransactionEnd::Conflict) if batch.len() > 1 => {
+        Ok(TransactionOutcome::Conflict) if batch.len() > 1 => {
             for call in batch {
                 Box::pin(write_batch(state, part, vec![call])).await;
             }
         }
-        Ok(TransactionEnd::Conflict) => {
+        Ok(TransactionOutcome::Conflict) => {
             for call in batch {
                 resolve(state, part, call).await;
             }
         }
         Err(error) => {
-            let turned_away = matches!(error, StoreError::TurnedAway(_));
+            let turned_away = matches!(error, StoreError::Rejected(_));
             note_trouble(state, &batch, &error);
             actix_rt::time::sleep(RETRY_PAUSE).await;
             for call in batch {
@@ -201,7 +201,7 @@
     let replaced = RowVersion(order.replaces.unwrap_or(0));
     let absent = RowVersion(0);
     if order.row.state.is_final() {
-        transaction.removes.push(RowCheck {
+        transaction.removals.push(RowCheck {
             table: StoreTable::Jobs,
             key: key.clone(),
             expected: replaced,
@@ -334,7 +334,7 @@
             value: order.row.home.as_bytes().to_vec(),
             expected: None,
         });
-        if let TransactionEnd::Done { .. } = state.store.transact(&transaction).await? {
+        if let TransactionOutcome::Committed { .. } = state.store.transact(&transaction).await? {
             return Ok(true);
         }
         // Its owner has written meanwhile.
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -21,7 +21,7 @@
     let mut evacuated = Vec::new();
     let mut configs = Vec::new();
     for change in page.changes {
-        match OperatorRow::of_key(change.key()) {
+        match OperatorRow::from_key(change.key()) {
             OperatorRow::Config => configs.push(change),
             OperatorRow::Evacuation(centre) => {
                 let row = evacuation_row(state, change, version);
@@ -30,7 +30,7 @@
                     row => take_evacuation(state, centre, row),
                 }
             }
-            OperatorRow::WrongEvacuation => {
+            OperatorRow::InvalidEvacuation => {
                 let line = EventLine::new("evacuation_unusable").text("key", change.key());
                 state.log(EventKind::Kept, line);
             }
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -12,7 +12,7 @@
 use model::{FastMap, Mechanism};
 use peer::{JobCall, PoolService};
 use platform::RowVersion;
-use platform_adapter::{RowWrite, StoreTable, Transaction, TransactionEnd};
+use platform_adapter::{RowWrite, StoreTable, Transaction, TransactionOutcome};
 use pool::{PoolAction, PoolStart, WaiterId, WorkerPool};
 use telemetry::{EventKind, EventLine};
 use tokio::{net::TcpStream, sync::oneshot, time::timeout};
@@ -105,7 +105,7 @@
                 });
             }
             PoolAction::Look(order) => {
-                let answer = state.workers.look(&order).await;
+                let answer = state.workers.poll(&order).await;
                 with_fenced(&state, &id, fence, |pool, now| {
                     pool.on_look_answer(now, sent, &order, answer);
                 });
@@ -408,11 +408,11 @@
         .text("pool", pool)
         .number("expected", expected);
     match answer {
-        Ok(TransactionEnd::Done { version, clock }) => {
+        Ok(TransactionOutcome::Committed { version, clock }) => {
             line = line.text("outcome", "won").number("fence", version.0);
             take_claim(state, pool, row, version, clock);
         }
-        Ok(TransactionEnd::Conflict) => line = line.text("outcome", "conflict"),
+        Ok(TransactionOutcome::Conflict) => line = line.text("outcome", "conflict"),
         // It may still take effect: then the claims' feed shows it.
         Err(error) => line = line.text("outcome", "unknown").text("error", error),
     }
