--- a/crates/node/tests/crash.rs
+++ b/crates/node/tests/crash.rs
@@ -6,7 +6,7 @@
 
 use awc::Client;
 use node::NodeProcess;
-use platform_stand_ins::{kept_job_body, ExecutorPlan, ExecutorStandIn, CRASH_MARK};
+use platform_stand_ins::{kept_job_body, ExecutorPlan, ExecutorStandIn, CRASH_SPEC};
 use serde_json::{json, Value};
 use support::{job, post_job, send, Platform, CENTRE};
 
@@ -16,7 +16,7 @@
 async fn start_workers(platform: &mut Platform) {
     for number in 0..WORKERS {
         let plan = ExecutorPlan {
-            life: format!("i-{number}"),
+            id: format!("i-{number}"),
             run_time: RUN_TIME,
             born: Some(1_764_751_000_000),
             ..ExecutorPlan::default()
@@ -60,7 +60,7 @@
     start_workers(&mut platform).await;
     let node = platform.start_node(platform.node_settings("vm-1")).await;
     let mut body = kept_job_body(1, 150);
-    body["Spec"] = json!(CRASH_MARK);
+    body["Spec"] = json!(CRASH_SPEC);
     let id = "5c0e7a21d94b36f8";
     assert_eq!(post_job(&node, id, &body).await.0, 202);
     for number in 0..60 {
--- a/crates/node/tests/dividing.rs
+++ b/crates/node/tests/dividing.rs
@@ -14,7 +14,7 @@
 async fn add_centre(platform: &mut Platform, centre: &str, run_time: Duration) -> NodeProcess {
     let life = format!("i-{centre}");
     let plan = ExecutorPlan {
-        life: life.clone(),
+        id: life.clone(),
         run_time,
         ..ExecutorPlan::default()
     };
--- a/crates/node/tests/entries.rs
+++ b/crates/node/tests/entries.rs
@@ -161,7 +161,7 @@
     for (number, case) in CASES.iter().enumerate() {
         let life = format!("i-strange-{number:02}");
         let plan = ExecutorPlan {
-            life: life.clone(),
+            id: life.clone(),
             ..ExecutorPlan::default()
         };
         let stranger = ExecutorStandIn::start(plan).await;
@@ -194,7 +194,7 @@
     store.put_bytes("servers", "i-bytes", &[0xff, 0xfe, 0x00, 0x9f]);
     store.put_raw("servers", "i-code", "%%% no encoding %%%".to_owned());
     let plan = ExecutorPlan {
-        life: "i-sound".to_owned(),
+        id: "i-sound".to_owned(),
         run_time: Duration::from_millis(10),
         ..ExecutorPlan::default()
     };
@@ -242,7 +242,7 @@
 async fn a_service_is_known_once_the_configuration_names_it() {
     let platform = Platform::start(1, Duration::from_millis(10)).await;
     let plan = ExecutorPlan {
-        life: "i-other".to_owned(),
+        id: "i-other".to_owned(),
         run_time: Duration::from_millis(10),
         ..ExecutorPlan::default()
     };
--- a/crates/node/tests/evacuation.rs
+++ b/crates/node/tests/evacuation.rs
@@ -20,7 +20,7 @@
 /// Adds a worker of the other data centre.
 async fn add_other(platform: &Platform) -> ExecutorStandIn {
     let plan = ExecutorPlan {
-        life: "i-west".to_owned(),
+        id: "i-west".to_owned(),
         run_time: RUN_TIME,
         ..ExecutorPlan::default()
     };
@@ -146,7 +146,7 @@
     assert_eq!(post_some(&node, 1).await, [503; 6]);
     take_back(&platform, CENTRE);
     evacuate(&platform, OTHER_CENTRE);
-    platform.store.forget_history();
+    platform.store.truncate_history();
     platform.store.set_fault(StoreFault::None);
     actix_rt::time::sleep(Duration::from_millis(2_500)).await;
     assert_eq!(post_some(&node, 20).await, [200; 6], "{}", node.log_lines());
--- a/crates/node/tests/rebirth.rs
+++ b/crates/node/tests/rebirth.rs
@@ -13,7 +13,7 @@
 
 async fn start_named(platform: &Platform, life: &str) -> ExecutorStandIn {
     let plan = ExecutorPlan {
-        life: life.to_owned(),
+        id: life.to_owned(),
         run_time: RUN_TIME,
         born: Some(1_764_751_000_000),
         ..ExecutorPlan::default()
@@ -46,14 +46,14 @@
     complete_jobs(&node, 0x100).await;
     let cut = post_meanwhile(&node, "00000000000000a0", job(2, 400));
     actix_rt::time::sleep(RUN_TIME / 2).await;
-    worker.start_again(1_764_750_999_000);
+    worker.restart(1_764_750_999_000);
     assert_eq!(cut.await.unwrap().0, 200, "{}", node.log_lines());
     complete_jobs(&node, 0x200).await;
     tell(&platform, "i-0", &worker);
     actix_rt::time::sleep(Duration::from_millis(400)).await;
     complete_jobs(&node, 0x300).await;
     // Idle when it dies, and told of at once.
-    worker.start_again(1_764_751_002_000);
+    worker.restart(1_764_751_002_000);
     tell(&platform, "i-0", &worker);
     actix_rt::time::sleep(Duration::from_millis(400)).await;
     complete_jobs(&node, 0x400).await;
--- a/crates/node/tests/store.rs
+++ b/crates/node/tests/store.rs
@@ -59,7 +59,7 @@
     platform.store.set_fault(StoreFault::Silent);
     settle().await;
     platform.store.put("op", "config", &other_prefix(9));
-    platform.store.forget_history();
+    platform.store.truncate_history();
     platform.store.set_fault(StoreFault::None);
     actix_rt::time::sleep(Duration::from_millis(2_500)).await;
     assert!(node.log_lines().contains("history_gone"));
@@ -185,7 +185,7 @@
     let platform = Platform::start(1, Duration::from_millis(10)).await;
     let node = platform.start_node(platform.node_settings("vm-1")).await;
     let plan = ExecutorPlan {
-        life: "i-new".to_owned(),
+        id: "i-new".to_owned(),
         ..ExecutorPlan::default()
     };
     let added = ExecutorStandIn::start(plan).await;
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -33,7 +33,7 @@
         for number in 0..executors {
             let life = format!("i-{number}");
             let plan = ExecutorPlan {
-                life: life.clone(),
+                id: life.clone(),
                 run_time,
                 ..ExecutorPlan::default()
             };
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -297,7 +297,7 @@
 
     /// The store forgets its history.
     pub(crate) fn forget_history(&self) {
-        self.store.forget_history();
+        self.store.truncate_history();
     }
 
     /// Changes what is wrong with a worker.
@@ -337,7 +337,7 @@
             } else {
                 BIRTH_JUMP
             };
-            stand_in.start_again(FIRST_BIRTH + self.rebirths + jump);
+            stand_in.restart(FIRST_BIRTH + self.rebirths + jump);
         }
     }
 
@@ -372,9 +372,9 @@
         self.lives += 1;
         let life = self.lives;
         let plan = ExecutorPlan {
-            life: life_name(life),
+            id: life_name(life),
             run_time: Duration::from_millis(RUN_TIMES[worker % RUN_TIMES.len()]),
-            clock: 400_000 + 10_000 * life as u64,
+            initial_clock_ms: 400_000 + 10_000 * life as u64,
             clock_rate: CLOCK_RATES[life % CLOCK_RATES.len()],
             born: Some(FIRST_BIRTH + life as u64),
         };
@@ -382,7 +382,7 @@
         for (node, view) in self.views.iter().enumerate() {
             let link = worker_link(life, node);
             let address = self.forwarder.add_link(&link, stand_in.address())?;
-            view.set_address(&life_name(life), address);
+            view.override_address(&life_name(life), address);
         }
         self.workers[worker] = WorkerPlace {
             life,
