--- a/crates/node/tests/crash.rs
+++ b/crates/node/tests/crash.rs
@@ -23,11 +23,11 @@
         };
         platform.executors.push(ExecutorStandIn::start(plan).await);
     }
-    tell_workers(platform);
+    write_heartbeats(platform);
 }
 
 /// Workers write their entries, as they do each heartbeat.
-fn tell_workers(platform: &Platform) {
+fn write_heartbeats(platform: &Platform) {
     for (number, executor) in platform.executors.iter().enumerate() {
         let mut entry = executor.entry("svc", CENTRE, "ready");
         entry["Labels"] = json!(["a", format!("r1-{number}")]);
@@ -37,7 +37,7 @@
     }
 }
 
-async fn state(node: &NodeProcess, id: &str) -> Value {
+async fn job_state(node: &NodeProcess, id: &str) -> Value {
     let path = format!("/hold/{id}");
     let client = Client::default();
     send(&client, node.customer_address(), "GET", &path, &Value::Null)
@@ -55,7 +55,7 @@
 
 /// Guards against a kept job that crashes one worker after another for good.
 #[actix_rt::test]
-async fn a_crashing_job_fails_and_the_others_are_served() {
+async fn a_job_that_crashes_workers_fails_and_others_are_served() {
     let mut platform = Platform::start(0, RUN_TIME).await;
     start_workers(&mut platform).await;
     let node = platform.start_node(platform.node_settings("vm-1")).await;
@@ -64,9 +64,9 @@
     let id = "5c0e7a21d94b36f8";
     assert_eq!(post_job(&node, id, &body).await.0, 202);
     for number in 0..60 {
-        tell_workers(&platform);
+        write_heartbeats(&platform);
         actix_rt::time::sleep(Duration::from_millis(200)).await;
-        if state(&node, id).await == json!({ "State": "failed" }) {
+        if job_state(&node, id).await == json!({ "State": "failed" }) {
             break;
         }
         if number % 5 == 4 {
@@ -77,7 +77,7 @@
     }
     let log = node.log_lines();
     assert_eq!(
-        state(&node, id).await,
+        job_state(&node, id).await,
         json!({ "State": "failed" }),
         "{log}"
     );
--- a/crates/node/tests/dividing.rs
+++ b/crates/node/tests/dividing.rs
@@ -12,15 +12,15 @@
 
 /// Where one executor is, with places for two tasks, and a node.
 async fn add_centre(platform: &mut Platform, centre: &str, run_time: Duration) -> NodeProcess {
-    let life = format!("i-{centre}");
+    let id = format!("i-{centre}");
     let plan = ExecutorPlan {
-        id: life.clone(),
+        id: id.clone(),
         run_time,
         ..ExecutorPlan::default()
     };
     let executor = ExecutorStandIn::start(plan).await;
     let entry = executor.entry("svc", centre, "ready");
-    platform.store.put("servers", &life, &entry);
+    platform.store.put("servers", &id, &entry);
     platform.executors.push(executor);
     let settings = NodeSettings {
         data_centre: centre.parse().unwrap(),
@@ -56,16 +56,16 @@
 /// A job has nine tasks that run at the same time; each of five data centres has places for two. Any four of them are too
 /// few. The caller is told that it is too late, while all five together would have run it at once.
 #[actix_rt::test]
-async fn a_job_is_divided_among_as_many_pools_as_it_takes() {
+async fn a_job_is_divided_among_all_five_pools() {
     let run_time = Duration::from_millis(300);
     let (_platform, nodes) = five_centres(run_time).await;
     // Each owner publishes its load with its next heartbeat.
     actix_rt::time::sleep(Duration::from_millis(600)).await;
-    let begun = Instant::now();
+    let started = Instant::now();
     let answer = post_job(&nodes[0], "5c0e7a21d94b36f9", &job(9, 300)).await;
     let log = nodes[0].log_lines();
     assert_eq!(answer, (200, json!({ "State": "completed" })), "{log}");
-    let took = begun.elapsed();
+    let took = started.elapsed();
     assert!(took < Duration::from_millis(540), "{took:?}");
 }
 
@@ -90,7 +90,7 @@
 /// elsewhere, once each. Pools that are only asked what they could take get no text: on narrow links the texts of refused
 /// questions filled the owners' links, and with them everything else was late.
 #[actix_rt::test]
-async fn a_text_travels_only_to_where_its_job_runs() {
+async fn a_job_text_is_sent_only_to_pools_that_run_it() {
     let run_time = Duration::from_millis(300);
     let (_platform, nodes) = five_centres(run_time).await;
     actix_rt::time::sleep(Duration::from_millis(600)).await;
@@ -119,7 +119,7 @@
         }
         actix_rt::time::sleep(Duration::from_millis(10)).await;
     }
-    let begun = Instant::now();
+    let started = Instant::now();
     let answer = post_job(&east_node, "5c0e7a21d94b36f8", &job(4, 300)).await;
     assert_eq!(
         answer,
@@ -128,9 +128,9 @@
         east_node.log_lines()
     );
     assert!(
-        begun.elapsed() < Duration::from_millis(540),
+        started.elapsed() < Duration::from_millis(540),
         "{:?}",
-        begun.elapsed()
+        started.elapsed()
     );
     let mut tasks = Vec::new();
     for executor in &platform.executors {
--- a/crates/node/tests/entries.rs
+++ b/crates/node/tests/entries.rs
@@ -1,4 +1,4 @@
-//! What a node makes of entries in the directory that another writer made or damaged: such an entry names no worker to
+//! What a node makes of entries in the directory that another writer made or corrupted: such an entry names no worker to
 //! use, is logged once, and changes nothing for the others.
 
 mod support;
@@ -11,124 +11,124 @@
 use support::{config, job, post_job, Platform, CENTRE};
 
 /// Lets a change of the store reach the node: feeds come at most 250 ms apart.
-async fn settle() {
+async fn wait_for_feed() {
     actix_rt::time::sleep(Duration::from_millis(450)).await;
 }
 
 /// A way in which an entry can be wrong.
 struct EntryCase {
     name: &'static str,
-    damage: fn(&mut Value),
+    corrupt: fn(&mut Value),
 }
 
 const CASES: &[EntryCase] = &[
     EntryCase {
         name: "no state",
-        damage: |entry| drop_field(entry, "State"),
+        corrupt: |entry| remove_field(entry, "State"),
     },
     EntryCase {
         name: "no address",
-        damage: |entry| drop_field(entry, "Addr"),
+        corrupt: |entry| remove_field(entry, "Addr"),
     },
     EntryCase {
         name: "no service",
-        damage: |entry| drop_field(entry, "Service"),
+        corrupt: |entry| remove_field(entry, "Service"),
     },
     EntryCase {
         name: "no zone",
-        damage: |entry| drop_field(entry, "Zone"),
+        corrupt: |entry| remove_field(entry, "Zone"),
     },
     EntryCase {
         name: "no capacity",
-        damage: |entry| drop_field(entry, "Capacity"),
+        corrupt: |entry| remove_field(entry, "Capacity"),
     },
     EntryCase {
         name: "a capacity without processor",
-        damage: |entry| entry["Capacity"] = json!({ "MemMb": 32_768 }),
+        corrupt: |entry| entry["Capacity"] = json!({ "MemMb": 32_768 }),
     },
     EntryCase {
         name: "no labels",
-        damage: |entry| drop_field(entry, "Labels"),
+        corrupt: |entry| remove_field(entry, "Labels"),
     },
     EntryCase {
         name: "no sequence number",
-        damage: |entry| drop_field(entry, "Seq"),
+        corrupt: |entry| remove_field(entry, "Seq"),
     },
     EntryCase {
         name: "an unknown state",
-        damage: |entry| entry["State"] = json!("warming"),
+        corrupt: |entry| entry["State"] = json!("warming"),
     },
     EntryCase {
         name: "a state of another type",
-        damage: |entry| entry["State"] = json!(1),
+        corrupt: |entry| entry["State"] = json!(1),
     },
     EntryCase {
         name: "an unknown service",
-        damage: |entry| entry["Service"] = json!("nobody-knows"),
+        corrupt: |entry| entry["Service"] = json!("nobody-knows"),
     },
     EntryCase {
         name: "a service of another type",
-        damage: |entry| entry["Service"] = json!(["svc"]),
+        corrupt: |entry| entry["Service"] = json!(["svc"]),
     },
     EntryCase {
         name: "an address without a port",
-        damage: |entry| entry["Addr"] = json!("10.128.0.9"),
+        corrupt: |entry| entry["Addr"] = json!("10.128.0.9"),
     },
     EntryCase {
         name: "an address of another type",
-        damage: |entry| entry["Addr"] = json!({ "Ip": "10.128.0.9" }),
+        corrupt: |entry| entry["Addr"] = json!({ "Ip": "10.128.0.9" }),
     },
     EntryCase {
         name: "a capacity of another type",
-        damage: |entry| entry["Capacity"] = json!({ "Cpu": "16000", "MemMb": 32_768, "Gpu": 0 }),
+        corrupt: |entry| entry["Capacity"] = json!({ "Cpu": "16000", "MemMb": 32_768, "Gpu": 0 }),
     },
     EntryCase {
         name: "a negative capacity",
-        damage: |entry| entry["Capacity"]["Cpu"] = json!(-16_000),
+        corrupt: |entry| entry["Capacity"]["Cpu"] = json!(-16_000),
     },
     EntryCase {
         name: "a capacity of null",
-        damage: |entry| entry["Capacity"]["MemMb"] = Value::Null,
+        corrupt: |entry| entry["Capacity"]["MemMb"] = Value::Null,
     },
     EntryCase {
         name: "a capacity that is no whole number",
-        damage: |entry| entry["Capacity"]["Cpu"] = json!(16_000.5),
+        corrupt: |entry| entry["Capacity"]["Cpu"] = json!(16_000.5),
     },
     EntryCase {
         name: "a capacity beyond any machine's",
-        damage: |entry| entry["Capacity"]["Cpu"] = json!(u64::MAX),
+        corrupt: |entry| entry["Capacity"]["Cpu"] = json!(u64::MAX),
     },
     EntryCase {
         name: "labels of another type",
-        damage: |entry| entry["Labels"] = json!("a"),
+        corrupt: |entry| entry["Labels"] = json!("a"),
     },
     EntryCase {
         name: "a birth of another type",
-        damage: |entry| entry["born"] = json!("1764751000000"),
+        corrupt: |entry| entry["born"] = json!("1764751000000"),
     },
     EntryCase {
         name: "a birth before 1970",
-        damage: |entry| entry["born"] = json!(-1),
+        corrupt: |entry| entry["born"] = json!(-1),
     },
     EntryCase {
         name: "a birth that is no whole number",
-        damage: |entry| entry["born"] = json!(1_764_751_000_000.5),
+        corrupt: |entry| entry["born"] = json!(1_764_751_000_000.5),
     },
     EntryCase {
         name: "a birth of null",
-        damage: |entry| entry["born"] = Value::Null,
+        corrupt: |entry| entry["born"] = Value::Null,
     },
     EntryCase {
         name: "not an object",
-        damage: |entry| *entry = json!("i-0"),
+        corrupt: |entry| *entry = json!("i-0"),
     },
     EntryCase {
         name: "null",
-        damage: |entry| *entry = Value::Null,
+        corrupt: |entry| *entry = Value::Null,
     },
 ];
 
-fn drop_field(entry: &mut Value, field: &str) {
+fn remove_field(entry: &mut Value, field: &str) {
     if let Some(fields) = entry.as_object_mut() {
         fields.remove(field);
     }
@@ -151,44 +151,44 @@
     }
 }
 
-/// Customers notice nothing. Another writer adds entries next to a sound worker's, each wrong in one way, and goes on
-/// writing them. A worker behind such an entry is never called, since the entry does not say what it is; the sound one
+/// Customers notice nothing. Another writer adds entries next to a valid worker's, each wrong in one way, and goes on
+/// writing them. A worker behind such an entry is never called, since the entry does not say what it is; the valid one
 /// serves, and the log has one line an entry however often it is written.
 #[actix_rt::test]
-async fn wrong_entries_name_no_worker() {
+async fn invalid_entries_are_ignored_and_logged_once() {
     let platform = Platform::start(1, Duration::from_millis(10)).await;
-    let mut strangers = Vec::new();
+    let mut invalid_workers = Vec::new();
     for (number, case) in CASES.iter().enumerate() {
-        let life = format!("i-strange-{number:02}");
+        let id = format!("i-strange-{number:02}");
         let plan = ExecutorPlan {
-            id: life.clone(),
+            id: id.clone(),
             ..ExecutorPlan::default()
         };
-        let stranger = ExecutorStandIn::start(plan).await;
-        let mut entry = stranger.entry("svc", CENTRE, "ready");
-        (case.damage)(&mut entry);
-        platform.store.put("servers", &life, &entry);
-        strangers.push((life, entry, stranger));
+        let worker = ExecutorStandIn::start(plan).await;
+        let mut entry = worker.entry("svc", CENTRE, "ready");
+        (case.corrupt)(&mut entry);
+        platform.store.put("servers", &id, &entry);
+        invalid_workers.push((id, entry, worker));
     }
     let node = platform.start_node(platform.node_settings("vm-1")).await;
-    settle().await;
+    wait_for_feed().await;
     for _ in 0..2 {
-        for (life, entry, _) in &strangers {
-            platform.store.put("servers", life, entry);
+        for (id, entry, _) in &invalid_workers {
+            platform.store.put("servers", id, entry);
         }
-        settle().await;
+        wait_for_feed().await;
     }
     complete_jobs(&node, "00000000000001").await;
-    for (case, (life, _, stranger)) in CASES.iter().zip(&strangers) {
-        assert_eq!(stranger.fence(), 0, "called: {}", case.name);
-        assert_eq!(unusable_lines(&node, life), 1, "logged: {}", case.name);
+    for (case, (id, _, worker)) in CASES.iter().zip(&invalid_workers) {
+        assert_eq!(worker.fence(), 0, "called: {}", case.name);
+        assert_eq!(unusable_lines(&node, id), 1, "logged: {}", case.name);
     }
 }
 
 /// An entry is not text at all, and another is not even in the store's encoding. The rows beside them are read all the
 /// same, also a worker that comes later in the same reading.
 #[actix_rt::test]
-async fn an_entry_of_other_bytes_names_no_worker() {
+async fn undecodable_rows_do_not_hide_valid_workers() {
     let platform = Platform::start(0, Duration::from_millis(10)).await;
     let store = &platform.store;
     store.put_bytes("servers", "i-bytes", &[0xff, 0xfe, 0x00, 0x9f]);
@@ -198,48 +198,48 @@
         run_time: Duration::from_millis(10),
         ..ExecutorPlan::default()
     };
-    let sound = ExecutorStandIn::start(plan).await;
-    let entry = sound.entry("svc", CENTRE, "ready");
+    let valid = ExecutorStandIn::start(plan).await;
+    let entry = valid.entry("svc", CENTRE, "ready");
     platform.store.put("servers", "i-sound", &entry);
     let node = platform.start_node(platform.node_settings("vm-1")).await;
-    settle().await;
+    wait_for_feed().await;
     complete_jobs(&node, "00000000000002").await;
     assert_eq!(unusable_lines(&node, "i-bytes"), 1);
     assert_eq!(unusable_lines(&node, "i-code"), 1);
 }
 
-/// A known worker's entry is damaged, then written anew by the worker. In between it gets nothing new, and jobs go to
+/// A known worker's entry is corrupted, then written anew by the worker. In between it gets nothing new, and jobs go to
 /// the other one; afterwards it serves again.
 #[actix_rt::test]
-async fn a_damaged_entry_comes_back() {
-    futures::future::join_all(CASES.iter().map(damage_and_mend)).await;
+async fn a_worker_is_used_again_once_its_entry_is_restored() {
+    futures::future::join_all(CASES.iter().map(corrupt_and_restore)).await;
 }
 
-async fn damage_and_mend(case: &EntryCase) {
+async fn corrupt_and_restore(case: &EntryCase) {
     let platform = Platform::start(2, Duration::from_millis(10)).await;
     let node = platform.start_node(platform.node_settings("vm-1")).await;
-    settle().await;
-    let sound = platform.executors[0].entry("svc", CENTRE, "ready");
-    let mut damaged = sound.clone();
-    (case.damage)(&mut damaged);
-    platform.store.put("servers", "i-0", &damaged);
-    settle().await;
+    wait_for_feed().await;
+    let valid = platform.executors[0].entry("svc", CENTRE, "ready");
+    let mut corrupted = valid.clone();
+    (case.corrupt)(&mut corrupted);
+    platform.store.put("servers", "i-0", &corrupted);
+    wait_for_feed().await;
     let before = platform.executors[0].runs().len();
     complete_jobs(&node, "00000000000003").await;
-    let used = platform.executors[0].runs().len();
-    assert_eq!(used, before, "used while damaged: {}", case.name);
-    platform.store.put("servers", "i-0", &sound);
-    settle().await;
+    let run_count = platform.executors[0].runs().len();
+    assert_eq!(run_count, before, "used while corrupted: {}", case.name);
+    platform.store.put("servers", "i-0", &valid);
+    wait_for_feed().await;
     let status = post_job(&node, "00000000000004ff", &job(4, 10)).await.0;
     assert_eq!(status, 200, "{}", case.name);
-    let used = platform.executors[0].runs().len();
-    assert!(used > before, "not used again: {}", case.name);
+    let run_count = platform.executors[0].runs().len();
+    assert!(run_count > before, "not used again: {}", case.name);
 }
 
 /// An entry names a service that the configuration does not have yet. It names a worker as soon as a newer version has
 /// the service, and none any more once a version drops it: what has to run there no queue sends any task to.
 #[actix_rt::test]
-async fn a_service_is_known_once_the_configuration_names_it() {
+async fn a_worker_is_used_only_while_its_service_is_configured() {
     let platform = Platform::start(1, Duration::from_millis(10)).await;
     let plan = ExecutorPlan {
         id: "i-other".to_owned(),
@@ -250,17 +250,17 @@
     let entry = other.entry("svc-2", CENTRE, "ready");
     platform.store.put("servers", "i-other", &entry);
     let node = platform.start_node(platform.node_settings("vm-1")).await;
-    settle().await;
+    wait_for_feed().await;
     assert_eq!(other.fence(), 0, "called before it is known");
     let mut moved = config(9);
     moved["Services"] = json!([{ "Name": "svc" }, { "Name": "svc-2" }]);
     moved["Routes"][0]["Service"] = json!("svc-2");
     platform.store.put("op", "config", &moved);
-    settle().await;
+    wait_for_feed().await;
     complete_jobs(&node, "00000000000005").await;
     assert_eq!(other.runs().len(), 8);
     platform.store.put("op", "config", &config(12));
-    settle().await;
+    wait_for_feed().await;
     complete_jobs(&node, "00000000000006").await;
     assert_eq!(other.runs().len(), 8);
 }
@@ -268,20 +268,20 @@
 /// An entry names an address of the system itself: the store's, or where this node takes jobs. What answers there is no
 /// worker, and calling it as one costs a call each time.
 #[actix_rt::test]
-async fn an_address_of_the_system_is_no_worker() {
+async fn entries_with_addresses_of_the_system_are_ignored() {
     let platform = Platform::start(1, Duration::from_millis(10)).await;
     let node = platform.start_node(platform.node_settings("vm-1")).await;
     let addresses = [platform.store.address(), node.customer_address()];
     for (number, address) in addresses.iter().enumerate() {
         let mut entry = platform.executors[0].entry("svc", CENTRE, "ready");
         entry["Addr"] = json!(address.to_string());
-        let life = format!("i-system-{number}");
-        platform.store.put("servers", &life, &entry);
+        let id = format!("i-system-{number}");
+        platform.store.put("servers", &id, &entry);
     }
-    settle().await;
+    wait_for_feed().await;
     complete_jobs(&node, "00000000000007").await;
     for number in 0..addresses.len() {
-        let life = format!("i-system-{number}");
-        assert_eq!(unusable_lines(&node, &life), 1, "{life}");
+        let id = format!("i-system-{number}");
+        assert_eq!(unusable_lines(&node, &id), 1, "{id}");
     }
 }
--- a/crates/node/tests/evacuation.rs
+++ b/crates/node/tests/evacuation.rs
@@ -8,30 +8,30 @@
 use node::NodeProcess;
 use platform_stand_ins::{ExecutorPlan, ExecutorStandIn, StoreFault};
 use serde_json::{json, Value};
-use support::{job, post_job, post_meanwhile, start_node, Platform, CENTRE};
+use support::{job, post_job, spawn_post_job, start_node, Platform, CENTRE};
 
 const OTHER_CENTRE: &str = "west";
 
 const RUN_TIME: Duration = Duration::from_millis(10);
 
 /// How soon an evacuation is in force where the store is heard.
-const IN_FORCE: Duration = Duration::from_millis(1_000);
+const EVACUATION_DELAY: Duration = Duration::from_millis(1_000);
 
-/// Adds a worker of the other data centre.
-async fn add_other(platform: &Platform) -> ExecutorStandIn {
+/// Adds a worker of the west_worker data centre.
+async fn add_west_worker(platform: &Platform) -> ExecutorStandIn {
     let plan = ExecutorPlan {
         id: "i-west".to_owned(),
         run_time: RUN_TIME,
         ..ExecutorPlan::default()
     };
-    let other = ExecutorStandIn::start(plan).await;
-    let entry = other.entry("svc", OTHER_CENTRE, "ready");
+    let west_worker = ExecutorStandIn::start(plan).await;
+    let entry = west_worker.entry("svc", OTHER_CENTRE, "ready");
     platform.store.put("servers", "i-west", &entry);
-    other
+    west_worker
 }
 
 /// Waits until the node owns so many pools.
-async fn own_pools(node: &NodeProcess, pools: usize) {
+async fn wait_for_pools(node: &NodeProcess, pools: usize) {
     for _ in 0..600 {
         if node.log_lines().matches("\"pool_taken\"").count() >= pools {
             return;
@@ -46,16 +46,16 @@
     platform.store.put("op", &key, &json!({}));
 }
 
-fn take_back(platform: &Platform, centre: &str) {
+fn end_evacuation(platform: &Platform, centre: &str) {
     platform.store.remove("op", &format!("evacuate/{centre}"));
 }
 
-async fn settle() {
-    actix_rt::time::sleep(IN_FORCE).await;
+async fn wait_for_evacuation() {
+    actix_rt::time::sleep(EVACUATION_DELAY).await;
 }
 
 /// Hands in jobs one after another and gives their statuses.
-async fn post_some(node: &NodeProcess, first: u64) -> Vec<u16> {
+async fn post_six_jobs(node: &NodeProcess, first: u64) -> Vec<u16> {
     let mut statuses = Vec::new();
     for number in first..first + 6 {
         let id = format!("{number:016x}");
@@ -64,62 +64,70 @@
     statuses
 }
 
-fn begun_after(executor: &ExecutorStandIn, moment: Instant) -> usize {
+fn runs_started_after(executor: &ExecutorStandIn, moment: Instant) -> usize {
     let runs = executor.runs();
     runs.iter().filter(|run| run.began > moment).count()
 }
 
 /// One of two data centres is evacuated while a job runs there. The job's caller gets its answer, later callers get theirs
-/// from the other data centre, and after the return both serve.
+/// from the west_worker data centre, and after the return both serve.
 #[actix_rt::test]
-async fn jobs_go_to_another_data_centre() {
+async fn jobs_run_elsewhere_during_an_evacuation() {
     let platform = Platform::start(1, Duration::from_millis(1_500)).await;
-    let other = add_other(&platform).await;
+    let west_worker = add_west_worker(&platform).await;
     let node = platform.start_node(platform.node_settings("vm-1")).await;
-    own_pools(&node, 2).await;
-    let long = post_meanwhile(&node, "00000000000000a0", job(1, 1_500));
+    wait_for_pools(&node, 2).await;
+    let long = spawn_post_job(&node, "00000000000000a0", job(1, 1_500));
     actix_rt::time::sleep(Duration::from_millis(200)).await;
     evacuate(&platform, CENTRE);
-    settle().await;
-    let in_force = Instant::now();
-    assert_eq!(post_some(&node, 1).await, [200; 6], "{}", node.log_lines());
+    wait_for_evacuation().await;
+    let evacuated_at = Instant::now();
+    assert_eq!(
+        post_six_jobs(&node, 1).await,
+        [200; 6],
+        "{}",
+        node.log_lines()
+    );
     assert_eq!(long.await.unwrap().0, 200);
-    assert_eq!(begun_after(&platform.executors[0], in_force), 0);
-    assert_eq!(other.runs().len(), 12);
-    take_back(&platform, CENTRE);
-    settle().await;
-    post_some(&node, 20).await;
-    assert!(begun_after(&platform.executors[0], in_force) > 0);
+    assert_eq!(runs_started_after(&platform.executors[0], evacuated_at), 0);
+    assert_eq!(west_worker.runs().len(), 12);
+    end_evacuation(&platform, CENTRE);
+    wait_for_evacuation().await;
+    post_six_jobs(&node, 20).await;
+    assert!(runs_started_after(&platform.executors[0], evacuated_at) > 0);
 }
 
 /// All data centres are evacuated. Callers are told at once that nothing ran and when to come back, and the node goes on
 /// taking requests: it is not what is wrong.
 #[actix_rt::test]
-async fn nothing_is_served_while_all_are_evacuated() {
+async fn jobs_are_refused_while_all_data_centres_are_evacuated() {
     let platform = Platform::start(1, RUN_TIME).await;
-    let other = add_other(&platform).await;
+    let west_worker = add_west_worker(&platform).await;
     let node = platform.start_node(platform.node_settings("vm-1")).await;
-    own_pools(&node, 2).await;
+    wait_for_pools(&node, 2).await;
     evacuate(&platform, CENTRE);
     evacuate(&platform, OTHER_CENTRE);
-    settle().await;
-    let begun = Instant::now();
-    assert_eq!(post_some(&node, 1).await, [503; 6]);
-    assert!(begun.elapsed() < Duration::from_millis(500));
+    wait_for_evacuation().await;
+    let started = Instant::now();
+    assert_eq!(post_six_jobs(&node, 1).await, [503; 6]);
+    assert!(started.elapsed() < Duration::from_millis(500));
     assert!(support::is_ready(&node).await);
-    assert_eq!(other.runs().len() + platform.executors[0].runs().len(), 0);
+    assert_eq!(
+        west_worker.runs().len() + platform.executors[0].runs().len(),
+        0
+    );
     assert!(node.log_lines().contains("evacuated"));
-    take_back(&platform, OTHER_CENTRE);
-    settle().await;
-    assert_eq!(post_some(&node, 20).await, [200; 6]);
+    end_evacuation(&platform, OTHER_CENTRE);
+    wait_for_evacuation().await;
+    assert_eq!(post_six_jobs(&node, 20).await, [200; 6]);
     assert_eq!(platform.executors[0].runs().len(), 0);
 }
 
 /// A node starts after the evacuation: it knows of it before its first start.
 #[actix_rt::test]
-async fn a_node_that_starts_later_knows_of_it() {
+async fn a_node_started_during_an_evacuation_respects_it() {
     let platform = Platform::start(1, RUN_TIME).await;
-    let other = add_other(&platform).await;
+    let west_worker = add_west_worker(&platform).await;
     evacuate(&platform, CENTRE);
     let node = start_node(platform.node_settings("vm-1")).await;
     for number in 0..40 {
@@ -128,47 +136,52 @@
         actix_rt::time::sleep(Duration::from_millis(50)).await;
     }
     assert_eq!(platform.executors[0].runs().len(), 0);
-    own_pools(&node, 2).await;
-    assert_eq!(post_some(&node, 100).await, [200; 6]);
-    assert!(!other.runs().is_empty());
+    wait_for_pools(&node, 2).await;
+    assert_eq!(post_six_jobs(&node, 100).await, [200; 6]);
+    assert!(!west_worker.runs().is_empty());
 }
 
 /// The store is away while an evacuation is in force, comes back without its history, and the evacuation is over only then.
 /// What was last known holds all the while; what changed in the gap is found.
 #[actix_rt::test]
-async fn what_was_known_holds_while_the_store_is_away() {
+async fn evacuations_stay_in_force_while_the_store_is_unreachable() {
     let platform = Platform::start(1, RUN_TIME).await;
     let node = platform.start_node(platform.node_settings("vm-1")).await;
     evacuate(&platform, CENTRE);
-    settle().await;
+    wait_for_evacuation().await;
     platform.store.set_fault(StoreFault::Silent);
     actix_rt::time::sleep(Duration::from_millis(2_200)).await;
-    assert_eq!(post_some(&node, 1).await, [503; 6]);
-    take_back(&platform, CENTRE);
+    assert_eq!(post_six_jobs(&node, 1).await, [503; 6]);
+    end_evacuation(&platform, CENTRE);
     evacuate(&platform, OTHER_CENTRE);
     platform.store.truncate_history();
     platform.store.set_fault(StoreFault::None);
     actix_rt::time::sleep(Duration::from_millis(2_500)).await;
-    assert_eq!(post_some(&node, 20).await, [200; 6], "{}", node.log_lines());
+    assert_eq!(
+        post_six_jobs(&node, 20).await,
+        [200; 6],
+        "{}",
+        node.log_lines()
+    );
 }
 
-/// A row that evacuates something, and whether it closes the data centre.
-struct RowCase {
+/// A row that evacuates something, and whether it evacuates the data centre.
+struct EvacuationCase {
     name: &'static str,
     key: &'static str,
     value: Value,
-    closes: bool,
+    evacuates: bool,
 }
 
 /// Operators' rows may be of a later version of the interface, or wrong. The key alone says what is evacuated; one that names
 /// no data centre that anybody knows changes nothing, and nobody stops for it.
 #[actix_rt::test]
-async fn rows_of_other_forms_stop_nobody() {
-    let case = |name, key, value, closes| RowCase {
+async fn only_the_key_of_an_evacuation_row_counts() {
+    let case = |name, key, value, evacuates| EvacuationCase {
         name,
         key,
         value,
-        closes,
+        evacuates,
     };
     let cases = [
         case("no fields", "evacuate/east", json!({}), true),
@@ -195,17 +208,17 @@
     let node = platform.start_node(platform.node_settings("vm-1")).await;
     for (number, case) in (1..).zip(&cases) {
         platform.store.put("op", case.key, &case.value);
-        settle().await;
-        let expected = if case.closes { 503 } else { 200 };
-        let statuses = post_some(&node, number * 100).await;
+        wait_for_evacuation().await;
+        let expected = if case.evacuates { 503 } else { 200 };
+        let statuses = post_six_jobs(&node, number * 100).await;
         assert_eq!(statuses, [expected; 6], "{}", case.name);
         platform.store.remove("op", case.key);
-        settle().await;
+        wait_for_evacuation().await;
     }
     platform
         .store
         .put_raw("op", "evacuate/east", "%%%".to_owned());
-    settle().await;
-    assert_eq!(post_some(&node, 5_000).await, [503; 6]);
+    wait_for_evacuation().await;
+    assert_eq!(post_six_jobs(&node, 5_000).await, [503; 6]);
     assert!(node.log_lines().contains("row_unreadable"));
 }
--- a/crates/node/tests/groups.rs
+++ b/crates/node/tests/groups.rs
@@ -11,7 +11,7 @@
 /// it before the one that they leave, so that its fence is lower than what they have seen, and they turn it away. A caller's
 /// job that needs all twelve places is refused from then on, though every worker is sound.
 #[actix_rt::test]
-async fn all_workers_serve_after_they_were_divided_anew() {
+async fn all_workers_serve_after_the_number_of_pools_changes() {
     let run_time = Duration::from_millis(200);
     let platform = Platform::start(6, run_time).await;
     platform
--- a/crates/node/tests/kept.rs
+++ b/crates/node/tests/kept.rs
@@ -13,8 +13,8 @@
 
 const ID: &str = "5c0e7a21d94b36f8";
 
-async fn ask(node: &NodeProcess, method: &str, rest: &str) -> (u16, Value) {
-    let path = format!("/hold/{rest}");
+async fn send_empty(node: &NodeProcess, method: &str, path_tail: &str) -> (u16, Value) {
+    let path = format!("/hold/{path_tail}");
     let address = node.customer_address();
     send(&Client::default(), address, method, &path, &Value::Null).await
 }
@@ -23,7 +23,7 @@
 async fn wait_for(node: &NodeProcess, id: &str, expected: &str) {
     let mut last = (0, Value::Null);
     for _ in 0..100 {
-        last = ask(node, "GET", id).await;
+        last = send_empty(node, "GET", id).await;
         if last == (200, json!({ "State": expected })) {
             return;
         }
@@ -42,7 +42,7 @@
 async fn a_kept_job_is_accepted_and_then_completed() {
     let platform = Platform::start(2, Duration::from_millis(60)).await;
     let node = platform.start_node(platform.node_settings("vm-1")).await;
-    assert_eq!(ask(&node, "GET", ID).await.0, 410);
+    assert_eq!(send_empty(&node, "GET", ID).await.0, 410);
     let body = kept_job_body(3, 60);
     assert_eq!(post_job(&node, ID, &body).await, (202, json!({})));
     wait_for(&node, ID, "completed").await;
@@ -51,7 +51,7 @@
     assert_eq!(post_job(&node, ID, &body).await, (202, json!({})));
     actix_rt::time::sleep(Duration::from_millis(300)).await;
     assert_eq!(done_runs(&platform), 3);
-    assert_eq!(ask(&node, "DELETE", ID).await.0, 200);
+    assert_eq!(send_empty(&node, "DELETE", ID).await.0, 200);
     wait_for(&node, ID, "completed").await;
 }
 
@@ -76,7 +76,7 @@
     let node = platform.start_node(platform.node_settings("vm-1")).await;
     assert_eq!(post_job(&node, ID, &kept_job_body(2, 2_000)).await.0, 202);
     actix_rt::time::sleep(Duration::from_millis(200)).await;
-    assert_eq!(ask(&node, "DELETE", ID).await.0, 200);
+    assert_eq!(send_empty(&node, "DELETE", ID).await.0, 200);
     wait_for(&node, ID, "canceled").await;
     actix_rt::time::sleep(Duration::from_millis(800)).await;
     let runs = platform.executors[0].runs();
@@ -89,23 +89,23 @@
 /// The store is away. A new job cannot be stored: its customer is told that it was not accepted, and nothing runs. What
 /// cannot be said without the store is not guessed.
 #[actix_rt::test]
-async fn without_the_store_nothing_is_accepted() {
+async fn jobs_are_refused_while_the_store_is_unavailable() {
     let platform = Platform::start(1, Duration::from_millis(50)).await;
     let node = platform.start_node(platform.node_settings("vm-1")).await;
     platform.store.set_fault(StoreFault::Busy);
     assert_eq!(post_job(&node, ID, &kept_job_body(1, 50)).await.0, 503);
-    assert_eq!(ask(&node, "GET", ID).await.0, 503);
-    assert_eq!(ask(&node, "DELETE", ID).await.0, 503);
+    assert_eq!(send_empty(&node, "GET", ID).await.0, 503);
+    assert_eq!(send_empty(&node, "DELETE", ID).await.0, 503);
     platform.store.set_fault(StoreFault::None);
     actix_rt::time::sleep(Duration::from_millis(500)).await;
     assert!(platform.executors[0].runs().is_empty());
-    assert_eq!(ask(&node, "GET", ID).await.0, 410);
+    assert_eq!(send_empty(&node, "GET", ID).await.0, 410);
 }
 
 /// The store does what it is told and its answers get lost. The customer gets no answer that says yes or no; once the
 /// store answers again, the job is there once, whoever asks.
 #[actix_rt::test]
-async fn a_lost_answer_of_the_store_is_read_back() {
+async fn a_job_whose_store_answer_is_lost_runs_once() {
     let platform = Platform::start(1, Duration::from_millis(50)).await;
     let node = platform.start_node(platform.node_settings("vm-1")).await;
     platform.store.set_fault(StoreFault::AnswersLost);
@@ -120,7 +120,7 @@
 
 /// Jobs wait for places: the queue says how many, from any node, and none once they have begun.
 #[actix_rt::test]
-async fn jobs_that_have_not_begun_are_counted() {
+async fn pending_jobs_are_counted() {
     let platform = Platform::start(1, Duration::from_millis(1_200)).await;
     // With an objective that leaves them time to wait.
     let mut config = support::config(7);
@@ -132,16 +132,22 @@
         assert_eq!(post_job(&node, &id, &kept_job_body(1, 1_200)).await.0, 202);
     }
     actix_rt::time::sleep(Duration::from_millis(900)).await;
-    assert_eq!(ask(&node, "GET", "").await, (200, json!({ "Pending": 2 })));
+    assert_eq!(
+        send_empty(&node, "GET", "").await,
+        (200, json!({ "Pending": 2 }))
+    );
     wait_for(&node, "00000000000000f3", "completed").await;
     actix_rt::time::sleep(Duration::from_millis(900)).await;
-    assert_eq!(ask(&node, "GET", "").await, (200, json!({ "Pending": 0 })));
+    assert_eq!(
+        send_empty(&node, "GET", "").await,
+        (200, json!({ "Pending": 0 }))
+    );
 }
 
 /// Many jobs end while the store is away, and all their ends go to one part of it. Each is shown as completed once the
 /// store is back: more than it takes in one transaction would be turned away, all together and again at each try.
 #[actix_rt::test]
-async fn many_ends_at_once_are_stored() {
+async fn many_jobs_that_end_at_once_are_stored() {
     let platform = Platform::start(18, Duration::from_millis(500)).await;
     let node = platform.start_node(platform.node_settings("vm-1")).await;
     let of_one_part = (0..u64::MAX).filter(|id| xxh3_64(&id.to_be_bytes()).is_multiple_of(8));
@@ -151,7 +157,7 @@
         .collect();
     let calls: Vec<_> = ids
         .iter()
-        .map(|id| support::post_meanwhile(&node, id, kept_job_body(1, 500)))
+        .map(|id| support::spawn_post_job(&node, id, kept_job_body(1, 500)))
         .collect();
     for call in calls {
         assert_eq!(call.await.unwrap().0, 202, "{}", node.log_lines());
--- a/crates/node/tests/metrics_page.rs
+++ b/crates/node/tests/metrics_page.rs
@@ -5,7 +5,7 @@
 use node::{counter_families, TIMES};
 
 #[test]
-fn page_and_code_say_the_same() {
+fn metrics_page_matches_code() {
     let page = include_str!("../../../docs/METRICS-NODE.md");
     let mut counters = String::new();
     for family in counter_families() {
--- a/crates/node/tests/reading.rs
+++ b/crates/node/tests/reading.rs
@@ -13,10 +13,10 @@
 const WORKERS: usize = 8;
 
 /// The fewest of them that get workers: these are divided by hash.
-const OWNERS: usize = 3;
+const MIN_OWNERS: usize = 3;
 
 /// VMs so weak that each gets a pool of its own.
-async fn weak_owners(platform: &Platform) -> Vec<NodeProcess> {
+async fn start_small_nodes(platform: &Platform) -> Vec<NodeProcess> {
     let starts = (0..NODES).map(|number| {
         let settings = NodeSettings {
             cores: 0.01,
@@ -27,17 +27,17 @@
     let nodes = futures::future::join_all(starts).await;
     let owns = |node: &NodeProcess| node.log_lines().contains("pool_taken");
     for _ in 0..600 {
-        if nodes.iter().filter(|node| owns(node)).count() >= OWNERS {
+        if nodes.iter().filter(|node| owns(node)).count() >= MIN_OWNERS {
             return nodes;
         }
-        beat(platform, Duration::from_millis(20)).await;
+        heartbeat_for(platform, Duration::from_millis(20)).await;
     }
     panic!("too few own a pool: {}", nodes[0].log_lines());
 }
 
 /// Lets time pass in which workers write their entries, as they do each heartbeat.
-async fn beat(platform: &Platform, span: Duration) {
-    let end = std::time::Instant::now() + span;
+async fn heartbeat_for(platform: &Platform, duration: Duration) {
+    let end = std::time::Instant::now() + duration;
     while std::time::Instant::now() < end {
         for (number, executor) in platform.executors.iter().enumerate() {
             let entry = executor.entry("svc", CENTRE, "ready");
@@ -51,12 +51,12 @@
 
 /// Guards against a list that each owner reads: four of them do not read it four times as often as one.
 #[actix_rt::test]
-async fn owners_go_by_what_one_of_them_reads() {
+async fn one_owner_reads_the_worker_list_for_all() {
     let platform = Platform::start(WORKERS, Duration::from_millis(50)).await;
-    let nodes = weak_owners(&platform).await;
-    beat(&platform, Duration::from_millis(2_000)).await;
+    let nodes = start_small_nodes(&platform).await;
+    heartbeat_for(&platform, Duration::from_millis(2_000)).await;
     let before = platform.store.reads("servers");
-    beat(&platform, Duration::from_millis(3_000)).await;
+    heartbeat_for(&platform, Duration::from_millis(3_000)).await;
     let reads = platform.store.reads("servers") - before;
     assert!(
         (6..=20).contains(&reads),
@@ -65,31 +65,31 @@
     );
 }
 
-/// Guards against a change that only the reader hears: each owner leaves a worker alone within a second after it says that it
+/// Guards against a change that only the reader hears: each owner draining a worker alone within a second after it says that it
 /// will go, also once the reader is gone.
 #[actix_rt::test]
-async fn a_draining_worker_is_left_alone_by_all_owners() {
+async fn no_owner_starts_tasks_on_a_draining_worker() {
     let platform = Platform::start(WORKERS, Duration::from_millis(50)).await;
-    let mut nodes = weak_owners(&platform).await;
-    beat(&platform, Duration::from_millis(1_500)).await;
+    let mut nodes = start_small_nodes(&platform).await;
+    heartbeat_for(&platform, Duration::from_millis(1_500)).await;
     for round in 0..2 {
         for number in 0..3 {
-            let leaves = round * 3 + number;
-            let entry = platform.executors[leaves].entry("svc", CENTRE, "draining");
+            let draining = round * 3 + number;
+            let entry = platform.executors[draining].entry("svc", CENTRE, "draining");
             platform
                 .store
-                .put("servers", &format!("i-{leaves}"), &entry);
+                .put("servers", &format!("i-{draining}"), &entry);
         }
         actix_rt::time::sleep(Duration::from_millis(1_000)).await;
-        let leaving = &platform.executors[round * 3..round * 3 + 3];
-        let before: Vec<usize> = leaving.iter().map(|e| e.runs().len()).collect();
+        let draining_workers = &platform.executors[round * 3..round * 3 + 3];
+        let before: Vec<usize> = draining_workers.iter().map(|e| e.runs().len()).collect();
         for number in 0..12 {
             let id = format!("5c0e7a21d94b{round:02x}{number:02x}");
             let node = &nodes[number % nodes.len()];
             let answer = post_job(node, &id, &job(1, 400)).await;
             assert_eq!(answer, (200, json!({ "State": "completed" })), "{id}");
         }
-        let after: Vec<usize> = leaving.iter().map(|e| e.runs().len()).collect();
+        let after: Vec<usize> = draining_workers.iter().map(|e| e.runs().len()).collect();
         assert_eq!(before, after, "round {round}");
         // Whichever it is that reads, in the next round it may be another.
         nodes.remove(0);
--- a/crates/node/tests/rebirth.rs
+++ b/crates/node/tests/rebirth.rs
@@ -7,25 +7,25 @@
 use node::NodeProcess;
 use platform_stand_ins::{ExecutorPlan, ExecutorStandIn};
 use serde_json::json;
-use support::{job, post_job, post_meanwhile, Platform, CENTRE};
+use support::{job, post_job, spawn_post_job, Platform, CENTRE};
 
 const RUN_TIME: Duration = Duration::from_millis(150);
 
-async fn start_named(platform: &Platform, life: &str) -> ExecutorStandIn {
+async fn start_worker(platform: &Platform, id: &str) -> ExecutorStandIn {
     let plan = ExecutorPlan {
-        id: life.to_owned(),
+        id: id.to_owned(),
         run_time: RUN_TIME,
         born: Some(1_764_751_000_000),
         ..ExecutorPlan::default()
     };
     let executor = ExecutorStandIn::start(plan).await;
-    tell(platform, life, &executor);
+    write_heartbeat(platform, id, &executor);
     executor
 }
 
-fn tell(platform: &Platform, life: &str, executor: &ExecutorStandIn) {
+fn write_heartbeat(platform: &Platform, id: &str, executor: &ExecutorStandIn) {
     let entry = executor.entry("svc", CENTRE, "ready");
-    platform.store.put("servers", life, &entry);
+    platform.store.put("servers", id, &entry);
 }
 
 async fn complete_jobs(node: &NodeProcess, first: u64) {
@@ -37,24 +37,24 @@
 }
 
 /// The only worker dies with a caller's tasks on it and is back under its id, its clock far behind. The caller's tasks run again
-/// there and it gets its answer; later callers get theirs, before the directory tells of the new life and after.
+/// there and it gets its answer; later callers get theirs, before the directory tells of the new id and after.
 #[actix_rt::test]
-async fn a_reborn_worker_serves_on() {
+async fn a_restarted_worker_keeps_serving() {
     let platform = Platform::start(0, RUN_TIME).await;
-    let worker = start_named(&platform, "i-0").await;
+    let worker = start_worker(&platform, "i-0").await;
     let node = platform.start_node(platform.node_settings("vm-1")).await;
     complete_jobs(&node, 0x100).await;
-    let cut = post_meanwhile(&node, "00000000000000a0", job(2, 400));
+    let interrupted = spawn_post_job(&node, "00000000000000a0", job(2, 400));
     actix_rt::time::sleep(RUN_TIME / 2).await;
     worker.restart(1_764_750_999_000);
-    assert_eq!(cut.await.unwrap().0, 200, "{}", node.log_lines());
+    assert_eq!(interrupted.await.unwrap().0, 200, "{}", node.log_lines());
     complete_jobs(&node, 0x200).await;
-    tell(&platform, "i-0", &worker);
+    write_heartbeat(&platform, "i-0", &worker);
     actix_rt::time::sleep(Duration::from_millis(400)).await;
     complete_jobs(&node, 0x300).await;
     // Idle when it dies, and told of at once.
     worker.restart(1_764_751_002_000);
-    tell(&platform, "i-0", &worker);
+    write_heartbeat(&platform, "i-0", &worker);
     actix_rt::time::sleep(Duration::from_millis(400)).await;
     complete_jobs(&node, 0x400).await;
     assert_eq!(node.log_lines().matches("worker_reborn").count(), 2);
@@ -68,7 +68,7 @@
 /// A look's answer names a birth that is no whole number. It is no listing that can be believed; once the worker lists itself
 /// rightly it serves.
 #[actix_rt::test]
-async fn workers_that_do_not_tell_their_birth_serve_as_before() {
+async fn workers_without_a_start_time_are_used() {
     let platform = Platform::start(1, RUN_TIME).await;
     let node = platform.start_node(platform.node_settings("vm-1")).await;
     complete_jobs(&node, 0x100).await;
--- a/crates/node/tests/serving.rs
+++ b/crates/node/tests/serving.rs
@@ -33,14 +33,14 @@
 }
 
 #[actix_rt::test]
-async fn what_is_not_a_job_is_refused_and_nothing_runs() {
+async fn invalid_jobs_are_refused_and_run_nothing() {
     let platform = Platform::start(1, Duration::from_millis(10)).await;
     let node = platform.start_node(platform.node_settings("vm-1")).await;
     let client = Client::default();
-    let lasting = json!({ "LongRunning": true, "Phases": [{ "Count": 1, "Cpu": 1 }] });
+    let long_running = json!({ "LongRunning": true, "Phases": [{ "Count": 1, "Cpu": 1 }] });
     let no_tasks = json!({ "Ephemeral": true, "Phases": [{ "Count": 0 }] });
     let wrong_type = json!({ "Ephemeral": true, "Phases": [{ "Count": "many" }] });
-    let circle = json!({ "Ephemeral": true, "Phases": [{ "Count": 1, "After": [0] }] });
+    let self_dependency = json!({ "Ephemeral": true, "Phases": [{ "Count": 1, "After": [0] }] });
     let too_long = json!({ "Ephemeral": true, "Spec": "x".repeat(5_000), "Phases": [] });
     let never_fits = json!({ "Ephemeral": true, "Phases": [{ "Count": 1, "Cpu": 99_000 }] });
     let path = format!("/hold/{ID}");
@@ -50,9 +50,9 @@
         ("POST", &path, &json!("no job"), 400),
         ("POST", &path, &no_tasks, 400),
         ("POST", &path, &wrong_type, 400),
-        ("POST", &path, &circle, 400),
+        ("POST", &path, &self_dependency, 400),
         ("POST", &path, &too_long, 413),
-        ("POST", &path, &lasting, 503),
+        ("POST", &path, &long_running, 503),
         ("POST", &path, &never_fits, 503),
         ("GET", &path, &Value::Null, 410),
         ("PUT", &path, &job(1, 10), 405),
@@ -90,7 +90,7 @@
 /// A process that has just started does not know the configuration yet. A customer that reaches it is told that
 /// nothing ran and when to come back, and not that there is no such queue.
 #[actix_rt::test]
-async fn without_a_configuration_nothing_is_taken() {
+async fn jobs_are_refused_before_a_configuration_is_known() {
     let platform = Platform::start(1, Duration::from_millis(10)).await;
     platform.store.remove("op", "config");
     let node = start_node(platform.node_settings("vm-1")).await;
@@ -102,7 +102,7 @@
 /// A customer leaves while its job runs. Its connection closes, the node cancels the job, and the worker is told to
 /// stop: nobody waits for the work any more, and the customer's next try must not run beside it.
 #[actix_rt::test]
-async fn a_customer_that_leaves_stops_its_job() {
+async fn a_job_is_stopped_when_its_customer_disconnects() {
     let platform = Platform::start(1, Duration::from_millis(1_500)).await;
     let node = platform.start_node(platform.node_settings("vm-1")).await;
     let body = job(2, 1_500);
@@ -122,7 +122,7 @@
 /// A customer leaves and another comes at the same moment. The places of the first one's tasks are being cleared, which
 /// takes 50 ms; the second must not be refused as if they went on to their end.
 #[actix_rt::test]
-async fn places_that_are_being_cleared_count_as_free_soon() {
+async fn slots_of_cancelled_tasks_count_as_free_soon() {
     let platform = Platform::start(1, Duration::from_millis(900)).await;
     let node = platform.start_node(platform.node_settings("vm-1")).await;
     let body = job(2, 900);
@@ -137,7 +137,7 @@
 
 /// Every series is there from the start, so that a rate over it is right from its first count.
 #[actix_rt::test]
-async fn metrics_tell_what_was_answered() {
+async fn metrics_count_answers_and_runs() {
     let platform = Platform::start(2, Duration::from_millis(20)).await;
     let node = platform.start_node(platform.node_settings("vm-1")).await;
     post_job(&node, ID, &job(2, 20)).await;
@@ -159,7 +159,7 @@
 /// The configuration bounds heads and how long a connection may idle. A customer over one of them gets a clear answer or
 /// a closed connection, and others are served on. Limits that come later hold for new connections.
 #[actix_rt::test]
-async fn limits_of_the_configuration_hold() {
+async fn configured_connection_limits_are_enforced() {
     let platform = Platform::start(1, Duration::from_millis(10)).await;
     let node = platform.start_node(platform.node_settings("vm-1")).await;
     let mut config = support::config(7);
@@ -175,8 +175,8 @@
         .insert_header(("X-Long", "x".repeat(700)));
     assert_eq!(long.send().await.unwrap().status().as_u16(), 431);
     let mut stream = TcpStream::connect(address).await.unwrap();
-    let asked = format!("GET /hold/ HTTP/1.1\r\nHost: {}\r\n\r\n", support::HOST);
-    stream.write_all(asked.as_bytes()).await.unwrap();
+    let request_text = format!("GET /hold/ HTTP/1.1\r\nHost: {}\r\n\r\n", support::HOST);
+    stream.write_all(request_text.as_bytes()).await.unwrap();
     let mut answer = Vec::new();
     let closed = stream.read_to_end(&mut answer);
     let closed = tokio::time::timeout(Duration::from_millis(1_500), closed).await;
--- a/crates/node/tests/starting.rs
+++ b/crates/node/tests/starting.rs
@@ -24,15 +24,15 @@
 
 /// There are no workers, so no pool ever has an owner. Callers are told soon that nothing ran.
 #[actix_rt::test]
-async fn a_job_does_not_wait_for_ever() {
+async fn a_job_is_refused_soon_if_pools_get_no_owner() {
     let platform = Platform::start(0, Duration::from_millis(10)).await;
     let node = start_node(platform.node_settings("vm-1")).await;
     while !node.log_lines().contains("configuration_taken") {
         actix_rt::time::sleep(Duration::from_millis(1)).await;
     }
-    let begun = std::time::Instant::now();
+    let started = std::time::Instant::now();
     let answer = post_job(&node, "00000000000000a1", &job(2, 200)).await;
     assert_eq!(answer.0, 503);
     assert!(platform.executors.is_empty());
-    assert!(begun.elapsed() < Duration::from_millis(600));
+    assert!(started.elapsed() < Duration::from_millis(600));
 }
--- a/crates/node/tests/stopping.rs
+++ b/crates/node/tests/stopping.rs
@@ -8,7 +8,7 @@
 use platform_stand_ins::StoreFault;
 use serde_json::json;
 use settings::NodeSettings;
-use support::{job, post_meanwhile, send, Platform};
+use support::{job, send, spawn_post_job, Platform};
 
 const GRACE_S: f64 = 2.5;
 
@@ -21,10 +21,10 @@
 
 /// The caller sees its answer although the node is stopping: the job was taken before, so it is run to its end.
 #[actix_rt::test]
-async fn a_job_that_runs_when_the_stop_begins_is_answered() {
+async fn a_running_job_is_finished_during_a_stop() {
     let platform = Platform::start(1, Duration::from_millis(700)).await;
     let node = platform.start_node(settings(&platform)).await;
-    let call = post_meanwhile(&node, "00000000000000a1", job(2, 700));
+    let call = spawn_post_job(&node, "00000000000000a1", job(2, 700));
     actix_rt::time::sleep(Duration::from_millis(150)).await;
     node.stop().await;
     assert_eq!(call.await.unwrap(), (200, json!({ "State": "completed" })));
@@ -34,7 +34,7 @@
 /// node's time does not suffice for the job. Another node owns the workers and would take it. Taken and cut by the end
 /// of the process, the customer could not know whether it ran; so it is told at once that it did not.
 #[actix_rt::test]
-async fn a_job_that_comes_too_late_in_the_stop_is_refused_and_not_cut() {
+async fn a_job_with_too_little_time_left_in_a_stop_is_refused() {
     let platform = Platform::start(1, Duration::from_millis(900)).await;
     let owner = platform.start_node(platform.node_settings("vm-0")).await;
     assert!(owner.log_lines().contains("pool_taken"));
@@ -75,7 +75,7 @@
 async fn a_job_that_outlasts_the_stop_gets_an_answer() {
     let platform = Platform::start(1, Duration::from_millis(3_800)).await;
     let node = platform.start_node(settings(&platform)).await;
-    let call = post_meanwhile(&node, "00000000000000c1", job(1, 3_800));
+    let call = spawn_post_job(&node, "00000000000000c1", job(1, 3_800));
     actix_rt::time::sleep(Duration::from_millis(150)).await;
     node.stop().await;
     drop(node);
@@ -85,11 +85,11 @@
 /// The owner of the workers is told to stop while a long job runs on one of two workers. A second node takes the other
 /// worker at once and serves with it; the long job goes on where it is. Neither caller notices the stop.
 #[actix_rt::test]
-async fn a_stopping_owner_leaves_idle_workers_to_its_successor_and_finishes_its_jobs() {
+async fn a_stopping_owner_hands_over_idle_workers_and_finishes_its_jobs() {
     let platform = Platform::start(2, Duration::from_millis(1_400)).await;
     let owner = platform.start_node(settings(&platform)).await;
     let successor = platform.start_node(platform.node_settings("vm-2")).await;
-    let long = post_meanwhile(&owner, "00000000000000d1", job(1, 1_400));
+    let long = spawn_post_job(&owner, "00000000000000d1", job(1, 1_400));
     actix_rt::time::sleep(Duration::from_millis(200)).await;
     let stopping = actix_rt::spawn(async move { owner.stop().await });
     actix_rt::time::sleep(Duration::from_millis(500)).await;
@@ -112,7 +112,7 @@
 /// answered. Each of them gets a whole answer, or its connection is refused before anything of its job runs: a job that
 /// is taken then would be cut by the end of the process.
 #[actix_rt::test]
-async fn a_job_that_comes_in_the_last_moment_is_not_cut() {
+async fn no_job_runs_unanswered_at_the_end_of_a_stop() {
     let platform = Platform::start(2, Duration::from_millis(45)).await;
     let owner = platform.start_node(platform.node_settings("vm-0")).await;
     assert!(owner.log_lines().contains("pool_taken"));
@@ -149,7 +149,7 @@
 /// The owner of the workers is told to stop while the store is away, so that nobody can take its pool over. Customers of
 /// another node are served on by it; if it refused at once they would find no owner until the store is back.
 #[actix_rt::test]
-async fn a_stopping_owner_serves_on_while_nobody_can_succeed_it() {
+async fn a_stopping_owner_keeps_serving_until_it_can_be_succeeded() {
     let platform = Platform::start(2, Duration::from_millis(20)).await;
     let owner = platform.start_node(platform.node_settings("vm-1")).await;
     assert!(owner.log_lines().contains("pool_taken"));
--- a/crates/node/tests/store.rs
+++ b/crates/node/tests/store.rs
@@ -9,7 +9,7 @@
 use support::{config, job, post_job, start_node, Platform};
 
 /// Lets a change of the store reach the node: feeds come at most 250 ms apart.
-async fn settle() {
+async fn wait_for_feed() {
     actix_rt::time::sleep(Duration::from_millis(450)).await;
 }
 
@@ -20,7 +20,7 @@
 }
 
 #[actix_rt::test]
-async fn a_newer_configuration_is_taken_and_an_older_one_is_not() {
+async fn only_newer_configurations_are_applied() {
     let platform = Platform::start(1, Duration::from_millis(10)).await;
     let node = platform.start_node(platform.node_settings("vm-1")).await;
     assert_eq!(
@@ -28,13 +28,13 @@
         200
     );
     platform.store.put("op", "config", &other_prefix(9));
-    settle().await;
+    wait_for_feed().await;
     assert_eq!(
         post_job(&node, "00000000000000a2", &job(1, 10)).await.0,
         404
     );
     platform.store.put("op", "config", &config(4));
-    settle().await;
+    wait_for_feed().await;
     assert_eq!(
         post_job(&node, "00000000000000a3", &job(1, 10)).await.0,
         404
@@ -42,7 +42,7 @@
     platform
         .store
         .put("op", "config", &json!("no configuration"));
-    settle().await;
+    wait_for_feed().await;
     assert!(node.log_lines().contains("row_unreadable"));
     assert_eq!(
         post_job(&node, "00000000000000a4", &job(1, 10)).await.0,
@@ -53,11 +53,11 @@
 /// The store drops its history between two readings, with a change in the gap. A node that went on from where it was
 /// would never hear of it; it is told that the history is gone and reads everything.
 #[actix_rt::test]
-async fn a_change_in_a_gap_of_the_history_is_found() {
+async fn changes_are_found_after_the_history_is_truncated() {
     let platform = Platform::start(1, Duration::from_millis(10)).await;
     let node = platform.start_node(platform.node_settings("vm-1")).await;
     platform.store.set_fault(StoreFault::Silent);
-    settle().await;
+    wait_for_feed().await;
     platform.store.put("op", "config", &other_prefix(9));
     platform.store.truncate_history();
     platform.store.set_fault(StoreFault::None);
@@ -71,12 +71,12 @@
 
 /// A worker will leave. It goes on serving what it has, but gets nothing new.
 #[actix_rt::test]
-async fn a_draining_worker_gets_nothing_new() {
+async fn a_draining_worker_gets_no_new_tasks() {
     let platform = Platform::start(2, Duration::from_millis(10)).await;
     let node = platform.start_node(platform.node_settings("vm-1")).await;
-    let leaving = platform.executors[0].entry("svc", support::CENTRE, "draining");
-    platform.store.put("servers", "i-0", &leaving);
-    settle().await;
+    let draining = platform.executors[0].entry("svc", support::CENTRE, "draining");
+    platform.store.put("servers", "i-0", &draining);
+    wait_for_feed().await;
     for number in 0..6 {
         let id = format!("000000000000000{number}");
         assert_eq!(post_job(&node, &id, &job(2, 10)).await.0, 200);
@@ -88,7 +88,7 @@
 /// The store is away for seconds. Nothing on a job's path needs it, so customers notice nothing. When it comes back, a
 /// worker's entry has lapsed and is written again a second later: the worker must not be dropped in between.
 #[actix_rt::test]
-async fn jobs_are_served_while_the_store_is_away() {
+async fn jobs_are_served_while_the_store_is_unavailable() {
     let platform = Platform::start(1, Duration::from_millis(10)).await;
     let node = platform.start_node(platform.node_settings("vm-1")).await;
     platform.store.set_fault(StoreFault::Busy);
@@ -113,7 +113,7 @@
         200
     );
     platform.store.remove("servers", "i-0");
-    settle().await;
+    wait_for_feed().await;
     assert_eq!(
         post_job(&node, "00000000000000c4", &job(2, 10)).await.0,
         503,
@@ -156,10 +156,10 @@
 /// A pool's new owner finds runs of the former one, whose customers have been told to try again. It stops them before
 /// it places anything beside them: their demands are not known, and their tasks may come again.
 #[actix_rt::test]
-async fn a_new_owner_stops_what_it_finds() {
+async fn a_new_owner_stops_the_former_owners_runs() {
     let platform = Platform::start(1, Duration::from_millis(5_000)).await;
     let former = platform.start_node(platform.node_settings("vm-1")).await;
-    let kept = support::post_meanwhile(&former, "00000000000000e2", job(2, 1_500));
+    let kept = support::spawn_post_job(&former, "00000000000000e2", job(2, 1_500));
     actix_rt::time::sleep(Duration::from_millis(300)).await;
     let fence = platform.executors[0].fence();
     drop(former);
@@ -181,7 +181,7 @@
 
 /// A worker that the directory adds later serves too.
 #[actix_rt::test]
-async fn a_new_worker_is_taken_up() {
+async fn a_worker_added_later_is_used() {
     let platform = Platform::start(1, Duration::from_millis(10)).await;
     let node = platform.start_node(platform.node_settings("vm-1")).await;
     let plan = ExecutorPlan {
@@ -194,7 +194,7 @@
         "i-new",
         &added.entry("svc", support::CENTRE, "ready"),
     );
-    settle().await;
+    wait_for_feed().await;
     assert_eq!(
         post_job(&node, "00000000000000f1", &job(4, 10)).await.0,
         200
@@ -212,7 +212,7 @@
 /// The same while the store has so much to tell that its answers are on their way for a third of a second: that nothing has come
 /// yet does not say that nothing has changed.
 #[actix_rt::test]
-async fn a_new_owner_waits_for_a_long_answer() {
+async fn a_new_owner_waits_for_a_slow_store_answer() {
     take_over_beside_a_draining_worker(StoreFault::Slow(Duration::from_millis(350))).await;
 }
 
@@ -221,8 +221,8 @@
     let owner = platform.start_node(platform.node_settings("vm-1")).await;
     let other = platform.start_node(platform.node_settings("vm-2")).await;
     actix_rt::time::sleep(Duration::from_millis(9_500)).await;
-    let leaving = platform.executors[0].entry("svc", support::CENTRE, "draining");
-    platform.store.put("servers", "i-0", &leaving);
+    let draining = platform.executors[0].entry("svc", support::CENTRE, "draining");
+    platform.store.put("servers", "i-0", &draining);
     drop(owner);
     platform.store.set_fault(fault);
     let mut served = 0;
@@ -240,7 +240,7 @@
 /// Guards against a part of the changes that is taken for all of them: a store that has much to tell tells it in several
 /// answers, and a worker that began to drain comes last.
 #[actix_rt::test]
-async fn a_change_behind_many_others_is_found_at_once() {
+async fn a_change_after_many_others_is_found_at_once() {
     let platform = Platform::start(1, Duration::from_millis(10)).await;
     let node = platform.start_node(platform.node_settings("vm-1")).await;
     let other = platform.executors[0].entry("unknown", support::CENTRE, "ready");
@@ -251,7 +251,7 @@
     }
     let entry = platform.executors[0].entry("svc", support::CENTRE, "draining");
     platform.store.put("servers", "i-0", &entry);
-    settle().await;
+    wait_for_feed().await;
     let answer = post_job(&node, "00000000000000d1", &job(1, 10)).await;
     assert_ne!(answer.0, 200);
     assert_eq!(platform.executors[0].runs(), Vec::new());
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -148,7 +148,7 @@
 
 /// Hands a job in and goes on; the answer comes with the task.
 #[allow(dead_code, reason = "not every test file of this module posts jobs")]
-pub(crate) fn post_meanwhile(
+pub(crate) fn spawn_post_job(
     node: &NodeProcess,
     id: &str,
     body: Value,
