--- a/crates/node/tests/crash.rs
+++ b/crates/node/tests/crash.rs
@@ -1,4 +1,4 @@
-//! A customer's task crashes whatever worker starts it: its job ends as failed, and the others are served.
+//! A task crashes every worker that starts it. Its job has to end as failed while other jobs are served.
 
 mod support;
 
@@ -26,7 +26,7 @@
     write_heartbeats(platform);
 }
 
-/// Workers write their entries, as they do each heartbeat.
+/// Writes the entries of all workers, as they do with each heartbeat.
 fn write_heartbeats(platform: &Platform) {
     for (number, executor) in platform.executors.iter().enumerate() {
         let mut entry = executor.entry("svc", CENTRE, "ready");
@@ -53,7 +53,7 @@
         .sum()
 }
 
-/// Guards against a kept job that crashes one worker after another for good.
+/// Guards against a stored job that crashes one worker after another without end.
 #[actix_rt::test]
 async fn a_job_that_crashes_workers_fails_and_others_are_served() {
     let mut platform = Platform::start(0, RUN_TIME).await;
--- a/crates/node/tests/dividing.rs
+++ b/crates/node/tests/dividing.rs
@@ -1,4 +1,4 @@
-//! Jobs that no pool can take alone.
+//! Jobs that are divided among pools because no single pool can run them in time.
 
 mod support;
 
@@ -10,7 +10,7 @@
 use settings::NodeSettings;
 use support::{job, post_job, Platform};
 
-/// Where one executor is, with places for two tasks, and a node.
+/// Adds a data centre with a node and one executor that runs two tasks at a time.
 async fn add_centre(platform: &mut Platform, centre: &str, run_time: Duration) -> NodeProcess {
     let id = format!("i-{centre}");
     let plan = ExecutorPlan {
@@ -29,7 +29,7 @@
     platform.start_node(settings).await
 }
 
-/// Five data centres with a node each, of which the first knows the owners of all pools.
+/// Starts five data centres with a node each, and waits until the first node has links to the owners of the other pools.
 async fn five_centres(run_time: Duration) -> (Platform, Vec<NodeProcess>) {
     let mut platform = Platform::start(0, run_time).await;
     let mut nodes = Vec::new();
@@ -40,7 +40,7 @@
     (platform, nodes)
 }
 
-/// Waits until a node has links to the owners of so many other pools.
+/// Waits until a node has links to the owners of `links` other pools.
 async fn wait_for_links(node: &NodeProcess, links: usize) {
     for _ in 0..500 {
         let log = node.log_lines();
@@ -53,13 +53,13 @@
     panic!("not linked: {}", node.log_lines());
 }
 
-/// A job has nine tasks that run at the same time; each of five data centres has places for two. Any four of them are too
-/// few. The caller is told that it is too late, while all five together would have run it at once.
+/// A job has nine parallel tasks, and each of five data centres runs two tasks at a time, so that four of them are too few.
+/// Guards against refusing the job as too late although all five together can run it at once.
 #[actix_rt::test]
 async fn a_job_is_divided_among_all_five_pools() {
     let run_time = Duration::from_millis(300);
     let (_platform, nodes) = five_centres(run_time).await;
-    // Each owner publishes its load with its next heartbeat.
+    // Owners publish their load with their next heartbeat.
     actix_rt::time::sleep(Duration::from_millis(600)).await;
     let started = Instant::now();
     let answer = post_job(&nodes[0], "5c0e7a21d94b36f9", &job(9, 300)).await;
@@ -69,7 +69,7 @@
     assert!(took < Duration::from_millis(540), "{took:?}");
 }
 
-/// The bytes that a node has sent to owners of other pools, as its metrics page says.
+/// The bytes that a node has sent to the owners of other pools, read from its metrics.
 async fn peer_bytes(node: &NodeProcess) -> u64 {
     let url = format!("http://{}/metrics", node.ready_address());
     let page = awc::Client::default()
@@ -86,9 +86,9 @@
     line.unwrap().parse().unwrap()
 }
 
-/// A job of nine tasks with a text of 3,500 bytes runs in parts in five pools. Its text has to go to the four that are
-/// elsewhere, once each. Pools that are only asked what they could take get no text: on narrow links the texts of refused
-/// questions filled the owners' links, and with them everything else was late.
+/// A job of nine tasks with a text of 3,500 bytes is divided among five pools. Its text has to be sent once to each of the
+/// four remote ones. Guards against sending the text also to pools that are only asked how many tasks they could take: on
+/// narrow links the texts of refused requests saturated the owners' links and delayed all other traffic.
 #[actix_rt::test]
 async fn a_job_text_is_sent_only_to_pools_that_run_it() {
     let run_time = Duration::from_millis(300);
@@ -104,8 +104,8 @@
     assert!(sent < 6 * 3_500, "{sent}");
 }
 
-/// A job has four tasks that run at the same time; each data centre has places for two. In one of them alone the last
-/// two would start when the first two have ended, which is too late for the caller. Both together run all at once.
+/// A job has four parallel tasks, and each of two data centres runs two tasks at a time. In a single data centre the last
+/// two would start after the first two, which is too late for the caller; both together run all four at once.
 #[actix_rt::test]
 async fn a_wide_job_is_divided_among_data_centres() {
     let run_time = Duration::from_millis(300);
--- a/crates/node/tests/entries.rs
+++ b/crates/node/tests/entries.rs
@@ -1,5 +1,5 @@
-//! What a node makes of entries in the directory that another writer made or corrupted: such an entry names no worker to
-//! use, is logged once, and changes nothing for the others.
+//! Directory entries that another writer created or corrupted. A node does not use the worker of such an entry, logs the
+//! entry once, and goes on using all other workers.
 
 mod support;
 
@@ -10,12 +10,12 @@
 use serde_json::{json, Value};
 use support::{config, job, post_job, Platform, CENTRE};
 
-/// Lets a change of the store reach the node: feeds come at most 250 ms apart.
+/// Waits until a change in the store has reached the node, whose feeds are at most 250 ms apart.
 async fn wait_for_feed() {
     actix_rt::time::sleep(Duration::from_millis(450)).await;
 }
 
-/// A way in which an entry can be wrong.
+/// One kind of invalid entry.
 struct EntryCase {
     name: &'static str,
     corrupt: fn(&mut Value),
@@ -145,15 +145,15 @@
 async fn complete_jobs(node: &NodeProcess, prefix: &str) {
     for number in 0..4 {
         let id = format!("{prefix}{number:02x}");
-        // An estimate far above the run time, so that a busy machine makes no job late.
+        // The estimate is far above the run time, so that no job is late on a busy machine.
         let status = post_job(node, &id, &job(2, 200)).await.0;
         assert_eq!(status, 200, "{id}\n{}", node.log_lines());
     }
 }
 
-/// Customers notice nothing. Another writer adds entries next to a valid worker's, each wrong in one way, and goes on
-/// writing them. A worker behind such an entry is never called, since the entry does not say what it is; the valid one
-/// serves, and the log has one line an entry however often it is written.
+/// Another writer adds invalid entries next to that of a valid worker and rewrites them again and again. The node must not
+/// call the workers of these entries, since an invalid entry does not describe its worker, and must log each entry only
+/// once. The valid worker keeps serving, so customers notice nothing.
 #[actix_rt::test]
 async fn invalid_entries_are_ignored_and_logged_once() {
     let platform = Platform::start(1, Duration::from_millis(10)).await;
@@ -185,8 +185,8 @@
     }
 }
 
-/// An entry is not text at all, and another is not even in the store's encoding. The rows beside them are read all the
-/// same, also a worker that comes later in the same reading.
+/// One row is not UTF-8 and another is not valid base64. Guards against losing the other rows of the same page, among them
+/// a valid worker that follows the two.
 #[actix_rt::test]
 async fn undecodable_rows_do_not_hide_valid_workers() {
     let platform = Platform::start(0, Duration::from_millis(10)).await;
@@ -208,8 +208,8 @@
     assert_eq!(unusable_lines(&node, "i-code"), 1);
 }
 
-/// A known worker's entry is corrupted, then written anew by the worker. In between it gets nothing new, and jobs go to
-/// the other one; afterwards it serves again.
+/// The entry of a known worker is corrupted and later rewritten by the worker. In between the worker gets no new tasks and
+/// jobs run on the other worker; afterwards both are used.
 #[actix_rt::test]
 async fn a_worker_is_used_again_once_its_entry_is_restored() {
     futures::future::join_all(CASES.iter().map(corrupt_and_restore)).await;
@@ -236,8 +236,8 @@
     assert!(run_count > before, "not used again: {}", case.name);
 }
 
-/// An entry names a service that the configuration does not have yet. It names a worker as soon as a newer version has
-/// the service, and none any more once a version drops it: what has to run there no queue sends any task to.
+/// An entry names a service that the configuration does not have yet. Its worker is used as soon as a newer version of the
+/// configuration has the service, and no longer once a version drops the service, since no route sends tasks to it then.
 #[actix_rt::test]
 async fn a_worker_is_used_only_while_its_service_is_configured() {
     let platform = Platform::start(1, Duration::from_millis(10)).await;
@@ -265,8 +265,8 @@
     assert_eq!(other.runs().len(), 8);
 }
 
-/// An entry names an address of the system itself: the store's, or where this node takes jobs. What answers there is no
-/// worker, and calling it as one costs a call each time.
+/// An entry names an address of this system, that of the store or the one on which this node accepts jobs. No worker
+/// listens there, and each attempt to call one would be a wasted call.
 #[actix_rt::test]
 async fn entries_with_addresses_of_the_system_are_ignored() {
     let platform = Platform::start(1, Duration::from_millis(10)).await;
--- a/crates/node/tests/evacuation.rs
+++ b/crates/node/tests/evacuation.rs
@@ -1,5 +1,5 @@
-//! An operator evacuates data centres: nothing starts there from within a second on, at a node of any data centre, and what
-//! can be served elsewhere is.
+//! Operators evacuate data centres. Within a second no node of any data centre starts tasks there any more, and jobs run in
+//! other data centres where that is possible.
 
 mod support;
 
@@ -14,10 +14,10 @@
 
 const RUN_TIME: Duration = Duration::from_millis(10);
 
-/// How soon an evacuation is in force where the store is heard.
+/// The time within which an evacuation is in force at nodes that can reach the store.
 const EVACUATION_DELAY: Duration = Duration::from_millis(1_000);
 
-/// Adds a worker of the west_worker data centre.
+/// Adds a worker in the other data centre.
 async fn add_west_worker(platform: &Platform) -> ExecutorStandIn {
     let plan = ExecutorPlan {
         id: "i-west".to_owned(),
@@ -30,7 +30,7 @@
     west_worker
 }
 
-/// Waits until the node owns so many pools.
+/// Waits until the node owns `pools` pools.
 async fn wait_for_pools(node: &NodeProcess, pools: usize) {
     for _ in 0..600 {
         if node.log_lines().matches("\"pool_taken\"").count() >= pools {
@@ -54,7 +54,7 @@
     actix_rt::time::sleep(EVACUATION_DELAY).await;
 }
 
-/// Hands in jobs one after another and gives their statuses.
+/// Submits six jobs one after another and returns the statuses of their responses.
 async fn post_six_jobs(node: &NodeProcess, first: u64) -> Vec<u16> {
     let mut statuses = Vec::new();
     for number in first..first + 6 {
@@ -69,8 +69,8 @@
     runs.iter().filter(|run| run.began > moment).count()
 }
 
-/// One of two data centres is evacuated while a job runs there. The job's caller gets its answer, later callers get theirs
-/// from the west_worker data centre, and after the return both serve.
+/// One of two data centres is evacuated while a job runs there. The running job is finished, later jobs run in the other
+/// data centre, and after the end of the evacuation both are used.
 #[actix_rt::test]
 async fn jobs_run_elsewhere_during_an_evacuation() {
     let platform = Platform::start(1, Duration::from_millis(1_500)).await;
@@ -97,8 +97,8 @@
     assert!(runs_started_after(&platform.executors[0], evacuated_at) > 0);
 }
 
-/// All data centres are evacuated. Callers are told at once that nothing ran and when to come back, and the node goes on
-/// taking requests: it is not what is wrong.
+/// All data centres are evacuated. Callers are refused at once and told when to retry, and nothing runs. The node stays
+/// ready, because the cause is not in the node.
 #[actix_rt::test]
 async fn jobs_are_refused_while_all_data_centres_are_evacuated() {
     let platform = Platform::start(1, RUN_TIME).await;
@@ -123,7 +123,7 @@
     assert_eq!(platform.executors[0].runs().len(), 0);
 }
 
-/// A node starts after the evacuation: it knows of it before its first start.
+/// A node is started during an evacuation. It has to know of the evacuation before it starts its first task.
 #[actix_rt::test]
 async fn a_node_started_during_an_evacuation_respects_it() {
     let platform = Platform::start(1, RUN_TIME).await;
@@ -141,8 +141,9 @@
     assert!(!west_worker.runs().is_empty());
 }
 
-/// The store is away while an evacuation is in force, comes back without its history, and the evacuation is over only then.
-/// What was last known holds all the while; what changed in the gap is found.
+/// The store becomes unreachable during an evacuation and returns with a truncated history; the evacuation ended and another
+/// began in the gap. The last known state has to stay in force meanwhile, and the changes in the gap have to be found
+/// afterwards.
 #[actix_rt::test]
 async fn evacuations_stay_in_force_while_the_store_is_unreachable() {
     let platform = Platform::start(1, RUN_TIME).await;
@@ -165,7 +166,7 @@
     );
 }
 
-/// A row that evacuates something, and whether it evacuates the data centre.
+/// A row of the operators' table, and whether it evacuates the data centre of the test.
 struct EvacuationCase {
     name: &'static str,
     key: &'static str,
@@ -173,8 +174,8 @@
     evacuates: bool,
 }
 
-/// Operators' rows may be of a later version of the interface, or wrong. The key alone says what is evacuated; one that names
-/// no data centre that anybody knows changes nothing, and nobody stops for it.
+/// Rows of operators may follow a later version of the interface or be invalid. Only the key decides which data centre is
+/// evacuated. A key without a known data centre has no effect, and none of these rows stops the node.
 #[actix_rt::test]
 async fn only_the_key_of_an_evacuation_row_counts() {
     let case = |name, key, value, evacuates| EvacuationCase {
--- a/crates/node/tests/groups.rs
+++ b/crates/node/tests/groups.rs
@@ -1,4 +1,4 @@
-//! The number of pools of a data centre changes while workers are owned.
+//! The number of pools in a data centre changes while its workers are in use.
 
 mod support;
 
@@ -7,9 +7,10 @@
 use serde_json::json;
 use support::{job, post_job, Platform};
 
-/// Six workers with two places each are divided anew, from two pools to three. Some of them go to a pool whose owner claimed
-/// it before the one that they leave, so that its fence is lower than what they have seen, and they turn it away. A caller's
-/// job that needs all twelve places is refused from then on, though every worker is sound.
+/// Six workers with room for two tasks each are divided among another number of pools, first three in place of two. Some of
+/// them move to a pool whose owner claimed it earlier than their former pool was claimed. Its fence is lower than the highest
+/// that these workers have seen, so they would reject its calls, and every job that needs all twelve slots would be refused
+/// although all workers are healthy.
 #[actix_rt::test]
 async fn all_workers_serve_after_the_number_of_pools_changes() {
     let run_time = Duration::from_millis(200);
--- a/crates/node/tests/kept.rs
+++ b/crates/node/tests/kept.rs
@@ -1,4 +1,4 @@
-//! Kept jobs on nodes: what customers are told, and what survives a node.
+//! Stored jobs: the answers that customers get, and jobs that outlive a node or an outage of the store.
 
 mod support;
 
@@ -19,7 +19,7 @@
     send(&Client::default(), address, method, &path, &Value::Null).await
 }
 
-/// Asks for a job's state until it is the one expected.
+/// Polls a job's state until it is `expected`.
 async fn wait_for(node: &NodeProcess, id: &str, expected: &str) {
     let mut last = (0, Value::Null);
     for _ in 0..100 {
@@ -47,7 +47,7 @@
     assert_eq!(post_job(&node, ID, &body).await, (202, json!({})));
     wait_for(&node, ID, "completed").await;
     assert_eq!(done_runs(&platform), 3);
-    // The same job again is the same job.
+    // Submitting a job again under its id does not run it again.
     assert_eq!(post_job(&node, ID, &body).await, (202, json!({})));
     actix_rt::time::sleep(Duration::from_millis(300)).await;
     assert_eq!(done_runs(&platform), 3);
@@ -55,8 +55,8 @@
     wait_for(&node, ID, "completed").await;
 }
 
-/// The node that accepted a job is gone before the job ends. Another one finds it in the store and goes on; its customer
-/// asks there and sees it completed, and no task is done twice.
+/// The node that accepted a job is gone before the job ends. Another node finds the job in the store and finishes it. The
+/// customer sees it completed there, and no task is done twice.
 #[actix_rt::test]
 async fn a_kept_job_survives_its_node() {
     let platform = Platform::start(2, Duration::from_millis(700)).await;
@@ -69,7 +69,7 @@
     assert_eq!(done_runs(&platform), 4);
 }
 
-/// A customer cancels a job that runs. What runs is stopped soon, and nothing of it starts again.
+/// A customer cancels a running job. Its runs are stopped soon, and none of its tasks starts again.
 #[actix_rt::test]
 async fn a_cancelled_job_stops_and_stays_cancelled() {
     let platform = Platform::start(1, Duration::from_millis(2_000)).await;
@@ -86,8 +86,8 @@
     assert!(runs.iter().all(stopped), "{runs:?}");
 }
 
-/// The store is away. A new job cannot be stored: its customer is told that it was not accepted, and nothing runs. What
-/// cannot be said without the store is not guessed.
+/// While the store is unavailable a job cannot be stored, so its customer is told that it was not accepted, and nothing
+/// runs. Requests for states and cancellations are refused too, since the node must not guess what the store holds.
 #[actix_rt::test]
 async fn jobs_are_refused_while_the_store_is_unavailable() {
     let platform = Platform::start(1, Duration::from_millis(50)).await;
@@ -102,8 +102,8 @@
     assert_eq!(send_empty(&node, "GET", ID).await.0, 410);
 }
 
-/// The store does what it is told and its answers get lost. The customer gets no answer that says yes or no; once the
-/// store answers again, the job is there once, whoever asks.
+/// The store writes a new job but its answers are lost. The node must neither accept nor refuse the job until the store
+/// answers again. By then the job exists once, and its tasks run once.
 #[actix_rt::test]
 async fn a_job_whose_store_answer_is_lost_runs_once() {
     let platform = Platform::start(1, Duration::from_millis(50)).await;
@@ -118,11 +118,11 @@
     assert_eq!(done_runs(&platform), 2);
 }
 
-/// Jobs wait for places: the queue says how many, from any node, and none once they have begun.
+/// The number of pending jobs counts the stored jobs that wait for a slot, and is 0 once all of them have begun.
 #[actix_rt::test]
 async fn pending_jobs_are_counted() {
     let platform = Platform::start(1, Duration::from_millis(1_200)).await;
-    // With an objective that leaves them time to wait.
+    // The latency objective leaves the jobs time to wait.
     let mut config = support::config(7);
     config["Routes"][0]["GoalMs"] = json!(10_000);
     platform.store.put("op", "config", &config);
@@ -144,8 +144,9 @@
     );
 }
 
-/// Many jobs end while the store is away, and all their ends go to one part of it. Each is shown as completed once the
-/// store is back: more than it takes in one transaction would be turned away, all together and again at each try.
+/// Many jobs of one partition of the store end while the store is unavailable. Each of them has to be shown as completed
+/// afterwards. Guards against writing all ends in one transaction: the store rejects one with too many entries as a whole,
+/// and again at each retry.
 #[actix_rt::test]
 async fn many_jobs_that_end_at_once_are_stored() {
     let platform = Platform::start(18, Duration::from_millis(500)).await;
--- a/crates/node/tests/metrics_page.rs
+++ b/crates/node/tests/metrics_page.rs
@@ -1,4 +1,4 @@
-//! The page of a node's metrics and the code say the same.
+//! The documentation of a node's metrics matches the code.
 
 use std::fmt::Write as _;
 
--- a/crates/node/tests/reading.rs
+++ b/crates/node/tests/reading.rs
@@ -1,4 +1,4 @@
-//! Who reads the list of workers in a data centre with several owners, and that what it says reaches them all.
+//! In a data centre with several owners of pools, one of them reads the worker list, and changes in it reach all of them.
 
 mod support;
 
@@ -12,10 +12,10 @@
 const NODES: usize = 4;
 const WORKERS: usize = 8;
 
-/// The fewest of them that get workers: these are divided by hash.
+/// The fewest nodes that get workers. Workers are assigned by hash, so a node may get none.
 const MIN_OWNERS: usize = 3;
 
-/// VMs so weak that each gets a pool of its own.
+/// Starts nodes on VMs with so little processor that each gets a pool of its own.
 async fn start_small_nodes(platform: &Platform) -> Vec<NodeProcess> {
     let starts = (0..NODES).map(|number| {
         let settings = NodeSettings {
@@ -35,7 +35,7 @@
     panic!("too few own a pool: {}", nodes[0].log_lines());
 }
 
-/// Lets time pass in which workers write their entries, as they do each heartbeat.
+/// Waits for `duration` while workers write their entries, as they do with each heartbeat.
 async fn heartbeat_for(platform: &Platform, duration: Duration) {
     let end = std::time::Instant::now() + duration;
     while std::time::Instant::now() < end {
@@ -49,7 +49,7 @@
     }
 }
 
-/// Guards against a list that each owner reads: four of them do not read it four times as often as one.
+/// Guards against every owner reading the worker list: four owners must not read it four times as often as one.
 #[actix_rt::test]
 async fn one_owner_reads_the_worker_list_for_all() {
     let platform = Platform::start(WORKERS, Duration::from_millis(50)).await;
@@ -65,8 +65,8 @@
     );
 }
 
-/// Guards against a change that only the reader hears: each owner draining a worker alone within a second after it says that it
-/// will go, also once the reader is gone.
+/// Guards against changes that reach only the owner that reads the list. Every owner has to stop using a worker within a
+/// second after the worker reports that it drains, also after the reading owner is gone.
 #[actix_rt::test]
 async fn no_owner_starts_tasks_on_a_draining_worker() {
     let platform = Platform::start(WORKERS, Duration::from_millis(50)).await;
@@ -91,7 +91,7 @@
         }
         let after: Vec<usize> = draining_workers.iter().map(|e| e.runs().len()).collect();
         assert_eq!(before, after, "round {round}");
-        // Whichever it is that reads, in the next round it may be another.
+        // Any node may be the one that reads the list, so the next round may have another reader.
         nodes.remove(0);
         actix_rt::time::sleep(Duration::from_millis(2_500)).await;
     }
--- a/crates/node/tests/rebirth.rs
+++ b/crates/node/tests/rebirth.rs
@@ -1,4 +1,4 @@
-//! Workers that die and start again under their id, as a node meets them.
+//! Workers that die and restart under the same id.
 
 mod support;
 
@@ -36,8 +36,9 @@
     }
 }
 
-/// The only worker dies with a caller's tasks on it and is back under its id, its clock far behind. The caller's tasks run again
-/// there and it gets its answer; later callers get theirs, before the directory tells of the new id and after.
+/// The only worker dies while it runs a job's tasks and restarts under the same id, with its clock far behind. The tasks run
+/// again on it and the job's caller gets its answer. Later jobs are served both before and after the directory shows the
+/// restart.
 #[actix_rt::test]
 async fn a_restarted_worker_keeps_serving() {
     let platform = Platform::start(0, RUN_TIME).await;
@@ -52,7 +53,7 @@
     write_heartbeat(&platform, "i-0", &worker);
     actix_rt::time::sleep(Duration::from_millis(400)).await;
     complete_jobs(&node, 0x300).await;
-    // Idle when it dies, and told of at once.
+    // This time the worker is idle when it dies, and the directory shows the restart at once.
     worker.restart(1_764_751_002_000);
     write_heartbeat(&platform, "i-0", &worker);
     actix_rt::time::sleep(Duration::from_millis(400)).await;
@@ -65,8 +66,7 @@
     assert_eq!(died.count(), 2);
 }
 
-/// A look's answer names a birth that is no whole number. It is no listing that can be believed; once the worker lists itself
-/// rightly it serves.
+/// Workers that do not report when they started are used, and are not taken for restarted ones.
 #[actix_rt::test]
 async fn workers_without_a_start_time_are_used() {
     let platform = Platform::start(1, RUN_TIME).await;
--- a/crates/node/tests/serving.rs
+++ b/crates/node/tests/serving.rs
@@ -1,4 +1,4 @@
-//! A node on stand-ins of the platform: what customers get.
+//! The answers that customers get from a node.
 
 mod support;
 
@@ -73,8 +73,8 @@
     assert_eq!(pending, (200, json!({ "Pending": 0 })));
 }
 
-/// A queue whose steps may run only where an adviser allows it is not served by this build. Its customers are told at
-/// once that nothing ran, and the log names the need.
+/// This build does not serve routes whose steps may run only where an adviser allows it. Their jobs are refused at once,
+/// nothing of them runs, and the log names the unsupported need.
 #[actix_rt::test]
 async fn a_job_of_an_advised_queue_is_refused_with_its_reason_in_the_log() {
     let platform = Platform::start(1, Duration::from_millis(10)).await;
@@ -87,8 +87,8 @@
     assert!(platform.executors[0].runs().is_empty());
 }
 
-/// A process that has just started does not know the configuration yet. A customer that reaches it is told that
-/// nothing ran and when to come back, and not that there is no such queue.
+/// A node that has just started does not know the configuration yet. It has to refuse jobs with a time for the retry, and
+/// must not answer that the route does not exist.
 #[actix_rt::test]
 async fn jobs_are_refused_before_a_configuration_is_known() {
     let platform = Platform::start(1, Duration::from_millis(10)).await;
@@ -99,8 +99,8 @@
     assert!(!support::is_ready(&node).await);
 }
 
-/// A customer leaves while its job runs. Its connection closes, the node cancels the job, and the worker is told to
-/// stop: nobody waits for the work any more, and the customer's next try must not run beside it.
+/// A customer disconnects while its job runs. The node cancels the job and the worker stops its runs, since nobody waits
+/// for the result any more and the customer's next attempt must not run beside them.
 #[actix_rt::test]
 async fn a_job_is_stopped_when_its_customer_disconnects() {
     let platform = Platform::start(1, Duration::from_millis(1_500)).await;
@@ -119,8 +119,8 @@
     );
 }
 
-/// A customer leaves and another comes at the same moment. The places of the first one's tasks are being cleared, which
-/// takes 50 ms; the second must not be refused as if they went on to their end.
+/// A customer disconnects and another submits a job at the same moment. The first job's tasks are being stopped, which
+/// takes 50 ms. Guards against refusing the second job as if these tasks occupied their slots until their end.
 #[actix_rt::test]
 async fn slots_of_cancelled_tasks_count_as_free_soon() {
     let platform = Platform::start(1, Duration::from_millis(900)).await;
@@ -135,7 +135,7 @@
     assert_eq!(second.0, 200, "{}", node.log_lines());
 }
 
-/// Every series is there from the start, so that a rate over it is right from its first count.
+/// Every series has to exist from the start with the value 0, so that a rate over it is right from the first event.
 #[actix_rt::test]
 async fn metrics_count_answers_and_runs() {
     let platform = Platform::start(2, Duration::from_millis(20)).await;
@@ -156,8 +156,8 @@
     }
 }
 
-/// The configuration bounds heads and how long a connection may idle. A customer over one of them gets a clear answer or
-/// a closed connection, and others are served on. Limits that come later hold for new connections.
+/// The configuration limits the size of request heads and the idle time of connections. A customer that exceeds a limit gets
+/// an error status or a closed connection, and others are still served. Changed limits apply to new connections.
 #[actix_rt::test]
 async fn configured_connection_limits_are_enforced() {
     let platform = Platform::start(1, Duration::from_millis(10)).await;
--- a/crates/node/tests/starting.rs
+++ b/crates/node/tests/starting.rs
@@ -1,4 +1,4 @@
-//! What customers get from a node that has just started.
+//! The answers that customers get from a node that has just started.
 
 mod support;
 
@@ -6,8 +6,8 @@
 
 use support::{job, post_job, start_node, Platform};
 
-/// All nodes are gone at once and start again. A caller reaches one that knows the configuration, and that no pool has an owner
-/// yet; it will have one within a tenth of a second. The caller gets its answer and is not sent away.
+/// All nodes are gone at once and start again. A caller reaches a node that already knows the configuration, while no pool has
+/// an owner yet. Pools get owners within a tenth of a second, so the job has to wait for that and must not be refused.
 #[actix_rt::test]
 async fn a_job_waits_until_pools_have_owners() {
     let platform = Platform::start(1, Duration::from_millis(10)).await;
@@ -22,7 +22,7 @@
     assert_eq!(answer.0, 200, "{}", node.log_lines());
 }
 
-/// There are no workers, so no pool ever has an owner. Callers are told soon that nothing ran.
+/// There are no workers, so no pool gets an owner. The wait for one has to be short, and callers are refused soon.
 #[actix_rt::test]
 async fn a_job_is_refused_soon_if_pools_get_no_owner() {
     let platform = Platform::start(0, Duration::from_millis(10)).await;
--- a/crates/node/tests/store.rs
+++ b/crates/node/tests/store.rs
@@ -1,4 +1,4 @@
-//! What a node makes of the platform's store: configurations, the list of workers, and the store's own failures.
+//! How a node uses the platform's store: configurations, the worker list, claims, and failures of the store.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use serde_json::{json, Value};
 use support::{config, job, post_job, start_node, Platform};
 
-/// Lets a change of the store reach the node: feeds come at most 250 ms apart.
+/// Waits until a change in the store has reached the node, whose feeds are at most 250 ms apart.
 async fn wait_for_feed() {
     actix_rt::time::sleep(Duration::from_millis(450)).await;
 }
@@ -50,8 +50,8 @@
     );
 }
 
-/// The store drops its history between two readings, with a change in the gap. A node that went on from where it was
-/// would never hear of it; it is told that the history is gone and reads everything.
+/// The store truncates its history between two reads of a node, with a change in the gap. A node that continued its feed
+/// would never see the change; the store reports that the history is gone, and the node reads the whole table again.
 #[actix_rt::test]
 async fn changes_are_found_after_the_history_is_truncated() {
     let platform = Platform::start(1, Duration::from_millis(10)).await;
@@ -69,7 +69,7 @@
     );
 }
 
-/// A worker will leave. It goes on serving what it has, but gets nothing new.
+/// A worker reports that it drains. It finishes the tasks that it has but gets no new ones.
 #[actix_rt::test]
 async fn a_draining_worker_gets_no_new_tasks() {
     let platform = Platform::start(2, Duration::from_millis(10)).await;
@@ -85,14 +85,15 @@
     assert_eq!(platform.executors[1].runs().len(), 12);
 }
 
-/// The store is away for seconds. Nothing on a job's path needs it, so customers notice nothing. When it comes back, a
-/// worker's entry has lapsed and is written again a second later: the worker must not be dropped in between.
+/// The store is unavailable for seconds. Jobs that are not stored do not need it, so customers notice nothing. When it is
+/// available again, a worker's entry has expired and is written again a second later. The worker must not be dropped in
+/// between.
 #[actix_rt::test]
 async fn jobs_are_served_while_the_store_is_unavailable() {
     let platform = Platform::start(1, Duration::from_millis(10)).await;
     let node = platform.start_node(platform.node_settings("vm-1")).await;
     platform.store.set_fault(StoreFault::Busy);
-    // Longer than an owner's calls to the store lie apart: an outage in which none begins is noticed by nobody.
+    // Longer than the interval between an owner's calls to the store, so that the owner notices the outage.
     actix_rt::time::sleep(Duration::from_millis(1_200)).await;
     assert_eq!(
         post_job(&node, "00000000000000c1", &job(2, 10)).await.0,
@@ -121,8 +122,8 @@
     );
 }
 
-/// The answer to a claim is lost, but the claim took effect. The node does not assume either; it reads its claim and
-/// owns the pool.
+/// The answer to a claim is lost, but the claim took effect. The node must not assume that the claim succeeded or failed; it
+/// reads the claim back and then owns the pool.
 #[actix_rt::test]
 async fn a_claim_whose_answer_is_lost_is_read_back() {
     let platform = Platform::start(1, Duration::from_millis(10)).await;
@@ -153,8 +154,9 @@
     );
 }
 
-/// A pool's new owner finds runs of the former one, whose customers have been told to try again. It stops them before
-/// it places anything beside them: their demands are not known, and their tasks may come again.
+/// A pool's new owner finds runs of the former owner, whose customers have been told to retry. It has to stop these runs
+/// before it starts others on their workers, since their resource demands are unknown and their tasks may be submitted
+/// again.
 #[actix_rt::test]
 async fn a_new_owner_stops_the_former_owners_runs() {
     let platform = Platform::start(1, Duration::from_millis(5_000)).await;
@@ -179,7 +181,7 @@
     );
 }
 
-/// A worker that the directory adds later serves too.
+/// A worker that is added to the directory later is used too.
 #[actix_rt::test]
 async fn a_worker_added_later_is_used() {
     let platform = Platform::start(1, Duration::from_millis(10)).await;
@@ -202,15 +204,15 @@
     assert_eq!(added.runs().len(), 2);
 }
 
-/// A process without pools reads the workers' table seldom. One of two workers begins to drain, and then the owner of both
-/// dies. The process that takes the pool over last read before that: it must not start anything on the worker that drains.
+/// A node without pools rarely reads the workers' table. One of two workers begins to drain, and then the owner of both dies.
+/// The node that takes over the pool last read the table before that. Guards against starting tasks on the draining worker.
 #[actix_rt::test]
 async fn a_new_owner_reads_the_workers_before_it_uses_them() {
     take_over_beside_a_draining_worker(StoreFault::None).await;
 }
 
-/// The same while the store has so much to tell that its answers are on their way for a third of a second: that nothing has come
-/// yet does not say that nothing has changed.
+/// Like the test above, with a store whose answers take a third of a second. Guards against taking the lack of an answer
+/// for the lack of changes.
 #[actix_rt::test]
 async fn a_new_owner_waits_for_a_slow_store_answer() {
     take_over_beside_a_draining_worker(StoreFault::Slow(Duration::from_millis(350))).await;
@@ -237,8 +239,8 @@
     assert!(other.log_lines().contains("pool_taken"));
 }
 
-/// Guards against a part of the changes that is taken for all of them: a store that has much to tell tells it in several
-/// answers, and a worker that began to drain comes last.
+/// Guards against taking a part of the changes for all of them. The store returns many changes in several answers, and the
+/// last change is that of a worker that began to drain.
 #[actix_rt::test]
 async fn a_change_after_many_others_is_found_at_once() {
     let platform = Platform::start(1, Duration::from_millis(10)).await;
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A node with stand-ins of the platform around it.
+//! Starts nodes against stand-ins for the platform, and sends them requests.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -7,7 +7,7 @@
 use node::NodeProcess;
 #[allow(
     unused_imports,
-    reason = "not every test file hands in jobs that are not kept"
+    reason = "not every test file submits jobs that are not stored"
 )]
 pub(crate) use platform_stand_ins::job_body as job;
 use platform_stand_ins::{config_row, ExecutorPlan, ExecutorStandIn, RoutePlan, StoreStandIn};
@@ -18,14 +18,14 @@
 pub(crate) const CENTRE: &str = "east";
 pub(crate) const HOST: &str = "diary.example";
 
-/// The platform, without nodes.
+/// A store and executors, without nodes.
 pub(crate) struct Platform {
     pub(crate) store: StoreStandIn,
     pub(crate) executors: Vec<ExecutorStandIn>,
 }
 
 impl Platform {
-    /// A store with a configuration, and executors that are listed in it.
+    /// Starts a store with a configuration, and executors that are listed in it.
     pub(crate) async fn start(executors: usize, run_time: Duration) -> Self {
         let store = StoreStandIn::start().await;
         store.put("op", "config", &config(3));
@@ -73,7 +73,7 @@
     }
 }
 
-/// Starts a node. The port that the system gives for TCP may be taken for UDP, so a few are tried.
+/// Starts a node. A port that the system assigns for TCP may be in use for UDP, so up to 20 ports are tried.
 pub(crate) async fn start_node(settings: NodeSettings) -> NodeProcess {
     for _ in 0..20 {
         let log = EventLog::in_memory();
@@ -100,7 +100,7 @@
     config_row(version, &[route])
 }
 
-/// Sends a request and gives status and body; 0 when there was no complete answer.
+/// Sends a request and returns status and body, or status 0 if there was no complete answer.
 pub(crate) async fn send(
     client: &Client,
     node: SocketAddr,
@@ -146,7 +146,7 @@
     .await
 }
 
-/// Hands a job in and goes on; the answer comes with the task.
+/// Submits a job in a task of its own, which returns the answer.
 #[allow(dead_code, reason = "not every test file of this module posts jobs")]
 pub(crate) fn spawn_post_job(
     node: &NodeProcess,
