--- a/crates/node/tests/dividing.rs
+++ b/crates/node/tests/dividing.rs
@@ -50,7 +50,7 @@
         }
         actix_rt::time::sleep(Duration::from_millis(10)).await;
     }
-    panic!("not linked: {}", node.log_lines());
+    panic!("too few links were opened: {}", node.log_lines());
 }
 
 /// A job has nine parallel tasks, and each of five data centres runs two tasks at a time, so that four of them are too few.
--- a/crates/node/tests/entries.rs
+++ b/crates/node/tests/entries.rs
@@ -103,19 +103,19 @@
         corrupt: |entry| entry["Labels"] = json!("a"),
     },
     EntryCase {
-        name: "a birth of another type",
+        name: "a start time of another type",
         corrupt: |entry| entry["born"] = json!("1764751000000"),
     },
     EntryCase {
-        name: "a birth before 1970",
+        name: "a start time before 1970",
         corrupt: |entry| entry["born"] = json!(-1),
     },
     EntryCase {
-        name: "a birth that is no whole number",
+        name: "a start time that is no whole number",
         corrupt: |entry| entry["born"] = json!(1_764_751_000_000.5),
     },
     EntryCase {
-        name: "a birth of null",
+        name: "a start time of null",
         corrupt: |entry| entry["born"] = Value::Null,
     },
     EntryCase {
--- a/crates/node/tests/evacuation.rs
+++ b/crates/node/tests/evacuation.rs
@@ -38,7 +38,7 @@
         }
         actix_rt::time::sleep(Duration::from_millis(10)).await;
     }
-    panic!("fewer pools: {}", node.log_lines());
+    panic!("too few pools were taken: {}", node.log_lines());
 }
 
 fn evacuate(platform: &Platform, centre: &str) {
--- a/crates/node/tests/reading.rs
+++ b/crates/node/tests/reading.rs
@@ -32,7 +32,7 @@
         }
         heartbeat_for(platform, Duration::from_millis(20)).await;
     }
-    panic!("too few own a pool: {}", nodes[0].log_lines());
+    panic!("too few nodes own a pool: {}", nodes[0].log_lines());
 }
 
 /// Waits for `duration` while workers write their entries, as they do with each heartbeat.
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -31,14 +31,14 @@
         store.put("op", "config", &config(3));
         let mut started = Vec::new();
         for number in 0..executors {
-            let life = format!("i-{number}");
+            let id = format!("i-{number}");
             let plan = ExecutorPlan {
-                id: life.clone(),
+                id: id.clone(),
                 run_time,
                 ..ExecutorPlan::default()
             };
             let executor = ExecutorStandIn::start(plan).await;
-            store.put("servers", &life, &executor.entry("svc", CENTRE, "ready"));
+            store.put("servers", &id, &executor.entry("svc", CENTRE, "ready"));
             started.push(executor);
         }
         Self {
