--- a/crates/node/src/keeping.rs
+++ b/crates/node/src/keeping.rs
@@ -114,7 +114,7 @@
 
 async fn write_batch(state: &Rc<NodeState>, part: u64, batch: Vec<KeepCall>) {
     let mut transaction = Transaction {
-        part: part_name(part),
+        partition: part_name(part),
         ..Transaction::default()
     };
     for call in &batch {
@@ -321,7 +321,7 @@
             },
         };
         let mut transaction = Transaction {
-            part: part_of(job),
+            partition: part_of(job),
             ..Transaction::default()
         };
         let Some(value) = encode(state, &order) else {
