--- a/crates/node/tests/crash.rs
+++ b/crates/node/tests/crash.rs
@@ -1,4 +1,4 @@
-//! A customer's task crashes whatever worker starts it: its job ends as failed, and the others are served.
+//! A task crashes every worker that starts it. Its job has to end as failed while other jobs are served.
 
 mod support;
 
@@ -6,7 +6,7 @@
 
 use awc::Client;
 use node::NodeProcess;
-use platform_stand_ins::{kept_job_body, ExecutorPlan, ExecutorStandIn, CRASH_MARK};
+use platform_stand_ins::{kept_job_body, ExecutorPlan, ExecutorStandIn, CRASH_SPEC};
 use serde_json::{json, Value};
 use support::{job, post_job, send, Platform, CENTRE};
 
@@ -16,18 +16,18 @@
 async fn start_workers(platform: &mut Platform) {
     for number in 0..WORKERS {
         let plan = ExecutorPlan {
-            life: format!("i-{number}"),
+            id: format!("i-{number}"),
             run_time: RUN_TIME,
             born: Some(1_764_751_000_000),
             ..ExecutorPlan::default()
         };
         platform.executors.push(ExecutorStandIn::start(plan).await);
     }
-    tell_workers(platform);
+    write_heartbeats(platform);
 }
 
-/// Workers write their entries, as they do each heartbeat.
-fn tell_workers(platform: &Platform) {
+/// Writes the entries of all workers, as they do with each heartbeat.
+fn write_heartbeats(platform: &Platform) {
     for (number, executor) in platform.executors.iter().enumerate() {
         let mut entry = executor.entry("svc", CENTRE, "ready");
         entry["Labels"] = json!(["a", format!("r1-{number}")]);
@@ -37,7 +37,7 @@
     }
 }
 
-async fn state(node: &NodeProcess, id: &str) -> Value {
+async fn job_state(node: &NodeProcess, id: &str) -> Value {
     let path = format!("/hold/{id}");
     let client = Client::default();
     send(&client, node.customer_address(), "GET", &path, &Value::Null)
@@ -53,20 +53,20 @@
         .sum()
 }
 
-/// Guards against a kept job that crashes one worker after another for good.
+/// Guards against a stored job that crashes one worker after another without end.
 #[actix_rt::test]
-async fn a_crashing_job_fails_and_the_others_are_served() {
+async fn a_job_that_crashes_workers_fails_and_others_are_served() {
     let mut platform = Platform::start(0, RUN_TIME).await;
     start_workers(&mut platform).await;
     let node = platform.start_node(platform.node_settings("vm-1")).await;
     let mut body = kept_job_body(1, 150);
-    body["Spec"] = json!(CRASH_MARK);
+    body["Spec"] = json!(CRASH_SPEC);
     let id = "5c0e7a21d94b36f8";
     assert_eq!(post_job(&node, id, &body).await.0, 202);
     for number in 0..60 {
-        tell_workers(&platform);
+        write_heartbeats(&platform);
         actix_rt::time::sleep(Duration::from_millis(200)).await;
-        if state(&node, id).await == json!({ "State": "failed" }) {
+        if job_state(&node, id).await == json!({ "State": "failed" }) {
             break;
         }
         if number % 5 == 4 {
@@ -77,7 +77,7 @@
     }
     let log = node.log_lines();
     assert_eq!(
-        state(&node, id).await,
+        job_state(&node, id).await,
         json!({ "State": "failed" }),
         "{log}"
     );
--- a/crates/node/tests/metrics_page.rs
+++ b/crates/node/tests/metrics_page.rs
@@ -1,11 +1,11 @@
-//! The page of a node's metrics and the code say the same.
+//! The documentation of a node's metrics matches the code.
 
 use std::fmt::Write as _;
 
 use node::{counter_families, TIMES};
 
 #[test]
-fn page_and_code_say_the_same() {
+fn metrics_page_matches_code() {
     let page = include_str!("../../../docs/METRICS-NODE.md");
     let mut counters = String::new();
     for family in counter_families() {
