--- a/crates/node/src/feeds.rs
+++ b/crates/node/src/feeds.rs
@@ -6,7 +6,7 @@
 use jobs::PoolId;
 use platform::RowVersion;
 use platform_adapter::{FeedPage, RowChange, StoreError, StoreTable, StoredRow};
-use pool::UsualWait;
+use pool::RouteBudget;
 use telemetry::{EventKind, EventLine};
 
 use crate::{groups, keeping, listing, operator, owner, state::NodeState, workers};
@@ -235,7 +235,7 @@
 fn adopt_waits(state: &NodeState, member: &MemberRow) {
     let mut waits = state.waits.borrow_mut();
     for wait in &member.waits {
-        waits.adopt(&UsualWait {
+        waits.adopt(&RouteBudget {
             route: wait.route.clone(),
             time: Duration::from_millis(wait.least_ms),
         });
--- a/crates/node/src/keeping.rs
+++ b/crates/node/src/keeping.rs
@@ -17,7 +17,7 @@
 use platform_adapter::{
     RowCheck, RowWrite, StoreError, StoreTable, StoredRow, Transaction, TransactionEnd,
 };
-use pool::{FoundJob, KeepAnswer, KeepOrder};
+use pool::{FoundJob, KeptWrite, KeptWriteResult};
 use telemetry::{EventKind, EventLine};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -51,7 +51,7 @@
 struct KeepCall {
     pool: PoolId,
     fence: FenceToken,
-    order: KeepOrder,
+    order: KeptWrite,
     /// The row's bytes.
     value: Vec<u8>,
     asked: Instant,
@@ -73,7 +73,7 @@
 }
 
 /// Takes a write that a pool asks for.
-pub(crate) fn keep(state: &Rc<NodeState>, pool: &PoolId, fence: FenceToken, order: KeepOrder) {
+pub(crate) fn keep(state: &Rc<NodeState>, pool: &PoolId, fence: FenceToken, order: KeptWrite) {
     state.keeps_jobs.set(true);
     let part = part_number(order.job);
     let Some(value) = encode(state, &order) else {
@@ -123,7 +123,7 @@
     match state.store.transact(&transaction).await {
         Ok(TransactionEnd::Done { version, .. }) => {
             for call in batch {
-                answer(state, &call, KeepAnswer::Stored(version.0));
+                answer(state, &call, KeptWriteResult::Stored(version.0));
             }
         }
         // One of them holds up all: each is looked at alone.
@@ -161,7 +161,7 @@
     let is_new = call.order.replaces.is_none();
     let waited = state.now().saturating_duration_since(call.asked);
     if is_new && !in_doubt && waited >= PATIENCE {
-        answer(state, &call, KeepAnswer::TurnedAway);
+        answer(state, &call, KeptWriteResult::TurnedAway);
         return;
     }
     if !is_held(state, &call) {
@@ -178,14 +178,14 @@
     owned.is_some_and(|owned| owned.pool.fence() == call.fence)
 }
 
-fn answer(state: &Rc<NodeState>, call: &KeepCall, answer: KeepAnswer) {
+fn answer(state: &Rc<NodeState>, call: &KeepCall, answer: KeptWriteResult) {
     with_fenced(state, &call.pool, call.fence, |pool, now| {
         pool.on_kept(now, &call.order, answer);
     });
 }
 
 /// A row's bytes. None, with a line in the log, for one that cannot be encoded, which no decoded job makes.
-fn encode(state: &NodeState, order: &KeepOrder) -> Option<Vec<u8>> {
+fn encode(state: &NodeState, order: &KeptWrite) -> Option<Vec<u8>> {
     match serde_json::to_vec(&order.row) {
         Ok(value) => Some(value),
         Err(error) => {
@@ -196,7 +196,7 @@
     }
 }
 
-fn add_order(transaction: &mut Transaction, order: &KeepOrder, value: Vec<u8>) {
+fn add_order(transaction: &mut Transaction, order: &KeptWrite, value: Vec<u8>) {
     let key = order.job.to_string();
     let replaced = RowVersion(order.replaces.unwrap_or(0));
     let absent = RowVersion(0);
@@ -240,7 +240,7 @@
         }
         // An older view: the row is there, since the write was turned away for it.
         Ok(None) if call.order.replaces.is_none() => try_again(state, part, call, true),
-        Ok(None) => answer(state, &call, KeepAnswer::Gone),
+        Ok(None) => answer(state, &call, KeptWriteResult::Gone),
         Err(error) => {
             note_trouble(state, std::slice::from_ref(&call), &error);
             actix_rt::time::sleep(RETRY_PAUSE).await;
@@ -249,20 +249,20 @@
     }
 }
 
-fn judge(order: &KeepOrder, found: FoundJob) -> KeepAnswer {
+fn judge(order: &KeptWrite, found: FoundJob) -> KeptWriteResult {
     let FoundJob { row, version, .. } = found;
     let own = row.writer == order.row.writer && row.home == order.row.home;
     if own && row.revision == order.row.revision {
         // An earlier try of this very write.
-        return KeepAnswer::Stored(version);
+        return KeptWriteResult::Stored(version);
     }
     if order.replaces.is_none() {
-        return KeepAnswer::Known;
+        return KeptWriteResult::Known;
     }
     if row.state.is_final() {
-        return KeepAnswer::Gone;
+        return KeptWriteResult::Gone;
     }
-    KeepAnswer::Changed(row, version)
+    KeptWriteResult::Changed(row, version)
 }
 
 /// Reads a job's row, whether it has ended or not.
@@ -312,7 +312,7 @@
         if found.row.state.is_final() {
             return Ok(true);
         }
-        let order = KeepOrder {
+        let order = KeptWrite {
             job,
             replaces: Some(found.version),
             row: KeptRow {
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -13,7 +13,7 @@
 use kernel::ClockSource;
 use model::{DataCentreId, FastMap, Mechanism};
 use platform_adapter::{StoreClient, WorkerClient};
-use pool::EvacuationBook;
+use pool::EvacuationSet;
 use settings::NodeSettings;
 use telemetry::{EventKind, EventLine, EventLog, NodeMetrics, TrafficBook};
 use tokio::sync::Notify;
@@ -41,14 +41,14 @@
     pub(crate) table: RefCell<Option<Rc<RouteTable>>>,
     pub(crate) keeper: RefCell<ClaimKeeper>,
     pub(crate) directory: RefCell<WorkerDirectory>,
-    pub(crate) evacuations: RefCell<EvacuationBook>,
+    pub(crate) evacuations: RefCell<EvacuationSet>,
     pub(crate) pools: RefCell<FastMap<PoolId, OwnedPool>>,
     /// Versions of the rows that divide workers into groups.
     pub(crate) group_versions: RefCell<FastMap<DataCentreId, u64>>,
     /// What was sent to each pool since its owner was last heard, and when that was; in thousandths of a core.
     pub(crate) sent: RefCell<FastMap<PoolId, (Instant, u64)>>,
     /// With how much time customers' requests come.
-    pub(crate) waits: RefCell<pool::WaitBook>,
+    pub(crate) waits: RefCell<pool::BudgetTracker>,
     /// Where the list of workers came from when the log was last told, and when that was.
     pub(crate) list_source: Cell<Option<(ListSource, Instant)>>,
     /// Woken when the workers' table has to be read now.
--- a/crates/pool/src/action.rs
+++ b/crates/pool/src/action.rs
@@ -11,7 +11,7 @@
 };
 use model::{text_set, WrongReason};
 
-use crate::kept::KeepOrder;
+use crate::kept::KeptWrite;
 
 /// One call of an entry that waits for a job's outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -63,7 +63,7 @@
 
 /// A look at a worker: it renews the lease of all that runs there, acknowledges ends and gives what runs and ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LookOrder {
+pub struct PollOrder {
     /// The life of the worker that is meant.
     pub life: LifeId,
     /// Where it listens.
@@ -123,19 +123,19 @@
 }
 
 /// How a worker answered a look.
-pub type LookAnswer = Result<WorkerListing, CallFailure>;
+pub type PollAnswer = Result<WorkerListing, CallFailure>;
 
 /// Something to send.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PoolAction {
     /// Writes a kept job's row.
-    Keep(KeepOrder),
+    Keep(KeptWrite),
     /// Send a start; its answer goes to `on_start_answer`.
     Start(StartOrder),
     /// Send a stop; its answer goes to `on_stop_answer`.
     Stop(StopOrder),
     /// Send a look; its answer goes to `on_look_answer`.
-    Look(LookOrder),
+    Look(PollOrder),
     /// Tell an entry how its job ended.
     Answer {
         /// Whose call.
--- a/crates/pool/src/admission.rs
+++ b/crates/pool/src/admission.rs
@@ -67,7 +67,7 @@
 /// Jobs before the new one are tried out once, and those behind it without it once: what differs from one number of its tasks
 /// to the next is only what follows from them.
 #[derive(Debug)]
-pub(crate) struct AdmissionTrial {
+pub(crate) struct AdmissionSimulation {
     /// The pool with the jobs before the new one in their places.
     before: PoolForecast,
     /// The new one.
@@ -80,7 +80,7 @@
     expected: Vec<ExpectedJob>,
 }
 
-impl AdmissionTrial {
+impl AdmissionSimulation {
     /// Tries out the jobs before the new one.
     pub(crate) fn new(
         mut pool: PoolForecast,
--- a/crates/pool/src/arrivals.rs
+++ b/crates/pool/src/arrivals.rs
@@ -64,11 +64,11 @@
 
 /// Arrivals by priority.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct ArrivalBook {
+pub(crate) struct ArrivalStats {
     means: FastMap<u32, ArrivalMean>,
 }
 
-impl ArrivalBook {
+impl ArrivalStats {
     /// Notes an arrival.
     pub(crate) fn note(&mut self, now: Instant, job: &ArrivedJob) {
         let (tasks, cpu) = (f64::from(job.tasks), job.cpu as f64);
--- a/crates/pool/src/crash.rs
+++ b/crates/pool/src/crash.rs
@@ -75,14 +75,14 @@
 
 /// How many workers a pool has, for judging whether losses have one cause.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct PoolShape {
+pub(crate) struct WorkerCounts {
     pub(crate) workers: usize,
     pub(crate) labels: FastMap<Arc<str>, usize>,
 }
 
 /// What speaks against a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct TaskStanding {
+struct LossCounts {
     deaths: u32,
     /// Deaths in which it ran alone.
     alone: u32,
@@ -91,7 +91,7 @@
     last: Option<Instant>,
 }
 
-impl TaskStanding {
+impl LossCounts {
     fn is_culprit(&self) -> bool {
         self.deaths >= MOST_DEATHS || (self.deaths >= CERTAIN_DEATHS && self.alone > 0)
     }
@@ -103,7 +103,7 @@
 
 /// How a task may be placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum TaskCaution {
+pub(crate) enum TaskRestriction {
     /// Like any other.
     None,
     /// On a worker of its own.
@@ -114,7 +114,7 @@
 
 /// What became of a loss that was told.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct CrashVerdict {
+pub(crate) struct CrashFindings {
     /// Tasks that are named now.
     pub(crate) culprits: Vec<TaskId>,
     /// Whether the loss has a cause that it shares with others.
@@ -123,18 +123,18 @@
 
 /// Which tasks lost their workers, and what follows.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct CrashBook {
+pub(crate) struct CrashTracker {
     losses: Vec<WorkerLoss>,
     /// Losses of the last moments, blamed on anything or not.
     recent: Vec<WorkerLoss>,
     /// Follows from `losses`.
-    standings: FastMap<TaskId, TaskStanding>,
+    standings: FastMap<TaskId, LossCounts>,
     culprits: FastSet<TaskId>,
     /// Routes that handed in a culprit, and when that was named last.
     routes: FastMap<Arc<str>, Instant>,
 }
 
-impl CrashBook {
+impl CrashTracker {
     /// Whether nothing speaks against any task.
     pub(crate) fn is_empty(&self) -> bool {
         self.losses.is_empty()
@@ -146,14 +146,14 @@
     }
 
     /// Takes a loss of a worker with runs.
-    pub(crate) fn note_loss(&mut self, loss: WorkerLoss, shape: &PoolShape) -> CrashVerdict {
+    pub(crate) fn note_loss(&mut self, loss: WorkerLoss, shape: &WorkerCounts) -> CrashFindings {
         let now = loss.at;
         self.recent.retain(|other| now < other.at + COMMON_TIME);
         self.recent.push(loss.clone());
         let loss = self.narrow_to_routes(loss);
         self.add(loss);
         let common = self.excuse_common(shape);
-        CrashVerdict {
+        CrashFindings {
             culprits: self.judge(now),
             common,
         }
@@ -222,19 +222,19 @@
     }
 
     /// How a task may be placed.
-    pub(crate) fn caution(&self, now: Instant, task: TaskId) -> TaskCaution {
+    pub(crate) fn caution(&self, now: Instant, task: TaskId) -> TaskRestriction {
         let Some(standing) = self.standings.get(&task) else {
-            return TaskCaution::None;
+            return TaskRestriction::None;
         };
         let doublings = match standing.losses() {
-            0 => return TaskCaution::None,
-            1 => return TaskCaution::Alone,
+            0 => return TaskRestriction::None,
+            1 => return TaskRestriction::Alone,
             losses => (losses - CERTAIN_DEATHS).min(MOST_DOUBLINGS),
         };
         let hold = FIRST_HOLD * 2_u32.pow(doublings);
         match standing.last.is_some_and(|last| now < last + hold) {
-            true => TaskCaution::Wait,
-            false => TaskCaution::Alone,
+            true => TaskRestriction::Wait,
+            false => TaskRestriction::Alone,
         }
     }
 
@@ -290,7 +290,7 @@
 
     /// Takes losses of the last moments out that have one cause. What one job had on all of them is not excused: it may be that
     /// cause. Says whether there are such.
-    fn excuse_common(&mut self, shape: &PoolShape) -> bool {
+    fn excuse_common(&mut self, shape: &WorkerCounts) -> bool {
         let least = COMMON_LOSSES.max(shape.workers.div_ceil(COMMON_SHARE));
         let mut common: Vec<&WorkerLoss> = Vec::new();
         if self.recent.len() >= least {
--- a/crates/pool/src/estimate.rs
+++ b/crates/pool/src/estimate.rs
@@ -33,11 +33,11 @@
 
 /// Measured run times against estimated ones, per route.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct EstimateBook {
+pub(crate) struct EstimateCorrections {
     routes: FastMap<Arc<str>, RouteRatio>,
 }
 
-impl EstimateBook {
+impl EstimateCorrections {
     /// What a task of this route takes on a worker of mean speed.
     pub(crate) fn predict(&self, route: &Arc<str>, estimate: Duration) -> Duration {
         let known = self.routes.get(route).copied().unwrap_or_default();
--- a/crates/pool/src/evacuation.rs
+++ b/crates/pool/src/evacuation.rs
@@ -18,12 +18,12 @@
 /// The data centres that are evacuated, as far as this process knows. While the store cannot be read it is what was last
 /// read.
 #[derive(Clone, Debug, Default)]
-pub struct EvacuationBook {
+pub struct EvacuationSet {
     /// The versions of their rows.
     evacuated: FastMap<DataCentreId, u64>,
 }
 
-impl EvacuationBook {
+impl EvacuationSet {
     /// Whether nothing may be started there.
     pub fn contains(&self, centre: &DataCentreId) -> bool {
         self.evacuated.contains_key(centre)
--- a/crates/pool/src/forecast.rs
+++ b/crates/pool/src/forecast.rs
@@ -11,7 +11,7 @@
 
 /// A change of a worker's free room.
 #[derive(Clone, Copy, Debug)]
-struct RoomChange {
+struct CapacityChange {
     at: Micros,
     /// In thousandths of a core.
     by: i64,
@@ -28,7 +28,7 @@
     /// How many times as long runs take as on a worker of mean speed.
     slowness: f64,
     /// In order of time.
-    changes: Vec<RoomChange>,
+    changes: Vec<CapacityChange>,
 }
 
 /// When a task would begin and end on a worker.
@@ -40,7 +40,7 @@
 
 /// A task as the forecast counts.
 #[derive(Clone, Copy, Debug)]
-struct TaskAsk {
+struct TaskDemand {
     cpu: u64,
     /// On a worker of mean speed, in microseconds.
     work: f64,
@@ -65,13 +65,13 @@
 
     fn change(&mut self, at: Micros, by: i64) {
         // What ends at a moment makes room for what begins then.
-        let before = |change: &RoomChange| (change.at, change.by <= 0) <= (at, by <= 0);
+        let before = |change: &CapacityChange| (change.at, change.by <= 0) <= (at, by <= 0);
         let place = self.changes.partition_point(before);
-        self.changes.insert(place, RoomChange { at, by });
+        self.changes.insert(place, CapacityChange { at, by });
     }
 
     /// From when on, but not before the earliest, there is room for a task for as long as it runs, if ever.
-    fn room_from(&self, ask: &TaskAsk) -> Option<Micros> {
+    fn room_from(&self, ask: &TaskDemand) -> Option<Micros> {
         if ask.cpu > self.room {
             return None;
         }
@@ -99,12 +99,12 @@
         from
     }
 
-    fn run_time(&self, ask: &TaskAsk) -> Micros {
+    fn run_time(&self, ask: &TaskDemand) -> Micros {
         // The cast saturates.
         (ask.work * self.slowness) as Micros
     }
 
-    fn times(&self, ask: &TaskAsk) -> Option<TaskTimes> {
+    fn times(&self, ask: &TaskDemand) -> Option<TaskTimes> {
         let from = self.room_from(ask)?;
         let end = from.saturating_add(self.run_time(ask));
         Some(TaskTimes { from, end })
@@ -143,7 +143,7 @@
         if group.count == 0 {
             return Some(earliest);
         }
-        let ask = TaskAsk {
+        let ask = TaskDemand {
             cpu: group.cpu,
             work: group.work.as_secs_f64() * 1e6,
             earliest: micros(earliest),
--- a/crates/pool/src/job.rs
+++ b/crates/pool/src/job.rs
@@ -7,7 +7,7 @@
 
 use jobs::{CpuMillis, JobRequest, JobTerms, LifeId, StepRecord, StepSpec};
 
-use crate::{action::WaiterId, kept::KeptLedger};
+use crate::{action::WaiterId, kept::KeptJobState};
 
 /// A task that waits for a place.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -32,7 +32,7 @@
 
 /// A job in the pool.
 #[derive(Clone, Debug)]
-pub(crate) struct JobLedger {
+pub(crate) struct TrackedJob {
     pub(crate) request: Arc<JobRequest>,
     pub(crate) terms: JobTerms,
     /// When the customer's request came.
@@ -46,10 +46,10 @@
     /// Whether a start was ever ordered. From then on it is never said that the job has not run.
     pub(crate) ordered: bool,
     /// What of it is stored, if it is kept.
-    pub(crate) kept: Option<KeptLedger>,
+    pub(crate) kept: Option<KeptJobState>,
 }
 
-impl JobLedger {
+impl TrackedJob {
     /// Whether it is a kept job that is stored.
     pub(crate) fn is_stored(&self) -> bool {
         self.kept
--- a/crates/pool/src/kept.rs
+++ b/crates/pool/src/kept.rs
@@ -20,7 +20,7 @@
 
 /// What is to be done with a kept job's row.
 #[derive(Clone, Debug, PartialEq)]
-pub struct KeepOrder {
+pub struct KeptWrite {
     /// The job.
     pub job: JobId,
     /// The row to write. Its state says whether the job has ended.
@@ -31,7 +31,7 @@
 
 /// What became of it.
 #[derive(Clone, Debug, PartialEq)]
-pub enum KeepAnswer {
+pub enum KeptWriteResult {
     /// It took effect, as this version.
     Stored(u64),
     /// Surely not: the store turned it away. Only for new jobs; others are tried again.
@@ -57,7 +57,7 @@
 
 /// An end that is known and not stored yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct HeldEnd {
+pub(crate) struct UnstoredEnd {
     pub(crate) life: LifeId,
     pub(crate) number: u64,
     /// The revision of the row that has it.
@@ -66,7 +66,7 @@
 
 /// What a pool knows of one kept job beside its tasks.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct KeptLedger {
+pub(crate) struct KeptJobState {
     /// The version of its row; none until it is stored.
     pub(crate) version: Option<u64>,
     /// Counts changes that have to be stored. It begins at a number that this owner uses once, so that a row tells which
@@ -77,14 +77,14 @@
     /// The revision that is being written.
     pub(crate) writing: Option<u64>,
     pub(crate) progress: Vec<StepRecord>,
-    pub(crate) ends: Vec<HeldEnd>,
+    pub(crate) ends: Vec<UnstoredEnd>,
     /// How it ended, once it has.
     pub(crate) end: Option<KeptState>,
     /// Found in the store after a predecessor: it may still have runs.
     pub(crate) held_back: bool,
 }
 
-impl KeptLedger {
+impl KeptJobState {
     /// The state to be stored.
     pub(crate) fn state(&self, begun: bool) -> KeptState {
         let running = if begun {
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -34,14 +34,14 @@
 
 pub use crate::{
     action::{
-        CallFailure, LookAnswer, LookOrder, PoolAction, PoolNote, RunLoss, StartAnswer, StartOrder,
+        CallFailure, PollAnswer, PollOrder, PoolAction, PoolNote, RunLoss, StartAnswer, StartOrder,
         StopAnswer, StopOrder, SuspensionCause, WaiterId, WorkerChange,
     },
     admission::PoolLoad,
-    evacuation::{EvacuationBook, EvacuationChange},
-    kept::{FoundJob, KeepAnswer, KeepOrder},
+    evacuation::{EvacuationChange, EvacuationSet},
+    kept::{FoundJob, KeptWrite, KeptWriteResult},
     pool::{PoolStart, WorkerPool},
     settings::PoolSettings,
     shift::{divide_step, order_pools, PoolCandidate},
-    waits::{UsualWait, WaitBook},
+    waits::{BudgetTracker, RouteBudget},
 };
--- a/crates/pool/src/placement.rs
+++ b/crates/pool/src/placement.rs
@@ -8,7 +8,7 @@
 
 use jobs::{JobId, LifeId, StepSpec};
 
-use crate::worker::WorkerLedger;
+use crate::worker::TrackedWorker;
 
 /// From this many times the median slowness of its pool on a worker is used only by one run at a time, to see whether it
 /// has recovered. Sound workers differ by 1.6 from slowest to fastest; estimates add as much again for single jobs, which
@@ -19,7 +19,7 @@
 const SLUGGISH_PAUSE: Duration = Duration::from_millis(700);
 
 /// What is to be placed.
-pub(crate) struct PlacementAsk<'a> {
+pub(crate) struct PlacementRequest<'a> {
     pub(crate) job: JobId,
     pub(crate) step: u32,
     pub(crate) spec: &'a StepSpec,
@@ -37,7 +37,7 @@
 }
 
 /// Whether a worker can ever hold the task.
-pub(crate) fn can_hold(worker: &WorkerLedger, ask: &PlacementAsk<'_>) -> bool {
+pub(crate) fn can_hold(worker: &TrackedWorker, ask: &PlacementRequest<'_>) -> bool {
     let label = ask.spec.required_label.as_ref();
     worker.record.service == *ask.service
         && worker.record.room.holds(&ask.spec.demand)
@@ -46,11 +46,11 @@
 
 /// The best worker for a task, if one is free.
 pub(crate) fn choose_worker<'a>(
-    workers: impl Iterator<Item = &'a WorkerLedger>,
-    ask: &PlacementAsk<'_>,
+    workers: impl Iterator<Item = &'a TrackedWorker>,
+    ask: &PlacementRequest<'_>,
     now: Instant,
-) -> Option<&'a WorkerLedger> {
-    let mut best: Option<(PlacementScore, &WorkerLedger)> = None;
+) -> Option<&'a TrackedWorker> {
+    let mut best: Option<(PlacementScore, &TrackedWorker)> = None;
     for worker in workers {
         if !may_place(worker, ask, now) {
             continue;
@@ -64,11 +64,11 @@
 }
 
 /// Whether a worker is so slow that nothing is expected of it.
-pub(crate) fn is_sluggish(worker: &WorkerLedger, median: f64) -> bool {
+pub(crate) fn is_sluggish(worker: &TrackedWorker, median: f64) -> bool {
     worker.slowness > SLUGGISH * median
 }
 
-fn may_place(worker: &WorkerLedger, ask: &PlacementAsk<'_>, now: Instant) -> bool {
+fn may_place(worker: &TrackedWorker, ask: &PlacementRequest<'_>, now: Instant) -> bool {
     if !can_hold(worker, ask) || !worker.is_open() {
         return false;
     }
@@ -109,7 +109,7 @@
 const EQUAL_SPEED: f64 = 0.08;
 
 impl PlacementScore {
-    fn of(worker: &WorkerLedger, ask: &PlacementAsk<'_>) -> Self {
+    fn of(worker: &TrackedWorker, ask: &PlacementRequest<'_>) -> Self {
         let far = match &ask.spec.data_rack {
             Some(rack) if !worker.record.labels.contains(rack) => ask.far_factor,
             _ => 1.0,
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -27,14 +27,14 @@
     action::{PoolAction, PoolNote, SuspensionCause, WaiterId, WorkerChange},
     admission::PoolLoad,
     answer_time::AnswerTimes,
-    arrivals::ArrivalBook,
-    crash::CrashBook,
-    estimate::EstimateBook,
-    job::{JobLedger, StepProgress, WaitingTask},
+    arrivals::ArrivalStats,
+    crash::CrashTracker,
+    estimate::EstimateCorrections,
+    job::{StepProgress, TrackedJob, WaitingTask},
     queue::{latest_start, JobQueue, QueueEntry},
     settings::PoolSettings,
     start_window::StartWindow,
-    worker::{RunPhase, WaitingOrder, WorkerLedger},
+    worker::{QueuedOrder, RunPhase, TrackedWorker},
 };
 
 /// How long a worker may be missing from the directory while it still has runs, which end by themselves.
@@ -92,15 +92,15 @@
     alone_since: Instant,
     /// Up to which version of the store no later claim of the pool was made.
     sole_until: u64,
-    workers: BTreeMap<LifeId, WorkerLedger>,
-    jobs: FastMap<JobId, JobLedger>,
+    workers: BTreeMap<LifeId, TrackedWorker>,
+    jobs: FastMap<JobId, TrackedJob>,
     queue: JobQueue,
     /// Tasks under which workers were lost.
-    crashes: CrashBook,
+    crashes: CrashTracker,
     /// Workers that are emptied for suspects.
     cleared: Vec<LifeId>,
-    estimates: EstimateBook,
-    arrivals: ArrivalBook,
+    estimates: EstimateCorrections,
+    arrivals: ArrivalStats,
     actions: Vec<PoolAction>,
     notes: Vec<PoolNote>,
 }
@@ -151,10 +151,10 @@
             workers: BTreeMap::new(),
             jobs: FastMap::default(),
             queue: JobQueue::default(),
-            crashes: CrashBook::default(),
+            crashes: CrashTracker::default(),
             cleared: Vec::new(),
-            estimates: EstimateBook::default(),
-            arrivals: ArrivalBook::default(),
+            estimates: EstimateCorrections::default(),
+            arrivals: ArrivalStats::default(),
             actions: Vec::new(),
             notes: Vec::new(),
         }
@@ -283,7 +283,7 @@
         let Some(worker) = self.workers.get_mut(&life) else {
             self.note_listed(now, &record);
             self.workers
-                .insert(life.clone(), WorkerLedger::new(record, self.fence, now));
+                .insert(life.clone(), TrackedWorker::new(record, self.fence, now));
             self.note_worker(life, WorkerChange::Added);
             self.keep_watch(now);
             return;
@@ -362,7 +362,7 @@
 
     /// The workers on which jobs can expect to run: the sound ones. If there is none, those that have to be tried out: a
     /// pool that admits nothing for want of a sound worker would never find out that one is sound again.
-    fn expected_workers(&self, now: Instant) -> Vec<&WorkerLedger> {
+    fn expected_workers(&self, now: Instant) -> Vec<&TrackedWorker> {
         let workers = self.workers.values();
         let sound: Vec<_> = workers.filter(|worker| worker.is_usable()).collect();
         if !sound.is_empty() {
@@ -378,7 +378,7 @@
         waiter: Option<WaiterId>,
         request: Arc<JobRequest>,
         terms: JobTerms,
-    ) -> JobLedger {
+    ) -> TrackedJob {
         let steps = request.steps.iter().map(|step| StepProgress {
             waiting: (step.first..step.first.saturating_add(step.count))
                 .map(|index| WaitingTask {
@@ -388,7 +388,7 @@
                 .collect(),
             ..StepProgress::default()
         });
-        let mut job = JobLedger {
+        let mut job = TrackedJob {
             arrived: now.checked_sub(terms.waited).unwrap_or(now),
             deadline: now + terms.time_left,
             objective: self.objective(&request, &terms),
@@ -460,7 +460,7 @@
     fn stop_runs_of(&mut self, now: Instant, id: JobId) -> usize {
         let mut stopped = 0;
         for worker in self.workers.values_mut() {
-            let of_job = |run: &&crate::worker::RunLedger| run.task.job == id;
+            let of_job = |run: &&crate::worker::TrackedRun| run.task.job == id;
             let runs: Vec<_> = worker
                 .runs
                 .iter()
@@ -552,7 +552,7 @@
 
 /// Marks a run as to be stopped and orders the stop. A start that was never sent is taken back instead. Says whether
 /// a run that may be there was told to stop now.
-fn stop_run(worker: &mut WorkerLedger, task: jobs::TaskId, number: RunNumber) -> bool {
+fn stop_run(worker: &mut TrackedWorker, task: jobs::TaskId, number: RunNumber) -> bool {
     let Some(run) = worker.run_mut(task, number) else {
         return false;
     };
@@ -563,11 +563,11 @@
     run.phase = RunPhase::Stopping;
     worker
         .orders
-        .retain(|order| *order != WaitingOrder::Start(task, number));
+        .retain(|order| *order != QueuedOrder::Start(task, number));
     if never_sent {
         worker.take_run(task, number);
         return false;
     }
-    worker.orders.push_back(WaitingOrder::Stop(task, number));
+    worker.orders.push_back(QueuedOrder::Stop(task, number));
     true
 }
--- a/crates/pool/src/pool/admit.rs
+++ b/crates/pool/src/pool/admit.rs
@@ -11,12 +11,12 @@
 use super::{WorkerPool, LONGEST_RETRY, SHORTEST_RETRY};
 use crate::{
     action::PoolNote,
-    admission::{AdmissionForecast, AdmissionTrial, ForecastJob, ForecastStep},
+    admission::{AdmissionForecast, AdmissionSimulation, ForecastJob, ForecastStep},
     arrivals::ArrivedJob,
     forecast::{PoolForecast, WaitingGroup, WorkerForecast},
-    placement::{can_hold, is_sluggish, PlacementAsk},
+    placement::{can_hold, is_sluggish, PlacementRequest},
     queue::{latest_start, QueueEntry, QueueRank},
-    worker::{RunLedger, RunPhase, WorkerLedger, SLOWNESS_BOUNDS},
+    worker::{RunPhase, TrackedRun, TrackedWorker, SLOWNESS_BOUNDS},
 };
 
 /// What a run that takes longer than predicted is expected to take still, as a share of its predicted time. Estimates
@@ -229,7 +229,7 @@
     /// places for all their tasks at once, while all pools together have them.
     fn count_in_time(
         &self,
-        trial: &AdmissionTrial,
+        trial: &AdmissionSimulation,
         request: &JobRequest,
         terms: &JobTerms,
         objective: Duration,
@@ -288,7 +288,7 @@
 
     pub(super) fn can_ever_hold(&self, request: &JobRequest, terms: &JobTerms) -> bool {
         request.steps.iter().all(|spec| {
-            let ask = PlacementAsk {
+            let ask = PlacementRequest {
                 job: request.id,
                 step: 0,
                 spec,
@@ -310,7 +310,7 @@
         request: &JobRequest,
         terms: &JobTerms,
         objective: Duration,
-    ) -> Option<AdmissionTrial> {
+    ) -> Option<AdmissionSimulation> {
         let chain = self.predict_chain(request, terms);
         let arrived = now.checked_sub(terms.waited).unwrap_or(now);
         let entry = QueueEntry {
@@ -348,7 +348,9 @@
             false => Vec::new(),
         };
         let pool = self.pool_forecast(now, &terms.service);
-        Some(AdmissionTrial::new(pool, &before, new, behind, expected))
+        Some(AdmissionSimulation::new(
+            pool, &before, new, behind, expected,
+        ))
     }
 
     /// The jobs of a service with tasks that have no place yet, in the order in which they get places. Beside those in
@@ -437,7 +439,7 @@
     }
 }
 
-fn worker_forecast(worker: &WorkerLedger, now: Instant) -> WorkerForecast {
+fn worker_forecast(worker: &TrackedWorker, now: Instant) -> WorkerForecast {
     let room = worker.record.room.cpu.0;
     let mut forecast = WorkerForecast::new(room, worker.used_room().cpu.0, worker.slowness);
     for run in &worker.runs {
@@ -446,7 +448,7 @@
     forecast
 }
 
-fn time_left(run: &RunLedger, slowness: f64, now: Instant) -> Duration {
+fn time_left(run: &TrackedRun, slowness: f64, now: Instant) -> Duration {
     if run.phase == RunPhase::Stopping {
         return STOP_TIME;
     }
--- a/crates/pool/src/pool/answers.rs
+++ b/crates/pool/src/pool/answers.rs
@@ -11,7 +11,7 @@
         CallFailure, PoolNote, RunLoss, StartAnswer, StartOrder, StopAnswer, StopOrder,
         SuspensionCause,
     },
-    worker::{RunPhase, WaitingOrder, WorkerLedger},
+    worker::{QueuedOrder, RunPhase, TrackedWorker},
 };
 
 impl WorkerPool {
@@ -149,7 +149,7 @@
         match answer {
             // It may be the former life's: the new one has to be told.
             StopAnswer::Stopped(_) if !of_this_life => {
-                worker.orders.push_back(WaitingOrder::Stop(*task, *run));
+                worker.orders.push_back(QueuedOrder::Stop(*task, *run));
             }
             StopAnswer::Stopped(clock) => {
                 worker.read_clock(owner_millis, clock);
@@ -159,13 +159,13 @@
             }
             StopAnswer::Failed(CallFailure::NewLife) => self.forget_life(now, life),
             StopAnswer::Failed(CallFailure::FencedOut) if fenced_anew => {
-                worker.orders.push_back(WaitingOrder::Stop(*task, *run));
+                worker.orders.push_back(QueuedOrder::Stop(*task, *run));
             }
             StopAnswer::Failed(CallFailure::FencedOut) => self.lose_worker(now, life),
             StopAnswer::Failed(
                 CallFailure::NoAnswer | CallFailure::Unhealthy | CallFailure::Malformed,
             ) => {
-                worker.orders.push_back(WaitingOrder::Stop(*task, *run));
+                worker.orders.push_back(QueuedOrder::Stop(*task, *run));
                 worker.order_pause = Some(now + self.settings.retry_pause);
             }
         }
@@ -187,7 +187,7 @@
         if run.tries < self.settings.start_tries {
             // One that is lost is sent again at once: a pause would only add to what its job waits.
             let pause = (run.tries > 1).then(|| now + self.settings.retry_pause);
-            worker.orders.push_front(WaitingOrder::Start(task, number));
+            worker.orders.push_front(QueuedOrder::Start(task, number));
             worker.order_pause = pause;
             return;
         }
@@ -223,7 +223,7 @@
     }
 }
 
-fn confirm(worker: &mut WorkerLedger, task: TaskId, number: RunNumber, now: Instant) {
+fn confirm(worker: &mut TrackedWorker, task: TaskId, number: RunNumber, now: Instant) {
     let Some(run) = worker.run_mut(task, number) else {
         return;
     };
--- a/crates/pool/src/pool/crashing.rs
+++ b/crates/pool/src/pool/crashing.rs
@@ -14,8 +14,8 @@
 use super::{schedule::task_id, WorkerPool};
 use crate::{
     action::PoolNote,
-    crash::{LostTask, PoolShape, TaskCaution, WorkerLoss},
-    worker::WorkerLedger,
+    crash::{LostTask, TaskRestriction, WorkerCounts, WorkerLoss},
+    worker::TrackedWorker,
 };
 
 /// The share of a pool's workers that are emptied for suspects at the most.
@@ -144,7 +144,7 @@
         let waiting = self.crashes.suspects().filter(|task| {
             let job = self.jobs.get(&task.job);
             let waits = job.is_some_and(|job| job.waits(task.step as usize, task.index));
-            waits && self.crashes.caution(now, *task) == TaskCaution::Alone
+            waits && self.crashes.caution(now, *task) == TaskRestriction::Alone
         });
         let waiting = waiting.count();
         let former = std::mem::take(&mut self.cleared);
@@ -155,7 +155,7 @@
             .workers
             .values()
             .filter(|worker| worker.is_open() && !worker.runs.iter().any(|run| run.alone));
-        let mut open: Vec<&WorkerLedger> = open.collect();
+        let mut open: Vec<&TrackedWorker> = open.collect();
         let most = (open.len() / CLEARED_SHARE).max(1);
         open.sort_by_key(|worker| {
             let begun = former.contains(&worker.record.life);
@@ -178,10 +178,10 @@
         })
     }
 
-    fn shape(&self) -> PoolShape {
-        let mut shape = PoolShape {
+    fn shape(&self) -> WorkerCounts {
+        let mut shape = WorkerCounts {
             workers: self.workers.len(),
-            ..PoolShape::default()
+            ..WorkerCounts::default()
         };
         for worker in self.workers.values() {
             for label in &worker.record.labels {
--- a/crates/pool/src/pool/keeping.rs
+++ b/crates/pool/src/pool/keeping.rs
@@ -13,7 +13,7 @@
 use super::{WorkerPool, SHORTEST_RETRY};
 use crate::{
     action::{PoolAction, PoolNote, WaiterId},
-    kept::{HeldEnd, KeepAnswer, KeepOrder, KeptLedger},
+    kept::{KeptJobState, KeptWrite, KeptWriteResult, UnstoredEnd},
 };
 
 /// The deadline of a job for whose end nobody waits: far beyond the life of a process.
@@ -55,10 +55,10 @@
         let mut job = self.open_job(now, Some(waiter), request, terms);
         job.deadline = now + NO_DEADLINE;
         let records = job.request.steps.iter().map(|_| StepRecord::default());
-        job.kept = Some(KeptLedger {
+        job.kept = Some(KeptJobState {
             progress: records.collect(),
             revision: self.next_run(now).0,
-            ..KeptLedger::default()
+            ..KeptJobState::default()
         });
         self.jobs.insert(id, job);
         self.store_changes(id);
@@ -128,7 +128,7 @@
             EndCause::Stopped | EndCause::Lapsed | EndCause::Gang => return 0,
         }
         kept.revision += 1;
-        kept.ends.push(HeldEnd {
+        kept.ends.push(UnstoredEnd {
             life: life.clone(),
             number: end.number,
             revision: kept.revision,
@@ -168,7 +168,7 @@
             stretch: job.terms.stretch,
             goal: job.terms.goal,
         };
-        self.actions.push(PoolAction::Keep(KeepOrder {
+        self.actions.push(PoolAction::Keep(KeptWrite {
             job: id,
             row,
             replaces: kept.version,
@@ -176,7 +176,7 @@
     }
 
     /// Takes what became of a write.
-    pub fn on_kept(&mut self, now: Instant, order: &KeepOrder, answer: KeepAnswer) {
+    pub fn on_kept(&mut self, now: Instant, order: &KeptWrite, answer: KeptWriteResult) {
         let id = order.job;
         let Some(kept) = self.jobs.get_mut(&id).and_then(|job| job.kept.as_mut()) else {
             return;
@@ -189,8 +189,8 @@
         kept.writing = None;
         let written = order.row.revision;
         match answer {
-            KeepAnswer::Stored(version) => self.take_stored(now, id, version, written),
-            KeepAnswer::TurnedAway => {
+            KeptWriteResult::Stored(version) => self.take_stored(now, id, version, written),
+            KeptWriteResult::TurnedAway => {
                 let refused = JobOutcome::Refused {
                     kind: RefusalKind::NotServing,
                     retry_after: SHORTEST_RETRY,
@@ -199,12 +199,12 @@
                 self.drop_kept(now, id, refused);
             }
             // Whoever has it runs it; if that is this pool, the next reading of the store finds it.
-            KeepAnswer::Known => {
+            KeptWriteResult::Known => {
                 self.drop_kept(now, id, JobOutcome::Accepted);
                 self.ended_kept.remove(&id);
             }
-            KeepAnswer::Gone => self.drop_kept(now, id, JobOutcome::Accepted),
-            KeepAnswer::Changed(row, version) => {
+            KeptWriteResult::Gone => self.drop_kept(now, id, JobOutcome::Accepted),
+            KeptWriteResult::Changed(row, version) => {
                 // A former owner's last write. What it knew counts, too, and this owner's is written over it.
                 kept.version = Some(version);
                 kept.revision += 1;
@@ -253,7 +253,7 @@
         self.store_changes(id);
     }
 
-    fn release_ends(&mut self, ends: &[HeldEnd], up_to: u64) {
+    fn release_ends(&mut self, ends: &[UnstoredEnd], up_to: u64) {
         for end in ends.iter().filter(|end| end.revision <= up_to) {
             if let Some(worker) = self.workers.get_mut(&end.life) {
                 worker.unstored.remove(&end.number);
--- a/crates/pool/src/pool/looks.rs
+++ b/crates/pool/src/pool/looks.rs
@@ -12,13 +12,13 @@
 use super::{stop_run, WorkerPool};
 use crate::{
     action::{
-        CallFailure, LookAnswer, LookOrder, PoolAction, PoolNote, RunLoss, SuspensionCause,
+        CallFailure, PollAnswer, PollOrder, PoolAction, PoolNote, RunLoss, SuspensionCause,
         WorkerChange,
     },
-    crash::TaskCaution,
+    crash::TaskRestriction,
     job::WaitingTask,
     kept::STORING_PAUSE,
-    worker::{RunLedger, RunPhase, WaitingOrder, WorkerLedger},
+    worker::{QueuedOrder, RunPhase, TrackedRun, TrackedWorker},
 };
 
 /// Ends of an idle worker are acknowledged after this time, for the one look that costs. Soon enough for a worker's
@@ -74,8 +74,8 @@
         &mut self,
         now: Instant,
         sent: Instant,
-        order: &LookOrder,
-        answer: LookAnswer,
+        order: &PollOrder,
+        answer: PollAnswer,
     ) {
         let life = &order.life;
         let Some(worker) = self.workers.get_mut(life) else {
@@ -147,7 +147,7 @@
         &mut self,
         now: Instant,
         sent: Instant,
-        order: &LookOrder,
+        order: &PollOrder,
         listing: WorkerListing,
     ) {
         if !self.check_life(now, sent, order, &listing) {
@@ -237,7 +237,7 @@
         }
     }
 
-    fn complete_task(&mut self, now: Instant, life: &LifeId, run: &RunLedger, took: Duration) {
+    fn complete_task(&mut self, now: Instant, life: &LifeId, run: &TrackedRun, took: Duration) {
         let learns = self.has(Mechanism::Speeds);
         if let Some(worker) = self.workers.get_mut(life) {
             worker.health.succeed();
@@ -273,7 +273,7 @@
     }
 
     /// Takes a failed run. `counted` failures of the task stand in the record of a kept job.
-    fn fail_task(&mut self, now: Instant, life: &LifeId, mut run: RunLedger, counted: u32) {
+    fn fail_task(&mut self, now: Instant, life: &LifeId, mut run: TrackedRun, counted: u32) {
         let id = run.task.job;
         let mut blame = true;
         if let Some(worker) = self.workers.get_mut(life) {
@@ -305,7 +305,7 @@
     }
 
     /// Lets a task wait again whose run surely is over.
-    pub(super) fn requeue(&mut self, now: Instant, run: RunLedger) {
+    pub(super) fn requeue(&mut self, now: Instant, run: TrackedRun) {
         let id = run.task.job;
         let Some(job) = self.jobs.get_mut(&id).filter(|job| !job.has_ended()) else {
             return;
@@ -325,8 +325,8 @@
         };
         // The last one is placed first, and a suspect may have to wait longer than others of its step.
         match self.crashes.caution(now, run.task) {
-            TaskCaution::None => step.waiting.push(task),
-            TaskCaution::Alone | TaskCaution::Wait => step.waiting.insert(0, task),
+            TaskRestriction::None => step.waiting.push(task),
+            TaskRestriction::Alone | TaskRestriction::Wait => step.waiting.insert(0, task),
         }
         self.enqueue(now, id);
     }
@@ -359,9 +359,7 @@
             if worker.foreign.contains(known) {
                 continue;
             }
-            worker
-                .orders
-                .push_back(WaitingOrder::Stop(known.0, known.1));
+            worker.orders.push_back(QueuedOrder::Stop(known.0, known.1));
             self.notes.push(PoolNote::ForeignRun {
                 task: Some(known.0),
                 run: known.1,
@@ -492,7 +490,7 @@
             return;
         };
         self.note_worker(life.clone(), WorkerChange::TakenOver);
-        let of_kept = |run: &RunLedger| {
+        let of_kept = |run: &TrackedRun| {
             let job = self.jobs.get(&run.task.job);
             job.is_some_and(|job| job.kept.is_some())
         };
@@ -507,7 +505,7 @@
         }
     }
 
-    pub(super) fn note_lost(&mut self, run: &RunLedger, life: &LifeId, loss: RunLoss) {
+    pub(super) fn note_lost(&mut self, run: &TrackedRun, life: &LifeId, loss: RunLoss) {
         self.notes.push(PoolNote::RunLost {
             task: run.task,
             run: run.run,
@@ -522,7 +520,7 @@
 /// A run whose start was answered before the look was sent was there, so it must have ended. One whose stop was
 /// answered before ended or never begins. One whose start went unanswered may still begin, until the lease end that
 /// its last start carried has passed on the worker's clock.
-fn is_over(run: &RunLedger, sent: Instant, clock: WorkerClock) -> bool {
+fn is_over(run: &TrackedRun, sent: Instant, clock: WorkerClock) -> bool {
     let was_there = run.confirmed.is_some_and(|confirmed| confirmed < sent);
     let was_stopped = run.stop_acked.is_some_and(|acked| acked < sent);
     let never_begins = run.tries > 0 && run.start_until < clock;
@@ -530,12 +528,12 @@
 }
 
 fn look_order(
-    worker: &mut WorkerLedger,
+    worker: &mut TrackedWorker,
     now: Instant,
     owner_millis: u64,
     settings: &crate::PoolSettings,
     margin: Duration,
-) -> LookOrder {
+) -> PollOrder {
     // Runs of a former owner are not renewed, and a worker that does not answer is left to its lease: what it was
     // last told must be what it goes by.
     let renew = !worker.runs.is_empty() && worker.foreign.is_empty() && worker.misses == 0;
@@ -543,7 +541,7 @@
     let lease_end = clock.map(|clock| clock.plus(settings.lease));
     worker.lease_end = worker.lease_end.max(lease_end.unwrap_or_default());
     let wait = look_wait(worker, now, settings);
-    LookOrder {
+    PollOrder {
         life: worker.record.life.clone(),
         address: worker.record.address,
         fence: worker.fence,
@@ -554,7 +552,7 @@
     }
 }
 
-fn look_wait(worker: &WorkerLedger, now: Instant, settings: &crate::PoolSettings) -> Duration {
+fn look_wait(worker: &TrackedWorker, now: Instant, settings: &crate::PoolSettings) -> Duration {
     if !worker.foreign.is_empty() {
         return FOREIGN_WAIT;
     }
--- a/crates/pool/src/pool/rebirth.rs
+++ b/crates/pool/src/pool/rebirth.rs
@@ -15,8 +15,8 @@
 
 use super::WorkerPool;
 use crate::{
-    action::{LookOrder, PoolNote, RunLoss},
-    worker::{LifeVerdict, RunLedger},
+    action::{PollOrder, PoolNote, RunLoss},
+    worker::{ListingLife, TrackedRun},
 };
 
 /// What is to become of a run that was known before a worker's new life was found.
@@ -41,16 +41,16 @@
         &mut self,
         now: Instant,
         sent: Instant,
-        order: &LookOrder,
+        order: &PollOrder,
         listing: &WorkerListing,
     ) -> bool {
         let Some(worker) = self.workers.get_mut(&order.life) else {
             return false;
         };
         match worker.judge_life(listing.born, sent) {
-            LifeVerdict::Known => true,
-            LifeVerdict::Former => false,
-            LifeVerdict::New => {
+            ListingLife::Known => true,
+            ListingLife::Former => false,
+            ListingLife::New => {
                 self.begin_life(now, order, listing);
                 true
             }
@@ -62,7 +62,7 @@
         self.sole_until = self.sole_until.max(version);
     }
 
-    fn begin_life(&mut self, now: Instant, order: &LookOrder, listing: &WorkerListing) {
+    fn begin_life(&mut self, now: Instant, order: &PollOrder, listing: &WorkerListing) {
         let life = &order.life;
         let Some(worker) = self.workers.get_mut(life) else {
             return;
@@ -134,8 +134,8 @@
 }
 
 fn former_run(
-    run: &RunLedger,
-    order: &LookOrder,
+    run: &TrackedRun,
+    order: &PollOrder,
     listing: &WorkerListing,
     last_listed: Option<Instant>,
 ) -> FormerRun {
--- a/crates/pool/src/pool/resizing.rs
+++ b/crates/pool/src/pool/resizing.rs
@@ -8,7 +8,7 @@
 use jobs::{JobId, JobOutcome, LifeId, RefusalKind, ResourceDemand, RunNumber, TaskId};
 
 use super::{WorkerPool, SHORTEST_RETRY};
-use crate::{action::PoolNote, worker::WorkerLedger};
+use crate::{action::PoolNote, worker::TrackedWorker};
 
 impl WorkerPool {
     /// Follows a change of a worker's room.
@@ -53,7 +53,7 @@
 }
 
 /// The starts that were never sent and do not fit into a worker's room beside its other runs, the latest first.
-fn starts_over_room(worker: &WorkerLedger) -> Vec<(TaskId, RunNumber)> {
+fn starts_over_room(worker: &TrackedWorker) -> Vec<(TaskId, RunNumber)> {
     let mut used = worker.used_room();
     let mut over = Vec::new();
     for run in worker.runs.iter().rev() {
--- a/crates/pool/src/pool/schedule.rs
+++ b/crates/pool/src/pool/schedule.rs
@@ -8,10 +8,10 @@
 use super::{WorkerPool, REPEATS_AT_ONCE, SHORTEST_RETRY};
 use crate::{
     action::{PoolAction, PoolNote, StartOrder, StopOrder},
-    crash::TaskCaution,
+    crash::TaskRestriction,
     job::WaitingTask,
-    placement::{choose_worker, PlacementAsk},
-    worker::{RunLedger, RunPhase, WaitingOrder, WorkerLedger},
+    placement::{choose_worker, PlacementRequest},
+    worker::{QueuedOrder, RunPhase, TrackedRun, TrackedWorker},
 };
 
 /// An answer that takes longer than this is worth a connection more: a tenth of what the shortest class has beside its work.
@@ -108,12 +108,12 @@
         let job = &self.jobs[&id];
         let step_number = u32::try_from(step).unwrap_or(u32::MAX);
         let alone = match self.crashes.caution(now, task_id(id, step, task.index)) {
-            TaskCaution::None => false,
-            TaskCaution::Alone => true,
-            TaskCaution::Wait => return None,
+            TaskRestriction::None => false,
+            TaskRestriction::Alone => true,
+            TaskRestriction::Wait => return None,
         };
         let spec = &job.request.steps[step];
-        let ask = PlacementAsk {
+        let ask = PlacementRequest {
             job: id,
             step: step_number,
             spec,
@@ -132,7 +132,7 @@
         let job = &self.jobs[&id];
         let spec = &job.request.steps[step];
         let task_id = task_id(id, step, task.index);
-        let ledger = RunLedger {
+        let ledger = TrackedRun {
             task: task_id,
             run,
             demand: spec.demand,
@@ -150,7 +150,7 @@
             percent: 0,
             progressed: now,
             failures: task.failures,
-            alone: self.crashes.caution(now, task_id) != TaskCaution::None,
+            alone: self.crashes.caution(now, task_id) != TaskRestriction::None,
             failed_on: task.failed_on,
         };
         self.notes.push(PoolNote::Placed {
@@ -163,7 +163,7 @@
             return;
         };
         worker.runs.push(ledger);
-        worker.orders.push_back(WaitingOrder::Start(task_id, run));
+        worker.orders.push_back(QueuedOrder::Start(task_id, run));
     }
 
     fn is_window_full(&self) -> bool {
@@ -228,12 +228,12 @@
                     break;
                 };
                 let action = match order {
-                    WaitingOrder::Start(task, run) if self.evacuated || worker.is_over_room() => {
+                    QueuedOrder::Start(task, run) if self.evacuated || worker.is_over_room() => {
                         withdrawn.push((worker.record.life.clone(), task, run));
                         continue;
                     }
-                    WaitingOrder::Start(task, run) => start_action(worker, task, run, &frame),
-                    WaitingOrder::Stop(task, run) => stop_action(worker, task, run, &frame),
+                    QueuedOrder::Start(task, run) => start_action(worker, task, run, &frame),
+                    QueuedOrder::Stop(task, run) => stop_action(worker, task, run, &frame),
                 };
                 if let Some(action) = action {
                     worker.orders_in_flight += 1;
@@ -314,7 +314,7 @@
 }
 
 fn start_action(
-    worker: &mut WorkerLedger,
+    worker: &mut TrackedWorker,
     task: jobs::TaskId,
     number: jobs::RunNumber,
     frame: &OrderFrame,
@@ -343,7 +343,7 @@
 }
 
 fn stop_action(
-    worker: &WorkerLedger,
+    worker: &TrackedWorker,
     task: jobs::TaskId,
     run: jobs::RunNumber,
     frame: &OrderFrame,
--- a/crates/pool/src/pool/takeover.rs
+++ b/crates/pool/src/pool/takeover.rs
@@ -15,9 +15,9 @@
 use super::{keeping::NO_DEADLINE, stop_run, WorkerPool};
 use crate::{
     action::PoolNote,
-    job::JobLedger,
-    kept::{FoundJob, KeptLedger, CONTACT_LIMIT, SETTLE_LIMIT},
-    worker::{RunPhase, WorkerLedger},
+    job::TrackedJob,
+    kept::{FoundJob, KeptJobState, CONTACT_LIMIT, SETTLE_LIMIT},
+    worker::{RunPhase, TrackedWorker},
 };
 
 /// How long ended jobs are remembered, so that an older view of their rows does not bring them back: the longest time that
@@ -95,13 +95,13 @@
         }
         job.open_steps();
         let revision = self.next_run(now).0;
-        job.kept = Some(KeptLedger {
+        job.kept = Some(KeptJobState {
             version: Some(version),
             revision,
             stored: revision,
             progress: row.progress,
             held_back: true,
-            ..KeptLedger::default()
+            ..KeptJobState::default()
         });
         let complete = job.is_complete();
         let progress = job.kept.as_ref().map(|kept| kept.progress.clone());
@@ -117,7 +117,7 @@
     }
 
     /// Whether the tasks of a job may be placed, if room is free.
-    pub(super) fn may_run(&self, now: Instant, job: &JobLedger) -> bool {
+    pub(super) fn may_run(&self, now: Instant, job: &TrackedJob) -> bool {
         let Some(kept) = &job.kept else {
             return true;
         };
@@ -157,7 +157,7 @@
     /// Whether no run of a former owner can be left: every worker has said under this fence what it runs, or all that
     /// a former owner may have ordered is over.
     fn is_settled(&self, now: Instant) -> bool {
-        let clear = |worker: &WorkerLedger| {
+        let clear = |worker: &TrackedWorker| {
             worker.ends_read && worker.foreign.is_empty() && worker.unlisted.is_none()
         };
         let known = self.kept_loaded && self.all_listed && !self.awaiting;
@@ -194,7 +194,7 @@
     /// Lets go of stored jobs of which nothing runs: the next owner finds them in the store.
     fn leave_kept(&mut self) {
         let idle = self.jobs.iter().filter(|(id, job)| {
-            let stored = job.kept.as_ref().is_some_and(KeptLedger::is_all_stored);
+            let stored = job.kept.as_ref().is_some_and(KeptJobState::is_all_stored);
             stored
                 && self
                     .workers
--- a/crates/pool/src/waits.rs
+++ b/crates/pool/src/waits.rs
@@ -29,7 +29,7 @@
 
 /// With how much time a route's requests come at first.
 #[derive(Clone, Debug, PartialEq)]
-pub struct UsualWait {
+pub struct RouteBudget {
     /// The route.
     pub route: Arc<str>,
     /// What nearly all have at least.
@@ -38,12 +38,12 @@
 
 /// With how much time requests come, by route.
 #[derive(Clone, Debug, Default)]
-pub struct WaitBook {
+pub struct BudgetTracker {
     /// In seconds.
     least: FastMap<Arc<str>, f64>,
 }
 
-impl WaitBook {
+impl BudgetTracker {
     /// Takes a request with so much of its customer's time left, and gives how long it has been under way at least.
     pub fn take(&mut self, route: &Arc<str>, left: Duration) -> Duration {
         let left = left.as_secs_f64();
@@ -61,18 +61,18 @@
     }
 
     /// Takes what another process has learnt, where nothing is known here.
-    pub fn adopt(&mut self, wait: &UsualWait) {
+    pub fn adopt(&mut self, wait: &RouteBudget) {
         let known = self.least.entry(wait.route.clone());
         known.or_insert(wait.time.as_secs_f64());
     }
 
     /// What is learnt, to be published.
-    pub fn usual(&self) -> Vec<UsualWait> {
-        let least = self.least.iter().map(|(route, least)| UsualWait {
+    pub fn usual(&self) -> Vec<RouteBudget> {
+        let least = self.least.iter().map(|(route, least)| RouteBudget {
             route: route.clone(),
             time: Duration::try_from_secs_f64(*least).unwrap_or_default(),
         });
-        let mut usual: Vec<UsualWait> = least.collect();
+        let mut usual: Vec<RouteBudget> = least.collect();
         usual.sort_by(|a, b| a.route.cmp(&b.route));
         usual.truncate(MOST_PUBLISHED);
         usual
--- a/crates/pool/src/worker.rs
+++ b/crates/pool/src/worker.rs
@@ -47,7 +47,7 @@
 
 /// A run that takes room on a worker.
 #[derive(Clone, Debug)]
-pub(crate) struct RunLedger {
+pub(crate) struct TrackedRun {
     pub(crate) task: TaskId,
     pub(crate) run: RunNumber,
     pub(crate) demand: ResourceDemand,
@@ -80,21 +80,21 @@
 
 /// An order that waits for its turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum WaitingOrder {
+pub(crate) enum QueuedOrder {
     Start(TaskId, RunNumber),
     Stop(TaskId, RunNumber),
 }
 
 /// What is known of a worker's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct ClockView {
+pub(crate) struct ClockEstimate {
     /// The worker's clock less the owner's, at least: read when an answer came.
     pub(crate) offset: i64,
 }
 
 /// Which life of a worker a listing is of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum LifeVerdict {
+pub(crate) enum ListingLife {
     /// The one that is known.
     Known,
     /// An earlier one: the listing says nothing about now.
@@ -105,7 +105,7 @@
 
 /// One worker.
 #[derive(Clone, Debug)]
-pub(crate) struct WorkerLedger {
+pub(crate) struct TrackedWorker {
     pub(crate) record: WorkerRecord,
     /// Which life under its id its last listing was of.
     pub(crate) born: Option<BirthTime>,
@@ -123,11 +123,11 @@
     /// When it went missing from the directory.
     pub(crate) unlisted: Option<Instant>,
     /// Known once it has answered a look under this fence.
-    pub(crate) clock: Option<ClockView>,
-    pub(crate) runs: Vec<RunLedger>,
+    pub(crate) clock: Option<ClockEstimate>,
+    pub(crate) runs: Vec<TrackedRun>,
     /// Runs of former owners that were told to stop.
     pub(crate) foreign: Vec<(TaskId, RunNumber)>,
-    pub(crate) orders: VecDeque<WaitingOrder>,
+    pub(crate) orders: VecDeque<QueuedOrder>,
     /// Orders without an answer, but for those that are overdue.
     pub(crate) orders_in_flight: usize,
     /// Orders that are overdue. They keep no others back: their answers may be lost.
@@ -173,7 +173,7 @@
 /// The most looks at one worker without an answer: two in a row are seldom lost.
 const MOST_LOOKS: usize = 2;
 
-impl WorkerLedger {
+impl TrackedWorker {
     pub(crate) fn new(record: WorkerRecord, fence: FenceToken, now: Instant) -> Self {
         Self {
             record,
@@ -230,16 +230,16 @@
     }
 
     /// Which life of it a listing is of that answers a look sent at `sent`.
-    pub(crate) fn judge_life(&mut self, born: Option<BirthTime>, sent: Instant) -> LifeVerdict {
+    pub(crate) fn judge_life(&mut self, born: Option<BirthTime>, sent: Instant) -> ListingLife {
         if self.answered_look.is_none() {
             self.born = born;
         }
         if born != self.born {
             let later = sent >= self.life_since;
             return if later {
-                LifeVerdict::New
+                ListingLife::New
             } else {
-                LifeVerdict::Former
+                ListingLife::Former
             };
         }
         if self.misnamed.is_some_and(|since| sent >= since) {
@@ -247,7 +247,7 @@
             self.remember_former(self.record.born);
             self.misnamed = None;
         }
-        LifeVerdict::Known
+        ListingLife::Known
     }
 
     /// It has another life, which knows nothing of before.
@@ -286,14 +286,14 @@
     /// Stops a run of which a start may still come to this life. What the former one answered does not count.
     pub(crate) fn stop_at_large(&mut self, task: TaskId, number: RunNumber) {
         self.orders
-            .retain(|order| *order != WaitingOrder::Start(task, number));
+            .retain(|order| *order != QueuedOrder::Start(task, number));
         let Some(run) = self.run_mut(task, number) else {
             return;
         };
         run.phase = RunPhase::Stopping;
         run.confirmed = None;
         run.stop_acked = None;
-        self.orders.push_back(WaitingOrder::Stop(task, number));
+        self.orders.push_back(QueuedOrder::Stop(task, number));
     }
 
     /// Takes its entry in the directory.
@@ -363,13 +363,13 @@
         self.is_open() && self.runs.is_empty() && self.health.is_on_trial(now)
     }
 
-    pub(crate) fn run_mut(&mut self, task: TaskId, run: RunNumber) -> Option<&mut RunLedger> {
+    pub(crate) fn run_mut(&mut self, task: TaskId, run: RunNumber) -> Option<&mut TrackedRun> {
         self.runs
             .iter_mut()
             .find(|r| r.task == task && r.run == run)
     }
 
-    pub(crate) fn take_run(&mut self, task: TaskId, run: RunNumber) -> Option<RunLedger> {
+    pub(crate) fn take_run(&mut self, task: TaskId, run: RunNumber) -> Option<TrackedRun> {
         let place = self
             .runs
             .iter()
@@ -394,7 +394,7 @@
             .0
             .cast_signed()
             .wrapping_sub(owner_millis.cast_signed());
-        self.clock = Some(ClockView { offset });
+        self.clock = Some(ClockEstimate { offset });
     }
 
     /// Learns its speed from a run that was done, or from one that is slower than its kind so far.
--- a/crates/pool/tests/evacuation.rs
+++ b/crates/pool/tests/evacuation.rs
@@ -5,7 +5,7 @@
 
 use jobs::{JobId, JobOutcome, RefusalKind};
 use model::DataCentreId;
-use pool::{EvacuationBook, EvacuationChange, PoolLoad};
+use pool::{EvacuationChange, EvacuationSet, PoolLoad};
 use support::{WorkerFault, World};
 
 const ONE_PLACE: u64 = 16_000;
@@ -148,7 +148,7 @@
 /// for it; what began before and is not shown has.
 #[test]
 fn an_older_reading_does_not_end_a_newer_evacuation() {
-    let mut book = EvacuationBook::default();
+    let mut book = EvacuationSet::default();
     assert!(book.begin(centre("east"), 10));
     assert!(!book.begin(centre("east"), 10));
     assert!(book.begin(centre("west"), 30));
--- a/crates/pool/tests/support/mod.rs
+++ b/crates/pool/tests/support/mod.rs
@@ -21,7 +21,7 @@
     WorkerRecord, WorkerState,
 };
 use pool::{
-    CallFailure, FoundJob, KeepAnswer, KeepOrder, LookAnswer, LookOrder, PoolAction, PoolNote,
+    CallFailure, FoundJob, KeptWrite, KeptWriteResult, PollAnswer, PollOrder, PoolAction, PoolNote,
     PoolSettings, PoolStart, StartAnswer, StartOrder, StopAnswer, StopOrder, WaiterId, WorkerPool,
 };
 
@@ -51,12 +51,12 @@
 enum Event {
     Start(CallNumber, StartOrder),
     Stop(CallNumber, StopOrder),
-    Look(CallNumber, LookOrder, u64),
+    Look(CallNumber, PollOrder, u64),
     StartOverdue(CallNumber, StartOrder),
     StartAnswer(CallNumber, StartOrder, StartAnswer),
     StopAnswer(CallNumber, StopOrder, StopAnswer),
-    LookAnswer(CallNumber, LookOrder, u64, LookAnswer),
-    Keep(KeepOrder),
+    PollAnswer(CallNumber, PollOrder, u64, PollAnswer),
+    Keep(KeptWrite),
 }
 
 struct Message {
@@ -114,7 +114,7 @@
     pub(crate) contact_up: bool,
     /// Whether jobs that are handed in are kept.
     pub(crate) keeps: bool,
-    waiting_rows: Vec<KeepOrder>,
+    waiting_rows: Vec<KeptWrite>,
     /// The owner's link.
     out: WorldLink,
     into: WorldLink,
@@ -506,7 +506,7 @@
         worker.starting_until = self.now + self.rebirth_time;
         for (call, order, sent, _) in broken {
             let none = Err(CallFailure::NoAnswer);
-            self.post(ONE_WAY, Event::LookAnswer(call, order, sent, none));
+            self.post(ONE_WAY, Event::PollAnswer(call, order, sent, none));
         }
     }
 
@@ -562,17 +562,18 @@
     }
 
     /// The writes that wait while the store is away.
-    pub(crate) fn waiting_writes(&self) -> Vec<KeepOrder> {
+    pub(crate) fn waiting_writes(&self) -> Vec<KeptWrite> {
         self.waiting_rows.clone()
     }
 
     /// One write takes effect and is answered.
-    pub(crate) fn store_one(&mut self, order: &KeepOrder) {
+    pub(crate) fn store_one(&mut self, order: &KeptWrite) {
         self.serial += 1;
         self.rows
             .insert(order.job, (order.row.clone(), self.serial));
         let (at, version) = (self.instant(), self.serial);
-        self.pool.on_kept(at, order, KeepAnswer::Stored(version));
+        self.pool
+            .on_kept(at, order, KeptWriteResult::Stored(version));
         self.carry_out();
     }
 
@@ -593,24 +594,24 @@
         self.carry_out();
     }
 
-    fn store_row(&mut self, order: KeepOrder) {
+    fn store_row(&mut self, order: KeptWrite) {
         if !self.store_up {
             self.waiting_rows.push(order);
             return;
         }
-        let KeepOrder { job, row, replaces } = order.clone();
+        let KeptWrite { job, row, replaces } = order.clone();
         let known = self.rows.get(&job).map(|(_, version)| *version);
         let answer = if known == replaces {
             self.serial += 1;
             self.rows.insert(job, (row, self.serial));
-            KeepAnswer::Stored(self.serial)
+            KeptWriteResult::Stored(self.serial)
         } else {
             match self.rows.get(&job) {
                 Some((row, version)) if replaces.is_some() && !row.state.is_final() => {
-                    KeepAnswer::Changed(row.clone(), *version)
+                    KeptWriteResult::Changed(row.clone(), *version)
                 }
-                _ if replaces.is_none() => KeepAnswer::Known,
-                _ => KeepAnswer::Gone,
+                _ if replaces.is_none() => KeptWriteResult::Known,
+                _ => KeptWriteResult::Gone,
             }
         };
         let at = self.instant();
@@ -681,13 +682,13 @@
         self.post(limit, Event::StopAnswer(call, order, none));
     }
 
-    fn send_look(&mut self, order: LookOrder) {
+    fn send_look(&mut self, order: PollOrder) {
         let call = self.open_call();
         let delay = self.out.take(self.now, LOOK_BYTES) + ONE_WAY;
         let none = Err(CallFailure::NoAnswer);
         let (sent, limit) = (self.now, millis(order.limit));
         self.post(delay, Event::Look(call, order.clone(), sent));
-        self.post(limit, Event::LookAnswer(call, order, sent, none));
+        self.post(limit, Event::PollAnswer(call, order, sent, none));
     }
 
     /// Sends an answer of a worker on its way.
@@ -753,7 +754,7 @@
             }
             Event::StartAnswer(call, ..)
             | Event::StopAnswer(call, ..)
-            | Event::LookAnswer(call, ..) => *call,
+            | Event::PollAnswer(call, ..) => *call,
             _ => return,
         };
         if self.open_calls.remove(&call) != Some(fence) {
@@ -766,7 +767,7 @@
             Event::StopAnswer(_, order, answer) => {
                 self.pool.on_stop_answer(at, &order, answer);
             }
-            Event::LookAnswer(_, order, sent, answer) => {
+            Event::PollAnswer(_, order, sent, answer) => {
                 let sent = self.origin + Duration::from_millis(sent);
                 self.pool.on_look_answer(at, sent, &order, answer);
             }
@@ -892,7 +893,7 @@
         }
     }
 
-    fn take_look(&mut self, call: CallNumber, order: LookOrder, sent: u64) {
+    fn take_look(&mut self, call: CallNumber, order: PollOrder, sent: u64) {
         let now = self.now;
         let wait = millis(order.wait);
         let Some(worker) = self
@@ -904,7 +905,7 @@
         };
         if order.fence.0 < worker.fence {
             let fenced = Err(CallFailure::FencedOut);
-            return self.answer(ANSWER_BYTES, Event::LookAnswer(call, order, sent, fenced));
+            return self.answer(ANSWER_BYTES, Event::PollAnswer(call, order, sent, fenced));
         }
         worker.fence = order.fence.0;
         worker.forgotten = worker.forgotten.max(order.last_seen);
@@ -932,7 +933,7 @@
         }
     }
 
-    fn answer_look(&mut self, life: &LifeId, look: (CallNumber, LookOrder, u64, u64)) {
+    fn answer_look(&mut self, life: &LifeId, look: (CallNumber, PollOrder, u64, u64)) {
         let (call, order, sent, until) = look;
         let now = self.now;
         let worker = self.workers.get_mut(life).unwrap();
@@ -946,7 +947,7 @@
         if !self.lost(life) {
             self.answer(
                 LISTING_BYTES,
-                Event::LookAnswer(call, order, sent, Ok(listing)),
+                Event::PollAnswer(call, order, sent, Ok(listing)),
             );
         }
     }
--- a/crates/pool/tests/support/worker.rs
+++ b/crates/pool/tests/support/worker.rs
@@ -4,7 +4,7 @@
     BirthTime, EndCause, EndedRun, RunNumber, RunningRun, TaskId, WorkerClock, WorkerListing,
     WorkerRecord,
 };
-use pool::LookOrder;
+use pool::PollOrder;
 
 use super::CallNumber;
 
@@ -57,7 +57,7 @@
     /// The last end that was acknowledged: it and those before are forgotten.
     pub(super) forgotten: u64,
     /// Looks that wait for an end: the call, when it was sent, and until when it waits.
-    pub(super) waiting: Vec<(CallNumber, LookOrder, u64, u64)>,
+    pub(super) waiting: Vec<(CallNumber, PollOrder, u64, u64)>,
 }
 
 impl WorldWorker {
--- a/crates/pool/tests/waits.rs
+++ b/crates/pool/tests/waits.rs
@@ -3,15 +3,15 @@
 use std::{sync::Arc, time::Duration};
 
 use fastrand::Rng;
-use pool::WaitBook;
+use pool::BudgetTracker;
 
 /// Customers of one route give 1.8 to 2.4 s; a request that was cut off comes again with what is left.
 fn fresh(rng: &mut Rng) -> Duration {
     Duration::from_millis(rng.u64(1_800..2_400))
 }
 
-fn taught(rng: &mut Rng, route: &Arc<str>) -> WaitBook {
-    let mut book = WaitBook::default();
+fn taught(rng: &mut Rng, route: &Arc<str>) -> BudgetTracker {
+    let mut book = BudgetTracker::default();
     for _ in 0..2_000 {
         let left = fresh(rng);
         assert_eq!(book.take(route, left), Duration::ZERO, "a new request");
@@ -57,12 +57,12 @@
 fn a_new_process_learns_from_others() {
     let (mut rng, route) = (Rng::with_seed(3), Arc::from("r-1"));
     let usual = taught(&mut rng, &route).usual();
-    let mut book = WaitBook::default();
+    let mut book = BudgetTracker::default();
     for wait in &usual {
         book.adopt(wait);
     }
     assert!(book.take(&route, Duration::from_millis(450)) > Duration::from_millis(900));
-    let mut known = WaitBook::default();
+    let mut known = BudgetTracker::default();
     known.take(&route, Duration::from_millis(600));
     for wait in &usual {
         known.adopt(wait);
