--- a/crates/pool/src/answer_time.rs
+++ b/crates/pool/src/answer_time.rs
@@ -9,16 +9,16 @@
 
 /// The weights of a new sample in the smoothed time and in its variation, and how many variations are added, as
 /// RFC 6298 has them.
-const TIME_WEIGHT: f64 = 0.125;
+const SMOOTHED_WEIGHT: f64 = 0.125;
 const VARIATION_WEIGHT: f64 = 0.25;
-const VARIATIONS: f64 = 4.0;
+const VARIATION_FACTOR: f64 = 4.0;
 
-/// How many times the least time ever seen answers take when the path to them counts as strained, beside `STRAIN_TIME`:
+/// How many times the least time ever seen answers take when the path to them counts as strained, beside `MIN_CONGESTED_TIME`:
 /// on a quiet path answers take 1 to 3 ms.
-const STRAIN_FACTOR: f64 = 4.0;
+const CONGESTION_FACTOR: f64 = 4.0;
 
 /// What answers take at least on a strained path. Slowed processes and collections of answers add some milliseconds.
-const STRAIN_TIME: Duration = Duration::from_millis(25);
+const MIN_CONGESTED_TIME: Duration = Duration::from_millis(25);
 
 /// Answer times of one owner's calls, in seconds.
 #[derive(Clone, Debug, Default)]
@@ -55,7 +55,7 @@
             return;
         };
         self.variation += VARIATION_WEIGHT * ((smoothed - took).abs() - self.variation);
-        self.smoothed = Some(smoothed + TIME_WEIGHT * (took - smoothed));
+        self.smoothed = Some(smoothed + SMOOTHED_WEIGHT * (took - smoothed));
     }
 
     /// A call was not answered within the limit: each one since the last answer doubles it.
@@ -65,7 +65,7 @@
 
     /// How long to wait for an answer, between `least` and `most`.
     pub(crate) fn limit(&self, least: Duration, most: Duration) -> Duration {
-        let expected = self.smoothed.unwrap_or(0.0) + VARIATIONS * self.variation;
+        let expected = self.smoothed.unwrap_or(0.0) + VARIATION_FACTOR * self.variation;
         let expected = Duration::try_from_secs_f64(expected).unwrap_or(most);
         let doubled = 2_u32.saturating_pow(self.overdue.min(16));
         expected.max(least).saturating_mul(doubled).min(most)
@@ -87,6 +87,8 @@
     }
 
     fn strain_bound(&self) -> Duration {
-        self.least().mul_f64(STRAIN_FACTOR).max(STRAIN_TIME)
+        self.least()
+            .mul_f64(CONGESTION_FACTOR)
+            .max(MIN_CONGESTED_TIME)
     }
 }
--- a/crates/pool/src/arrivals.rs
+++ b/crates/pool/src/arrivals.rs
@@ -12,16 +12,16 @@
 use model::FastMap;
 
 /// The share of refusals that is usual: a job wider than one pool is refused by each, then divided among them.
-const REFUSED_USUALLY: f64 = 0.35;
+const USUAL_REFUSED_SHARE: f64 = 0.35;
 
 /// The share of refusals from which on room is kept for a whole job.
-const REFUSED_MUCH: f64 = 0.7;
+const FULL_RESERVE_REFUSED_SHARE: f64 = 0.7;
 
 /// The weight of a new job in the means of its priority: shapes differ by a factor of two, so about ten matter.
-const NEW_WEIGHT: f64 = 0.1;
+const SAMPLE_WEIGHT: f64 = 0.1;
 
 /// How fast refusals are forgotten while no more jobs of that priority come. Bursts last some seconds.
-const MEMORY: Duration = Duration::from_millis(1_500);
+const REFUSAL_MEMORY: Duration = Duration::from_millis(1_500);
 
 /// A job that arrived.
 #[derive(Clone, Copy, Debug)]
@@ -91,7 +91,7 @@
             (&mut mean.objective, objective),
             (&mut mean.refused, refused),
         ] {
-            *mean += NEW_WEIGHT * (new - *mean);
+            *mean += SAMPLE_WEIGHT * (new - *mean);
         }
     }
 
@@ -106,12 +106,12 @@
 impl ArrivalMean {
     fn refused_by(&self, now: Instant) -> f64 {
         let passed = now.saturating_duration_since(self.last).as_secs_f64();
-        self.refused * (-passed / MEMORY.as_secs_f64()).exp()
+        self.refused * (-passed / REFUSAL_MEMORY.as_secs_f64()).exp()
     }
 
     fn expected(&self, now: Instant) -> ExpectedJob {
-        let beyond = self.refused_by(now) - REFUSED_USUALLY;
-        let share = (beyond / (REFUSED_MUCH - REFUSED_USUALLY)).clamp(0.0, 1.0);
+        let beyond = self.refused_by(now) - USUAL_REFUSED_SHARE;
+        let share = (beyond / (FULL_RESERVE_REFUSED_SHARE - USUAL_REFUSED_SHARE)).clamp(0.0, 1.0);
         // The casts saturate.
         ExpectedJob {
             tasks: (share * self.tasks).round() as usize,
--- a/crates/pool/src/crash.rs
+++ b/crates/pool/src/crash.rs
@@ -17,34 +17,34 @@
 use model::{FastMap, FastSet};
 
 /// Deaths under one task that name it, if it ran alone in one of them.
-const CERTAIN_DEATHS: u32 = 2;
+const ISOLATED_CULPRIT_DEATHS: u32 = 2;
 
 /// Deaths under one task that name it whatever ran beside it.
-const MOST_DEATHS: u32 = 3;
+const CULPRIT_DEATHS: u32 = 3;
 
 /// Losses within this time may have one cause: it covers how much later one silent worker is noticed than another.
-const COMMON_TIME: Duration = Duration::from_millis(500);
+const COMMON_CAUSE_WINDOW: Duration = Duration::from_millis(500);
 
 /// The least losses of a pool that have one cause, and the share of its workers that they have to be.
-const COMMON_LOSSES: usize = 3;
-const COMMON_SHARE: usize = 16;
+const MIN_COMMON_LOSSES: usize = 3;
+const COMMON_WORKERS_DIVISOR: usize = 16;
 
 /// The same of workers that share a label, such as a rack.
-const COMMON_LABELLED: usize = 2;
-const COMMON_LABEL_SHARE: usize = 2;
+const MIN_COMMON_LABEL_LOSSES: usize = 2;
+const COMMON_LABEL_DIVISOR: usize = 2;
 
 /// How long a loss is remembered beyond the jobs that it concerns: customers come again within seconds.
 const LOSS_MEMORY: Duration = Duration::from_secs(60);
 
 /// The most losses that are remembered.
-const MOST_LOSSES: usize = 512;
+const MAX_LOSSES: usize = 512;
 
 /// How long a task waits after its second loss until it is known whether those workers died. It doubles with each further loss,
 /// which bounds how many workers the task can take of which nothing is heard.
-const FIRST_HOLD: Duration = Duration::from_millis(2_500);
+const INITIAL_HOLD: Duration = Duration::from_millis(2_500);
 
 /// The most that this doubles.
-const MOST_DOUBLINGS: u32 = 6;
+const MAX_HOLD_DOUBLINGS: u32 = 6;
 
 /// How long a route that handed in a culprit is known for it.
 const ROUTE_MEMORY: Duration = Duration::from_secs(20);
@@ -93,7 +93,7 @@
 
 impl LossCounts {
     fn is_culprit(&self) -> bool {
-        self.deaths >= MOST_DEATHS || (self.deaths >= CERTAIN_DEATHS && self.alone > 0)
+        self.deaths >= CULPRIT_DEATHS || (self.deaths >= ISOLATED_CULPRIT_DEATHS && self.alone > 0)
     }
 
     fn losses(&self) -> u32 {
@@ -148,7 +148,8 @@
     /// Takes a loss of a worker with runs.
     pub(crate) fn note_loss(&mut self, loss: WorkerLoss, shape: &WorkerCounts) -> CrashFindings {
         let now = loss.at;
-        self.recent.retain(|other| now < other.at + COMMON_TIME);
+        self.recent
+            .retain(|other| now < other.at + COMMON_CAUSE_WINDOW);
         self.recent.push(loss.clone());
         let loss = self.narrow_to_routes(loss);
         self.add(loss);
@@ -229,9 +230,9 @@
         let doublings = match standing.losses() {
             0 => return TaskRestriction::None,
             1 => return TaskRestriction::Alone,
-            losses => (losses - CERTAIN_DEATHS).min(MOST_DOUBLINGS),
+            losses => (losses - ISOLATED_CULPRIT_DEATHS).min(MAX_HOLD_DOUBLINGS),
         };
-        let hold = FIRST_HOLD * 2_u32.pow(doublings);
+        let hold = INITIAL_HOLD * 2_u32.pow(doublings);
         match standing.last.is_some_and(|last| now < last + hold) {
             true => TaskRestriction::Wait,
             false => TaskRestriction::Alone,
@@ -265,7 +266,7 @@
             }
             return;
         }
-        if self.losses.len() == MOST_LOSSES {
+        if self.losses.len() == MAX_LOSSES {
             self.losses.remove(0);
         }
         self.losses.push(loss);
@@ -291,13 +292,13 @@
     /// Takes losses of the last moments out that have one cause. What one job had on all of them is not excused: it may be that
     /// cause. Says whether there are such.
     fn excuse_common(&mut self, shape: &WorkerCounts) -> bool {
-        let least = COMMON_LOSSES.max(shape.workers.div_ceil(COMMON_SHARE));
+        let least = MIN_COMMON_LOSSES.max(shape.workers.div_ceil(COMMON_WORKERS_DIVISOR));
         let mut common: Vec<&WorkerLoss> = Vec::new();
         if self.recent.len() >= least {
             common.extend(&self.recent);
         } else {
             for (label, workers) in &shape.labels {
-                let least = COMMON_LABELLED.max(workers.div_ceil(COMMON_LABEL_SHARE));
+                let least = MIN_COMMON_LABEL_LOSSES.max(workers.div_ceil(COMMON_LABEL_DIVISOR));
                 let labelled = self.recent.iter();
                 let labelled: Vec<_> = labelled.filter(|l| l.labels.contains(label)).collect();
                 if labelled.len() >= least {
--- a/crates/pool/src/estimate.rs
+++ b/crates/pool/src/estimate.rs
@@ -6,11 +6,11 @@
 
 /// The least weight of a new sample. Tasks of one job share its estimate's error, which is 40% either way; 100 samples
 /// are some 25 jobs of four tasks, whose mean is off by 8%.
-const LEAST_WEIGHT: f64 = 0.01;
+const MIN_SAMPLE_WEIGHT: f64 = 0.01;
 
 /// The weight of the first sample, and of each next one as long as it is the greater: with few samples the customer's
 /// own estimate counts as ten.
-const OWN_ESTIMATE: f64 = 10.0;
+const ESTIMATE_PRIOR_SAMPLES: f64 = 10.0;
 
 /// A sample outside these bounds says more about its worker than about its route.
 const SAMPLE_BOUNDS: (f64, f64) = (0.2, 5.0);
@@ -26,7 +26,7 @@
     fn default() -> Self {
         Self {
             ratio: 1.0,
-            samples: OWN_ESTIMATE,
+            samples: ESTIMATE_PRIOR_SAMPLES,
         }
     }
 }
@@ -54,7 +54,7 @@
         let sample = sample.clamp(SAMPLE_BOUNDS.0, SAMPLE_BOUNDS.1);
         let known = self.routes.entry(route.clone()).or_default();
         known.samples += 1.0;
-        let weight = LEAST_WEIGHT.max(1.0 / known.samples);
+        let weight = MIN_SAMPLE_WEIGHT.max(1.0 / known.samples);
         known.ratio += weight * (sample - known.ratio);
     }
 }
--- a/crates/pool/src/health.rs
+++ b/crates/pool/src/health.rs
@@ -14,10 +14,10 @@
 const FAILURES_TO_SUSPEND: u32 = 2;
 
 /// The first pause. Troubles of workers last seconds.
-const FIRST_PAUSE: Duration = Duration::from_millis(1_000);
+const INITIAL_PAUSE: Duration = Duration::from_millis(1_000);
 
 /// The longest pause, so that a sound worker is back soon after its trouble.
-const LONGEST_PAUSE: Duration = Duration::from_millis(4_000);
+const MAX_PAUSE: Duration = Duration::from_millis(4_000);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum HealthState {
@@ -40,7 +40,7 @@
             state: HealthState::Sound,
             failures: 0,
             last_failed: None,
-            pause: FIRST_PAUSE,
+            pause: INITIAL_PAUSE,
         }
     }
 }
@@ -84,7 +84,7 @@
     pub(crate) fn suspend(&mut self, now: Instant) -> Duration {
         let pause = self.pause;
         self.state = HealthState::Suspended { until: now + pause };
-        self.pause = (pause * 2).min(LONGEST_PAUSE);
+        self.pause = (pause * 2).min(MAX_PAUSE);
         pause
     }
 }
--- a/crates/pool/src/kept.rs
+++ b/crates/pool/src/kept.rs
@@ -9,14 +9,14 @@
 
 /// How long an owner goes on with kept jobs without a sign of the store. Beyond that it may have been replaced without
 /// knowing it, and a second run of a task could begin: its successor waits for this time, a lease and some more.
-pub(crate) const CONTACT_LIMIT: Duration = Duration::from_millis(1_000);
+pub(crate) const STORE_CONTACT_LIMIT: Duration = Duration::from_millis(1_000);
 
 /// How long a new owner holds back the kept jobs that it found, if it cannot see that no run of its predecessor is left:
 /// the time above, a lease of 0.8 s, 50 ms for a stop and 350 ms for drift and late timers.
-pub(crate) const SETTLE_LIMIT: Duration = Duration::from_millis(2_200);
+pub(crate) const TAKEOVER_HOLD_TIME: Duration = Duration::from_millis(2_200);
 
 /// The pause between looks at a worker with ends that are being stored: it lists them again at once.
-pub(crate) const STORING_PAUSE: Duration = Duration::from_millis(10);
+pub(crate) const STORING_POLL_PAUSE: Duration = Duration::from_millis(10);
 
 /// What is to be done with a kept job's row.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/pool/src/placement.rs
+++ b/crates/pool/src/placement.rs
@@ -13,10 +13,10 @@
 /// From this many times the median slowness of its pool on a worker is used only by one run at a time, to see whether it
 /// has recovered. Sound workers differ by 1.6 from slowest to fastest; estimates add as much again for single jobs, which
 /// the mean evens out. Against the pool, since estimates that are far too low make all workers look slow at once.
-const SLUGGISH: f64 = 2.2;
+const SLUGGISH_FACTOR: f64 = 2.2;
 
 /// How long a sluggish worker is left alone between two such runs.
-const SLUGGISH_PAUSE: Duration = Duration::from_millis(700);
+const SLUGGISH_TRIAL_PAUSE: Duration = Duration::from_millis(700);
 
 /// What is to be placed.
 pub(crate) struct PlacementRequest<'a> {
@@ -65,7 +65,7 @@
 
 /// Whether a worker is so slow that nothing is expected of it.
 pub(crate) fn is_sluggish(worker: &TrackedWorker, median: f64) -> bool {
-    worker.slowness > SLUGGISH * median
+    worker.slowness > SLUGGISH_FACTOR * median
 }
 
 fn may_place(worker: &TrackedWorker, ask: &PlacementRequest<'_>, now: Instant) -> bool {
@@ -76,7 +76,7 @@
         return false;
     }
     if is_sluggish(worker, ask.median_slowness)
-        && (!worker.runs.is_empty() || now < worker.last_end + SLUGGISH_PAUSE)
+        && (!worker.runs.is_empty() || now < worker.last_end + SLUGGISH_TRIAL_PAUSE)
     {
         return false;
     }
@@ -106,7 +106,7 @@
 }
 
 /// Speeds this near count as equal, so that the fit decides: a place that is left too small serves nobody.
-const EQUAL_SPEED: f64 = 0.08;
+const EQUAL_SLOWNESS_MARGIN: f64 = 0.08;
 
 impl PlacementScore {
     fn of(worker: &TrackedWorker, ask: &PlacementRequest<'_>) -> Self {
@@ -125,7 +125,7 @@
         if self.failed_there != other.failed_there {
             return other.failed_there;
         }
-        if (self.slowness - other.slowness).abs() > EQUAL_SPEED {
+        if (self.slowness - other.slowness).abs() > EQUAL_SLOWNESS_MARGIN {
             return self.slowness < other.slowness;
         }
         self.left_over < other.left_over
--- a/crates/pool/src/pool/looks.rs
+++ b/crates/pool/src/pool/looks.rs
@@ -17,7 +17,7 @@
     },
     crash::TaskRestriction,
     job::WaitingTask,
-    kept::STORING_PAUSE,
+    kept::STORING_POLL_PAUSE,
     worker::{QueuedOrder, RunPhase, TrackedRun, TrackedWorker},
 };
 
@@ -134,7 +134,7 @@
         }
         worker.look_pause = Some(now + SILENT_PAUSE);
         let runs = worker.runs.len();
-        let first = worker.misses == crate::worker::MISSES_TO_SILENCE;
+        let first = worker.misses == crate::worker::MISSED_POLLS_TO_SILENCE;
         if first {
             self.notes.push(PoolNote::WorkerSilent {
                 life: life.clone(),
@@ -233,7 +233,7 @@
         };
         let unread = !self.kept_loaded && !listing.ended.is_empty();
         if unread || !worker.unstored.is_empty() {
-            worker.look_pause = Some(now + STORING_PAUSE);
+            worker.look_pause = Some(now + STORING_POLL_PAUSE);
         }
     }
 
--- a/crates/pool/src/pool/takeover.rs
+++ b/crates/pool/src/pool/takeover.rs
@@ -16,7 +16,7 @@
 use crate::{
     action::PoolNote,
     job::TrackedJob,
-    kept::{FoundJob, KeptJobState, CONTACT_LIMIT, SETTLE_LIMIT},
+    kept::{FoundJob, KeptJobState, STORE_CONTACT_LIMIT, TAKEOVER_HOLD_TIME},
     worker::{RunPhase, TrackedWorker},
 };
 
@@ -128,7 +128,7 @@
     /// Whether this owner surely has not been replaced without knowing it.
     fn is_sure(&self, now: Instant) -> bool {
         self.store_contact
-            .is_some_and(|sent| now < sent + CONTACT_LIMIT)
+            .is_some_and(|sent| now < sent + STORE_CONTACT_LIMIT)
     }
 
     /// Does what time alone changes for kept jobs.
@@ -162,7 +162,7 @@
         };
         let known = self.kept_loaded && self.all_listed && !self.awaiting;
         let seen = known && self.workers.values().all(clear);
-        seen || now >= self.alone_since + SETTLE_LIMIT
+        seen || now >= self.alone_since + TAKEOVER_HOLD_TIME
     }
 
     fn stop_kept_runs(&mut self, now: Instant) {
--- a/crates/pool/src/start_window.rs
+++ b/crates/pool/src/start_window.rs
@@ -8,16 +8,16 @@
 use std::time::{Duration, Instant};
 
 /// Starts under way at first: a job of the widest class, and some more.
-const FIRST_WINDOW: f64 = 48.0;
+const INITIAL_WINDOW_STARTS: f64 = 48.0;
 
 /// The fewest: with fewer a job's tasks would go one after another.
-const LEAST_WINDOW: f64 = 6.0;
+const MIN_WINDOW_STARTS: f64 = 6.0;
 
 /// The most, beyond what a pool of a few dozen workers has places for.
-const MOST_WINDOW: f64 = 512.0;
+const MAX_WINDOW_STARTS: f64 = 512.0;
 
 /// By how much it shrinks at once, as in TCP's congestion avoidance with its gentler factor (RFC 9438).
-const SHRINK: f64 = 0.7;
+const SHRINK_FACTOR: f64 = 0.7;
 
 /// The number of starts that may be under way.
 #[derive(Clone, Debug)]
@@ -30,7 +30,7 @@
 impl Default for StartWindow {
     fn default() -> Self {
         Self {
-            size: FIRST_WINDOW,
+            size: INITIAL_WINDOW_STARTS,
             settled: None,
         }
     }
@@ -54,12 +54,12 @@
         if !strained {
             // A window that is not used says nothing about what the path bears.
             if under_way as f64 >= self.size / 2.0 {
-                self.size = (self.size + 1.0 / self.size).min(MOST_WINDOW);
+                self.size = (self.size + 1.0 / self.size).min(MAX_WINDOW_STARTS);
             }
             return;
         }
         if self.settled.is_none_or(|until| now >= until) {
-            self.size = (self.size * SHRINK).max(LEAST_WINDOW);
+            self.size = (self.size * SHRINK_FACTOR).max(MIN_WINDOW_STARTS);
             self.settled = Some(now + smoothed);
         }
     }
--- a/crates/pool/src/waits.rs
+++ b/crates/pool/src/waits.rs
@@ -14,18 +14,18 @@
 use model::FastMap;
 
 /// The share of requests that come with less time than what is learnt.
-const LOW_SHARE: f64 = 0.01;
+const LOW_QUANTILE: f64 = 0.01;
 
-/// By how much of itself what is learnt moves with a request, towards either side in the proportion of `LOW_SHARE`. A
+/// By how much of itself what is learnt moves with a request, towards either side in the proportion of `LOW_QUANTILE`. A
 /// few seconds of returning requests move it little.
-const STEP: f64 = 0.02;
+const ADJUSTMENT_STEP: f64 = 0.02;
 
 /// How much of what is learnt a request must lack before it counts as old: times differ with the work asked for, and a new
 /// request that is taken for an old one is refused for nothing.
-const SURE_SHARE: f64 = 0.8;
+const OLD_REQUEST_SHARE: f64 = 0.8;
 
 /// The most routes that are published: the row is written every few seconds.
-const MOST_PUBLISHED: usize = 32;
+const MAX_PUBLISHED_ROUTES: usize = 32;
 
 /// With how much time a route's requests come at first.
 #[derive(Clone, Debug, PartialEq)]
@@ -51,11 +51,11 @@
             self.least.insert(route.clone(), left);
             return Duration::ZERO;
         };
-        let age = (*least * SURE_SHARE - left).max(0.0);
+        let age = (*least * OLD_REQUEST_SHARE - left).max(0.0);
         if left < *least {
-            *least *= 1.0 - STEP * (1.0 - LOW_SHARE);
+            *least *= 1.0 - ADJUSTMENT_STEP * (1.0 - LOW_QUANTILE);
         } else {
-            *least *= 1.0 + STEP * LOW_SHARE;
+            *least *= 1.0 + ADJUSTMENT_STEP * LOW_QUANTILE;
         }
         Duration::try_from_secs_f64(age).unwrap_or_default()
     }
@@ -74,7 +74,7 @@
         });
         let mut usual: Vec<RouteBudget> = least.collect();
         usual.sort_by(|a, b| a.route.cmp(&b.route));
-        usual.truncate(MOST_PUBLISHED);
+        usual.truncate(MAX_PUBLISHED_ROUTES);
         usual
     }
 }
--- a/crates/pool/src/worker.rs
+++ b/crates/pool/src/worker.rs
@@ -14,25 +14,25 @@
 
 /// The weight of a new sample of a worker's speed: a worker sees about ten ends a second and may turn slow at any
 /// moment, so about five samples matter.
-const SPEED_WEIGHT: f64 = 0.2;
+const SLOWNESS_SAMPLE_WEIGHT: f64 = 0.2;
 
 /// The bounds of a worker's slowness. Beyond the upper one it makes no difference how slow it is.
 pub(crate) const SLOWNESS_BOUNDS: (f64, f64) = (0.5, 12.0);
 
 /// How many former lives of a worker are remembered, to know entries that still name one.
-const FORMER_LIVES: usize = 8;
+const MAX_FORMER_LIVES: usize = 8;
 
 /// The shortest time in which a worker that dies is back.
-const SHORTEST_REBIRTH: Duration = Duration::from_millis(50);
+const MIN_RESTART_TIME: Duration = Duration::from_millis(50);
 
 /// How long a worker stands idle before what it has shown of being slow begins to be forgotten.
-const SLOWNESS_MEMORY: Duration = Duration::from_millis(1_000);
+const SLOWNESS_DECAY_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Slowness up to this is kept: workers differ by as much for good.
-const KEPT_SLOWNESS: f64 = 1.4;
+const RETAINED_SLOWNESS: f64 = 1.4;
 
 /// What is left of the slowness beyond that after each such time.
-const SLOWNESS_LEFT: f64 = 0.5;
+const SLOWNESS_DECAY_FACTOR: f64 = 0.5;
 
 /// Where a run is in its life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -168,10 +168,10 @@
 
 /// Looks in a row without an answer that make a worker silent: it gets no new runs and its leases run out. One miss
 /// may be a single lost connection.
-pub(crate) const MISSES_TO_SILENCE: u32 = 2;
+pub(crate) const MISSED_POLLS_TO_SILENCE: u32 = 2;
 
 /// The most looks at one worker without an answer: two in a row are seldom lost.
-const MOST_LOOKS: usize = 2;
+const MAX_POLLS_IN_FLIGHT: usize = 2;
 
 impl TrackedWorker {
     pub(crate) fn new(record: WorkerRecord, fence: FenceToken, now: Instant) -> Self {
@@ -277,7 +277,7 @@
     /// Adds a former life, and forgets the oldest beyond the bound.
     fn remember_former(&mut self, born: Option<BirthTime>) {
         self.former.retain(|known| *known != born);
-        if self.former.len() == FORMER_LIVES {
+        if self.former.len() == MAX_FORMER_LIVES {
             self.former.remove(0);
         }
         self.former.push(born);
@@ -320,7 +320,7 @@
     /// life, which would forget its first ends unheard. Older ends are listed once more first.
     pub(crate) fn news_of_ends(&self, now: Instant) -> u64 {
         let up_to = self.acknowledgeable();
-        let fresh = self.listed_at.is_some_and(|at| now < at + SHORTEST_REBIRTH);
+        let fresh = self.listed_at.is_some_and(|at| now < at + MIN_RESTART_TIME);
         match fresh && self.misses == 0 && up_to > self.acknowledged {
             true => up_to,
             false => 0,
@@ -335,7 +335,7 @@
 
     /// Whether it does not answer.
     pub(crate) fn is_silent(&self) -> bool {
-        self.misses >= MISSES_TO_SILENCE
+        self.misses >= MISSED_POLLS_TO_SILENCE
     }
 
     /// Whether it is listed as taking runs, and no look is missed.
@@ -405,18 +405,19 @@
         self.slowness_at = now;
         let sample = took.as_secs_f64() / predicted.as_secs_f64();
         let sample = sample.clamp(SLOWNESS_BOUNDS.0, SLOWNESS_BOUNDS.1);
-        self.slowness += SPEED_WEIGHT * (sample - self.slowness);
+        self.slowness += SLOWNESS_SAMPLE_WEIGHT * (sample - self.slowness);
     }
 
     /// Forgets in part that it was slow, if it stands idle. Failure prevented: after calls have been late for a while all
     /// workers of a pool look too slow for any job, every job is refused, and no run can show that they are not.
     pub(crate) fn fade_slowness(&mut self, now: Instant) {
-        let idle = self.runs.is_empty() && now >= self.slowness_at + SLOWNESS_MEMORY;
-        if !idle || self.slowness <= KEPT_SLOWNESS {
+        let idle = self.runs.is_empty() && now >= self.slowness_at + SLOWNESS_DECAY_INTERVAL;
+        if !idle || self.slowness <= RETAINED_SLOWNESS {
             return;
         }
         self.slowness_at = now;
-        self.slowness = KEPT_SLOWNESS + (self.slowness - KEPT_SLOWNESS) * SLOWNESS_LEFT;
+        self.slowness =
+            RETAINED_SLOWNESS + (self.slowness - RETAINED_SLOWNESS) * SLOWNESS_DECAY_FACTOR;
     }
 
     /// An order has become overdue.
@@ -454,11 +455,11 @@
         }
         if self.looks_in_flight > 0 {
             let again = self.misnamed.is_some_and(|since| self.last_look < since) || self.fence_due;
-            if again && self.looks_in_flight < MOST_LOOKS {
+            if again && self.looks_in_flight < MAX_POLLS_IN_FLIGHT {
                 return true;
             }
             let hedged = hedge.is_some_and(|hedge| now >= self.last_look + hedge);
-            return hedged && self.looks_in_flight < MOST_LOOKS && !self.runs.is_empty();
+            return hedged && self.looks_in_flight < MAX_POLLS_IN_FLIGHT && !self.runs.is_empty();
         }
         let unknown =
             self.clock.is_none() || self.misses > 0 || self.misnamed.is_some() || self.fence_due;
