--- a/crates/pool/src/placement.rs
+++ b/crates/pool/src/placement.rs
@@ -69,14 +69,14 @@
 }
 
 fn may_place(worker: &TrackedWorker, ask: &PlacementRequest<'_>, now: Instant) -> bool {
-    if !can_hold(worker, ask) || !worker.is_open() {
+    if !can_hold(worker, ask) || !worker.accepts_runs() {
         return false;
     }
     if !worker.health.allows(now, worker.runs.len()) {
         return false;
     }
     if is_sluggish(worker, ask.median_slowness)
-        && (!worker.runs.is_empty() || now < worker.last_end + SLUGGISH_TRIAL_PAUSE)
+        && (!worker.runs.is_empty() || now < worker.last_end_time + SLUGGISH_TRIAL_PAUSE)
     {
         return false;
     }
@@ -86,7 +86,8 @@
     let shares = match ask.alone {
         true => worker.runs.is_empty(),
         false => {
-            !ask.cleared.contains(&worker.record.life) && !worker.runs.iter().any(|run| run.alone)
+            !ask.cleared.contains(&worker.record.life)
+                && !worker.runs.iter().any(|run| run.exclusive)
         }
     };
     if !shares {
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -242,7 +242,7 @@
         if self
             .workers
             .values()
-            .any(|worker| worker.runs_of(request.id) > 0)
+            .any(|worker| worker.run_count_of(request.id) > 0)
         {
             self.answer(waiter, JobOutcome::GivenUp);
             return;
@@ -292,10 +292,10 @@
             WorkerState::Draining => WorkerChange::Draining,
             WorkerState::Ready => WorkerChange::Ready,
         };
-        let changed = worker.record.state != record.state || worker.unlisted.is_some();
+        let changed = worker.record.state != record.state || worker.unlisted_since.is_some();
         let (former, room) = (worker.record.room, record.room);
-        worker.take_record(now, record);
-        worker.unlisted = None;
+        worker.update_record(now, record);
+        worker.unlisted_since = None;
         if changed {
             self.note_worker(life.clone(), change);
         }
@@ -313,8 +313,8 @@
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
-        if worker.unlisted.is_none() {
-            worker.unlisted = Some(now);
+        if worker.unlisted_since.is_none() {
+            worker.unlisted_since = Some(now);
             self.note_worker(life.clone(), WorkerChange::Unlisted);
         }
         self.forget_unlisted(now);
@@ -369,7 +369,9 @@
             return sound;
         }
         let workers = self.workers.values();
-        workers.filter(|worker| worker.is_on_trial(now)).collect()
+        workers
+            .filter(|worker| worker.needs_probe_run(now))
+            .collect()
     }
 
     fn open_job(
@@ -488,7 +490,7 @@
     fn forget_unlisted(&mut self, now: Instant) {
         let mut gone = Vec::new();
         for (life, worker) in &self.workers {
-            let Some(since) = worker.unlisted else {
+            let Some(since) = worker.unlisted_since else {
                 continue;
             };
             if worker.runs.is_empty() || now >= since + UNLISTED_LIMIT {
@@ -524,13 +526,13 @@
 
     fn find_median(&mut self, now: Instant) {
         for worker in self.workers.values_mut() {
-            worker.fade_slowness(now);
+            worker.decay_slowness(now);
         }
         if !self.has(Mechanism::SluggishWorkers) {
             self.median_slowness = f64::INFINITY;
             return;
         }
-        let open = self.workers.values().filter(|worker| worker.is_open());
+        let open = self.workers.values().filter(|worker| worker.accepts_runs());
         let mut slowness: Vec<f64> = open.map(|worker| worker.slowness).collect();
         slowness.sort_by(f64::total_cmp);
         if let Some(median) = slowness.get(slowness.len() / 2) {
@@ -559,15 +561,17 @@
     if run.phase == RunPhase::Stopping {
         return false;
     }
-    let never_sent = run.tries == 0;
+    let never_sent = run.starts_sent == 0;
     run.phase = RunPhase::Stopping;
     worker
-        .orders
+        .queued_orders
         .retain(|order| *order != QueuedOrder::Start(task, number));
     if never_sent {
-        worker.take_run(task, number);
+        worker.remove_run(task, number);
         return false;
     }
-    worker.orders.push_back(QueuedOrder::Stop(task, number));
+    worker
+        .queued_orders
+        .push_back(QueuedOrder::Stop(task, number));
     true
 }
--- a/crates/pool/src/pool/admit.rs
+++ b/crates/pool/src/pool/admit.rs
@@ -452,7 +452,7 @@
     if run.phase == RunPhase::Stopping {
         return STOP_TIME;
     }
-    let took = now.saturating_duration_since(run.placed);
+    let took = now.saturating_duration_since(run.placed_at);
     let predicted = run.predicted.mul_f64(slowness);
     let left = predicted.saturating_sub(took);
     left.max(run.predicted.mul_f64(OVERDUE_SHARE).min(took))
--- a/crates/pool/src/pool/answers.rs
+++ b/crates/pool/src/pool/answers.rs
@@ -27,17 +27,17 @@
         // An answer to an order that was sent before the worker was found to be reborn may be its former life's.
         let of_this_life = order.sent >= worker.life_since;
         if let Some(clock) = answer_clock(answer).filter(|_| of_this_life) {
-            worker.read_clock(owner_millis, clock);
+            worker.update_clock(owner_millis, clock);
         }
         let fenced_anew = order.fence < worker.fence;
         let (mut tries, mut under_way) = (0, 0);
         if let Some(run) = worker.run_mut(*task, *run) {
-            run.answered += u32::from(answer != StartAnswer::Failed(CallFailure::NoAnswer));
-            run.under_way = run.under_way.saturating_sub(1);
-            (tries, under_way) = (run.tries, run.under_way);
+            run.answered_starts += u32::from(answer != StartAnswer::Failed(CallFailure::NoAnswer));
+            run.starts_in_flight = run.starts_in_flight.saturating_sub(1);
+            (tries, under_way) = (run.starts_sent, run.starts_in_flight);
         }
         let late = now >= order.sent + order.overdue;
-        worker.end_order(late);
+        worker.finish_order(late);
         if !matches!(answer, StartAnswer::Started(_)) {
             self.notes.push(PoolNote::StartTrouble {
                 task: *task,
@@ -81,7 +81,7 @@
         let Some(worker) = self.workers.get_mut(&order.life) else {
             return;
         };
-        worker.set_overdue();
+        worker.mark_order_overdue();
         let Some(run) = worker.run_mut(order.task, order.run) else {
             return;
         };
@@ -89,7 +89,7 @@
             self.send_orders(now);
             return;
         }
-        let tries = run.tries;
+        let tries = run.starts_sent;
         self.repeats -= 1.0;
         self.answers.miss();
         self.notes.push(PoolNote::StartTrouble {
@@ -143,30 +143,36 @@
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
-        worker.end_order(false);
+        worker.finish_order(false);
         let of_this_life = order.sent >= worker.life_since;
         let fenced_anew = order.fence < worker.fence;
         match answer {
             // It may be the former life's: the new one has to be told.
             StopAnswer::Stopped(_) if !of_this_life => {
-                worker.orders.push_back(QueuedOrder::Stop(*task, *run));
+                worker
+                    .queued_orders
+                    .push_back(QueuedOrder::Stop(*task, *run));
             }
             StopAnswer::Stopped(clock) => {
-                worker.read_clock(owner_millis, clock);
+                worker.update_clock(owner_millis, clock);
                 if let Some(run) = worker.run_mut(*task, *run) {
-                    run.stop_acked = Some(now);
+                    run.stop_acked_at = Some(now);
                 }
             }
             StopAnswer::Failed(CallFailure::NewLife) => self.forget_life(now, life),
             StopAnswer::Failed(CallFailure::FencedOut) if fenced_anew => {
-                worker.orders.push_back(QueuedOrder::Stop(*task, *run));
+                worker
+                    .queued_orders
+                    .push_back(QueuedOrder::Stop(*task, *run));
             }
             StopAnswer::Failed(CallFailure::FencedOut) => self.lose_worker(now, life),
             StopAnswer::Failed(
                 CallFailure::NoAnswer | CallFailure::Unhealthy | CallFailure::Malformed,
             ) => {
-                worker.orders.push_back(QueuedOrder::Stop(*task, *run));
-                worker.order_pause = Some(now + self.settings.retry_pause);
+                worker
+                    .queued_orders
+                    .push_back(QueuedOrder::Stop(*task, *run));
+                worker.orders_paused_until = Some(now + self.settings.retry_pause);
             }
         }
         self.send_orders(now);
@@ -184,15 +190,17 @@
         if run.phase != RunPhase::Ordered {
             return;
         }
-        if run.tries < self.settings.start_tries {
+        if run.starts_sent < self.settings.start_tries {
             // One that is lost is sent again at once: a pause would only add to what its job waits.
-            let pause = (run.tries > 1).then(|| now + self.settings.retry_pause);
-            worker.orders.push_front(QueuedOrder::Start(task, number));
-            worker.order_pause = pause;
+            let pause = (run.starts_sent > 1).then(|| now + self.settings.retry_pause);
+            worker
+                .queued_orders
+                .push_front(QueuedOrder::Start(task, number));
+            worker.orders_paused_until = pause;
             return;
         }
         // On a path that is full all workers answer late: this one is not to blame, and its answer may still come.
-        if strained && run.under_way > 0 {
+        if strained && run.starts_in_flight > 0 {
             return;
         }
         stop_run(worker, task, number);
@@ -208,9 +216,9 @@
         };
         let only_try = worker
             .run_mut(task, number)
-            .is_some_and(|run| run.tries == 1);
+            .is_some_and(|run| run.starts_sent == 1);
         let lost = if only_try {
-            worker.take_run(task, number)
+            worker.remove_run(task, number)
         } else {
             stop_run(worker, task, number);
             None
@@ -227,7 +235,7 @@
     let Some(run) = worker.run_mut(task, number) else {
         return;
     };
-    run.confirmed = Some(now);
+    run.confirmed_at = Some(now);
     if run.phase == RunPhase::Ordered {
         run.phase = RunPhase::Running;
     }
--- a/crates/pool/src/pool/crashing.rs
+++ b/crates/pool/src/pool/crashing.rs
@@ -154,7 +154,7 @@
         let open = self
             .workers
             .values()
-            .filter(|worker| worker.is_open() && !worker.runs.iter().any(|run| run.alone));
+            .filter(|worker| worker.accepts_runs() && !worker.runs.iter().any(|run| run.exclusive));
         let mut open: Vec<&TrackedWorker> = open.collect();
         let most = (open.len() / CLEARED_SHARE).max(1);
         open.sort_by_key(|worker| {
--- a/crates/pool/src/pool/evacuating.rs
+++ b/crates/pool/src/pool/evacuating.rs
@@ -21,7 +21,7 @@
         let mut running = 0;
         for (life, worker) in &self.workers {
             for run in &worker.runs {
-                if run.phase == RunPhase::Ordered && run.tries == 0 {
+                if run.phase == RunPhase::Ordered && run.starts_sent == 0 {
                     unsent.push((life.clone(), run.task, run.run));
                 } else {
                     running += 1;
@@ -52,7 +52,7 @@
                 continue;
             };
             let run = worker.run_mut(task, number);
-            unsent.extend(run.filter(|run| run.tries == 0).cloned());
+            unsent.extend(run.filter(|run| run.starts_sent == 0).cloned());
             stop_run(worker, task, number);
         }
         for run in unsent {
--- a/crates/pool/src/pool/keeping.rs
+++ b/crates/pool/src/pool/keeping.rs
@@ -134,7 +134,7 @@
             revision: kept.revision,
         });
         if let Some(worker) = self.workers.get_mut(life) {
-            worker.unstored.insert(end.number);
+            worker.unstored_ends.insert(end.number);
         }
         failures
     }
@@ -256,7 +256,7 @@
     fn release_ends(&mut self, ends: &[UnstoredEnd], up_to: u64) {
         for end in ends.iter().filter(|end| end.revision <= up_to) {
             if let Some(worker) = self.workers.get_mut(&end.life) {
-                worker.unstored.remove(&end.number);
+                worker.unstored_ends.remove(&end.number);
             }
         }
     }
--- a/crates/pool/src/pool/looks.rs
+++ b/crates/pool/src/pool/looks.rs
@@ -57,13 +57,13 @@
         let hedge = self.hedge(now);
         let margin = self.look_margin();
         for worker in self.workers.values_mut() {
-            if !worker.wants_look(now, IDLE_ACK, wants_ends, hedge) {
+            if !worker.needs_poll(now, IDLE_ACK, wants_ends, hedge) {
                 continue;
             }
             let order = look_order(worker, now, owner_millis, &self.settings, margin);
-            worker.looks_in_flight += 1;
-            worker.last_look = now;
-            worker.look_pause = None;
+            worker.polls_in_flight += 1;
+            worker.last_poll_sent = now;
+            worker.polls_paused_until = None;
             self.actions.push(PoolAction::Look(order));
         }
         self.send_orders(now);
@@ -81,7 +81,7 @@
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
-        worker.looks_in_flight = worker.looks_in_flight.saturating_sub(1);
+        worker.polls_in_flight = worker.polls_in_flight.saturating_sub(1);
         match answer {
             Ok(listing) => self.take_listing(now, sent, order, listing),
             // Its fence was raised meanwhile, by this owner.
@@ -125,16 +125,16 @@
             return;
         };
         // A later look was answered: this one was lost, its worker was not.
-        if worker.answered_look.is_some_and(|later| later > sent) {
+        if worker.answered_poll_sent.is_some_and(|later| later > sent) {
             return;
         }
-        worker.misses += 1;
+        worker.missed_polls += 1;
         if !worker.is_silent() {
             return;
         }
-        worker.look_pause = Some(now + SILENT_PAUSE);
+        worker.polls_paused_until = Some(now + SILENT_PAUSE);
         let runs = worker.runs.len();
-        let first = worker.misses == crate::worker::MISSED_POLLS_TO_SILENCE;
+        let first = worker.missed_polls == crate::worker::MISSED_POLLS_TO_SILENCE;
         if first {
             self.notes.push(PoolNote::WorkerSilent {
                 life: life.clone(),
@@ -159,16 +159,16 @@
             return;
         };
         worker.note_listing(now, order.fence);
-        let returns = worker.misses > 0;
+        let returns = worker.missed_polls > 0;
         let new_here = worker.clock.is_none() || returns;
-        worker.misses = 0;
-        worker.answered_look = worker.answered_look.max(Some(sent));
+        worker.missed_polls = 0;
+        worker.answered_poll_sent = worker.answered_poll_sent.max(Some(sent));
         // Answers to two looks may overtake each other. Ends are numbered; all else holds only in the newest listing.
-        let newest = listing.clock > worker.listed;
-        worker.listed = worker.listed.max(listing.clock);
-        worker.ends_read |= self.kept_loaded;
-        worker.read_clock(owner_millis, listing.clock);
-        worker.acknowledged = worker.acknowledged.max(order.last_seen);
+        let newest = listing.clock > worker.listed_clock;
+        worker.listed_clock = worker.listed_clock.max(listing.clock);
+        worker.ends_listed |= self.kept_loaded;
+        worker.update_clock(owner_millis, listing.clock);
+        worker.acknowledged_end = worker.acknowledged_end.max(order.last_seen);
         let clock_offset = worker.clock.map_or(0, |clock| clock.offset);
         let born = worker.born;
         if new_here {
@@ -195,21 +195,21 @@
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
-        if end.number <= worker.seen {
+        if end.number <= worker.last_seen_end {
             return;
         }
         if self.kept_loaded {
-            worker.seen = end.number;
+            worker.last_seen_end = end.number;
         }
         let Some(task) = end.task else {
             return;
         };
-        let Some(run) = worker.take_run(task, end.run) else {
+        let Some(run) = worker.remove_run(task, end.run) else {
             self.take_found_end(now, life, end);
             return;
         };
-        worker.last_end = now;
-        let took = now.saturating_duration_since(run.placed);
+        worker.last_end_time = now;
+        let took = now.saturating_duration_since(run.placed_at);
         self.notes.push(PoolNote::Ended {
             task,
             run: run.run,
@@ -232,8 +232,8 @@
             return;
         };
         let unread = !self.kept_loaded && !listing.ended.is_empty();
-        if unread || !worker.unstored.is_empty() {
-            worker.look_pause = Some(now + STORING_POLL_PAUSE);
+        if unread || !worker.unstored_ends.is_empty() {
+            worker.polls_paused_until = Some(now + STORING_POLL_PAUSE);
         }
     }
 
@@ -242,7 +242,7 @@
         if let Some(worker) = self.workers.get_mut(life) {
             worker.health.succeed();
             if learns {
-                worker.learn_speed(now, run.predicted, took);
+                worker.update_slowness(now, run.predicted, took);
             }
         }
         let id = run.task.job;
@@ -356,17 +356,19 @@
             foreign.push((task, run));
         }
         for known in &foreign {
-            if worker.foreign.contains(known) {
+            if worker.foreign_runs.contains(known) {
                 continue;
             }
-            worker.orders.push_back(QueuedOrder::Stop(known.0, known.1));
+            worker
+                .queued_orders
+                .push_back(QueuedOrder::Stop(known.0, known.1));
             self.notes.push(PoolNote::ForeignRun {
                 task: Some(known.0),
                 run: known.1,
                 life: life.clone(),
             });
         }
-        worker.foreign = foreign;
+        worker.foreign_runs = foreign;
     }
 
     fn read_progress(&mut self, now: Instant, life: &LifeId, listing: &WorkerListing) {
@@ -388,16 +390,16 @@
             }
             if running.percent > run.percent {
                 run.percent = running.percent;
-                run.progressed = now;
+                run.progressed_at = now;
             }
-            let took = now.saturating_duration_since(run.placed);
-            let still = now.saturating_duration_since(run.progressed);
+            let took = now.saturating_duration_since(run.placed_at);
+            let still = now.saturating_duration_since(run.progressed_at);
             let overdue =
                 run.predicted.mul_f64(self.settings.stall_after) + self.settings.stall_margin;
             if run.phase == RunPhase::Running && took >= overdue && still >= STANDSTILL {
                 stalled.push((run.task, run.run, took, run.percent));
             } else if run.percent >= TELLING_PERCENT {
-                let worked = now.saturating_duration_since(run.confirmed.unwrap_or(now));
+                let worked = now.saturating_duration_since(run.confirmed_at.unwrap_or(now));
                 let projected = worked.mul_f64(100.0 / f64::from(run.percent));
                 if projected > run.predicted.mul_f64(SLOW_PROJECTION) {
                     slowest = Some((run.predicted, projected));
@@ -405,7 +407,7 @@
             }
         }
         if let Some((predicted, projected)) = slowest.filter(|_| learns) {
-            worker.learn_speed(now, predicted, projected);
+            worker.update_slowness(now, predicted, projected);
         }
         if stalled.is_empty() || !self.has(Mechanism::StallStop) {
             return;
@@ -448,7 +450,7 @@
         }
         let mut lost = Vec::new();
         for (task, run) in missing {
-            lost.extend(worker.take_run(task, run));
+            lost.extend(worker.remove_run(task, run));
         }
         for run in lost {
             self.note_lost(&run, life, RunLoss::NotThere);
@@ -462,10 +464,10 @@
             return;
         };
         let runs = std::mem::take(&mut worker.runs);
-        worker.foreign.clear();
-        worker.orders.clear();
+        worker.foreign_runs.clear();
+        worker.queued_orders.clear();
         let died = loss == RunLoss::NewLife;
-        let begun = runs.iter().filter(|run| run.tries > 0);
+        let begun = runs.iter().filter(|run| run.starts_sent > 0);
         let culprits = self.note_crash(now, life, begun.map(|run| run.task), died);
         for run in runs {
             self.note_lost(&run, life, loss);
@@ -521,9 +523,9 @@
 /// answered before ended or never begins. One whose start went unanswered may still begin, until the lease end that
 /// its last start carried has passed on the worker's clock.
 fn is_over(run: &TrackedRun, sent: Instant, clock: WorkerClock) -> bool {
-    let was_there = run.confirmed.is_some_and(|confirmed| confirmed < sent);
-    let was_stopped = run.stop_acked.is_some_and(|acked| acked < sent);
-    let never_begins = run.tries > 0 && run.start_until < clock;
+    let was_there = run.confirmed_at.is_some_and(|confirmed| confirmed < sent);
+    let was_stopped = run.stop_acked_at.is_some_and(|acked| acked < sent);
+    let never_begins = run.starts_sent > 0 && run.start_expires < clock;
     was_there || was_stopped || never_begins
 }
 
@@ -536,8 +538,9 @@
 ) -> PollOrder {
     // Runs of a former owner are not renewed, and a worker that does not answer is left to its lease: what it was
     // last told must be what it goes by.
-    let renew = !worker.runs.is_empty() && worker.foreign.is_empty() && worker.misses == 0;
-    let clock = worker.clock_now(owner_millis).filter(|_| renew);
+    let renew =
+        !worker.runs.is_empty() && worker.foreign_runs.is_empty() && worker.missed_polls == 0;
+    let clock = worker.min_clock_now(owner_millis).filter(|_| renew);
     let lease_end = clock.map(|clock| clock.plus(settings.lease));
     worker.lease_end = worker.lease_end.max(lease_end.unwrap_or_default());
     let wait = look_wait(worker, now, settings);
@@ -546,23 +549,23 @@
         address: worker.record.address,
         fence: worker.fence,
         lease_end,
-        last_seen: worker.news_of_ends(now),
+        last_seen: worker.ends_to_acknowledge(now),
         wait,
         limit: wait + margin,
     }
 }
 
 fn look_wait(worker: &TrackedWorker, now: Instant, settings: &crate::PoolSettings) -> Duration {
-    if !worker.foreign.is_empty() {
+    if !worker.foreign_runs.is_empty() {
         return FOREIGN_WAIT;
     }
-    if !worker.is_open() || worker.runs.is_empty() {
+    if !worker.accepts_runs() || worker.runs.is_empty() {
         return Duration::ZERO;
     }
     let mut wait = settings.look_wait;
     for run in &worker.runs {
         let overdue = run.predicted.mul_f64(settings.stall_after) + settings.stall_margin;
-        let left = (run.placed + overdue).saturating_duration_since(now);
+        let left = (run.placed_at + overdue).saturating_duration_since(now);
         wait = wait.min(left.max(SHORTEST_WAIT));
     }
     wait
--- a/crates/pool/src/pool/rebirth.rs
+++ b/crates/pool/src/pool/rebirth.rs
@@ -47,7 +47,7 @@
         let Some(worker) = self.workers.get_mut(&order.life) else {
             return false;
         };
-        match worker.judge_life(listing.born, sent) {
+        match worker.classify_listing(listing.born, sent) {
             ListingLife::Known => true,
             ListingLife::Former => false,
             ListingLife::New => {
@@ -67,7 +67,7 @@
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
-        let last_listed = worker.answered_look;
+        let last_listed = worker.answered_poll_sent;
         let fates: Vec<(TaskId, RunNumber, FormerRun)> = worker
             .runs
             .iter()
@@ -114,12 +114,12 @@
         };
         match fate {
             FormerRun::Listed => (),
-            FormerRun::AtLarge => worker.stop_at_large(task, number),
+            FormerRun::AtLarge => worker.stop_stray_run(task, number),
             FormerRun::Unsent => {
                 self.withdraw_starts(now, vec![(life.clone(), task, number)]);
             }
             FormerRun::Dead | FormerRun::Unknown => {
-                let Some(run) = worker.take_run(task, number) else {
+                let Some(run) = worker.remove_run(task, number) else {
                     return;
                 };
                 self.note_lost(&run, life, RunLoss::NewLife);
@@ -145,11 +145,11 @@
     let mut ended = ends.filter(|end| end.task == Some(run.task) && end.run == run.run);
     if running.next().is_some() || ended.next().is_some() {
         FormerRun::Listed
-    } else if run.tries == 0 {
+    } else if run.starts_sent == 0 {
         FormerRun::Unsent
-    } else if run.tries > run.answered {
+    } else if run.starts_sent > run.answered_starts {
         FormerRun::AtLarge
-    } else if order.last_seen > 0 && run.confirmed > last_listed {
+    } else if order.last_seen > 0 && run.confirmed_at > last_listed {
         FormerRun::Unknown
     } else {
         FormerRun::Dead
--- a/crates/pool/src/pool/resizing.rs
+++ b/crates/pool/src/pool/resizing.rs
@@ -60,7 +60,7 @@
         if worker.record.room.holds(&used) {
             break;
         }
-        if run.tries == 0 {
+        if run.starts_sent == 0 {
             used = used.minus(&run.demand);
             over.push((run.task, run.run));
         }
--- a/crates/pool/src/pool/schedule.rs
+++ b/crates/pool/src/pool/schedule.rs
@@ -61,7 +61,7 @@
 
     /// The most processor room that is free on any worker that may get runs.
     fn most_free(&self) -> CpuMillis {
-        let open = self.workers.values().filter(|worker| worker.is_open());
+        let open = self.workers.values().filter(|worker| worker.accepts_runs());
         let free = open.map(|worker| worker.free_room().cpu);
         free.max().unwrap_or_default()
     }
@@ -138,19 +138,19 @@
             demand: spec.demand,
             text: job.request.text.clone(),
             phase: RunPhase::Ordered,
-            placed: now,
-            confirmed: None,
-            stop_acked: None,
-            start_until: jobs::WorkerClock(0),
-            tries: 0,
-            answered: 0,
-            under_way: 0,
+            placed_at: now,
+            confirmed_at: None,
+            stop_acked_at: None,
+            start_expires: jobs::WorkerClock(0),
+            starts_sent: 0,
+            answered_starts: 0,
+            starts_in_flight: 0,
             predicted: self.predict(&job.terms, spec),
             estimate: spec.estimate,
             percent: 0,
-            progressed: now,
+            progressed_at: now,
             failures: task.failures,
-            alone: self.crashes.caution(now, task_id) != TaskRestriction::None,
+            exclusive: self.crashes.caution(now, task_id) != TaskRestriction::None,
             failed_on: task.failed_on,
         };
         self.notes.push(PoolNote::Placed {
@@ -163,7 +163,9 @@
             return;
         };
         worker.runs.push(ledger);
-        worker.orders.push_back(QueuedOrder::Start(task_id, run));
+        worker
+            .queued_orders
+            .push_back(QueuedOrder::Start(task_id, run));
     }
 
     fn is_window_full(&self) -> bool {
@@ -219,12 +221,12 @@
         };
         let mut withdrawn = Vec::new();
         for worker in self.workers.values_mut() {
-            if worker.order_pause.is_some_and(|pause| now < pause) {
+            if worker.orders_paused_until.is_some_and(|pause| now < pause) {
                 continue;
             }
-            worker.order_pause = None;
+            worker.orders_paused_until = None;
             while worker.orders_in_flight < most_orders {
-                let Some(order) = worker.orders.pop_front() else {
+                let Some(order) = worker.queued_orders.pop_front() else {
                     break;
                 };
                 let action = match order {
@@ -282,7 +284,7 @@
             if worker.runs.is_empty() || !worker.is_silent() {
                 continue;
             }
-            let Some(clock) = worker.clock_now(owner_millis) else {
+            let Some(clock) = worker.min_clock_now(owner_millis) else {
                 continue;
             };
             if clock >= worker.lease_end.plus(self.settings.lapse_margin) {
@@ -319,13 +321,13 @@
     number: jobs::RunNumber,
     frame: &OrderFrame,
 ) -> Option<PoolAction> {
-    let clock = worker.clock_now(frame.owner_millis)?;
+    let clock = worker.min_clock_now(frame.owner_millis)?;
     let lease_end = clock.plus(frame.lease);
     let (life, address) = (worker.record.life.clone(), worker.record.address);
     let run = worker.run_mut(task, number)?;
-    run.tries += 1;
-    run.under_way += 1;
-    run.start_until = lease_end;
+    run.starts_sent += 1;
+    run.starts_in_flight += 1;
+    run.start_expires = lease_end;
     let text = run.text.clone();
     worker.lease_end = worker.lease_end.max(lease_end);
     Some(PoolAction::Start(StartOrder {
@@ -349,7 +351,7 @@
     frame: &OrderFrame,
 ) -> Option<PoolAction> {
     let known = worker.runs.iter().any(|r| r.task == task && r.run == run);
-    if !known && !worker.foreign.contains(&(task, run)) {
+    if !known && !worker.foreign_runs.contains(&(task, run)) {
         return None;
     }
     Some(PoolAction::Stop(StopOrder {
--- a/crates/pool/src/pool/takeover.rs
+++ b/crates/pool/src/pool/takeover.rs
@@ -158,7 +158,7 @@
     /// a former owner may have ordered is over.
     fn is_settled(&self, now: Instant) -> bool {
         let clear = |worker: &TrackedWorker| {
-            worker.ends_read && worker.foreign.is_empty() && worker.unlisted.is_none()
+            worker.ends_listed && worker.foreign_runs.is_empty() && worker.unlisted_since.is_none()
         };
         let known = self.kept_loaded && self.all_listed && !self.awaiting;
         let seen = known && self.workers.values().all(clear);
@@ -172,7 +172,9 @@
             let kept = |id: &JobId| self.jobs.get(id).is_some_and(|job| job.kept.is_some());
             let running = worker.runs.iter().filter(|run| kept(&run.task.job));
             let running = running.filter(|run| run.phase != RunPhase::Stopping);
-            let running: Vec<_> = running.map(|run| (run.task, run.run, run.tries)).collect();
+            let running: Vec<_> = running
+                .map(|run| (run.task, run.run, run.starts_sent))
+                .collect();
             for (task, run, tries) in running {
                 stopped = true;
                 if tries == 0 {
@@ -199,7 +201,7 @@
                 && self
                     .workers
                     .values()
-                    .all(|worker| worker.runs_of(**id) == 0)
+                    .all(|worker| worker.run_count_of(**id) == 0)
         });
         let idle: Vec<JobId> = idle.map(|(id, _)| *id).collect();
         for id in idle {
@@ -220,8 +222,8 @@
         }
         // What was not acknowledged is listed again, and counts then.
         for worker in self.workers.values_mut() {
-            worker.unstored.clear();
-            worker.seen = worker.acknowledged;
+            worker.unstored_ends.clear();
+            worker.last_seen_end = worker.acknowledged_end;
         }
         self.unload_kept();
         self.alone_since = now;
@@ -231,7 +233,7 @@
     pub(super) fn unload_kept(&mut self) {
         self.kept_loaded = false;
         for worker in self.workers.values_mut() {
-            worker.ends_read = false;
+            worker.ends_listed = false;
         }
     }
 
--- a/crates/pool/src/worker.rs
+++ b/crates/pool/src/worker.rs
@@ -53,28 +53,28 @@
     pub(crate) demand: ResourceDemand,
     pub(crate) text: TaskText,
     pub(crate) phase: RunPhase,
-    pub(crate) placed: Instant,
+    pub(crate) placed_at: Instant,
     /// When a start was answered with success.
-    pub(crate) confirmed: Option<Instant>,
+    pub(crate) confirmed_at: Option<Instant>,
     /// When a stop was answered with success.
-    pub(crate) stop_acked: Option<Instant>,
+    pub(crate) stop_acked_at: Option<Instant>,
     /// The last lease end that a start carried: later on the worker's clock no copy of it is carried out.
-    pub(crate) start_until: WorkerClock,
-    pub(crate) tries: u32,
+    pub(crate) start_expires: WorkerClock,
+    pub(crate) starts_sent: u32,
     /// Starts of it that were answered, in whatever way.
-    pub(crate) answered: u32,
+    pub(crate) answered_starts: u32,
     /// Starts of it that have no answer yet.
-    pub(crate) under_way: u32,
+    pub(crate) starts_in_flight: u32,
     /// What the run would take on a worker of mean speed.
     pub(crate) predicted: Duration,
     pub(crate) estimate: Duration,
     pub(crate) percent: u8,
     /// When `percent` last rose.
-    pub(crate) progressed: Instant,
+    pub(crate) progressed_at: Instant,
     /// How often the task failed before.
     pub(crate) failures: u32,
     /// Whether nothing may run beside it.
-    pub(crate) alone: bool,
+    pub(crate) exclusive: bool,
     pub(crate) failed_on: Vec<jobs::LifeId>,
 }
 
@@ -112,58 +112,58 @@
     /// When that was found. Orders that were sent before may have reached an earlier one.
     pub(crate) life_since: Instant,
     /// Earlier lives, the latest last.
-    former: Vec<Option<BirthTime>>,
+    former_lives: Vec<Option<BirthTime>>,
     /// Since when its entry names another life than its listings.
-    misnamed: Option<Instant>,
+    directory_mismatch_since: Option<Instant>,
     /// The fence of orders to it: the owner's, or a later version of the store once it has been reborn, so that what is still
     /// on its way to its former life is turned away.
     pub(crate) fence: FenceToken,
     /// Whether it has to see that fence.
-    fence_due: bool,
+    fence_unconfirmed: bool,
     /// When it went missing from the directory.
-    pub(crate) unlisted: Option<Instant>,
+    pub(crate) unlisted_since: Option<Instant>,
     /// Known once it has answered a look under this fence.
     pub(crate) clock: Option<ClockEstimate>,
     pub(crate) runs: Vec<TrackedRun>,
     /// Runs of former owners that were told to stop.
-    pub(crate) foreign: Vec<(TaskId, RunNumber)>,
-    pub(crate) orders: VecDeque<QueuedOrder>,
+    pub(crate) foreign_runs: Vec<(TaskId, RunNumber)>,
+    pub(crate) queued_orders: VecDeque<QueuedOrder>,
     /// Orders without an answer, but for those that are overdue.
     pub(crate) orders_in_flight: usize,
     /// Orders that are overdue. They keep no others back: their answers may be lost.
     pub(crate) overdue_orders: usize,
     /// No order is sent before.
-    pub(crate) order_pause: Option<Instant>,
+    pub(crate) orders_paused_until: Option<Instant>,
     /// Looks that are not answered yet.
-    pub(crate) looks_in_flight: usize,
+    pub(crate) polls_in_flight: usize,
     /// When the last look was sent.
-    pub(crate) last_look: Instant,
+    pub(crate) last_poll_sent: Instant,
     /// When the latest of the looks that were answered was sent.
-    pub(crate) answered_look: Option<Instant>,
+    pub(crate) answered_poll_sent: Option<Instant>,
     /// When its last listing came.
     listed_at: Option<Instant>,
     /// Its clock in the newest listing.
-    pub(crate) listed: WorkerClock,
+    pub(crate) listed_clock: WorkerClock,
     /// No look is sent before.
-    pub(crate) look_pause: Option<Instant>,
+    pub(crate) polls_paused_until: Option<Instant>,
     /// Looks in a row without an answer.
-    pub(crate) misses: u32,
+    pub(crate) missed_polls: u32,
     /// The last end taken note of.
-    pub(crate) seen: u64,
+    pub(crate) last_seen_end: u64,
     /// The last end that a look has acknowledged.
-    pub(crate) acknowledged: u64,
+    pub(crate) acknowledged_end: u64,
     /// Whether it has listed its ends since the pool's kept jobs were read.
-    pub(crate) ends_read: bool,
+    pub(crate) ends_listed: bool,
     /// Ends that must not be acknowledged before the store has them.
-    pub(crate) unstored: BTreeSet<u64>,
+    pub(crate) unstored_ends: BTreeSet<u64>,
     /// The last lease end that any call carried.
     pub(crate) lease_end: WorkerClock,
     pub(crate) health: WorkerHealth,
     /// Its run times against predicted ones.
     pub(crate) slowness: f64,
-    pub(crate) last_end: Instant,
+    pub(crate) last_end_time: Instant,
     /// When its slowness was last learnt, or forgotten in part.
-    slowness_at: Instant,
+    slowness_updated: Instant,
 }
 
 /// Looks in a row without an answer that make a worker silent: it gets no new runs and its leases run out. One miss
@@ -179,34 +179,34 @@
             record,
             born: None,
             life_since: now,
-            former: Vec::new(),
-            misnamed: None,
+            former_lives: Vec::new(),
+            directory_mismatch_since: None,
             fence,
-            fence_due: false,
-            unlisted: None,
+            fence_unconfirmed: false,
+            unlisted_since: None,
             clock: None,
             runs: Vec::new(),
-            foreign: Vec::new(),
-            orders: VecDeque::new(),
+            foreign_runs: Vec::new(),
+            queued_orders: VecDeque::new(),
             orders_in_flight: 0,
             overdue_orders: 0,
-            order_pause: None,
-            looks_in_flight: 0,
-            last_look: now,
-            answered_look: None,
+            orders_paused_until: None,
+            polls_in_flight: 0,
+            last_poll_sent: now,
+            answered_poll_sent: None,
             listed_at: None,
-            listed: WorkerClock(0),
-            look_pause: None,
-            misses: 0,
-            seen: 0,
-            acknowledged: 0,
-            ends_read: false,
-            unstored: BTreeSet::new(),
+            listed_clock: WorkerClock(0),
+            polls_paused_until: None,
+            missed_polls: 0,
+            last_seen_end: 0,
+            acknowledged_end: 0,
+            ends_listed: false,
+            unstored_ends: BTreeSet::new(),
             lease_end: WorkerClock(0),
             health: WorkerHealth::default(),
             slowness: 1.0,
-            last_end: now,
-            slowness_at: now,
+            last_end_time: now,
+            slowness_updated: now,
         }
     }
 
@@ -230,8 +230,12 @@
     }
 
     /// Which life of it a listing is of that answers a look sent at `sent`.
-    pub(crate) fn judge_life(&mut self, born: Option<BirthTime>, sent: Instant) -> ListingLife {
-        if self.answered_look.is_none() {
+    pub(crate) fn classify_listing(
+        &mut self,
+        born: Option<BirthTime>,
+        sent: Instant,
+    ) -> ListingLife {
+        if self.answered_poll_sent.is_none() {
             self.born = born;
         }
         if born != self.born {
@@ -242,10 +246,13 @@
                 ListingLife::Former
             };
         }
-        if self.misnamed.is_some_and(|since| sent >= since) {
+        if self
+            .directory_mismatch_since
+            .is_some_and(|since| sent >= since)
+        {
             // Its entry is older than its listing.
             self.remember_former(self.record.born);
-            self.misnamed = None;
+            self.directory_mismatch_since = None;
         }
         ListingLife::Known
     }
@@ -253,57 +260,58 @@
     /// It has another life, which knows nothing of before.
     pub(crate) fn begin_life(&mut self, now: Instant, born: Option<BirthTime>, fence: u64) {
         self.remember_former(self.born);
-        self.former.retain(|former| *former != born);
+        self.former_lives.retain(|former| *former != born);
         self.born = born;
         self.life_since = now;
         self.fence = self.fence.max(FenceToken(fence));
-        self.fence_due = true;
-        self.misnamed = None;
+        self.fence_unconfirmed = true;
+        self.directory_mismatch_since = None;
         self.clock = None;
-        self.listed = WorkerClock(0);
+        self.listed_clock = WorkerClock(0);
         self.lease_end = WorkerClock(0);
-        self.seen = 0;
-        self.acknowledged = 0;
-        self.ends_read = false;
-        self.unstored.clear();
-        self.foreign.clear();
+        self.last_seen_end = 0;
+        self.acknowledged_end = 0;
+        self.ends_listed = false;
+        self.unstored_ends.clear();
+        self.foreign_runs.clear();
         self.health = WorkerHealth::default();
         for run in &mut self.runs {
             // By the former life's clock. Only a listing or a stop tells that it is over.
-            run.start_until = WorkerClock(u64::MAX);
+            run.start_expires = WorkerClock(u64::MAX);
         }
     }
 
     /// Adds a former life, and forgets the oldest beyond the bound.
     fn remember_former(&mut self, born: Option<BirthTime>) {
-        self.former.retain(|known| *known != born);
-        if self.former.len() == MAX_FORMER_LIVES {
-            self.former.remove(0);
+        self.former_lives.retain(|known| *known != born);
+        if self.former_lives.len() == MAX_FORMER_LIVES {
+            self.former_lives.remove(0);
         }
-        self.former.push(born);
+        self.former_lives.push(born);
     }
 
     /// Stops a run of which a start may still come to this life. What the former one answered does not count.
-    pub(crate) fn stop_at_large(&mut self, task: TaskId, number: RunNumber) {
-        self.orders
+    pub(crate) fn stop_stray_run(&mut self, task: TaskId, number: RunNumber) {
+        self.queued_orders
             .retain(|order| *order != QueuedOrder::Start(task, number));
         let Some(run) = self.run_mut(task, number) else {
             return;
         };
         run.phase = RunPhase::Stopping;
-        run.confirmed = None;
-        run.stop_acked = None;
-        self.orders.push_back(QueuedOrder::Stop(task, number));
+        run.confirmed_at = None;
+        run.stop_acked_at = None;
+        self.queued_orders
+            .push_back(QueuedOrder::Stop(task, number));
     }
 
     /// Takes its entry in the directory.
-    pub(crate) fn take_record(&mut self, now: Instant, record: WorkerRecord) {
+    pub(crate) fn update_record(&mut self, now: Instant, record: WorkerRecord) {
         let named = record.born;
-        let known = self.answered_look.is_none() || named.is_none() || named == self.born;
-        if known || self.former.contains(&named) {
-            self.misnamed = None;
-        } else if self.misnamed.is_none() || self.record.born != named {
-            self.misnamed = Some(now);
+        let known = self.answered_poll_sent.is_none() || named.is_none() || named == self.born;
+        if known || self.former_lives.contains(&named) {
+            self.directory_mismatch_since = None;
+        } else if self.directory_mismatch_since.is_none() || self.record.born != named {
+            self.directory_mismatch_since = Some(now);
         }
         self.record = record;
     }
@@ -312,55 +320,57 @@
     pub(crate) fn note_listing(&mut self, now: Instant, fence: FenceToken) {
         self.listed_at = Some(now);
         if fence == self.fence {
-            self.fence_due = false;
+            self.fence_unconfirmed = false;
         }
     }
 
     /// What a look acknowledges: what the worker has listed just now and has not heard of. Anything else may reach a later
     /// life, which would forget its first ends unheard. Older ends are listed once more first.
-    pub(crate) fn news_of_ends(&self, now: Instant) -> u64 {
-        let up_to = self.acknowledgeable();
+    pub(crate) fn ends_to_acknowledge(&self, now: Instant) -> u64 {
+        let up_to = self.last_acknowledgeable_end();
         let fresh = self.listed_at.is_some_and(|at| now < at + MIN_RESTART_TIME);
-        match fresh && self.misses == 0 && up_to > self.acknowledged {
+        match fresh && self.missed_polls == 0 && up_to > self.acknowledged_end {
             true => up_to,
             false => 0,
         }
     }
 
     /// The last end that may be acknowledged.
-    pub(crate) fn acknowledgeable(&self) -> u64 {
-        let stored = self.unstored.first().map(|end| end - 1);
-        stored.map_or(self.seen, |stored| stored.min(self.seen))
+    pub(crate) fn last_acknowledgeable_end(&self) -> u64 {
+        let stored = self.unstored_ends.first().map(|end| end - 1);
+        stored.map_or(self.last_seen_end, |stored| stored.min(self.last_seen_end))
     }
 
     /// Whether it does not answer.
     pub(crate) fn is_silent(&self) -> bool {
-        self.misses >= MISSED_POLLS_TO_SILENCE
+        self.missed_polls >= MISSED_POLLS_TO_SILENCE
     }
 
     /// Whether it is listed as taking runs, and no look is missed.
-    fn takes_runs(&self) -> bool {
-        self.record.state == WorkerState::Ready && self.unlisted.is_none() && self.misses == 0
+    fn is_listed_ready(&self) -> bool {
+        self.record.state == WorkerState::Ready
+            && self.unlisted_since.is_none()
+            && self.missed_polls == 0
     }
 
     /// Whether it may get new runs, health apart.
-    pub(crate) fn is_open(&self) -> bool {
-        self.takes_runs()
+    pub(crate) fn accepts_runs(&self) -> bool {
+        self.is_listed_ready()
             && self.clock.is_some()
-            && self.misnamed.is_none()
-            && self.foreign.is_empty()
+            && self.directory_mismatch_since.is_none()
+            && self.foreign_runs.is_empty()
     }
 
     /// Whether it counts as room that jobs can expect to use. So does one that is being asked for the first time, as all are that
     /// a new owner has: it answers within milliseconds, and until then each job would be refused for want of workers.
     pub(crate) fn is_usable(&self) -> bool {
-        let asked_first = self.answered_look.is_none() && self.takes_runs();
-        (self.is_open() || asked_first) && self.health.is_sound()
+        let asked_first = self.answered_poll_sent.is_none() && self.is_listed_ready();
+        (self.accepts_runs() || asked_first) && self.health.is_sound()
     }
 
     /// Whether it would count as such room if a run that tries it out were done.
-    pub(crate) fn is_on_trial(&self, now: Instant) -> bool {
-        self.is_open() && self.runs.is_empty() && self.health.is_on_trial(now)
+    pub(crate) fn needs_probe_run(&self, now: Instant) -> bool {
+        self.accepts_runs() && self.runs.is_empty() && self.health.is_on_trial(now)
     }
 
     pub(crate) fn run_mut(&mut self, task: TaskId, run: RunNumber) -> Option<&mut TrackedRun> {
@@ -369,7 +379,7 @@
             .find(|r| r.task == task && r.run == run)
     }
 
-    pub(crate) fn take_run(&mut self, task: TaskId, run: RunNumber) -> Option<TrackedRun> {
+    pub(crate) fn remove_run(&mut self, task: TaskId, run: RunNumber) -> Option<TrackedRun> {
         let place = self
             .runs
             .iter()
@@ -377,19 +387,19 @@
         Some(self.runs.swap_remove(place))
     }
 
-    pub(crate) fn runs_of(&self, job: JobId) -> usize {
+    pub(crate) fn run_count_of(&self, job: JobId) -> usize {
         self.runs.iter().filter(|run| run.task.job == job).count()
     }
 
     /// The least that the worker's clock can show now.
-    pub(crate) fn clock_now(&self, owner_millis: u64) -> Option<WorkerClock> {
+    pub(crate) fn min_clock_now(&self, owner_millis: u64) -> Option<WorkerClock> {
         let offset = self.clock?.offset;
         Some(WorkerClock(owner_millis.saturating_add_signed(offset)))
     }
 
     /// Takes the clock of an answer that just came. An answer reads the clock before it travels, so the offset found
     /// is never too high; the highest of several would be nearest, but a drifting clock must be followed down too.
-    pub(crate) fn read_clock(&mut self, owner_millis: u64, clock: WorkerClock) {
+    pub(crate) fn update_clock(&mut self, owner_millis: u64, clock: WorkerClock) {
         let offset = clock
             .0
             .cast_signed()
@@ -398,11 +408,11 @@
     }
 
     /// Learns its speed from a run that was done, or from one that is slower than its kind so far.
-    pub(crate) fn learn_speed(&mut self, now: Instant, predicted: Duration, took: Duration) {
+    pub(crate) fn update_slowness(&mut self, now: Instant, predicted: Duration, took: Duration) {
         if predicted.is_zero() {
             return;
         }
-        self.slowness_at = now;
+        self.slowness_updated = now;
         let sample = took.as_secs_f64() / predicted.as_secs_f64();
         let sample = sample.clamp(SLOWNESS_BOUNDS.0, SLOWNESS_BOUNDS.1);
         self.slowness += SLOWNESS_SAMPLE_WEIGHT * (sample - self.slowness);
@@ -410,24 +420,24 @@
 
     /// Forgets in part that it was slow, if it stands idle. Failure prevented: after calls have been late for a while all
     /// workers of a pool look too slow for any job, every job is refused, and no run can show that they are not.
-    pub(crate) fn fade_slowness(&mut self, now: Instant) {
-        let idle = self.runs.is_empty() && now >= self.slowness_at + SLOWNESS_DECAY_INTERVAL;
+    pub(crate) fn decay_slowness(&mut self, now: Instant) {
+        let idle = self.runs.is_empty() && now >= self.slowness_updated + SLOWNESS_DECAY_INTERVAL;
         if !idle || self.slowness <= RETAINED_SLOWNESS {
             return;
         }
-        self.slowness_at = now;
+        self.slowness_updated = now;
         self.slowness =
             RETAINED_SLOWNESS + (self.slowness - RETAINED_SLOWNESS) * SLOWNESS_DECAY_FACTOR;
     }
 
     /// An order has become overdue.
-    pub(crate) fn set_overdue(&mut self) {
+    pub(crate) fn mark_order_overdue(&mut self) {
         self.orders_in_flight = self.orders_in_flight.saturating_sub(1);
         self.overdue_orders += 1;
     }
 
     /// An order was answered, or is given up. `late` says that it may have been overdue.
-    pub(crate) fn end_order(&mut self, late: bool) {
+    pub(crate) fn finish_order(&mut self, late: bool) {
         if late && self.overdue_orders > 0 {
             self.overdue_orders -= 1;
         } else {
@@ -438,33 +448,39 @@
     /// Whether nothing of its owner's is on it or on the way to it.
     pub(crate) fn is_idle(&self) -> bool {
         let under_way = self.orders_in_flight + self.overdue_orders;
-        self.runs.is_empty() && self.orders.is_empty() && under_way == 0
+        self.runs.is_empty() && self.queued_orders.is_empty() && under_way == 0
     }
 
     /// Whether it needs a look now. `wants_ends` says that jobs wait for what it has to list, `hedge` after which time a
     /// look without an answer gets a second one beside it.
-    pub(crate) fn wants_look(
+    pub(crate) fn needs_poll(
         &self,
         now: Instant,
         idle_ack: Duration,
         wants_ends: bool,
         hedge: Option<Duration>,
     ) -> bool {
-        if self.look_pause.is_some_and(|pause| now < pause) {
+        if self.polls_paused_until.is_some_and(|pause| now < pause) {
             return false;
         }
-        if self.looks_in_flight > 0 {
-            let again = self.misnamed.is_some_and(|since| self.last_look < since) || self.fence_due;
-            if again && self.looks_in_flight < MAX_POLLS_IN_FLIGHT {
+        if self.polls_in_flight > 0 {
+            let again = self
+                .directory_mismatch_since
+                .is_some_and(|since| self.last_poll_sent < since)
+                || self.fence_unconfirmed;
+            if again && self.polls_in_flight < MAX_POLLS_IN_FLIGHT {
                 return true;
             }
-            let hedged = hedge.is_some_and(|hedge| now >= self.last_look + hedge);
-            return hedged && self.looks_in_flight < MAX_POLLS_IN_FLIGHT && !self.runs.is_empty();
+            let hedged = hedge.is_some_and(|hedge| now >= self.last_poll_sent + hedge);
+            return hedged && self.polls_in_flight < MAX_POLLS_IN_FLIGHT && !self.runs.is_empty();
         }
-        let unknown =
-            self.clock.is_none() || self.misses > 0 || self.misnamed.is_some() || self.fence_due;
-        let unacknowledged = self.acknowledged < self.seen && now >= self.last_end + idle_ack;
-        let held = !self.runs.is_empty() || !self.foreign.is_empty();
-        held || unacknowledged || unknown || (wants_ends && !self.ends_read)
+        let unknown = self.clock.is_none()
+            || self.missed_polls > 0
+            || self.directory_mismatch_since.is_some()
+            || self.fence_unconfirmed;
+        let unacknowledged =
+            self.acknowledged_end < self.last_seen_end && now >= self.last_end_time + idle_ack;
+        let held = !self.runs.is_empty() || !self.foreign_runs.is_empty();
+        held || unacknowledged || unknown || (wants_ends && !self.ends_listed)
     }
 }
