--- a/crates/pool/src/job.rs
+++ b/crates/pool/src/job.rs
@@ -27,7 +27,7 @@
     /// Tasks that are done.
     pub(crate) done: u32,
     /// Whether the steps before are done.
-    pub(crate) open: bool,
+    pub(crate) ready: bool,
 }
 
 /// A job in the pool.
@@ -44,7 +44,7 @@
     pub(crate) waiters: Vec<WaiterId>,
     pub(crate) steps: Vec<StepProgress>,
     /// Whether a start was ever ordered. From then on it is never said that the job has not run.
-    pub(crate) ordered: bool,
+    pub(crate) start_ordered: bool,
     /// What of it is stored, if it is kept.
     pub(crate) kept: Option<KeptJobState>,
 }
@@ -58,7 +58,7 @@
     }
 
     /// Whether a task of a kept job neither waits nor is done.
-    pub(crate) fn lacks(&self, step: usize, index: u32) -> bool {
+    pub(crate) fn is_unaccounted(&self, step: usize, index: u32) -> bool {
         let records = self.kept.as_ref().and_then(|kept| kept.progress.get(step));
         let done = records.is_some_and(|record| record.done.contains(&index));
         let waiting = self.steps.get(step).map(|step| step.waiting.iter());
@@ -70,13 +70,13 @@
     }
 
     /// Whether a task waits that may be placed now.
-    pub(crate) fn waits(&self, step: usize, index: u32) -> bool {
-        let step = self.steps.get(step).filter(|step| step.open);
+    pub(crate) fn is_placeable(&self, step: usize, index: u32) -> bool {
+        let step = self.steps.get(step).filter(|step| step.ready);
         step.is_some_and(|step| step.waiting.iter().any(|task| task.index == index))
     }
 
     /// A task that has a run does not wait.
-    pub(crate) fn leave_out(&mut self, step: usize, index: u32) {
+    pub(crate) fn remove_waiting(&mut self, step: usize, index: u32) {
         if let Some(progress) = self.steps.get_mut(step) {
             progress.waiting.retain(|task| task.index != index);
         }
@@ -84,7 +84,7 @@
 
     /// Counts the tasks of a kept job that are done by its record, where each counts once: one may be done by a run of this
     /// owner and known to be done by what a former one stored.
-    pub(crate) fn count_done(&mut self) {
+    pub(crate) fn recount_done(&mut self) {
         let records = self.kept.as_ref().map(|kept| kept.progress.iter());
         for (step, record) in self.steps.iter_mut().zip(records.into_iter().flatten()) {
             step.done = u32::try_from(record.done.len()).unwrap_or(u32::MAX);
@@ -93,11 +93,13 @@
 
     /// Whether it is a kept job that has ended, and its end is being stored.
     pub(crate) fn has_ended(&self) -> bool {
-        self.kept.as_ref().is_some_and(|kept| kept.end.is_some())
+        self.kept
+            .as_ref()
+            .is_some_and(|kept| kept.final_state.is_some())
     }
 
     /// Takes what the store has of a step: tasks that are done wait no more.
-    pub(crate) fn take_record(&mut self, step: usize, record: &StepRecord) {
+    pub(crate) fn apply_record(&mut self, step: usize, record: &StepRecord) {
         let Some(progress) = self.steps.get_mut(step) else {
             return;
         };
@@ -108,15 +110,15 @@
         for task in &mut progress.waiting {
             task.failures = task.failures.max(record.failures(task.index));
         }
-        self.ordered |= !record.done.is_empty();
+        self.start_ordered |= !record.done.is_empty();
     }
 
     /// Opens steps whose predecessors are done.
-    pub(crate) fn open_steps(&mut self) {
+    pub(crate) fn update_ready_steps(&mut self) {
         for step in 0..self.steps.len() {
             let after = &self.request.steps[step].after;
             let ready = after.iter().all(|before| self.is_done(*before as usize));
-            self.steps[step].open = ready;
+            self.steps[step].ready = ready;
         }
     }
 
@@ -134,24 +136,24 @@
     }
 
     /// The steps with tasks that may be placed now.
-    pub(crate) fn open_waiting(&self) -> impl Iterator<Item = (usize, &StepSpec)> + '_ {
+    pub(crate) fn placeable_steps(&self) -> impl Iterator<Item = (usize, &StepSpec)> + '_ {
         let steps = self.steps.iter().enumerate();
         steps
-            .filter(|(_, progress)| progress.open && !progress.waiting.is_empty())
+            .filter(|(_, progress)| progress.ready && !progress.waiting.is_empty())
             .map(|(step, _)| (step, &self.request.steps[step]))
     }
 
     /// The least processor room that any task needs which may be placed now.
-    pub(crate) fn least_demand(&self) -> CpuMillis {
-        let waiting = self.open_waiting().map(|(_, spec)| spec.demand.cpu);
+    pub(crate) fn min_placeable_cpu(&self) -> CpuMillis {
+        let waiting = self.placeable_steps().map(|(_, spec)| spec.demand.cpu);
         waiting.min().unwrap_or_default()
     }
 
     /// The number of tasks that may be placed now.
-    pub(crate) fn waiting_count(&self) -> usize {
+    pub(crate) fn placeable_count(&self) -> usize {
         self.steps
             .iter()
-            .filter(|step| step.open)
+            .filter(|step| step.ready)
             .map(|step| step.waiting.len())
             .sum()
     }
--- a/crates/pool/src/kept.rs
+++ b/crates/pool/src/kept.rs
@@ -73,15 +73,15 @@
     /// write it came from, also where the same job is handed in anew.
     pub(crate) revision: u64,
     /// The revision that is stored.
-    pub(crate) stored: u64,
+    pub(crate) stored_revision: u64,
     /// The revision that is being written.
-    pub(crate) writing: Option<u64>,
+    pub(crate) writing_revision: Option<u64>,
     pub(crate) progress: Vec<StepRecord>,
-    pub(crate) ends: Vec<UnstoredEnd>,
+    pub(crate) unstored_ends: Vec<UnstoredEnd>,
     /// How it ended, once it has.
-    pub(crate) end: Option<KeptState>,
+    pub(crate) final_state: Option<KeptState>,
     /// Found in the store after a predecessor: it may still have runs.
-    pub(crate) held_back: bool,
+    pub(crate) may_have_runs: bool,
 }
 
 impl KeptJobState {
@@ -92,11 +92,11 @@
         } else {
             KeptState::Queued
         };
-        self.end.unwrap_or(running)
+        self.final_state.unwrap_or(running)
     }
 
     /// Notes a failed run of a task, and gives how many there are.
-    pub(crate) fn count_failure(&mut self, step: usize, index: u32, run: RunNumber) -> u32 {
+    pub(crate) fn record_failure(&mut self, step: usize, index: u32, run: RunNumber) -> u32 {
         let Some(record) = self.progress.get_mut(step) else {
             return 0;
         };
@@ -108,7 +108,9 @@
     }
 
     /// Whether the store has all that is known.
-    pub(crate) fn is_all_stored(&self) -> bool {
-        self.version.is_some() && self.writing.is_none() && self.stored >= self.revision
+    pub(crate) fn is_fully_stored(&self) -> bool {
+        self.version.is_some()
+            && self.writing_revision.is_none()
+            && self.stored_revision >= self.revision
     }
 }
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -327,7 +327,7 @@
         self.forget_kept(now);
         let open: Vec<JobId> = self.jobs.keys().copied().collect();
         for id in open {
-            let ordered = self.jobs[&id].ordered;
+            let ordered = self.jobs[&id].start_ordered;
             let outcome = if ordered {
                 JobOutcome::GivenUp
             } else {
@@ -396,18 +396,18 @@
             objective: self.objective(&request, &terms),
             waiters: waiter.into_iter().collect(),
             steps: steps.collect(),
-            ordered: false,
+            start_ordered: false,
             kept: None,
             request,
             terms,
         };
-        job.open_steps();
+        job.update_ready_steps();
         job
     }
 
     /// Puts a job with waiting tasks into the queue, or takes one without out.
     fn enqueue(&mut self, now: Instant, id: JobId) {
-        if self.jobs[&id].waiting_count() == 0 {
+        if self.jobs[&id].placeable_count() == 0 {
             self.queue.remove(id);
             return;
         }
@@ -427,7 +427,7 @@
             job: id,
             priority: job.terms.priority,
             arrived: job.arrived,
-            begun: job.ordered && self.has(Mechanism::BegunFirst),
+            begun: job.start_ordered && self.has(Mechanism::BegunFirst),
             by_arrival: !self.has(Mechanism::LatestStart),
             latest_start: latest_start(job.arrived, job.objective, left),
             useless: job.arrived + job.objective.mul_f64(self.settings.useless_beyond),
--- a/crates/pool/src/pool/admit.rs
+++ b/crates/pool/src/pool/admit.rs
@@ -278,7 +278,7 @@
     /// The work of a job's waiting tasks, in core-milliseconds.
     pub(super) fn waiting_work(&self, job: JobId) -> f64 {
         let job = &self.jobs[&job];
-        let steps = job.open_waiting().map(|(step, spec)| {
+        let steps = job.placeable_steps().map(|(step, spec)| {
             let cores = spec.demand.cpu.0 as f64 / 1000.0;
             let millis = self.predict(&job.terms, spec).as_secs_f64() * 1000.0;
             cores * millis * job.steps[step].waiting.len() as f64
@@ -361,7 +361,7 @@
         let mut unplaced: Vec<_> = queued.filter(|(_, id)| of_service(id)).collect();
         let queued = unplaced.len();
         for (id, job) in &self.jobs {
-            if job.waiting_count() == 0 && job.has_unplaced() && of_service(id) {
+            if job.placeable_count() == 0 && job.has_unplaced() && of_service(id) {
                 unplaced.push((self.queue_entry(*id).rank(now), *id));
             }
         }
--- a/crates/pool/src/pool/crashing.rs
+++ b/crates/pool/src/pool/crashing.rs
@@ -143,7 +143,7 @@
         }
         let waiting = self.crashes.suspects().filter(|task| {
             let job = self.jobs.get(&task.job);
-            let waits = job.is_some_and(|job| job.waits(task.step as usize, task.index));
+            let waits = job.is_some_and(|job| job.is_placeable(task.step as usize, task.index));
             waits && self.crashes.caution(now, *task) == TaskRestriction::Alone
         });
         let waiting = waiting.count();
@@ -198,7 +198,7 @@
         for id in kept {
             let deaths = self.crashes.deaths_of(id);
             let kept = self.jobs.get_mut(&id).and_then(|job| job.kept.as_mut());
-            let Some(kept) = kept.filter(|kept| kept.end.is_none()) else {
+            let Some(kept) = kept.filter(|kept| kept.final_state.is_none()) else {
                 continue;
             };
             let mut changed = false;
--- a/crates/pool/src/pool/keeping.rs
+++ b/crates/pool/src/pool/keeping.rs
@@ -29,7 +29,7 @@
     pub fn pending_jobs(&self) -> Vec<(Arc<str>, u64)> {
         let mut counts: Vec<(Arc<str>, u64)> = Vec::new();
         for job in self.jobs.values() {
-            let waits = job.is_stored() && !job.ordered;
+            let waits = job.is_stored() && !job.start_ordered;
             if !waits {
                 continue;
             }
@@ -77,7 +77,7 @@
             self.answer(waiter, outcome);
         }
         if let Some(kept) = job.kept {
-            self.release_ends(&kept.ends, u64::MAX);
+            self.release_ends(&kept.unstored_ends, u64::MAX);
         }
         self.stop_runs_of(now, id);
     }
@@ -99,7 +99,7 @@
         let Some(kept) = self.jobs.get_mut(&id).and_then(|job| job.kept.as_mut()) else {
             return;
         };
-        kept.end = Some(state);
+        kept.final_state = Some(state);
         kept.revision += 1;
         self.queue.remove(id);
         self.stop_runs_of(now, id);
@@ -112,7 +112,7 @@
         let job = self.jobs.get_mut(&task.job);
         let kept = job.and_then(|job| job.kept.as_mut());
         // Once the job has ended its row says all there is to know.
-        let Some(kept) = kept.filter(|kept| kept.end.is_none()) else {
+        let Some(kept) = kept.filter(|kept| kept.final_state.is_none()) else {
             return 0;
         };
         let step = task.step as usize;
@@ -124,11 +124,11 @@
                     record.done.push(task.index);
                 }
             }
-            EndCause::Failed => failures = kept.count_failure(step, task.index, end.run),
+            EndCause::Failed => failures = kept.record_failure(step, task.index, end.run),
             EndCause::Stopped | EndCause::Lapsed | EndCause::Gang => return 0,
         }
         kept.revision += 1;
-        kept.ends.push(UnstoredEnd {
+        kept.unstored_ends.push(UnstoredEnd {
             life: life.clone(),
             number: end.number,
             revision: kept.revision,
@@ -149,15 +149,15 @@
         let Some(kept) = job.kept.as_mut() else {
             return;
         };
-        if kept.writing.is_some() || kept.stored >= kept.revision {
+        if kept.writing_revision.is_some() || kept.stored_revision >= kept.revision {
             return;
         }
-        kept.writing = Some(kept.revision);
+        kept.writing_revision = Some(kept.revision);
         let row = KeptRow {
             home,
             writer: fence,
             revision: kept.revision,
-            state: kept.state(job.ordered),
+            state: kept.state(job.start_ordered),
             text: job.request.text.clone(),
             steps: job.request.steps.clone(),
             progress: kept.progress.clone(),
@@ -183,10 +183,10 @@
         };
         // A write from before the job was let go of and found again says nothing about a later one: taken for its answer,
         // ends would be acknowledged that no row has. If it took effect, the later one finds the row changed.
-        if kept.writing != Some(order.row.revision) {
+        if kept.writing_revision != Some(order.row.revision) {
             return;
         }
-        kept.writing = None;
+        kept.writing_revision = None;
         let written = order.row.revision;
         match answer {
             KeptWriteResult::Stored(version) => self.take_stored(now, id, version, written),
@@ -230,12 +230,14 @@
         };
         let first = kept.version.is_none();
         kept.version = Some(version);
-        kept.stored = written;
-        let (stored, later): (Vec<_>, Vec<_>) = std::mem::take(&mut kept.ends)
+        kept.stored_revision = written;
+        let (stored, later): (Vec<_>, Vec<_>) = std::mem::take(&mut kept.unstored_ends)
             .into_iter()
             .partition(|end| end.revision <= written);
-        kept.ends = later;
-        let over = kept.end.filter(|_| kept.stored >= kept.revision);
+        kept.unstored_ends = later;
+        let over = kept
+            .final_state
+            .filter(|_| kept.stored_revision >= kept.revision);
         self.release_ends(&stored, written);
         for waiter in waiters {
             self.answer(waiter, JobOutcome::Accepted);
@@ -265,7 +267,7 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        job.take_record(step, record);
+        job.apply_record(step, record);
         let own = job
             .kept
             .as_mut()
--- a/crates/pool/src/pool/looks.rs
+++ b/crates/pool/src/pool/looks.rs
@@ -262,8 +262,8 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        job.count_done();
-        job.open_steps();
+        job.recount_done();
+        job.update_ready_steps();
         let (complete, kept) = (job.is_complete(), job.kept.is_some());
         match (complete, kept) {
             (true, true) => self.end_kept(now, id, KeptState::Completed),
@@ -312,7 +312,7 @@
         };
         let place = run.task.step as usize;
         // Of a kept job that was let go of and found again the task may wait or be done already.
-        if job.kept.is_some() && !job.lacks(place, run.task.index) {
+        if job.kept.is_some() && !job.is_unaccounted(place, run.task.index) {
             return;
         }
         let Some(step) = job.steps.get_mut(place) else {
--- a/crates/pool/src/pool/rebirth.rs
+++ b/crates/pool/src/pool/rebirth.rs
@@ -86,7 +86,7 @@
         for job in self.jobs.values_mut() {
             if let Some(kept) = &mut job.kept {
                 // The former life's ends need no acknowledgement any more.
-                kept.ends.retain(|end| end.life != *life);
+                kept.unstored_ends.retain(|end| end.life != *life);
             }
         }
         self.notes.push(PoolNote::WorkerReborn {
--- a/crates/pool/src/pool/resizing.rs
+++ b/crates/pool/src/pool/resizing.rs
@@ -37,7 +37,7 @@
         let queued = self.queue.jobs();
         let homeless = queued.filter(|id| {
             let job = &self.jobs[id];
-            let can_wait = job.ordered || job.kept.is_some();
+            let can_wait = job.start_ordered || job.kept.is_some();
             !can_wait && !self.can_ever_hold(&job.request, &job.terms)
         });
         let homeless: Vec<JobId> = homeless.collect();
--- a/crates/pool/src/pool/schedule.rs
+++ b/crates/pool/src/pool/schedule.rs
@@ -49,7 +49,7 @@
                 break;
             }
             // With hundreds of waiting jobs and no place free, trying each on each worker is most of an owner's work.
-            if self.jobs[&job].least_demand() > most_free {
+            if self.jobs[&job].min_placeable_cpu() > most_free {
                 continue;
             }
             if self.place_tasks(now, job) {
@@ -72,7 +72,7 @@
             return false;
         }
         let steps: Vec<usize> = self.jobs[&id]
-            .open_waiting()
+            .placeable_steps()
             .map(|(step, _)| step)
             .collect();
         let mut placed = false;
@@ -86,7 +86,7 @@
                 };
                 if let Some(job) = self.jobs.get_mut(&id) {
                     job.steps[step].waiting.pop();
-                    job.ordered = true;
+                    job.start_ordered = true;
                 }
                 self.place(now, id, step, task, &life);
                 placed = true;
@@ -182,7 +182,7 @@
     /// Tasks that wait for a place and may be placed now.
     pub(super) fn waiting_tasks(&self) -> usize {
         let jobs = self.queue.jobs();
-        jobs.map(|job| self.jobs[&job].waiting_count()).sum()
+        jobs.map(|job| self.jobs[&job].placeable_count()).sum()
     }
 
     /// How long the tasks of a new job take to be started beside those under way, at the pace at which answers come now.
@@ -257,7 +257,7 @@
         let unkept = self.jobs.iter().filter(|(_, job)| job.kept.is_none());
         for (id, job) in unkept {
             let useless = job.arrived + job.objective.mul_f64(self.settings.useless_beyond);
-            if !job.ordered && (now >= useless || now >= job.deadline) {
+            if !job.start_ordered && (now >= useless || now >= job.deadline) {
                 let kind = RefusalKind::TooLate;
                 ends.push((
                     *id,
--- a/crates/pool/src/pool/takeover.rs
+++ b/crates/pool/src/pool/takeover.rs
@@ -33,7 +33,7 @@
     /// Whether kept jobs wait until no run of a former owner can be left.
     pub(super) fn has_held_back(&self) -> bool {
         let mut kept = self.jobs.values().filter_map(|job| job.kept.as_ref());
-        kept.any(|kept| kept.held_back)
+        kept.any(|kept| kept.may_have_runs)
     }
 
     /// Says whether a former owner still finishes jobs of the pool, and whether all workers that it may have used are
@@ -85,22 +85,22 @@
         let mut job = self.open_job(now, None, request, terms);
         job.deadline = now + NO_DEADLINE;
         for (step, record) in row.progress.iter().enumerate() {
-            job.take_record(step, record);
+            job.apply_record(step, record);
         }
         // Runs that this owner ordered before it let go of the job: when they end, their tasks wait again.
         for worker in self.workers.values() {
             for run in worker.runs.iter().filter(|run| run.task.job == id) {
-                job.leave_out(run.task.step as usize, run.task.index);
+                job.remove_waiting(run.task.step as usize, run.task.index);
             }
         }
-        job.open_steps();
+        job.update_ready_steps();
         let revision = self.next_run(now).0;
         job.kept = Some(KeptJobState {
             version: Some(version),
             revision,
-            stored: revision,
+            stored_revision: revision,
             progress: row.progress,
-            held_back: true,
+            may_have_runs: true,
             ..KeptJobState::default()
         });
         let complete = job.is_complete();
@@ -121,8 +121,8 @@
         let Some(kept) = &job.kept else {
             return true;
         };
-        let stored = kept.version.is_some() && kept.end.is_none();
-        stored && !kept.held_back && self.accepting && self.is_sure(now)
+        let stored = kept.version.is_some() && kept.final_state.is_none();
+        stored && !kept.may_have_runs && self.accepting && self.is_sure(now)
     }
 
     /// Whether this owner surely has not been replaced without knowing it.
@@ -145,7 +145,7 @@
         if self.is_settled(now) {
             for job in self.jobs.values_mut() {
                 if let Some(kept) = &mut job.kept {
-                    kept.held_back = false;
+                    kept.may_have_runs = false;
                 }
             }
         }
@@ -196,7 +196,7 @@
     /// Lets go of stored jobs of which nothing runs: the next owner finds them in the store.
     fn leave_kept(&mut self) {
         let idle = self.jobs.iter().filter(|(id, job)| {
-            let stored = job.kept.as_ref().is_some_and(KeptJobState::is_all_stored);
+            let stored = job.kept.as_ref().is_some_and(KeptJobState::is_fully_stored);
             stored
                 && self
                     .workers
