--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -329,7 +329,7 @@
         .collect();
     let blind = !state.has(Mechanism::PoolChoice);
     let candidates = match blind {
-        true => candidates.iter().map(PoolCandidate::unheard).collect(),
+        true => candidates.iter().map(PoolCandidate::without_load).collect(),
         false => candidates,
     };
     let order = order_pools(
@@ -343,7 +343,7 @@
         Some(AskedPool {
             pool,
             owner,
-            near: candidates[place].near,
+            near: candidates[place].same_data_centre,
             room: candidates[place].expected_room(),
         })
     });
@@ -388,10 +388,10 @@
     let pools = state.pools.borrow();
     if let Some(owned) = pools.get(pool).filter(|_| owner.here) {
         return PoolCandidate {
-            near,
-            here: state.has(Mechanism::OwnPool),
+            same_data_centre: near,
+            same_process: state.has(Mechanism::OwnPool),
             load: owned.pool.load(state.now()),
-            sent: 0,
+            sent_cpu: 0,
         };
     }
     let sent = state.sent.borrow().get(pool).copied();
@@ -399,10 +399,10 @@
         .filter(|(heard, _)| Some(*heard) == owner.heard)
         .map_or(0, |(_, cpu)| cpu);
     PoolCandidate {
-        near,
-        here: false,
+        same_data_centre: near,
+        same_process: false,
         load: owner.load,
-        sent,
+        sent_cpu: sent,
     }
 }
 
--- a/crates/node/src/feeds.rs
+++ b/crates/node/src/feeds.rs
@@ -237,7 +237,7 @@
     for wait in &member.waits {
         waits.adopt(&RouteBudget {
             route: wait.route.clone(),
-            time: Duration::from_millis(wait.least_ms),
+            budget: Duration::from_millis(wait.least_ms),
         });
     }
 }
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -294,7 +294,7 @@
     let Some(left) = stated else {
         return Duration::ZERO;
     };
-    let age = state.waits.borrow_mut().take(&rule.name, left);
+    let age = state.waits.borrow_mut().record_request(&rule.name, left);
     let is_new = state.now() < state.started + RETURN_TIME;
     match is_new && state.has(Mechanism::RequestAges) {
         true => age,
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -41,7 +41,7 @@
         let change = state
             .evacuations
             .borrow_mut()
-            .take_whole(evacuated, version);
+            .apply_snapshot(evacuated, version);
         for centre in change.begun {
             tell_pools(state, &centre, true);
         }
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -320,10 +320,10 @@
 
 /// What this process has learnt of customers' times.
 fn usual_waits(state: &NodeState) -> Vec<RouteWait> {
-    let usual = state.waits.borrow().usual();
+    let usual = state.waits.borrow().learned_budgets();
     let waits = usual.into_iter().map(|wait| RouteWait {
         route: wait.route,
-        least_ms: u64::try_from(wait.time.as_millis()).unwrap_or(u64::MAX),
+        least_ms: u64::try_from(wait.budget.as_millis()).unwrap_or(u64::MAX),
     });
     waits.collect()
 }
--- a/crates/pool/src/admission.rs
+++ b/crates/pool/src/admission.rs
@@ -48,17 +48,17 @@
     /// The time from now to the new job's end.
     pub(crate) end: Duration,
     /// Whether a job that was admitted before would be late because of it.
-    pub(crate) harms: bool,
+    pub(crate) delays_admitted: bool,
     /// Whether a job for which it has to leave room would be late because of it.
-    pub(crate) crowds: bool,
+    pub(crate) takes_reserved: bool,
 }
 
 impl AdmissionForecast {
     /// That of a job before which more wait than are tried out.
-    pub(crate) const TOO_LONG: Self = Self {
+    pub(crate) const QUEUE_TOO_LONG: Self = Self {
         end: Duration::MAX,
-        harms: false,
-        crowds: false,
+        delays_admitted: false,
+        takes_reserved: false,
     };
 }
 
@@ -75,7 +75,7 @@
     /// Those behind it, in the order in which places will be given.
     behind: Vec<ForecastJob>,
     /// Their ends without the new one, once that is asked for.
-    alone: OnceCell<Vec<Duration>>,
+    ends_without: OnceCell<Vec<Duration>>,
     /// Jobs for which the new one has to leave room.
     expected: Vec<ExpectedJob>,
 }
@@ -96,7 +96,7 @@
             before: pool,
             new,
             behind,
-            alone: OnceCell::new(),
+            ends_without: OnceCell::new(),
             expected,
         }
     }
@@ -107,7 +107,7 @@
     }
 
     /// Tries out so many tasks of each of its steps.
-    pub(crate) fn forecast_part(&self, count: usize) -> AdmissionForecast {
+    pub(crate) fn forecast_tasks_per_step(&self, count: usize) -> AdmissionForecast {
         let mut part = self.new.clone();
         for step in &mut part.steps {
             step.waiting.count = count;
@@ -118,14 +118,18 @@
     fn forecast_of(&self, job: &ForecastJob) -> AdmissionForecast {
         let mut with = self.before.clone();
         let end = place_job(&mut with, job);
-        let crowds = self.crowds_out(&with);
-        let harms = self.harms(with);
-        AdmissionForecast { end, harms, crowds }
+        let crowds = self.takes_reserved(&with);
+        let harms = self.delays_admitted(with);
+        AdmissionForecast {
+            end,
+            delays_admitted: harms,
+            takes_reserved: crowds,
+        }
     }
 
     /// Whether a job behind the new one would be late because of it.
-    fn harms(&self, mut with: PoolForecast) -> bool {
-        let alone = self.alone.get_or_init(|| {
+    fn delays_admitted(&self, mut with: PoolForecast) -> bool {
+        let alone = self.ends_without.get_or_init(|| {
             let mut without = self.before.clone();
             let ends = self.behind.iter().map(|job| place_job(&mut without, job));
             ends.collect()
@@ -143,7 +147,7 @@
     }
 
     /// Whether a job for which room is kept would be late on places as they are given up to the new one.
-    fn crowds_out(&self, placed: &PoolForecast) -> bool {
+    fn takes_reserved(&self, placed: &PoolForecast) -> bool {
         let late = |job: &ExpectedJob| job.is_late_on(&mut placed.clone());
         self.expected.iter().any(late)
     }
--- a/crates/pool/src/answer_time.rs
+++ b/crates/pool/src/answer_time.rs
@@ -25,30 +25,30 @@
 pub(crate) struct AnswerTimes {
     smoothed: Option<f64>,
     variation: f64,
-    least: Option<f64>,
+    minimum: Option<f64>,
     /// Overdue calls since the last answer.
     overdue: u32,
-    strained: bool,
+    congested: bool,
 }
 
 impl AnswerTimes {
     /// Takes the time of an answered call.
-    pub(crate) fn take(&mut self, took: Duration) {
+    pub(crate) fn record(&mut self, took: Duration) {
         let took = took.as_secs_f64();
         self.overdue = 0;
-        self.take_sample(took);
-        let bound = self.strain_bound();
+        self.add_sample(took);
+        let bound = self.congestion_bound();
         // Half of the bound before it counts as quiet again, so that it does not change with each answer.
-        let bound = if self.strained {
+        let bound = if self.congested {
             bound.mul_f64(0.8)
         } else {
             bound
         };
-        self.strained = self.smoothed() > bound;
+        self.congested = self.smoothed() > bound;
     }
 
-    fn take_sample(&mut self, took: f64) {
-        self.least = Some(self.least.map_or(took, |least| least.min(took)));
+    fn add_sample(&mut self, took: f64) {
+        self.minimum = Some(self.minimum.map_or(took, |least| least.min(took)));
         let Some(smoothed) = self.smoothed else {
             self.smoothed = Some(took);
             self.variation = took / 2.0;
@@ -59,12 +59,12 @@
     }
 
     /// A call was not answered within the limit: each one since the last answer doubles it.
-    pub(crate) fn miss(&mut self) {
+    pub(crate) fn record_timeout(&mut self) {
         self.overdue = self.overdue.saturating_add(1);
     }
 
     /// How long to wait for an answer, between `least` and `most`.
-    pub(crate) fn limit(&self, least: Duration, most: Duration) -> Duration {
+    pub(crate) fn timeout(&self, least: Duration, most: Duration) -> Duration {
         let expected = self.smoothed.unwrap_or(0.0) + VARIATION_FACTOR * self.variation;
         let expected = Duration::try_from_secs_f64(expected).unwrap_or(most);
         let doubled = 2_u32.saturating_pow(self.overdue.min(16));
@@ -77,17 +77,17 @@
     }
 
     /// What an answer has taken at least.
-    pub(crate) fn least(&self) -> Duration {
-        Duration::try_from_secs_f64(self.least.unwrap_or(0.0)).unwrap_or_default()
+    pub(crate) fn minimum(&self) -> Duration {
+        Duration::try_from_secs_f64(self.minimum.unwrap_or(0.0)).unwrap_or_default()
     }
 
     /// Whether answers come so late that something on the owner's own side is full, and not a worker gone.
-    pub(crate) fn is_strained(&self) -> bool {
-        self.strained
+    pub(crate) fn is_congested(&self) -> bool {
+        self.congested
     }
 
-    fn strain_bound(&self) -> Duration {
-        self.least()
+    fn congestion_bound(&self) -> Duration {
+        self.minimum()
             .mul_f64(CONGESTION_FACTOR)
             .max(MIN_CONGESTED_TIME)
     }
--- a/crates/pool/src/arrivals.rs
+++ b/crates/pool/src/arrivals.rs
@@ -70,7 +70,7 @@
 
 impl ArrivalStats {
     /// Notes an arrival.
-    pub(crate) fn note(&mut self, now: Instant, job: &ArrivedJob) {
+    pub(crate) fn record(&mut self, now: Instant, job: &ArrivedJob) {
         let (tasks, cpu) = (f64::from(job.tasks), job.cpu as f64);
         let (work, objective) = (job.work.as_secs_f64(), job.objective.as_secs_f64());
         let mean = self.means.entry(job.priority).or_insert(ArrivalMean {
@@ -81,7 +81,7 @@
             objective,
             refused: 0.0,
         });
-        mean.refused = mean.refused_by(now);
+        mean.refused = mean.refused_share_at(now);
         mean.last = now;
         let refused = f64::from(u8::from(job.refused));
         for (mean, new) in [
@@ -96,7 +96,7 @@
     }
 
     /// The tasks for which a job of this priority has to leave room.
-    pub(crate) fn expected_before(&self, now: Instant, priority: u32) -> Vec<ExpectedJob> {
+    pub(crate) fn expected_above(&self, now: Instant, priority: u32) -> Vec<ExpectedJob> {
         let before = self.means.iter().filter(|(other, _)| **other < priority);
         let expected = before.map(|(_, mean)| mean.expected(now));
         expected.filter(|job| job.tasks > 0).collect()
@@ -104,13 +104,13 @@
 }
 
 impl ArrivalMean {
-    fn refused_by(&self, now: Instant) -> f64 {
+    fn refused_share_at(&self, now: Instant) -> f64 {
         let passed = now.saturating_duration_since(self.last).as_secs_f64();
         self.refused * (-passed / REFUSAL_MEMORY.as_secs_f64()).exp()
     }
 
     fn expected(&self, now: Instant) -> ExpectedJob {
-        let beyond = self.refused_by(now) - USUAL_REFUSED_SHARE;
+        let beyond = self.refused_share_at(now) - USUAL_REFUSED_SHARE;
         let share = (beyond / (FULL_RESERVE_REFUSED_SHARE - USUAL_REFUSED_SHARE)).clamp(0.0, 1.0);
         // The casts saturate.
         ExpectedJob {
--- a/crates/pool/src/crash.rs
+++ b/crates/pool/src/crash.rs
@@ -67,7 +67,7 @@
     pub(crate) labels: Vec<Arc<str>>,
     pub(crate) tasks: Vec<LostTask>,
     /// Whether one run alone was lost with it.
-    pub(crate) alone: bool,
+    pub(crate) was_alone: bool,
     pub(crate) at: Instant,
     /// Whether it is known to have died; it may as well have been out of reach.
     pub(crate) died: bool,
@@ -87,7 +87,7 @@
     /// Deaths in which it ran alone.
     alone: u32,
     /// Losses of which it is not known whether the worker died.
-    open: u32,
+    unconfirmed: u32,
     last: Option<Instant>,
 }
 
@@ -97,7 +97,7 @@
     }
 
     fn losses(&self) -> u32 {
-        self.deaths + self.open
+        self.deaths + self.unconfirmed
     }
 }
 
@@ -126,9 +126,9 @@
 pub(crate) struct CrashTracker {
     losses: Vec<WorkerLoss>,
     /// Losses of the last moments, blamed on anything or not.
-    recent: Vec<WorkerLoss>,
+    recent_losses: Vec<WorkerLoss>,
     /// Follows from `losses`.
-    standings: FastMap<TaskId, LossCounts>,
+    loss_counts: FastMap<TaskId, LossCounts>,
     culprits: FastSet<TaskId>,
     /// Routes that handed in a culprit, and when that was named last.
     routes: FastMap<Arc<str>, Instant>,
@@ -142,46 +142,46 @@
 
     /// The tasks that something speaks against.
     pub(crate) fn suspects(&self) -> impl Iterator<Item = TaskId> + '_ {
-        self.standings.keys().copied()
+        self.loss_counts.keys().copied()
     }
 
     /// Takes a loss of a worker with runs.
     pub(crate) fn note_loss(&mut self, loss: WorkerLoss, shape: &WorkerCounts) -> CrashFindings {
         let now = loss.at;
-        self.recent
+        self.recent_losses
             .retain(|other| now < other.at + COMMON_CAUSE_WINDOW);
-        self.recent.push(loss.clone());
-        let loss = self.narrow_to_routes(loss);
-        self.add(loss);
-        let common = self.excuse_common(shape);
+        self.recent_losses.push(loss.clone());
+        let loss = self.narrow_to_culprit_routes(loss);
+        self.add_loss(loss);
+        let common = self.exclude_common_cause(shape);
         CrashFindings {
-            culprits: self.judge(now),
+            culprits: self.find_culprits(now),
             common,
         }
     }
 
     /// Takes a death that is on record, as a former owner saw it.
-    pub(crate) fn note_recorded(&mut self, loss: WorkerLoss) -> Vec<TaskId> {
+    pub(crate) fn note_recorded_death(&mut self, loss: WorkerLoss) -> Vec<TaskId> {
         let now = loss.at;
-        self.add(loss);
-        self.judge(now)
+        self.add_loss(loss);
+        self.find_culprits(now)
     }
 
     /// A worker answers in the life in which it was lost: it was only out of reach. Says whether it was.
-    pub(crate) fn acquit(&mut self, life: &LifeId, born: Option<BirthTime>) -> bool {
+    pub(crate) fn discard_loss(&mut self, life: &LifeId, born: Option<BirthTime>) -> bool {
         let known = self.losses.len();
         self.losses
             .retain(|loss| loss.died || loss.life != *life || loss.born != born);
         let acquitted = self.losses.len() != known;
         if acquitted {
-            self.stand_anew();
+            self.recount_losses();
         }
         acquitted
     }
 
     /// A worker that was lost has another life now.
-    pub(crate) fn confirm(&mut self, now: Instant, life: &LifeId) -> Vec<TaskId> {
-        self.confirm_where(now, |loss| loss.life == *life)
+    pub(crate) fn confirm_death(&mut self, now: Instant, life: &LifeId) -> Vec<TaskId> {
+        self.confirm_deaths_where(now, |loss| loss.life == *life)
     }
 
     /// Takes a worker that the directory has anew.
@@ -192,21 +192,21 @@
         born: Option<BirthTime>,
         address: SocketAddr,
     ) -> Vec<TaskId> {
-        self.confirm_where(now, |loss| match loss.life == *life {
+        self.confirm_deaths_where(now, |loss| match loss.life == *life {
             true => born.is_some() && loss.born.is_some() && loss.born != born,
             false => loss.address == Some(address),
         })
     }
 
     /// A task is done: nothing speaks against it any more.
-    pub(crate) fn clear(&mut self, task: TaskId) {
-        if !self.standings.contains_key(&task) {
+    pub(crate) fn clear_task(&mut self, task: TaskId) {
+        if !self.loss_counts.contains_key(&task) {
             return;
         }
         for loss in &mut self.losses {
             loss.tasks.retain(|lost| lost.task != task);
         }
-        self.stand_anew();
+        self.recount_losses();
     }
 
     /// Forgets what is long ago and concerns no job that `is_open`.
@@ -218,13 +218,13 @@
         });
         self.routes.retain(|_, named| now < *named + ROUTE_MEMORY);
         if self.losses.len() != known {
-            self.stand_anew();
+            self.recount_losses();
         }
     }
 
     /// How a task may be placed.
-    pub(crate) fn caution(&self, now: Instant, task: TaskId) -> TaskRestriction {
-        let Some(standing) = self.standings.get(&task) else {
+    pub(crate) fn restriction(&self, now: Instant, task: TaskId) -> TaskRestriction {
+        let Some(standing) = self.loss_counts.get(&task) else {
             return TaskRestriction::None;
         };
         let doublings = match standing.losses() {
@@ -255,7 +255,7 @@
     }
 
     /// Adds a loss; of one life there is one, also if it is told twice.
-    fn add(&mut self, loss: WorkerLoss) {
+    fn add_loss(&mut self, loss: WorkerLoss) {
         let same = |other: &&mut WorkerLoss| other.life == loss.life && other.born == loss.born;
         if let Some(known) = self.losses.iter_mut().find(same) {
             known.died |= loss.died;
@@ -272,7 +272,7 @@
         self.losses.push(loss);
     }
 
-    fn confirm_where(
+    fn confirm_deaths_where(
         &mut self,
         now: Instant,
         is_meant: impl Fn(&WorkerLoss) -> bool,
@@ -284,22 +284,22 @@
             changed |= dies;
         }
         match changed {
-            true => self.judge(now),
+            true => self.find_culprits(now),
             false => Vec::new(),
         }
     }
 
     /// Takes losses of the last moments out that have one cause. What one job had on all of them is not excused: it may be that
     /// cause. Says whether there are such.
-    fn excuse_common(&mut self, shape: &WorkerCounts) -> bool {
+    fn exclude_common_cause(&mut self, shape: &WorkerCounts) -> bool {
         let least = MIN_COMMON_LOSSES.max(shape.workers.div_ceil(COMMON_WORKERS_DIVISOR));
         let mut common: Vec<&WorkerLoss> = Vec::new();
-        if self.recent.len() >= least {
-            common.extend(&self.recent);
+        if self.recent_losses.len() >= least {
+            common.extend(&self.recent_losses);
         } else {
             for (label, workers) in &shape.labels {
                 let least = MIN_COMMON_LABEL_LOSSES.max(workers.div_ceil(COMMON_LABEL_DIVISOR));
-                let labelled = self.recent.iter();
+                let labelled = self.recent_losses.iter();
                 let labelled: Vec<_> = labelled.filter(|l| l.labels.contains(label)).collect();
                 if labelled.len() >= least {
                     common.extend(labelled);
@@ -324,7 +324,7 @@
     }
 
     /// Of a worker that ran tasks of a route which hands in culprits, only those are suspects.
-    fn narrow_to_routes(&self, mut loss: WorkerLoss) -> WorkerLoss {
+    fn narrow_to_culprit_routes(&self, mut loss: WorkerLoss) -> WorkerLoss {
         let known = |lost: &LostTask| self.routes.contains_key(&lost.route);
         if loss.tasks.iter().any(known) {
             loss.tasks.retain(known);
@@ -333,9 +333,9 @@
     }
 
     /// Finds who is named now, and what stands against the others.
-    fn judge(&mut self, now: Instant) -> Vec<TaskId> {
-        self.stand_anew();
-        let named = self.standings.iter();
+    fn find_culprits(&mut self, now: Instant) -> Vec<TaskId> {
+        self.recount_losses();
+        let named = self.loss_counts.iter();
         let named =
             named.filter(|(task, standing)| standing.is_culprit() && !self.culprits.contains(task));
         let named: Vec<TaskId> = named.map(|(task, _)| *task).collect();
@@ -355,23 +355,23 @@
                 self.routes.insert(route, now);
             }
         }
-        self.stand_anew();
+        self.recount_losses();
         named
     }
 
-    fn stand_anew(&mut self) {
+    fn recount_losses(&mut self) {
         self.losses.retain(|loss| !loss.tasks.is_empty());
-        self.standings.clear();
+        self.loss_counts.clear();
         for loss in &self.losses {
             for lost in &loss.tasks {
-                let standing = self.standings.entry(lost.task).or_default();
+                let standing = self.loss_counts.entry(lost.task).or_default();
                 standing.deaths += u32::from(loss.died);
-                standing.alone += u32::from(loss.died && loss.alone);
-                standing.open += u32::from(!loss.died);
+                standing.alone += u32::from(loss.died && loss.was_alone);
+                standing.unconfirmed += u32::from(!loss.died);
                 standing.last = standing.last.max(Some(loss.at));
             }
         }
-        let standings = &self.standings;
+        let standings = &self.loss_counts;
         self.culprits.retain(|task| standings.contains_key(task));
     }
 }
--- a/crates/pool/src/estimate.rs
+++ b/crates/pool/src/estimate.rs
@@ -46,7 +46,7 @@
 
     /// Learns from a run that was done, on whichever worker. Dividing by the worker's own slowness would tie both to
     /// each other: slowness is measured against what is predicted here, and the two would drift apart without bound.
-    pub(crate) fn learn(&mut self, route: &Arc<str>, estimate: Duration, took: Duration) {
+    pub(crate) fn record_run(&mut self, route: &Arc<str>, estimate: Duration, took: Duration) {
         if estimate.is_zero() {
             return;
         }
--- a/crates/pool/src/evacuation.rs
+++ b/crates/pool/src/evacuation.rs
@@ -43,7 +43,11 @@
     }
 
     /// Takes all rows as of one version. A row that is newer than that is not shown yet, and stays.
-    pub fn take_whole(&mut self, rows: Vec<(DataCentreId, u64)>, version: u64) -> EvacuationChange {
+    pub fn apply_snapshot(
+        &mut self,
+        rows: Vec<(DataCentreId, u64)>,
+        version: u64,
+    ) -> EvacuationChange {
         let mut change = EvacuationChange::default();
         let shown = |centre: &DataCentreId| rows.iter().any(|(shown, _)| shown == centre);
         let over = self.evacuated.iter();
--- a/crates/pool/src/forecast.rs
+++ b/crates/pool/src/forecast.rs
@@ -60,10 +60,10 @@
 
     /// Adds a run that takes room now.
     pub(crate) fn add_running(&mut self, left: Duration, cpu: u64) {
-        self.change(micros(left), cpu.cast_signed());
+        self.add_change(micros(left), cpu.cast_signed());
     }
 
-    fn change(&mut self, at: Micros, by: i64) {
+    fn add_change(&mut self, at: Micros, by: i64) {
         // What ends at a moment makes room for what begins then.
         let before = |change: &CapacityChange| (change.at, change.by <= 0) <= (at, by <= 0);
         let place = self.changes.partition_point(before);
@@ -71,7 +71,7 @@
     }
 
     /// From when on, but not before the earliest, there is room for a task for as long as it runs, if ever.
-    fn room_from(&self, ask: &TaskDemand) -> Option<Micros> {
+    fn earliest_start(&self, ask: &TaskDemand) -> Option<Micros> {
         if ask.cpu > self.room {
             return None;
         }
@@ -105,19 +105,19 @@
     }
 
     fn times(&self, ask: &TaskDemand) -> Option<TaskTimes> {
-        let from = self.room_from(ask)?;
+        let from = self.earliest_start(ask)?;
         let end = from.saturating_add(self.run_time(ask));
         Some(TaskTimes { from, end })
     }
 
-    fn put(&mut self, times: TaskTimes, cpu: u64) {
+    fn reserve(&mut self, times: TaskTimes, cpu: u64) {
         let cpu = cpu.cast_signed();
         if times.from == 0 {
             self.free -= cpu;
         } else {
-            self.change(times.from, -cpu);
+            self.add_change(times.from, -cpu);
         }
-        self.change(times.end, cpu);
+        self.add_change(times.end, cpu);
     }
 }
 
@@ -157,7 +157,7 @@
             let ends = ends.filter_map(|(number, times)| Some((times.as_ref()?.end, number)));
             let (end, number) = ends.min()?;
             if let Some(chosen) = times[number] {
-                self.workers[number].put(chosen, ask.cpu);
+                self.workers[number].reserve(chosen, ask.cpu);
             }
             times[number] = self.workers[number].times(&ask);
             last = last.max(end);
--- a/crates/pool/src/health.rs
+++ b/crates/pool/src/health.rs
@@ -21,7 +21,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum HealthState {
-    Sound,
+    Healthy,
     Suspended { until: Instant },
 }
 
@@ -37,7 +37,7 @@
 impl Default for WorkerHealth {
     fn default() -> Self {
         Self {
-            state: HealthState::Sound,
+            state: HealthState::Healthy,
             failures: 0,
             last_failed: None,
             pause: INITIAL_PAUSE,
@@ -47,36 +47,36 @@
 
 impl WorkerHealth {
     /// Whether it may get a run beside the `running` ones. After a pause one run at a time tries it out.
-    pub(crate) fn allows(&self, now: Instant, running: usize) -> bool {
+    pub(crate) fn allows_run(&self, now: Instant, running: usize) -> bool {
         match self.state {
-            HealthState::Sound => true,
+            HealthState::Healthy => true,
             HealthState::Suspended { until } => now >= until && running == 0,
         }
     }
 
     /// Whether nothing speaks against it.
-    pub(crate) fn is_sound(&self) -> bool {
-        self.state == HealthState::Sound && self.failures == 0
+    pub(crate) fn is_healthy(&self) -> bool {
+        self.state == HealthState::Healthy && self.failures == 0
     }
 
     /// Whether its pause is over and a run has to show whether it is sound again.
-    pub(crate) fn is_on_trial(&self, now: Instant) -> bool {
+    pub(crate) fn needs_probe_run(&self, now: Instant) -> bool {
         matches!(self.state, HealthState::Suspended { until } if now >= until)
     }
 
     /// A run was done.
-    pub(crate) fn succeed(&mut self) {
+    pub(crate) fn record_success(&mut self) {
         *self = Self::default();
     }
 
     /// A run failed. Says whether the worker should be suspended. Several failures of one job count once: a job that can
     /// never be done must not cost a sound worker its runs.
-    pub(crate) fn fail(&mut self, job: JobId) -> bool {
+    pub(crate) fn record_failure(&mut self, job: JobId) -> bool {
         if self.last_failed != Some(job) {
             self.failures += 1;
             self.last_failed = Some(job);
         }
-        let suspended = self.state != HealthState::Sound;
+        let suspended = self.state != HealthState::Healthy;
         suspended || self.failures >= FAILURES_TO_SUSPEND
     }
 
--- a/crates/pool/src/placement.rs
+++ b/crates/pool/src/placement.rs
@@ -31,9 +31,9 @@
     /// The median slowness of the pool's workers.
     pub(crate) median_slowness: f64,
     /// Whether nothing may run beside it: workers died under it.
-    pub(crate) alone: bool,
+    pub(crate) exclusive: bool,
     /// Workers that are being emptied for such tasks.
-    pub(crate) cleared: &'a [LifeId],
+    pub(crate) reserved: &'a [LifeId],
 }
 
 /// Whether a worker can ever hold the task.
@@ -56,7 +56,10 @@
             continue;
         }
         let score = PlacementScore::of(worker, ask);
-        if best.as_ref().is_none_or(|(best, _)| score.is_below(best)) {
+        if best
+            .as_ref()
+            .is_none_or(|(best, _)| score.is_better_than(best))
+        {
             best = Some((score, worker));
         }
     }
@@ -72,7 +75,7 @@
     if !can_hold(worker, ask) || !worker.accepts_runs() {
         return false;
     }
-    if !worker.health.allows(now, worker.runs.len()) {
+    if !worker.health.allows_run(now, worker.runs.len()) {
         return false;
     }
     if is_sluggish(worker, ask.median_slowness)
@@ -83,10 +86,10 @@
     if !worker.free_room().holds(&ask.spec.demand) {
         return false;
     }
-    let shares = match ask.alone {
+    let shares = match ask.exclusive {
         true => worker.runs.is_empty(),
         false => {
-            !ask.cleared.contains(&worker.record.life)
+            !ask.reserved.contains(&worker.record.life)
                 && !worker.runs.iter().any(|run| run.exclusive)
         }
     };
@@ -103,7 +106,7 @@
 struct PlacementScore {
     failed_there: bool,
     slowness: f64,
-    left_over: u64,
+    leftover_cpu: u64,
 }
 
 /// Speeds this near count as equal, so that the fit decides: a place that is left too small serves nobody.
@@ -118,17 +121,17 @@
         Self {
             failed_there: ask.failed_on.contains(&worker.record.life),
             slowness: worker.slowness * far,
-            left_over: worker.free_room().minus(&ask.spec.demand).cpu.0,
+            leftover_cpu: worker.free_room().minus(&ask.spec.demand).cpu.0,
         }
     }
 
-    fn is_below(&self, other: &Self) -> bool {
+    fn is_better_than(&self, other: &Self) -> bool {
         if self.failed_there != other.failed_there {
             return other.failed_there;
         }
         if (self.slowness - other.slowness).abs() > EQUAL_SLOWNESS_MARGIN {
             return self.slowness < other.slowness;
         }
-        self.left_over < other.left_over
+        self.leftover_cpu < other.leftover_cpu
     }
 }
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -430,7 +430,7 @@
             begun: job.start_ordered && self.has(Mechanism::BegunFirst),
             by_arrival: !self.has(Mechanism::LatestStart),
             latest_start: latest_start(job.arrived, job.objective, left),
-            useless: job.arrived + job.objective.mul_f64(self.settings.useless_beyond),
+            useless_from: job.arrived + job.objective.mul_f64(self.settings.useless_beyond),
         }
     }
 
--- a/crates/pool/src/pool/admit.rs
+++ b/crates/pool/src/pool/admit.rs
@@ -63,7 +63,7 @@
         };
         let forecast = match &trial {
             Some(trial) => trial.forecast(),
-            None => AdmissionForecast::TOO_LONG,
+            None => AdmissionForecast::QUEUE_TOO_LONG,
         };
         let predicted = terms
             .waited
@@ -73,14 +73,14 @@
         let late = predicted > too_late && self.has(Mechanism::LateRefusal);
         let late =
             late && !self.is_welcome_late(now, request, terms, &forecast, predicted, objective);
-        let harms = forecast.harms && self.has(Mechanism::HarmCheck);
+        let harms = forecast.delays_admitted && self.has(Mechanism::HarmCheck);
         let kind = if !self.accepting {
             Some(RefusalKind::NotServing)
         } else if self.evacuated {
             Some(RefusalKind::Evacuated)
         } else if !self.can_ever_hold(request, terms) {
             Some(RefusalKind::NoRoomEver)
-        } else if !terms.firm && (late || harms || forecast.crowds) {
+        } else if !terms.firm && (late || harms || forecast.takes_reserved) {
             Some(RefusalKind::TooLate)
         } else if queued + request.steps.len() > self.settings.most_queued {
             Some(RefusalKind::QueueFull)
@@ -95,8 +95,8 @@
             lag,
             objective,
             queued,
-            harms: forecast.harms,
-            crowds: forecast.crowds,
+            harms: forecast.delays_admitted,
+            crowds: forecast.takes_reserved,
         });
         let kind = kind?;
         let fits = match kind {
@@ -155,7 +155,7 @@
     ) -> bool {
         let lag = self.start_lag(usize::try_from(tasks).unwrap_or(usize::MAX));
         let end = terms.waited.saturating_add(forecast.end);
-        end.saturating_add(lag) <= limit && !forecast.harms && !forecast.crowds
+        end.saturating_add(lag) <= limit && !forecast.delays_admitted && !forecast.takes_reserved
     }
 
     /// Whether a job that will be late is served all the same: its start need not wait, most of the pool is idle, and its answer is
@@ -222,7 +222,7 @@
             objective: self.objective(request, terms),
             refused: refusal == Some(RefusalKind::TooLate),
         };
-        self.arrivals.note(now, &job);
+        self.arrivals.record(now, &job);
     }
 
     /// How many tasks of a job that is too wide would be in time. Wide jobs of short tasks find no single pool with
@@ -239,7 +239,7 @@
         };
         let limit = objective.mul_f64(self.settings.refuse_beyond);
         let in_time = |count: u32| {
-            let forecast = trial.forecast_part(count as usize);
+            let forecast = trial.forecast_tasks_per_step(count as usize);
             self.is_in_time(&forecast, u64::from(count), terms, limit)
         };
         // Where places are short mostly not even one fits.
@@ -296,8 +296,8 @@
                 failed_on: &[],
                 far_factor: self.far_factor,
                 median_slowness: self.median_slowness,
-                alone: false,
-                cleared: &[],
+                exclusive: false,
+                reserved: &[],
             };
             self.workers.values().any(|worker| can_hold(worker, &ask))
         })
@@ -320,7 +320,7 @@
             begun: false,
             latest_start: latest_start(arrived, objective, chain),
             by_arrival: !self.has(Mechanism::LatestStart),
-            useless: arrived + objective.mul_f64(self.settings.useless_beyond),
+            useless_from: arrived + objective.mul_f64(self.settings.useless_beyond),
         };
         let rank = entry.rank(now);
         let running = self.running_steps(now);
@@ -344,7 +344,7 @@
         // stands empty.
         let keeps_room = self.has(Mechanism::KeptRoom) && !self.is_strained();
         let expected = match keeps_room {
-            true => self.arrivals.expected_before(now, terms.priority),
+            true => self.arrivals.expected_above(now, terms.priority),
             false => Vec::new(),
         };
         let pool = self.pool_forecast(now, &terms.service);
--- a/crates/pool/src/pool/answers.rs
+++ b/crates/pool/src/pool/answers.rs
@@ -91,7 +91,7 @@
         }
         let tries = run.starts_sent;
         self.repeats -= 1.0;
-        self.answers.miss();
+        self.answers.record_timeout();
         self.notes.push(PoolNote::StartTrouble {
             task: order.task,
             run: order.run,
@@ -110,25 +110,25 @@
             return settings.order_timeout;
         }
         self.answers
-            .limit(settings.order_timeout, settings.longest_order_timeout)
+            .timeout(settings.order_timeout, settings.longest_order_timeout)
     }
 
     /// Whether the path to the workers is full.
     pub(super) fn is_strained(&self) -> bool {
-        self.has(Mechanism::AnswerLimits) && self.answers.is_strained()
+        self.has(Mechanism::AnswerLimits) && self.answers.is_congested()
     }
 
     fn learn_answer_time(&mut self, now: Instant, took: Duration) {
         let was = self.is_strained();
-        self.answers.take(took);
+        self.answers.record(took);
         let (strained, under_way) = (self.is_strained(), self.starts_under_way());
         self.window
-            .take(now, strained, self.answers.smoothed(), under_way);
+            .on_answer(now, strained, self.answers.smoothed(), under_way);
         if strained != was {
             self.notes.push(PoolNote::Strained {
                 strained,
                 smoothed: self.answers.smoothed(),
-                least: self.answers.least(),
+                least: self.answers.minimum(),
                 window: self.window.size(),
             });
         }
--- a/crates/pool/src/pool/crashing.rs
+++ b/crates/pool/src/pool/crashing.rs
@@ -48,7 +48,7 @@
             born: worker.born,
             address: Some(worker.record.address),
             labels: worker.record.labels.clone(),
-            alone: tasks.len() == 1,
+            was_alone: tasks.len() == 1,
             tasks,
             at: now,
             died,
@@ -67,14 +67,14 @@
 
     /// A worker that was lost is known to have died.
     pub(super) fn confirm_crash(&mut self, now: Instant, life: &LifeId) {
-        let culprits = self.crashes.confirm(now, life);
+        let culprits = self.crashes.confirm_death(now, life);
         self.record_deaths();
         self.give_up_culprits(now, culprits);
     }
 
     /// A worker answers in the life in which it was lost.
     pub(super) fn clear_crash(&mut self, life: &LifeId, born: Option<BirthTime>) {
-        if self.crashes.acquit(life, born) {
+        if self.crashes.discard_loss(life, born) {
             self.notes
                 .push(PoolNote::CrashCleared { life: life.clone() });
         }
@@ -107,11 +107,11 @@
                     address: None,
                     labels: Vec::new(),
                     tasks: self.lost_task(task).into_iter().collect(),
-                    alone: false,
+                    was_alone: false,
                     at: now,
                     died: true,
                 };
-                culprits.extend(self.crashes.note_recorded(loss));
+                culprits.extend(self.crashes.note_recorded_death(loss));
             }
         }
         self.give_up_culprits(now, culprits);
@@ -144,7 +144,7 @@
         let waiting = self.crashes.suspects().filter(|task| {
             let job = self.jobs.get(&task.job);
             let waits = job.is_some_and(|job| job.is_placeable(task.step as usize, task.index));
-            waits && self.crashes.caution(now, *task) == TaskRestriction::Alone
+            waits && self.crashes.restriction(now, *task) == TaskRestriction::Alone
         });
         let waiting = waiting.count();
         let former = std::mem::take(&mut self.cleared);
--- a/crates/pool/src/pool/looks.rs
+++ b/crates/pool/src/pool/looks.rs
@@ -112,7 +112,7 @@
         if !self.has(Mechanism::AnswerLimits) {
             return settings.look_margin;
         }
-        let limit = self.answers.limit(Duration::ZERO, settings.order_give_up);
+        let limit = self.answers.timeout(Duration::ZERO, settings.order_give_up);
         settings
             .look_margin
             .max(limit * 2)
@@ -240,17 +240,18 @@
     fn complete_task(&mut self, now: Instant, life: &LifeId, run: &TrackedRun, took: Duration) {
         let learns = self.has(Mechanism::Speeds);
         if let Some(worker) = self.workers.get_mut(life) {
-            worker.health.succeed();
+            worker.health.record_success();
             if learns {
                 worker.update_slowness(now, run.predicted, took);
             }
         }
         let id = run.task.job;
-        self.crashes.clear(run.task);
+        self.crashes.clear_task(run.task);
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        self.estimates.learn(&job.terms.route, run.estimate, took);
+        self.estimates
+            .record_run(&job.terms.route, run.estimate, took);
         if let Some(step) = job.steps.get_mut(run.task.step as usize) {
             step.done += 1;
         }
@@ -278,8 +279,8 @@
         let mut blame = true;
         if let Some(worker) = self.workers.get_mut(life) {
             // A failure on a worker that fails everything says nothing about the task.
-            blame = worker.health.is_sound();
-            if worker.health.fail(id) {
+            blame = worker.health.is_healthy();
+            if worker.health.record_failure(id) {
                 self.suspend(now, life, SuspensionCause::Failing);
             }
         }
@@ -324,7 +325,7 @@
             failed_on: run.failed_on,
         };
         // The last one is placed first, and a suspect may have to wait longer than others of its step.
-        match self.crashes.caution(now, run.task) {
+        match self.crashes.restriction(now, run.task) {
             TaskRestriction::None => step.waiting.push(task),
             TaskRestriction::Alone | TaskRestriction::Wait => step.waiting.insert(0, task),
         }
--- a/crates/pool/src/pool/schedule.rs
+++ b/crates/pool/src/pool/schedule.rs
@@ -41,7 +41,7 @@
             self.send_orders(now);
             return;
         }
-        self.queue.move_late(now);
+        self.queue.reclassify(now);
         let order: Vec<JobId> = self.queue.jobs().collect();
         let mut most_free = self.most_free();
         for job in order {
@@ -107,7 +107,7 @@
     ) -> Option<LifeId> {
         let job = &self.jobs[&id];
         let step_number = u32::try_from(step).unwrap_or(u32::MAX);
-        let alone = match self.crashes.caution(now, task_id(id, step, task.index)) {
+        let alone = match self.crashes.restriction(now, task_id(id, step, task.index)) {
             TaskRestriction::None => false,
             TaskRestriction::Alone => true,
             TaskRestriction::Wait => return None,
@@ -121,8 +121,8 @@
             failed_on: &task.failed_on,
             far_factor: self.far_factor,
             median_slowness: self.median_slowness,
-            alone,
-            cleared: &self.cleared,
+            exclusive: alone,
+            reserved: &self.cleared,
         };
         choose_worker(self.workers.values(), &ask, now).map(|worker| worker.record.life.clone())
     }
@@ -150,7 +150,7 @@
             percent: 0,
             progressed_at: now,
             failures: task.failures,
-            exclusive: self.crashes.caution(now, task_id) != TaskRestriction::None,
+            exclusive: self.crashes.restriction(now, task_id) != TaskRestriction::None,
             failed_on: task.failed_on,
         };
         self.notes.push(PoolNote::Placed {
--- a/crates/pool/src/queue.rs
+++ b/crates/pool/src/queue.rs
@@ -46,7 +46,7 @@
     /// Whether jobs whose start can still be in time go by arrival.
     pub(crate) by_arrival: bool,
     /// When its end is not worth anything any more.
-    pub(crate) useless: Instant,
+    pub(crate) useless_from: Instant,
 }
 
 impl QueueEntry {
@@ -55,7 +55,7 @@
             QueueClass::InTime
         } else if !self.begun {
             QueueClass::Late
-        } else if now < self.useless {
+        } else if now < self.useless_from {
             QueueClass::Begun
         } else {
             QueueClass::Useless
@@ -102,7 +102,7 @@
     }
 
     /// Moves jobs whose class has changed by time alone.
-    pub(crate) fn move_late(&mut self, now: Instant) {
+    pub(crate) fn reclassify(&mut self, now: Instant) {
         let moved = self
             .ranked
             .iter()
--- a/crates/pool/src/shift.rs
+++ b/crates/pool/src/shift.rs
@@ -14,21 +14,21 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PoolCandidate {
     /// Whether it is in the entry's data centre.
-    pub near: bool,
+    pub same_data_centre: bool,
     /// Whether the entry's own process owns it.
-    pub here: bool,
+    pub same_process: bool,
     /// What its owner last published.
     pub load: PoolLoad,
     /// What this entry has sent there since, in thousandths of a core.
-    pub sent: u64,
+    pub sent_cpu: u64,
 }
 
 impl PoolCandidate {
     /// The candidate as it would be known if its owner published nothing.
-    pub fn unheard(&self) -> Self {
+    pub fn without_load(&self) -> Self {
         Self {
-            near: self.near,
-            here: self.here,
+            same_data_centre: self.same_data_centre,
+            same_process: self.same_process,
             ..Self::default()
         }
     }
@@ -37,7 +37,7 @@
     pub fn expected_room(&self) -> i64 {
         let waiting = self.load.backlog.as_secs_f64() * self.load.capacity as f64;
         // The cast saturates.
-        let taken = (waiting as i64).saturating_add_unsigned(self.sent);
+        let taken = (waiting as i64).saturating_add_unsigned(self.sent_cpu);
         0_i64
             .saturating_add_unsigned(self.load.free)
             .saturating_sub(taken)
@@ -53,20 +53,23 @@
     order.sort_by_key(|place| {
         let candidate = &candidates[*place];
         (
-            !candidate.near,
+            !candidate.same_data_centre,
             std::cmp::Reverse(candidate.expected_room()),
         )
     });
     let fits_here = |place: &usize| {
         let candidate = &candidates[*place];
-        candidate.here && candidate.expected_room() >= demand.cast_signed()
+        candidate.same_process && candidate.expected_room() >= demand.cast_signed()
     };
     if let Some(first) = order.iter().position(fits_here) {
         let own = order.remove(first);
         order.insert(0, own);
         return order;
     }
-    let near = candidates.iter().filter(|candidate| candidate.near).count();
+    let near = candidates
+        .iter()
+        .filter(|candidate| candidate.same_data_centre)
+        .count();
     // Without a near one the far ones are drawn from: all entries of an evacuated data centre would flood the same pool.
     let drawn = if near > 0 { near } else { order.len() };
     if drawn < 2 {
--- a/crates/pool/src/start_window.rs
+++ b/crates/pool/src/start_window.rs
@@ -24,14 +24,14 @@
 pub(crate) struct StartWindow {
     size: f64,
     /// Until when it does not shrink again: what was sent before the last time still comes late.
-    settled: Option<Instant>,
+    no_shrink_until: Option<Instant>,
 }
 
 impl Default for StartWindow {
     fn default() -> Self {
         Self {
             size: INITIAL_WINDOW_STARTS,
-            settled: None,
+            no_shrink_until: None,
         }
     }
 }
@@ -44,7 +44,7 @@
     }
 
     /// Takes an answer that came after the usual time of `smoothed`, while `under_way` starts were.
-    pub(crate) fn take(
+    pub(crate) fn on_answer(
         &mut self,
         now: Instant,
         strained: bool,
@@ -58,9 +58,9 @@
             }
             return;
         }
-        if self.settled.is_none_or(|until| now >= until) {
+        if self.no_shrink_until.is_none_or(|until| now >= until) {
             self.size = (self.size * SHRINK_FACTOR).max(MIN_WINDOW_STARTS);
-            self.settled = Some(now + smoothed);
+            self.no_shrink_until = Some(now + smoothed);
         }
     }
 }
--- a/crates/pool/src/waits.rs
+++ b/crates/pool/src/waits.rs
@@ -33,22 +33,22 @@
     /// The route.
     pub route: Arc<str>,
     /// What nearly all have at least.
-    pub time: Duration,
+    pub budget: Duration,
 }
 
 /// With how much time requests come, by route.
 #[derive(Clone, Debug, Default)]
 pub struct BudgetTracker {
     /// In seconds.
-    least: FastMap<Arc<str>, f64>,
+    low_budgets: FastMap<Arc<str>, f64>,
 }
 
 impl BudgetTracker {
     /// Takes a request with so much of its customer's time left, and gives how long it has been under way at least.
-    pub fn take(&mut self, route: &Arc<str>, left: Duration) -> Duration {
+    pub fn record_request(&mut self, route: &Arc<str>, left: Duration) -> Duration {
         let left = left.as_secs_f64();
-        let Some(least) = self.least.get_mut(route) else {
-            self.least.insert(route.clone(), left);
+        let Some(least) = self.low_budgets.get_mut(route) else {
+            self.low_budgets.insert(route.clone(), left);
             return Duration::ZERO;
         };
         let age = (*least * OLD_REQUEST_SHARE - left).max(0.0);
@@ -62,15 +62,15 @@
 
     /// Takes what another process has learnt, where nothing is known here.
     pub fn adopt(&mut self, wait: &RouteBudget) {
-        let known = self.least.entry(wait.route.clone());
-        known.or_insert(wait.time.as_secs_f64());
+        let known = self.low_budgets.entry(wait.route.clone());
+        known.or_insert(wait.budget.as_secs_f64());
     }
 
     /// What is learnt, to be published.
-    pub fn usual(&self) -> Vec<RouteBudget> {
-        let least = self.least.iter().map(|(route, least)| RouteBudget {
+    pub fn learned_budgets(&self) -> Vec<RouteBudget> {
+        let least = self.low_budgets.iter().map(|(route, least)| RouteBudget {
             route: route.clone(),
-            time: Duration::try_from_secs_f64(*least).unwrap_or_default(),
+            budget: Duration::try_from_secs_f64(*least).unwrap_or_default(),
         });
         let mut usual: Vec<RouteBudget> = least.collect();
         usual.sort_by(|a, b| a.route.cmp(&b.route));
--- a/crates/pool/src/worker.rs
+++ b/crates/pool/src/worker.rs
@@ -365,12 +365,12 @@
     /// a new owner has: it answers within milliseconds, and until then each job would be refused for want of workers.
     pub(crate) fn is_usable(&self) -> bool {
         let asked_first = self.answered_poll_sent.is_none() && self.is_listed_ready();
-        (self.accepts_runs() || asked_first) && self.health.is_sound()
+        (self.accepts_runs() || asked_first) && self.health.is_healthy()
     }
 
     /// Whether it would count as such room if a run that tries it out were done.
     pub(crate) fn needs_probe_run(&self, now: Instant) -> bool {
-        self.accepts_runs() && self.runs.is_empty() && self.health.is_on_trial(now)
+        self.accepts_runs() && self.runs.is_empty() && self.health.needs_probe_run(now)
     }
 
     pub(crate) fn run_mut(&mut self, task: TaskId, run: RunNumber) -> Option<&mut TrackedRun> {
--- a/crates/pool/tests/evacuation.rs
+++ b/crates/pool/tests/evacuation.rs
@@ -152,11 +152,14 @@
     assert!(book.begin(centre("east"), 10));
     assert!(!book.begin(centre("east"), 10));
     assert!(book.begin(centre("west"), 30));
-    let change = book.take_whole(vec![(centre("north"), 15)], 20);
+    let change = book.apply_snapshot(vec![(centre("north"), 15)], 20);
     assert_eq!(change, changed(&["north"], &["east"]));
     assert!(book.contains(&centre("west")));
     assert!(!book.contains(&centre("east")));
     assert!(book.end(&centre("west")));
     assert!(!book.end(&centre("west")));
-    assert_eq!(book.take_whole(Vec::new(), 40), changed(&[], &["north"]));
+    assert_eq!(
+        book.apply_snapshot(Vec::new(), 40),
+        changed(&[], &["north"])
+    );
 }
--- a/crates/pool/tests/shift.rs
+++ b/crates/pool/tests/shift.rs
@@ -9,14 +9,14 @@
 fn candidate(near: bool, free: u64, sent: u64, backlog_ms: u64) -> PoolCandidate {
     let backlog = Duration::from_millis(backlog_ms);
     PoolCandidate {
-        near,
-        here: false,
+        same_data_centre: near,
+        same_process: false,
         load: PoolLoad {
             capacity: 400_000,
             free,
             backlog,
         },
-        sent,
+        sent_cpu: sent,
     }
 }
 
@@ -93,7 +93,7 @@
 #[test]
 fn an_own_pool_is_asked_first_if_it_has_the_room() {
     let own = PoolCandidate {
-        here: true,
+        same_process: true,
         ..candidate(true, 20_000, 0, 0)
     };
     let others = [
--- a/crates/pool/tests/waits.rs
+++ b/crates/pool/tests/waits.rs
@@ -14,7 +14,11 @@
     let mut book = BudgetTracker::default();
     for _ in 0..2_000 {
         let left = fresh(rng);
-        assert_eq!(book.take(route, left), Duration::ZERO, "a new request");
+        assert_eq!(
+            book.record_request(route, left),
+            Duration::ZERO,
+            "a new request"
+        );
     }
     book
 }
@@ -25,7 +29,7 @@
 fn a_returning_request_is_known_by_what_is_left_of_its_time() {
     let (mut rng, route) = (Rng::with_seed(1), Arc::from("r-1"));
     let mut book = taught(&mut rng, &route);
-    let age = book.take(&route, Duration::from_millis(450));
+    let age = book.record_request(&route, Duration::from_millis(450));
     assert!(age > Duration::from_millis(900), "{age:?}");
     assert!(age <= Duration::from_millis(1_950), "{age:?}");
 }
@@ -42,7 +46,7 @@
         } else {
             fresh(&mut rng)
         };
-        let age = book.take(&route, left);
+        let age = book.record_request(&route, left);
         assert_eq!(
             age > Duration::ZERO,
             old,
@@ -56,19 +60,19 @@
 #[test]
 fn a_new_process_learns_from_others() {
     let (mut rng, route) = (Rng::with_seed(3), Arc::from("r-1"));
-    let usual = taught(&mut rng, &route).usual();
+    let usual = taught(&mut rng, &route).learned_budgets();
     let mut book = BudgetTracker::default();
     for wait in &usual {
         book.adopt(wait);
     }
-    assert!(book.take(&route, Duration::from_millis(450)) > Duration::from_millis(900));
+    assert!(book.record_request(&route, Duration::from_millis(450)) > Duration::from_millis(900));
     let mut known = BudgetTracker::default();
-    known.take(&route, Duration::from_millis(600));
+    known.record_request(&route, Duration::from_millis(600));
     for wait in &usual {
         known.adopt(wait);
     }
     assert_eq!(
-        known.take(&route, Duration::from_millis(590)),
+        known.record_request(&route, Duration::from_millis(590)),
         Duration::ZERO
     );
 }
