--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -352,7 +352,7 @@
             load.free = load.free.saturating_add(worker.free_room().cpu.0);
         }
         let work: f64 = self.queue.jobs().map(|job| self.waiting_work(job)).sum();
-        let cores = load.capacity as f64 / 1000.0 * self.settings.packing;
+        let cores = load.capacity as f64 / 1000.0 * self.settings.packing_share;
         if work > 0.0 {
             let backlog = work / cores.max(1.0) / 1000.0;
             load.backlog = Duration::try_from_secs_f64(backlog).unwrap_or(LONGEST_RETRY);
@@ -430,7 +430,7 @@
             begun: job.start_ordered && self.has(Mechanism::BegunFirst),
             by_arrival: !self.has(Mechanism::LatestStart),
             latest_start: latest_start(job.arrived, job.objective, left),
-            useless_from: job.arrived + job.objective.mul_f64(self.settings.useless_beyond),
+            useless_from: job.arrived + job.objective.mul_f64(self.settings.useless_factor),
         }
     }
 
--- a/crates/pool/src/pool/admit.rs
+++ b/crates/pool/src/pool/admit.rs
@@ -54,7 +54,7 @@
         let objective = self.objective(request, terms);
         let tasks = usize::try_from(request.task_count()).unwrap_or(usize::MAX);
         let lag = self.start_lag(tasks);
-        let too_late = objective.mul_f64(self.settings.refuse_beyond);
+        let too_late = objective.mul_f64(self.settings.refusal_factor);
         let too_late = too_late.min(terms.waited + terms.time_left);
         let may = self.may_be_in_time(request, terms, lag, too_late) || self.has_idle_share(now);
         let trial = match may {
@@ -82,7 +82,7 @@
             Some(RefusalKind::NoRoomEver)
         } else if !terms.firm && (late || harms || forecast.takes_reserved) {
             Some(RefusalKind::TooLate)
-        } else if queued + request.steps.len() > self.settings.most_queued {
+        } else if queued + request.steps.len() > self.settings.max_queued_tasks {
             Some(RefusalKind::QueueFull)
         } else {
             None
@@ -118,7 +118,7 @@
             return 0;
         }
         let objective = self.objective(request, terms);
-        let limit = objective.mul_f64(self.settings.refuse_beyond);
+        let limit = objective.mul_f64(self.settings.refusal_factor);
         if !self.may_be_in_time(request, terms, self.start_lag(1), limit) {
             return 0;
         }
@@ -174,7 +174,7 @@
     ) -> bool {
         let chain = self.predict_chain(request, terms);
         let waits = forecast.end > chain.mul_f64(UNHURRIED);
-        let useful = objective.mul_f64(self.settings.useless_beyond * STILL_USEFUL);
+        let useful = objective.mul_f64(self.settings.useless_factor * STILL_USEFUL);
         let useful = useful.min(terms.waited + terms.time_left);
         !waits && predicted <= useful && self.has_idle_share(now)
     }
@@ -237,7 +237,7 @@
         let [step] = request.steps.as_slice() else {
             return 0;
         };
-        let limit = objective.mul_f64(self.settings.refuse_beyond);
+        let limit = objective.mul_f64(self.settings.refusal_factor);
         let in_time = |count: u32| {
             let forecast = trial.forecast_tasks_per_step(count as usize);
             self.is_in_time(&forecast, u64::from(count), terms, limit)
@@ -320,7 +320,7 @@
             begun: false,
             latest_start: latest_start(arrived, objective, chain),
             by_arrival: !self.has(Mechanism::LatestStart),
-            useless_from: arrived + objective.mul_f64(self.settings.useless_beyond),
+            useless_from: arrived + objective.mul_f64(self.settings.useless_factor),
         };
         let rank = entry.rank(now);
         let running = self.running_steps(now);
@@ -417,7 +417,7 @@
                 ..self.forecast_step(&job.terms, spec, waiting)
             });
         }
-        let limit = job.arrived + job.objective.mul_f64(self.settings.refuse_beyond);
+        let limit = job.arrived + job.objective.mul_f64(self.settings.refusal_factor);
         ForecastJob {
             steps,
             limit: limit.checked_duration_since(now),
--- a/crates/pool/src/pool/answers.rs
+++ b/crates/pool/src/pool/answers.rs
@@ -107,10 +107,10 @@
     pub(super) fn order_limit(&self) -> Duration {
         let settings = &self.settings;
         if !self.has(Mechanism::AnswerLimits) {
-            return settings.order_timeout;
+            return settings.start_resend_delay;
         }
         self.answers
-            .timeout(settings.order_timeout, settings.longest_order_timeout)
+            .timeout(settings.start_resend_delay, settings.max_start_resend_delay)
     }
 
     /// Whether the path to the workers is full.
@@ -172,7 +172,7 @@
                 worker
                     .queued_orders
                     .push_back(QueuedOrder::Stop(*task, *run));
-                worker.orders_paused_until = Some(now + self.settings.retry_pause);
+                worker.orders_paused_until = Some(now + self.settings.retry_delay);
             }
         }
         self.send_orders(now);
@@ -190,9 +190,9 @@
         if run.phase != RunPhase::Ordered {
             return;
         }
-        if run.starts_sent < self.settings.start_tries {
+        if run.starts_sent < self.settings.max_unanswered_starts {
             // One that is lost is sent again at once: a pause would only add to what its job waits.
-            let pause = (run.starts_sent > 1).then(|| now + self.settings.retry_pause);
+            let pause = (run.starts_sent > 1).then(|| now + self.settings.retry_delay);
             worker
                 .queued_orders
                 .push_front(QueuedOrder::Start(task, number));
--- a/crates/pool/src/pool/looks.rs
+++ b/crates/pool/src/pool/looks.rs
@@ -102,21 +102,23 @@
             .lost_answer
             .filter(|_| self.has(Mechanism::HedgedLooks))?;
         // Answers that are late because the path is full come in the end: looks beside them would fill it further.
-        let lossy = now < lost + self.settings.loss_memory && !self.is_strained();
-        lossy.then_some(self.settings.look_hedge)
+        let lossy = now < lost + self.settings.lost_answer_memory && !self.is_strained();
+        lossy.then_some(self.settings.poll_hedge_delay)
     }
 
     /// How much longer than its wait a look may take: as long as answers may take now.
     fn look_margin(&self) -> Duration {
         let settings = &self.settings;
         if !self.has(Mechanism::AnswerLimits) {
-            return settings.look_margin;
+            return settings.poll_margin;
         }
-        let limit = self.answers.timeout(Duration::ZERO, settings.order_give_up);
+        let limit = self
+            .answers
+            .timeout(Duration::ZERO, settings.order_answer_timeout);
         settings
-            .look_margin
+            .poll_margin
             .max(limit * 2)
-            .min(settings.longest_look_margin)
+            .min(settings.max_poll_margin)
     }
 
     fn miss_look(&mut self, now: Instant, sent: Instant, life: &LifeId) {
@@ -396,7 +398,7 @@
             let took = now.saturating_duration_since(run.placed_at);
             let still = now.saturating_duration_since(run.progressed_at);
             let overdue =
-                run.predicted.mul_f64(self.settings.stall_after) + self.settings.stall_margin;
+                run.predicted.mul_f64(self.settings.stall_factor) + self.settings.stall_margin;
             if run.phase == RunPhase::Running && took >= overdue && still >= STANDSTILL {
                 stalled.push((run.task, run.run, took, run.percent));
             } else if run.percent >= TELLING_PERCENT {
@@ -563,9 +565,9 @@
     if !worker.accepts_runs() || worker.runs.is_empty() {
         return Duration::ZERO;
     }
-    let mut wait = settings.look_wait;
+    let mut wait = settings.poll_wait;
     for run in &worker.runs {
-        let overdue = run.predicted.mul_f64(settings.stall_after) + settings.stall_margin;
+        let overdue = run.predicted.mul_f64(settings.stall_factor) + settings.stall_margin;
         let left = (run.placed_at + overdue).saturating_duration_since(now);
         wait = wait.min(left.max(SHORTEST_WAIT));
     }
--- a/crates/pool/src/pool/schedule.rs
+++ b/crates/pool/src/pool/schedule.rs
@@ -215,7 +215,7 @@
             lease: self.settings.lease,
             overdue,
             limit: match self.has(Mechanism::AnswerLimits) {
-                true => self.settings.order_give_up,
+                true => self.settings.order_answer_timeout,
                 false => overdue,
             },
         };
@@ -239,7 +239,7 @@
                 };
                 if let Some(action) = action {
                     worker.orders_in_flight += 1;
-                    let repeats = self.repeats + self.settings.repeat_share;
+                    let repeats = self.repeats + self.settings.max_resend_share;
                     self.repeats = repeats.min(REPEATS_AT_ONCE);
                     self.actions.push(action);
                 }
@@ -256,7 +256,7 @@
         let mut ends = Vec::new();
         let unkept = self.jobs.iter().filter(|(_, job)| job.kept.is_none());
         for (id, job) in unkept {
-            let useless = job.arrived + job.objective.mul_f64(self.settings.useless_beyond);
+            let useless = job.arrived + job.objective.mul_f64(self.settings.useless_factor);
             if !job.start_ordered && (now >= useless || now >= job.deadline) {
                 let kind = RefusalKind::TooLate;
                 ends.push((
@@ -287,7 +287,7 @@
             let Some(clock) = worker.min_clock_now(owner_millis) else {
                 continue;
             };
-            if clock >= worker.lease_end.plus(self.settings.lapse_margin) {
+            if clock >= worker.lease_end.plus(self.settings.lease_expiry_margin) {
                 lapsed.push(life.clone());
             }
         }
