--- a/crates/node/src/keeping.rs
+++ b/crates/node/src/keeping.rs
@@ -158,10 +158,10 @@
 /// Has a write done again. A new job that was surely not stored is refused after a while.
 fn try_again(state: &Rc<NodeState>, part: u64, call: KeepCall, turned_away: bool) {
     let in_doubt = call.in_doubt || !turned_away;
-    let is_new = call.order.replaces.is_none();
+    let is_new = call.order.expected_version.is_none();
     let waited = state.now().saturating_duration_since(call.asked);
     if is_new && !in_doubt && waited >= PATIENCE {
-        answer(state, &call, KeptWriteResult::TurnedAway);
+        answer(state, &call, KeptWriteResult::Rejected);
         return;
     }
     if !is_held(state, &call) {
@@ -198,7 +198,7 @@
 
 fn add_order(transaction: &mut Transaction, order: &KeptWrite, value: Vec<u8>) {
     let key = order.job.to_string();
-    let replaced = RowVersion(order.replaces.unwrap_or(0));
+    let replaced = RowVersion(order.expected_version.unwrap_or(0));
     let absent = RowVersion(0);
     if order.row.state.is_final() {
         transaction.removes.push(RowCheck {
@@ -214,7 +214,7 @@
         });
         return;
     }
-    if order.replaces.is_none() {
+    if order.expected_version.is_none() {
         // The same job may have come earlier and ended.
         transaction.checks.push(RowCheck {
             table: StoreTable::EndedJobs,
@@ -239,7 +239,7 @@
             answer(state, &call, what);
         }
         // An older view: the row is there, since the write was turned away for it.
-        Ok(None) if call.order.replaces.is_none() => try_again(state, part, call, true),
+        Ok(None) if call.order.expected_version.is_none() => try_again(state, part, call, true),
         Ok(None) => answer(state, &call, KeptWriteResult::Gone),
         Err(error) => {
             note_trouble(state, std::slice::from_ref(&call), &error);
@@ -256,13 +256,13 @@
         // An earlier try of this very write.
         return KeptWriteResult::Stored(version);
     }
-    if order.replaces.is_none() {
-        return KeptWriteResult::Known;
+    if order.expected_version.is_none() {
+        return KeptWriteResult::AlreadyExists;
     }
     if row.state.is_final() {
         return KeptWriteResult::Gone;
     }
-    KeptWriteResult::Changed(row, version)
+    KeptWriteResult::Conflict(row, version)
 }
 
 /// Reads a job's row, whether it has ended or not.
@@ -314,7 +314,7 @@
         }
         let order = KeptWrite {
             job,
-            replaces: Some(found.version),
+            expected_version: Some(found.version),
             row: KeptRow {
                 state: KeptState::Cancelled,
                 ..found.row
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -243,8 +243,8 @@
 pub(crate) fn start_answer(answer: StartAnswer) -> &'static str {
     match answer {
         StartAnswer::Started(_) => "started",
-        StartAnswer::Outrun(_) => "outrun",
-        StartAnswer::Late(_) => "late",
+        StartAnswer::Superseded(_) => "outrun",
+        StartAnswer::LeaseExpired(_) => "late",
         StartAnswer::NoRoom(_) => "no_room",
         StartAnswer::NotAllowed(_) => "not_allowed",
         StartAnswer::Failed(failure) => failure.as_str(),
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -66,8 +66,8 @@
                     let _gone = sender.send(outcome);
                 }
             }
-            PoolAction::LetGo => let_go = true,
-            PoolAction::Keep(order) => keeping::keep(state, id, fence, order),
+            PoolAction::ReleasePool => let_go = true,
+            PoolAction::WriteKeptJob(order) => keeping::keep(state, id, fence, order),
             action => send(state, id, fence, action),
         }
     }
@@ -86,7 +86,7 @@
         match action {
             PoolAction::Start(order) => {
                 let answer = std::pin::pin!(state.workers.start(&order));
-                let overdue = std::pin::pin!(actix_rt::time::sleep(order.overdue));
+                let overdue = std::pin::pin!(actix_rt::time::sleep(order.overdue_after));
                 let answer = match select(answer, overdue).await {
                     Either::Left((answer, _)) => answer,
                     Either::Right(((), answer)) => {
@@ -104,13 +104,13 @@
                     p.on_stop_answer(now, &order, answer)
                 });
             }
-            PoolAction::Look(order) => {
+            PoolAction::Poll(order) => {
                 let answer = state.workers.look(&order).await;
                 with_fenced(&state, &id, fence, |pool, now| {
                     pool.on_look_answer(now, sent, &order, answer);
                 });
             }
-            PoolAction::Answer { .. } | PoolAction::LetGo | PoolAction::Keep(_) => (),
+            PoolAction::Answer { .. } | PoolAction::ReleasePool | PoolAction::WriteKeptJob(_) => (),
         }
     });
 }
--- a/crates/pool/benches/admission.rs
+++ b/crates/pool/benches/admission.rs
@@ -86,7 +86,7 @@
         pool.put_worker(now, record(number));
     }
     for action in pool.take_actions() {
-        if let PoolAction::Look(order) = action {
+        if let PoolAction::Poll(order) = action {
             let listing = WorkerListing {
                 clock: WorkerClock(1_000),
                 ..WorkerListing::default()
--- a/crates/pool/src/action.rs
+++ b/crates/pool/src/action.rs
@@ -37,9 +37,9 @@
     /// When it is sent.
     pub sent: Instant,
     /// After this time without an answer `on_start_overdue` is told.
-    pub overdue: Duration,
+    pub overdue_after: Duration,
     /// After this time without an answer it counts as not answered.
-    pub limit: Duration,
+    pub timeout: Duration,
 }
 
 /// An order to stop a run. A run that is not there yet never starts afterwards.
@@ -58,7 +58,7 @@
     /// When it is sent.
     pub sent: Instant,
     /// After this time without an answer it counts as not answered.
-    pub limit: Duration,
+    pub timeout: Duration,
 }
 
 /// A look at a worker: it renews the lease of all that runs there, acknowledges ends and gives what runs and ended.
@@ -73,11 +73,11 @@
     /// The lease's new end, if it is to be renewed.
     pub lease_end: Option<WorkerClock>,
     /// The last end that is taken note of; 0 if the worker knows it already.
-    pub last_seen: u64,
+    pub acknowledged_end: u64,
     /// How long the worker may wait for an end before it answers.
     pub wait: Duration,
     /// After this time without an answer it counts as not answered.
-    pub limit: Duration,
+    pub timeout: Duration,
 }
 
 text_set! {
@@ -102,9 +102,9 @@
     /// The run is there.
     Started(WorkerClock),
     /// A run of this task with as high a number was there before.
-    Outrun(WorkerClock),
+    Superseded(WorkerClock),
     /// The lease's end has passed on the worker's clock.
-    Late(WorkerClock),
+    LeaseExpired(WorkerClock),
     /// It has no room.
     NoRoom(WorkerClock),
     /// It was not allowed to run the task.
@@ -129,13 +129,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum PoolAction {
     /// Writes a kept job's row.
-    Keep(KeptWrite),
+    WriteKeptJob(KeptWrite),
     /// Send a start; its answer goes to `on_start_answer`.
     Start(StartOrder),
     /// Send a stop; its answer goes to `on_stop_answer`.
     Stop(StopOrder),
     /// Send a look; its answer goes to `on_look_answer`.
-    Look(PollOrder),
+    Poll(PollOrder),
     /// Tell an entry how its job ended.
     Answer {
         /// Whose call.
@@ -144,20 +144,20 @@
         outcome: JobOutcome,
     },
     /// Other owners have all its workers: let go of the pool.
-    LetGo,
+    ReleasePool,
 }
 
 text_set! {
     /// Why a run record went without an end from the worker.
     RunLoss, "loss of a run", WrongReason {
         /// The worker turned the start away.
-        TurnedAway => "turned_away",
+        Rejected => "turned_away",
         /// The worker has a new life.
         NewLife => "new_life",
         /// The worker was silent until the lease surely was over.
-        LeaseOver => "lease_over",
+        LeaseExpired => "lease_over",
         /// A look that was sent afterwards does not show it.
-        NotThere => "not_there",
+        NotListed => "not_there",
     }
 }
 
--- a/crates/pool/src/kept.rs
+++ b/crates/pool/src/kept.rs
@@ -26,7 +26,7 @@
     /// The row to write. Its state says whether the job has ended.
     pub row: KeptRow,
     /// The version that is replaced; none for a new job.
-    pub replaces: Option<u64>,
+    pub expected_version: Option<u64>,
 }
 
 /// What became of it.
@@ -35,11 +35,11 @@
     /// It took effect, as this version.
     Stored(u64),
     /// Surely not: the store turned it away. Only for new jobs; others are tried again.
-    TurnedAway,
+    Rejected,
     /// A new job's id is taken: it was accepted before.
-    Known,
+    AlreadyExists,
     /// Somebody else wrote the row meanwhile.
-    Changed(KeptRow, u64),
+    Conflict(KeptRow, u64),
     /// The job was cancelled, or another owner has seen its end.
     Gone,
 }
--- a/crates/pool/src/pool/answers.rs
+++ b/crates/pool/src/pool/answers.rs
@@ -36,7 +36,7 @@
             run.starts_in_flight = run.starts_in_flight.saturating_sub(1);
             (tries, under_way) = (run.starts_sent, run.starts_in_flight);
         }
-        let late = now >= order.sent + order.overdue;
+        let late = now >= order.sent + order.overdue_after;
         worker.finish_order(late);
         if !matches!(answer, StartAnswer::Started(_)) {
             self.notes.push(PoolNote::StartTrouble {
@@ -49,12 +49,12 @@
         }
         match answer {
             // A run that was outrun was carried out by an earlier copy of this start and has ended; its end is listed.
-            StartAnswer::Started(_) | StartAnswer::Outrun(_) if !of_this_life => (),
-            StartAnswer::Started(_) | StartAnswer::Outrun(_) => {
+            StartAnswer::Started(_) | StartAnswer::Superseded(_) if !of_this_life => (),
+            StartAnswer::Started(_) | StartAnswer::Superseded(_) => {
                 confirm(worker, *task, *run, now);
                 self.learn_answer_time(now, now.saturating_duration_since(order.sent));
             }
-            StartAnswer::Late(_) => self.try_again(now, life, *task, *run),
+            StartAnswer::LeaseExpired(_) => self.try_again(now, life, *task, *run),
             StartAnswer::NoRoom(_) | StartAnswer::NotAllowed(_) => {
                 self.turn_away(now, life, *task, *run);
             }
@@ -225,7 +225,7 @@
         };
         self.suspend(now, life, SuspensionCause::Unhealthy);
         if let Some(run) = lost {
-            self.note_lost(&run, life, RunLoss::TurnedAway);
+            self.note_lost(&run, life, RunLoss::Rejected);
             self.requeue(now, run);
         }
     }
@@ -244,8 +244,8 @@
 fn answer_clock(answer: StartAnswer) -> Option<WorkerClock> {
     match answer {
         StartAnswer::Started(clock)
-        | StartAnswer::Outrun(clock)
-        | StartAnswer::Late(clock)
+        | StartAnswer::Superseded(clock)
+        | StartAnswer::LeaseExpired(clock)
         | StartAnswer::NoRoom(clock)
         | StartAnswer::NotAllowed(clock) => Some(clock),
         StartAnswer::Failed(_) => None,
--- a/crates/pool/src/pool/keeping.rs
+++ b/crates/pool/src/pool/keeping.rs
@@ -168,10 +168,10 @@
             stretch: job.terms.stretch,
             goal: job.terms.goal,
         };
-        self.actions.push(PoolAction::Keep(KeptWrite {
+        self.actions.push(PoolAction::WriteKeptJob(KeptWrite {
             job: id,
             row,
-            replaces: kept.version,
+            expected_version: kept.version,
         }));
     }
 
@@ -190,7 +190,7 @@
         let written = order.row.revision;
         match answer {
             KeptWriteResult::Stored(version) => self.take_stored(now, id, version, written),
-            KeptWriteResult::TurnedAway => {
+            KeptWriteResult::Rejected => {
                 let refused = JobOutcome::Refused {
                     kind: RefusalKind::NotServing,
                     retry_after: SHORTEST_RETRY,
@@ -199,12 +199,12 @@
                 self.drop_kept(now, id, refused);
             }
             // Whoever has it runs it; if that is this pool, the next reading of the store finds it.
-            KeptWriteResult::Known => {
+            KeptWriteResult::AlreadyExists => {
                 self.drop_kept(now, id, JobOutcome::Accepted);
                 self.ended_kept.remove(&id);
             }
             KeptWriteResult::Gone => self.drop_kept(now, id, JobOutcome::Accepted),
-            KeptWriteResult::Changed(row, version) => {
+            KeptWriteResult::Conflict(row, version) => {
                 // A former owner's last write. What it knew counts, too, and this owner's is written over it.
                 kept.version = Some(version);
                 kept.revision += 1;
--- a/crates/pool/src/pool/looks.rs
+++ b/crates/pool/src/pool/looks.rs
@@ -64,7 +64,7 @@
             worker.polls_in_flight += 1;
             worker.last_poll_sent = now;
             worker.polls_paused_until = None;
-            self.actions.push(PoolAction::Look(order));
+            self.actions.push(PoolAction::Poll(order));
         }
         self.send_orders(now);
     }
@@ -170,7 +170,7 @@
         worker.listed_clock = worker.listed_clock.max(listing.clock);
         worker.ends_listed |= self.kept_loaded;
         worker.update_clock(owner_millis, listing.clock);
-        worker.acknowledged_end = worker.acknowledged_end.max(order.last_seen);
+        worker.acknowledged_end = worker.acknowledged_end.max(order.acknowledged_end);
         let clock_offset = worker.clock.map_or(0, |clock| clock.offset);
         let born = worker.born;
         if new_here {
@@ -456,7 +456,7 @@
             lost.extend(worker.remove_run(task, run));
         }
         for run in lost {
-            self.note_lost(&run, life, RunLoss::NotThere);
+            self.note_lost(&run, life, RunLoss::NotListed);
             self.requeue(now, run);
         }
     }
@@ -506,7 +506,7 @@
             self.finish(now, run.task.job, JobOutcome::GivenUp);
         }
         if self.workers.is_empty() {
-            self.actions.push(PoolAction::LetGo);
+            self.actions.push(PoolAction::ReleasePool);
         }
     }
 
@@ -552,9 +552,9 @@
         address: worker.record.address,
         fence: worker.fence,
         lease_end,
-        last_seen: worker.ends_to_acknowledge(now),
+        acknowledged_end: worker.ends_to_acknowledge(now),
         wait,
-        limit: wait + margin,
+        timeout: wait + margin,
     }
 }
 
--- a/crates/pool/src/pool/rebirth.rs
+++ b/crates/pool/src/pool/rebirth.rs
@@ -149,7 +149,7 @@
         FormerRun::Unsent
     } else if run.starts_sent > run.answered_starts {
         FormerRun::AtLarge
-    } else if order.last_seen > 0 && run.confirmed_at > last_listed {
+    } else if order.acknowledged_end > 0 && run.confirmed_at > last_listed {
         FormerRun::Unknown
     } else {
         FormerRun::Dead
--- a/crates/pool/src/pool/schedule.rs
+++ b/crates/pool/src/pool/schedule.rs
@@ -292,7 +292,7 @@
             }
         }
         for life in lapsed {
-            self.lose_all_runs(now, &life, crate::action::RunLoss::LeaseOver);
+            self.lose_all_runs(now, &life, crate::action::RunLoss::LeaseExpired);
         }
     }
 }
@@ -339,8 +339,8 @@
         text,
         lease_end,
         sent: frame.now,
-        overdue: frame.overdue,
-        limit: frame.limit,
+        overdue_after: frame.overdue,
+        timeout: frame.limit,
     }))
 }
 
@@ -362,6 +362,6 @@
         run,
         sent: frame.now,
         // Stopping twice is idempotent, and a place waits for it.
-        limit: frame.overdue,
+        timeout: frame.overdue,
     }))
 }
--- a/crates/pool/tests/support/mod.rs
+++ b/crates/pool/tests/support/mod.rs
@@ -599,7 +599,11 @@
             self.waiting_rows.push(order);
             return;
         }
-        let KeptWrite { job, row, replaces } = order.clone();
+        let KeptWrite {
+            job,
+            row,
+            expected_version: replaces,
+        } = order.clone();
         let known = self.rows.get(&job).map(|(_, version)| *version);
         let answer = if known == replaces {
             self.serial += 1;
@@ -608,9 +612,9 @@
         } else {
             match self.rows.get(&job) {
                 Some((row, version)) if replaces.is_some() && !row.state.is_final() => {
-                    KeptWriteResult::Changed(row.clone(), *version)
+                    KeptWriteResult::Conflict(row.clone(), *version)
                 }
-                _ if replaces.is_none() => KeptWriteResult::Known,
+                _ if replaces.is_none() => KeptWriteResult::AlreadyExists,
                 _ => KeptWriteResult::Gone,
             }
         };
@@ -648,10 +652,10 @@
             match action {
                 PoolAction::Start(order) => self.send_start(order),
                 PoolAction::Stop(order) => self.send_stop(order),
-                PoolAction::Look(order) => self.send_look(order),
+                PoolAction::Poll(order) => self.send_look(order),
                 PoolAction::Answer { waiter, outcome } => self.end_job(JobId(waiter.0), outcome),
-                PoolAction::Keep(order) => self.post(STORE_TIME, Event::Keep(order)),
-                PoolAction::LetGo => self.let_go = true,
+                PoolAction::WriteKeptJob(order) => self.post(STORE_TIME, Event::Keep(order)),
+                PoolAction::ReleasePool => self.let_go = true,
             }
         }
     }
@@ -667,7 +671,7 @@
         let call = self.open_call();
         let delay = self.out.take(self.now, START_BYTES) + ONE_WAY;
         let none = StartAnswer::Failed(CallFailure::NoAnswer);
-        let (overdue, limit) = (millis(order.overdue), millis(order.limit));
+        let (overdue, limit) = (millis(order.overdue_after), millis(order.timeout));
         self.post(delay, Event::Start(call, order.clone()));
         self.post(overdue, Event::StartOverdue(call, order.clone()));
         self.post(limit, Event::StartAnswer(call, order, none));
@@ -677,7 +681,7 @@
         let call = self.open_call();
         let delay = self.out.take(self.now, STOP_BYTES) + ONE_WAY;
         let none = StopAnswer::Failed(CallFailure::NoAnswer);
-        let limit = millis(order.limit);
+        let limit = millis(order.timeout);
         self.post(delay, Event::Stop(call, order.clone()));
         self.post(limit, Event::StopAnswer(call, order, none));
     }
@@ -686,7 +690,7 @@
         let call = self.open_call();
         let delay = self.out.take(self.now, LOOK_BYTES) + ONE_WAY;
         let none = Err(CallFailure::NoAnswer);
-        let (sent, limit) = (self.now, millis(order.limit));
+        let (sent, limit) = (self.now, millis(order.timeout));
         self.post(delay, Event::Look(call, order.clone(), sent));
         self.post(limit, Event::PollAnswer(call, order, sent, none));
     }
@@ -831,10 +835,10 @@
             .iter()
             .any(|e| e.task == Some(order.task) && e.run >= order.run);
         if outrun {
-            return StartAnswer::Outrun(clock);
+            return StartAnswer::Superseded(clock);
         }
         if order.lease_end <= clock {
-            return StartAnswer::Late(clock);
+            return StartAnswer::LeaseExpired(clock);
         }
         worker.lease_end = worker
             .lease_end
@@ -908,11 +912,11 @@
             return self.answer(ANSWER_BYTES, Event::PollAnswer(call, order, sent, fenced));
         }
         worker.fence = order.fence.0;
-        worker.forgotten = worker.forgotten.max(order.last_seen);
+        worker.forgotten = worker.forgotten.max(order.acknowledged_end);
         let noted = worker
             .ends
             .iter()
-            .filter(|end| end.number <= order.last_seen && end.cause == EndCause::Done);
+            .filter(|end| end.number <= order.acknowledged_end && end.cause == EndCause::Done);
         self.noted.extend(noted.filter_map(|end| end.task));
         let clock = now + worker.clock_offset;
         if let Some(lease_end) = order.lease_end {
@@ -937,13 +941,13 @@
         let (call, order, sent, until) = look;
         let now = self.now;
         let worker = self.workers.get_mut(life).unwrap();
-        let seen = order.last_seen.max(worker.forgotten);
+        let seen = order.acknowledged_end.max(worker.forgotten);
         let news = worker.ends.iter().any(|end| end.number > seen);
         if !news && now < until {
             worker.waiting.push((call, order, sent, until));
             return;
         }
-        let listing = worker.listing(now, order.last_seen);
+        let listing = worker.listing(now, order.acknowledged_end);
         if !self.lost(life) {
             self.answer(
                 LISTING_BYTES,
