--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -196,8 +196,8 @@
             };
             metrics.count(ADMISSIONS, decision);
         }
-        PoolNote::Placed { waited, .. } => metrics.time(QUEUE_WAIT.name, *waited),
-        PoolNote::Ended { cause, took, .. } => {
+        PoolNote::RunPlaced { waited, .. } => metrics.time(QUEUE_WAIT.name, *waited),
+        PoolNote::RunEnded { cause, took, .. } => {
             metrics.count(RUN_ENDS, cause.as_str());
             metrics.time(RUN_TIME.name, *took);
             if *cause != EndCause::Done {
@@ -207,11 +207,13 @@
         PoolNote::RunLost { loss, .. } => {
             metrics.count(RETRIES, loss.as_str());
         }
-        PoolNote::StartTrouble { answer, .. } => {
+        PoolNote::StartFailed { answer, .. } => {
             metrics.count(STARTS_NOT_DONE, start_answer(*answer));
         }
-        PoolNote::WorkerResized { former, room, .. } => {
-            let grown = room.holds(former);
+        PoolNote::WorkerResized {
+            former_room, room, ..
+        } => {
+            let grown = room.holds(former_room);
             metrics.count(ROOM_CHANGES, if grown { "grown" } else { "shrunk" });
         }
         PoolNote::CrashSuspected { common, .. } => {
@@ -220,7 +222,7 @@
         }
         PoolNote::CrashCleared { .. } => metrics.count(CRASHES, "cleared"),
         PoolNote::CrashCulprit { .. } => metrics.count(CRASHES, "culprit"),
-        PoolNote::Suspended { cause, .. } => metrics.count(SUSPENSIONS, cause.as_str()),
+        PoolNote::WorkerSuspended { cause, .. } => metrics.count(SUSPENSIONS, cause.as_str()),
         _ => (),
     }
 }
--- a/crates/node/src/notes.rs
+++ b/crates/node/src/notes.rs
@@ -42,11 +42,11 @@
             job,
             refusal,
             predicted,
-            lag,
+            start_delay,
             objective,
             queued,
-            harms,
-            crowds,
+            delays_admitted,
+            takes_reserved,
         } => {
             let line = EventLine::new("job_admission").text("job", job);
             let kind = if refusal.is_some() {
@@ -58,30 +58,30 @@
             let line = line
                 .text("outcome", outcome)
                 .millis("predicted_ms", *predicted);
-            let line = line.millis("lag_ms", *lag);
+            let line = line.millis("lag_ms", *start_delay);
             let line = line.millis("objective_ms", *objective);
             let line = line.number("queued_tasks", *queued as u64);
-            let line = line.number("harms", u8::from(*harms));
-            (kind, line.number("crowds", u8::from(*crowds)))
+            let line = line.number("harms", u8::from(*delays_admitted));
+            (kind, line.number("crowds", u8::from(*takes_reserved)))
         }
-        PoolNote::Strained {
-            strained,
+        PoolNote::Congestion {
+            congested,
             smoothed,
-            least,
+            minimum,
             window,
         } => {
-            let event = if *strained {
+            let event = if *congested {
                 "path_strained"
             } else {
                 "path_quiet"
             };
             let line = EventLine::new(event)
                 .millis("answer_ms", *smoothed)
-                .millis("least_ms", *least)
+                .millis("least_ms", *minimum)
                 .number("window", *window as u64);
             (EventKind::Kept, line)
         }
-        PoolNote::WorkerReborn { life, born, runs } => {
+        PoolNote::WorkerRestarted { life, born, runs } => {
             let line = EventLine::new("worker_reborn").text("worker", life);
             let line = match born {
                 Some(born) => line.text("born", born),
@@ -91,7 +91,7 @@
         }
         PoolNote::WorkerResized {
             life,
-            former,
+            former_room,
             room,
             withdrawn,
         } => {
@@ -100,8 +100,8 @@
                 .text("cpu", room.cpu)
                 .text("memory", room.memory)
                 .number("accelerators", room.accelerators)
-                .text("former_cpu", former.cpu)
-                .text("former_memory", former.memory);
+                .text("former_cpu", former_room.cpu)
+                .text("former_memory", former_room.memory);
             (EventKind::Kept, line.number("withdrawn", *withdrawn as u64))
         }
         PoolNote::CrashSuspected {
@@ -147,7 +147,7 @@
             (EventKind::Plain, line.text("state", state.as_str()))
         }
         PoolNote::KeptSuspended => (EventKind::Kept, EventLine::new("kept_jobs_suspended")),
-        PoolNote::Placed {
+        PoolNote::RunPlaced {
             task,
             run,
             life,
@@ -161,12 +161,12 @@
                 line.text("worker", life).millis("waited_ms", *waited),
             )
         }
-        PoolNote::StartTrouble {
+        PoolNote::StartFailed {
             task,
             run,
             life,
             answer,
-            tries,
+            starts_sent,
         } => {
             let line = EventLine::new("start_not_done")
                 .text("task", task)
@@ -174,9 +174,9 @@
             let line = line
                 .text("worker", life)
                 .text("answer", start_answer(*answer));
-            (EventKind::Kept, line.number("tries", *tries))
+            (EventKind::Kept, line.number("tries", *starts_sent))
         }
-        PoolNote::Ended {
+        PoolNote::RunEnded {
             task,
             run,
             life,
@@ -203,7 +203,7 @@
                 line.text("worker", life).text("cause", loss.as_str()),
             )
         }
-        PoolNote::Stalled {
+        PoolNote::RunStalled {
             task,
             run,
             life,
@@ -226,7 +226,7 @@
             };
             (EventKind::Kept, line)
         }
-        PoolNote::Suspended { life, cause, pause } => {
+        PoolNote::WorkerSuspended { life, cause, pause } => {
             let line = EventLine::new("worker_suspended").text("worker", life);
             (
                 EventKind::Kept,
--- a/crates/pool/src/action.rs
+++ b/crates/pool/src/action.rs
@@ -187,18 +187,18 @@
         /// The predicted time from the customer's request to the job's end.
         predicted: Duration,
         /// The part of it that starts take because answers come late.
-        lag: Duration,
+        start_delay: Duration,
         /// The latency objective.
         objective: Duration,
         /// The tasks that waited.
         queued: usize,
         /// Whether it would have made a job late that was admitted before.
-        harms: bool,
+        delays_admitted: bool,
         /// Whether it would have taken room that is kept for jobs of higher priority.
-        crowds: bool,
+        takes_reserved: bool,
     },
     /// A run was ordered.
-    Placed {
+    RunPlaced {
         /// The task.
         task: TaskId,
         /// The run.
@@ -209,7 +209,7 @@
         waited: Duration,
     },
     /// A start was not answered with success.
-    StartTrouble {
+    StartFailed {
         /// The task.
         task: TaskId,
         /// The run.
@@ -219,10 +219,10 @@
         /// What came instead.
         answer: StartAnswer,
         /// How often it was sent.
-        tries: u32,
+        starts_sent: u32,
     },
     /// A run ended.
-    Ended {
+    RunEnded {
         /// The task.
         task: TaskId,
         /// The run.
@@ -246,7 +246,7 @@
         loss: RunLoss,
     },
     /// A run makes no progress and is stopped.
-    Stalled {
+    RunStalled {
         /// The task.
         task: TaskId,
         /// The run.
@@ -268,18 +268,18 @@
         life: LifeId,
     },
     /// Answers to starts come much later than at the least, or no longer do.
-    Strained {
+    Congestion {
         /// Whether they do now.
-        strained: bool,
+        congested: bool,
         /// What an answer takes now.
         smoothed: Duration,
         /// What one has taken at least.
-        least: Duration,
+        minimum: Duration,
         /// How many starts may be under way.
         window: usize,
     },
     /// A worker gets no new runs for a while.
-    Suspended {
+    WorkerSuspended {
         /// Which.
         life: LifeId,
         /// Why.
@@ -341,7 +341,7 @@
         state: KeptState,
     },
     /// A worker has started again under its id.
-    WorkerReborn {
+    WorkerRestarted {
         /// Which.
         life: LifeId,
         /// Its new life, if it says so.
@@ -354,7 +354,7 @@
         /// Which.
         life: LifeId,
         /// Its room before.
-        former: ResourceDemand,
+        former_room: ResourceDemand,
         /// Its room now.
         room: ResourceDemand,
         /// Starts that were ordered and are taken back.
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -517,7 +517,7 @@
             return;
         };
         let pause = worker.health.suspend(now);
-        self.notes.push(PoolNote::Suspended {
+        self.notes.push(PoolNote::WorkerSuspended {
             life: life.clone(),
             cause,
             pause,
--- a/crates/pool/src/pool/admit.rs
+++ b/crates/pool/src/pool/admit.rs
@@ -92,11 +92,11 @@
             job: request.id,
             refusal: kind,
             predicted,
-            lag,
+            start_delay: lag,
             objective,
             queued,
-            harms: forecast.delays_admitted,
-            crowds: forecast.takes_reserved,
+            delays_admitted: forecast.delays_admitted,
+            takes_reserved: forecast.takes_reserved,
         });
         let kind = kind?;
         let fits = match kind {
--- a/crates/pool/src/pool/answers.rs
+++ b/crates/pool/src/pool/answers.rs
@@ -39,12 +39,12 @@
         let late = now >= order.sent + order.overdue_after;
         worker.finish_order(late);
         if !matches!(answer, StartAnswer::Started(_)) {
-            self.notes.push(PoolNote::StartTrouble {
+            self.notes.push(PoolNote::StartFailed {
                 task: *task,
                 run: *run,
                 life: life.clone(),
                 answer,
-                tries,
+                starts_sent: tries,
             });
         }
         match answer {
@@ -92,12 +92,12 @@
         let tries = run.starts_sent;
         self.repeats -= 1.0;
         self.answers.record_timeout();
-        self.notes.push(PoolNote::StartTrouble {
+        self.notes.push(PoolNote::StartFailed {
             task: order.task,
             run: order.run,
             life: order.life.clone(),
             answer: StartAnswer::Failed(CallFailure::NoAnswer),
-            tries,
+            starts_sent: tries,
         });
         self.try_again(now, &order.life, order.task, order.run);
         self.schedule(now);
@@ -125,10 +125,10 @@
         self.window
             .on_answer(now, strained, self.answers.smoothed(), under_way);
         if strained != was {
-            self.notes.push(PoolNote::Strained {
-                strained,
+            self.notes.push(PoolNote::Congestion {
+                congested: strained,
                 smoothed: self.answers.smoothed(),
-                least: self.answers.minimum(),
+                minimum: self.answers.minimum(),
                 window: self.window.size(),
             });
         }
--- a/crates/pool/src/pool/looks.rs
+++ b/crates/pool/src/pool/looks.rs
@@ -212,7 +212,7 @@
         };
         worker.last_end_time = now;
         let took = now.saturating_duration_since(run.placed_at);
-        self.notes.push(PoolNote::Ended {
+        self.notes.push(PoolNote::RunEnded {
             task,
             run: run.run,
             life: life.clone(),
@@ -420,7 +420,7 @@
         };
         for (task, run, took, percent) in stalled {
             stop_run(worker, task, run);
-            self.notes.push(PoolNote::Stalled {
+            self.notes.push(PoolNote::RunStalled {
                 task,
                 run,
                 life: life.clone(),
--- a/crates/pool/src/pool/rebirth.rs
+++ b/crates/pool/src/pool/rebirth.rs
@@ -89,7 +89,7 @@
                 kept.unstored_ends.retain(|end| end.life != *life);
             }
         }
-        self.notes.push(PoolNote::WorkerReborn {
+        self.notes.push(PoolNote::WorkerRestarted {
             life: life.clone(),
             born: listing.born,
             runs: fates.len(),
--- a/crates/pool/src/pool/resizing.rs
+++ b/crates/pool/src/pool/resizing.rs
@@ -20,7 +20,7 @@
         let withdrawn = starts_over_room(worker);
         self.notes.push(PoolNote::WorkerResized {
             life: life.clone(),
-            former,
+            former_room: former,
             room,
             withdrawn: withdrawn.len(),
         });
--- a/crates/pool/src/pool/schedule.rs
+++ b/crates/pool/src/pool/schedule.rs
@@ -153,7 +153,7 @@
             exclusive: self.crashes.restriction(now, task_id) != TaskRestriction::None,
             failed_on: task.failed_on,
         };
-        self.notes.push(PoolNote::Placed {
+        self.notes.push(PoolNote::RunPlaced {
             task: task_id,
             run,
             life: life.clone(),
