--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -25,11 +25,11 @@
 mod kept;
 mod placement;
 mod pool;
+mod pool_choice;
 mod queue;
 mod settings;
-mod shift;
 mod start_window;
-mod waits;
+mod time_budget;
 mod worker;
 
 pub use crate::{
@@ -41,7 +41,7 @@
     evacuation::{EvacuationChange, EvacuationSet},
     kept::{FoundJob, KeptWrite, KeptWriteResult},
     pool::{PoolStart, WorkerPool},
+    pool_choice::{divide_step, order_pools, PoolCandidate},
     settings::PoolSettings,
-    shift::{divide_step, order_pools, PoolCandidate},
-    waits::{BudgetTracker, RouteBudget},
+    time_budget::{BudgetTracker, RouteBudget},
 };
