--- a/crates/pool/tests/at_most_once.rs
+++ b/crates/pool/tests/at_most_once.rs
@@ -13,18 +13,18 @@
     WorkerFault {
         silent: rng.u32(0..4) == 0,
         answers_lost: if rng.bool() { rng.f64() * 0.5 } else { 0.0 },
-        late: if rng.bool() { rng.f64() * 0.4 } else { 0.0 },
+        late_starts: if rng.bool() { rng.f64() * 0.4 } else { 0.0 },
         stops_lost: rng.u32(0..4) == 0,
-        fails: rng.u32(0..6) == 0,
-        hangs: rng.u32(0..6) == 0,
-        slow: (rng.u32(0..4) == 0).then_some(6.0),
+        fails_runs: rng.u32(0..6) == 0,
+        stalls_runs: rng.u32(0..6) == 0,
+        slowdown: (rng.u32(0..4) == 0).then_some(6.0),
     }
 }
 
 fn play(seed: u64, link: Option<f64>) {
     let mut world = World::new(seed, 6);
     if let Some(rate) = link {
-        world.narrow_link(rate);
+        world.limit_link_rate(rate);
     }
     for _ in 0..6 {
         let lives: Vec<_> = world.workers.keys().cloned().collect();
@@ -43,7 +43,7 @@
         let mut gone = Vec::new();
         for id in open {
             if world.rng.bool() {
-                world.leave(id);
+                world.disconnect_customer(id);
                 gone.push(id);
             }
         }
@@ -71,7 +71,7 @@
         "seed {seed}: runs that nobody waits for"
     );
     assert!(
-        !world.let_go,
+        !world.released,
         "seed {seed}: fenced out without another owner"
     );
     let failed = world
--- a/crates/pool/tests/crash.rs
+++ b/crates/pool/tests/crash.rs
@@ -15,9 +15,9 @@
 
 fn kept_world(seed: u64, workers: usize, returns: CrashReturn) -> World {
     let mut world = World::new(seed, workers);
-    world.name_births();
-    world.keeps = true;
-    world.crashes.returns = returns;
+    world.publish_births();
+    world.submits_kept = true;
+    world.crashes.return_kind = returns;
     world.run_for(100);
     world
 }
@@ -50,7 +50,7 @@
         for share in [0.0, 0.5, 0.95] {
             let mut world = kept_world(1, 6, returns);
             let job = JobId(7);
-            world.poison(job, share);
+            world.make_crashing(job, share);
             world.submit_sized(1, job, vec![200.0, 200.0], 200.0, HALF_WORKER);
             world.run_for(20_000);
             let case = format!("{returns:?}, at {share}");
@@ -69,8 +69,8 @@
 fn what_ran_beside_a_crashing_task_is_served() {
     for seed in 0..10 {
         let mut world = kept_world(seed, 4, CrashReturn::SameId);
-        world.poison(JobId(1), 0.5);
-        world.poison(JobId(2), 0.7);
+        world.make_crashing(JobId(1), 0.5);
+        world.make_crashing(JobId(2), 0.7);
         for id in 1..12 {
             world.submit_sized(1, JobId(id), vec![300.0], 300.0, 5_000);
         }
@@ -95,7 +95,7 @@
 fn deaths_outlive_the_owner() {
     let mut world = kept_world(3, 4, CrashReturn::SameId);
     let job = JobId(7);
-    world.poison(job, 0.5);
+    world.make_crashing(job, 0.5);
     world.submit_sized(1, job, vec![200.0], 200.0, WHOLE_WORKER);
     world.run_for(4_000);
     let recorded = |world: &World| -> usize {
@@ -145,7 +145,7 @@
     let job = JobId(1);
     world.submit_sized(1, job, vec![900.0], 900.0, WHOLE_WORKER);
     world.run_for(100);
-    let life = world.life_of(job);
+    let life = world.worker_running(job);
     world.workers.get_mut(&life).unwrap().fault.silent = true;
     world.run_for(1_300);
     world.workers.get_mut(&life).unwrap().fault.silent = false;
@@ -161,10 +161,10 @@
 #[test]
 fn the_next_try_of_a_crashing_job_fails_at_once() {
     let mut world = World::new(6, 6);
-    world.name_births();
-    world.crashes.away = 400;
+    world.publish_births();
+    world.crashes.away_ms = 400;
     let job = JobId(1);
-    world.poison(job, 0.1);
+    world.make_crashing(job, 0.1);
     for _ in 0..4 {
         world.submit_sized(1, job, vec![600.0], 600.0, WHOLE_WORKER);
         world.run_for(6_000);
@@ -180,7 +180,7 @@
 /// Traffic of which a share of one kind crashes its workers. Gives what the innocent earned, and how many of them failed.
 fn replay(seed: u64, share: f64) -> (f64, usize) {
     let mut world = World::new(seed, 24);
-    world.name_births();
+    world.publish_births();
     world.run_for(200);
     let mut culprits = Vec::new();
     for _ in 0..12_000 {
@@ -190,7 +190,7 @@
             }
             let id = JobId(world.rng.u64(..));
             if kind == 2 && world.rng.f64() < share {
-                world.poison(id, 0.5);
+                world.make_crashing(id, 0.5);
                 culprits.push(id);
             }
             world.submit(kind, id);
--- a/crates/pool/tests/evacuation.rs
+++ b/crates/pool/tests/evacuation.rs
@@ -77,8 +77,8 @@
         for worker in world.workers.values_mut() {
             worker.fault = WorkerFault {
                 answers_lost: 0.3,
-                late: 0.5,
-                fails: seed % 3 == 0,
+                late_starts: 0.5,
+                fails_runs: seed % 3 == 0,
                 ..WorkerFault::default()
             };
         }
@@ -107,7 +107,7 @@
 #[test]
 fn a_kept_job_waits_for_the_return() {
     let mut world = World::new(1, 1);
-    world.keeps = true;
+    world.submits_kept = true;
     let kept = JobId(1);
     world.submit_sized(1, kept, vec![300.0; 2], 100.0, ONE_PLACE);
     world.run_for(60);
--- a/crates/pool/tests/faults.rs
+++ b/crates/pool/tests/faults.rs
@@ -32,7 +32,7 @@
         &mut world,
         WorkerFault {
             answers_lost: 1.0,
-            hangs: true,
+            stalls_runs: true,
             ..WorkerFault::default()
         },
     );
@@ -73,7 +73,7 @@
     let mut world = World::new(1, 4);
     world.submit_sized(1, JOB, vec![500.0, 500.0], 500.0, 6_800);
     world.run_for(100);
-    world.leave(JOB);
+    world.disconnect_customer(JOB);
     world.submit_again(JOB);
     world.run_for(20);
     assert_eq!(outcomes(&world), [(JOB, JobOutcome::GivenUp)]);
@@ -90,7 +90,7 @@
     let mut world = World::new(3, 6);
     if let Some(worker) = world.workers.values_mut().next() {
         worker.fault = WorkerFault {
-            fails: true,
+            fails_runs: true,
             ..WorkerFault::default()
         };
     }
@@ -112,7 +112,7 @@
     with_fault(
         &mut world,
         WorkerFault {
-            hangs: true,
+            stalls_runs: true,
             ..WorkerFault::default()
         },
     );
@@ -133,10 +133,10 @@
     world.submit_sized(1, first, vec![600.0; 2], 600.0, 7_900);
     world.submit_sized(1, second, vec![600.0; 2], 600.0, 7_900);
     world.run_for(100);
-    let taken = world.life_of(first);
+    let taken = world.worker_running(first);
     assert_ne!(
         taken,
-        world.life_of(second),
+        world.worker_running(second),
         "each job has a worker of its own"
     );
     world.take_worker(&taken);
@@ -148,7 +148,7 @@
             (second, JobOutcome::Completed)
         ]
     );
-    assert!(!world.let_go);
+    assert!(!world.released);
     let other = world
         .workers
         .keys()
@@ -158,5 +158,5 @@
     world.take_worker(&other);
     world.submit_sized(1, JobId(3), vec![600.0], 600.0, 7_900);
     world.run_for(100);
-    assert!(world.let_go, "no worker is left");
+    assert!(world.released, "no worker is left");
 }
--- a/crates/pool/tests/kept.rs
+++ b/crates/pool/tests/kept.rs
@@ -10,7 +10,7 @@
 
 fn world(workers: usize) -> World {
     let mut world = World::new(1, workers);
-    world.keeps = true;
+    world.submits_kept = true;
     world.run_for(300);
     world
 }
@@ -39,7 +39,7 @@
     world.submit_sized(1, JOB, vec![100.0; 3], 100.0, 6_800);
     world.run_for(400);
     assert_eq!((world.results.len(), world.running()), (0, 0));
-    world.open_store();
+    world.restore_store();
     world.run_for(100);
     assert_eq!(world.results[0].outcome, JobOutcome::Accepted);
     assert!(world.running() > 0);
@@ -79,7 +79,7 @@
     let mut world = world(2);
     world.submit_sized(1, JOB, vec![900.0; 2], 900.0, 6_800);
     world.run_for(100);
-    let life = world.life_of(JOB);
+    let life = world.worker_running(JOB);
     world.workers.get_mut(&life).unwrap().fault = WorkerFault {
         silent: true,
         ..WorkerFault::default()
@@ -130,7 +130,7 @@
     world.store_up = false;
     world.run_for(1_500);
     assert_eq!(world.running(), 0);
-    world.open_store();
+    world.restore_store();
     world.run_for(8_000);
     assert_eq!(state(&world), Some(KeptState::Completed));
 }
@@ -142,7 +142,7 @@
     let mut world = world(1);
     let life = world.workers.keys().next().unwrap().clone();
     world.workers.get_mut(&life).unwrap().fault = WorkerFault {
-        fails: true,
+        fails_runs: true,
         ..WorkerFault::default()
     };
     world.submit_sized(1, JOB, vec![60.0], 60.0, 6_800);
@@ -205,13 +205,13 @@
     let after = world.waiting_writes();
     assert_eq!(after.len(), 2, "its end was found again");
     world.run_for(200);
-    world.store_one(&before[0]);
+    world.complete_write(&before[0]);
     world.run_for(20);
-    world.store_one(&after[1]);
+    world.complete_write(&after[1]);
     world.run_for(1_300);
     // The owner is gone before it can store the second task's end.
     world.replace_owner();
-    world.open_store();
+    world.restore_store();
     world.run_for(20);
     world.read_rows();
     world.run_for(3_000);
@@ -226,7 +226,7 @@
     for late in [880, 900, 920, 940, 960, 980] {
         let mut world = world(1);
         let life = world.workers.keys().next().unwrap().clone();
-        world.contact_up = false;
+        world.claim_confirmable = false;
         world.run_for(late);
         world.workers.get_mut(&life).unwrap().fault = WorkerFault {
             silent: true,
@@ -235,7 +235,7 @@
         world.submit_sized(1, JOB, vec![100.0; 2], 100.0, 6_800);
         world.run_for(300);
         world.workers.get_mut(&life).unwrap().fault = WorkerFault::default();
-        world.contact_up = true;
+        world.claim_confirmable = true;
         world.run_for(4_000);
         assert_eq!(state(&world), Some(KeptState::Completed), "after {late} ms");
     }
--- a/crates/pool/tests/load.rs
+++ b/crates/pool/tests/load.rs
@@ -44,7 +44,7 @@
         println!("{}", summary(&world.results));
         total += credit(&world.results) / 3.0;
         let left = world.results.iter().filter(|result| {
-            let took = (result.ended - result.came) as f64;
+            let took = (result.ended - result.arrived) as f64;
             took > 3.0 * result.objective
         });
         let (left, all) = (left.count(), world.results.len());
@@ -95,7 +95,7 @@
         .iter()
         .find(|result| result.id == wide)
         .unwrap();
-    let took = ended.ended - ended.came;
+    let took = ended.ended - ended.arrived;
     assert_eq!(ended.outcome, JobOutcome::Completed);
     assert!(took < 900, "the last task waited until {took} ms");
 }
@@ -151,7 +151,7 @@
         for worker in world.workers.values_mut() {
             worker.fault = WorkerFault {
                 answers_lost: 0.055,
-                late: 0.055,
+                late_starts: 0.055,
                 ..WorkerFault::default()
             };
         }
@@ -176,7 +176,7 @@
         world.traffic(2_000, [0.9, 0.9, 0.9]);
         for worker in world.workers.values_mut().take(4) {
             worker.fault = WorkerFault {
-                slow: Some(3.0),
+                slowdown: Some(3.0),
                 ..WorkerFault::default()
             };
         }
@@ -240,7 +240,7 @@
 fn a_pool_whose_workers_all_failed_serves_again() {
     let mut world = World::new(1, 4);
     for worker in world.workers.values_mut() {
-        worker.fault.fails = true;
+        worker.fault.fails_runs = true;
     }
     world.traffic(3_000, [0.3, 0.3, 0.3]);
     for worker in world.workers.values_mut() {
@@ -256,7 +256,7 @@
 fn a_pool_whose_workers_all_looked_slow_serves_again() {
     let mut world = World::new(1, 4);
     for worker in world.workers.values_mut() {
-        worker.fault.slow = Some(6.0);
+        worker.fault.slowdown = Some(6.0);
     }
     world.traffic(4_000, [0.2, 0.2, 0.2]);
     for worker in world.workers.values_mut() {
@@ -272,7 +272,7 @@
 #[test]
 fn a_task_that_has_just_begun_does_not_make_its_worker_slow() {
     let mut world = World::new(1, 1);
-    world.narrow_link(9_000.0);
+    world.limit_link_rate(9_000.0);
     world.submit_sized(2, JobId(1), vec![20.0, 400.0], 220.0, 6_800);
     world.run_for(1_500);
     world.submit_sized(2, JobId(2), vec![220.0], 220.0, 6_800);
--- a/crates/pool/tests/narrow_link.rs
+++ b/crates/pool/tests/narrow_link.rs
@@ -30,7 +30,7 @@
     let (mut earned, mut starts, mut done) = (0.0, 0, 0);
     for seed in 0..2 {
         let mut world = World::with_settings(seed, WORKERS, settings(off));
-        world.narrow_link(LINK);
+        world.limit_link_rate(LINK);
         world.traffic(LOAD_TIME, [factor; 3]);
         world.run_for(4_000);
         earned += world.results.iter().map(|r| r.credit()).sum::<f64>() / 2.0;
@@ -69,7 +69,7 @@
 #[test]
 fn service_is_back_two_seconds_after_an_overload() {
     let mut world = World::with_settings(1, WORKERS, settings(&[]));
-    world.narrow_link(LINK);
+    world.limit_link_rate(LINK);
     world.traffic(3_000, [0.6; 3]);
     world.traffic(6_000, [3.0; 3]);
     world.traffic(2_000, [0.6; 3]);
@@ -78,7 +78,7 @@
     let begun = world.now;
     world.traffic(6_000, [0.6; 3]);
     world.run_for(4_000);
-    world.results.retain(|result| result.came >= begun);
+    world.results.retain(|result| result.arrived >= begun);
     let credit = credit(&world.results);
     assert!(credit > 0.9, "{}", summary(&world.results));
 }
--- a/crates/pool/tests/rebirth.rs
+++ b/crates/pool/tests/rebirth.rs
@@ -10,7 +10,7 @@
 
 fn named_world(seed: u64, workers: usize) -> World {
     let mut world = World::new(seed, workers);
-    world.name_births();
+    world.publish_births();
     world.run_for(100);
     world
 }
@@ -43,7 +43,7 @@
     let (job, life) = (JobId(1), only_life(&world));
     world.submit_sized(1, job, vec![300.0], 300.0, WHOLE_WORKER);
     world.run_for(100);
-    world.rebirth(&life);
+    world.restart_worker(&life);
     world.run_for(1_200);
     assert_eq!(outcome(&world, job), Some(JobOutcome::Completed));
     end_some(&mut world, 20);
@@ -58,7 +58,7 @@
         end_some(&mut world, round * 100);
         world.run_for(2_000);
         let life = only_life(&world);
-        world.rebirth(&life);
+        world.restart_worker(&life);
     }
     end_some(&mut world, 1_000);
 }
@@ -70,8 +70,8 @@
     let mut world = named_world(1, 1);
     end_some(&mut world, 10);
     let life = only_life(&world);
-    world.rebirth(&life);
-    world.tell_all();
+    world.restart_worker(&life);
+    world.publish_records();
     world.run_for(20);
     end_some(&mut world, 20);
 }
@@ -83,7 +83,7 @@
     let mut world = named_world(1, 1);
     let older: Vec<_> = world.workers.values().map(|w| w.record.clone()).collect();
     let life = only_life(&world);
-    world.rebirth(&life);
+    world.restart_worker(&life);
     end_some(&mut world, 10);
     for round in 2..6 {
         let at = world.instant();
@@ -92,7 +92,7 @@
         }
         world.run_for(20);
         end_some(&mut world, round * 10);
-        world.tell_all();
+        world.publish_records();
     }
 }
 
@@ -103,7 +103,7 @@
     for seed in 0..20 {
         let mut world = named_world(seed, 3);
         for worker in world.workers.values_mut() {
-            worker.fault.late = 0.6;
+            worker.fault.late_starts = 0.6;
         }
         world.traffic(600, [0.3, 0.3, 0.3]);
         world.pool.note_sole_owner(500);
@@ -112,14 +112,14 @@
         }
         let lives: Vec<_> = world.workers.keys().cloned().collect();
         for life in &lives {
-            world.rebirth(life);
+            world.restart_worker(life);
         }
-        world.tell_all();
+        world.publish_records();
         world.run_for(14_000);
         assert_eq!(world.open_jobs(), 0, "seed {seed}");
         assert_eq!(world.running(), 0, "seed {seed}");
         for worker in world.workers.values() {
-            assert_eq!(worker.shown_fence(), 500, "seed {seed}");
+            assert_eq!(worker.highest_fence(), 500, "seed {seed}");
         }
     }
 }
@@ -136,18 +136,18 @@
                 let fault = WorkerFault {
                     silent: world.rng.u32(0..6) == 0,
                     answers_lost: if world.rng.bool() { 0.2 } else { 0.0 },
-                    fails: world.rng.u32(0..8) == 0,
+                    fails_runs: world.rng.u32(0..8) == 0,
                     ..WorkerFault::default()
                 };
                 world.workers.get_mut(&life).unwrap().fault = fault;
                 if world.rng.u32(0..3) == 0 {
-                    world.rebirth(&life);
+                    world.restart_worker(&life);
                 }
                 let pause = world.rng.u64(0..40);
                 world.traffic(pause, [0.4, 0.4, 0.4]);
             }
             if world.rng.bool() {
-                world.tell_all();
+                world.publish_records();
             }
             if round % 3 == 2 {
                 world.pool.note_sole_owner(2_000 + round);
@@ -157,7 +157,7 @@
         for worker in world.workers.values_mut() {
             worker.fault = WorkerFault::default();
         }
-        world.tell_all();
+        world.publish_records();
         world.run_for(14_000);
         assert_eq!(world.open_jobs(), 0, "seed {seed}: jobs without an answer");
         assert_eq!(world.running(), 0, "seed {seed}: left running");
@@ -174,17 +174,17 @@
 fn ends_of_kept_jobs_stand() {
     for seed in 0..40 {
         let mut world = named_world(seed, 4);
-        world.keeps = true;
-        world.ends_stand = true;
-        world.rebirth_time = 50;
+        world.submits_kept = true;
+        world.done_is_final = true;
+        world.restart_time = 50;
         for _ in 0..10 {
             let lives: Vec<_> = world.workers.keys().cloned().collect();
             let life = &lives[world.rng.usize(0..lives.len())];
-            world.rebirth(life);
+            world.restart_worker(life);
             let pause = world.rng.u64(0..400);
             world.traffic(pause, [0.3, 0.3, 0.3]);
             if world.rng.bool() {
-                world.tell_all();
+                world.publish_records();
             }
         }
         world.run_for(14_000);
--- a/crates/pool/tests/room.rs
+++ b/crates/pool/tests/room.rs
@@ -120,7 +120,7 @@
                 let fault = WorkerFault {
                     silent: world.rng.u32(0..8) == 0,
                     answers_lost: if world.rng.bool() { 0.3 } else { 0.0 },
-                    late: if world.rng.u32(0..4) == 0 { 0.3 } else { 0.0 },
+                    late_starts: if world.rng.u32(0..4) == 0 { 0.3 } else { 0.0 },
                     stops_lost: world.rng.u32(0..8) == 0,
                     ..WorkerFault::default()
                 };
--- a/crates/pool/tests/support/crashing.rs
+++ b/crates/pool/tests/support/crashing.rs
@@ -5,10 +5,10 @@
 use jobs::{JobId, LifeId, TaskId};
 use pool::{CallFailure, PoolNote};
 
-use super::{Event, World, ONE_WAY};
+use super::{Event, World, ONE_WAY_MS};
 
 /// Starts of a task that may follow the third death under it.
-const STARTS_BEYOND: u32 = 2;
+const MAX_EXTRA_STARTS: u32 = 2;
 
 /// How a worker that crashed comes back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,14 +23,14 @@
 pub(crate) struct CrashPlan {
     /// The jobs whose first task crashes its worker, and how much of its work it does before.
     pub(crate) jobs: BTreeMap<JobId, f64>,
-    pub(crate) returns: CrashReturn,
+    pub(crate) return_kind: CrashReturn,
     /// How long a worker is away, in milliseconds.
-    pub(crate) away: u64,
+    pub(crate) away_ms: u64,
     /// Workers that are away, and until when.
     down: BTreeMap<LifeId, u64>,
     /// Deaths under each task that crashes workers.
     pub(crate) deaths: BTreeMap<TaskId, u32>,
-    beyond: BTreeMap<TaskId, u32>,
+    extra_starts: BTreeMap<TaskId, u32>,
     /// What the pool noted of crashes.
     pub(crate) notes: Vec<PoolNote>,
 }
@@ -39,11 +39,11 @@
     fn default() -> Self {
         Self {
             jobs: BTreeMap::new(),
-            returns: CrashReturn::SameId,
-            away: 2_500,
+            return_kind: CrashReturn::SameId,
+            away_ms: 2_500,
             down: BTreeMap::new(),
             deaths: BTreeMap::new(),
-            beyond: BTreeMap::new(),
+            extra_starts: BTreeMap::new(),
             notes: Vec::new(),
         }
     }
@@ -51,22 +51,22 @@
 
 impl World {
     /// The job's first task crashes its workers once it has done this share of its work.
-    pub(crate) fn poison(&mut self, job: JobId, share: f64) {
+    pub(crate) fn make_crashing(&mut self, job: JobId, share: f64) {
         self.crashes.jobs.insert(job, share);
     }
 
     /// A worker crashes: what runs there is gone, its connections break, and it is away for a while.
     pub(crate) fn crash(&mut self, life: &LifeId) {
-        let until = self.now + self.crashes.away;
+        let until = self.now + self.crashes.away_ms;
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
         worker.fault.silent = true;
         worker.runs.clear();
-        let broken = std::mem::take(&mut worker.waiting);
+        let broken = std::mem::take(&mut worker.waiting_polls);
         for (call, order, sent, _) in broken {
             let none = Err(CallFailure::NoAnswer);
-            self.post(ONE_WAY, Event::PollAnswer(call, order, sent, none));
+            self.schedule(ONE_WAY_MS, Event::PollAnswer(call, order, sent, none));
         }
         self.crashes.down.insert(life.clone(), until);
     }
@@ -92,15 +92,15 @@
         let back: Vec<LifeId> = back.map(|(life, _)| life.clone()).collect();
         for life in back {
             self.crashes.down.remove(&life);
-            self.come_back(&life);
+            self.return_worker(&life);
         }
     }
 
-    fn come_back(&mut self, life: &LifeId) {
-        if self.crashes.returns == CrashReturn::SameId {
+    fn return_worker(&mut self, life: &LifeId) {
+        if self.crashes.return_kind == CrashReturn::SameId {
             self.workers.get_mut(life).unwrap().fault.silent = false;
-            self.rebirth(life);
-            self.tell_all();
+            self.restart_worker(life);
+            self.publish_records();
             return;
         }
         let former = self.workers.remove(life).unwrap();
@@ -112,7 +112,7 @@
     }
 
     /// Counts the starts of tasks that have crashed three workers.
-    pub(super) fn count_start(&mut self, task: TaskId) {
+    pub(super) fn check_starts_after_crashes(&mut self, task: TaskId) {
         if self
             .crashes
             .deaths
@@ -121,8 +121,8 @@
         {
             return;
         }
-        let beyond = self.crashes.beyond.entry(task).or_default();
+        let beyond = self.crashes.extra_starts.entry(task).or_default();
         *beyond += 1;
-        assert!(*beyond <= STARTS_BEYOND, "{task} crashes on and on");
+        assert!(*beyond <= MAX_EXTRA_STARTS, "{task} crashes on and on");
     }
 }
--- a/crates/pool/tests/support/mod.rs
+++ b/crates/pool/tests/support/mod.rs
@@ -26,24 +26,24 @@
 };
 
 use crashing::CrashPlan;
-use link::{WorldLink, ANSWER_BYTES, LISTING_BYTES, LOOK_BYTES, START_BYTES, STOP_BYTES};
+use link::{SimulatedLink, ANSWER_BYTES, LISTING_BYTES, POLL_BYTES, START_BYTES, STOP_BYTES};
 use results::JobResult;
-use worker::WorldRun;
-pub(crate) use worker::{WorkerFault, WorldWorker};
+use worker::SimulatedRun;
+pub(crate) use worker::{SimulatedWorker, WorkerFault};
 
 /// The longest lease that a worker grants, in milliseconds.
-const LONGEST_LEASE: u64 = 1_000;
+const MAX_LEASE_MS: u64 = 1_000;
 
 /// One way between the owner and a worker, in milliseconds.
-const ONE_WAY: u64 = 1;
+const ONE_WAY_MS: u64 = 1;
 
 pub(crate) const SERVICE: &str = "svc";
 
 /// How long the store takes for a transaction, in milliseconds.
-const STORE_TIME: u64 = 12;
+const STORE_TRANSACTION_MS: u64 = 12;
 
 /// The time between two signs of the store, in milliseconds.
-const CONTACT_BEAT: u64 = 300;
+const CONTACT_INTERVAL_MS: u64 = 300;
 
 /// Identifies a call: at most one answer to it counts.
 type CallNumber = u64;
@@ -51,12 +51,12 @@
 enum Event {
     Start(CallNumber, StartOrder),
     Stop(CallNumber, StopOrder),
-    Look(CallNumber, PollOrder, u64),
+    Poll(CallNumber, PollOrder, u64),
     StartOverdue(CallNumber, StartOrder),
     StartAnswer(CallNumber, StartOrder, StartAnswer),
     StopAnswer(CallNumber, StopOrder, StopAnswer),
     PollAnswer(CallNumber, PollOrder, u64, PollAnswer),
-    Keep(KeptWrite),
+    WriteKeptJob(KeptWrite),
 }
 
 struct Message {
@@ -84,7 +84,7 @@
 
 struct OpenJob {
     kind: usize,
-    came: u64,
+    arrived: u64,
     objective: f64,
     steps: Vec<Vec<f64>>,
     cpu: u64,
@@ -93,7 +93,7 @@
 /// The pool and its workers.
 pub(crate) struct World {
     pub(crate) pool: WorkerPool,
-    pub(crate) workers: BTreeMap<LifeId, WorldWorker>,
+    pub(crate) workers: BTreeMap<LifeId, SimulatedWorker>,
     pub(crate) rng: Rng,
     pub(crate) now: u64,
     pub(crate) results: Vec<JobResult>,
@@ -111,30 +111,30 @@
     /// Whether the store answers.
     pub(crate) store_up: bool,
     /// Whether the store shows that the claim stands.
-    pub(crate) contact_up: bool,
+    pub(crate) claim_confirmable: bool,
     /// Whether jobs that are handed in are kept.
-    pub(crate) keeps: bool,
+    pub(crate) submits_kept: bool,
     waiting_rows: Vec<KeptWrite>,
     /// The owner's link.
-    out: WorldLink,
-    into: WorldLink,
+    uplink: SimulatedLink,
+    downlink: SimulatedLink,
     /// Calls that have no answer yet.
     open_calls: BTreeMap<CallNumber, FenceToken>,
     /// Tasks of which an end as done was acknowledged.
-    noted: BTreeSet<TaskId>,
+    acknowledged_done: BTreeSet<TaskId>,
     /// Whether no start of them may follow, as for kept jobs while no lease lapses.
-    pub(crate) ends_stand: bool,
+    pub(crate) done_is_final: bool,
     /// Starts that were sent.
     pub(crate) starts_sent: u64,
     /// How long jobs that are handed in have been under way, in milliseconds.
     pub(crate) waited: u64,
     evacuated: bool,
-    pub(crate) let_go: bool,
+    pub(crate) released: bool,
     pub(crate) crashes: CrashPlan,
     /// Whether a worker's room has changed just now, and starts may be on their way.
-    telling: bool,
+    resize_in_flight: bool,
     /// How long a worker takes to start again, in milliseconds.
-    pub(crate) rebirth_time: u64,
+    pub(crate) restart_time: u64,
 }
 
 /// A kind of job.
@@ -217,21 +217,21 @@
             steps: 1,
             rows: BTreeMap::new(),
             store_up: true,
-            contact_up: true,
-            keeps: false,
+            claim_confirmable: true,
+            submits_kept: false,
             waiting_rows: Vec::new(),
-            out: WorldLink::default(),
-            into: WorldLink::default(),
+            uplink: SimulatedLink::default(),
+            downlink: SimulatedLink::default(),
             open_calls: BTreeMap::new(),
-            noted: BTreeSet::new(),
-            ends_stand: false,
+            acknowledged_done: BTreeSet::new(),
+            done_is_final: false,
             starts_sent: 0,
             waited: 4,
             evacuated: false,
-            let_go: false,
+            released: false,
             crashes: CrashPlan::default(),
-            telling: false,
-            rebirth_time: 0,
+            resize_in_flight: false,
+            restart_time: 0,
         };
         world.pool.load_kept(origin, Vec::new());
         for number in 0..workers {
@@ -247,7 +247,7 @@
         let at = self.instant();
         self.pool.put_worker(at, record.clone());
         let clock_offset = self.rng.u64(1_000..500_000);
-        let worker = WorldWorker {
+        let worker = SimulatedWorker {
             record: record.clone(),
             fault: WorkerFault::default(),
             speed,
@@ -260,17 +260,17 @@
             lease_end: 0,
             runs: Vec::new(),
             ends: Vec::new(),
-            forgotten: 0,
-            waiting: Vec::new(),
+            acknowledged_end: 0,
+            waiting_polls: Vec::new(),
         };
         self.workers.insert(record.life, worker);
-        self.carry_out();
+        self.execute_actions();
     }
 
     /// Gives the owner's link a rate each way, in bytes a second.
-    pub(crate) fn narrow_link(&mut self, rate: f64) {
-        self.out.rate = Some(rate / 1_000.0);
-        self.into.rate = Some(rate / 1_000.0);
+    pub(crate) fn limit_link_rate(&mut self, rate: f64) {
+        self.uplink.bytes_per_ms = Some(rate / 1_000.0);
+        self.downlink.bytes_per_ms = Some(rate / 1_000.0);
     }
 
     pub(crate) fn instant(&self) -> Instant {
@@ -282,7 +282,7 @@
         self.replace_owner();
         let at = self.instant();
         self.pool.load_kept(at, Vec::new());
-        self.carry_out();
+        self.execute_actions();
     }
 
     /// As [`Self::change_owner`], but kept jobs have yet to be read.
@@ -299,7 +299,7 @@
         for record in records {
             self.pool.put_worker(at, record);
         }
-        self.carry_out();
+        self.execute_actions();
     }
 
     /// Hands a job in.
@@ -394,7 +394,7 @@
             id,
             text: Arc::from("text"),
             steps: specs.collect(),
-            kept: self.keeps,
+            kept: self.submits_kept,
             unsupported: None,
         };
         let longest = |works: &Vec<f64>| works.iter().copied().fold(0.0, f64::max);
@@ -413,13 +413,13 @@
         };
         let came = self.now;
         // A customer that hands a job in again has it run again.
-        self.noted.retain(|task| task.job != id);
+        self.acknowledged_done.retain(|task| task.job != id);
         self.known.insert(id, (steps.clone(), cpu));
         self.open.insert(
             id,
             OpenJob {
                 kind,
-                came,
+                arrived: came,
                 objective,
                 steps,
                 cpu,
@@ -428,7 +428,7 @@
         let at = self.instant();
         self.pool
             .submit(at, WaiterId(id.0), Arc::new(request), terms);
-        self.carry_out();
+        self.execute_actions();
     }
 
     /// Lets time pass.
@@ -438,8 +438,8 @@
             self.step_workers();
             self.step_crashes();
             self.deliver();
-            let in_contact = self.store_up && self.contact_up;
-            if in_contact && self.now.is_multiple_of(CONTACT_BEAT) {
+            let in_contact = self.store_up && self.claim_confirmable;
+            if in_contact && self.now.is_multiple_of(CONTACT_INTERVAL_MS) {
                 let at = self.instant();
                 self.pool.note_contact(at);
             }
@@ -447,8 +447,8 @@
                 let at = self.instant();
                 self.pool.tick(at);
             }
-            self.carry_out();
-            self.check();
+            self.execute_actions();
+            self.check_invariants();
         }
     }
 
@@ -466,7 +466,7 @@
     }
 
     /// A worker on which the job runs.
-    pub(crate) fn life_of(&self, job: JobId) -> LifeId {
+    pub(crate) fn worker_running(&self, job: JobId) -> LifeId {
         let mut workers = self.workers.iter();
         let found = workers.find(|(_, worker)| worker.runs.iter().any(|run| run.task.job == job));
         found.map(|(life, _)| life.clone()).unwrap()
@@ -478,51 +478,51 @@
         worker.record.room.cpu = CpuMillis(cpu);
         worker.resized = true;
         let record = worker.record.clone();
-        self.tell_records(vec![record]);
-        self.telling = true;
-        self.run_for(ONE_WAY);
-        self.telling = false;
+        self.put_records(vec![record]);
+        self.resize_in_flight = true;
+        self.run_for(ONE_WAY_MS);
+        self.resize_in_flight = false;
     }
 
     /// All workers say of themselves when their lives began.
-    pub(crate) fn name_births(&mut self) {
+    pub(crate) fn publish_births(&mut self) {
         let mut named = Vec::new();
         for worker in self.workers.values_mut() {
             worker.born = Some(BirthTime(1_000_000));
             worker.record.born = worker.born;
             named.push(worker.record.clone());
         }
-        self.tell_records(named);
+        self.put_records(named);
     }
 
     /// A worker dies and starts again under its id. Its clock may be ahead of the former one or behind. Looks that wait there
     /// break; the directory does not tell yet.
-    pub(crate) fn rebirth(&mut self, life: &LifeId) {
+    pub(crate) fn restart_worker(&mut self, life: &LifeId) {
         let (born, clock_offset) = (self.rng.u64(1_000..9_000_000), self.rng.u64(0..900_000));
         let worker = self.workers.get_mut(life).unwrap();
-        let broken = std::mem::take(&mut worker.waiting);
+        let broken = std::mem::take(&mut worker.waiting_polls);
         worker.start_again(born, clock_offset);
         worker.first_call = self.serial + 1;
-        worker.starting_until = self.now + self.rebirth_time;
+        worker.starting_until = self.now + self.restart_time;
         for (call, order, sent, _) in broken {
             let none = Err(CallFailure::NoAnswer);
-            self.post(ONE_WAY, Event::PollAnswer(call, order, sent, none));
+            self.schedule(ONE_WAY_MS, Event::PollAnswer(call, order, sent, none));
         }
     }
 
     /// The directory tells what workers say of themselves.
-    pub(crate) fn tell_all(&mut self) {
+    pub(crate) fn publish_records(&mut self) {
         let records = self.workers.values().map(|worker| worker.record.clone());
         let records = records.collect();
-        self.tell_records(records);
+        self.put_records(records);
     }
 
-    fn tell_records(&mut self, records: Vec<WorkerRecord>) {
+    fn put_records(&mut self, records: Vec<WorkerRecord>) {
         let at = self.instant();
         for record in records {
             self.pool.put_worker(at, record);
         }
-        self.carry_out();
+        self.execute_actions();
     }
 
     /// Another owner takes one worker under a higher fence, and stops what runs there.
@@ -533,11 +533,11 @@
     }
 
     /// A customer's connection breaks: nobody waits for its job any more.
-    pub(crate) fn leave(&mut self, id: JobId) {
+    pub(crate) fn disconnect_customer(&mut self, id: JobId) {
         let at = self.instant();
         self.pool.cancel(at, id, WaiterId(id.0));
         self.open.remove(&id);
-        self.carry_out();
+        self.execute_actions();
     }
 
     /// The pool's data centre is evacuated, or taken back.
@@ -545,7 +545,7 @@
         let at = self.instant();
         self.evacuated = evacuated;
         self.pool.set_evacuated(at, evacuated);
-        self.carry_out();
+        self.execute_actions();
     }
 
     /// The jobs that wait for an answer.
@@ -554,10 +554,10 @@
     }
 
     /// The store is back: it takes what waits.
-    pub(crate) fn open_store(&mut self) {
+    pub(crate) fn restore_store(&mut self) {
         self.store_up = true;
         for order in std::mem::take(&mut self.waiting_rows) {
-            self.post(STORE_TIME, Event::Keep(order));
+            self.schedule(STORE_TRANSACTION_MS, Event::WriteKeptJob(order));
         }
     }
 
@@ -567,14 +567,14 @@
     }
 
     /// One write takes effect and is answered.
-    pub(crate) fn store_one(&mut self, order: &KeptWrite) {
+    pub(crate) fn complete_write(&mut self, order: &KeptWrite) {
         self.serial += 1;
         self.rows
             .insert(order.job, (order.row.clone(), self.serial));
         let (at, version) = (self.instant(), self.serial);
         self.pool
             .on_kept(at, order, KeptWriteResult::Stored(version));
-        self.carry_out();
+        self.execute_actions();
     }
 
     /// The pool reads the rows of its kept jobs.
@@ -591,7 +591,7 @@
         let (at, found) = (self.instant(), found.collect());
         self.pool.set_surroundings(at, false, true);
         self.pool.load_kept(at, found);
-        self.carry_out();
+        self.execute_actions();
     }
 
     fn store_row(&mut self, order: KeptWrite) {
@@ -636,7 +636,7 @@
         self.workers.values().map(|worker| worker.runs.len()).sum()
     }
 
-    fn carry_out(&mut self) {
+    fn execute_actions(&mut self) {
         for note in self.pool.take_notes() {
             let of_crash = matches!(
                 note,
@@ -652,10 +652,12 @@
             match action {
                 PoolAction::Start(order) => self.send_start(order),
                 PoolAction::Stop(order) => self.send_stop(order),
-                PoolAction::Poll(order) => self.send_look(order),
+                PoolAction::Poll(order) => self.send_poll(order),
                 PoolAction::Answer { waiter, outcome } => self.end_job(JobId(waiter.0), outcome),
-                PoolAction::WriteKeptJob(order) => self.post(STORE_TIME, Event::Keep(order)),
-                PoolAction::ReleasePool => self.let_go = true,
+                PoolAction::WriteKeptJob(order) => {
+                    self.schedule(STORE_TRANSACTION_MS, Event::WriteKeptJob(order))
+                }
+                PoolAction::ReleasePool => self.released = true,
             }
         }
     }
@@ -669,36 +671,36 @@
     fn send_start(&mut self, order: StartOrder) {
         self.starts_sent += 1;
         let call = self.open_call();
-        let delay = self.out.take(self.now, START_BYTES) + ONE_WAY;
+        let delay = self.uplink.send(self.now, START_BYTES) + ONE_WAY_MS;
         let none = StartAnswer::Failed(CallFailure::NoAnswer);
         let (overdue, limit) = (millis(order.overdue_after), millis(order.timeout));
-        self.post(delay, Event::Start(call, order.clone()));
-        self.post(overdue, Event::StartOverdue(call, order.clone()));
-        self.post(limit, Event::StartAnswer(call, order, none));
+        self.schedule(delay, Event::Start(call, order.clone()));
+        self.schedule(overdue, Event::StartOverdue(call, order.clone()));
+        self.schedule(limit, Event::StartAnswer(call, order, none));
     }
 
     fn send_stop(&mut self, order: StopOrder) {
         let call = self.open_call();
-        let delay = self.out.take(self.now, STOP_BYTES) + ONE_WAY;
+        let delay = self.uplink.send(self.now, STOP_BYTES) + ONE_WAY_MS;
         let none = StopAnswer::Failed(CallFailure::NoAnswer);
         let limit = millis(order.timeout);
-        self.post(delay, Event::Stop(call, order.clone()));
-        self.post(limit, Event::StopAnswer(call, order, none));
+        self.schedule(delay, Event::Stop(call, order.clone()));
+        self.schedule(limit, Event::StopAnswer(call, order, none));
     }
 
-    fn send_look(&mut self, order: PollOrder) {
+    fn send_poll(&mut self, order: PollOrder) {
         let call = self.open_call();
-        let delay = self.out.take(self.now, LOOK_BYTES) + ONE_WAY;
+        let delay = self.uplink.send(self.now, POLL_BYTES) + ONE_WAY_MS;
         let none = Err(CallFailure::NoAnswer);
         let (sent, limit) = (self.now, millis(order.timeout));
-        self.post(delay, Event::Look(call, order.clone(), sent));
-        self.post(limit, Event::PollAnswer(call, order, sent, none));
+        self.schedule(delay, Event::Poll(call, order.clone(), sent));
+        self.schedule(limit, Event::PollAnswer(call, order, sent, none));
     }
 
     /// Sends an answer of a worker on its way.
-    fn answer(&mut self, bytes: u64, event: Event) {
-        let delay = self.into.take(self.now, bytes) + ONE_WAY;
-        self.post(delay, event);
+    fn send_answer(&mut self, bytes: u64, event: Event) {
+        let delay = self.downlink.send(self.now, bytes) + ONE_WAY_MS;
+        self.schedule(delay, event);
     }
 
     fn end_job(&mut self, id: JobId, outcome: JobOutcome) {
@@ -707,7 +709,7 @@
         };
         let OpenJob {
             kind,
-            came,
+            arrived: came,
             objective,
             ..
         } = job;
@@ -715,14 +717,14 @@
         self.results.push(JobResult {
             id,
             kind,
-            came,
+            arrived: came,
             ended,
             outcome,
             objective,
         });
     }
 
-    fn post(&mut self, delay: u64, event: Event) {
+    fn schedule(&mut self, delay: u64, event: Event) {
         self.serial += 1;
         let (at, serial) = (self.now + delay, self.serial);
         self.messages.push(Message { at, serial, event });
@@ -736,17 +738,17 @@
         {
             let message = self.messages.pop().unwrap();
             match message.event {
-                Event::Start(call, order) => self.take_start(call, order),
-                Event::Stop(call, order) => self.take_stop(call, order),
-                Event::Look(call, order, sent) => self.take_look(call, order, sent),
-                Event::Keep(order) => self.store_row(order),
-                event => self.take_answer(event),
+                Event::Start(call, order) => self.handle_start(call, order),
+                Event::Stop(call, order) => self.handle_stop(call, order),
+                Event::Poll(call, order, sent) => self.handle_poll(call, order, sent),
+                Event::WriteKeptJob(order) => self.store_row(order),
+                event => self.handle_answer(event),
             }
-            self.carry_out();
+            self.execute_actions();
         }
     }
 
-    fn take_answer(&mut self, event: Event) {
+    fn handle_answer(&mut self, event: Event) {
         let at = self.instant();
         let fence = self.pool.fence();
         let call = match &event {
@@ -780,32 +782,35 @@
     }
 
     /// Whether an answer gets lost, and after how long the caller gives up then.
-    fn lost(&mut self, life: &LifeId) -> bool {
+    fn loses_answer(&mut self, life: &LifeId) -> bool {
         let Some(worker) = self.workers.get(life) else {
             return true;
         };
         worker.fault.silent || self.rng.f64() < worker.fault.answers_lost
     }
 
-    fn take_start(&mut self, call: CallNumber, order: StartOrder) {
+    fn handle_start(&mut self, call: CallNumber, order: StartOrder) {
         let life = order.life.clone();
         let Some(fault) = self.workers.get(&life).map(|worker| worker.fault) else {
             return;
         };
         let late = &*order.text == "late";
-        if fault.silent || self.is_starting(&life) || !late && self.is_lost_call(&life, call) {
+        if fault.silent
+            || self.is_starting(&life)
+            || !late && self.was_sent_to_former_life(&life, call)
+        {
             return;
         }
-        if self.rng.f64() < fault.late {
+        if self.rng.f64() < fault.late_starts {
             // A copy that is carried out late answers nobody: its answer is that to a call of nobody.
             let late = self.rng.u64(2_000..12_000);
             let text = Arc::from("late");
-            self.post(late, Event::Start(call, StartOrder { text, ..order }));
+            self.schedule(late, Event::Start(call, StartOrder { text, ..order }));
             return;
         }
         let answer = self.start_run(&order);
-        if &*order.text != "late" && !self.lost(&life) {
-            self.answer(ANSWER_BYTES, Event::StartAnswer(call, order, answer));
+        if &*order.text != "late" && !self.loses_answer(&life) {
+            self.send_answer(ANSWER_BYTES, Event::StartAnswer(call, order, answer));
         }
     }
 
@@ -813,7 +818,7 @@
         self.now < self.workers[life].starting_until
     }
 
-    fn is_lost_call(&self, life: &LifeId, call: CallNumber) -> bool {
+    fn was_sent_to_former_life(&self, life: &LifeId, call: CallNumber) -> bool {
         self.workers[life].first_call > call
     }
 
@@ -826,7 +831,7 @@
             return StartAnswer::Failed(CallFailure::FencedOut);
         }
         worker.fence = order.fence.0;
-        let there = |run: &WorldRun| run.task == order.task && run.run == order.run;
+        let there = |run: &SimulatedRun| run.task == order.task && run.run == order.run;
         if worker.runs.iter().any(there) {
             return StartAnswer::Started(clock);
         }
@@ -842,24 +847,24 @@
         }
         worker.lease_end = worker
             .lease_end
-            .max(order.lease_end.0.min(clock.0 + LONGEST_LEASE));
+            .max(order.lease_end.0.min(clock.0 + MAX_LEASE_MS));
         assert!(
-            !self.ends_stand || !self.noted.contains(&order.task),
+            !self.done_is_final || !self.acknowledged_done.contains(&order.task),
             "{} starts after its end",
             order.task
         );
         let work = steps[order.task.step as usize][order.task.index as usize];
-        self.count_start(order.task);
+        self.check_starts_after_crashes(order.task);
         let worker = self.workers.get_mut(&order.life).unwrap();
         let used: u64 = worker.runs.iter().map(|run| run.cpu).sum();
         let is_late = &*order.text == "late";
         assert!(
-            is_late || self.telling || used + cpu <= worker.record.room.cpu.0,
+            is_late || self.resize_in_flight || used + cpu <= worker.record.room.cpu.0,
             "{} goes beyond the room of {} at {now} ms",
             order.task,
             order.life
         );
-        worker.runs.push(WorldRun {
+        worker.runs.push(SimulatedRun {
             task: order.task,
             run: order.run,
             cpu,
@@ -869,7 +874,7 @@
         StartAnswer::Started(clock)
     }
 
-    fn take_stop(&mut self, call: CallNumber, order: StopOrder) {
+    fn handle_stop(&mut self, call: CallNumber, order: StopOrder) {
         let life = order.life.clone();
         let now = self.now;
         let Some(worker) = self
@@ -883,21 +888,21 @@
         let clock = WorkerClock(now + worker.clock_offset);
         if order.fence.0 < worker.fence {
             let fenced = StopAnswer::Failed(CallFailure::FencedOut);
-            return self.answer(ANSWER_BYTES, Event::StopAnswer(call, order, fenced));
+            return self.send_answer(ANSWER_BYTES, Event::StopAnswer(call, order, fenced));
         }
         worker.fence = order.fence.0;
-        let there = |run: &WorldRun| run.task == order.task && run.run == order.run;
+        let there = |run: &SimulatedRun| run.task == order.task && run.run == order.run;
         if let Some(place) = worker.runs.iter().position(there) {
             worker.runs.remove(place);
         }
-        worker.end(order.task, order.run, EndCause::Stopped);
-        if !self.lost(&life) {
+        worker.record_end(order.task, order.run, EndCause::Stopped);
+        if !self.loses_answer(&life) {
             let stopped = StopAnswer::Stopped(clock);
-            self.answer(ANSWER_BYTES, Event::StopAnswer(call, order, stopped));
+            self.send_answer(ANSWER_BYTES, Event::StopAnswer(call, order, stopped));
         }
     }
 
-    fn take_look(&mut self, call: CallNumber, order: PollOrder, sent: u64) {
+    fn handle_poll(&mut self, call: CallNumber, order: PollOrder, sent: u64) {
         let now = self.now;
         let wait = millis(order.wait);
         let Some(worker) = self
@@ -909,20 +914,21 @@
         };
         if order.fence.0 < worker.fence {
             let fenced = Err(CallFailure::FencedOut);
-            return self.answer(ANSWER_BYTES, Event::PollAnswer(call, order, sent, fenced));
+            return self.send_answer(ANSWER_BYTES, Event::PollAnswer(call, order, sent, fenced));
         }
         worker.fence = order.fence.0;
-        worker.forgotten = worker.forgotten.max(order.acknowledged_end);
+        worker.acknowledged_end = worker.acknowledged_end.max(order.acknowledged_end);
         let noted = worker
             .ends
             .iter()
             .filter(|end| end.number <= order.acknowledged_end && end.cause == EndCause::Done);
-        self.noted.extend(noted.filter_map(|end| end.task));
+        self.acknowledged_done
+            .extend(noted.filter_map(|end| end.task));
         let clock = now + worker.clock_offset;
         if let Some(lease_end) = order.lease_end {
-            worker.lease_end = worker.lease_end.max(lease_end.0.min(clock + LONGEST_LEASE));
+            worker.lease_end = worker.lease_end.max(lease_end.0.min(clock + MAX_LEASE_MS));
         }
-        worker.waiting.push((call, order, sent, now + wait));
+        worker.waiting_polls.push((call, order, sent, now + wait));
     }
 
     fn step_workers(&mut self) {
@@ -930,26 +936,26 @@
         let lives: Vec<LifeId> = self.workers.keys().cloned().collect();
         for life in lives {
             let worker = self.workers.get_mut(&life).unwrap();
-            worker.work(now);
-            for look in std::mem::take(&mut worker.waiting) {
-                self.answer_look(&life, look);
+            worker.advance_runs(now);
+            for look in std::mem::take(&mut worker.waiting_polls) {
+                self.answer_poll(&life, look);
             }
         }
     }
 
-    fn answer_look(&mut self, life: &LifeId, look: (CallNumber, PollOrder, u64, u64)) {
+    fn answer_poll(&mut self, life: &LifeId, look: (CallNumber, PollOrder, u64, u64)) {
         let (call, order, sent, until) = look;
         let now = self.now;
         let worker = self.workers.get_mut(life).unwrap();
-        let seen = order.acknowledged_end.max(worker.forgotten);
+        let seen = order.acknowledged_end.max(worker.acknowledged_end);
         let news = worker.ends.iter().any(|end| end.number > seen);
         if !news && now < until {
-            worker.waiting.push((call, order, sent, until));
+            worker.waiting_polls.push((call, order, sent, until));
             return;
         }
         let listing = worker.listing(now, order.acknowledged_end);
-        if !self.lost(life) {
-            self.answer(
+        if !self.loses_answer(life) {
+            self.send_answer(
                 LISTING_BYTES,
                 Event::PollAnswer(call, order, sent, Ok(listing)),
             );
@@ -957,7 +963,7 @@
     }
 
     /// What must hold at every moment: no worker over its room, no task twice at the same time.
-    fn check(&self) {
+    fn check_invariants(&self) {
         let mut tasks = BTreeMap::new();
         for (life, worker) in &self.workers {
             let used: u64 = worker.runs.iter().map(|run| run.cpu).sum();
--- a/crates/pool/tests/support/results.rs
+++ b/crates/pool/tests/support/results.rs
@@ -9,7 +9,7 @@
 pub(crate) struct JobResult {
     pub(crate) id: JobId,
     pub(crate) kind: usize,
-    pub(crate) came: u64,
+    pub(crate) arrived: u64,
     pub(crate) ended: u64,
     pub(crate) outcome: JobOutcome,
     /// What its objective is, from the true work, in milliseconds.
@@ -19,7 +19,7 @@
 impl JobResult {
     /// 1 in time, a fifth up to three times the objective, nothing otherwise.
     pub(crate) fn credit(&self) -> f64 {
-        let took = (self.ended - self.came) as f64;
+        let took = (self.ended - self.arrived) as f64;
         match self.outcome {
             JobOutcome::Completed if took <= self.objective => 1.0,
             JobOutcome::Completed if took <= 3.0 * self.objective => 0.2,
--- a/crates/pool/tests/support/worker.rs
+++ b/crates/pool/tests/support/worker.rs
@@ -18,18 +18,18 @@
     /// Stops do not reach it.
     pub(crate) stops_lost: bool,
     /// The share of starts that are left unanswered and carried out seconds later.
-    pub(crate) late: f64,
+    pub(crate) late_starts: f64,
     /// It fails whatever it runs.
-    pub(crate) fails: bool,
+    pub(crate) fails_runs: bool,
     /// Its runs make no progress.
-    pub(crate) hangs: bool,
+    pub(crate) stalls_runs: bool,
     /// How many times as long its runs take.
-    pub(crate) slow: Option<f64>,
+    pub(crate) slowdown: Option<f64>,
 }
 
 /// A run on a worker.
 #[derive(Clone, Debug)]
-pub(super) struct WorldRun {
+pub(super) struct SimulatedRun {
     pub(super) task: TaskId,
     pub(super) run: RunNumber,
     pub(super) cpu: u64,
@@ -38,7 +38,7 @@
 }
 
 /// A simulated worker.
-pub(crate) struct WorldWorker {
+pub(crate) struct SimulatedWorker {
     pub(crate) record: WorkerRecord,
     pub(crate) fault: WorkerFault,
     pub(crate) speed: f64,
@@ -52,15 +52,15 @@
     pub(super) clock_offset: u64,
     pub(super) fence: u64,
     pub(super) lease_end: u64,
-    pub(super) runs: Vec<WorldRun>,
+    pub(super) runs: Vec<SimulatedRun>,
     pub(super) ends: Vec<EndedRun>,
     /// The last end that was acknowledged: it and those before are forgotten.
-    pub(super) forgotten: u64,
+    pub(super) acknowledged_end: u64,
     /// Looks that wait for an end: the call, when it was sent, and until when it waits.
-    pub(super) waiting: Vec<(CallNumber, PollOrder, u64, u64)>,
+    pub(super) waiting_polls: Vec<(CallNumber, PollOrder, u64, u64)>,
 }
 
-impl WorldWorker {
+impl SimulatedWorker {
     /// Starts again under its id, as `born`, and knows nothing of before. Calls that are under way to it break.
     pub(super) fn start_again(&mut self, born: u64, clock_offset: u64) {
         self.born = Some(BirthTime(born));
@@ -70,11 +70,11 @@
         self.lease_end = 0;
         self.runs.clear();
         self.ends.clear();
-        self.forgotten = 0;
+        self.acknowledged_end = 0;
     }
 
     /// The highest fence that it has seen.
-    pub(crate) fn shown_fence(&self) -> u64 {
+    pub(crate) fn highest_fence(&self) -> u64 {
         self.fence
     }
 
@@ -89,13 +89,13 @@
         done.filter_map(|end| end.task).collect()
     }
 
-    pub(super) fn work(&mut self, now: u64) {
+    pub(super) fn advance_runs(&mut self, now: u64) {
         let clock = now + self.clock_offset;
         let fault = self.fault;
-        let speed = if fault.hangs {
+        let speed = if fault.stalls_runs {
             0.0
         } else {
-            self.speed / fault.slow.unwrap_or(1.0)
+            self.speed / fault.slowdown.unwrap_or(1.0)
         };
         let lapsed = clock > self.lease_end;
         let mut ended = Vec::new();
@@ -104,7 +104,7 @@
             if lapsed {
                 ended.push((run.task, run.run, EndCause::Lapsed));
             } else if run.done >= run.work {
-                let cause = if fault.fails {
+                let cause = if fault.fails_runs {
                     EndCause::Failed
                 } else {
                     EndCause::Done
@@ -114,11 +114,11 @@
         }
         for (task, run, cause) in ended {
             self.runs.retain(|r| r.task != task || r.run != run);
-            self.end(task, run, cause);
+            self.record_end(task, run, cause);
         }
     }
 
-    pub(super) fn end(&mut self, task: TaskId, run: RunNumber, cause: EndCause) {
+    pub(super) fn record_end(&mut self, task: TaskId, run: RunNumber, cause: EndCause) {
         let number = self.ends.len() as u64 + 1;
         self.ends.push(EndedRun {
             number,
@@ -141,7 +141,7 @@
             ended: self
                 .ends
                 .iter()
-                .filter(|end| end.number > seen.max(self.forgotten))
+                .filter(|end| end.number > seen.max(self.acknowledged_end))
                 .cloned()
                 .collect(),
         }
