--- a/crates/pool/src/action.rs
+++ b/crates/pool/src/action.rs
@@ -1,4 +1,4 @@
-//! What a pool asks to be sent, what it gets back, and what it notes for the log.
+//! The actions a pool asks its caller to carry out, the answers to them, and the notes it makes for the log.
 
 use std::{
     net::SocketAddr,
@@ -13,85 +13,86 @@
 
 use crate::kept::KeptWrite;
 
-/// One call of an entry that waits for a job's outcome.
+/// Identifies one call of an entry that waits for a job's outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WaiterId(pub u64);
 
 /// An order to start a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartOrder {
-    /// The life of the worker that is meant.
+    /// The worker's life to which the order is addressed.
     pub life: LifeId,
-    /// Where it listens.
+    /// The address on which the worker listens.
     pub address: SocketAddr,
-    /// The fence.
+    /// The fencing token under which the order is sent.
     pub fence: FenceToken,
     /// The task.
     pub task: TaskId,
     /// The run.
     pub run: RunNumber,
-    /// What the worker gets.
+    /// The task's text, passed to the worker.
     pub text: TaskText,
-    /// The lease's end; the worker turns the order away after it.
+    /// The end of the lease, on the worker's clock; the worker rejects the order after it.
     pub lease_end: WorkerClock,
-    /// When it is sent.
+    /// When the order is sent.
     pub sent: Instant,
-    /// After this time without an answer `on_start_overdue` is told.
+    /// After this time without an answer the caller calls `on_start_overdue`.
     pub overdue_after: Duration,
-    /// After this time without an answer it counts as not answered.
+    /// After this time without an answer the order counts as unanswered.
     pub timeout: Duration,
 }
 
-/// An order to stop a run. A run that is not there yet never starts afterwards.
+/// An order to stop a run. A run that has not started on the worker yet never starts afterwards.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StopOrder {
-    /// The life of the worker that is meant.
+    /// The worker's life to which the order is addressed.
     pub life: LifeId,
-    /// Where it listens.
+    /// The address on which the worker listens.
     pub address: SocketAddr,
-    /// The fence.
+    /// The fencing token under which the order is sent.
     pub fence: FenceToken,
     /// The task.
     pub task: TaskId,
     /// The run.
     pub run: RunNumber,
-    /// When it is sent.
+    /// When the order is sent.
     pub sent: Instant,
-    /// After this time without an answer it counts as not answered.
+    /// After this time without an answer the order counts as unanswered.
     pub timeout: Duration,
 }
 
-/// A look at a worker: it renews the lease of all that runs there, acknowledges ends and gives what runs and ended.
+/// A poll of a worker. It renews the lease of all runs on the worker and acknowledges ended runs; the answer lists the runs
+/// that are running and those that have ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PollOrder {
-    /// The life of the worker that is meant.
+    /// The worker's life to which the order is addressed.
     pub life: LifeId,
-    /// Where it listens.
+    /// The address on which the worker listens.
     pub address: SocketAddr,
-    /// The fence.
+    /// The fencing token under which the order is sent.
     pub fence: FenceToken,
-    /// The lease's new end, if it is to be renewed.
+    /// The new end of the lease, on the worker's clock. None if the lease is not renewed.
     pub lease_end: Option<WorkerClock>,
-    /// The last end that is taken note of; 0 if the worker knows it already.
+    /// The number of the last ended run that is acknowledged; 0 if the worker has this acknowledgement already.
     pub acknowledged_end: u64,
-    /// How long the worker may wait for an end before it answers.
+    /// How long the worker may wait for a run to end before it answers.
     pub wait: Duration,
-    /// After this time without an answer it counts as not answered.
+    /// After this time without an answer the poll counts as unanswered.
     pub timeout: Duration,
 }
 
 text_set! {
-    /// Why a call got no answer that counts.
+    /// Why a call to a worker got no valid answer.
     CallFailure, "failure of a call", WrongReason {
-        /// No answer came in time, or the connection broke: it may have been carried out, or may be later.
+        /// No answer came in time, or the connection broke. The worker may have carried out the call, or may still do so.
         NoAnswer => "no_answer",
-        /// The worker is of another life: what ran in the life that was meant is over.
+        /// The worker is in another life than the one addressed: all runs of the addressed life are over.
         NewLife => "new_life",
-        /// Another owner has used a higher fence.
+        /// Another owner has used a higher fencing token.
         FencedOut => "fenced_out",
-        /// The worker says that it did nothing because it is unhealthy.
+        /// The worker reports that it did nothing because it is unhealthy.
         Unhealthy => "unhealthy",
-        /// The worker cannot read the call.
+        /// The worker could not decode the call.
         Malformed => "malformed",
     }
 }
@@ -99,64 +100,64 @@
 /// How a worker answered a start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartAnswer {
-    /// The run is there.
+    /// The worker has the run.
     Started(WorkerClock),
-    /// A run of this task with as high a number was there before.
+    /// The worker had a run of this task with the same or a higher number before.
     Superseded(WorkerClock),
-    /// The lease's end has passed on the worker's clock.
+    /// The end of the lease has passed on the worker's clock.
     LeaseExpired(WorkerClock),
-    /// It has no room.
+    /// The worker has no room for the task.
     NoRoom(WorkerClock),
-    /// It was not allowed to run the task.
+    /// The worker was not allowed to run the task.
     NotAllowed(WorkerClock),
-    /// No such answer.
+    /// No valid answer came.
     Failed(CallFailure),
 }
 
 /// How a worker answered a stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopAnswer {
-    /// The run ends within a moment, or never begins.
+    /// The run ends shortly, or never begins.
     Stopped(WorkerClock),
-    /// No such answer.
+    /// No valid answer came.
     Failed(CallFailure),
 }
 
-/// How a worker answered a look.
+/// How a worker answered a poll: the listing of its runs, or why there is none.
 pub type PollAnswer = Result<WorkerListing, CallFailure>;
 
-/// Something to send.
+/// Something that the pool's caller has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PoolAction {
-    /// Writes a kept job's row.
+    /// Write the row of a kept job.
     WriteKeptJob(KeptWrite),
     /// Send a start; its answer goes to `on_start_answer`.
     Start(StartOrder),
     /// Send a stop; its answer goes to `on_stop_answer`.
     Stop(StopOrder),
-    /// Send a look; its answer goes to `on_look_answer`.
+    /// Send a poll; its answer goes to `on_look_answer`.
     Poll(PollOrder),
     /// Tell an entry how its job ended.
     Answer {
-        /// Whose call.
+        /// The waiting call.
         waiter: WaiterId,
-        /// How it ended.
+        /// The outcome of the job.
         outcome: JobOutcome,
     },
-    /// Other owners have all its workers: let go of the pool.
+    /// Give up ownership of the pool: other owners have taken all its workers.
     ReleasePool,
 }
 
 text_set! {
-    /// Why a run record went without an end from the worker.
+    /// Why a run record was removed although the worker did not report the end of the run.
     RunLoss, "loss of a run", WrongReason {
-        /// The worker turned the start away.
+        /// The worker rejected the start.
         Rejected => "turned_away",
-        /// The worker has a new life.
+        /// The worker has started again, in a new life.
         NewLife => "new_life",
-        /// The worker was silent until the lease surely was over.
+        /// The worker did not answer until the lease had certainly expired.
         LeaseExpired => "lease_over",
-        /// A look that was sent afterwards does not show it.
+        /// A poll that was sent later does not list the run.
         NotListed => "not_there",
     }
 }
@@ -168,57 +169,57 @@
         Failing => "failing",
         /// A run made no progress.
         Stalled => "stalled",
-        /// Orders went unanswered.
+        /// Orders to the worker went unanswered.
         Silent => "silent",
-        /// It said that it is unhealthy.
+        /// The worker reported that it is unhealthy.
         Unhealthy => "unhealthy",
     }
 }
 
-/// A decision or a change of belief, for the log.
+/// A decision, or a change in what the owner knows, for the log and the metrics.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PoolNote {
     /// A job was admitted or refused.
     Admission {
         /// The job.
         job: JobId,
-        /// The refusal, if it is one.
+        /// Why the job was refused. None if it was admitted.
         refusal: Option<jobs::RefusalKind>,
-        /// The predicted time from the customer's request to the job's end.
+        /// The predicted time from the customer's request to the end of the job.
         predicted: Duration,
-        /// The part of it that starts take because answers come late.
+        /// The part of `predicted` that is added because workers answer starts late.
         start_delay: Duration,
         /// The latency objective.
         objective: Duration,
-        /// The tasks that waited.
+        /// The number of tasks that were waiting.
         queued: usize,
-        /// Whether it would have made a job late that was admitted before.
+        /// Whether the job would have made a job late that was admitted before.
         delays_admitted: bool,
-        /// Whether it would have taken room that is kept for jobs of higher priority.
+        /// Whether the job would have taken room that is reserved for jobs of higher priority.
         takes_reserved: bool,
     },
-    /// A run was ordered.
+    /// A run was placed on a worker and its start ordered.
     RunPlaced {
         /// The task.
         task: TaskId,
         /// The run.
         run: RunNumber,
-        /// Where.
+        /// The worker.
         life: LifeId,
         /// The time since the customer's request.
         waited: Duration,
     },
-    /// A start was not answered with success.
+    /// A start did not succeed.
     StartFailed {
         /// The task.
         task: TaskId,
         /// The run.
         run: RunNumber,
-        /// Where.
+        /// The worker.
         life: LifeId,
-        /// What came instead.
+        /// The answer, or why there was none.
         answer: StartAnswer,
-        /// How often it was sent.
+        /// How many times the start was sent.
         starts_sent: u32,
     },
     /// A run ended.
@@ -227,176 +228,178 @@
         task: TaskId,
         /// The run.
         run: RunNumber,
-        /// Where.
+        /// The worker.
         life: LifeId,
-        /// How.
+        /// Why it ended.
         cause: EndCause,
-        /// The time since it was placed.
+        /// The time since the run was placed.
         took: Duration,
     },
-    /// A run is over without an end from its worker.
+    /// A run is over, but its worker did not report its end.
     RunLost {
         /// The task.
         task: TaskId,
         /// The run.
         run: RunNumber,
-        /// Where.
+        /// The worker.
         life: LifeId,
-        /// Why it is over.
+        /// Why the run counts as over.
         loss: RunLoss,
     },
-    /// A run makes no progress and is stopped.
+    /// A run makes no progress and is being stopped.
     RunStalled {
         /// The task.
         task: TaskId,
         /// The run.
         run: RunNumber,
-        /// Where.
+        /// The worker.
         life: LifeId,
-        /// The time since it was placed.
+        /// The time since the run was placed.
         took: Duration,
-        /// How far it had come.
+        /// The progress it had made.
         percent: u8,
     },
-    /// A run of a job that this owner does not know is stopped.
+    /// A run of a job that this owner does not know is being stopped.
     ForeignRun {
-        /// The task, if its name is one.
+        /// The task. None if its name on the worker is no task id.
         task: Option<TaskId>,
         /// The run.
         run: RunNumber,
-        /// Where.
+        /// The worker.
         life: LifeId,
     },
-    /// Answers to starts come much later than at the least, or no longer do.
+    /// The path to the workers became congested, so that answers to starts take much longer than the shortest time seen, or
+    /// it is no longer congested.
     Congestion {
-        /// Whether they do now.
+        /// Whether the path is congested now.
         congested: bool,
-        /// What an answer takes now.
+        /// The smoothed time that an answer takes now.
         smoothed: Duration,
-        /// What one has taken at least.
+        /// The shortest time that an answer has taken.
         minimum: Duration,
-        /// How many starts may be under way.
+        /// The maximum number of starts in flight.
         window: usize,
     },
     /// A worker gets no new runs for a while.
     WorkerSuspended {
-        /// Which.
+        /// The worker.
         life: LifeId,
-        /// Why.
+        /// Why it is suspended.
         cause: SuspensionCause,
-        /// How long.
+        /// How long it gets no new runs.
         pause: Duration,
     },
-    /// A worker does not answer looks any more.
+    /// A worker no longer answers polls.
     WorkerSilent {
-        /// Which.
+        /// The worker.
         life: LifeId,
-        /// How many runs it has.
+        /// The number of runs it has.
         runs: usize,
     },
     /// A worker answers again, or for the first time.
     WorkerAnswers {
-        /// Which.
+        /// The worker.
         life: LifeId,
-        /// Its clock less the owner's, in milliseconds.
+        /// The worker's clock minus the owner's, in milliseconds.
         clock_offset: i64,
     },
-    /// A worker was taken up, changed in the directory, or left.
+    /// A worker was added, changed in the directory, or left.
     WorkerChanged {
-        /// Which.
+        /// The worker.
         life: LifeId,
-        /// What it is now.
+        /// What changed.
         change: WorkerChange,
     },
     /// A job got its final outcome.
     JobEnded {
         /// The job.
         job: JobId,
-        /// How.
+        /// The outcome.
         outcome: JobOutcome,
         /// The time since the customer's request.
         took: Duration,
         /// The latency objective.
         objective: Duration,
     },
-    /// A kept job is stored.
+    /// A kept job has been stored.
     KeptStored {
         /// The job.
         job: JobId,
-        /// The version of its row.
+        /// The version of its row in the store.
         version: u64,
     },
     /// A kept job of a former owner was found in the store.
     KeptFound {
         /// The job.
         job: JobId,
-        /// The version of its row.
+        /// The version of its row in the store.
         version: u64,
     },
-    /// A kept job has ended, and the store has it.
+    /// A kept job has ended and its final state is stored.
     KeptEnded {
         /// The job.
         job: JobId,
-        /// How.
+        /// The final state.
         state: KeptState,
     },
     /// A worker has started again under its id.
     WorkerRestarted {
-        /// Which.
+        /// The worker.
         life: LifeId,
-        /// Its new life, if it says so.
+        /// When its new life began, if the worker reports it.
         born: Option<jobs::BirthTime>,
-        /// The runs that were known on it.
+        /// The number of runs it was known to have.
         runs: usize,
     },
-    /// A worker has another room.
+    /// The room of a worker changed.
     WorkerResized {
-        /// Which.
+        /// The worker.
         life: LifeId,
-        /// Its room before.
+        /// The room before the change.
         former_room: ResourceDemand,
-        /// Its room now.
+        /// The room after the change.
         room: ResourceDemand,
-        /// Starts that were ordered and are taken back.
+        /// The number of ordered starts that are withdrawn.
         withdrawn: usize,
     },
-    /// A worker was lost with runs, one of which may be the cause.
+    /// A worker was lost together with its runs, one of which may have crashed it.
     CrashSuspected {
-        /// Which.
+        /// The worker.
         life: LifeId,
-        /// Whether it is known to have died.
+        /// Whether the worker is known to have died, rather than being out of reach.
         died: bool,
-        /// Whether others were lost with it, so that no task is to blame but of a job that ran on all of them.
+        /// Whether other workers were lost at the same time from a common cause. Then only tasks of a job that ran on all of
+        /// them remain suspects.
         common: bool,
-        /// The tasks that it was lost with.
+        /// The number of tasks that were lost with the worker.
         suspects: usize,
     },
-    /// A worker that was lost turns out to live.
+    /// A worker that counted as lost answers again in the same life: it had not crashed.
     CrashCleared {
-        /// Which.
+        /// The worker.
         life: LifeId,
     },
-    /// A task is known to crash its workers. Its job is given up.
+    /// A task was identified as crashing its workers. Its job is given up.
     CrashCulprit {
-        /// Which.
+        /// The task.
         task: TaskId,
     },
-    /// Its data centre is evacuated, or was taken back.
+    /// An evacuation of the pool's data centre began or ended.
     Evacuation {
-        /// Whether it is evacuated now.
+        /// Whether the data centre is evacuated now.
         evacuated: bool,
-        /// Runs that go on.
+        /// The number of runs that continue.
         running: usize,
-        /// Starts that were ordered and are taken back.
+        /// The number of ordered starts that are withdrawn.
         withdrawn: usize,
     },
-    /// Kept jobs are stopped: the store was not reached for so long that another owner may have them.
+    /// Kept jobs are stopped: the store has been out of reach for so long that another owner may have taken them over.
     KeptSuspended,
-    /// Nobody waits for a job any more, or its time is over: what runs of it is stopped.
+    /// No call waits for a job any more, or its deadline has passed: its runs are stopped.
     JobAbandoned {
         /// The job.
         job: JobId,
-        /// The runs that are stopped.
+        /// The number of runs that are stopped.
         stopped: usize,
     },
 }
@@ -404,17 +407,17 @@
 text_set! {
     /// What changed about a worker.
     WorkerChange, "change of a worker", WrongReason {
-        /// It is new here.
+        /// The worker is new in this pool.
         Added => "added",
-        /// It will leave.
+        /// The worker is about to leave and gets no new runs.
         Draining => "draining",
-        /// It takes runs again.
+        /// The worker takes runs again.
         Ready => "ready",
-        /// It is gone from the directory.
+        /// The worker is no longer in the directory.
         Unlisted => "unlisted",
-        /// It is forgotten.
+        /// The worker was removed from the pool's records.
         Forgotten => "forgotten",
-        /// Another owner has it.
+        /// Another owner has taken the worker.
         TakenOver => "taken_over",
     }
 }
--- a/crates/pool/src/admission.rs
+++ b/crates/pool/src/admission.rs
@@ -1,9 +1,9 @@
-//! Whether a job is admitted.
+//! Admission control: the forecast by which a job is admitted or refused.
 //!
-//! Load it is made for: more work than the pool's workers can do, for seconds. Harm prevented: without a refusal every
-//! job waits longer, until all end too late to help anybody, while the work done on them is lost. A job whose
-//! predicted end is too late is refused at once, so that its customer can turn elsewhere and the places serve jobs
-//! that will be in time. So is one that would make a job late that was admitted before: what was promised goes first.
+//! It is made for overload, when more work arrives than the pool's workers can do for seconds. Without refusals every job waits
+//! longer, until all end too late to be of use and the work done on them is lost. A job whose predicted end is too late is
+//! therefore refused at once, so that its customer can turn elsewhere and the room serves jobs that end in time. A job that
+//! would make an already admitted job late is refused too: admitted jobs take precedence.
 
 use std::{cell::OnceCell, time::Duration};
 
@@ -12,49 +12,49 @@
     forecast::{PoolForecast, WaitingGroup},
 };
 
-/// What a pool can take, as published to the entries.
+/// The load of a pool, as published to the entries.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PoolLoad {
-    /// Processor room of usable workers, in thousandths of a core.
+    /// The CPU room of usable workers, in thousandths of a core.
     pub capacity: u64,
-    /// The part of it that is free.
+    /// The free part of `capacity`, in thousandths of a core.
     pub free: u64,
-    /// How long the waiting work takes on all usable workers.
+    /// The time that the waiting work takes on all usable workers.
     pub backlog: Duration,
 }
 
-/// A step of a job that waits.
+/// A step of a job in the forecast.
 #[derive(Clone, Debug)]
 pub(crate) struct ForecastStep {
-    /// Its tasks without a place, also while the steps before it are not done.
+    /// The tasks that are not placed yet, including those that wait for earlier steps.
     pub(crate) waiting: WaitingGroup,
-    /// The time from now until the last of its tasks that run now ends.
+    /// The time from now until the last running task of the step ends.
     pub(crate) running: Duration,
     /// Earlier steps whose tasks all have to be done first.
     pub(crate) after: Vec<u32>,
 }
 
-/// A job in the order in which places will be given.
+/// A job in the forecast.
 #[derive(Clone, Debug)]
 pub(crate) struct ForecastJob {
     pub(crate) steps: Vec<ForecastStep>,
-    /// How long from now its end is still worth something in full. None if it is late already.
+    /// The time from now by which the job has to end to be in time. None if it is late already.
     pub(crate) limit: Option<Duration>,
 }
 
-/// What the forecast says about a new job.
+/// The forecast for a new job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct AdmissionForecast {
-    /// The time from now to the new job's end.
+    /// The time from now to the end of the new job.
     pub(crate) end: Duration,
-    /// Whether a job that was admitted before would be late because of it.
+    /// Whether the new job would make an already admitted job late.
     pub(crate) delays_admitted: bool,
-    /// Whether a job for which it has to leave room would be late because of it.
+    /// Whether the new job would make a job late for which it has to leave room.
     pub(crate) takes_reserved: bool,
 }
 
 impl AdmissionForecast {
-    /// That of a job before which more wait than are tried out.
+    /// The forecast of a job that has more jobs before it than are simulated.
     pub(crate) const QUEUE_TOO_LONG: Self = Self {
         end: Duration::MAX,
         delays_admitted: false,
@@ -62,26 +62,26 @@
     };
 }
 
-/// The jobs that wait with a new one among them, to be tried out on the pool's workers.
+/// Simulates how the waiting jobs, with a new one among them, are placed on the pool's workers.
 ///
-/// Jobs before the new one are tried out once, and those behind it without it once: what differs from one number of its tasks
-/// to the next is only what follows from them.
+/// The jobs before the new one are simulated once, and so are the jobs behind it without the new one. Only the new job and
+/// its effect on the jobs behind it are simulated again for each number of its tasks.
 #[derive(Debug)]
 pub(crate) struct AdmissionSimulation {
-    /// The pool with the jobs before the new one in their places.
+    /// The pool once the jobs before the new one are placed.
     before: PoolForecast,
-    /// The new one.
+    /// The new job.
     new: ForecastJob,
-    /// Those behind it, in the order in which places will be given.
+    /// The jobs behind the new one, in the order in which they will be placed.
     behind: Vec<ForecastJob>,
-    /// Their ends without the new one, once that is asked for.
+    /// The ends of the jobs behind without the new one, computed on first use.
     ends_without: OnceCell<Vec<Duration>>,
-    /// Jobs for which the new one has to leave room.
+    /// The jobs for which the new one has to leave room.
     expected: Vec<ExpectedJob>,
 }
 
 impl AdmissionSimulation {
-    /// Tries out the jobs before the new one.
+    /// Simulates the jobs before the new one.
     pub(crate) fn new(
         mut pool: PoolForecast,
         before: &[ForecastJob],
@@ -101,12 +101,12 @@
         }
     }
 
-    /// Tries out the new job as a whole.
+    /// Simulates the whole new job.
     pub(crate) fn forecast(&self) -> AdmissionForecast {
         self.forecast_of(&self.new)
     }
 
-    /// Tries out so many tasks of each of its steps.
+    /// Simulates the new job with `count` tasks in each step.
     pub(crate) fn forecast_tasks_per_step(&self, count: usize) -> AdmissionForecast {
         let mut part = self.new.clone();
         for step in &mut part.steps {
@@ -118,16 +118,16 @@
     fn forecast_of(&self, job: &ForecastJob) -> AdmissionForecast {
         let mut with = self.before.clone();
         let end = place_job(&mut with, job);
-        let crowds = self.takes_reserved(&with);
-        let harms = self.delays_admitted(with);
+        let takes_reserved = self.takes_reserved(&with);
+        let delays_admitted = self.delays_admitted(with);
         AdmissionForecast {
             end,
-            delays_admitted: harms,
-            takes_reserved: crowds,
+            delays_admitted,
+            takes_reserved,
         }
     }
 
-    /// Whether a job behind the new one would be late because of it.
+    /// Whether the new job, placed in `with`, makes a job behind it late.
     fn delays_admitted(&self, mut with: PoolForecast) -> bool {
         let alone = self.ends_without.get_or_init(|| {
             let mut without = self.before.clone();
@@ -146,7 +146,7 @@
         false
     }
 
-    /// Whether a job for which room is kept would be late on places as they are given up to the new one.
+    /// Whether a job for which room is reserved would be late if it were placed after the new job.
     fn takes_reserved(&self, placed: &PoolForecast) -> bool {
         let late = |job: &ExpectedJob| job.is_late_on(&mut placed.clone());
         self.expected.iter().any(late)
@@ -165,7 +165,7 @@
     }
 }
 
-/// Places what waits of a job, step by step, and gives its end.
+/// Places the waiting tasks of a job step by step and returns the time from now to the job's end.
 fn place_job(forecast: &mut PoolForecast, job: &ForecastJob) -> Duration {
     let mut ends: Vec<Duration> = Vec::with_capacity(job.steps.len());
     for step in &job.steps {
--- a/crates/pool/src/answer_time.rs
+++ b/crates/pool/src/answer_time.rs
@@ -1,44 +1,46 @@
-//! How long workers' answers take, and how long an owner waits for one.
+//! Measures how long workers take to answer, and derives the timeout for an answer from it.
 //!
-//! Load it is made for: an owner whose link or processor is too narrow for what it sends, so that every answer is late
-//! by the same queue. Harm prevented: with a fixed limit every order is then sent again, each copy lengthens the queue
-//! that made it late, and the pool serves nothing for as long as the load lasts, and after. The limit follows the
-//! answers that come, also those after it, so that it is never shorter than what the path shows now.
+//! It is made for an owner whose link or CPU is too slow for what it sends, so that the same queue delays every answer. With a
+//! fixed timeout every order is then sent again and each copy lengthens the queue further, so that the pool serves nothing
+//! while the load lasts and for a time after it. The timeout follows the measured answer times, including those of answers
+//! that arrive after the timeout, so that it is never shorter than what the path takes at present.
 
 use std::time::Duration;
 
-/// The weights of a new sample in the smoothed time and in its variation, and how many variations are added, as
-/// RFC 6298 has them.
+/// The weights of a new sample in the smoothed time and in its variation, and the factor of the variation in the timeout, as in
+/// RFC 6298.
 const SMOOTHED_WEIGHT: f64 = 0.125;
 const VARIATION_WEIGHT: f64 = 0.25;
 const VARIATION_FACTOR: f64 = 4.0;
 
-/// How many times the least time ever seen answers take when the path to them counts as strained, beside `MIN_CONGESTED_TIME`:
-/// on a quiet path answers take 1 to 3 ms.
+/// The path counts as congested when the smoothed answer time exceeds both this multiple of the shortest time seen and
+/// `MIN_CONGESTED_TIME`. On an idle path answers take 1 to 3 ms.
 const CONGESTION_FACTOR: f64 = 4.0;
 
-/// What answers take at least on a strained path. Slowed processes and collections of answers add some milliseconds.
+/// The smoothed answer time up to which a path never counts as congested: slowed processes and the batching of answers add some
+/// milliseconds.
 const MIN_CONGESTED_TIME: Duration = Duration::from_millis(25);
 
-/// Answer times of one owner's calls, in seconds.
+/// The answer times of one owner's calls, in seconds.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AnswerTimes {
     smoothed: Option<f64>,
     variation: f64,
     minimum: Option<f64>,
-    /// Overdue calls since the last answer.
+    /// The number of calls that timed out since the last answer.
     overdue: u32,
     congested: bool,
 }
 
 impl AnswerTimes {
-    /// Takes the time of an answered call.
+    /// Records the time of an answered call.
     pub(crate) fn record(&mut self, took: Duration) {
         let took = took.as_secs_f64();
         self.overdue = 0;
         self.add_sample(took);
         let bound = self.congestion_bound();
-        // Half of the bound before it counts as quiet again, so that it does not change with each answer.
+        // The path counts as congested until the time falls below 80% of the bound, so that the state does not change with
+        // each answer.
         let bound = if self.congested {
             bound.mul_f64(0.8)
         } else {
@@ -58,12 +60,12 @@
         self.smoothed = Some(smoothed + SMOOTHED_WEIGHT * (took - smoothed));
     }
 
-    /// A call was not answered within the limit: each one since the last answer doubles it.
+    /// Records that a call was not answered within the timeout. Each one since the last answer doubles the timeout.
     pub(crate) fn record_timeout(&mut self) {
         self.overdue = self.overdue.saturating_add(1);
     }
 
-    /// How long to wait for an answer, between `least` and `most`.
+    /// The timeout for an answer, between `least` and `most`.
     pub(crate) fn timeout(&self, least: Duration, most: Duration) -> Duration {
         let expected = self.smoothed.unwrap_or(0.0) + VARIATION_FACTOR * self.variation;
         let expected = Duration::try_from_secs_f64(expected).unwrap_or(most);
@@ -71,17 +73,17 @@
         expected.max(least).saturating_mul(doubled).min(most)
     }
 
-    /// What an answer takes at present.
+    /// The smoothed time that an answer takes at present.
     pub(crate) fn smoothed(&self) -> Duration {
         Duration::try_from_secs_f64(self.smoothed.unwrap_or(0.0)).unwrap_or_default()
     }
 
-    /// What an answer has taken at least.
+    /// The shortest time that an answer has taken.
     pub(crate) fn minimum(&self) -> Duration {
         Duration::try_from_secs_f64(self.minimum.unwrap_or(0.0)).unwrap_or_default()
     }
 
-    /// Whether answers come so late that something on the owner's own side is full, and not a worker gone.
+    /// Whether answers are so late that the owner's own link or CPU must be overloaded, rather than a worker lost.
     pub(crate) fn is_congested(&self) -> bool {
         self.congested
     }
--- a/crates/pool/src/arrivals.rs
+++ b/crates/pool/src/arrivals.rs
@@ -1,45 +1,46 @@
-//! For which jobs room is kept, by their priority.
+//! Reserves room for jobs of higher priority, from the statistics of past arrivals.
 //!
-//! Load it is made for: more work than the workers can do, for long. Harm prevented: whatever comes free is promised at
-//! once to jobs that can wait for it, which their contracts put last. A short wide job that its contract puts first
-//! then finds every place of the next tenth of a second promised, and is refused.
+//! It is made for lasting overload. Without a reservation, room that becomes free is at once promised to jobs that can wait for
+//! it, which are those of the lowest priority in their contracts. A short, wide job of the highest priority then finds all
+//! room of the next tenth of a second promised, and is refused.
 //!
-//! Room is kept only while jobs of that priority are being refused, and the more, the larger the share of them: kept
-//! always, it would cost other jobs in every short burst.
+//! Room is reserved only while jobs of that priority are being refused, and more of it the larger their refused share is: a
+//! permanent reservation would cost other jobs room in every short burst.
 
 use std::time::{Duration, Instant};
 
 use model::FastMap;
 
-/// The share of refusals that is usual: a job wider than one pool is refused by each, then divided among them.
+/// The share of refusals up to which no room is reserved: a job wider than one pool is refused by each pool and then divided
+/// among them.
 const USUAL_REFUSED_SHARE: f64 = 0.35;
 
-/// The share of refusals from which on room is kept for a whole job.
+/// The share of refusals from which room is reserved for a whole job.
 const FULL_RESERVE_REFUSED_SHARE: f64 = 0.7;
 
-/// The weight of a new job in the means of its priority: shapes differ by a factor of two, so about ten matter.
+/// The weight of a new job in the means of its priority. About ten jobs count, since shapes differ by a factor of two.
 const SAMPLE_WEIGHT: f64 = 0.1;
 
-/// How fast refusals are forgotten while no more jobs of that priority come. Bursts last some seconds.
+/// The time constant with which the refused share decays while no jobs of that priority arrive. Bursts last some seconds.
 const REFUSAL_MEMORY: Duration = Duration::from_millis(1_500);
 
 /// A job that arrived.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ArrivedJob {
     pub(crate) priority: u32,
-    /// Tasks that can start at once.
+    /// The number of tasks that can start at once.
     pub(crate) tasks: u32,
-    /// What one of them takes, in thousandths of a core.
+    /// The CPU demand of one task, in thousandths of a core.
     pub(crate) cpu: u64,
-    /// The predicted time of one of them.
+    /// The predicted run time of one task.
     pub(crate) work: Duration,
-    /// How long it may take to be in time.
+    /// The time within which the job has to end to be in time.
     pub(crate) objective: Duration,
-    /// Whether it was refused, since it would not have been in time.
+    /// Whether the job was refused because it would not have been in time.
     pub(crate) refused: bool,
 }
 
-/// What is known of the jobs of one priority.
+/// Moving averages over the jobs of one priority.
 #[derive(Clone, Copy, Debug)]
 struct ArrivalMean {
     last: Instant,
@@ -49,11 +50,11 @@
     work: f64,
     /// In seconds.
     objective: f64,
-    /// The share that was refused.
+    /// The share of refused jobs, as of `last`.
     refused: f64,
 }
 
-/// Tasks for which room is kept.
+/// An expected job for which room is reserved.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ExpectedJob {
     pub(crate) tasks: usize,
@@ -62,14 +63,14 @@
     pub(crate) objective: Duration,
 }
 
-/// Arrivals by priority.
+/// Statistics of arrived jobs, by priority.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ArrivalStats {
     means: FastMap<u32, ArrivalMean>,
 }
 
 impl ArrivalStats {
-    /// Notes an arrival.
+    /// Records an arrival.
     pub(crate) fn record(&mut self, now: Instant, job: &ArrivedJob) {
         let (tasks, cpu) = (f64::from(job.tasks), job.cpu as f64);
         let (work, objective) = (job.work.as_secs_f64(), job.objective.as_secs_f64());
@@ -95,10 +96,11 @@
         }
     }
 
-    /// The tasks for which a job of this priority has to leave room.
+    /// The expected jobs of higher priority, for which a job of this priority has to leave room. A lower number is a higher
+    /// priority.
     pub(crate) fn expected_above(&self, now: Instant, priority: u32) -> Vec<ExpectedJob> {
-        let before = self.means.iter().filter(|(other, _)| **other < priority);
-        let expected = before.map(|(_, mean)| mean.expected(now));
+        let higher = self.means.iter().filter(|(other, _)| **other < priority);
+        let expected = higher.map(|(_, mean)| mean.expected(now));
         expected.filter(|job| job.tasks > 0).collect()
     }
 }
--- a/crates/pool/src/estimate.rs
+++ b/crates/pool/src/estimate.rs
@@ -4,18 +4,18 @@
 
 use model::FastMap;
 
-/// The least weight of a new sample. Tasks of one job share its estimate's error, which is 40% either way; 100 samples
-/// are some 25 jobs of four tasks, whose mean is off by 8%.
+/// The minimum weight of a new sample. The tasks of a job share the error of its estimate, which is up to 40% either way; 100
+/// samples are about 25 jobs of four tasks, whose mean is off by 8%.
 const MIN_SAMPLE_WEIGHT: f64 = 0.01;
 
-/// The weight of the first sample, and of each next one as long as it is the greater: with few samples the customer's
-/// own estimate counts as ten.
+/// The number of samples for which the customer's own estimate counts. It gives each new sample a weight of one in the number
+/// of samples so far, this number included, until `MIN_SAMPLE_WEIGHT` is greater.
 const ESTIMATE_PRIOR_SAMPLES: f64 = 10.0;
 
-/// A sample outside these bounds says more about its worker than about its route.
+/// The bounds of a sample: a ratio outside them tells more about the worker than about the route.
 const SAMPLE_BOUNDS: (f64, f64) = (0.2, 5.0);
 
-/// What is known of one route.
+/// The learned ratio of run time to estimate for one route.
 #[derive(Clone, Copy, Debug)]
 struct RouteRatio {
     ratio: f64,
@@ -31,21 +31,21 @@
     }
 }
 
-/// Measured run times against estimated ones, per route.
+/// The ratios of measured to estimated run times, by route.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EstimateCorrections {
     routes: FastMap<Arc<str>, RouteRatio>,
 }
 
 impl EstimateCorrections {
-    /// What a task of this route takes on a worker of mean speed.
+    /// Predicts the run time of a task of this route on a worker of mean speed.
     pub(crate) fn predict(&self, route: &Arc<str>, estimate: Duration) -> Duration {
         let known = self.routes.get(route).copied().unwrap_or_default();
         estimate.mul_f64(known.ratio)
     }
 
-    /// Learns from a run that was done, on whichever worker. Dividing by the worker's own slowness would tie both to
-    /// each other: slowness is measured against what is predicted here, and the two would drift apart without bound.
+    /// Records the run time of a completed run on any worker. It is not divided by the worker's slowness, since slowness is
+    /// itself measured against the predictions made here, and the two would drift apart without bound.
     pub(crate) fn record_run(&mut self, route: &Arc<str>, estimate: Duration, took: Duration) {
         if estimate.is_zero() {
             return;
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -1,16 +1,17 @@
-//! The owner of a pool of workers: which job is admitted, which task runs where and when, and what a worker's silence
-//! means.
+//! The owner of a pool of workers. It decides which jobs are admitted, on which worker and when each task runs, and when a
+//! worker that does not answer counts as lost.
 //!
-//! One pool has one owner at a time, under a fence. The owner knows each worker's room exactly, because every start
-//! goes through it. Everything here is a state machine: time is passed in, and what has to be sent comes out as
-//! [`PoolAction`]s. These invariants hold at any moment:
+//! A pool has one owner at a time, identified by a fencing token. Every start goes through the owner, so it knows the free
+//! room of each worker exactly. The crate is a state machine without I/O: the caller passes the time in and carries out the
+//! [`PoolAction`]s that come out. These invariants always hold:
 //!
-//! - the demands of a worker's runs, whatever their phase, fit into its room;
+//! - the demands of a worker's runs, in any phase, fit into its room;
 //! - a task has at most one run record in the whole pool;
-//! - a run record goes only when the run surely is over, or can never begin;
-//! - a job is refused only while none of its tasks was ever ordered to start;
-//! - no start leaves for a worker of a data centre that is evacuated;
-//! - a kept job runs only while it is stored, and an end of it is acknowledged only once that is stored.
+//! - a run record is removed only when the run is certainly over or can never begin;
+//! - a job is refused only while no start of any of its tasks has been ordered;
+//! - no start is sent to a worker of an evacuated data centre;
+//! - a kept job runs only while its row is in the store, and the end of one of its runs is acknowledged to the worker only
+//!   once that end is stored.
 
 mod action;
 mod admission;
--- a/crates/pool/src/worker.rs
+++ b/crates/pool/src/worker.rs
@@ -1,4 +1,4 @@
-//! One worker: its room, its runs, its clock and what its silence means.
+//! The owner's record of one worker: its room, runs, clock, health and speed, and the orders and polls sent to it.
 
 use std::{
     collections::{BTreeSet, VecDeque},
@@ -12,40 +12,41 @@
 
 use crate::health::WorkerHealth;
 
-/// The weight of a new sample of a worker's speed: a worker sees about ten ends a second and may turn slow at any
-/// moment, so about five samples matter.
+/// The weight of a new sample in a worker's slowness. About five samples count: a worker ends about ten runs a second and
+/// may turn slow at any moment.
 const SLOWNESS_SAMPLE_WEIGHT: f64 = 0.2;
 
-/// The bounds of a worker's slowness. Beyond the upper one it makes no difference how slow it is.
+/// The bounds of a worker's slowness, a ratio of run times. Above the upper bound it makes no difference how slow the worker
+/// is.
 pub(crate) const SLOWNESS_BOUNDS: (f64, f64) = (0.5, 12.0);
 
-/// How many former lives of a worker are remembered, to know entries that still name one.
+/// The maximum number of former lives remembered per worker. They show that a directory entry names a former life.
 const MAX_FORMER_LIVES: usize = 8;
 
-/// The shortest time in which a worker that dies is back.
+/// The shortest time that a worker needs to restart after it died.
 const MIN_RESTART_TIME: Duration = Duration::from_millis(50);
 
-/// How long a worker stands idle before what it has shown of being slow begins to be forgotten.
+/// The time that a worker has to be idle before its measured slowness decays by one step.
 const SLOWNESS_DECAY_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Slowness up to this is kept: workers differ by as much for good.
+/// Slowness up to this value does not decay: workers differ by this much permanently.
 const RETAINED_SLOWNESS: f64 = 1.4;
 
-/// What is left of the slowness beyond that after each such time.
+/// The factor by which slowness above `RETAINED_SLOWNESS` decays in each `SLOWNESS_DECAY_INTERVAL`.
 const SLOWNESS_DECAY_FACTOR: f64 = 0.5;
 
-/// Where a run is in its life.
+/// The phase of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RunPhase {
-    /// Its start was ordered and is not known to have been carried out.
+    /// The start was ordered and is not known to have been carried out.
     Ordered,
-    /// It is known to have begun.
+    /// The run is known to have begun.
     Running,
-    /// It was told to stop, or will be.
+    /// The run was ordered to stop, or its stop order is queued.
     Stopping,
 }
 
-/// A run that takes room on a worker.
+/// A run that takes up room on a worker.
 #[derive(Clone, Debug)]
 pub(crate) struct TrackedRun {
     pub(crate) task: TaskId,
@@ -58,119 +59,120 @@
     pub(crate) confirmed_at: Option<Instant>,
     /// When a stop was answered with success.
     pub(crate) stop_acked_at: Option<Instant>,
-    /// The last lease end that a start carried: later on the worker's clock no copy of it is carried out.
+    /// The latest lease end that a start of the run carried. After it, on the worker's clock, no copy of the start is carried
+    /// out.
     pub(crate) start_expires: WorkerClock,
     pub(crate) starts_sent: u32,
-    /// Starts of it that were answered, in whatever way.
+    /// The number of starts that were answered in any way.
     pub(crate) answered_starts: u32,
-    /// Starts of it that have no answer yet.
+    /// The number of starts without an answer so far.
     pub(crate) starts_in_flight: u32,
-    /// What the run would take on a worker of mean speed.
+    /// The predicted run time on a worker of mean speed.
     pub(crate) predicted: Duration,
     pub(crate) estimate: Duration,
     pub(crate) percent: u8,
     /// When `percent` last rose.
     pub(crate) progressed_at: Instant,
-    /// How often the task failed before.
+    /// How many times the task has failed before.
     pub(crate) failures: u32,
-    /// Whether nothing may run beside it.
+    /// Whether no other run may share the worker.
     pub(crate) exclusive: bool,
     pub(crate) failed_on: Vec<jobs::LifeId>,
 }
 
-/// An order that waits for its turn.
+/// An order that waits to be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum QueuedOrder {
     Start(TaskId, RunNumber),
     Stop(TaskId, RunNumber),
 }
 
-/// What is known of a worker's clock.
+/// What the owner knows of a worker's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ClockEstimate {
-    /// The worker's clock less the owner's, at least: read when an answer came.
+    /// A lower bound of the worker's clock minus the owner's, in milliseconds, taken when an answer arrived.
     pub(crate) offset: i64,
 }
 
-/// Which life of a worker a listing is of.
+/// The life of a worker to which a listing belongs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ListingLife {
-    /// The one that is known.
+    /// The current life.
     Known,
-    /// An earlier one: the listing says nothing about now.
+    /// An earlier life: the listing says nothing about the worker's present state.
     Former,
-    /// One that was not known.
+    /// A life that was not known before.
     New,
 }
 
-/// One worker.
+/// A worker as its owner tracks it.
 #[derive(Clone, Debug)]
 pub(crate) struct TrackedWorker {
     pub(crate) record: WorkerRecord,
-    /// Which life under its id its last listing was of.
+    /// The birth time of the life that sent the last listing.
     pub(crate) born: Option<BirthTime>,
-    /// When that was found. Orders that were sent before may have reached an earlier one.
+    /// When that life was found. Orders that were sent earlier may have reached a former life.
     pub(crate) life_since: Instant,
-    /// Earlier lives, the latest last.
+    /// The birth times of former lives, the latest last.
     former_lives: Vec<Option<BirthTime>>,
-    /// Since when its entry names another life than its listings.
+    /// Since when its directory entry names another life than its listings do.
     directory_mismatch_since: Option<Instant>,
-    /// The fence of orders to it: the owner's, or a later version of the store once it has been reborn, so that what is still
-    /// on its way to its former life is turned away.
+    /// The fencing token of orders to the worker: the owner's or, once the worker has restarted, a later version of the store.
+    /// The worker then rejects orders that were sent to its former life and are still in transit.
     pub(crate) fence: FenceToken,
-    /// Whether it has to see that fence.
+    /// Whether the worker, after a restart, has yet to answer a poll under that fencing token.
     fence_unconfirmed: bool,
-    /// When it went missing from the directory.
+    /// When the worker disappeared from the directory.
     pub(crate) unlisted_since: Option<Instant>,
-    /// Known once it has answered a look under this fence.
+    /// Known once the worker has answered a poll under this fencing token.
     pub(crate) clock: Option<ClockEstimate>,
     pub(crate) runs: Vec<TrackedRun>,
-    /// Runs of former owners that were told to stop.
+    /// Runs of former owners that were ordered to stop.
     pub(crate) foreign_runs: Vec<(TaskId, RunNumber)>,
     pub(crate) queued_orders: VecDeque<QueuedOrder>,
-    /// Orders without an answer, but for those that are overdue.
+    /// The number of orders without an answer that are not overdue.
     pub(crate) orders_in_flight: usize,
-    /// Orders that are overdue. They keep no others back: their answers may be lost.
+    /// The number of overdue orders. They do not hold back other orders, since their answers may be lost.
     pub(crate) overdue_orders: usize,
-    /// No order is sent before.
+    /// No order is sent before this time.
     pub(crate) orders_paused_until: Option<Instant>,
-    /// Looks that are not answered yet.
+    /// The number of polls without an answer.
     pub(crate) polls_in_flight: usize,
-    /// When the last look was sent.
+    /// When the last poll was sent.
     pub(crate) last_poll_sent: Instant,
-    /// When the latest of the looks that were answered was sent.
+    /// When the latest of the answered polls was sent.
     pub(crate) answered_poll_sent: Option<Instant>,
-    /// When its last listing came.
+    /// When the last listing arrived.
     listed_at: Option<Instant>,
-    /// Its clock in the newest listing.
+    /// The worker's clock in the newest listing.
     pub(crate) listed_clock: WorkerClock,
-    /// No look is sent before.
+    /// No poll is sent before this time.
     pub(crate) polls_paused_until: Option<Instant>,
-    /// Looks in a row without an answer.
+    /// The number of successive polls without an answer.
     pub(crate) missed_polls: u32,
-    /// The last end taken note of.
+    /// The number of the last ended run that the owner has processed.
     pub(crate) last_seen_end: u64,
-    /// The last end that a look has acknowledged.
+    /// The number of the last ended run that a poll has acknowledged.
     pub(crate) acknowledged_end: u64,
-    /// Whether it has listed its ends since the pool's kept jobs were read.
+    /// Whether the worker has listed its ended runs since the pool's kept jobs were read.
     pub(crate) ends_listed: bool,
-    /// Ends that must not be acknowledged before the store has them.
+    /// The numbers of ended runs that must not be acknowledged before the store has them.
     pub(crate) unstored_ends: BTreeSet<u64>,
-    /// The last lease end that any call carried.
+    /// The latest lease end that any call carried.
     pub(crate) lease_end: WorkerClock,
     pub(crate) health: WorkerHealth,
-    /// Its run times against predicted ones.
+    /// The ratio of measured to predicted run times.
     pub(crate) slowness: f64,
     pub(crate) last_end_time: Instant,
-    /// When its slowness was last learnt, or forgotten in part.
+    /// When `slowness` last took a sample or decayed.
     slowness_updated: Instant,
 }
 
-/// Looks in a row without an answer that make a worker silent: it gets no new runs and its leases run out. One miss
-/// may be a single lost connection.
+/// The number of successive polls without an answer that make a worker silent: it gets no new runs and its leases expire. A
+/// single missed poll may be one lost connection.
 pub(crate) const MISSED_POLLS_TO_SILENCE: u32 = 2;
 
-/// The most looks at one worker without an answer: two in a row are seldom lost.
+/// The maximum number of polls of one worker in flight: two in a row are seldom lost.
 const MAX_POLLS_IN_FLIGHT: usize = 2;
 
 impl TrackedWorker {
@@ -210,7 +212,7 @@
         }
     }
 
-    /// The room that runs take, what is being stopped included.
+    /// The room taken by runs, including those that are being stopped.
     pub(crate) fn used_room(&self) -> ResourceDemand {
         let mut used = ResourceDemand::default();
         for run in &self.runs {
@@ -224,12 +226,12 @@
         self.record.room.minus(&self.used_room())
     }
 
-    /// Whether its runs take more than its room, which has shrunk.
+    /// Whether the runs take more than the room, as they may after the room has shrunk.
     pub(crate) fn is_over_room(&self) -> bool {
         !self.record.room.holds(&self.used_room())
     }
 
-    /// Which life of it a listing is of that answers a look sent at `sent`.
+    /// Determines the life to which a listing belongs that answers a poll sent at `sent`.
     pub(crate) fn classify_listing(
         &mut self,
         born: Option<BirthTime>,
@@ -250,14 +252,14 @@
             .directory_mismatch_since
             .is_some_and(|since| sent >= since)
         {
-            // Its entry is older than its listing.
+            // The directory entry is older than the listing.
             self.remember_former(self.record.born);
             self.directory_mismatch_since = None;
         }
         ListingLife::Known
     }
 
-    /// It has another life, which knows nothing of before.
+    /// Begins a new life of the worker, which knows nothing of the former one.
     pub(crate) fn begin_life(&mut self, now: Instant, born: Option<BirthTime>, fence: u64) {
         self.remember_former(self.born);
         self.former_lives.retain(|former| *former != born);
@@ -276,12 +278,12 @@
         self.foreign_runs.clear();
         self.health = WorkerHealth::default();
         for run in &mut self.runs {
-            // By the former life's clock. Only a listing or a stop tells that it is over.
+            // `start_expires` was on the former life's clock. Now only a listing or a stop shows that the run is over.
             run.start_expires = WorkerClock(u64::MAX);
         }
     }
 
-    /// Adds a former life, and forgets the oldest beyond the bound.
+    /// Adds a former life and drops the oldest one beyond `MAX_FORMER_LIVES`.
     fn remember_former(&mut self, born: Option<BirthTime>) {
         self.former_lives.retain(|known| *known != born);
         if self.former_lives.len() == MAX_FORMER_LIVES {
@@ -290,7 +292,7 @@
         self.former_lives.push(born);
     }
 
-    /// Stops a run of which a start may still come to this life. What the former one answered does not count.
+    /// Stops a run whose start may still arrive in the current life. Answers of the former life do not count.
     pub(crate) fn stop_stray_run(&mut self, task: TaskId, number: RunNumber) {
         self.queued_orders
             .retain(|order| *order != QueuedOrder::Start(task, number));
@@ -304,7 +306,7 @@
             .push_back(QueuedOrder::Stop(task, number));
     }
 
-    /// Takes its entry in the directory.
+    /// Takes over a new directory entry of the worker.
     pub(crate) fn update_record(&mut self, now: Instant, record: WorkerRecord) {
         let named = record.born;
         let known = self.answered_poll_sent.is_none() || named.is_none() || named == self.born;
@@ -316,7 +318,7 @@
         self.record = record;
     }
 
-    /// A listing of its present life came, to a look with this fence.
+    /// Notes that a listing of the current life arrived, in answer to a poll with this fencing token.
     pub(crate) fn note_listing(&mut self, now: Instant, fence: FenceToken) {
         self.listed_at = Some(now);
         if fence == self.fence {
@@ -324,36 +326,37 @@
         }
     }
 
-    /// What a look acknowledges: what the worker has listed just now and has not heard of. Anything else may reach a later
-    /// life, which would forget its first ends unheard. Older ends are listed once more first.
+    /// The number of the last ended run that the next poll acknowledges, or 0 for none. Only ends that the worker listed within
+    /// the last `MIN_RESTART_TIME` are acknowledged: a later acknowledgement may reach a new life, which would discard its own
+    /// first ends before the owner has seen them. Older ends have to be listed once more first.
     pub(crate) fn ends_to_acknowledge(&self, now: Instant) -> u64 {
-        let up_to = self.last_acknowledgeable_end();
+        let last_end = self.last_acknowledgeable_end();
         let fresh = self.listed_at.is_some_and(|at| now < at + MIN_RESTART_TIME);
-        match fresh && self.missed_polls == 0 && up_to > self.acknowledged_end {
-            true => up_to,
+        match fresh && self.missed_polls == 0 && last_end > self.acknowledged_end {
+            true => last_end,
             false => 0,
         }
     }
 
-    /// The last end that may be acknowledged.
+    /// The number of the last ended run that may be acknowledged.
     pub(crate) fn last_acknowledgeable_end(&self) -> u64 {
         let stored = self.unstored_ends.first().map(|end| end - 1);
         stored.map_or(self.last_seen_end, |stored| stored.min(self.last_seen_end))
     }
 
-    /// Whether it does not answer.
+    /// Whether the worker counts as silent, since it has missed too many polls.
     pub(crate) fn is_silent(&self) -> bool {
         self.missed_polls >= MISSED_POLLS_TO_SILENCE
     }
 
-    /// Whether it is listed as taking runs, and no look is missed.
+    /// Whether the directory lists the worker as ready and its last poll was not missed.
     fn is_listed_ready(&self) -> bool {
         self.record.state == WorkerState::Ready
             && self.unlisted_since.is_none()
             && self.missed_polls == 0
     }
 
-    /// Whether it may get new runs, health apart.
+    /// Whether the worker may get new runs, apart from its health.
     pub(crate) fn accepts_runs(&self) -> bool {
         self.is_listed_ready()
             && self.clock.is_some()
@@ -361,14 +364,15 @@
             && self.foreign_runs.is_empty()
     }
 
-    /// Whether it counts as room that jobs can expect to use. So does one that is being asked for the first time, as all are that
-    /// a new owner has: it answers within milliseconds, and until then each job would be refused for want of workers.
+    /// Whether jobs can expect to use the worker's room. This includes workers that are being polled for the first time, as all
+    /// workers of a new owner are: they answer within milliseconds, and until then every job would be refused for lack of
+    /// workers.
     pub(crate) fn is_usable(&self) -> bool {
-        let asked_first = self.answered_poll_sent.is_none() && self.is_listed_ready();
-        (self.accepts_runs() || asked_first) && self.health.is_healthy()
+        let first_poll = self.answered_poll_sent.is_none() && self.is_listed_ready();
+        (self.accepts_runs() || first_poll) && self.health.is_healthy()
     }
 
-    /// Whether it would count as such room if a run that tries it out were done.
+    /// Whether the worker would be usable again once a probe run on it succeeds.
     pub(crate) fn needs_probe_run(&self, now: Instant) -> bool {
         self.accepts_runs() && self.runs.is_empty() && self.health.needs_probe_run(now)
     }
@@ -391,14 +395,15 @@
         self.runs.iter().filter(|run| run.task.job == job).count()
     }
 
-    /// The least that the worker's clock can show now.
+    /// A lower bound of the worker's clock now.
     pub(crate) fn min_clock_now(&self, owner_millis: u64) -> Option<WorkerClock> {
         let offset = self.clock?.offset;
         Some(WorkerClock(owner_millis.saturating_add_signed(offset)))
     }
 
-    /// Takes the clock of an answer that just came. An answer reads the clock before it travels, so the offset found
-    /// is never too high; the highest of several would be nearest, but a drifting clock must be followed down too.
+    /// Takes the worker's clock from an answer that just arrived. The worker reads its clock before the answer travels, so the
+    /// offset found is never too high. The highest of several offsets would be the most accurate, but the latest one is taken so
+    /// that the offset can also follow a clock that drifts backwards.
     pub(crate) fn update_clock(&mut self, owner_millis: u64, clock: WorkerClock) {
         let offset = clock
             .0
@@ -407,7 +412,7 @@
         self.clock = Some(ClockEstimate { offset });
     }
 
-    /// Learns its speed from a run that was done, or from one that is slower than its kind so far.
+    /// Updates the slowness from a completed run, or from a running one that is already slower than predicted.
     pub(crate) fn update_slowness(&mut self, now: Instant, predicted: Duration, took: Duration) {
         if predicted.is_zero() {
             return;
@@ -418,8 +423,8 @@
         self.slowness += SLOWNESS_SAMPLE_WEIGHT * (sample - self.slowness);
     }
 
-    /// Forgets in part that it was slow, if it stands idle. Failure prevented: after calls have been late for a while all
-    /// workers of a pool look too slow for any job, every job is refused, and no run can show that they are not.
+    /// Decays the slowness of an idle worker by one step. Without this, a period of late calls makes all workers of a pool look
+    /// too slow for any job; every job is then refused, and no run can show that the workers have recovered.
     pub(crate) fn decay_slowness(&mut self, now: Instant) {
         let idle = self.runs.is_empty() && now >= self.slowness_updated + SLOWNESS_DECAY_INTERVAL;
         if !idle || self.slowness <= RETAINED_SLOWNESS {
@@ -430,13 +435,13 @@
             RETAINED_SLOWNESS + (self.slowness - RETAINED_SLOWNESS) * SLOWNESS_DECAY_FACTOR;
     }
 
-    /// An order has become overdue.
+    /// Counts an order in flight as overdue.
     pub(crate) fn mark_order_overdue(&mut self) {
         self.orders_in_flight = self.orders_in_flight.saturating_sub(1);
         self.overdue_orders += 1;
     }
 
-    /// An order was answered, or is given up. `late` says that it may have been overdue.
+    /// Removes an order that was answered or given up from the counts. `late` tells that it may have been overdue.
     pub(crate) fn finish_order(&mut self, late: bool) {
         if late && self.overdue_orders > 0 {
             self.overdue_orders -= 1;
@@ -445,14 +450,14 @@
         }
     }
 
-    /// Whether nothing of its owner's is on it or on the way to it.
+    /// Whether the worker has no run of its owner, and no order is queued or in flight.
     pub(crate) fn is_idle(&self) -> bool {
-        let under_way = self.orders_in_flight + self.overdue_orders;
-        self.runs.is_empty() && self.queued_orders.is_empty() && under_way == 0
+        let in_flight = self.orders_in_flight + self.overdue_orders;
+        self.runs.is_empty() && self.queued_orders.is_empty() && in_flight == 0
     }
 
-    /// Whether it needs a look now. `wants_ends` says that jobs wait for what it has to list, `hedge` after which time a
-    /// look without an answer gets a second one beside it.
+    /// Whether the worker has to be polled now. `wants_ends` tells that jobs wait for the ends it has to list. `hedge` is the
+    /// time after which a second poll is sent beside one without an answer.
     pub(crate) fn needs_poll(
         &self,
         now: Instant,
@@ -464,11 +469,11 @@
             return false;
         }
         if self.polls_in_flight > 0 {
-            let again = self
+            let repeat = self
                 .directory_mismatch_since
                 .is_some_and(|since| self.last_poll_sent < since)
                 || self.fence_unconfirmed;
-            if again && self.polls_in_flight < MAX_POLLS_IN_FLIGHT {
+            if repeat && self.polls_in_flight < MAX_POLLS_IN_FLIGHT {
                 return true;
             }
             let hedged = hedge.is_some_and(|hedge| now >= self.last_poll_sent + hedge);
@@ -480,7 +485,7 @@
             || self.fence_unconfirmed;
         let unacknowledged =
             self.acknowledged_end < self.last_seen_end && now >= self.last_end_time + idle_ack;
-        let held = !self.runs.is_empty() || !self.foreign_runs.is_empty();
-        held || unacknowledged || unknown || (wants_ends && !self.ends_listed)
+        let has_runs = !self.runs.is_empty() || !self.foreign_runs.is_empty();
+        has_runs || unacknowledged || unknown || (wants_ends && !self.ends_listed)
     }
 }
