--- a/crates/pool/src/admission.rs
+++ b/crates/pool/src/admission.rs
@@ -129,16 +129,16 @@
 
     /// Whether the new job, placed in `with`, makes a job behind it late.
     fn delays_admitted(&self, mut with: PoolForecast) -> bool {
-        let alone = self.ends_without.get_or_init(|| {
+        let ends_without = self.ends_without.get_or_init(|| {
             let mut without = self.before.clone();
             let ends = self.behind.iter().map(|job| place_job(&mut without, job));
             ends.collect()
         });
-        for (job, alone) in self.behind.iter().zip(alone) {
-            let ends = place_job(&mut with, job);
+        for (job, end_without) in self.behind.iter().zip(ends_without) {
+            let end = place_job(&mut with, job);
             if job
                 .limit
-                .is_some_and(|limit| ends > limit && *alone <= limit)
+                .is_some_and(|limit| end > limit && *end_without <= limit)
             {
                 return true;
             }
--- a/crates/pool/src/crash.rs
+++ b/crates/pool/src/crash.rs
@@ -1,11 +1,11 @@
-//! Tasks under which workers died.
+//! Identifies tasks that crash the workers on which they run.
 //!
-//! Load it answers: a few jobs in a thousand crash whatever worker starts them. Harm prevented: such a task takes worker after
-//! worker, each with all that runs there, for as long as its customer waits, and a kept one for good.
+//! A few jobs in a thousand crash every worker that starts them. Such a task takes down worker after worker, together with all
+//! their other runs, for as long as its customer waits, and a kept job does so without end.
 //!
-//! One death does not name the culprit among the runs that died with a worker: all of them are suspects. A suspect runs
-//! alone, so that a second death names it and no neighbour. Deaths that came together, as those of a rack do, blame nobody,
-//! and neither does a silent worker that turns out to live.
+//! One death does not identify the culprit among the runs that were lost with a worker: all of them become suspects. A suspect
+//! then runs alone on a worker, so that a second death identifies it and no other task. Deaths that happen together, such as
+//! those of a rack, make no task a suspect, and neither does a silent worker that turns out to be alive.
 
 use std::{
     net::SocketAddr,
@@ -16,44 +16,46 @@
 use jobs::{BirthTime, JobId, LifeId, TaskId};
 use model::{FastMap, FastSet};
 
-/// Deaths under one task that name it, if it ran alone in one of them.
+/// The number of deaths that make a task a culprit if it ran alone in one of them.
 const ISOLATED_CULPRIT_DEATHS: u32 = 2;
 
-/// Deaths under one task that name it whatever ran beside it.
+/// The number of deaths that make a task a culprit even if it never ran alone.
 const CULPRIT_DEATHS: u32 = 3;
 
-/// Losses within this time may have one cause: it covers how much later one silent worker is noticed than another.
+/// Losses within this time may have a common cause. It covers the difference in time between the detection of one silent worker
+/// and of another.
 const COMMON_CAUSE_WINDOW: Duration = Duration::from_millis(500);
 
-/// The least losses of a pool that have one cause, and the share of its workers that they have to be.
+/// Losses in a pool have a common cause if there are at least this many, and at least one in `COMMON_WORKERS_DIVISOR` of the
+/// pool's workers is lost.
 const MIN_COMMON_LOSSES: usize = 3;
 const COMMON_WORKERS_DIVISOR: usize = 16;
 
-/// The same of workers that share a label, such as a rack.
+/// The same two bounds for workers that share a label, such as that of a rack.
 const MIN_COMMON_LABEL_LOSSES: usize = 2;
 const COMMON_LABEL_DIVISOR: usize = 2;
 
-/// How long a loss is remembered beyond the jobs that it concerns: customers come again within seconds.
+/// How long a loss is remembered even if none of its jobs is open: customers retry within seconds.
 const LOSS_MEMORY: Duration = Duration::from_secs(60);
 
-/// The most losses that are remembered.
+/// The maximum number of losses that are remembered.
 const MAX_LOSSES: usize = 512;
 
-/// How long a task waits after its second loss until it is known whether those workers died. It doubles with each further loss,
-/// which bounds how many workers the task can take of which nothing is heard.
+/// How long a task is held after its second loss, so that it can become known whether the lost workers died. The time doubles
+/// with each further loss, which bounds the number of workers that the task can take down while nothing is heard of them.
 const INITIAL_HOLD: Duration = Duration::from_millis(2_500);
 
-/// The most that this doubles.
+/// The maximum number of times that the hold doubles.
 const MAX_HOLD_DOUBLINGS: u32 = 6;
 
-/// How long a route that handed in a culprit is known for it.
+/// How long a route is remembered after one of its tasks was identified as a culprit.
 const ROUTE_MEMORY: Duration = Duration::from_secs(20);
 
-/// A run that was lost with its worker.
+/// A task whose run was lost with its worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct LostTask {
     pub(crate) task: TaskId,
-    /// The name of its job's route.
+    /// The name of the route of the task's job.
     pub(crate) route: Arc<str>,
 }
 
@@ -62,31 +64,31 @@
 pub(crate) struct WorkerLoss {
     pub(crate) life: LifeId,
     pub(crate) born: Option<BirthTime>,
-    /// Where it listened, if that is known.
+    /// The address on which the worker listened, if known.
     pub(crate) address: Option<SocketAddr>,
     pub(crate) labels: Vec<Arc<str>>,
     pub(crate) tasks: Vec<LostTask>,
-    /// Whether one run alone was lost with it.
+    /// Whether the worker had a single run.
     pub(crate) was_alone: bool,
     pub(crate) at: Instant,
-    /// Whether it is known to have died; it may as well have been out of reach.
+    /// Whether the worker is known to have died, rather than possibly being out of reach.
     pub(crate) died: bool,
 }
 
-/// How many workers a pool has, for judging whether losses have one cause.
+/// The number of workers of a pool, in all and by label, for deciding whether losses have a common cause.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WorkerCounts {
     pub(crate) workers: usize,
     pub(crate) labels: FastMap<Arc<str>, usize>,
 }
 
-/// What speaks against a task.
+/// The worker losses that count against a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct LossCounts {
     deaths: u32,
-    /// Deaths in which it ran alone.
+    /// The number of deaths in which the task ran alone.
     alone: u32,
-    /// Losses of which it is not known whether the worker died.
+    /// The number of losses of which it is not known whether the worker died.
     unconfirmed: u32,
     last: Option<Instant>,
 }
@@ -101,51 +103,51 @@
     }
 }
 
-/// How a task may be placed.
+/// How a suspected task may be placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TaskRestriction {
-    /// Like any other.
+    /// On any worker.
     None,
-    /// On a worker of its own.
+    /// On a worker without other runs.
     Alone,
-    /// Not now: it is not yet known whether it took two workers or more.
+    /// Not now: two or more workers were lost under it, and it is not known yet whether they died.
     Wait,
 }
 
-/// What became of a loss that was told.
+/// The result of recording a loss.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct CrashFindings {
-    /// Tasks that are named now.
+    /// Tasks that are newly identified as culprits.
     pub(crate) culprits: Vec<TaskId>,
-    /// Whether the loss has a cause that it shares with others.
+    /// Whether the loss has a common cause with other losses.
     pub(crate) common: bool,
 }
 
-/// Which tasks lost their workers, and what follows.
+/// The tasks whose workers were lost, and the culprits found among them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CrashTracker {
     losses: Vec<WorkerLoss>,
-    /// Losses of the last moments, blamed on anything or not.
+    /// All losses within `COMMON_CAUSE_WINDOW`, whether or not they count against a task.
     recent_losses: Vec<WorkerLoss>,
-    /// Follows from `losses`.
+    /// Derived from `losses`.
     loss_counts: FastMap<TaskId, LossCounts>,
     culprits: FastSet<TaskId>,
-    /// Routes that handed in a culprit, and when that was named last.
+    /// The routes of culprits, and when one was last identified.
     routes: FastMap<Arc<str>, Instant>,
 }
 
 impl CrashTracker {
-    /// Whether nothing speaks against any task.
+    /// Whether no loss counts against any task.
     pub(crate) fn is_empty(&self) -> bool {
         self.losses.is_empty()
     }
 
-    /// The tasks that something speaks against.
+    /// The tasks against which losses count.
     pub(crate) fn suspects(&self) -> impl Iterator<Item = TaskId> + '_ {
         self.loss_counts.keys().copied()
     }
 
-    /// Takes a loss of a worker with runs.
+    /// Records the loss of a worker that had runs.
     pub(crate) fn note_loss(&mut self, loss: WorkerLoss, shape: &WorkerCounts) -> CrashFindings {
         let now = loss.at;
         self.recent_losses
@@ -160,14 +162,15 @@
         }
     }
 
-    /// Takes a death that is on record, as a former owner saw it.
+    /// Records a death that a former owner stored. Returns the culprits that it identifies.
     pub(crate) fn note_recorded_death(&mut self, loss: WorkerLoss) -> Vec<TaskId> {
         let now = loss.at;
         self.add_loss(loss);
         self.find_culprits(now)
     }
 
-    /// A worker answers in the life in which it was lost: it was only out of reach. Says whether it was.
+    /// Discards the loss of a worker that answers again in the same life and so was only out of reach. Returns whether there was
+    /// such a loss.
     pub(crate) fn discard_loss(&mut self, life: &LifeId, born: Option<BirthTime>) -> bool {
         let known = self.losses.len();
         self.losses
@@ -179,12 +182,13 @@
         acquitted
     }
 
-    /// A worker that was lost has another life now.
+    /// Confirms the death of a lost worker that is now in another life. Returns the culprits that it identifies.
     pub(crate) fn confirm_death(&mut self, now: Instant, life: &LifeId) -> Vec<TaskId> {
         self.confirm_deaths_where(now, |loss| loss.life == *life)
     }
 
-    /// Takes a worker that the directory has anew.
+    /// Takes a new directory entry, which confirms the death of a lost worker of the same id or at the same address. Returns the
+    /// culprits that it identifies.
     pub(crate) fn note_listed(
         &mut self,
         now: Instant,
@@ -198,7 +202,7 @@
         })
     }
 
-    /// A task is done: nothing speaks against it any more.
+    /// Clears a completed task of all losses.
     pub(crate) fn clear_task(&mut self, task: TaskId) {
         if !self.loss_counts.contains_key(&task) {
             return;
@@ -209,42 +213,43 @@
         self.recount_losses();
     }
 
-    /// Forgets what is long ago and concerns no job that `is_open`.
+    /// Drops losses older than `LOSS_MEMORY` that concern no open job, and routes older than `ROUTE_MEMORY`.
     pub(crate) fn forget(&mut self, now: Instant, is_open: impl Fn(JobId) -> bool) {
         let known = self.losses.len();
         self.losses.retain(|loss| {
             let recent = now < loss.at + LOSS_MEMORY;
             recent || loss.tasks.iter().any(|lost| is_open(lost.task.job))
         });
-        self.routes.retain(|_, named| now < *named + ROUTE_MEMORY);
+        self.routes
+            .retain(|_, identified| now < *identified + ROUTE_MEMORY);
         if self.losses.len() != known {
             self.recount_losses();
         }
     }
 
-    /// How a task may be placed.
+    /// How a task may be placed now.
     pub(crate) fn restriction(&self, now: Instant, task: TaskId) -> TaskRestriction {
-        let Some(standing) = self.loss_counts.get(&task) else {
+        let Some(counts) = self.loss_counts.get(&task) else {
             return TaskRestriction::None;
         };
-        let doublings = match standing.losses() {
+        let doublings = match counts.losses() {
             0 => return TaskRestriction::None,
             1 => return TaskRestriction::Alone,
             losses => (losses - ISOLATED_CULPRIT_DEATHS).min(MAX_HOLD_DOUBLINGS),
         };
         let hold = INITIAL_HOLD * 2_u32.pow(doublings);
-        match standing.last.is_some_and(|last| now < last + hold) {
+        match counts.last.is_some_and(|last| now < last + hold) {
             true => TaskRestriction::Wait,
             false => TaskRestriction::Alone,
         }
     }
 
-    /// Whether a task of the job was named.
+    /// Whether a task of the job is a culprit.
     pub(crate) fn has_culprit(&self, job: JobId) -> bool {
         self.culprits.iter().any(|task| task.job == job)
     }
 
-    /// The deaths that stand against a job's tasks.
+    /// The confirmed deaths that count against a job's tasks.
     pub(crate) fn deaths_of(&self, job: JobId) -> Vec<(TaskId, LifeId, Option<BirthTime>)> {
         let mut deaths = Vec::new();
         for loss in self.losses.iter().filter(|loss| loss.died) {
@@ -254,7 +259,7 @@
         deaths
     }
 
-    /// Adds a loss; of one life there is one, also if it is told twice.
+    /// Adds a loss. There is one per life of a worker; a second report of it is merged into the first.
     fn add_loss(&mut self, loss: WorkerLoss) {
         let same = |other: &&mut WorkerLoss| other.life == loss.life && other.born == loss.born;
         if let Some(known) = self.losses.iter_mut().find(same) {
@@ -289,8 +294,8 @@
         }
     }
 
-    /// Takes losses of the last moments out that have one cause. What one job had on all of them is not excused: it may be that
-    /// cause. Says whether there are such.
+    /// Stops counting recent losses that have a common cause against their tasks, except against the tasks of a job that ran on
+    /// all lost workers, since that job may be the cause. Returns whether there are such losses.
     fn exclude_common_cause(&mut self, shape: &WorkerCounts) -> bool {
         let least = MIN_COMMON_LOSSES.max(shape.workers.div_ceil(COMMON_WORKERS_DIVISOR));
         let mut common: Vec<&WorkerLoss> = Vec::new();
@@ -309,21 +314,21 @@
         if common.is_empty() {
             return false;
         }
-        let everywhere = jobs_on_all(&common);
-        let excused: FastSet<(LifeId, Option<BirthTime>)> = common
+        let common_jobs = jobs_on_all(&common);
+        let excluded: FastSet<(LifeId, Option<BirthTime>)> = common
             .iter()
             .map(|loss| (loss.life.clone(), loss.born))
             .collect();
         for loss in &mut self.losses {
-            if excused.contains(&(loss.life.clone(), loss.born)) {
+            if excluded.contains(&(loss.life.clone(), loss.born)) {
                 loss.tasks
-                    .retain(|lost| everywhere.contains(&lost.task.job));
+                    .retain(|lost| common_jobs.contains(&lost.task.job));
             }
         }
         true
     }
 
-    /// Of a worker that ran tasks of a route which hands in culprits, only those are suspects.
+    /// If the worker ran tasks of routes that have had culprits lately, limits the suspects to those tasks.
     fn narrow_to_culprit_routes(&self, mut loss: WorkerLoss) -> WorkerLoss {
         let known = |lost: &LostTask| self.routes.contains_key(&lost.route);
         if loss.tasks.iter().any(known) {
@@ -332,31 +337,31 @@
         loss
     }
 
-    /// Finds who is named now, and what stands against the others.
+    /// Recounts the losses and returns the tasks that are newly identified as culprits.
     fn find_culprits(&mut self, now: Instant) -> Vec<TaskId> {
         self.recount_losses();
-        let named = self.loss_counts.iter();
-        let named =
-            named.filter(|(task, standing)| standing.is_culprit() && !self.culprits.contains(task));
-        let named: Vec<TaskId> = named.map(|(task, _)| *task).collect();
-        if named.is_empty() {
-            return named;
+        let culprits = self.loss_counts.iter();
+        let culprits =
+            culprits.filter(|(task, counts)| counts.is_culprit() && !self.culprits.contains(task));
+        let culprits: Vec<TaskId> = culprits.map(|(task, _)| *task).collect();
+        if culprits.is_empty() {
+            return culprits;
         }
-        self.culprits.extend(&named);
+        self.culprits.extend(&culprits);
         for loss in &mut self.losses {
-            let culprits = loss.tasks.iter().filter(|l| named.contains(&l.task));
-            let routes: Vec<_> = culprits.map(|lost| lost.route.clone()).collect();
+            let lost_culprits = loss.tasks.iter().filter(|l| culprits.contains(&l.task));
+            let routes: Vec<_> = lost_culprits.map(|lost| lost.route.clone()).collect();
             if routes.is_empty() {
                 continue;
             }
-            // What died beside a culprit is innocent of that death.
-            loss.tasks.retain(|lost| named.contains(&lost.task));
+            // The other tasks that were lost with a culprit did not cause that death.
+            loss.tasks.retain(|lost| culprits.contains(&lost.task));
             for route in routes {
                 self.routes.insert(route, now);
             }
         }
         self.recount_losses();
-        named
+        culprits
     }
 
     fn recount_losses(&mut self) {
@@ -364,19 +369,19 @@
         self.loss_counts.clear();
         for loss in &self.losses {
             for lost in &loss.tasks {
-                let standing = self.loss_counts.entry(lost.task).or_default();
-                standing.deaths += u32::from(loss.died);
-                standing.alone += u32::from(loss.died && loss.was_alone);
-                standing.unconfirmed += u32::from(!loss.died);
-                standing.last = standing.last.max(Some(loss.at));
+                let counts = self.loss_counts.entry(lost.task).or_default();
+                counts.deaths += u32::from(loss.died);
+                counts.alone += u32::from(loss.died && loss.was_alone);
+                counts.unconfirmed += u32::from(!loss.died);
+                counts.last = counts.last.max(Some(loss.at));
             }
         }
-        let standings = &self.loss_counts;
-        self.culprits.retain(|task| standings.contains_key(task));
+        let loss_counts = &self.loss_counts;
+        self.culprits.retain(|task| loss_counts.contains_key(task));
     }
 }
 
-/// The jobs that ran on each of the workers.
+/// The jobs that had runs on every one of the lost workers.
 fn jobs_on_all(losses: &[&WorkerLoss]) -> FastSet<JobId> {
     let Some((first, others)) = losses.split_first() else {
         return FastSet::default();
--- a/crates/pool/src/evacuation.rs
+++ b/crates/pool/src/evacuation.rs
@@ -1,35 +1,34 @@
-//! Which data centres are evacuated: their workers get nothing new until they are taken back.
+//! The evacuated data centres, whose workers get no new runs until the evacuation ends.
 //!
-//! An evacuation is a row that exists. What a reading shows is believed by its version: a store that has lost its history
-//! may for seconds show its rows as they were before, and an evacuation that seemed to be over for that would let tasks
-//! start where an operator is about to take the machines away.
+//! A data centre is evacuated while it has a row in the store. A reading of the rows only replaces what is known up to its
+//! version: a store that has lost its history may show old rows for some seconds, and if an evacuation seemed to be over for
+//! that reason, tasks would start on machines that an operator is about to remove.
 
 use model::{DataCentreId, FastMap};
 
-/// What a reading changed.
+/// The changes found in a reading of all rows.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EvacuationChange {
-    /// Evacuated from now on.
+    /// Data centres whose evacuation began.
     pub begun: Vec<DataCentreId>,
-    /// Taken back.
+    /// Data centres whose evacuation ended.
     pub ended: Vec<DataCentreId>,
 }
 
-/// The data centres that are evacuated, as far as this process knows. While the store cannot be read it is what was last
-/// read.
+/// The evacuated data centres known to this process. While the store cannot be read, the last known state stays.
 #[derive(Clone, Debug, Default)]
 pub struct EvacuationSet {
-    /// The versions of their rows.
+    /// The evacuated data centres and the versions of their rows.
     evacuated: FastMap<DataCentreId, u64>,
 }
 
 impl EvacuationSet {
-    /// Whether nothing may be started there.
+    /// Whether the data centre is evacuated, so that nothing may be started there.
     pub fn contains(&self, centre: &DataCentreId) -> bool {
         self.evacuated.contains_key(centre)
     }
 
-    /// A row is there. Says whether its data centre was not evacuated before.
+    /// Notes that a data centre has a row. Returns whether its evacuation is new.
     pub fn begin(&mut self, centre: DataCentreId, version: u64) -> bool {
         let known = self.evacuated.get(&centre).copied();
         self.evacuated
@@ -37,12 +36,13 @@
         known.is_none()
     }
 
-    /// A row was removed. Says whether its data centre was evacuated.
+    /// Notes that the row of a data centre was removed. Returns whether it was evacuated.
     pub fn end(&mut self, centre: &DataCentreId) -> bool {
         self.evacuated.remove(centre).is_some()
     }
 
-    /// Takes all rows as of one version. A row that is newer than that is not shown yet, and stays.
+    /// Applies a reading of all rows at one version of the store. Known rows that are newer than that version stay, since the
+    /// reading cannot show them yet.
     pub fn apply_snapshot(
         &mut self,
         rows: Vec<(DataCentreId, u64)>,
@@ -50,9 +50,9 @@
     ) -> EvacuationChange {
         let mut change = EvacuationChange::default();
         let shown = |centre: &DataCentreId| rows.iter().any(|(shown, _)| shown == centre);
-        let over = self.evacuated.iter();
-        let over = over.filter(|(centre, begun)| **begun <= version && !shown(centre));
-        change.ended = over.map(|(centre, _)| centre.clone()).collect();
+        let ended = self.evacuated.iter();
+        let ended = ended.filter(|(centre, begun)| **begun <= version && !shown(centre));
+        change.ended = ended.map(|(centre, _)| centre.clone()).collect();
         for centre in &change.ended {
             self.evacuated.remove(centre);
         }
--- a/crates/pool/src/forecast.rs
+++ b/crates/pool/src/forecast.rs
@@ -1,48 +1,48 @@
-//! When waiting tasks will end, by trying out the order in which they get places.
+//! Forecasts when waiting tasks will end, by simulating the order in which they are placed.
 //!
-//! Each worker is a list of when its free room will change: runs that end, and tasks that were tried out to begin
-//! later. Tasks are put one after another on the worker that ends them first. Counting free cores over all workers
-//! instead would overlook that 7 cores free on each of ten workers hold no task of 8.
+//! Each worker is a list of the times at which its free CPU room changes: when runs end, and when simulated tasks begin and end.
+//! Tasks are placed one after another on the worker that ends them first. Counting free cores over all workers instead
+//! would overlook that ten workers with 7 free cores each cannot hold a task of 8 cores.
 
 use std::time::Duration;
 
-/// A time from now, in microseconds: a forecast adds and compares some ten thousand of them.
+/// A time from now, in microseconds. A plain integer, since a forecast adds and compares some ten thousand of them.
 type Micros = u64;
 
-/// A change of a worker's free room.
+/// A change of a worker's free CPU room.
 #[derive(Clone, Copy, Debug)]
 struct CapacityChange {
     at: Micros,
-    /// In thousandths of a core.
+    /// The change, in thousandths of a core.
     by: i64,
 }
 
 /// A worker in the forecast.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WorkerForecast {
-    /// Processor room that nothing takes now, in thousandths of a core. Below zero on a worker that has shrunk: what ends there
-    /// does not make room at once.
+    /// The CPU room that is free now, in thousandths of a core. Negative on a worker whose room has shrunk, where the end of a
+    /// run does not free room at once.
     free: i64,
-    /// Processor room in all.
+    /// The total CPU room, in thousandths of a core.
     room: u64,
-    /// How many times as long runs take as on a worker of mean speed.
+    /// The ratio of run times to those on a worker of mean speed.
     slowness: f64,
-    /// In order of time.
+    /// The changes, ordered by time.
     changes: Vec<CapacityChange>,
 }
 
-/// When a task would begin and end on a worker.
+/// The times at which a task would begin and end on a worker.
 #[derive(Clone, Copy, Debug)]
 struct TaskTimes {
     from: Micros,
     end: Micros,
 }
 
-/// A task as the forecast counts.
+/// What a task needs, in the units of the forecast.
 #[derive(Clone, Copy, Debug)]
 struct TaskDemand {
     cpu: u64,
-    /// On a worker of mean speed, in microseconds.
+    /// The run time on a worker of mean speed, in microseconds.
     work: f64,
     earliest: Micros,
 }
@@ -58,32 +58,33 @@
         }
     }
 
-    /// Adds a run that takes room now.
+    /// Adds the end of a running task, which takes room until then.
     pub(crate) fn add_running(&mut self, left: Duration, cpu: u64) {
         self.add_change(micros(left), cpu.cast_signed());
     }
 
     fn add_change(&mut self, at: Micros, by: i64) {
-        // What ends at a moment makes room for what begins then.
+        // A task that ends frees its room before another begins at the same time.
         let before = |change: &CapacityChange| (change.at, change.by <= 0) <= (at, by <= 0);
         let place = self.changes.partition_point(before);
         self.changes.insert(place, CapacityChange { at, by });
     }
 
-    /// From when on, but not before the earliest, there is room for a task for as long as it runs, if ever.
-    fn earliest_start(&self, ask: &TaskDemand) -> Option<Micros> {
-        if ask.cpu > self.room {
+    /// The earliest time, not before `demand.earliest`, from which there is room for the task's whole run time. None if it
+    /// never fits.
+    fn earliest_start(&self, demand: &TaskDemand) -> Option<Micros> {
+        if demand.cpu > self.room {
             return None;
         }
-        let (cpu, run_time) = (ask.cpu.cast_signed(), self.run_time(ask));
+        let (cpu, run_time) = (demand.cpu.cast_signed(), self.run_time(demand));
         let mut free = self.free;
         let mut from: Option<Micros> = None;
         let mut changes = self.changes.iter().peekable();
-        while let Some(change) = changes.next_if(|change| change.at <= ask.earliest) {
+        while let Some(change) = changes.next_if(|change| change.at <= demand.earliest) {
             free += change.by;
         }
         if free >= cpu {
-            from = Some(ask.earliest);
+            from = Some(demand.earliest);
         }
         for change in changes {
             if from.is_some_and(|from| change.at >= from.saturating_add(run_time)) {
@@ -99,14 +100,14 @@
         from
     }
 
-    fn run_time(&self, ask: &TaskDemand) -> Micros {
+    fn run_time(&self, demand: &TaskDemand) -> Micros {
         // The cast saturates.
-        (ask.work * self.slowness) as Micros
+        (demand.work * self.slowness) as Micros
     }
 
-    fn times(&self, ask: &TaskDemand) -> Option<TaskTimes> {
-        let from = self.earliest_start(ask)?;
-        let end = from.saturating_add(self.run_time(ask));
+    fn times(&self, demand: &TaskDemand) -> Option<TaskTimes> {
+        let from = self.earliest_start(demand)?;
+        let end = from.saturating_add(self.run_time(demand));
         Some(TaskTimes { from, end })
     }
 
@@ -121,7 +122,7 @@
     }
 }
 
-/// Tasks of the same shape that wait.
+/// Waiting tasks with the same demand and run time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WaitingGroup {
     pub(crate) count: usize,
@@ -130,36 +131,36 @@
     pub(crate) work: Duration,
 }
 
-/// All workers of a pool.
+/// The forecast for all workers of a pool.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PoolForecast {
     pub(crate) workers: Vec<WorkerForecast>,
 }
 
 impl PoolForecast {
-    /// Places a group, none of it before `earliest`, and gives the end of its last task, counted from now. None if a
-    /// task never fits.
+    /// Places a group, with no task before `earliest`, and returns the time from now to the end of its last task. None if a task
+    /// never fits.
     pub(crate) fn place(&mut self, group: &WaitingGroup, earliest: Duration) -> Option<Duration> {
         if group.count == 0 {
             return Some(earliest);
         }
-        let ask = TaskDemand {
+        let demand = TaskDemand {
             cpu: group.cpu,
             work: group.work.as_secs_f64() * 1e6,
             earliest: micros(earliest),
         };
-        // Only the worker that got a task has to be looked at again for the next one.
-        let times = self.workers.iter().map(|worker| worker.times(&ask));
+        // Only the worker that got a task has to be computed again for the next one.
+        let times = self.workers.iter().map(|worker| worker.times(&demand));
         let mut times: Vec<Option<TaskTimes>> = times.collect();
-        let mut last = ask.earliest;
+        let mut last = demand.earliest;
         for _ in 0..group.count {
             let ends = times.iter().enumerate();
             let ends = ends.filter_map(|(number, times)| Some((times.as_ref()?.end, number)));
             let (end, number) = ends.min()?;
             if let Some(chosen) = times[number] {
-                self.workers[number].reserve(chosen, ask.cpu);
+                self.workers[number].reserve(chosen, demand.cpu);
             }
-            times[number] = self.workers[number].times(&ask);
+            times[number] = self.workers[number].times(&demand);
             last = last.max(end);
         }
         Some(Duration::from_micros(last))
--- a/crates/pool/src/health.rs
+++ b/crates/pool/src/health.rs
@@ -1,22 +1,21 @@
-//! Whether a worker gets new runs.
+//! Suspends unhealthy workers, which then get no new runs for a while.
 //!
-//! Load it is made for: a worker that fails all that it starts is free at once and would draw every waiting task; one
-//! on which tasks stand still keeps its places and makes late whatever is put there. Harm prevented: jobs that use up
-//! their attempts, or wait for a run that never ends. The limits are small because a false suspicion only costs a
-//! pause of one worker among dozens.
+//! A worker that fails every run has free room again at once and would attract every waiting task, so that jobs use up their
+//! attempts. A worker on which runs stall keeps its room occupied and makes every task placed there late, so that jobs wait for
+//! a run that never ends. The limits are low because a false suspicion only costs a pause of one worker among dozens.
 
 use std::time::{Duration, Instant};
 
 use jobs::JobId;
 
-/// Failed runs of different jobs in a row that make a worker suspect. One in 500 runs fails by its own fault, so two
-/// in a row on one worker are that in one of 250,000 pairs.
+/// The number of successive failed runs, of different jobs, that suspend a worker. One in 500 runs fails by its own fault, so
+/// two in a row on one worker have that cause in one of 250,000 pairs.
 const FAILURES_TO_SUSPEND: u32 = 2;
 
-/// The first pause. Troubles of workers last seconds.
+/// The duration of the first suspension. Faults of workers last seconds.
 const INITIAL_PAUSE: Duration = Duration::from_millis(1_000);
 
-/// The longest pause, so that a sound worker is back soon after its trouble.
+/// The maximum duration of a suspension, so that a healthy worker is used again soon after its fault ends.
 const MAX_PAUSE: Duration = Duration::from_millis(4_000);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,7 +24,7 @@
     Suspended { until: Instant },
 }
 
-/// What a worker's runs say about it.
+/// The health of a worker, as its runs show it.
 #[derive(Clone, Debug)]
 pub(crate) struct WorkerHealth {
     state: HealthState,
@@ -46,7 +45,7 @@
 }
 
 impl WorkerHealth {
-    /// Whether it may get a run beside the `running` ones. After a pause one run at a time tries it out.
+    /// Whether the worker may get another run beside `running` ones. After a suspension it gets one run at a time as a probe.
     pub(crate) fn allows_run(&self, now: Instant, running: usize) -> bool {
         match self.state {
             HealthState::Healthy => true,
@@ -54,23 +53,23 @@
         }
     }
 
-    /// Whether nothing speaks against it.
+    /// Whether the worker is neither suspended nor has had a failure since its last success.
     pub(crate) fn is_healthy(&self) -> bool {
         self.state == HealthState::Healthy && self.failures == 0
     }
 
-    /// Whether its pause is over and a run has to show whether it is sound again.
+    /// Whether the suspension is over and a probe run has to show whether the worker is healthy again.
     pub(crate) fn needs_probe_run(&self, now: Instant) -> bool {
         matches!(self.state, HealthState::Suspended { until } if now >= until)
     }
 
-    /// A run was done.
+    /// Records a successful run, which makes the worker healthy.
     pub(crate) fn record_success(&mut self) {
         *self = Self::default();
     }
 
-    /// A run failed. Says whether the worker should be suspended. Several failures of one job count once: a job that can
-    /// never be done must not cost a sound worker its runs.
+    /// Records a failed run. Returns whether the worker should be suspended. Successive failures of one job count once, so that a
+    /// job that always fails does not suspend a healthy worker.
     pub(crate) fn record_failure(&mut self, job: JobId) -> bool {
         if self.last_failed != Some(job) {
             self.failures += 1;
@@ -80,7 +79,7 @@
         suspended || self.failures >= FAILURES_TO_SUSPEND
     }
 
-    /// Suspends it, each time in a row for longer.
+    /// Suspends the worker and returns for how long. The duration doubles with each suspension in a row.
     pub(crate) fn suspend(&mut self, now: Instant) -> Duration {
         let pause = self.pause;
         self.state = HealthState::Suspended { until: now + pause };
--- a/crates/pool/src/job.rs
+++ b/crates/pool/src/job.rs
@@ -1,4 +1,4 @@
-//! A job that the pool has admitted: which tasks wait, run and are done.
+//! A job that the pool has admitted, with its waiting and completed tasks.
 
 use std::{
     sync::Arc,
@@ -9,81 +9,81 @@
 
 use crate::{action::WaiterId, kept::KeptJobState};
 
-/// A task that waits for a place.
+/// A task that waits to be placed on a worker.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct WaitingTask {
     pub(crate) index: u32,
-    /// How often it failed.
+    /// How many times the task has failed.
     pub(crate) failures: u32,
-    /// The workers on which it failed; another is tried first.
+    /// The workers on which the task failed. Others are preferred.
     pub(crate) failed_on: Vec<LifeId>,
 }
 
-/// How far one step is.
+/// The progress of one step.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct StepProgress {
-    /// Tasks that wait, once the steps before are done.
+    /// The tasks that wait to be placed once the step is ready.
     pub(crate) waiting: Vec<WaitingTask>,
-    /// Tasks that are done.
+    /// The number of completed tasks.
     pub(crate) done: u32,
-    /// Whether the steps before are done.
+    /// Whether all steps that have to come before are complete, so that tasks may be placed.
     pub(crate) ready: bool,
 }
 
-/// A job in the pool.
+/// A job as the pool tracks it.
 #[derive(Clone, Debug)]
 pub(crate) struct TrackedJob {
     pub(crate) request: Arc<JobRequest>,
     pub(crate) terms: JobTerms,
-    /// When the customer's request came.
+    /// When the customer's request arrived.
     pub(crate) arrived: Instant,
     /// When the customer stops waiting.
     pub(crate) deadline: Instant,
-    /// How long the job may take to be in time.
+    /// The time after `arrived` within which the job has to end to be in time.
     pub(crate) objective: Duration,
     pub(crate) waiters: Vec<WaiterId>,
     pub(crate) steps: Vec<StepProgress>,
-    /// Whether a start was ever ordered. From then on it is never said that the job has not run.
+    /// Whether a start of any task was ever ordered. From then on the job is never reported as not run.
     pub(crate) start_ordered: bool,
-    /// What of it is stored, if it is kept.
+    /// What is stored of the job, if it is a kept job.
     pub(crate) kept: Option<KeptJobState>,
 }
 
 impl TrackedJob {
-    /// Whether it is a kept job that is stored.
+    /// Whether the job is a kept job whose row is in the store.
     pub(crate) fn is_stored(&self) -> bool {
         self.kept
             .as_ref()
             .is_some_and(|kept| kept.version.is_some())
     }
 
-    /// Whether a task of a kept job neither waits nor is done.
+    /// Whether a task of a kept job neither waits nor is completed.
     pub(crate) fn is_unaccounted(&self, step: usize, index: u32) -> bool {
         let records = self.kept.as_ref().and_then(|kept| kept.progress.get(step));
         let done = records.is_some_and(|record| record.done.contains(&index));
         let waiting = self.steps.get(step).map(|step| step.waiting.iter());
-        let waits = waiting
+        let is_waiting = waiting
             .into_iter()
             .flatten()
             .any(|task| task.index == index);
-        !done && !waits
+        !done && !is_waiting
     }
 
-    /// Whether a task waits that may be placed now.
+    /// Whether a task waits and may be placed now.
     pub(crate) fn is_placeable(&self, step: usize, index: u32) -> bool {
         let step = self.steps.get(step).filter(|step| step.ready);
         step.is_some_and(|step| step.waiting.iter().any(|task| task.index == index))
     }
 
-    /// A task that has a run does not wait.
+    /// Removes a task from the waiting ones, since it has a run.
     pub(crate) fn remove_waiting(&mut self, step: usize, index: u32) {
         if let Some(progress) = self.steps.get_mut(step) {
             progress.waiting.retain(|task| task.index != index);
         }
     }
 
-    /// Counts the tasks of a kept job that are done by its record, where each counts once: one may be done by a run of this
-    /// owner and known to be done by what a former one stored.
+    /// Recounts the completed tasks of a kept job from its record, where each task counts once: a task may be completed both by a
+    /// run of this owner and according to what a former owner stored.
     pub(crate) fn recount_done(&mut self) {
         let records = self.kept.as_ref().map(|kept| kept.progress.iter());
         for (step, record) in self.steps.iter_mut().zip(records.into_iter().flatten()) {
@@ -91,14 +91,14 @@
         }
     }
 
-    /// Whether it is a kept job that has ended, and its end is being stored.
+    /// Whether the job is a kept job that has ended and whose end is being stored.
     pub(crate) fn has_ended(&self) -> bool {
         self.kept
             .as_ref()
             .is_some_and(|kept| kept.final_state.is_some())
     }
 
-    /// Takes what the store has of a step: tasks that are done wait no more.
+    /// Applies the stored record of a step: completed tasks no longer wait, and stored failures count.
     pub(crate) fn apply_record(&mut self, step: usize, record: &StepRecord) {
         let Some(progress) = self.steps.get_mut(step) else {
             return;
@@ -113,7 +113,7 @@
         self.start_ordered |= !record.done.is_empty();
     }
 
-    /// Opens steps whose predecessors are done.
+    /// Updates which steps are ready, which are those whose predecessors are complete.
     pub(crate) fn update_ready_steps(&mut self) {
         for step in 0..self.steps.len() {
             let after = &self.request.steps[step].after;
@@ -122,12 +122,12 @@
         }
     }
 
-    /// Whether all tasks of all steps are done.
+    /// Whether all tasks of all steps are completed.
     pub(crate) fn is_complete(&self) -> bool {
         (0..self.steps.len()).all(|step| self.is_done(step))
     }
 
-    /// Whether all tasks of a step are done.
+    /// Whether all tasks of a step are completed.
     pub(crate) fn is_done(&self, step: usize) -> bool {
         match (self.steps.get(step), self.request.steps.get(step)) {
             (Some(progress), Some(spec)) => progress.done >= spec.count,
@@ -143,7 +143,7 @@
             .map(|(step, _)| (step, &self.request.steps[step]))
     }
 
-    /// The least processor room that any task needs which may be placed now.
+    /// The smallest CPU demand of the tasks that may be placed now.
     pub(crate) fn min_placeable_cpu(&self) -> CpuMillis {
         let waiting = self.placeable_steps().map(|(_, spec)| spec.demand.cpu);
         waiting.min().unwrap_or_default()
@@ -158,7 +158,7 @@
             .sum()
     }
 
-    /// Whether any task has no place yet, also of steps that wait for earlier ones.
+    /// Whether any task waits to be placed, including those of steps that are not ready.
     pub(crate) fn has_unplaced(&self) -> bool {
         self.steps.iter().any(|step| !step.waiting.is_empty())
     }
--- a/crates/pool/src/placement.rs
+++ b/crates/pool/src/placement.rs
@@ -1,8 +1,8 @@
-//! On which worker a task runs.
+//! Chooses the worker on which a task runs.
 //!
-//! Load it is made for: workers of unequal speed and size, some of which have turned slow, at loads at which most
-//! places are taken. Harm prevented: a short task on a worker that is several times slower is late for certain, and
-//! since a job ends with its last task, one such worker among sixteen makes most wide jobs late.
+//! It is made for workers of unequal speed and size, some of which have turned slow, at loads that take up most of the room. A
+//! short task on a worker that is several times slower is certain to be late. Since a job ends with its last task, one such
+//! worker among sixteen makes most wide jobs late.
 
 use std::time::{Duration, Instant};
 
@@ -10,52 +10,52 @@
 
 use crate::worker::TrackedWorker;
 
-/// From this many times the median slowness of its pool on a worker is used only by one run at a time, to see whether it
-/// has recovered. Sound workers differ by 1.6 from slowest to fastest; estimates add as much again for single jobs, which
-/// the mean evens out. Against the pool, since estimates that are far too low make all workers look slow at once.
+/// A worker above this multiple of its pool's median slowness gets only one run at a time, to see whether it has recovered.
+/// Healthy workers differ by a factor of 1.6 from slowest to fastest. Estimates add as much again for single jobs, which the
+/// mean evens out. The bound is relative to the pool because estimates that are far too low make all workers look slow at once.
 const SLUGGISH_FACTOR: f64 = 2.2;
 
-/// How long a sluggish worker is left alone between two such runs.
+/// The pause between two such runs on a sluggish worker.
 const SLUGGISH_TRIAL_PAUSE: Duration = Duration::from_millis(700);
 
-/// What is to be placed.
+/// A task to place.
 pub(crate) struct PlacementRequest<'a> {
     pub(crate) job: JobId,
     pub(crate) step: u32,
     pub(crate) spec: &'a StepSpec,
     pub(crate) service: &'a jobs::ServiceId,
-    /// Workers on which it failed before.
+    /// The workers on which the task failed before.
     pub(crate) failed_on: &'a [LifeId],
-    /// How many times as long it takes away from its data.
+    /// The factor by which the task takes longer outside the rack of its data.
     pub(crate) far_factor: f64,
     /// The median slowness of the pool's workers.
     pub(crate) median_slowness: f64,
-    /// Whether nothing may run beside it: workers died under it.
+    /// Whether no other run may share the worker, because workers died under the task.
     pub(crate) exclusive: bool,
-    /// Workers that are being emptied for such tasks.
+    /// Workers that are being emptied for exclusive tasks.
     pub(crate) reserved: &'a [LifeId],
 }
 
-/// Whether a worker can ever hold the task.
-pub(crate) fn can_hold(worker: &TrackedWorker, ask: &PlacementRequest<'_>) -> bool {
-    let label = ask.spec.required_label.as_ref();
-    worker.record.service == *ask.service
-        && worker.record.room.holds(&ask.spec.demand)
+/// Whether the worker could hold the task if it were empty.
+pub(crate) fn can_hold(worker: &TrackedWorker, request: &PlacementRequest<'_>) -> bool {
+    let label = request.spec.required_label.as_ref();
+    worker.record.service == *request.service
+        && worker.record.room.holds(&request.spec.demand)
         && label.is_none_or(|label| worker.record.labels.contains(label))
 }
 
-/// The best worker for a task, if one is free.
+/// The best worker for a task. None if no worker may take it now.
 pub(crate) fn choose_worker<'a>(
     workers: impl Iterator<Item = &'a TrackedWorker>,
-    ask: &PlacementRequest<'_>,
+    request: &PlacementRequest<'_>,
     now: Instant,
 ) -> Option<&'a TrackedWorker> {
     let mut best: Option<(PlacementScore, &TrackedWorker)> = None;
     for worker in workers {
-        if !may_place(worker, ask, now) {
+        if !may_place(worker, request, now) {
             continue;
         }
-        let score = PlacementScore::of(worker, ask);
+        let score = PlacementScore::of(worker, request);
         if best
             .as_ref()
             .is_none_or(|(best, _)| score.is_better_than(best))
@@ -66,62 +66,66 @@
     best.map(|(_, worker)| worker)
 }
 
-/// Whether a worker is so slow that nothing is expected of it.
+/// Whether a worker is too slow to count as usable.
 pub(crate) fn is_sluggish(worker: &TrackedWorker, median: f64) -> bool {
     worker.slowness > SLUGGISH_FACTOR * median
 }
 
-fn may_place(worker: &TrackedWorker, ask: &PlacementRequest<'_>, now: Instant) -> bool {
-    if !can_hold(worker, ask) || !worker.accepts_runs() {
+fn may_place(worker: &TrackedWorker, request: &PlacementRequest<'_>, now: Instant) -> bool {
+    if !can_hold(worker, request) || !worker.accepts_runs() {
         return false;
     }
     if !worker.health.allows_run(now, worker.runs.len()) {
         return false;
     }
-    if is_sluggish(worker, ask.median_slowness)
+    if is_sluggish(worker, request.median_slowness)
         && (!worker.runs.is_empty() || now < worker.last_end_time + SLUGGISH_TRIAL_PAUSE)
     {
         return false;
     }
-    if !worker.free_room().holds(&ask.spec.demand) {
+    if !worker.free_room().holds(&request.spec.demand) {
         return false;
     }
-    let shares = match ask.exclusive {
+    let fits_beside = match request.exclusive {
         true => worker.runs.is_empty(),
         false => {
-            !ask.reserved.contains(&worker.record.life)
+            !request.reserved.contains(&worker.record.life)
                 && !worker.runs.iter().any(|run| run.exclusive)
         }
     };
-    if !shares {
+    if !fits_beside {
         return false;
     }
     let beside = worker.runs.iter();
-    let beside = beside.filter(|run| run.task.job == ask.job && run.task.step == ask.step);
+    let beside = beside.filter(|run| run.task.job == request.job && run.task.step == request.step);
     let beside = u32::try_from(beside.count()).unwrap_or(u32::MAX);
-    ask.spec.most_per_worker.is_none_or(|most| beside < most)
+    request
+        .spec
+        .most_per_worker
+        .is_none_or(|most| beside < most)
 }
 
-/// Lower is better.
+/// Ranks workers for a task. Lower is better.
 struct PlacementScore {
     failed_there: bool,
     slowness: f64,
     leftover_cpu: u64,
 }
 
-/// Speeds this near count as equal, so that the fit decides: a place that is left too small serves nobody.
+/// Slowness values this close count as equal, so that the tighter fit decides: leftover room that is too small for any task is
+/// wasted.
 const EQUAL_SLOWNESS_MARGIN: f64 = 0.08;
 
 impl PlacementScore {
-    fn of(worker: &TrackedWorker, ask: &PlacementRequest<'_>) -> Self {
-        let far = match &ask.spec.data_rack {
-            Some(rack) if !worker.record.labels.contains(rack) => ask.far_factor,
+    fn of(worker: &TrackedWorker, request: &PlacementRequest<'_>) -> Self {
+        let far = match &request.spec.data_rack {
+            Some(rack) if !worker.record.labels.contains(rack) => request.far_factor,
             _ => 1.0,
         };
         Self {
-            failed_there: ask.failed_on.contains(&worker.record.life),
+            failed_there: request.failed_on.contains(&worker.record.life),
             slowness: worker.slowness * far,
-            leftover_cpu: worker.free_room().minus(&ask.spec.demand).cpu.0,
+            leftover_cpu: worker.free_room().minus(&request.spec.demand).cpu.0,
         }
     }
 
--- a/crates/pool/src/pool_choice.rs
+++ b/crates/pool/src/pool_choice.rs
@@ -1,30 +1,30 @@
-//! Which pools an entry asks for a job, and in which order.
+//! The order in which an entry asks pools to take a job, and the division of a job among pools.
 //!
-//! Load it is made for: many entries that hear of a pool's free room only a few times a second. Harm prevented: if all
-//! send to the pool that had most room when they last heard, it is flooded until they hear again, while others stand
-//! idle. Each takes the better of two drawn by chance, and counts what it has itself sent since. Pools of other data
-//! centres come last: their bytes are paid for and their workers are farther away.
+//! Many entries learn of a pool's free room only a few times a second. If all of them sent to the pool that last reported the
+//! most room, it would be flooded until the next report while other pools are idle. Each entry therefore takes the better of
+//! two pools drawn at random, and counts what it has itself sent since the report. Pools of other data centres come last,
+//! since traffic to them is charged and their workers are farther away.
 
 use fastrand::Rng;
 use jobs::StepSpec;
 
 use crate::admission::PoolLoad;
 
-/// A pool that could be asked.
+/// A pool that an entry could ask.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PoolCandidate {
-    /// Whether it is in the entry's data centre.
+    /// Whether the pool is in the entry's data centre.
     pub same_data_centre: bool,
-    /// Whether the entry's own process owns it.
+    /// Whether the entry's own process owns the pool.
     pub same_process: bool,
-    /// What its owner last published.
+    /// The load that its owner last published.
     pub load: PoolLoad,
-    /// What this entry has sent there since, in thousandths of a core.
+    /// The demand that this entry has sent to the pool since, in thousandths of a core.
     pub sent_cpu: u64,
 }
 
 impl PoolCandidate {
-    /// The candidate as it would be known if its owner published nothing.
+    /// The candidate as it would be if its owner had published nothing.
     pub fn without_load(&self) -> Self {
         Self {
             same_data_centre: self.same_data_centre,
@@ -33,7 +33,8 @@
         }
     }
 
-    /// The room that is expected to be free, less what waits. Lower than zero where more waits than is free.
+    /// The room expected to be free minus the waiting work, in thousandths of a core. Negative where more work waits than room is
+    /// free.
     pub fn expected_room(&self) -> i64 {
         let waiting = self.load.backlog.as_secs_f64() * self.load.capacity as f64;
         // The cast saturates.
@@ -44,10 +45,11 @@
     }
 }
 
-/// The places of the candidates in the order in which they are asked for a job that needs so many thousandths of a core.
+/// Returns the indices of the candidates in the order in which they are asked for a job that needs `demand` thousandths of a
+/// core.
 ///
-/// A pool of the entry's own process comes first if it has the room: what it publishes is exact, and the job's bytes stay
-/// off the links.
+/// A pool of the entry's own process comes first if it has the room: its published load is exact, and the job's bytes need not
+/// cross a link.
 pub fn order_pools(candidates: &[PoolCandidate], demand: u64, rng: &mut Rng) -> Vec<usize> {
     let mut order: Vec<usize> = (0..candidates.len()).collect();
     order.sort_by_key(|place| {
@@ -70,7 +72,8 @@
         .iter()
         .filter(|candidate| candidate.same_data_centre)
         .count();
-    // Without a near one the far ones are drawn from: all entries of an evacuated data centre would flood the same pool.
+    // Without a pool in this data centre, two of the others are drawn: otherwise all entries of an evacuated data centre would
+    // flood the same pool.
     let drawn = if near > 0 { near } else { order.len() };
     if drawn < 2 {
         return order;
@@ -78,17 +81,17 @@
     let first = rng.usize(..drawn);
     let second = rng.usize(..drawn - 1);
     let second = second + usize::from(second >= first);
-    // Those before are sorted by room, so the earlier of the two has more.
+    // The drawn range is sorted by room, so the earlier of the two has more.
     let best = order.remove(first.min(second));
     order.insert(0, best);
     order
 }
 
-/// Divides the tasks of a step among pools, as many to each as it could take in time. None if together they cannot take
-/// all; a pool that gets no task has none.
+/// Divides the tasks of a step among pools, giving each at most the number in `fits`, which it could take in time. Returns one
+/// part per pool, which is None for a pool that gets no task, or None if the pools together cannot take all tasks.
 ///
-/// Load it is made for: wide jobs of short tasks, when each pool has places for some of their tasks only. Harm
-/// prevented: they are refused while places stay free that no other job needs at the moment.
+/// Wide jobs of short tasks may find room for only some of their tasks in each pool. Without the division they are refused while
+/// room stays free that no other job needs at the moment.
 pub fn divide_step(step: &StepSpec, fits: &[u32]) -> Option<Vec<Option<StepSpec>>> {
     let mut parts = Vec::new();
     let mut first = step.first;
--- a/crates/pool/src/queue.rs
+++ b/crates/pool/src/queue.rs
@@ -1,8 +1,8 @@
-//! The order in which waiting jobs get free places.
+//! The order in which waiting jobs get free room.
 //!
-//! Load it is made for: a burst on top of lost workers, when places do not suffice for all. Harm prevented: in order
-//! of arrival one short job that waits behind long ones is late, then the next, and soon all are. By the latest start
-//! alone, jobs that have become late wait behind all that still come, with most of their work done and lost.
+//! It is made for a burst on top of lost workers, when there is not enough room for all jobs. In order of arrival, a short job
+//! that waits behind long ones is late, then the next one, and soon all are. In order of the latest start alone, jobs that have
+//! become late wait behind all new ones, and the work already done on them, which may be most of it, is lost.
 
 use std::{
     collections::BTreeMap,
@@ -11,20 +11,20 @@
 
 use jobs::JobId;
 
-/// Which jobs get places before others.
+/// The class of a waiting job. Earlier classes get room first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum QueueClass {
-    /// Late, but begun, and still worth something: little is left to do, and what is done is lost otherwise.
+    /// Late, but begun and still of use: little is left to do, and the completed work would otherwise be lost.
     Begun,
-    /// Its start can still be in time. By the latest start that is.
+    /// Its start can still be in time. Ordered by the latest such start.
     InTime,
-    /// Late and not begun: by priority and arrival.
+    /// Late and not begun. Ordered by priority and arrival.
     Late,
-    /// Begun, and too late to be worth anything but an answer.
+    /// Begun, and so late that its end is of no use any more, except for the answer to the customer.
     Useless,
 }
 
-/// A waiting job's place in the order.
+/// The sort key of a waiting job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueueRank {
     class: QueueClass,
@@ -33,19 +33,19 @@
     job: JobId,
 }
 
-/// What decides a job's place.
+/// A waiting job, with what determines its rank.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct QueueEntry {
     pub(crate) job: JobId,
     pub(crate) priority: u32,
     pub(crate) arrived: Instant,
-    /// Whether any of its tasks was ordered to start.
+    /// Whether a start of any of its tasks was ordered.
     pub(crate) begun: bool,
-    /// The latest start that is still in time.
+    /// The latest start with which the job still ends in time.
     pub(crate) latest_start: Instant,
-    /// Whether jobs whose start can still be in time go by arrival.
+    /// Whether jobs whose start can still be in time are ordered by arrival instead.
     pub(crate) by_arrival: bool,
-    /// When its end is not worth anything any more.
+    /// The time from which the end of the job is of no use.
     pub(crate) useless_from: Instant,
 }
 
@@ -78,7 +78,7 @@
     }
 }
 
-/// Jobs with tasks that wait for a place.
+/// The jobs with tasks that wait to be placed.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct JobQueue {
     ranked: BTreeMap<QueueRank, QueueEntry>,
@@ -86,7 +86,7 @@
 }
 
 impl JobQueue {
-    /// Puts a job in, or moves it to where it belongs now.
+    /// Inserts a job, or moves it to its present rank.
     pub(crate) fn put(&mut self, now: Instant, entry: QueueEntry) {
         self.remove(entry.job);
         let rank = entry.rank(now);
@@ -94,14 +94,14 @@
         self.ranked.insert(rank, entry);
     }
 
-    /// Takes a job out.
+    /// Removes a job.
     pub(crate) fn remove(&mut self, job: JobId) {
         if let Some(rank) = self.ranks.remove(&job) {
             self.ranked.remove(&rank);
         }
     }
 
-    /// Moves jobs whose class has changed by time alone.
+    /// Moves jobs whose class has changed with time.
     pub(crate) fn reclassify(&mut self, now: Instant) {
         let moved = self
             .ranked
@@ -124,7 +124,7 @@
     }
 }
 
-/// The latest start that still ends in time.
+/// The latest start with which a job of this much work still ends in time.
 pub(crate) fn latest_start(arrived: Instant, objective: Duration, work: Duration) -> Instant {
     arrived + objective.saturating_sub(work)
 }
--- a/crates/pool/src/settings.rs
+++ b/crates/pool/src/settings.rs
@@ -7,57 +7,56 @@
 /// Times and limits of a pool.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PoolSettings {
-    /// How long a worker keeps runs going without word from the owner. Below the workers' own maximum of 1 s, so that
-    /// what a dead owner left behind is over before its customer's next attempt; well above three looks.
+    /// The lease of a worker's runs: how long they continue without a renewal by the owner. Below the workers' own maximum of
+    /// 1 s, so that the runs of a dead owner are over before its customer's next attempt. Well above the time of three polls.
     pub lease: Duration,
-    /// How long a look may wait at the worker for an end. Three looks fit into a lease.
+    /// How long a poll may wait at the worker for a run to end. Three polls fit into a lease.
     pub poll_wait: Duration,
-    /// How much longer than its wait a look may take before it counts as unanswered. Round trips within a region take
-    /// under 5 ms; a slowed process of the system takes some tens.
+    /// How much longer than its wait a poll may take before it counts as unanswered. Round trips within a region take under
+    /// 5 ms, and a slowed process of the system takes some tens of milliseconds.
     pub poll_margin: Duration,
-    /// The most that `look_margin` grows to where answers come late on the whole: with its wait a look has to end within
-    /// a lease, which it renews.
+    /// The maximum to which `poll_margin` grows where answers are late in general. A poll, with its wait, has to end within the
+    /// lease that it renews.
     pub max_poll_margin: Duration,
-    /// While answers get lost, a look that has waited for this long gets a second one beside it, since a lost look hides
-    /// all ends of its worker until it is given up, and a wide job of short tasks has a tenth of a second in all for what isn't
-    /// work.
+    /// The delay after which a second poll is sent beside an unanswered one, while answers are being lost. A lost poll hides all
+    /// ended runs of its worker until it is given up, and a wide job of short tasks has a tenth of a second in all for everything
+    /// that is not work.
     pub poll_hedge_delay: Duration,
-    /// How long after an answer was missed answers count as getting lost. Such troubles last seconds, and a look too many
-    /// costs some microseconds.
+    /// How long after a missed answer the pool assumes that answers are being lost. Such faults last seconds, and an unneeded
+    /// poll costs some microseconds.
     pub lost_answer_memory: Duration,
-    /// The least time that a start may go unanswered before it is sent again, some ten round trips; answers that come
-    /// later on the whole lengthen it. Starting twice under one run number is idempotent, so a short limit costs one
-    /// message.
+    /// The minimum time that a start may go unanswered before it is sent again, about ten round trips. It grows where answers are
+    /// late in general. Starting twice under one run number is idempotent, so a limit that is too short costs only a message.
     pub start_resend_delay: Duration,
-    /// The most that the same time grows to: a start that is carried out later is of no use to most jobs.
+    /// The maximum to which `start_resend_delay` grows: a start that is carried out later is of no use to most jobs.
     pub max_start_resend_delay: Duration,
-    /// How long a start or stop may go unanswered before its connection counts as silent. Its answer counts until then:
-    /// closing a connection whose answer is only late costs a new one, on the path that is full already. Longer than a
+    /// How long a start or stop may go unanswered before its connection counts as silent. Its answer is accepted until then:
+    /// closing a connection whose answer is only late costs a new connection on a path that is already full. Longer than a
     /// lease, so that the start can no longer be carried out.
     pub order_answer_timeout: Duration,
-    /// Starts that are sent again, as a share of those sent first, beside a few that are always allowed. One in 18 gets
-    /// lost in the worst times seen; more than that says that the path is full, and copies would only fill it further.
+    /// The maximum number of resent starts as a share of first starts, beside a few that are always allowed. In the worst times
+    /// seen, one in 18 is lost. A higher share means that the path is full, and copies would only fill it further.
     pub max_resend_share: f64,
-    /// Starts of one run that may go unanswered before the run is stopped and the task placed elsewhere.
+    /// The number of starts of one run that may go unanswered before the run is stopped and the task placed elsewhere.
     pub max_unanswered_starts: u32,
-    /// The time between two tries of a worker that does not answer.
+    /// The time between two attempts to reach a worker that does not answer.
     pub retry_delay: Duration,
-    /// Added to a lease's end on a worker's clock before the run counts as over: the clock's drift of 2% over a lease
-    /// and the time to end.
+    /// The margin after a lease's end, on the worker's clock, before the run counts as over. It covers a clock drift of 2% over a
+    /// lease and the time that the run takes to end.
     pub lease_expiry_margin: Duration,
-    /// A job whose predicted end is beyond this many times its objective is refused: work on late jobs makes others late.
+    /// A job is refused if its predicted time exceeds this multiple of its objective: work on late jobs makes others late.
     pub refusal_factor: f64,
-    /// Beyond this many times its objective an answer is worth nothing to its customer.
+    /// The multiple of a job's objective after which its answer is of no use to the customer.
     pub useless_factor: f64,
-    /// The most tasks that wait. At 200 bytes a task this bounds the queue's memory to a few megabytes.
+    /// The maximum number of waiting tasks. At 200 bytes per task this bounds the queue's memory to a few megabytes.
     pub max_queued_tasks: usize,
-    /// The share of a pool's processor room that tasks of mixed sizes fill, for the published backlog.
+    /// The share of a pool's CPU room that tasks of mixed sizes can fill, for the published backlog.
     pub packing_share: f64,
-    /// A run is looked at for a stall once it takes this many times its predicted time.
+    /// A run is checked for a stall once it takes this multiple of its predicted time.
     pub stall_factor: f64,
-    /// Added to `stall_after`, so that short tasks are not stopped for a late look.
+    /// Added to the time from `stall_factor`, so that short tasks are not stopped because of a late poll.
     pub stall_margin: Duration,
-    /// What does not work, for experiments.
+    /// The mechanisms that are switched off, for experiments.
     pub switched_off: SwitchedOff,
 }
 
--- a/crates/pool/src/start_window.rs
+++ b/crates/pool/src/start_window.rs
@@ -1,29 +1,29 @@
-//! How many starts an owner has under way at a time.
+//! The congestion window of an owner: the number of starts it may have in flight.
 //!
-//! Load it is made for: more starts than the owner's link or processor can send. Harm prevented: what is sent all the
-//! same stands in the link's queue, where no deadline counts and nothing can be taken back, and makes looks, stops and
-//! heartbeats late too. So tasks wait in the owner's queue for a place among the starts under way; their number grows
-//! while answers come quickly and shrinks when they come late.
+//! It is made for more starts than the owner's link or CPU can send. Starts that were sent anyway would wait in the link's queue,
+//! where deadlines have no effect and nothing can be withdrawn, and would delay polls, stops and heartbeats too. Tasks therefore
+//! wait in the owner's queue until a start may be sent. The window grows while answers come quickly and shrinks when they are
+//! late.
 
 use std::time::{Duration, Instant};
 
-/// Starts under way at first: a job of the widest class, and some more.
+/// The initial window: one job of the widest class, and some more.
 const INITIAL_WINDOW_STARTS: f64 = 48.0;
 
-/// The fewest: with fewer a job's tasks would go one after another.
+/// The minimum window: with fewer starts the tasks of a job would be sent one after another.
 const MIN_WINDOW_STARTS: f64 = 6.0;
 
-/// The most, beyond what a pool of a few dozen workers has places for.
+/// The maximum window, which is more than a pool of a few dozen workers has room for.
 const MAX_WINDOW_STARTS: f64 = 512.0;
 
-/// By how much it shrinks at once, as in TCP's congestion avoidance with its gentler factor (RFC 9438).
+/// The factor by which the window shrinks, which is the gentler one of TCP congestion control with CUBIC (RFC 9438).
 const SHRINK_FACTOR: f64 = 0.7;
 
-/// The number of starts that may be under way.
+/// The number of starts that may be in flight.
 #[derive(Clone, Debug)]
 pub(crate) struct StartWindow {
     size: f64,
-    /// Until when it does not shrink again: what was sent before the last time still comes late.
+    /// The time until which the window does not shrink again: answers to starts sent before it last shrank are still late.
     no_shrink_until: Option<Instant>,
 }
 
@@ -37,23 +37,24 @@
 }
 
 impl StartWindow {
-    /// How many starts may be under way.
+    /// The maximum number of starts in flight.
     pub(crate) fn size(&self) -> usize {
         // The cast saturates, and the value is bounded.
         self.size as usize
     }
 
-    /// Takes an answer that came after the usual time of `smoothed`, while `under_way` starts were.
+    /// Adjusts the window after an answer, where `smoothed` is the present answer time and `in_flight` the number of starts in
+    /// flight.
     pub(crate) fn on_answer(
         &mut self,
         now: Instant,
-        strained: bool,
+        congested: bool,
         smoothed: Duration,
-        under_way: usize,
+        in_flight: usize,
     ) {
-        if !strained {
-            // A window that is not used says nothing about what the path bears.
-            if under_way as f64 >= self.size / 2.0 {
+        if !congested {
+            // A window that is not used up does not show what the path can carry.
+            if in_flight as f64 >= self.size / 2.0 {
                 self.size = (self.size + 1.0 / self.size).min(MAX_WINDOW_STARTS);
             }
             return;
--- a/crates/pool/src/time_budget.rs
+++ b/crates/pool/src/time_budget.rs
@@ -1,80 +1,80 @@
-//! How long a request has been under way before it came here.
+//! Estimates the age of a request from what is left of its time budget.
 //!
-//! Load it is made for: the return of many processes at once. All customers who were cut off or found nobody come again
-//! beside the usual load, and much of what they ask is too late by then to help them. Harm prevented: a request that comes
-//! again looks like a new one, takes places, and ends after its customer's use for it; new ones are refused meanwhile. On a
-//! fleet of 47 VMs without power for 1.4 s, 981 of 5,200 requests of the four seconds around were answered too late.
+//! It is made for the return of many processes at once. All customers that were disconnected or found no process then retry, in
+//! addition to the usual load, and many of these requests are already too late to be of use. If a retried request is taken for a
+//! new one, it takes up room and ends when its customer has no use for it, while new requests are refused. On a fleet of 47
+//! VMs that lost power for 1.4 s, 981 of 5,200 requests of the four seconds around it were answered too late.
 //!
-//! What is left of a customer's time says how old its request is, if it is known with how much time the requests of its
-//! route come at first. That is learnt, and published with the process's row in the store: a process that has just started
-//! learns it from there.
+//! The remaining time of a request shows its age if the time budget is known with which requests of its route first arrive. Each
+//! process learns these budgets by route and publishes them with its row in the store, from where a process that has just started
+//! takes them over.
 
 use std::{sync::Arc, time::Duration};
 
 use model::FastMap;
 
-/// The share of requests that come with less time than what is learnt.
+/// The share of requests that arrive with less time than the learned budget.
 const LOW_QUANTILE: f64 = 0.01;
 
-/// By how much of itself what is learnt moves with a request, towards either side in the proportion of `LOW_QUANTILE`. A
-/// few seconds of returning requests move it little.
+/// The relative step by which a request moves the learned budget. It is weighted in the proportion of `LOW_QUANTILE` for moves
+/// up and down, so that a few seconds of retried requests change the budget little.
 const ADJUSTMENT_STEP: f64 = 0.02;
 
-/// How much of what is learnt a request must lack before it counts as old: times differ with the work asked for, and a new
-/// request that is taken for an old one is refused for nothing.
+/// A request counts as old only if it has less than this share of the learned budget left. Budgets differ with the work that is
+/// requested, and a new request that is taken for an old one is refused without need.
 const OLD_REQUEST_SHARE: f64 = 0.8;
 
-/// The most routes that are published: the row is written every few seconds.
+/// The maximum number of routes that are published, since the row is written every few seconds.
 const MAX_PUBLISHED_ROUTES: usize = 32;
 
-/// With how much time a route's requests come at first.
+/// The time budget with which requests of a route first arrive.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteBudget {
     /// The route.
     pub route: Arc<str>,
-    /// What nearly all have at least.
+    /// The time that nearly all requests have at least.
     pub budget: Duration,
 }
 
-/// With how much time requests come, by route.
+/// Learns the time budgets of requests, by route.
 #[derive(Clone, Debug, Default)]
 pub struct BudgetTracker {
-    /// In seconds.
+    /// The learned budgets, in seconds: low quantiles of the remaining times.
     low_budgets: FastMap<Arc<str>, f64>,
 }
 
 impl BudgetTracker {
-    /// Takes a request with so much of its customer's time left, and gives how long it has been under way at least.
+    /// Records a request with `left` of its customer's time remaining, and returns its minimum age.
     pub fn record_request(&mut self, route: &Arc<str>, left: Duration) -> Duration {
         let left = left.as_secs_f64();
-        let Some(least) = self.low_budgets.get_mut(route) else {
+        let Some(budget) = self.low_budgets.get_mut(route) else {
             self.low_budgets.insert(route.clone(), left);
             return Duration::ZERO;
         };
-        let age = (*least * OLD_REQUEST_SHARE - left).max(0.0);
-        if left < *least {
-            *least *= 1.0 - ADJUSTMENT_STEP * (1.0 - LOW_QUANTILE);
+        let age = (*budget * OLD_REQUEST_SHARE - left).max(0.0);
+        if left < *budget {
+            *budget *= 1.0 - ADJUSTMENT_STEP * (1.0 - LOW_QUANTILE);
         } else {
-            *least *= 1.0 + ADJUSTMENT_STEP * LOW_QUANTILE;
+            *budget *= 1.0 + ADJUSTMENT_STEP * LOW_QUANTILE;
         }
         Duration::try_from_secs_f64(age).unwrap_or_default()
     }
 
-    /// Takes what another process has learnt, where nothing is known here.
-    pub fn adopt(&mut self, wait: &RouteBudget) {
-        let known = self.low_budgets.entry(wait.route.clone());
-        known.or_insert(wait.budget.as_secs_f64());
+    /// Takes over a budget that another process has learned, unless one is known for the route.
+    pub fn adopt(&mut self, learned: &RouteBudget) {
+        let known = self.low_budgets.entry(learned.route.clone());
+        known.or_insert(learned.budget.as_secs_f64());
     }
 
-    /// What is learnt, to be published.
+    /// The learned budgets to publish, sorted by route.
     pub fn learned_budgets(&self) -> Vec<RouteBudget> {
-        let least = self.low_budgets.iter().map(|(route, least)| RouteBudget {
+        let budgets = self.low_budgets.iter().map(|(route, budget)| RouteBudget {
             route: route.clone(),
-            budget: Duration::try_from_secs_f64(*least).unwrap_or_default(),
+            budget: Duration::try_from_secs_f64(*budget).unwrap_or_default(),
         });
-        let mut usual: Vec<RouteBudget> = least.collect();
-        usual.sort_by(|a, b| a.route.cmp(&b.route));
-        usual.truncate(MAX_PUBLISHED_ROUTES);
-        usual
+        let mut budgets: Vec<RouteBudget> = budgets.collect();
+        budgets.sort_by(|a, b| a.route.cmp(&b.route));
+        budgets.truncate(MAX_PUBLISHED_ROUTES);
+        budgets
     }
 }
