--- a/crates/pool/tests/support/crashing.rs
+++ b/crates/pool/tests/support/crashing.rs
@@ -1,4 +1,4 @@
-//! Tasks that crash whatever worker starts them, and workers that come back.
+//! Simulated tasks that crash their workers, and the return of those workers.
 
 use std::collections::BTreeMap;
 
@@ -7,31 +7,31 @@
 
 use super::{Event, World, ONE_WAY_MS};
 
-/// Starts of a task that may follow the third death under it.
+/// The maximum number of starts of a task after the third death under it.
 const MAX_EXTRA_STARTS: u32 = 2;
 
-/// How a worker that crashed comes back.
+/// How a crashed worker returns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CrashReturn {
-    /// Under its id.
+    /// Under the same id.
     SameId,
-    /// Under a new one, at its address.
+    /// Under a new id, at the same address.
     NewId,
 }
 
-/// What crashes workers, and what came of it.
+/// The tasks that crash workers, and the resulting crashes.
 pub(crate) struct CrashPlan {
-    /// The jobs whose first task crashes its worker, and how much of its work it does before.
+    /// The jobs whose first task crashes its worker, with the share of the work that it does before.
     pub(crate) jobs: BTreeMap<JobId, f64>,
     pub(crate) return_kind: CrashReturn,
-    /// How long a worker is away, in milliseconds.
+    /// How long a crashed worker is away, in milliseconds.
     pub(crate) away_ms: u64,
-    /// Workers that are away, and until when.
+    /// The workers that are away, and until when.
     down: BTreeMap<LifeId, u64>,
-    /// Deaths under each task that crashes workers.
+    /// The number of deaths under each task that crashes workers.
     pub(crate) deaths: BTreeMap<TaskId, u32>,
     extra_starts: BTreeMap<TaskId, u32>,
-    /// What the pool noted of crashes.
+    /// The pool's notes about crashes.
     pub(crate) notes: Vec<PoolNote>,
 }
 
@@ -50,12 +50,12 @@
 }
 
 impl World {
-    /// The job's first task crashes its workers once it has done this share of its work.
+    /// Makes the job's first task crash its workers once it has done this share of its work.
     pub(crate) fn make_crashing(&mut self, job: JobId, share: f64) {
         self.crashes.jobs.insert(job, share);
     }
 
-    /// A worker crashes: what runs there is gone, its connections break, and it is away for a while.
+    /// Crashes a worker: its runs are lost, its connections break, and it is away for a while.
     pub(crate) fn crash(&mut self, life: &LifeId) {
         let until = self.now + self.crashes.away_ms;
         let Some(worker) = self.workers.get_mut(life) else {
@@ -71,7 +71,7 @@
         self.crashes.down.insert(life.clone(), until);
     }
 
-    /// Lets tasks crash their workers, and workers come back.
+    /// Lets tasks crash their workers, and returns workers whose time away is over.
     pub(super) fn step_crashes(&mut self) {
         let mut dying = Vec::new();
         for (life, worker) in &self.workers {
@@ -111,7 +111,7 @@
         self.add_worker(record, former.speed);
     }
 
-    /// Counts the starts of tasks that have crashed three workers.
+    /// Checks that a task that has crashed three workers is hardly ever started again.
     pub(super) fn check_starts_after_crashes(&mut self, task: TaskId) {
         if self
             .crashes
@@ -121,8 +121,11 @@
         {
             return;
         }
-        let beyond = self.crashes.extra_starts.entry(task).or_default();
-        *beyond += 1;
-        assert!(*beyond <= MAX_EXTRA_STARTS, "{task} crashes on and on");
+        let extra_starts = self.crashes.extra_starts.entry(task).or_default();
+        *extra_starts += 1;
+        assert!(
+            *extra_starts <= MAX_EXTRA_STARTS,
+            "{task} is started after three crashes"
+        );
     }
 }
--- a/crates/pool/tests/support/mod.rs
+++ b/crates/pool/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A pool among simulated workers, in simulated time: messages travel, runs take time, faults happen, and the promises
-//! are checked at every step.
+//! A pool with simulated workers in simulated time. Messages take time to arrive, runs take time and faults happen; the
+//! invariants are checked at every millisecond.
 
 #![allow(dead_code, reason = "not every test file uses all of it")]
 
@@ -34,7 +34,7 @@
 /// The longest lease that a worker grants, in milliseconds.
 const MAX_LEASE_MS: u64 = 1_000;
 
-/// One way between the owner and a worker, in milliseconds.
+/// The one-way latency between the owner and a worker, in milliseconds.
 const ONE_WAY_MS: u64 = 1;
 
 pub(crate) const SERVICE: &str = "svc";
@@ -42,10 +42,10 @@
 /// How long the store takes for a transaction, in milliseconds.
 const STORE_TRANSACTION_MS: u64 = 12;
 
-/// The time between two signs of the store, in milliseconds.
+/// The time between two contacts with the store, in milliseconds.
 const CONTACT_INTERVAL_MS: u64 = 300;
 
-/// Identifies a call: at most one answer to it counts.
+/// Identifies a call. At most one answer to a call counts.
 type CallNumber = u64;
 
 enum Event {
@@ -90,7 +90,7 @@
     cpu: u64,
 }
 
-/// The pool and its workers.
+/// A pool and its simulated workers.
 pub(crate) struct World {
     pub(crate) pool: WorkerPool,
     pub(crate) workers: BTreeMap<LifeId, SimulatedWorker>,
@@ -98,42 +98,42 @@
     pub(crate) now: u64,
     pub(crate) results: Vec<JobResult>,
     open: BTreeMap<JobId, OpenJob>,
-    /// Work of every job ever handed in: a late start needs it after its job has ended.
+    /// The work of every job ever submitted. A delayed start needs it after its job has ended.
     known: BTreeMap<JobId, (Vec<Vec<f64>>, u64)>,
     origin: Instant,
     messages: BinaryHeap<Message>,
     serial: u64,
     fence: u64,
-    /// How many steps each job of the traffic has.
+    /// The number of steps in each job of the traffic.
     pub(crate) steps: usize,
-    /// The rows of kept jobs and their versions, as a store has them.
+    /// The rows of kept jobs and their versions in the simulated store.
     pub(crate) rows: BTreeMap<JobId, (KeptRow, u64)>,
     /// Whether the store answers.
     pub(crate) store_up: bool,
-    /// Whether the store shows that the claim stands.
+    /// Whether the store confirms the owner's claim.
     pub(crate) claim_confirmable: bool,
-    /// Whether jobs that are handed in are kept.
+    /// Whether submitted jobs are kept jobs.
     pub(crate) submits_kept: bool,
     waiting_rows: Vec<KeptWrite>,
-    /// The owner's link.
+    /// The owner's link, in the direction of the workers.
     uplink: SimulatedLink,
     downlink: SimulatedLink,
-    /// Calls that have no answer yet.
+    /// Calls without an answer, and the fencing token under which they were sent.
     open_calls: BTreeMap<CallNumber, FenceToken>,
-    /// Tasks of which an end as done was acknowledged.
+    /// Tasks of which a completed run was acknowledged.
     acknowledged_done: BTreeSet<TaskId>,
-    /// Whether no start of them may follow, as for kept jobs while no lease lapses.
+    /// Whether a task must not start again after that, which holds for kept jobs while no lease expires.
     pub(crate) done_is_final: bool,
-    /// Starts that were sent.
+    /// The number of starts that were sent.
     pub(crate) starts_sent: u64,
-    /// How long jobs that are handed in have been under way, in milliseconds.
+    /// The age of jobs when they are submitted, in milliseconds.
     pub(crate) waited: u64,
     evacuated: bool,
     pub(crate) released: bool,
     pub(crate) crashes: CrashPlan,
-    /// Whether a worker's room has changed just now, and starts may be on their way.
+    /// Whether a worker's room has just changed, so that starts in transit may exceed it.
     resize_in_flight: bool,
-    /// How long a worker takes to start again, in milliseconds.
+    /// How long a worker takes to restart, in milliseconds.
     pub(crate) restart_time: u64,
 }
 
@@ -147,7 +147,7 @@
     pub(crate) priority: u32,
 }
 
-/// The three kinds of the Trust, for a third of its traffic.
+/// The Trust's three kinds of jobs, with a third of its traffic.
 pub(crate) const KINDS: [JobKind; 3] = [
     JobKind {
         name: "lessonhold",
@@ -190,12 +190,12 @@
 }
 
 impl World {
-    /// A pool of workers as the Trust has in one data centre.
+    /// A pool of workers like the Trust's in one data centre.
     pub(crate) fn new(seed: u64, workers: usize) -> Self {
         Self::with_settings(seed, workers, PoolSettings::default())
     }
 
-    /// The same with other settings.
+    /// As [`Self::new`], with other settings.
     pub(crate) fn with_settings(seed: u64, workers: usize, settings: PoolSettings) -> Self {
         let origin = Instant::now();
         let start = PoolStart {
@@ -267,7 +267,7 @@
         self.execute_actions();
     }
 
-    /// Gives the owner's link a rate each way, in bytes a second.
+    /// Limits the rate of the owner's link in each direction, in bytes per second.
     pub(crate) fn limit_link_rate(&mut self, rate: f64) {
         self.uplink.bytes_per_ms = Some(rate / 1_000.0);
         self.downlink.bytes_per_ms = Some(rate / 1_000.0);
@@ -277,7 +277,7 @@
         self.origin + Duration::from_millis(self.now)
     }
 
-    /// Another owner takes the pool under a higher fence and knows nothing of its jobs; the old one is gone.
+    /// Replaces the owner with a new one under a higher fencing token, which knows none of the pool's jobs.
     pub(crate) fn change_owner(&mut self) {
         self.replace_owner();
         let at = self.instant();
@@ -302,7 +302,7 @@
         self.execute_actions();
     }
 
-    /// Hands a job in.
+    /// Submits a random job of a kind.
     pub(crate) fn submit(&mut self, kind: usize, id: JobId) {
         let plan = KINDS[kind];
         let steps = self.steps;
@@ -332,7 +332,7 @@
         self.submit_steps(kind, id, vec![works], estimate, cpu);
     }
 
-    /// How many of so many tasks of one job the pool offers to take now.
+    /// The number of tasks, out of `count` in one job, that the pool offers to take now.
     pub(crate) fn offer(&mut self, count: u32, work_ms: u64, cpu: u64) -> u32 {
         let step = StepSpec {
             count,
@@ -366,7 +366,7 @@
         self.pool.offer(at, &request, &terms)
     }
 
-    /// Hands in a job whose steps come one after another.
+    /// Submits a job whose steps run one after another.
     pub(crate) fn submit_steps(
         &mut self,
         kind: usize,
@@ -411,15 +411,15 @@
             waited: Duration::from_millis(self.waited),
             firm: false,
         };
-        let came = self.now;
-        // A customer that hands a job in again has it run again.
+        let arrived = self.now;
+        // A job that its customer submits again runs again.
         self.acknowledged_done.retain(|task| task.job != id);
         self.known.insert(id, (steps.clone(), cpu));
         self.open.insert(
             id,
             OpenJob {
                 kind,
-                arrived: came,
+                arrived,
                 objective,
                 steps,
                 cpu,
@@ -431,7 +431,7 @@
         self.execute_actions();
     }
 
-    /// Lets time pass.
+    /// Advances the simulated time.
     pub(crate) fn run_for(&mut self, millis: u64) {
         for _ in 0..millis {
             self.now += 1;
@@ -452,7 +452,7 @@
         }
     }
 
-    /// Traffic of the three kinds, `factor` times the usual.
+    /// Generates traffic of the three kinds, each at `factor` times its usual rate.
     pub(crate) fn traffic(&mut self, millis: u64, factor: [f64; 3]) {
         for _ in 0..millis {
             for (kind, plan) in KINDS.iter().enumerate() {
@@ -465,14 +465,14 @@
         }
     }
 
-    /// A worker on which the job runs.
+    /// A worker on which a task of the job runs.
     pub(crate) fn worker_running(&self, job: JobId) -> LifeId {
         let mut workers = self.workers.iter();
         let found = workers.find(|(_, worker)| worker.runs.iter().any(|run| run.task.job == job));
         found.map(|(life, _)| life.clone()).unwrap()
     }
 
-    /// A worker says of itself that it has another room, and the directory tells it.
+    /// Changes a worker's room, and publishes it in the directory.
     pub(crate) fn resize(&mut self, life: &LifeId, cpu: u64) {
         let worker = self.workers.get_mut(life).unwrap();
         worker.record.room.cpu = CpuMillis(cpu);
@@ -484,7 +484,7 @@
         self.resize_in_flight = false;
     }
 
-    /// All workers say of themselves when their lives began.
+    /// Makes all workers publish when their lives began.
     pub(crate) fn publish_births(&mut self) {
         let mut named = Vec::new();
         for worker in self.workers.values_mut() {
@@ -495,13 +495,13 @@
         self.put_records(named);
     }
 
-    /// A worker dies and starts again under its id. Its clock may be ahead of the former one or behind. Looks that wait there
-    /// break; the directory does not tell yet.
+    /// Restarts a worker under the same id. Its clock may be ahead of the former one or behind. Polls that wait there fail, and
+    /// the directory does not show the new life yet.
     pub(crate) fn restart_worker(&mut self, life: &LifeId) {
         let (born, clock_offset) = (self.rng.u64(1_000..9_000_000), self.rng.u64(0..900_000));
         let worker = self.workers.get_mut(life).unwrap();
         let broken = std::mem::take(&mut worker.waiting_polls);
-        worker.start_again(born, clock_offset);
+        worker.restart(born, clock_offset);
         worker.first_call = self.serial + 1;
         worker.starting_until = self.now + self.restart_time;
         for (call, order, sent, _) in broken {
@@ -510,7 +510,7 @@
         }
     }
 
-    /// The directory tells what workers say of themselves.
+    /// Publishes the present records of all workers in the directory.
     pub(crate) fn publish_records(&mut self) {
         let records = self.workers.values().map(|worker| worker.record.clone());
         let records = records.collect();
@@ -525,14 +525,14 @@
         self.execute_actions();
     }
 
-    /// Another owner takes one worker under a higher fence, and stops what runs there.
+    /// Another owner takes one worker under a higher fencing token and stops its runs.
     pub(crate) fn take_worker(&mut self, life: &LifeId) {
         let worker = self.workers.get_mut(life).unwrap();
         worker.fence += 1;
         worker.runs.clear();
     }
 
-    /// A customer's connection breaks: nobody waits for its job any more.
+    /// Breaks a customer's connection, so that no call waits for its job any more.
     pub(crate) fn disconnect_customer(&mut self, id: JobId) {
         let at = self.instant();
         self.pool.cancel(at, id, WaiterId(id.0));
@@ -540,7 +540,7 @@
         self.execute_actions();
     }
 
-    /// The pool's data centre is evacuated, or taken back.
+    /// Begins or ends the evacuation of the pool's data centre.
     pub(crate) fn set_evacuated(&mut self, evacuated: bool) {
         let at = self.instant();
         self.evacuated = evacuated;
@@ -553,7 +553,7 @@
         self.open.keys().copied().collect()
     }
 
-    /// The store is back: it takes what waits.
+    /// Makes the store available again, which then handles the waiting writes.
     pub(crate) fn restore_store(&mut self) {
         self.store_up = true;
         for order in std::mem::take(&mut self.waiting_rows) {
@@ -561,12 +561,12 @@
         }
     }
 
-    /// The writes that wait while the store is away.
+    /// The writes that wait while the store is unavailable.
     pub(crate) fn waiting_writes(&self) -> Vec<KeptWrite> {
         self.waiting_rows.clone()
     }
 
-    /// One write takes effect and is answered.
+    /// Lets one write take effect, and answers it.
     pub(crate) fn complete_write(&mut self, order: &KeptWrite) {
         self.serial += 1;
         self.rows
@@ -622,7 +622,7 @@
         self.pool.on_kept(at, &order, answer);
     }
 
-    /// Hands a job in again, as its customer does that got no answer.
+    /// Submits a job again, as a customer does that got no answer.
     pub(crate) fn submit_again(&mut self, id: JobId) {
         let (steps, cpu) = self.known[&id].clone();
         self.submit_steps(2, id, steps, 200.0, cpu);
@@ -697,7 +697,7 @@
         self.schedule(limit, Event::PollAnswer(call, order, sent, none));
     }
 
-    /// Sends an answer of a worker on its way.
+    /// Sends a worker's answer over the link.
     fn send_answer(&mut self, bytes: u64, event: Event) {
         let delay = self.downlink.send(self.now, bytes) + ONE_WAY_MS;
         self.schedule(delay, event);
@@ -709,7 +709,7 @@
         };
         let OpenJob {
             kind,
-            arrived: came,
+            arrived,
             objective,
             ..
         } = job;
@@ -717,7 +717,7 @@
         self.results.push(JobResult {
             id,
             kind,
-            arrived: came,
+            arrived,
             ended,
             outcome,
             objective,
@@ -781,7 +781,7 @@
         }
     }
 
-    /// Whether an answer gets lost, and after how long the caller gives up then.
+    /// Whether the next answer of a worker is lost.
     fn loses_answer(&mut self, life: &LifeId) -> bool {
         let Some(worker) = self.workers.get(life) else {
             return true;
@@ -802,7 +802,7 @@
             return;
         }
         if self.rng.f64() < fault.late_starts {
-            // A copy that is carried out late answers nobody: its answer is that to a call of nobody.
+            // The delayed start is marked by its text, so that its answer is not sent.
             let late = self.rng.u64(2_000..12_000);
             let text = Arc::from("late");
             self.schedule(late, Event::Start(call, StartOrder { text, ..order }));
@@ -835,11 +835,11 @@
         if worker.runs.iter().any(there) {
             return StartAnswer::Started(clock);
         }
-        let outrun = worker
+        let superseded = worker
             .ends
             .iter()
             .any(|e| e.task == Some(order.task) && e.run >= order.run);
-        if outrun {
+        if superseded {
             return StartAnswer::Superseded(clock);
         }
         if order.lease_end <= clock {
@@ -860,7 +860,7 @@
         let is_late = &*order.text == "late";
         assert!(
             is_late || self.resize_in_flight || used + cpu <= worker.record.room.cpu.0,
-            "{} goes beyond the room of {} at {now} ms",
+            "{} exceeds the room of {} at {now} ms",
             order.task,
             order.life
         );
@@ -918,12 +918,12 @@
         }
         worker.fence = order.fence.0;
         worker.acknowledged_end = worker.acknowledged_end.max(order.acknowledged_end);
-        let noted = worker
+        let done_ends = worker
             .ends
             .iter()
             .filter(|end| end.number <= order.acknowledged_end && end.cause == EndCause::Done);
         self.acknowledged_done
-            .extend(noted.filter_map(|end| end.task));
+            .extend(done_ends.filter_map(|end| end.task));
         let clock = now + worker.clock_offset;
         if let Some(lease_end) = order.lease_end {
             worker.lease_end = worker.lease_end.max(lease_end.0.min(clock + MAX_LEASE_MS));
@@ -937,19 +937,19 @@
         for life in lives {
             let worker = self.workers.get_mut(&life).unwrap();
             worker.advance_runs(now);
-            for look in std::mem::take(&mut worker.waiting_polls) {
-                self.answer_poll(&life, look);
+            for poll in std::mem::take(&mut worker.waiting_polls) {
+                self.answer_poll(&life, poll);
             }
         }
     }
 
-    fn answer_poll(&mut self, life: &LifeId, look: (CallNumber, PollOrder, u64, u64)) {
-        let (call, order, sent, until) = look;
+    fn answer_poll(&mut self, life: &LifeId, poll: (CallNumber, PollOrder, u64, u64)) {
+        let (call, order, sent, until) = poll;
         let now = self.now;
         let worker = self.workers.get_mut(life).unwrap();
         let seen = order.acknowledged_end.max(worker.acknowledged_end);
-        let news = worker.ends.iter().any(|end| end.number > seen);
-        if !news && now < until {
+        let has_new_ends = worker.ends.iter().any(|end| end.number > seen);
+        if !has_new_ends && now < until {
             worker.waiting_polls.push((call, order, sent, until));
             return;
         }
@@ -962,7 +962,7 @@
         }
     }
 
-    /// What must hold at every moment: no worker over its room, no task twice at the same time.
+    /// Checks the invariants: no worker's runs exceed its room, and no task runs twice at the same time.
     fn check_invariants(&self) {
         let mut tasks = BTreeMap::new();
         for (life, worker) in &self.workers {
--- a/crates/pool/tests/support/results.rs
+++ b/crates/pool/tests/support/results.rs
@@ -1,10 +1,10 @@
-//! What callers got, and what it is worth.
+//! The results that callers got, and the credit for them.
 
 use jobs::{JobId, JobOutcome};
 
 use super::KINDS;
 
-/// How a job went.
+/// The result of a job. Times are in milliseconds.
 #[derive(Clone, Debug)]
 pub(crate) struct JobResult {
     pub(crate) id: JobId,
@@ -12,12 +12,12 @@
     pub(crate) arrived: u64,
     pub(crate) ended: u64,
     pub(crate) outcome: JobOutcome,
-    /// What its objective is, from the true work, in milliseconds.
+    /// The latency objective computed from the true work, in milliseconds.
     pub(crate) objective: f64,
 }
 
 impl JobResult {
-    /// 1 in time, a fifth up to three times the objective, nothing otherwise.
+    /// The credit for the job: 1 if it completed in time, 0.2 if within three times its objective, and otherwise 0.
     pub(crate) fn credit(&self) -> f64 {
         let took = (self.ended - self.arrived) as f64;
         match self.outcome {
@@ -28,7 +28,7 @@
     }
 }
 
-/// What callers got, per kind and in all.
+/// A summary of the results by kind of job, with the total credit.
 pub(crate) fn summary(results: &[JobResult]) -> String {
     let mut lines = String::new();
     for (kind, plan) in KINDS.iter().enumerate() {
@@ -49,14 +49,14 @@
     lines + &format!("credit {:.3}\n", credit(results))
 }
 
-/// The credit earned of that owed; each kind of job counts the same in all.
+/// The mean over all kinds of jobs of the share of possible credit that was earned.
 pub(crate) fn credit(results: &[JobResult]) -> f64 {
     let kinds = 0..KINDS.len();
     let sum: f64 = kinds.map(|kind| kind_credit(results, kind)).sum();
     sum / KINDS.len() as f64
 }
 
-/// The credit that one kind of job earned of that owed.
+/// The share of possible credit that one kind of job earned.
 pub(crate) fn kind_credit(results: &[JobResult], kind: usize) -> f64 {
     let of_kind = results.iter().filter(|result| result.kind == kind);
     let (mut earned, mut owed) = (0.0, 0.0);
--- a/crates/pool/tests/support/worker.rs
+++ b/crates/pool/tests/support/worker.rs
@@ -1,4 +1,4 @@
-//! A simulated worker: its runs, its leases, its list of ends.
+//! A simulated worker with its runs, lease and list of ended runs.
 
 use jobs::{
     BirthTime, EndCause, EndedRun, RunNumber, RunningRun, TaskId, WorkerClock, WorkerListing,
@@ -8,22 +8,22 @@
 
 use super::CallNumber;
 
-/// What is wrong with a worker.
+/// The faults of a simulated worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct WorkerFault {
-    /// It gets no calls, and its answers get lost.
+    /// Calls do not reach the worker, and its answers are lost.
     pub(crate) silent: bool,
-    /// The share of its answers that get lost.
+    /// The share of answers that are lost.
     pub(crate) answers_lost: f64,
-    /// Stops do not reach it.
+    /// Stops do not reach the worker.
     pub(crate) stops_lost: bool,
     /// The share of starts that are left unanswered and carried out seconds later.
     pub(crate) late_starts: f64,
-    /// It fails whatever it runs.
+    /// All runs fail.
     pub(crate) fails_runs: bool,
-    /// Its runs make no progress.
+    /// Runs make no progress.
     pub(crate) stalls_runs: bool,
-    /// How many times as long its runs take.
+    /// The factor by which runs take longer.
     pub(crate) slowdown: Option<f64>,
 }
 
@@ -43,26 +43,26 @@
     pub(crate) fault: WorkerFault,
     pub(crate) speed: f64,
     pub(super) born: Option<BirthTime>,
-    /// Calls with lower numbers went to a former life, and were lost with their connections.
+    /// The first call sent to the present life. Earlier calls were lost with the connections of the former life.
     pub(super) first_call: CallNumber,
-    /// Whether its room has changed, so that it may hold more than it has room for.
+    /// Whether the room has changed, so that the runs may exceed it.
     pub(super) resized: bool,
-    /// Until when it starts: no call reaches it.
+    /// The time until which the worker is starting, so that no call reaches it.
     pub(super) starting_until: u64,
     pub(super) clock_offset: u64,
     pub(super) fence: u64,
     pub(super) lease_end: u64,
     pub(super) runs: Vec<SimulatedRun>,
     pub(super) ends: Vec<EndedRun>,
-    /// The last end that was acknowledged: it and those before are forgotten.
+    /// The number of the last acknowledged end. It and earlier ends are no longer listed.
     pub(super) acknowledged_end: u64,
-    /// Looks that wait for an end: the call, when it was sent, and until when it waits.
+    /// Polls that wait for a run to end: the call, the order, when it was sent and until when it waits.
     pub(super) waiting_polls: Vec<(CallNumber, PollOrder, u64, u64)>,
 }
 
 impl SimulatedWorker {
-    /// Starts again under its id, as `born`, and knows nothing of before. Calls that are under way to it break.
-    pub(super) fn start_again(&mut self, born: u64, clock_offset: u64) {
+    /// Restarts the worker under the same id, with a new birth time and without any state of the former life.
+    pub(super) fn restart(&mut self, born: u64, clock_offset: u64) {
         self.born = Some(BirthTime(born));
         self.record.born = self.born;
         self.clock_offset = clock_offset;
@@ -73,17 +73,17 @@
         self.acknowledged_end = 0;
     }
 
-    /// The highest fence that it has seen.
+    /// The highest fencing token that the worker has seen.
     pub(crate) fn highest_fence(&self) -> u64 {
         self.fence
     }
 
-    /// What runs on it now.
+    /// The number of runs on the worker.
     pub(crate) fn run_count(&self) -> usize {
         self.runs.len()
     }
 
-    /// The tasks of which a run ended as done, one entry a run.
+    /// The tasks whose runs completed, one entry per run.
     pub(crate) fn done_tasks(&self) -> Vec<TaskId> {
         let done = self.ends.iter().filter(|end| end.cause == EndCause::Done);
         done.filter_map(|end| end.task).collect()
