--- a/crates/pool/tests/shift.rs
+++ b/crates/pool/tests/shift.rs
@@ -6,7 +6,7 @@
 use jobs::StepSpec;
 use pool::{divide_step, order_pools, PoolCandidate, PoolLoad};
 
-fn candidate(same_data_centre: bool, free: u64, sent: u64, backlog_ms: u64) -> PoolCandidate {
+fn candidate(same_data_centre: bool, free: u64, sent_cpu: u64, backlog_ms: u64) -> PoolCandidate {
     let backlog = Duration::from_millis(backlog_ms);
     PoolCandidate {
         same_data_centre,
@@ -16,7 +16,7 @@
             free,
             backlog,
         },
-        sent_cpu: sent,
+        sent_cpu,
     }
 }
 
--- a/crates/pool/tests/support/crashing.rs
+++ b/crates/pool/tests/support/crashing.rs
@@ -66,7 +66,7 @@
         let broken = std::mem::take(&mut worker.waiting_polls);
         for (call, order, sent, _) in broken {
             let none = Err(CallFailure::NoAnswer);
-            self.schedule(ONE_WAY_MS, Event::PollAnswer(call, order, sent, none));
+            self.post(ONE_WAY_MS, Event::PollAnswer(call, order, sent, none));
         }
         self.crashes.down.insert(life.clone(), until);
     }
--- a/crates/pool/tests/support/mod.rs
+++ b/crates/pool/tests/support/mod.rs
@@ -40,7 +40,7 @@
 pub(crate) const SERVICE: &str = "svc";
 
 /// How long the store takes for a transaction, in milliseconds.
-const STORE_TRANSACTION_MS: u64 = 12;
+const STORE_TIME_MS: u64 = 12;
 
 /// The time between two contacts with the store, in milliseconds.
 const CONTACT_INTERVAL_MS: u64 = 300;
@@ -56,7 +56,7 @@
     StartAnswer(CallNumber, StartOrder, StartAnswer),
     StopAnswer(CallNumber, StopOrder, StopAnswer),
     PollAnswer(CallNumber, PollOrder, u64, PollAnswer),
-    WriteKeptJob(KeptWrite),
+    WriteRow(KeptWrite),
 }
 
 struct Message {
@@ -506,7 +506,7 @@
         worker.starting_until = self.now + self.restart_time;
         for (call, order, sent, _) in broken {
             let none = Err(CallFailure::NoAnswer);
-            self.schedule(ONE_WAY_MS, Event::PollAnswer(call, order, sent, none));
+            self.post(ONE_WAY_MS, Event::PollAnswer(call, order, sent, none));
         }
     }
 
@@ -557,7 +557,7 @@
     pub(crate) fn restore_store(&mut self) {
         self.store_up = true;
         for order in std::mem::take(&mut self.waiting_rows) {
-            self.schedule(STORE_TRANSACTION_MS, Event::WriteKeptJob(order));
+            self.post(STORE_TIME_MS, Event::WriteRow(order));
         }
     }
 
@@ -602,19 +602,19 @@
         let KeptWrite {
             job,
             row,
-            expected_version: replaces,
+            expected_version,
         } = order.clone();
         let known = self.rows.get(&job).map(|(_, version)| *version);
-        let answer = if known == replaces {
+        let answer = if known == expected_version {
             self.serial += 1;
             self.rows.insert(job, (row, self.serial));
             KeptWriteResult::Stored(self.serial)
         } else {
             match self.rows.get(&job) {
-                Some((row, version)) if replaces.is_some() && !row.state.is_final() => {
+                Some((row, version)) if expected_version.is_some() && !row.state.is_final() => {
                     KeptWriteResult::Conflict(row.clone(), *version)
                 }
-                _ if replaces.is_none() => KeptWriteResult::AlreadyExists,
+                _ if expected_version.is_none() => KeptWriteResult::AlreadyExists,
                 _ => KeptWriteResult::Gone,
             }
         };
@@ -654,9 +654,7 @@
                 PoolAction::Stop(order) => self.send_stop(order),
                 PoolAction::Poll(order) => self.send_poll(order),
                 PoolAction::Answer { waiter, outcome } => self.end_job(JobId(waiter.0), outcome),
-                PoolAction::WriteKeptJob(order) => {
-                    self.schedule(STORE_TRANSACTION_MS, Event::WriteKeptJob(order))
-                }
+                PoolAction::WriteKeptJob(order) => self.post(STORE_TIME_MS, Event::WriteRow(order)),
                 PoolAction::ReleasePool => self.released = true,
             }
         }
@@ -674,9 +672,9 @@
         let delay = self.uplink.send(self.now, START_BYTES) + ONE_WAY_MS;
         let none = StartAnswer::Failed(CallFailure::NoAnswer);
         let (overdue, limit) = (millis(order.overdue_after), millis(order.timeout));
-        self.schedule(delay, Event::Start(call, order.clone()));
-        self.schedule(overdue, Event::StartOverdue(call, order.clone()));
-        self.schedule(limit, Event::StartAnswer(call, order, none));
+        self.post(delay, Event::Start(call, order.clone()));
+        self.post(overdue, Event::StartOverdue(call, order.clone()));
+        self.post(limit, Event::StartAnswer(call, order, none));
     }
 
     fn send_stop(&mut self, order: StopOrder) {
@@ -684,8 +682,8 @@
         let delay = self.uplink.send(self.now, STOP_BYTES) + ONE_WAY_MS;
         let none = StopAnswer::Failed(CallFailure::NoAnswer);
         let limit = millis(order.timeout);
-        self.schedule(delay, Event::Stop(call, order.clone()));
-        self.schedule(limit, Event::StopAnswer(call, order, none));
+        self.post(delay, Event::Stop(call, order.clone()));
+        self.post(limit, Event::StopAnswer(call, order, none));
     }
 
     fn send_poll(&mut self, order: PollOrder) {
@@ -693,14 +691,14 @@
         let delay = self.uplink.send(self.now, POLL_BYTES) + ONE_WAY_MS;
         let none = Err(CallFailure::NoAnswer);
         let (sent, limit) = (self.now, millis(order.timeout));
-        self.schedule(delay, Event::Poll(call, order.clone(), sent));
-        self.schedule(limit, Event::PollAnswer(call, order, sent, none));
+        self.post(delay, Event::Poll(call, order.clone(), sent));
+        self.post(limit, Event::PollAnswer(call, order, sent, none));
     }
 
     /// Sends a worker's answer over the link.
     fn send_answer(&mut self, bytes: u64, event: Event) {
         let delay = self.downlink.send(self.now, bytes) + ONE_WAY_MS;
-        self.schedule(delay, event);
+        self.post(delay, event);
     }
 
     fn end_job(&mut self, id: JobId, outcome: JobOutcome) {
@@ -724,7 +722,7 @@
         });
     }
 
-    fn schedule(&mut self, delay: u64, event: Event) {
+    fn post(&mut self, delay: u64, event: Event) {
         self.serial += 1;
         let (at, serial) = (self.now + delay, self.serial);
         self.messages.push(Message { at, serial, event });
@@ -741,7 +739,7 @@
                 Event::Start(call, order) => self.handle_start(call, order),
                 Event::Stop(call, order) => self.handle_stop(call, order),
                 Event::Poll(call, order, sent) => self.handle_poll(call, order, sent),
-                Event::WriteKeptJob(order) => self.store_row(order),
+                Event::WriteRow(order) => self.store_row(order),
                 event => self.handle_answer(event),
             }
             self.execute_actions();
@@ -805,7 +803,7 @@
             // The delayed start is marked by its text, so that its answer is not sent.
             let late = self.rng.u64(2_000..12_000);
             let text = Arc::from("late");
-            self.schedule(late, Event::Start(call, StartOrder { text, ..order }));
+            self.post(late, Event::Start(call, StartOrder { text, ..order }));
             return;
         }
         let answer = self.start_run(&order);
