--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -344,7 +344,7 @@
             pool,
             owner,
             near: candidates[place].same_data_centre,
-            room: candidates[place].expected_room(),
+            room: candidates[place].expected_free_room(),
         })
     });
     ordered.collect()
--- a/crates/pool/src/crash.rs
+++ b/crates/pool/src/crash.rs
@@ -90,7 +90,7 @@
     alone: u32,
     /// The number of losses of which it is not known whether the worker died.
     unconfirmed: u32,
-    last: Option<Instant>,
+    last_loss: Option<Instant>,
 }
 
 impl LossCounts {
@@ -111,7 +111,7 @@
     /// On a worker without other runs.
     Alone,
     /// Not now: two or more workers were lost under it, and it is not known yet whether they died.
-    Wait,
+    Hold,
 }
 
 /// The result of recording a loss.
@@ -148,14 +148,18 @@
     }
 
     /// Records the loss of a worker that had runs.
-    pub(crate) fn note_loss(&mut self, loss: WorkerLoss, shape: &WorkerCounts) -> CrashFindings {
+    pub(crate) fn record_loss(
+        &mut self,
+        loss: WorkerLoss,
+        worker_counts: &WorkerCounts,
+    ) -> CrashFindings {
         let now = loss.at;
         self.recent_losses
             .retain(|other| now < other.at + COMMON_CAUSE_WINDOW);
         self.recent_losses.push(loss.clone());
         let loss = self.narrow_to_culprit_routes(loss);
         self.add_loss(loss);
-        let common = self.exclude_common_cause(shape);
+        let common = self.exclude_common_cause(worker_counts);
         CrashFindings {
             culprits: self.find_culprits(now),
             common,
@@ -163,7 +167,7 @@
     }
 
     /// Records a death that a former owner stored. Returns the culprits that it identifies.
-    pub(crate) fn note_recorded_death(&mut self, loss: WorkerLoss) -> Vec<TaskId> {
+    pub(crate) fn restore_death(&mut self, loss: WorkerLoss) -> Vec<TaskId> {
         let now = loss.at;
         self.add_loss(loss);
         self.find_culprits(now)
@@ -189,7 +193,7 @@
 
     /// Takes a new directory entry, which confirms the death of a lost worker of the same id or at the same address. Returns the
     /// culprits that it identifies.
-    pub(crate) fn note_listed(
+    pub(crate) fn apply_directory_entry(
         &mut self,
         now: Instant,
         life: &LifeId,
@@ -214,7 +218,7 @@
     }
 
     /// Drops losses older than `LOSS_MEMORY` that concern no open job, and routes older than `ROUTE_MEMORY`.
-    pub(crate) fn forget(&mut self, now: Instant, is_open: impl Fn(JobId) -> bool) {
+    pub(crate) fn prune(&mut self, now: Instant, is_open: impl Fn(JobId) -> bool) {
         let known = self.losses.len();
         self.losses.retain(|loss| {
             let recent = now < loss.at + LOSS_MEMORY;
@@ -238,8 +242,8 @@
             losses => (losses - ISOLATED_CULPRIT_DEATHS).min(MAX_HOLD_DOUBLINGS),
         };
         let hold = INITIAL_HOLD * 2_u32.pow(doublings);
-        match counts.last.is_some_and(|last| now < last + hold) {
-            true => TaskRestriction::Wait,
+        match counts.last_loss.is_some_and(|last| now < last + hold) {
+            true => TaskRestriction::Hold,
             false => TaskRestriction::Alone,
         }
     }
@@ -296,13 +300,13 @@
 
     /// Stops counting recent losses that have a common cause against their tasks, except against the tasks of a job that ran on
     /// all lost workers, since that job may be the cause. Returns whether there are such losses.
-    fn exclude_common_cause(&mut self, shape: &WorkerCounts) -> bool {
-        let least = MIN_COMMON_LOSSES.max(shape.workers.div_ceil(COMMON_WORKERS_DIVISOR));
+    fn exclude_common_cause(&mut self, worker_counts: &WorkerCounts) -> bool {
+        let least = MIN_COMMON_LOSSES.max(worker_counts.workers.div_ceil(COMMON_WORKERS_DIVISOR));
         let mut common: Vec<&WorkerLoss> = Vec::new();
         if self.recent_losses.len() >= least {
             common.extend(&self.recent_losses);
         } else {
-            for (label, workers) in &shape.labels {
+            for (label, workers) in &worker_counts.labels {
                 let least = MIN_COMMON_LABEL_LOSSES.max(workers.div_ceil(COMMON_LABEL_DIVISOR));
                 let labelled = self.recent_losses.iter();
                 let labelled: Vec<_> = labelled.filter(|l| l.labels.contains(label)).collect();
@@ -373,7 +377,7 @@
                 counts.deaths += u32::from(loss.died);
                 counts.alone += u32::from(loss.died && loss.was_alone);
                 counts.unconfirmed += u32::from(!loss.died);
-                counts.last = counts.last.max(Some(loss.at));
+                counts.last_loss = counts.last_loss.max(Some(loss.at));
             }
         }
         let loss_counts = &self.loss_counts;
--- a/crates/pool/src/pool/crashing.rs
+++ b/crates/pool/src/pool/crashing.rs
@@ -54,7 +54,7 @@
             died,
         };
         let suspects = loss.tasks.len();
-        let verdict = self.crashes.note_loss(loss, &self.shape());
+        let verdict = self.crashes.record_loss(loss, &self.shape());
         self.notes.push(PoolNote::CrashSuspected {
             life: life.clone(),
             died,
@@ -85,9 +85,9 @@
         if self.crashes.is_empty() {
             return;
         }
-        let culprits = self
-            .crashes
-            .note_listed(now, &record.life, record.born, record.address);
+        let culprits =
+            self.crashes
+                .apply_directory_entry(now, &record.life, record.born, record.address);
         self.record_deaths();
         self.give_up_culprits(now, culprits);
     }
@@ -111,7 +111,7 @@
                     at: now,
                     died: true,
                 };
-                culprits.extend(self.crashes.note_recorded_death(loss));
+                culprits.extend(self.crashes.restore_death(loss));
             }
         }
         self.give_up_culprits(now, culprits);
@@ -131,7 +131,7 @@
     pub(super) fn forget_crashes(&mut self, now: Instant) {
         if !self.crashes.is_empty() {
             let jobs = &self.jobs;
-            self.crashes.forget(now, |job| jobs.contains_key(&job));
+            self.crashes.prune(now, |job| jobs.contains_key(&job));
         }
     }
 
--- a/crates/pool/src/pool/looks.rs
+++ b/crates/pool/src/pool/looks.rs
@@ -160,7 +160,7 @@
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
-        worker.note_listing(now, order.fence);
+        worker.record_listing(now, order.fence);
         let returns = worker.missed_polls > 0;
         let new_here = worker.clock.is_none() || returns;
         worker.missed_polls = 0;
@@ -329,7 +329,7 @@
         // The last one is placed first, and a suspect may have to wait longer than others of its step.
         match self.crashes.restriction(now, run.task) {
             TaskRestriction::None => step.waiting.push(task),
-            TaskRestriction::Alone | TaskRestriction::Wait => step.waiting.insert(0, task),
+            TaskRestriction::Alone | TaskRestriction::Hold => step.waiting.insert(0, task),
         }
         self.enqueue(now, id);
     }
--- a/crates/pool/src/pool/schedule.rs
+++ b/crates/pool/src/pool/schedule.rs
@@ -110,7 +110,7 @@
         let alone = match self.crashes.restriction(now, task_id(id, step, task.index)) {
             TaskRestriction::None => false,
             TaskRestriction::Alone => true,
-            TaskRestriction::Wait => return None,
+            TaskRestriction::Hold => return None,
         };
         let spec = &job.request.steps[step];
         let ask = PlacementRequest {
--- a/crates/pool/src/pool_choice.rs
+++ b/crates/pool/src/pool_choice.rs
@@ -35,7 +35,7 @@
 
     /// The room expected to be free minus the waiting work, in thousandths of a core. Negative where more work waits than room is
     /// free.
-    pub fn expected_room(&self) -> i64 {
+    pub fn expected_free_room(&self) -> i64 {
         let waiting = self.load.backlog.as_secs_f64() * self.load.capacity as f64;
         // The cast saturates.
         let taken = (waiting as i64).saturating_add_unsigned(self.sent_cpu);
@@ -56,12 +56,12 @@
         let candidate = &candidates[*place];
         (
             !candidate.same_data_centre,
-            std::cmp::Reverse(candidate.expected_room()),
+            std::cmp::Reverse(candidate.expected_free_room()),
         )
     });
     let fits_here = |place: &usize| {
         let candidate = &candidates[*place];
-        candidate.same_process && candidate.expected_room() >= demand.cast_signed()
+        candidate.same_process && candidate.expected_free_room() >= demand.cast_signed()
     };
     if let Some(first) = order.iter().position(fits_here) {
         let own = order.remove(first);
--- a/crates/pool/src/worker.rs
+++ b/crates/pool/src/worker.rs
@@ -253,7 +253,7 @@
             .is_some_and(|since| sent >= since)
         {
             // The directory entry is older than the listing.
-            self.remember_former(self.record.born);
+            self.add_former_life(self.record.born);
             self.directory_mismatch_since = None;
         }
         ListingLife::Known
@@ -261,7 +261,7 @@
 
     /// Begins a new life of the worker, which knows nothing of the former one.
     pub(crate) fn begin_life(&mut self, now: Instant, born: Option<BirthTime>, fence: u64) {
-        self.remember_former(self.born);
+        self.add_former_life(self.born);
         self.former_lives.retain(|former| *former != born);
         self.born = born;
         self.life_since = now;
@@ -284,7 +284,7 @@
     }
 
     /// Adds a former life and drops the oldest one beyond `MAX_FORMER_LIVES`.
-    fn remember_former(&mut self, born: Option<BirthTime>) {
+    fn add_former_life(&mut self, born: Option<BirthTime>) {
         self.former_lives.retain(|known| *known != born);
         if self.former_lives.len() == MAX_FORMER_LIVES {
             self.former_lives.remove(0);
@@ -319,7 +319,7 @@
     }
 
     /// Notes that a listing of the current life arrived, in answer to a poll with this fencing token.
-    pub(crate) fn note_listing(&mut self, now: Instant, fence: FenceToken) {
+    pub(crate) fn record_listing(&mut self, now: Instant, fence: FenceToken) {
         self.listed_at = Some(now);
         if fence == self.fence {
             self.fence_unconfirmed = false;
