--- a/crates/pool/src/admission.rs
+++ b/crates/pool/src/admission.rs
@@ -34,7 +34,7 @@
     pub(crate) after: Vec<u32>,
 }
 
-/// A job in the forecast.
+/// A job in the forecast. Jobs are placed in the order in which they will get room.
 #[derive(Clone, Debug)]
 pub(crate) struct ForecastJob {
     pub(crate) steps: Vec<ForecastStep>,
--- a/crates/pool/src/placement.rs
+++ b/crates/pool/src/placement.rs
@@ -36,7 +36,7 @@
     pub(crate) reserved: &'a [LifeId],
 }
 
-/// Whether the worker could hold the task if it were empty.
+/// Whether a worker can ever hold the task, whatever runs on it now.
 pub(crate) fn can_hold(worker: &TrackedWorker, request: &PlacementRequest<'_>) -> bool {
     let label = request.spec.required_label.as_ref();
     worker.record.service == *request.service
