--- a/crates/pool/benches/admission.rs
+++ b/crates/pool/benches/admission.rs
@@ -94,8 +94,8 @@
             pool.on_look_answer(now, now, &order, Ok(listing));
         }
     }
-    let places = 20 + waiting;
-    for id in 0..places {
+    let job_count = 20 + waiting;
+    for id in 0..job_count {
         let request = Arc::new(job(id, 8, 300));
         pool.submit(now, WaiterId(id), request, terms(true));
     }
