--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -27,14 +27,14 @@
     action::{PoolAction, PoolNote, SuspensionCause, WaiterId, WorkerChange},
     admission::PoolLoad,
     answer_time::AnswerTimes,
-    arrivals::ArrivalBook,
-    crash::CrashBook,
-    estimate::EstimateBook,
-    job::{JobLedger, StepProgress, WaitingTask},
+    arrivals::ArrivalStats,
+    crash::CrashTracker,
+    estimate::EstimateCorrections,
+    job::{StepProgress, TrackedJob, WaitingTask},
     queue::{latest_start, JobQueue, QueueEntry},
     settings::PoolSettings,
     start_window::StartWindow,
-    worker::{RunPhase, WaitingOrder, WorkerLedger},
+    worker::{QueuedOrder, RunPhase, TrackedWorker},
 };
 
 /// How long a worker may be missing from the directory while it still has runs, which end by themselves.
@@ -92,15 +92,15 @@
     alone_since: Instant,
     /// Up to which version of the store no later claim of the pool was made.
     sole_until: u64,
-    workers: BTreeMap<LifeId, WorkerLedger>,
-    jobs: FastMap<JobId, JobLedger>,
+    workers: BTreeMap<LifeId, TrackedWorker>,
+    jobs: FastMap<JobId, TrackedJob>,
     queue: JobQueue,
     /// Tasks under which workers were lost.
-    crashes: CrashBook,
+    crashes: CrashTracker,
     /// Workers that are emptied for suspects.
     cleared: Vec<LifeId>,
-    estimates: EstimateBook,
-    arrivals: ArrivalBook,
+    estimates: EstimateCorrections,
+    arrivals: ArrivalStats,
     actions: Vec<PoolAction>,
     notes: Vec<PoolNote>,
 }
@@ -151,10 +151,10 @@
             workers: BTreeMap::new(),
             jobs: FastMap::default(),
             queue: JobQueue::default(),
-            crashes: CrashBook::default(),
+            crashes: CrashTracker::default(),
             cleared: Vec::new(),
-            estimates: EstimateBook::default(),
-            arrivals: ArrivalBook::default(),
+            estimates: EstimateCorrections::default(),
+            arrivals: ArrivalStats::default(),
             actions: Vec::new(),
             notes: Vec::new(),
         }
@@ -242,7 +242,7 @@
         if self
             .workers
             .values()
-            .any(|worker| worker.runs_of(request.id) > 0)
+            .any(|worker| worker.run_count_of(request.id) > 0)
         {
             self.answer(waiter, JobOutcome::GivenUp);
             return;
@@ -283,7 +283,7 @@
         let Some(worker) = self.workers.get_mut(&life) else {
             self.note_listed(now, &record);
             self.workers
-                .insert(life.clone(), WorkerLedger::new(record, self.fence, now));
+                .insert(life.clone(), TrackedWorker::new(record, self.fence, now));
             self.note_worker(life, WorkerChange::Added);
             self.keep_watch(now);
             return;
@@ -292,10 +292,10 @@
             WorkerState::Draining => WorkerChange::Draining,
             WorkerState::Ready => WorkerChange::Ready,
         };
-        let changed = worker.record.state != record.state || worker.unlisted.is_some();
+        let changed = worker.record.state != record.state || worker.unlisted_since.is_some();
         let (former, room) = (worker.record.room, record.room);
-        worker.take_record(now, record);
-        worker.unlisted = None;
+        worker.update_record(now, record);
+        worker.unlisted_since = None;
         if changed {
             self.note_worker(life.clone(), change);
         }
@@ -313,8 +313,8 @@
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
-        if worker.unlisted.is_none() {
-            worker.unlisted = Some(now);
+        if worker.unlisted_since.is_none() {
+            worker.unlisted_since = Some(now);
             self.note_worker(life.clone(), WorkerChange::Unlisted);
         }
         self.forget_unlisted(now);
@@ -327,7 +327,7 @@
         self.forget_kept(now);
         let open: Vec<JobId> = self.jobs.keys().copied().collect();
         for id in open {
-            let ordered = self.jobs[&id].ordered;
+            let ordered = self.jobs[&id].start_ordered;
             let outcome = if ordered {
                 JobOutcome::GivenUp
             } else {
@@ -352,7 +352,7 @@
             load.free = load.free.saturating_add(worker.free_room().cpu.0);
         }
         let work: f64 = self.queue.jobs().map(|job| self.waiting_work(job)).sum();
-        let cores = load.capacity as f64 / 1000.0 * self.settings.packing;
+        let cores = load.capacity as f64 / 1000.0 * self.settings.packing_share;
         if work > 0.0 {
             let backlog = work / cores.max(1.0) / 1000.0;
             load.backlog = Duration::try_from_secs_f64(backlog).unwrap_or(LONGEST_RETRY);
@@ -362,14 +362,16 @@
 
     /// The workers on which jobs can expect to run: the sound ones. If there is none, those that have to be tried out: a
     /// pool that admits nothing for want of a sound worker would never find out that one is sound again.
-    fn expected_workers(&self, now: Instant) -> Vec<&WorkerLedger> {
+    fn expected_workers(&self, now: Instant) -> Vec<&TrackedWorker> {
         let workers = self.workers.values();
         let sound: Vec<_> = workers.filter(|worker| worker.is_usable()).collect();
         if !sound.is_empty() {
             return sound;
         }
         let workers = self.workers.values();
-        workers.filter(|worker| worker.is_on_trial(now)).collect()
+        workers
+            .filter(|worker| worker.needs_probe_run(now))
+            .collect()
     }
 
     fn open_job(
@@ -378,7 +380,7 @@
         waiter: Option<WaiterId>,
         request: Arc<JobRequest>,
         terms: JobTerms,
-    ) -> JobLedger {
+    ) -> TrackedJob {
         let steps = request.steps.iter().map(|step| StepProgress {
             waiting: (step.first..step.first.saturating_add(step.count))
                 .map(|index| WaitingTask {
@@ -388,24 +390,24 @@
                 .collect(),
             ..StepProgress::default()
         });
-        let mut job = JobLedger {
+        let mut job = TrackedJob {
             arrived: now.checked_sub(terms.waited).unwrap_or(now),
             deadline: now + terms.time_left,
             objective: self.objective(&request, &terms),
             waiters: waiter.into_iter().collect(),
             steps: steps.collect(),
-            ordered: false,
+            start_ordered: false,
             kept: None,
             request,
             terms,
         };
-        job.open_steps();
+        job.update_ready_steps();
         job
     }
 
     /// Puts a job with waiting tasks into the queue, or takes one without out.
     fn enqueue(&mut self, now: Instant, id: JobId) {
-        if self.jobs[&id].waiting_count() == 0 {
+        if self.jobs[&id].placeable_count() == 0 {
             self.queue.remove(id);
             return;
         }
@@ -425,10 +427,10 @@
             job: id,
             priority: job.terms.priority,
             arrived: job.arrived,
-            begun: job.ordered && self.has(Mechanism::BegunFirst),
+            begun: job.start_ordered && self.has(Mechanism::BegunFirst),
             by_arrival: !self.has(Mechanism::LatestStart),
             latest_start: latest_start(job.arrived, job.objective, left),
-            useless: job.arrived + job.objective.mul_f64(self.settings.useless_beyond),
+            useless_from: job.arrived + job.objective.mul_f64(self.settings.useless_factor),
         }
     }
 
@@ -460,7 +462,7 @@
     fn stop_runs_of(&mut self, now: Instant, id: JobId) -> usize {
         let mut stopped = 0;
         for worker in self.workers.values_mut() {
-            let of_job = |run: &&crate::worker::RunLedger| run.task.job == id;
+            let of_job = |run: &&crate::worker::TrackedRun| run.task.job == id;
             let runs: Vec<_> = worker
                 .runs
                 .iter()
@@ -488,7 +490,7 @@
     fn forget_unlisted(&mut self, now: Instant) {
         let mut gone = Vec::new();
         for (life, worker) in &self.workers {
-            let Some(since) = worker.unlisted else {
+            let Some(since) = worker.unlisted_since else {
                 continue;
             };
             if worker.runs.is_empty() || now >= since + UNLISTED_LIMIT {
@@ -515,7 +517,7 @@
             return;
         };
         let pause = worker.health.suspend(now);
-        self.notes.push(PoolNote::Suspended {
+        self.notes.push(PoolNote::WorkerSuspended {
             life: life.clone(),
             cause,
             pause,
@@ -524,13 +526,13 @@
 
     fn find_median(&mut self, now: Instant) {
         for worker in self.workers.values_mut() {
-            worker.fade_slowness(now);
+            worker.decay_slowness(now);
         }
         if !self.has(Mechanism::SluggishWorkers) {
             self.median_slowness = f64::INFINITY;
             return;
         }
-        let open = self.workers.values().filter(|worker| worker.is_open());
+        let open = self.workers.values().filter(|worker| worker.accepts_runs());
         let mut slowness: Vec<f64> = open.map(|worker| worker.slowness).collect();
         slowness.sort_by(f64::total_cmp);
         if let Some(median) = slowness.get(slowness.len() / 2) {
@@ -552,22 +554,24 @@
 
 /// Marks a run as to be stopped and orders the stop. A start that was never sent is taken back instead. Says whether
 /// a run that may be there was told to stop now.
-fn stop_run(worker: &mut WorkerLedger, task: jobs::TaskId, number: RunNumber) -> bool {
+fn stop_run(worker: &mut TrackedWorker, task: jobs::TaskId, number: RunNumber) -> bool {
     let Some(run) = worker.run_mut(task, number) else {
         return false;
     };
     if run.phase == RunPhase::Stopping {
         return false;
     }
-    let never_sent = run.tries == 0;
+    let never_sent = run.starts_sent == 0;
     run.phase = RunPhase::Stopping;
     worker
-        .orders
-        .retain(|order| *order != WaitingOrder::Start(task, number));
+        .queued_orders
+        .retain(|order| *order != QueuedOrder::Start(task, number));
     if never_sent {
-        worker.take_run(task, number);
+        worker.remove_run(task, number);
         return false;
     }
-    worker.orders.push_back(WaitingOrder::Stop(task, number));
+    worker
+        .queued_orders
+        .push_back(QueuedOrder::Stop(task, number));
     true
 }
--- a/crates/pool/src/pool/admit.rs
+++ b/crates/pool/src/pool/admit.rs
@@ -11,12 +11,12 @@
 use super::{WorkerPool, LONGEST_RETRY, SHORTEST_RETRY};
 use crate::{
     action::PoolNote,
-    admission::{AdmissionForecast, AdmissionTrial, ForecastJob, ForecastStep},
+    admission::{AdmissionForecast, AdmissionSimulation, ForecastJob, ForecastStep},
     arrivals::ArrivedJob,
     forecast::{PoolForecast, WaitingGroup, WorkerForecast},
-    placement::{can_hold, is_sluggish, PlacementAsk},
+    placement::{can_hold, is_sluggish, PlacementRequest},
     queue::{latest_start, QueueEntry, QueueRank},
-    worker::{RunLedger, RunPhase, WorkerLedger, SLOWNESS_BOUNDS},
+    worker::{RunPhase, TrackedRun, TrackedWorker, SLOWNESS_BOUNDS},
 };
 
 /// What a run that takes longer than predicted is expected to take still, as a share of its predicted time. Estimates
@@ -54,7 +54,7 @@
         let objective = self.objective(request, terms);
         let tasks = usize::try_from(request.task_count()).unwrap_or(usize::MAX);
         let lag = self.start_lag(tasks);
-        let too_late = objective.mul_f64(self.settings.refuse_beyond);
+        let too_late = objective.mul_f64(self.settings.refusal_factor);
         let too_late = too_late.min(terms.waited + terms.time_left);
         let may = self.may_be_in_time(request, terms, lag, too_late) || self.has_idle_share(now);
         let trial = match may {
@@ -63,7 +63,7 @@
         };
         let forecast = match &trial {
             Some(trial) => trial.forecast(),
-            None => AdmissionForecast::TOO_LONG,
+            None => AdmissionForecast::QUEUE_TOO_LONG,
         };
         let predicted = terms
             .waited
@@ -73,16 +73,16 @@
         let late = predicted > too_late && self.has(Mechanism::LateRefusal);
         let late =
             late && !self.is_welcome_late(now, request, terms, &forecast, predicted, objective);
-        let harms = forecast.harms && self.has(Mechanism::HarmCheck);
+        let harms = forecast.delays_admitted && self.has(Mechanism::HarmCheck);
         let kind = if !self.accepting {
             Some(RefusalKind::NotServing)
         } else if self.evacuated {
             Some(RefusalKind::Evacuated)
         } else if !self.can_ever_hold(request, terms) {
             Some(RefusalKind::NoRoomEver)
-        } else if !terms.firm && (late || harms || forecast.crowds) {
+        } else if !terms.firm && (late || harms || forecast.takes_reserved) {
             Some(RefusalKind::TooLate)
-        } else if queued + request.steps.len() > self.settings.most_queued {
+        } else if queued + request.steps.len() > self.settings.max_queued_tasks {
             Some(RefusalKind::QueueFull)
         } else {
             None
@@ -92,11 +92,11 @@
             job: request.id,
             refusal: kind,
             predicted,
-            lag,
+            start_delay: lag,
             objective,
             queued,
-            harms: forecast.harms,
-            crowds: forecast.crowds,
+            delays_admitted: forecast.delays_admitted,
+            takes_reserved: forecast.takes_reserved,
         });
         let kind = kind?;
         let fits = match kind {
@@ -118,7 +118,7 @@
             return 0;
         }
         let objective = self.objective(request, terms);
-        let limit = objective.mul_f64(self.settings.refuse_beyond);
+        let limit = objective.mul_f64(self.settings.refusal_factor);
         if !self.may_be_in_time(request, terms, self.start_lag(1), limit) {
             return 0;
         }
@@ -155,7 +155,7 @@
     ) -> bool {
         let lag = self.start_lag(usize::try_from(tasks).unwrap_or(usize::MAX));
         let end = terms.waited.saturating_add(forecast.end);
-        end.saturating_add(lag) <= limit && !forecast.harms && !forecast.crowds
+        end.saturating_add(lag) <= limit && !forecast.delays_admitted && !forecast.takes_reserved
     }
 
     /// Whether a job that will be late is served all the same: its start need not wait, most of the pool is idle, and its answer is
@@ -174,7 +174,7 @@
     ) -> bool {
         let chain = self.predict_chain(request, terms);
         let waits = forecast.end > chain.mul_f64(UNHURRIED);
-        let useful = objective.mul_f64(self.settings.useless_beyond * STILL_USEFUL);
+        let useful = objective.mul_f64(self.settings.useless_factor * STILL_USEFUL);
         let useful = useful.min(terms.waited + terms.time_left);
         !waits && predicted <= useful && self.has_idle_share(now)
     }
@@ -222,14 +222,14 @@
             objective: self.objective(request, terms),
             refused: refusal == Some(RefusalKind::TooLate),
         };
-        self.arrivals.note(now, &job);
+        self.arrivals.record(now, &job);
     }
 
     /// How many tasks of a job that is too wide would be in time. Wide jobs of short tasks find no single pool with
     /// places for all their tasks at once, while all pools together have them.
     fn count_in_time(
         &self,
-        trial: &AdmissionTrial,
+        trial: &AdmissionSimulation,
         request: &JobRequest,
         terms: &JobTerms,
         objective: Duration,
@@ -237,9 +237,9 @@
         let [step] = request.steps.as_slice() else {
             return 0;
         };
-        let limit = objective.mul_f64(self.settings.refuse_beyond);
+        let limit = objective.mul_f64(self.settings.refusal_factor);
         let in_time = |count: u32| {
-            let forecast = trial.forecast_part(count as usize);
+            let forecast = trial.forecast_tasks_per_step(count as usize);
             self.is_in_time(&forecast, u64::from(count), terms, limit)
         };
         // Where places are short mostly not even one fits.
@@ -278,7 +278,7 @@
     /// The work of a job's waiting tasks, in core-milliseconds.
     pub(super) fn waiting_work(&self, job: JobId) -> f64 {
         let job = &self.jobs[&job];
-        let steps = job.open_waiting().map(|(step, spec)| {
+        let steps = job.placeable_steps().map(|(step, spec)| {
             let cores = spec.demand.cpu.0 as f64 / 1000.0;
             let millis = self.predict(&job.terms, spec).as_secs_f64() * 1000.0;
             cores * millis * job.steps[step].waiting.len() as f64
@@ -288,7 +288,7 @@
 
     pub(super) fn can_ever_hold(&self, request: &JobRequest, terms: &JobTerms) -> bool {
         request.steps.iter().all(|spec| {
-            let ask = PlacementAsk {
+            let ask = PlacementRequest {
                 job: request.id,
                 step: 0,
                 spec,
@@ -296,8 +296,8 @@
                 failed_on: &[],
                 far_factor: self.far_factor,
                 median_slowness: self.median_slowness,
-                alone: false,
-                cleared: &[],
+                exclusive: false,
+                reserved: &[],
             };
             self.workers.values().any(|worker| can_hold(worker, &ask))
         })
@@ -310,7 +310,7 @@
         request: &JobRequest,
         terms: &JobTerms,
         objective: Duration,
-    ) -> Option<AdmissionTrial> {
+    ) -> Option<AdmissionSimulation> {
         let chain = self.predict_chain(request, terms);
         let arrived = now.checked_sub(terms.waited).unwrap_or(now);
         let entry = QueueEntry {
@@ -320,7 +320,7 @@
             begun: false,
             latest_start: latest_start(arrived, objective, chain),
             by_arrival: !self.has(Mechanism::LatestStart),
-            useless: arrived + objective.mul_f64(self.settings.useless_beyond),
+            useless_from: arrived + objective.mul_f64(self.settings.useless_factor),
         };
         let rank = entry.rank(now);
         let running = self.running_steps(now);
@@ -344,11 +344,13 @@
         // stands empty.
         let keeps_room = self.has(Mechanism::KeptRoom) && !self.is_strained();
         let expected = match keeps_room {
-            true => self.arrivals.expected_before(now, terms.priority),
+            true => self.arrivals.expected_above(now, terms.priority),
             false => Vec::new(),
         };
         let pool = self.pool_forecast(now, &terms.service);
-        Some(AdmissionTrial::new(pool, &before, new, behind, expected))
+        Some(AdmissionSimulation::new(
+            pool, &before, new, behind, expected,
+        ))
     }
 
     /// The jobs of a service with tasks that have no place yet, in the order in which they get places. Beside those in
@@ -359,7 +361,7 @@
         let mut unplaced: Vec<_> = queued.filter(|(_, id)| of_service(id)).collect();
         let queued = unplaced.len();
         for (id, job) in &self.jobs {
-            if job.waiting_count() == 0 && job.has_unplaced() && of_service(id) {
+            if job.placeable_count() == 0 && job.has_unplaced() && of_service(id) {
                 unplaced.push((self.queue_entry(*id).rank(now), *id));
             }
         }
@@ -415,7 +417,7 @@
                 ..self.forecast_step(&job.terms, spec, waiting)
             });
         }
-        let limit = job.arrived + job.objective.mul_f64(self.settings.refuse_beyond);
+        let limit = job.arrived + job.objective.mul_f64(self.settings.refusal_factor);
         ForecastJob {
             steps,
             limit: limit.checked_duration_since(now),
@@ -437,7 +439,7 @@
     }
 }
 
-fn worker_forecast(worker: &WorkerLedger, now: Instant) -> WorkerForecast {
+fn worker_forecast(worker: &TrackedWorker, now: Instant) -> WorkerForecast {
     let room = worker.record.room.cpu.0;
     let mut forecast = WorkerForecast::new(room, worker.used_room().cpu.0, worker.slowness);
     for run in &worker.runs {
@@ -446,11 +448,11 @@
     forecast
 }
 
-fn time_left(run: &RunLedger, slowness: f64, now: Instant) -> Duration {
+fn time_left(run: &TrackedRun, slowness: f64, now: Instant) -> Duration {
     if run.phase == RunPhase::Stopping {
         return STOP_TIME;
     }
-    let took = now.saturating_duration_since(run.placed);
+    let took = now.saturating_duration_since(run.placed_at);
     let predicted = run.predicted.mul_f64(slowness);
     let left = predicted.saturating_sub(took);
     left.max(run.predicted.mul_f64(OVERDUE_SHARE).min(took))
--- a/crates/pool/src/pool/answers.rs
+++ b/crates/pool/src/pool/answers.rs
@@ -11,7 +11,7 @@
         CallFailure, PoolNote, RunLoss, StartAnswer, StartOrder, StopAnswer, StopOrder,
         SuspensionCause,
     },
-    worker::{RunPhase, WaitingOrder, WorkerLedger},
+    worker::{QueuedOrder, RunPhase, TrackedWorker},
 };
 
 impl WorkerPool {
@@ -27,34 +27,34 @@
         // An answer to an order that was sent before the worker was found to be reborn may be its former life's.
         let of_this_life = order.sent >= worker.life_since;
         if let Some(clock) = answer_clock(answer).filter(|_| of_this_life) {
-            worker.read_clock(owner_millis, clock);
+            worker.update_clock(owner_millis, clock);
         }
         let fenced_anew = order.fence < worker.fence;
         let (mut tries, mut under_way) = (0, 0);
         if let Some(run) = worker.run_mut(*task, *run) {
-            run.answered += u32::from(answer != StartAnswer::Failed(CallFailure::NoAnswer));
-            run.under_way = run.under_way.saturating_sub(1);
-            (tries, under_way) = (run.tries, run.under_way);
+            run.answered_starts += u32::from(answer != StartAnswer::Failed(CallFailure::NoAnswer));
+            run.starts_in_flight = run.starts_in_flight.saturating_sub(1);
+            (tries, under_way) = (run.starts_sent, run.starts_in_flight);
         }
-        let late = now >= order.sent + order.overdue;
-        worker.end_order(late);
+        let late = now >= order.sent + order.overdue_after;
+        worker.finish_order(late);
         if !matches!(answer, StartAnswer::Started(_)) {
-            self.notes.push(PoolNote::StartTrouble {
+            self.notes.push(PoolNote::StartFailed {
                 task: *task,
                 run: *run,
                 life: life.clone(),
                 answer,
-                tries,
+                starts_sent: tries,
             });
         }
         match answer {
             // A run that was outrun was carried out by an earlier copy of this start and has ended; its end is listed.
-            StartAnswer::Started(_) | StartAnswer::Outrun(_) if !of_this_life => (),
-            StartAnswer::Started(_) | StartAnswer::Outrun(_) => {
+            StartAnswer::Started(_) | StartAnswer::Superseded(_) if !of_this_life => (),
+            StartAnswer::Started(_) | StartAnswer::Superseded(_) => {
                 confirm(worker, *task, *run, now);
                 self.learn_answer_time(now, now.saturating_duration_since(order.sent));
             }
-            StartAnswer::Late(_) => self.try_again(now, life, *task, *run),
+            StartAnswer::LeaseExpired(_) => self.try_again(now, life, *task, *run),
             StartAnswer::NoRoom(_) | StartAnswer::NotAllowed(_) => {
                 self.turn_away(now, life, *task, *run);
             }
@@ -81,7 +81,7 @@
         let Some(worker) = self.workers.get_mut(&order.life) else {
             return;
         };
-        worker.set_overdue();
+        worker.mark_order_overdue();
         let Some(run) = worker.run_mut(order.task, order.run) else {
             return;
         };
@@ -89,15 +89,15 @@
             self.send_orders(now);
             return;
         }
-        let tries = run.tries;
+        let tries = run.starts_sent;
         self.repeats -= 1.0;
-        self.answers.miss();
-        self.notes.push(PoolNote::StartTrouble {
+        self.answers.record_timeout();
+        self.notes.push(PoolNote::StartFailed {
             task: order.task,
             run: order.run,
             life: order.life.clone(),
             answer: StartAnswer::Failed(CallFailure::NoAnswer),
-            tries,
+            starts_sent: tries,
         });
         self.try_again(now, &order.life, order.task, order.run);
         self.schedule(now);
@@ -107,28 +107,28 @@
     pub(super) fn order_limit(&self) -> Duration {
         let settings = &self.settings;
         if !self.has(Mechanism::AnswerLimits) {
-            return settings.order_timeout;
+            return settings.start_resend_delay;
         }
         self.answers
-            .limit(settings.order_timeout, settings.longest_order_timeout)
+            .timeout(settings.start_resend_delay, settings.max_start_resend_delay)
     }
 
     /// Whether the path to the workers is full.
     pub(super) fn is_strained(&self) -> bool {
-        self.has(Mechanism::AnswerLimits) && self.answers.is_strained()
+        self.has(Mechanism::AnswerLimits) && self.answers.is_congested()
     }
 
     fn learn_answer_time(&mut self, now: Instant, took: Duration) {
         let was = self.is_strained();
-        self.answers.take(took);
+        self.answers.record(took);
         let (strained, under_way) = (self.is_strained(), self.starts_under_way());
         self.window
-            .take(now, strained, self.answers.smoothed(), under_way);
+            .on_answer(now, strained, self.answers.smoothed(), under_way);
         if strained != was {
-            self.notes.push(PoolNote::Strained {
-                strained,
+            self.notes.push(PoolNote::Congestion {
+                congested: strained,
                 smoothed: self.answers.smoothed(),
-                least: self.answers.least(),
+                minimum: self.answers.minimum(),
                 window: self.window.size(),
             });
         }
@@ -143,30 +143,36 @@
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
-        worker.end_order(false);
+        worker.finish_order(false);
         let of_this_life = order.sent >= worker.life_since;
         let fenced_anew = order.fence < worker.fence;
         match answer {
             // It may be the former life's: the new one has to be told.
             StopAnswer::Stopped(_) if !of_this_life => {
-                worker.orders.push_back(WaitingOrder::Stop(*task, *run));
+                worker
+                    .queued_orders
+                    .push_back(QueuedOrder::Stop(*task, *run));
             }
             StopAnswer::Stopped(clock) => {
-                worker.read_clock(owner_millis, clock);
+                worker.update_clock(owner_millis, clock);
                 if let Some(run) = worker.run_mut(*task, *run) {
-                    run.stop_acked = Some(now);
+                    run.stop_acked_at = Some(now);
                 }
             }
             StopAnswer::Failed(CallFailure::NewLife) => self.forget_life(now, life),
             StopAnswer::Failed(CallFailure::FencedOut) if fenced_anew => {
-                worker.orders.push_back(WaitingOrder::Stop(*task, *run));
+                worker
+                    .queued_orders
+                    .push_back(QueuedOrder::Stop(*task, *run));
             }
             StopAnswer::Failed(CallFailure::FencedOut) => self.lose_worker(now, life),
             StopAnswer::Failed(
                 CallFailure::NoAnswer | CallFailure::Unhealthy | CallFailure::Malformed,
             ) => {
-                worker.orders.push_back(WaitingOrder::Stop(*task, *run));
-                worker.order_pause = Some(now + self.settings.retry_pause);
+                worker
+                    .queued_orders
+                    .push_back(QueuedOrder::Stop(*task, *run));
+                worker.orders_paused_until = Some(now + self.settings.retry_delay);
             }
         }
         self.send_orders(now);
@@ -184,15 +190,17 @@
         if run.phase != RunPhase::Ordered {
             return;
         }
-        if run.tries < self.settings.start_tries {
+        if run.starts_sent < self.settings.max_unanswered_starts {
             // One that is lost is sent again at once: a pause would only add to what its job waits.
-            let pause = (run.tries > 1).then(|| now + self.settings.retry_pause);
-            worker.orders.push_front(WaitingOrder::Start(task, number));
-            worker.order_pause = pause;
+            let pause = (run.starts_sent > 1).then(|| now + self.settings.retry_delay);
+            worker
+                .queued_orders
+                .push_front(QueuedOrder::Start(task, number));
+            worker.orders_paused_until = pause;
             return;
         }
         // On a path that is full all workers answer late: this one is not to blame, and its answer may still come.
-        if strained && run.under_way > 0 {
+        if strained && run.starts_in_flight > 0 {
             return;
         }
         stop_run(worker, task, number);
@@ -208,26 +216,26 @@
         };
         let only_try = worker
             .run_mut(task, number)
-            .is_some_and(|run| run.tries == 1);
+            .is_some_and(|run| run.starts_sent == 1);
         let lost = if only_try {
-            worker.take_run(task, number)
+            worker.remove_run(task, number)
         } else {
             stop_run(worker, task, number);
             None
         };
         self.suspend(now, life, SuspensionCause::Unhealthy);
         if let Some(run) = lost {
-            self.note_lost(&run, life, RunLoss::TurnedAway);
+            self.note_lost(&run, life, RunLoss::Rejected);
             self.requeue(now, run);
         }
     }
 }
 
-fn confirm(worker: &mut WorkerLedger, task: TaskId, number: RunNumber, now: Instant) {
+fn confirm(worker: &mut TrackedWorker, task: TaskId, number: RunNumber, now: Instant) {
     let Some(run) = worker.run_mut(task, number) else {
         return;
     };
-    run.confirmed = Some(now);
+    run.confirmed_at = Some(now);
     if run.phase == RunPhase::Ordered {
         run.phase = RunPhase::Running;
     }
@@ -236,8 +244,8 @@
 fn answer_clock(answer: StartAnswer) -> Option<WorkerClock> {
     match answer {
         StartAnswer::Started(clock)
-        | StartAnswer::Outrun(clock)
-        | StartAnswer::Late(clock)
+        | StartAnswer::Superseded(clock)
+        | StartAnswer::LeaseExpired(clock)
         | StartAnswer::NoRoom(clock)
         | StartAnswer::NotAllowed(clock) => Some(clock),
         StartAnswer::Failed(_) => None,
--- a/crates/pool/src/pool/crashing.rs
+++ b/crates/pool/src/pool/crashing.rs
@@ -14,8 +14,8 @@
 use super::{schedule::task_id, WorkerPool};
 use crate::{
     action::PoolNote,
-    crash::{LostTask, PoolShape, TaskCaution, WorkerLoss},
-    worker::WorkerLedger,
+    crash::{LostTask, TaskRestriction, WorkerCounts, WorkerLoss},
+    worker::TrackedWorker,
 };
 
 /// The share of a pool's workers that are emptied for suspects at the most.
@@ -48,13 +48,13 @@
             born: worker.born,
             address: Some(worker.record.address),
             labels: worker.record.labels.clone(),
-            alone: tasks.len() == 1,
+            was_alone: tasks.len() == 1,
             tasks,
             at: now,
             died,
         };
         let suspects = loss.tasks.len();
-        let verdict = self.crashes.note_loss(loss, &self.shape());
+        let verdict = self.crashes.record_loss(loss, &self.shape());
         self.notes.push(PoolNote::CrashSuspected {
             life: life.clone(),
             died,
@@ -67,14 +67,14 @@
 
     /// A worker that was lost is known to have died.
     pub(super) fn confirm_crash(&mut self, now: Instant, life: &LifeId) {
-        let culprits = self.crashes.confirm(now, life);
+        let culprits = self.crashes.confirm_death(now, life);
         self.record_deaths();
         self.give_up_culprits(now, culprits);
     }
 
     /// A worker answers in the life in which it was lost.
     pub(super) fn clear_crash(&mut self, life: &LifeId, born: Option<BirthTime>) {
-        if self.crashes.acquit(life, born) {
+        if self.crashes.discard_loss(life, born) {
             self.notes
                 .push(PoolNote::CrashCleared { life: life.clone() });
         }
@@ -85,9 +85,9 @@
         if self.crashes.is_empty() {
             return;
         }
-        let culprits = self
-            .crashes
-            .note_listed(now, &record.life, record.born, record.address);
+        let culprits =
+            self.crashes
+                .apply_directory_entry(now, &record.life, record.born, record.address);
         self.record_deaths();
         self.give_up_culprits(now, culprits);
     }
@@ -107,11 +107,11 @@
                     address: None,
                     labels: Vec::new(),
                     tasks: self.lost_task(task).into_iter().collect(),
-                    alone: false,
+                    was_alone: false,
                     at: now,
                     died: true,
                 };
-                culprits.extend(self.crashes.note_recorded(loss));
+                culprits.extend(self.crashes.restore_death(loss));
             }
         }
         self.give_up_culprits(now, culprits);
@@ -131,7 +131,7 @@
     pub(super) fn forget_crashes(&mut self, now: Instant) {
         if !self.crashes.is_empty() {
             let jobs = &self.jobs;
-            self.crashes.forget(now, |job| jobs.contains_key(&job));
+            self.crashes.prune(now, |job| jobs.contains_key(&job));
         }
     }
 
@@ -143,8 +143,8 @@
         }
         let waiting = self.crashes.suspects().filter(|task| {
             let job = self.jobs.get(&task.job);
-            let waits = job.is_some_and(|job| job.waits(task.step as usize, task.index));
-            waits && self.crashes.caution(now, *task) == TaskCaution::Alone
+            let waits = job.is_some_and(|job| job.is_placeable(task.step as usize, task.index));
+            waits && self.crashes.restriction(now, *task) == TaskRestriction::Alone
         });
         let waiting = waiting.count();
         let former = std::mem::take(&mut self.cleared);
@@ -154,8 +154,8 @@
         let open = self
             .workers
             .values()
-            .filter(|worker| worker.is_open() && !worker.runs.iter().any(|run| run.alone));
-        let mut open: Vec<&WorkerLedger> = open.collect();
+            .filter(|worker| worker.accepts_runs() && !worker.runs.iter().any(|run| run.exclusive));
+        let mut open: Vec<&TrackedWorker> = open.collect();
         let most = (open.len() / CLEARED_SHARE).max(1);
         open.sort_by_key(|worker| {
             let begun = former.contains(&worker.record.life);
@@ -178,10 +178,10 @@
         })
     }
 
-    fn shape(&self) -> PoolShape {
-        let mut shape = PoolShape {
+    fn shape(&self) -> WorkerCounts {
+        let mut shape = WorkerCounts {
             workers: self.workers.len(),
-            ..PoolShape::default()
+            ..WorkerCounts::default()
         };
         for worker in self.workers.values() {
             for label in &worker.record.labels {
@@ -198,7 +198,7 @@
         for id in kept {
             let deaths = self.crashes.deaths_of(id);
             let kept = self.jobs.get_mut(&id).and_then(|job| job.kept.as_mut());
-            let Some(kept) = kept.filter(|kept| kept.end.is_none()) else {
+            let Some(kept) = kept.filter(|kept| kept.final_state.is_none()) else {
                 continue;
             };
             let mut changed = false;
--- a/crates/pool/src/pool/evacuating.rs
+++ b/crates/pool/src/pool/evacuating.rs
@@ -21,7 +21,7 @@
         let mut running = 0;
         for (life, worker) in &self.workers {
             for run in &worker.runs {
-                if run.phase == RunPhase::Ordered && run.tries == 0 {
+                if run.phase == RunPhase::Ordered && run.starts_sent == 0 {
                     unsent.push((life.clone(), run.task, run.run));
                 } else {
                     running += 1;
@@ -52,7 +52,7 @@
                 continue;
             };
             let run = worker.run_mut(task, number);
-            unsent.extend(run.filter(|run| run.tries == 0).cloned());
+            unsent.extend(run.filter(|run| run.starts_sent == 0).cloned());
             stop_run(worker, task, number);
         }
         for run in unsent {
@@ -69,7 +69,7 @@
         }
         let unkept = self.jobs.iter().filter(|(_, job)| job.kept.is_none());
         let stuck = unkept.filter(|(_, job)| job.has_unplaced());
-        let stuck: Vec<(JobId, bool)> = stuck.map(|(id, job)| (*id, job.ordered)).collect();
+        let stuck: Vec<(JobId, bool)> = stuck.map(|(id, job)| (*id, job.start_ordered)).collect();
         for (id, ordered) in stuck {
             let outcome = match ordered {
                 true => JobOutcome::GivenUp,
--- a/crates/pool/src/pool/keeping.rs
+++ b/crates/pool/src/pool/keeping.rs
@@ -13,7 +13,7 @@
 use super::{WorkerPool, SHORTEST_RETRY};
 use crate::{
     action::{PoolAction, PoolNote, WaiterId},
-    kept::{HeldEnd, KeepAnswer, KeepOrder, KeptLedger},
+    kept::{KeptJobState, KeptWrite, KeptWriteResult, UnstoredEnd},
 };
 
 /// The deadline of a job for whose end nobody waits: far beyond the life of a process.
@@ -29,7 +29,7 @@
     pub fn pending_jobs(&self) -> Vec<(Arc<str>, u64)> {
         let mut counts: Vec<(Arc<str>, u64)> = Vec::new();
         for job in self.jobs.values() {
-            let waits = job.is_stored() && !job.ordered;
+            let waits = job.is_stored() && !job.start_ordered;
             if !waits {
                 continue;
             }
@@ -55,10 +55,10 @@
         let mut job = self.open_job(now, Some(waiter), request, terms);
         job.deadline = now + NO_DEADLINE;
         let records = job.request.steps.iter().map(|_| StepRecord::default());
-        job.kept = Some(KeptLedger {
+        job.kept = Some(KeptJobState {
             progress: records.collect(),
             revision: self.next_run(now).0,
-            ..KeptLedger::default()
+            ..KeptJobState::default()
         });
         self.jobs.insert(id, job);
         self.store_changes(id);
@@ -77,7 +77,7 @@
             self.answer(waiter, outcome);
         }
         if let Some(kept) = job.kept {
-            self.release_ends(&kept.ends, u64::MAX);
+            self.release_ends(&kept.unstored_ends, u64::MAX);
         }
         self.stop_runs_of(now, id);
     }
@@ -99,7 +99,7 @@
         let Some(kept) = self.jobs.get_mut(&id).and_then(|job| job.kept.as_mut()) else {
             return;
         };
-        kept.end = Some(state);
+        kept.final_state = Some(state);
         kept.revision += 1;
         self.queue.remove(id);
         self.stop_runs_of(now, id);
@@ -112,7 +112,7 @@
         let job = self.jobs.get_mut(&task.job);
         let kept = job.and_then(|job| job.kept.as_mut());
         // Once the job has ended its row says all there is to know.
-        let Some(kept) = kept.filter(|kept| kept.end.is_none()) else {
+        let Some(kept) = kept.filter(|kept| kept.final_state.is_none()) else {
             return 0;
         };
         let step = task.step as usize;
@@ -124,17 +124,17 @@
                     record.done.push(task.index);
                 }
             }
-            EndCause::Failed => failures = kept.count_failure(step, task.index, end.run),
+            EndCause::Failed => failures = kept.record_failure(step, task.index, end.run),
             EndCause::Stopped | EndCause::Lapsed | EndCause::Gang => return 0,
         }
         kept.revision += 1;
-        kept.ends.push(HeldEnd {
+        kept.unstored_ends.push(UnstoredEnd {
             life: life.clone(),
             number: end.number,
             revision: kept.revision,
         });
         if let Some(worker) = self.workers.get_mut(life) {
-            worker.unstored.insert(end.number);
+            worker.unstored_ends.insert(end.number);
         }
         failures
     }
@@ -149,15 +149,15 @@
         let Some(kept) = job.kept.as_mut() else {
             return;
         };
-        if kept.writing.is_some() || kept.stored >= kept.revision {
+        if kept.writing_revision.is_some() || kept.stored_revision >= kept.revision {
             return;
         }
-        kept.writing = Some(kept.revision);
+        kept.writing_revision = Some(kept.revision);
         let row = KeptRow {
             home,
             writer: fence,
             revision: kept.revision,
-            state: kept.state(job.ordered),
+            state: kept.state(job.start_ordered),
             text: job.request.text.clone(),
             steps: job.request.steps.clone(),
             progress: kept.progress.clone(),
@@ -168,29 +168,29 @@
             stretch: job.terms.stretch,
             goal: job.terms.goal,
         };
-        self.actions.push(PoolAction::Keep(KeepOrder {
+        self.actions.push(PoolAction::WriteKeptJob(KeptWrite {
             job: id,
             row,
-            replaces: kept.version,
+            expected_version: kept.version,
         }));
     }
 
     /// Takes what became of a write.
-    pub fn on_kept(&mut self, now: Instant, order: &KeepOrder, answer: KeepAnswer) {
+    pub fn on_kept(&mut self, now: Instant, order: &KeptWrite, answer: KeptWriteResult) {
         let id = order.job;
         let Some(kept) = self.jobs.get_mut(&id).and_then(|job| job.kept.as_mut()) else {
             return;
         };
         // A write from before the job was let go of and found again says nothing about a later one: taken for its answer,
         // ends would be acknowledged that no row has. If it took effect, the later one finds the row changed.
-        if kept.writing != Some(order.row.revision) {
+        if kept.writing_revision != Some(order.row.revision) {
             return;
         }
-        kept.writing = None;
+        kept.writing_revision = None;
         let written = order.row.revision;
         match answer {
-            KeepAnswer::Stored(version) => self.take_stored(now, id, version, written),
-            KeepAnswer::TurnedAway => {
+            KeptWriteResult::Stored(version) => self.take_stored(now, id, version, written),
+            KeptWriteResult::Rejected => {
                 let refused = JobOutcome::Refused {
                     kind: RefusalKind::NotServing,
                     retry_after: SHORTEST_RETRY,
@@ -199,12 +199,12 @@
                 self.drop_kept(now, id, refused);
             }
             // Whoever has it runs it; if that is this pool, the next reading of the store finds it.
-            KeepAnswer::Known => {
+            KeptWriteResult::AlreadyExists => {
                 self.drop_kept(now, id, JobOutcome::Accepted);
                 self.ended_kept.remove(&id);
             }
-            KeepAnswer::Gone => self.drop_kept(now, id, JobOutcome::Accepted),
-            KeepAnswer::Changed(row, version) => {
+            KeptWriteResult::Gone => self.drop_kept(now, id, JobOutcome::Accepted),
+            KeptWriteResult::Conflict(row, version) => {
                 // A former owner's last write. What it knew counts, too, and this owner's is written over it.
                 kept.version = Some(version);
                 kept.revision += 1;
@@ -230,12 +230,14 @@
         };
         let first = kept.version.is_none();
         kept.version = Some(version);
-        kept.stored = written;
-        let (stored, later): (Vec<_>, Vec<_>) = std::mem::take(&mut kept.ends)
+        kept.stored_revision = written;
+        let (stored, later): (Vec<_>, Vec<_>) = std::mem::take(&mut kept.unstored_ends)
             .into_iter()
             .partition(|end| end.revision <= written);
-        kept.ends = later;
-        let over = kept.end.filter(|_| kept.stored >= kept.revision);
+        kept.unstored_ends = later;
+        let over = kept
+            .final_state
+            .filter(|_| kept.stored_revision >= kept.revision);
         self.release_ends(&stored, written);
         for waiter in waiters {
             self.answer(waiter, JobOutcome::Accepted);
@@ -253,10 +255,10 @@
         self.store_changes(id);
     }
 
-    fn release_ends(&mut self, ends: &[HeldEnd], up_to: u64) {
+    fn release_ends(&mut self, ends: &[UnstoredEnd], up_to: u64) {
         for end in ends.iter().filter(|end| end.revision <= up_to) {
             if let Some(worker) = self.workers.get_mut(&end.life) {
-                worker.unstored.remove(&end.number);
+                worker.unstored_ends.remove(&end.number);
             }
         }
     }
@@ -265,7 +267,7 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        job.take_record(step, record);
+        job.apply_record(step, record);
         let own = job
             .kept
             .as_mut()
--- a/crates/pool/src/pool/looks.rs
+++ b/crates/pool/src/pool/looks.rs
@@ -12,13 +12,13 @@
 use super::{stop_run, WorkerPool};
 use crate::{
     action::{
-        CallFailure, LookAnswer, LookOrder, PoolAction, PoolNote, RunLoss, SuspensionCause,
+        CallFailure, PollAnswer, PollOrder, PoolAction, PoolNote, RunLoss, SuspensionCause,
         WorkerChange,
     },
-    crash::TaskCaution,
+    crash::TaskRestriction,
     job::WaitingTask,
-    kept::STORING_PAUSE,
-    worker::{RunLedger, RunPhase, WaitingOrder, WorkerLedger},
+    kept::STORING_POLL_PAUSE,
+    worker::{QueuedOrder, RunPhase, TrackedRun, TrackedWorker},
 };
 
 /// Ends of an idle worker are acknowledged after this time, for the one look that costs. Soon enough for a worker's
@@ -57,14 +57,14 @@
         let hedge = self.hedge(now);
         let margin = self.look_margin();
         for worker in self.workers.values_mut() {
-            if !worker.wants_look(now, IDLE_ACK, wants_ends, hedge) {
+            if !worker.needs_poll(now, IDLE_ACK, wants_ends, hedge) {
                 continue;
             }
             let order = look_order(worker, now, owner_millis, &self.settings, margin);
-            worker.looks_in_flight += 1;
-            worker.last_look = now;
-            worker.look_pause = None;
-            self.actions.push(PoolAction::Look(order));
+            worker.polls_in_flight += 1;
+            worker.last_poll_sent = now;
+            worker.polls_paused_until = None;
+            self.actions.push(PoolAction::Poll(order));
         }
         self.send_orders(now);
     }
@@ -74,14 +74,14 @@
         &mut self,
         now: Instant,
         sent: Instant,
-        order: &LookOrder,
-        answer: LookAnswer,
+        order: &PollOrder,
+        answer: PollAnswer,
     ) {
         let life = &order.life;
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
-        worker.looks_in_flight = worker.looks_in_flight.saturating_sub(1);
+        worker.polls_in_flight = worker.polls_in_flight.saturating_sub(1);
         match answer {
             Ok(listing) => self.take_listing(now, sent, order, listing),
             // Its fence was raised meanwhile, by this owner.
@@ -102,21 +102,23 @@
             .lost_answer
             .filter(|_| self.has(Mechanism::HedgedLooks))?;
         // Answers that are late because the path is full come in the end: looks beside them would fill it further.
-        let lossy = now < lost + self.settings.loss_memory && !self.is_strained();
-        lossy.then_some(self.settings.look_hedge)
+        let lossy = now < lost + self.settings.lost_answer_memory && !self.is_strained();
+        lossy.then_some(self.settings.poll_hedge_delay)
     }
 
     /// How much longer than its wait a look may take: as long as answers may take now.
     fn look_margin(&self) -> Duration {
         let settings = &self.settings;
         if !self.has(Mechanism::AnswerLimits) {
-            return settings.look_margin;
+            return settings.poll_margin;
         }
-        let limit = self.answers.limit(Duration::ZERO, settings.order_give_up);
+        let limit = self
+            .answers
+            .timeout(Duration::ZERO, settings.order_answer_timeout);
         settings
-            .look_margin
+            .poll_margin
             .max(limit * 2)
-            .min(settings.longest_look_margin)
+            .min(settings.max_poll_margin)
     }
 
     fn miss_look(&mut self, now: Instant, sent: Instant, life: &LifeId) {
@@ -125,16 +127,16 @@
             return;
         };
         // A later look was answered: this one was lost, its worker was not.
-        if worker.answered_look.is_some_and(|later| later > sent) {
+        if worker.answered_poll_sent.is_some_and(|later| later > sent) {
             return;
         }
-        worker.misses += 1;
+        worker.missed_polls += 1;
         if !worker.is_silent() {
             return;
         }
-        worker.look_pause = Some(now + SILENT_PAUSE);
+        worker.polls_paused_until = Some(now + SILENT_PAUSE);
         let runs = worker.runs.len();
-        let first = worker.misses == crate::worker::MISSES_TO_SILENCE;
+        let first = worker.missed_polls == crate::worker::MISSED_POLLS_TO_SILENCE;
         if first {
             self.notes.push(PoolNote::WorkerSilent {
                 life: life.clone(),
@@ -147,7 +149,7 @@
         &mut self,
         now: Instant,
         sent: Instant,
-        order: &LookOrder,
+        order: &PollOrder,
         listing: WorkerListing,
     ) {
         if !self.check_life(now, sent, order, &listing) {
@@ -158,17 +160,17 @@
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
-        worker.note_listing(now, order.fence);
-        let returns = worker.misses > 0;
+        worker.record_listing(now, order.fence);
+        let returns = worker.missed_polls > 0;
         let new_here = worker.clock.is_none() || returns;
-        worker.misses = 0;
-        worker.answered_look = worker.answered_look.max(Some(sent));
+        worker.missed_polls = 0;
+        worker.answered_poll_sent = worker.answered_poll_sent.max(Some(sent));
         // Answers to two looks may overtake each other. Ends are numbered; all else holds only in the newest listing.
-        let newest = listing.clock > worker.listed;
-        worker.listed = worker.listed.max(listing.clock);
-        worker.ends_read |= self.kept_loaded;
-        worker.read_clock(owner_millis, listing.clock);
-        worker.acknowledged = worker.acknowledged.max(order.last_seen);
+        let newest = listing.clock > worker.listed_clock;
+        worker.listed_clock = worker.listed_clock.max(listing.clock);
+        worker.ends_listed |= self.kept_loaded;
+        worker.update_clock(owner_millis, listing.clock);
+        worker.acknowledged_end = worker.acknowledged_end.max(order.acknowledged_end);
         let clock_offset = worker.clock.map_or(0, |clock| clock.offset);
         let born = worker.born;
         if new_here {
@@ -195,22 +197,22 @@
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
-        if end.number <= worker.seen {
+        if end.number <= worker.last_seen_end {
             return;
         }
         if self.kept_loaded {
-            worker.seen = end.number;
+            worker.last_seen_end = end.number;
         }
         let Some(task) = end.task else {
             return;
         };
-        let Some(run) = worker.take_run(task, end.run) else {
+        let Some(run) = worker.remove_run(task, end.run) else {
             self.take_found_end(now, life, end);
             return;
         };
-        worker.last_end = now;
-        let took = now.saturating_duration_since(run.placed);
-        self.notes.push(PoolNote::Ended {
+        worker.last_end_time = now;
+        let took = now.saturating_duration_since(run.placed_at);
+        self.notes.push(PoolNote::RunEnded {
             task,
             run: run.run,
             life: life.clone(),
@@ -232,25 +234,26 @@
             return;
         };
         let unread = !self.kept_loaded && !listing.ended.is_empty();
-        if unread || !worker.unstored.is_empty() {
-            worker.look_pause = Some(now + STORING_PAUSE);
+        if unread || !worker.unstored_ends.is_empty() {
+            worker.polls_paused_until = Some(now + STORING_POLL_PAUSE);
         }
     }
 
-    fn complete_task(&mut self, now: Instant, life: &LifeId, run: &RunLedger, took: Duration) {
+    fn complete_task(&mut self, now: Instant, life: &LifeId, run: &TrackedRun, took: Duration) {
         let learns = self.has(Mechanism::Speeds);
         if let Some(worker) = self.workers.get_mut(life) {
-            worker.health.succeed();
+            worker.health.record_success();
             if learns {
-                worker.learn_speed(now, run.predicted, took);
+                worker.update_slowness(now, run.predicted, took);
             }
         }
         let id = run.task.job;
-        self.crashes.clear(run.task);
+        self.crashes.clear_task(run.task);
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        self.estimates.learn(&job.terms.route, run.estimate, took);
+        self.estimates
+            .record_run(&job.terms.route, run.estimate, took);
         if let Some(step) = job.steps.get_mut(run.task.step as usize) {
             step.done += 1;
         }
@@ -262,8 +265,8 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        job.count_done();
-        job.open_steps();
+        job.recount_done();
+        job.update_ready_steps();
         let (complete, kept) = (job.is_complete(), job.kept.is_some());
         match (complete, kept) {
             (true, true) => self.end_kept(now, id, KeptState::Completed),
@@ -273,13 +276,13 @@
     }
 
     /// Takes a failed run. `counted` failures of the task stand in the record of a kept job.
-    fn fail_task(&mut self, now: Instant, life: &LifeId, mut run: RunLedger, counted: u32) {
+    fn fail_task(&mut self, now: Instant, life: &LifeId, mut run: TrackedRun, counted: u32) {
         let id = run.task.job;
         let mut blame = true;
         if let Some(worker) = self.workers.get_mut(life) {
             // A failure on a worker that fails everything says nothing about the task.
-            blame = worker.health.is_sound();
-            if worker.health.fail(id) {
+            blame = worker.health.is_healthy();
+            if worker.health.record_failure(id) {
                 self.suspend(now, life, SuspensionCause::Failing);
             }
         }
@@ -305,14 +308,14 @@
     }
 
     /// Lets a task wait again whose run surely is over.
-    pub(super) fn requeue(&mut self, now: Instant, run: RunLedger) {
+    pub(super) fn requeue(&mut self, now: Instant, run: TrackedRun) {
         let id = run.task.job;
         let Some(job) = self.jobs.get_mut(&id).filter(|job| !job.has_ended()) else {
             return;
         };
         let place = run.task.step as usize;
         // Of a kept job that was let go of and found again the task may wait or be done already.
-        if job.kept.is_some() && !job.lacks(place, run.task.index) {
+        if job.kept.is_some() && !job.is_unaccounted(place, run.task.index) {
             return;
         }
         let Some(step) = job.steps.get_mut(place) else {
@@ -324,9 +327,9 @@
             failed_on: run.failed_on,
         };
         // The last one is placed first, and a suspect may have to wait longer than others of its step.
-        match self.crashes.caution(now, run.task) {
-            TaskCaution::None => step.waiting.push(task),
-            TaskCaution::Alone | TaskCaution::Wait => step.waiting.insert(0, task),
+        match self.crashes.restriction(now, run.task) {
+            TaskRestriction::None => step.waiting.push(task),
+            TaskRestriction::Alone | TaskRestriction::Hold => step.waiting.insert(0, task),
         }
         self.enqueue(now, id);
     }
@@ -356,19 +359,19 @@
             foreign.push((task, run));
         }
         for known in &foreign {
-            if worker.foreign.contains(known) {
+            if worker.foreign_runs.contains(known) {
                 continue;
             }
             worker
-                .orders
-                .push_back(WaitingOrder::Stop(known.0, known.1));
+                .queued_orders
+                .push_back(QueuedOrder::Stop(known.0, known.1));
             self.notes.push(PoolNote::ForeignRun {
                 task: Some(known.0),
                 run: known.1,
                 life: life.clone(),
             });
         }
-        worker.foreign = foreign;
+        worker.foreign_runs = foreign;
     }
 
     fn read_progress(&mut self, now: Instant, life: &LifeId, listing: &WorkerListing) {
@@ -390,16 +393,16 @@
             }
             if running.percent > run.percent {
                 run.percent = running.percent;
-                run.progressed = now;
+                run.progressed_at = now;
             }
-            let took = now.saturating_duration_since(run.placed);
-            let still = now.saturating_duration_since(run.progressed);
+            let took = now.saturating_duration_since(run.placed_at);
+            let still = now.saturating_duration_since(run.progressed_at);
             let overdue =
-                run.predicted.mul_f64(self.settings.stall_after) + self.settings.stall_margin;
+                run.predicted.mul_f64(self.settings.stall_factor) + self.settings.stall_margin;
             if run.phase == RunPhase::Running && took >= overdue && still >= STANDSTILL {
                 stalled.push((run.task, run.run, took, run.percent));
             } else if run.percent >= TELLING_PERCENT {
-                let worked = now.saturating_duration_since(run.confirmed.unwrap_or(now));
+                let worked = now.saturating_duration_since(run.confirmed_at.unwrap_or(now));
                 let projected = worked.mul_f64(100.0 / f64::from(run.percent));
                 if projected > run.predicted.mul_f64(SLOW_PROJECTION) {
                     slowest = Some((run.predicted, projected));
@@ -407,7 +410,7 @@
             }
         }
         if let Some((predicted, projected)) = slowest.filter(|_| learns) {
-            worker.learn_speed(now, predicted, projected);
+            worker.update_slowness(now, predicted, projected);
         }
         if stalled.is_empty() || !self.has(Mechanism::StallStop) {
             return;
@@ -417,7 +420,7 @@
         };
         for (task, run, took, percent) in stalled {
             stop_run(worker, task, run);
-            self.notes.push(PoolNote::Stalled {
+            self.notes.push(PoolNote::RunStalled {
                 task,
                 run,
                 life: life.clone(),
@@ -450,10 +453,10 @@
         }
         let mut lost = Vec::new();
         for (task, run) in missing {
-            lost.extend(worker.take_run(task, run));
+            lost.extend(worker.remove_run(task, run));
         }
         for run in lost {
-            self.note_lost(&run, life, RunLoss::NotThere);
+            self.note_lost(&run, life, RunLoss::NotListed);
             self.requeue(now, run);
         }
     }
@@ -464,10 +467,10 @@
             return;
         };
         let runs = std::mem::take(&mut worker.runs);
-        worker.foreign.clear();
-        worker.orders.clear();
+        worker.foreign_runs.clear();
+        worker.queued_orders.clear();
         let died = loss == RunLoss::NewLife;
-        let begun = runs.iter().filter(|run| run.tries > 0);
+        let begun = runs.iter().filter(|run| run.starts_sent > 0);
         let culprits = self.note_crash(now, life, begun.map(|run| run.task), died);
         for run in runs {
             self.note_lost(&run, life, loss);
@@ -492,7 +495,7 @@
             return;
         };
         self.note_worker(life.clone(), WorkerChange::TakenOver);
-        let of_kept = |run: &RunLedger| {
+        let of_kept = |run: &TrackedRun| {
             let job = self.jobs.get(&run.task.job);
             job.is_some_and(|job| job.kept.is_some())
         };
@@ -503,11 +506,11 @@
             self.finish(now, run.task.job, JobOutcome::GivenUp);
         }
         if self.workers.is_empty() {
-            self.actions.push(PoolAction::LetGo);
+            self.actions.push(PoolAction::ReleasePool);
         }
     }
 
-    pub(super) fn note_lost(&mut self, run: &RunLedger, life: &LifeId, loss: RunLoss) {
+    pub(super) fn note_lost(&mut self, run: &TrackedRun, life: &LifeId, loss: RunLoss) {
         self.notes.push(PoolNote::RunLost {
             task: run.task,
             run: run.run,
@@ -522,49 +525,50 @@
 /// A run whose start was answered before the look was sent was there, so it must have ended. One whose stop was
 /// answered before ended or never begins. One whose start went unanswered may still begin, until the lease end that
 /// its last start carried has passed on the worker's clock.
-fn is_over(run: &RunLedger, sent: Instant, clock: WorkerClock) -> bool {
-    let was_there = run.confirmed.is_some_and(|confirmed| confirmed < sent);
-    let was_stopped = run.stop_acked.is_some_and(|acked| acked < sent);
-    let never_begins = run.tries > 0 && run.start_until < clock;
+fn is_over(run: &TrackedRun, sent: Instant, clock: WorkerClock) -> bool {
+    let was_there = run.confirmed_at.is_some_and(|confirmed| confirmed < sent);
+    let was_stopped = run.stop_acked_at.is_some_and(|acked| acked < sent);
+    let never_begins = run.starts_sent > 0 && run.start_expires < clock;
     was_there || was_stopped || never_begins
 }
 
 fn look_order(
-    worker: &mut WorkerLedger,
+    worker: &mut TrackedWorker,
     now: Instant,
     owner_millis: u64,
     settings: &crate::PoolSettings,
     margin: Duration,
-) -> LookOrder {
+) -> PollOrder {
     // Runs of a former owner are not renewed, and a worker that does not answer is left to its lease: what it was
     // last told must be what it goes by.
-    let renew = !worker.runs.is_empty() && worker.foreign.is_empty() && worker.misses == 0;
-    let clock = worker.clock_now(owner_millis).filter(|_| renew);
+    let renew =
+        !worker.runs.is_empty() && worker.foreign_runs.is_empty() && worker.missed_polls == 0;
+    let clock = worker.min_clock_now(owner_millis).filter(|_| renew);
     let lease_end = clock.map(|clock| clock.plus(settings.lease));
     worker.lease_end = worker.lease_end.max(lease_end.unwrap_or_default());
     let wait = look_wait(worker, now, settings);
-    LookOrder {
+    PollOrder {
         life: worker.record.life.clone(),
         address: worker.record.address,
         fence: worker.fence,
         lease_end,
-        last_seen: worker.news_of_ends(now),
+        acknowledged_end: worker.ends_to_acknowledge(now),
         wait,
-        limit: wait + margin,
+        timeout: wait + margin,
     }
 }
 
-fn look_wait(worker: &WorkerLedger, now: Instant, settings: &crate::PoolSettings) -> Duration {
-    if !worker.foreign.is_empty() {
+fn look_wait(worker: &TrackedWorker, now: Instant, settings: &crate::PoolSettings) -> Duration {
+    if !worker.foreign_runs.is_empty() {
         return FOREIGN_WAIT;
     }
-    if !worker.is_open() || worker.runs.is_empty() {
+    if !worker.accepts_runs() || worker.runs.is_empty() {
         return Duration::ZERO;
     }
-    let mut wait = settings.look_wait;
+    let mut wait = settings.poll_wait;
     for run in &worker.runs {
-        let overdue = run.predicted.mul_f64(settings.stall_after) + settings.stall_margin;
-        let left = (run.placed + overdue).saturating_duration_since(now);
+        let overdue = run.predicted.mul_f64(settings.stall_factor) + settings.stall_margin;
+        let left = (run.placed_at + overdue).saturating_duration_since(now);
         wait = wait.min(left.max(SHORTEST_WAIT));
     }
     wait
--- a/crates/pool/src/pool/rebirth.rs
+++ b/crates/pool/src/pool/rebirth.rs
@@ -15,8 +15,8 @@
 
 use super::WorkerPool;
 use crate::{
-    action::{LookOrder, PoolNote, RunLoss},
-    worker::{LifeVerdict, RunLedger},
+    action::{PollOrder, PoolNote, RunLoss},
+    worker::{ListingLife, TrackedRun},
 };
 
 /// What is to become of a run that was known before a worker's new life was found.
@@ -41,16 +41,16 @@
         &mut self,
         now: Instant,
         sent: Instant,
-        order: &LookOrder,
+        order: &PollOrder,
         listing: &WorkerListing,
     ) -> bool {
         let Some(worker) = self.workers.get_mut(&order.life) else {
             return false;
         };
-        match worker.judge_life(listing.born, sent) {
-            LifeVerdict::Known => true,
-            LifeVerdict::Former => false,
-            LifeVerdict::New => {
+        match worker.classify_listing(listing.born, sent) {
+            ListingLife::Known => true,
+            ListingLife::Former => false,
+            ListingLife::New => {
                 self.begin_life(now, order, listing);
                 true
             }
@@ -62,12 +62,12 @@
         self.sole_until = self.sole_until.max(version);
     }
 
-    fn begin_life(&mut self, now: Instant, order: &LookOrder, listing: &WorkerListing) {
+    fn begin_life(&mut self, now: Instant, order: &PollOrder, listing: &WorkerListing) {
         let life = &order.life;
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
-        let last_listed = worker.answered_look;
+        let last_listed = worker.answered_poll_sent;
         let fates: Vec<(TaskId, RunNumber, FormerRun)> = worker
             .runs
             .iter()
@@ -86,10 +86,10 @@
         for job in self.jobs.values_mut() {
             if let Some(kept) = &mut job.kept {
                 // The former life's ends need no acknowledgement any more.
-                kept.ends.retain(|end| end.life != *life);
+                kept.unstored_ends.retain(|end| end.life != *life);
             }
         }
-        self.notes.push(PoolNote::WorkerReborn {
+        self.notes.push(PoolNote::WorkerRestarted {
             life: life.clone(),
             born: listing.born,
             runs: fates.len(),
@@ -114,12 +114,12 @@
         };
         match fate {
             FormerRun::Listed => (),
-            FormerRun::AtLarge => worker.stop_at_large(task, number),
+            FormerRun::AtLarge => worker.stop_stray_run(task, number),
             FormerRun::Unsent => {
                 self.withdraw_starts(now, vec![(life.clone(), task, number)]);
             }
             FormerRun::Dead | FormerRun::Unknown => {
-                let Some(run) = worker.take_run(task, number) else {
+                let Some(run) = worker.remove_run(task, number) else {
                     return;
                 };
                 self.note_lost(&run, life, RunLoss::NewLife);
@@ -134,8 +134,8 @@
 }
 
 fn former_run(
-    run: &RunLedger,
-    order: &LookOrder,
+    run: &TrackedRun,
+    order: &PollOrder,
     listing: &WorkerListing,
     last_listed: Option<Instant>,
 ) -> FormerRun {
@@ -145,11 +145,11 @@
     let mut ended = ends.filter(|end| end.task == Some(run.task) && end.run == run.run);
     if running.next().is_some() || ended.next().is_some() {
         FormerRun::Listed
-    } else if run.tries == 0 {
+    } else if run.starts_sent == 0 {
         FormerRun::Unsent
-    } else if run.tries > run.answered {
+    } else if run.starts_sent > run.answered_starts {
         FormerRun::AtLarge
-    } else if order.last_seen > 0 && run.confirmed > last_listed {
+    } else if order.acknowledged_end > 0 && run.confirmed_at > last_listed {
         FormerRun::Unknown
     } else {
         FormerRun::Dead
--- a/crates/pool/src/pool/resizing.rs
+++ b/crates/pool/src/pool/resizing.rs
@@ -8,7 +8,7 @@
 use jobs::{JobId, JobOutcome, LifeId, RefusalKind, ResourceDemand, RunNumber, TaskId};
 
 use super::{WorkerPool, SHORTEST_RETRY};
-use crate::{action::PoolNote, worker::WorkerLedger};
+use crate::{action::PoolNote, worker::TrackedWorker};
 
 impl WorkerPool {
     /// Follows a change of a worker's room.
@@ -20,7 +20,7 @@
         let withdrawn = starts_over_room(worker);
         self.notes.push(PoolNote::WorkerResized {
             life: life.clone(),
-            former,
+            former_room: former,
             room,
             withdrawn: withdrawn.len(),
         });
@@ -37,7 +37,7 @@
         let queued = self.queue.jobs();
         let homeless = queued.filter(|id| {
             let job = &self.jobs[id];
-            let can_wait = job.ordered || job.kept.is_some();
+            let can_wait = job.start_ordered || job.kept.is_some();
             !can_wait && !self.can_ever_hold(&job.request, &job.terms)
         });
         let homeless: Vec<JobId> = homeless.collect();
@@ -53,14 +53,14 @@
 }
 
 /// The starts that were never sent and do not fit into a worker's room beside its other runs, the latest first.
-fn starts_over_room(worker: &WorkerLedger) -> Vec<(TaskId, RunNumber)> {
+fn starts_over_room(worker: &TrackedWorker) -> Vec<(TaskId, RunNumber)> {
     let mut used = worker.used_room();
     let mut over = Vec::new();
     for run in worker.runs.iter().rev() {
         if worker.record.room.holds(&used) {
             break;
         }
-        if run.tries == 0 {
+        if run.starts_sent == 0 {
             used = used.minus(&run.demand);
             over.push((run.task, run.run));
         }
--- a/crates/pool/src/pool/schedule.rs
+++ b/crates/pool/src/pool/schedule.rs
@@ -8,10 +8,10 @@
 use super::{WorkerPool, REPEATS_AT_ONCE, SHORTEST_RETRY};
 use crate::{
     action::{PoolAction, PoolNote, StartOrder, StopOrder},
-    crash::TaskCaution,
+    crash::TaskRestriction,
     job::WaitingTask,
-    placement::{choose_worker, PlacementAsk},
-    worker::{RunLedger, RunPhase, WaitingOrder, WorkerLedger},
+    placement::{choose_worker, PlacementRequest},
+    worker::{QueuedOrder, RunPhase, TrackedRun, TrackedWorker},
 };
 
 /// An answer that takes longer than this is worth a connection more: a tenth of what the shortest class has beside its work.
@@ -41,7 +41,7 @@
             self.send_orders(now);
             return;
         }
-        self.queue.move_late(now);
+        self.queue.reclassify(now);
         let order: Vec<JobId> = self.queue.jobs().collect();
         let mut most_free = self.most_free();
         for job in order {
@@ -49,7 +49,7 @@
                 break;
             }
             // With hundreds of waiting jobs and no place free, trying each on each worker is most of an owner's work.
-            if self.jobs[&job].least_demand() > most_free {
+            if self.jobs[&job].min_placeable_cpu() > most_free {
                 continue;
             }
             if self.place_tasks(now, job) {
@@ -61,7 +61,7 @@
 
     /// The most processor room that is free on any worker that may get runs.
     fn most_free(&self) -> CpuMillis {
-        let open = self.workers.values().filter(|worker| worker.is_open());
+        let open = self.workers.values().filter(|worker| worker.accepts_runs());
         let free = open.map(|worker| worker.free_room().cpu);
         free.max().unwrap_or_default()
     }
@@ -72,7 +72,7 @@
             return false;
         }
         let steps: Vec<usize> = self.jobs[&id]
-            .open_waiting()
+            .placeable_steps()
             .map(|(step, _)| step)
             .collect();
         let mut placed = false;
@@ -86,7 +86,7 @@
                 };
                 if let Some(job) = self.jobs.get_mut(&id) {
                     job.steps[step].waiting.pop();
-                    job.ordered = true;
+                    job.start_ordered = true;
                 }
                 self.place(now, id, step, task, &life);
                 placed = true;
@@ -107,13 +107,13 @@
     ) -> Option<LifeId> {
         let job = &self.jobs[&id];
         let step_number = u32::try_from(step).unwrap_or(u32::MAX);
-        let alone = match self.crashes.caution(now, task_id(id, step, task.index)) {
-            TaskCaution::None => false,
-            TaskCaution::Alone => true,
-            TaskCaution::Wait => return None,
+        let alone = match self.crashes.restriction(now, task_id(id, step, task.index)) {
+            TaskRestriction::None => false,
+            TaskRestriction::Alone => true,
+            TaskRestriction::Hold => return None,
         };
         let spec = &job.request.steps[step];
-        let ask = PlacementAsk {
+        let ask = PlacementRequest {
             job: id,
             step: step_number,
             spec,
@@ -121,8 +121,8 @@
             failed_on: &task.failed_on,
             far_factor: self.far_factor,
             median_slowness: self.median_slowness,
-            alone,
-            cleared: &self.cleared,
+            exclusive: alone,
+            reserved: &self.cleared,
         };
         choose_worker(self.workers.values(), &ask, now).map(|worker| worker.record.life.clone())
     }
@@ -132,28 +132,28 @@
         let job = &self.jobs[&id];
         let spec = &job.request.steps[step];
         let task_id = task_id(id, step, task.index);
-        let ledger = RunLedger {
+        let ledger = TrackedRun {
             task: task_id,
             run,
             demand: spec.demand,
             text: job.request.text.clone(),
             phase: RunPhase::Ordered,
-            placed: now,
-            confirmed: None,
-            stop_acked: None,
-            start_until: jobs::WorkerClock(0),
-            tries: 0,
-            answered: 0,
-            under_way: 0,
+            placed_at: now,
+            confirmed_at: None,
+            stop_acked_at: None,
+            start_expires: jobs::WorkerClock(0),
+            starts_sent: 0,
+            answered_starts: 0,
+            starts_in_flight: 0,
             predicted: self.predict(&job.terms, spec),
             estimate: spec.estimate,
             percent: 0,
-            progressed: now,
+            progressed_at: now,
             failures: task.failures,
-            alone: self.crashes.caution(now, task_id) != TaskCaution::None,
+            exclusive: self.crashes.restriction(now, task_id) != TaskRestriction::None,
             failed_on: task.failed_on,
         };
-        self.notes.push(PoolNote::Placed {
+        self.notes.push(PoolNote::RunPlaced {
             task: task_id,
             run,
             life: life.clone(),
@@ -163,7 +163,9 @@
             return;
         };
         worker.runs.push(ledger);
-        worker.orders.push_back(WaitingOrder::Start(task_id, run));
+        worker
+            .queued_orders
+            .push_back(QueuedOrder::Start(task_id, run));
     }
 
     fn is_window_full(&self) -> bool {
@@ -180,7 +182,7 @@
     /// Tasks that wait for a place and may be placed now.
     pub(super) fn waiting_tasks(&self) -> usize {
         let jobs = self.queue.jobs();
-        jobs.map(|job| self.jobs[&job].waiting_count()).sum()
+        jobs.map(|job| self.jobs[&job].placeable_count()).sum()
     }
 
     /// How long the tasks of a new job take to be started beside those under way, at the pace at which answers come now.
@@ -213,31 +215,31 @@
             lease: self.settings.lease,
             overdue,
             limit: match self.has(Mechanism::AnswerLimits) {
-                true => self.settings.order_give_up,
+                true => self.settings.order_answer_timeout,
                 false => overdue,
             },
         };
         let mut withdrawn = Vec::new();
         for worker in self.workers.values_mut() {
-            if worker.order_pause.is_some_and(|pause| now < pause) {
+            if worker.orders_paused_until.is_some_and(|pause| now < pause) {
                 continue;
             }
-            worker.order_pause = None;
+            worker.orders_paused_until = None;
             while worker.orders_in_flight < most_orders {
-                let Some(order) = worker.orders.pop_front() else {
+                let Some(order) = worker.queued_orders.pop_front() else {
                     break;
                 };
                 let action = match order {
-                    WaitingOrder::Start(task, run) if self.evacuated || worker.is_over_room() => {
+                    QueuedOrder::Start(task, run) if self.evacuated || worker.is_over_room() => {
                         withdrawn.push((worker.record.life.clone(), task, run));
                         continue;
                     }
-                    WaitingOrder::Start(task, run) => start_action(worker, task, run, &frame),
-                    WaitingOrder::Stop(task, run) => stop_action(worker, task, run, &frame),
+                    QueuedOrder::Start(task, run) => start_action(worker, task, run, &frame),
+                    QueuedOrder::Stop(task, run) => stop_action(worker, task, run, &frame),
                 };
                 if let Some(action) = action {
                     worker.orders_in_flight += 1;
-                    let repeats = self.repeats + self.settings.repeat_share;
+                    let repeats = self.repeats + self.settings.max_resend_share;
                     self.repeats = repeats.min(REPEATS_AT_ONCE);
                     self.actions.push(action);
                 }
@@ -254,8 +256,8 @@
         let mut ends = Vec::new();
         let unkept = self.jobs.iter().filter(|(_, job)| job.kept.is_none());
         for (id, job) in unkept {
-            let useless = job.arrived + job.objective.mul_f64(self.settings.useless_beyond);
-            if !job.ordered && (now >= useless || now >= job.deadline) {
+            let useless = job.arrived + job.objective.mul_f64(self.settings.useless_factor);
+            if !job.start_ordered && (now >= useless || now >= job.deadline) {
                 let kind = RefusalKind::TooLate;
                 ends.push((
                     *id,
@@ -282,15 +284,15 @@
             if worker.runs.is_empty() || !worker.is_silent() {
                 continue;
             }
-            let Some(clock) = worker.clock_now(owner_millis) else {
+            let Some(clock) = worker.min_clock_now(owner_millis) else {
                 continue;
             };
-            if clock >= worker.lease_end.plus(self.settings.lapse_margin) {
+            if clock >= worker.lease_end.plus(self.settings.lease_expiry_margin) {
                 lapsed.push(life.clone());
             }
         }
         for life in lapsed {
-            self.lose_all_runs(now, &life, crate::action::RunLoss::LeaseOver);
+            self.lose_all_runs(now, &life, crate::action::RunLoss::LeaseExpired);
         }
     }
 }
@@ -314,18 +316,18 @@
 }
 
 fn start_action(
-    worker: &mut WorkerLedger,
+    worker: &mut TrackedWorker,
     task: jobs::TaskId,
     number: jobs::RunNumber,
     frame: &OrderFrame,
 ) -> Option<PoolAction> {
-    let clock = worker.clock_now(frame.owner_millis)?;
+    let clock = worker.min_clock_now(frame.owner_millis)?;
     let lease_end = clock.plus(frame.lease);
     let (life, address) = (worker.record.life.clone(), worker.record.address);
     let run = worker.run_mut(task, number)?;
-    run.tries += 1;
-    run.under_way += 1;
-    run.start_until = lease_end;
+    run.starts_sent += 1;
+    run.starts_in_flight += 1;
+    run.start_expires = lease_end;
     let text = run.text.clone();
     worker.lease_end = worker.lease_end.max(lease_end);
     Some(PoolAction::Start(StartOrder {
@@ -337,19 +339,19 @@
         text,
         lease_end,
         sent: frame.now,
-        overdue: frame.overdue,
-        limit: frame.limit,
+        overdue_after: frame.overdue,
+        timeout: frame.limit,
     }))
 }
 
 fn stop_action(
-    worker: &WorkerLedger,
+    worker: &TrackedWorker,
     task: jobs::TaskId,
     run: jobs::RunNumber,
     frame: &OrderFrame,
 ) -> Option<PoolAction> {
     let known = worker.runs.iter().any(|r| r.task == task && r.run == run);
-    if !known && !worker.foreign.contains(&(task, run)) {
+    if !known && !worker.foreign_runs.contains(&(task, run)) {
         return None;
     }
     Some(PoolAction::Stop(StopOrder {
@@ -360,6 +362,6 @@
         run,
         sent: frame.now,
         // Stopping twice is idempotent, and a place waits for it.
-        limit: frame.overdue,
+        timeout: frame.overdue,
     }))
 }
--- a/crates/pool/src/pool/takeover.rs
+++ b/crates/pool/src/pool/takeover.rs
@@ -15,9 +15,9 @@
 use super::{keeping::NO_DEADLINE, stop_run, WorkerPool};
 use crate::{
     action::PoolNote,
-    job::JobLedger,
-    kept::{FoundJob, KeptLedger, CONTACT_LIMIT, SETTLE_LIMIT},
-    worker::{RunPhase, WorkerLedger},
+    job::TrackedJob,
+    kept::{FoundJob, KeptJobState, STORE_CONTACT_LIMIT, TAKEOVER_HOLD_TIME},
+    worker::{RunPhase, TrackedWorker},
 };
 
 /// How long ended jobs are remembered, so that an older view of their rows does not bring them back: the longest time that
@@ -33,7 +33,7 @@
     /// Whether kept jobs wait until no run of a former owner can be left.
     pub(super) fn has_held_back(&self) -> bool {
         let mut kept = self.jobs.values().filter_map(|job| job.kept.as_ref());
-        kept.any(|kept| kept.held_back)
+        kept.any(|kept| kept.may_have_runs)
     }
 
     /// Says whether a former owner still finishes jobs of the pool, and whether all workers that it may have used are
@@ -85,23 +85,23 @@
         let mut job = self.open_job(now, None, request, terms);
         job.deadline = now + NO_DEADLINE;
         for (step, record) in row.progress.iter().enumerate() {
-            job.take_record(step, record);
+            job.apply_record(step, record);
         }
         // Runs that this owner ordered before it let go of the job: when they end, their tasks wait again.
         for worker in self.workers.values() {
             for run in worker.runs.iter().filter(|run| run.task.job == id) {
-                job.leave_out(run.task.step as usize, run.task.index);
+                job.remove_waiting(run.task.step as usize, run.task.index);
             }
         }
-        job.open_steps();
+        job.update_ready_steps();
         let revision = self.next_run(now).0;
-        job.kept = Some(KeptLedger {
+        job.kept = Some(KeptJobState {
             version: Some(version),
             revision,
-            stored: revision,
+            stored_revision: revision,
             progress: row.progress,
-            held_back: true,
-            ..KeptLedger::default()
+            may_have_runs: true,
+            ..KeptJobState::default()
         });
         let complete = job.is_complete();
         let progress = job.kept.as_ref().map(|kept| kept.progress.clone());
@@ -117,18 +117,18 @@
     }
 
     /// Whether the tasks of a job may be placed, if room is free.
-    pub(super) fn may_run(&self, now: Instant, job: &JobLedger) -> bool {
+    pub(super) fn may_run(&self, now: Instant, job: &TrackedJob) -> bool {
         let Some(kept) = &job.kept else {
             return true;
         };
-        let stored = kept.version.is_some() && kept.end.is_none();
-        stored && !kept.held_back && self.accepting && self.is_sure(now)
+        let stored = kept.version.is_some() && kept.final_state.is_none();
+        stored && !kept.may_have_runs && self.accepting && self.is_sure(now)
     }
 
     /// Whether this owner surely has not been replaced without knowing it.
     fn is_sure(&self, now: Instant) -> bool {
         self.store_contact
-            .is_some_and(|sent| now < sent + CONTACT_LIMIT)
+            .is_some_and(|sent| now < sent + STORE_CONTACT_LIMIT)
     }
 
     /// Does what time alone changes for kept jobs.
@@ -145,7 +145,7 @@
         if self.is_settled(now) {
             for job in self.jobs.values_mut() {
                 if let Some(kept) = &mut job.kept {
-                    kept.held_back = false;
+                    kept.may_have_runs = false;
                 }
             }
         }
@@ -157,12 +157,12 @@
     /// Whether no run of a former owner can be left: every worker has said under this fence what it runs, or all that
     /// a former owner may have ordered is over.
     fn is_settled(&self, now: Instant) -> bool {
-        let clear = |worker: &WorkerLedger| {
-            worker.ends_read && worker.foreign.is_empty() && worker.unlisted.is_none()
+        let clear = |worker: &TrackedWorker| {
+            worker.ends_listed && worker.foreign_runs.is_empty() && worker.unlisted_since.is_none()
         };
         let known = self.kept_loaded && self.all_listed && !self.awaiting;
         let seen = known && self.workers.values().all(clear);
-        seen || now >= self.alone_since + SETTLE_LIMIT
+        seen || now >= self.alone_since + TAKEOVER_HOLD_TIME
     }
 
     fn stop_kept_runs(&mut self, now: Instant) {
@@ -172,7 +172,9 @@
             let kept = |id: &JobId| self.jobs.get(id).is_some_and(|job| job.kept.is_some());
             let running = worker.runs.iter().filter(|run| kept(&run.task.job));
             let running = running.filter(|run| run.phase != RunPhase::Stopping);
-            let running: Vec<_> = running.map(|run| (run.task, run.run, run.tries)).collect();
+            let running: Vec<_> = running
+                .map(|run| (run.task, run.run, run.starts_sent))
+                .collect();
             for (task, run, tries) in running {
                 stopped = true;
                 if tries == 0 {
@@ -194,12 +196,12 @@
     /// Lets go of stored jobs of which nothing runs: the next owner finds them in the store.
     fn leave_kept(&mut self) {
         let idle = self.jobs.iter().filter(|(id, job)| {
-            let stored = job.kept.as_ref().is_some_and(KeptLedger::is_all_stored);
+            let stored = job.kept.as_ref().is_some_and(KeptJobState::is_fully_stored);
             stored
                 && self
                     .workers
                     .values()
-                    .all(|worker| worker.runs_of(**id) == 0)
+                    .all(|worker| worker.run_count_of(**id) == 0)
         });
         let idle: Vec<JobId> = idle.map(|(id, _)| *id).collect();
         for id in idle {
@@ -220,8 +222,8 @@
         }
         // What was not acknowledged is listed again, and counts then.
         for worker in self.workers.values_mut() {
-            worker.unstored.clear();
-            worker.seen = worker.acknowledged;
+            worker.unstored_ends.clear();
+            worker.last_seen_end = worker.acknowledged_end;
         }
         self.unload_kept();
         self.alone_since = now;
@@ -231,7 +233,7 @@
     pub(super) fn unload_kept(&mut self) {
         self.kept_loaded = false;
         for worker in self.workers.values_mut() {
-            worker.ends_read = false;
+            worker.ends_listed = false;
         }
     }
 
--- a/crates/pool/tests/evacuation.rs
+++ b/crates/pool/tests/evacuation.rs
@@ -5,7 +5,7 @@
 
 use jobs::{JobId, JobOutcome, RefusalKind};
 use model::DataCentreId;
-use pool::{EvacuationBook, EvacuationChange, PoolLoad};
+use pool::{EvacuationChange, EvacuationSet, PoolLoad};
 use support::{WorkerFault, World};
 
 const ONE_PLACE: u64 = 16_000;
@@ -77,8 +77,8 @@
         for worker in world.workers.values_mut() {
             worker.fault = WorkerFault {
                 answers_lost: 0.3,
-                late: 0.5,
-                fails: seed % 3 == 0,
+                late_starts: 0.5,
+                fails_runs: seed % 3 == 0,
                 ..WorkerFault::default()
             };
         }
@@ -107,7 +107,7 @@
 #[test]
 fn a_kept_job_waits_for_the_return() {
     let mut world = World::new(1, 1);
-    world.keeps = true;
+    world.submits_kept = true;
     let kept = JobId(1);
     world.submit_sized(1, kept, vec![300.0; 2], 100.0, ONE_PLACE);
     world.run_for(60);
@@ -148,15 +148,18 @@
 /// for it; what began before and is not shown has.
 #[test]
 fn an_older_reading_does_not_end_a_newer_evacuation() {
-    let mut book = EvacuationBook::default();
+    let mut book = EvacuationSet::default();
     assert!(book.begin(centre("east"), 10));
     assert!(!book.begin(centre("east"), 10));
     assert!(book.begin(centre("west"), 30));
-    let change = book.take_whole(vec![(centre("north"), 15)], 20);
+    let change = book.apply_snapshot(vec![(centre("north"), 15)], 20);
     assert_eq!(change, changed(&["north"], &["east"]));
     assert!(book.contains(&centre("west")));
     assert!(!book.contains(&centre("east")));
     assert!(book.end(&centre("west")));
     assert!(!book.end(&centre("west")));
-    assert_eq!(book.take_whole(Vec::new(), 40), changed(&[], &["north"]));
+    assert_eq!(
+        book.apply_snapshot(Vec::new(), 40),
+        changed(&[], &["north"])
+    );
 }
