--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -107,7 +107,7 @@
             PoolAction::Look(order) => {
                 let answer = state.workers.look(&order).await;
                 with_fenced(&state, &id, fence, |pool, now| {
-                    pool.on_look_answer(now, sent, &order, answer);
+                    pool.on_poll_answer(now, sent, &order, answer);
                 });
             }
             PoolAction::Answer { .. } | PoolAction::LetGo | PoolAction::Keep(_) => (),
--- a/crates/pool/benches/admission.rs
+++ b/crates/pool/benches/admission.rs
@@ -91,7 +91,7 @@
                 clock: WorkerClock(1_000),
                 ..WorkerListing::default()
             };
-            pool.on_look_answer(now, now, &order, Ok(listing));
+            pool.on_poll_answer(now, now, &order, Ok(listing));
         }
     }
     let places = 20 + waiting;
--- a/crates/pool/src/action.rs
+++ b/crates/pool/src/action.rs
@@ -134,7 +134,7 @@
     Start(StartOrder),
     /// Send a stop; its answer goes to `on_stop_answer`.
     Stop(StopOrder),
-    /// Send a look; its answer goes to `on_look_answer`.
+    /// Send a look; its answer goes to `on_poll_answer`.
     Look(LookOrder),
     /// Tell an entry how its job ended.
     Answer {
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -5,7 +5,7 @@
 mod crashing;
 mod evacuating;
 mod keeping;
-mod looks;
+mod polls;
 mod rebirth;
 mod resizing;
 mod schedule;
@@ -285,7 +285,7 @@
             self.workers
                 .insert(life.clone(), WorkerLedger::new(record, self.fence, now));
             self.note_worker(life, WorkerChange::Added);
-            self.keep_watch(now);
+            self.send_polls_and_orders(now);
             return;
         };
         let change = match record.state {
@@ -305,7 +305,7 @@
         if changed || former != room {
             self.schedule(now);
         }
-        self.keep_watch(now);
+        self.send_polls_and_orders(now);
     }
 
     /// A worker is not in the directory any more: it gets no new runs, and is forgotten when it has none.
--- a/crates/pool/src/pool/answers.rs
+++ b/crates/pool/src/pool/answers.rs
@@ -71,7 +71,7 @@
             StartAnswer::Failed(CallFailure::FencedOut) => self.lose_worker(now, life),
         }
         self.schedule(now);
-        self.keep_watch(now);
+        self.send_polls_and_orders(now);
     }
 
     /// A start has had no answer for as long as answers take now. It may have been lost, so it is sent again beside the
@@ -217,7 +217,7 @@
         };
         self.suspend(now, life, SuspensionCause::Unhealthy);
         if let Some(run) = lost {
-            self.note_lost(&run, life, RunLoss::TurnedAway);
+            self.note_lost_run(&run, life, RunLoss::TurnedAway);
             self.requeue(now, run);
         }
     }
--- a/crates/pool/src/pool/keeping.rs
+++ b/crates/pool/src/pool/keeping.rs
@@ -212,12 +212,12 @@
                     self.merge_record(id, step, record);
                 }
                 self.take_recorded_deaths(now, id, &row.progress);
-                self.after_done(now, id);
+                self.advance_job(now, id);
                 self.store_changes(id);
             }
         }
         self.schedule(now);
-        self.keep_watch(now);
+        self.send_polls_and_orders(now);
     }
 
     fn take_stored(&mut self, now: Instant, id: JobId, version: u64, written: u64) {
--- a/crates/pool/src/pool/looks.rs
+++ b/crates/pool/src/pool/polls.rs
@@ -23,44 +23,44 @@
 
 /// Ends of an idle worker are acknowledged after this time, for the one look that costs. Soon enough for a worker's
 /// list of ends to stay short.
-const IDLE_ACK: Duration = Duration::from_millis(1_000);
+const IDLE_ACK_DELAY: Duration = Duration::from_millis(1_000);
 
 /// The pause after a look that a silent worker did not answer.
-const SILENT_PAUSE: Duration = Duration::from_millis(150);
+const SILENT_POLL_PAUSE: Duration = Duration::from_millis(150);
 
 /// The shortest wait of a look, so that a run that is looked at for a stall does not draw look after look.
-const SHORTEST_WAIT: Duration = Duration::from_millis(30);
+const MIN_POLL_WAIT: Duration = Duration::from_millis(30);
 
 /// The wait of a look while runs of a former owner are being stopped, which takes 50 ms at most.
-const FOREIGN_WAIT: Duration = Duration::from_millis(20);
+const FOREIGN_POLL_WAIT: Duration = Duration::from_millis(20);
 
 /// A run that has not advanced by one percent in this time while it is overdue stands still. At a tenth of its speed
 /// a run of 900 ms takes 90 ms for a percent.
-const STANDSTILL: Duration = Duration::from_millis(110);
+const STALL_TIME: Duration = Duration::from_millis(110);
 
 /// Fewest failures of one task before its job counts as failed, if its route allows fewer: one or two may be the
 /// fault of workers that fail everything.
-const FEWEST_FAILURES: u32 = 3;
+const MIN_JOB_FAILURES: u32 = 3;
 
 /// The progress from which on a run says how fast it is. Of less, what a start and a listing take on their way is the most, and
 /// a sound worker seemed several times too slow for the next job.
-const TELLING_PERCENT: u8 = 10;
+const MIN_PROGRESS_PERCENT: u8 = 10;
 
 /// A run whose progress projects to this many times its predicted time says that its worker is slow.
-const SLOW_PROJECTION: f64 = 2.0;
+const SLOW_RUN_FACTOR: f64 = 2.0;
 
 impl WorkerPool {
     /// Sends the looks that are due, and the orders whose pause is over.
-    pub(super) fn keep_watch(&mut self, now: Instant) {
+    pub(super) fn send_polls_and_orders(&mut self, now: Instant) {
         let owner_millis = self.millis(now);
         let wants_ends = self.has_held_back();
-        let hedge = self.hedge(now);
-        let margin = self.look_margin();
+        let hedge = self.poll_hedge_delay(now);
+        let margin = self.poll_margin();
         for worker in self.workers.values_mut() {
-            if !worker.wants_look(now, IDLE_ACK, wants_ends, hedge) {
+            if !worker.wants_look(now, IDLE_ACK_DELAY, wants_ends, hedge) {
                 continue;
             }
-            let order = look_order(worker, now, owner_millis, &self.settings, margin);
+            let order = poll_order(worker, now, owner_millis, &self.settings, margin);
             worker.looks_in_flight += 1;
             worker.last_look = now;
             worker.look_pause = None;
@@ -70,7 +70,7 @@
     }
 
     /// Takes the answer to a look that was sent at `sent`.
-    pub fn on_look_answer(
+    pub fn on_poll_answer(
         &mut self,
         now: Instant,
         sent: Instant,
@@ -83,21 +83,21 @@
         };
         worker.looks_in_flight = worker.looks_in_flight.saturating_sub(1);
         match answer {
-            Ok(listing) => self.take_listing(now, sent, order, listing),
+            Ok(listing) => self.apply_listing(now, sent, order, listing),
             // Its fence was raised meanwhile, by this owner.
             Err(CallFailure::FencedOut) if order.fence < worker.fence => (),
             Err(CallFailure::FencedOut) => self.lose_worker(now, life),
             Err(CallFailure::NewLife) => self.forget_life(now, life),
             Err(CallFailure::NoAnswer | CallFailure::Unhealthy | CallFailure::Malformed) => {
-                self.miss_look(now, sent, life);
+                self.record_missed_poll(now, sent, life);
             }
         }
         self.schedule(now);
-        self.keep_watch(now);
+        self.send_polls_and_orders(now);
     }
 
     /// After which time a look gets a second one beside it, if answers get lost.
-    fn hedge(&self, now: Instant) -> Option<Duration> {
+    fn poll_hedge_delay(&self, now: Instant) -> Option<Duration> {
         let lost = self
             .lost_answer
             .filter(|_| self.has(Mechanism::HedgedLooks))?;
@@ -107,7 +107,7 @@
     }
 
     /// How much longer than its wait a look may take: as long as answers may take now.
-    fn look_margin(&self) -> Duration {
+    fn poll_margin(&self) -> Duration {
         let settings = &self.settings;
         if !self.has(Mechanism::AnswerLimits) {
             return settings.look_margin;
@@ -119,7 +119,7 @@
             .min(settings.longest_look_margin)
     }
 
-    fn miss_look(&mut self, now: Instant, sent: Instant, life: &LifeId) {
+    fn record_missed_poll(&mut self, now: Instant, sent: Instant, life: &LifeId) {
         self.lost_answer = Some(now);
         let Some(worker) = self.workers.get_mut(life) else {
             return;
@@ -132,7 +132,7 @@
         if !worker.is_silent() {
             return;
         }
-        worker.look_pause = Some(now + SILENT_PAUSE);
+        worker.look_pause = Some(now + SILENT_POLL_PAUSE);
         let runs = worker.runs.len();
         let first = worker.misses == crate::worker::MISSES_TO_SILENCE;
         if first {
@@ -143,7 +143,7 @@
         }
     }
 
-    fn take_listing(
+    fn apply_listing(
         &mut self,
         now: Instant,
         sent: Instant,
@@ -159,8 +159,8 @@
             return;
         };
         worker.note_listing(now, order.fence);
-        let returns = worker.misses > 0;
-        let new_here = worker.clock.is_none() || returns;
+        let had_misses = worker.misses > 0;
+        let newly_answering = worker.clock.is_none() || had_misses;
         worker.misses = 0;
         worker.answered_look = worker.answered_look.max(Some(sent));
         // Answers to two looks may overtake each other. Ends are numbered; all else holds only in the newest listing.
@@ -171,27 +171,27 @@
         worker.acknowledged = worker.acknowledged.max(order.last_seen);
         let clock_offset = worker.clock.map_or(0, |clock| clock.offset);
         let born = worker.born;
-        if new_here {
+        if newly_answering {
             self.notes.push(PoolNote::WorkerAnswers {
                 life: life.clone(),
                 clock_offset,
             });
         }
-        if returns {
+        if had_misses {
             self.clear_crash(life, born);
         }
         for end in &listing.ended {
-            self.take_end(now, life, end);
+            self.apply_end(now, life, end);
         }
-        self.pause_looks(now, life, &listing);
+        self.pause_polls(now, life, &listing);
         if newest {
-            self.stop_foreign(life, &listing);
-            self.read_progress(now, life, &listing);
+            self.stop_foreign_runs(life, &listing);
+            self.update_progress(now, life, &listing);
         }
-        self.drop_missing(now, sent, life, &listing);
+        self.drop_missing_runs(now, sent, life, &listing);
     }
 
-    fn take_end(&mut self, now: Instant, life: &LifeId, end: &EndedRun) {
+    fn apply_end(&mut self, now: Instant, life: &LifeId, end: &EndedRun) {
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
@@ -227,7 +227,7 @@
     }
 
     /// A worker lists an end again and again until it is acknowledged: while it must not be, looks have a pause.
-    fn pause_looks(&mut self, now: Instant, life: &LifeId, listing: &WorkerListing) {
+    fn pause_polls(&mut self, now: Instant, life: &LifeId, listing: &WorkerListing) {
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
@@ -238,10 +238,10 @@
     }
 
     fn complete_task(&mut self, now: Instant, life: &LifeId, run: &RunLedger, took: Duration) {
-        let learns = self.has(Mechanism::Speeds);
+        let learning_enabled = self.has(Mechanism::Speeds);
         if let Some(worker) = self.workers.get_mut(life) {
             worker.health.succeed();
-            if learns {
+            if learning_enabled {
                 worker.learn_speed(now, run.predicted, took);
             }
         }
@@ -254,11 +254,11 @@
         if let Some(step) = job.steps.get_mut(run.task.step as usize) {
             step.done += 1;
         }
-        self.after_done(now, id);
+        self.advance_job(now, id);
     }
 
     /// Opens steps that can begin now, or ends the job if none is left.
-    pub(super) fn after_done(&mut self, now: Instant, id: JobId) {
+    pub(super) fn advance_job(&mut self, now: Instant, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -297,7 +297,7 @@
             }
             return;
         }
-        if run.failures >= job.terms.attempts.max(FEWEST_FAILURES) {
+        if run.failures >= job.terms.attempts.max(MIN_JOB_FAILURES) {
             self.finish(now, id, JobOutcome::Failed);
             return;
         }
@@ -310,12 +310,12 @@
         let Some(job) = self.jobs.get_mut(&id).filter(|job| !job.has_ended()) else {
             return;
         };
-        let place = run.task.step as usize;
+        let step_index = run.task.step as usize;
         // Of a kept job that was let go of and found again the task may wait or be done already.
-        if job.kept.is_some() && !job.lacks(place, run.task.index) {
+        if job.kept.is_some() && !job.lacks(step_index, run.task.index) {
             return;
         }
-        let Some(step) = job.steps.get_mut(place) else {
+        let Some(step) = job.steps.get_mut(step_index) else {
             return;
         };
         let task = WaitingTask {
@@ -332,7 +332,7 @@
     }
 
     /// Stops runs that a former owner left behind. Their demands are not known, so nothing is placed beside them.
-    fn stop_foreign(&mut self, life: &LifeId, listing: &WorkerListing) {
+    fn stop_foreign_runs(&mut self, life: &LifeId, listing: &WorkerListing) {
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
@@ -371,8 +371,8 @@
         worker.foreign = foreign;
     }
 
-    fn read_progress(&mut self, now: Instant, life: &LifeId, listing: &WorkerListing) {
-        let learns = self.has(Mechanism::Speeds);
+    fn update_progress(&mut self, now: Instant, life: &LifeId, listing: &WorkerListing) {
+        let learning_enabled = self.has(Mechanism::Speeds);
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
@@ -393,20 +393,20 @@
                 run.progressed = now;
             }
             let took = now.saturating_duration_since(run.placed);
-            let still = now.saturating_duration_since(run.progressed);
+            let stalled_for = now.saturating_duration_since(run.progressed);
             let overdue =
                 run.predicted.mul_f64(self.settings.stall_after) + self.settings.stall_margin;
-            if run.phase == RunPhase::Running && took >= overdue && still >= STANDSTILL {
+            if run.phase == RunPhase::Running && took >= overdue && stalled_for >= STALL_TIME {
                 stalled.push((run.task, run.run, took, run.percent));
-            } else if run.percent >= TELLING_PERCENT {
+            } else if run.percent >= MIN_PROGRESS_PERCENT {
                 let worked = now.saturating_duration_since(run.confirmed.unwrap_or(now));
                 let projected = worked.mul_f64(100.0 / f64::from(run.percent));
-                if projected > run.predicted.mul_f64(SLOW_PROJECTION) {
+                if projected > run.predicted.mul_f64(SLOW_RUN_FACTOR) {
                     slowest = Some((run.predicted, projected));
                 }
             }
         }
-        if let Some((predicted, projected)) = slowest.filter(|_| learns) {
+        if let Some((predicted, projected)) = slowest.filter(|_| learning_enabled) {
             worker.learn_speed(now, predicted, projected);
         }
         if stalled.is_empty() || !self.has(Mechanism::StallStop) {
@@ -430,7 +430,7 @@
     }
 
     /// Drops run records that the listing proves to be over, or never to begin.
-    fn drop_missing(
+    fn drop_missing_runs(
         &mut self,
         now: Instant,
         sent: Instant,
@@ -453,7 +453,7 @@
             lost.extend(worker.take_run(task, run));
         }
         for run in lost {
-            self.note_lost(&run, life, RunLoss::NotThere);
+            self.note_lost_run(&run, life, RunLoss::NotThere);
             self.requeue(now, run);
         }
     }
@@ -470,7 +470,7 @@
         let begun = runs.iter().filter(|run| run.tries > 0);
         let culprits = self.note_crash(now, life, begun.map(|run| run.task), died);
         for run in runs {
-            self.note_lost(&run, life, loss);
+            self.note_lost_run(&run, life, loss);
             self.requeue(now, run);
         }
         self.give_up_culprits(now, culprits);
@@ -492,11 +492,11 @@
             return;
         };
         self.note_worker(life.clone(), WorkerChange::TakenOver);
-        let of_kept = |run: &RunLedger| {
+        let is_of_kept_job = |run: &RunLedger| {
             let job = self.jobs.get(&run.task.job);
             job.is_some_and(|job| job.kept.is_some())
         };
-        if worker.runs.iter().any(of_kept) {
+        if worker.runs.iter().any(is_of_kept_job) {
             self.forget_kept(now);
         }
         for run in &worker.runs {
@@ -507,7 +507,7 @@
         }
     }
 
-    pub(super) fn note_lost(&mut self, run: &RunLedger, life: &LifeId, loss: RunLoss) {
+    pub(super) fn note_lost_run(&mut self, run: &RunLedger, life: &LifeId, loss: RunLoss) {
         self.notes.push(PoolNote::RunLost {
             task: run.task,
             run: run.run,
@@ -529,7 +529,7 @@
     was_there || was_stopped || never_begins
 }
 
-fn look_order(
+fn poll_order(
     worker: &mut WorkerLedger,
     now: Instant,
     owner_millis: u64,
@@ -542,7 +542,7 @@
     let clock = worker.clock_now(owner_millis).filter(|_| renew);
     let lease_end = clock.map(|clock| clock.plus(settings.lease));
     worker.lease_end = worker.lease_end.max(lease_end.unwrap_or_default());
-    let wait = look_wait(worker, now, settings);
+    let wait = poll_wait(worker, now, settings);
     LookOrder {
         life: worker.record.life.clone(),
         address: worker.record.address,
@@ -554,9 +554,9 @@
     }
 }
 
-fn look_wait(worker: &WorkerLedger, now: Instant, settings: &crate::PoolSettings) -> Duration {
+fn poll_wait(worker: &WorkerLedger, now: Instant, settings: &crate::PoolSettings) -> Duration {
     if !worker.foreign.is_empty() {
-        return FOREIGN_WAIT;
+        return FOREIGN_POLL_WAIT;
     }
     if !worker.is_open() || worker.runs.is_empty() {
         return Duration::ZERO;
@@ -565,7 +565,7 @@
     for run in &worker.runs {
         let overdue = run.predicted.mul_f64(settings.stall_after) + settings.stall_margin;
         let left = (run.placed + overdue).saturating_duration_since(now);
-        wait = wait.min(left.max(SHORTEST_WAIT));
+        wait = wait.min(left.max(MIN_POLL_WAIT));
     }
     wait
 }
--- a/crates/pool/src/pool/rebirth.rs
+++ b/crates/pool/src/pool/rebirth.rs
@@ -122,7 +122,7 @@
                 let Some(run) = worker.take_run(task, number) else {
                     return;
                 };
-                self.note_lost(&run, life, RunLoss::NewLife);
+                self.note_lost_run(&run, life, RunLoss::NewLife);
                 if fate == FormerRun::Unknown && !self.is_kept(task.job) {
                     self.finish(now, task.job, JobOutcome::GivenUp);
                 } else {
--- a/crates/pool/src/pool/schedule.rs
+++ b/crates/pool/src/pool/schedule.rs
@@ -32,7 +32,7 @@
         self.forget_crashes(now);
         self.clear_for_suspects(now);
         self.schedule(now);
-        self.keep_watch(now);
+        self.send_polls_and_orders(now);
     }
 
     /// Places waiting tasks in the queue's order for as long as places are free.
--- a/crates/pool/src/pool/takeover.rs
+++ b/crates/pool/src/pool/takeover.rs
@@ -260,7 +260,7 @@
             EndCause::Done => {
                 progress.waiting.swap_remove(place);
                 self.record_end(task, life, end);
-                self.after_done(now, task.job);
+                self.advance_job(now, task.job);
             }
             EndCause::Failed => {
                 progress.waiting[place].failures += 1;
--- a/crates/pool/tests/support/mod.rs
+++ b/crates/pool/tests/support/mod.rs
@@ -768,7 +768,7 @@
             }
             Event::LookAnswer(_, order, sent, answer) => {
                 let sent = self.origin + Duration::from_millis(sent);
-                self.pool.on_look_answer(at, sent, &order, answer);
+                self.pool.on_poll_answer(at, sent, &order, answer);
             }
             _ => (),
         }
