--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -182,7 +182,7 @@
 
 fn take_up(state: &Rc<NodeState>, id: &PoolId, version: RowVersion, store_clock: Duration) {
     let start = PoolStart {
-        home: Arc::from(id.to_string()),
+        name: Arc::from(id.to_string()),
         fence: FenceToken(version.0),
         platform_millis: u64::try_from(store_clock.as_millis()).unwrap_or(u64::MAX),
         far_factor: state.settings.far_factor,
--- a/crates/pool/benches/admission.rs
+++ b/crates/pool/benches/admission.rs
@@ -74,7 +74,7 @@
 /// A pool with all places taken and so many jobs that wait.
 fn busy_pool(now: Instant, waiting: u64) -> WorkerPool {
     let start = PoolStart {
-        home: Arc::from("east/0"),
+        name: Arc::from("east/0"),
         fence: FenceToken(1),
         platform_millis: 1,
         far_factor: 2.0,
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -38,28 +38,28 @@
 };
 
 /// How long a worker may be missing from the directory while it still has runs, which end by themselves.
-const UNLISTED_LIMIT: Duration = Duration::from_secs(10);
+const UNLISTED_WORKER_GRACE: Duration = Duration::from_secs(10);
 
 /// The shortest time after which a refused customer is told to come back: what is told is in whole seconds.
-const SHORTEST_RETRY: Duration = Duration::from_secs(1);
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// The longest time after which a refused customer is told to come back. Bursts last seconds.
-const LONGEST_RETRY: Duration = Duration::from_secs(5);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 /// Starts that may be sent again at any time, beside the share of those sent first: a few connections that went silent at
 /// once.
-const REPEATS_AT_ONCE: f64 = 12.0;
+const RESEND_BURST: f64 = 12.0;
 
 /// The owner's view of one pool of workers.
 pub struct WorkerPool {
     settings: PoolSettings,
     fence: FenceToken,
     /// When the pool was taken over; owner times are counted from here.
-    origin: Instant,
+    clock_origin: Instant,
     /// The platform's clock at `origin`, in milliseconds. Run numbers are times on that clock, so that they rise over
     /// owners without being stored.
-    run_base: u64,
-    last_run: u64,
+    run_number_base: u64,
+    last_run_number: u64,
     far_factor: f64,
     /// The median slowness of its workers, as of the last tick.
     median_slowness: f64,
@@ -67,38 +67,38 @@
     /// Whether its data centre is evacuated: its workers get no start.
     evacuated: bool,
     /// Offers made just now: when, and of how many tasks.
-    offered: Vec<(Instant, u32)>,
+    recent_offers: Vec<(Instant, u32)>,
     /// Its name, which the rows of its kept jobs have.
-    home: Arc<str>,
+    name: Arc<str>,
     /// When a worker's answer was last missed.
-    lost_answer: Option<Instant>,
+    last_missed_answer: Option<Instant>,
     /// How long workers take to answer starts.
-    answers: AnswerTimes,
+    answer_times: AnswerTimes,
     /// How many starts may be under way.
-    window: StartWindow,
+    start_window: StartWindow,
     /// How many starts may be sent again at present.
-    repeats: f64,
+    resend_budget: f64,
     /// When the last call was sent by which the store has shown that the claim stands.
-    store_contact: Option<Instant>,
+    last_store_contact: Option<Instant>,
     /// Whether its kept jobs have been read. Until then no end is acknowledged: it may be one of theirs.
     kept_loaded: bool,
     /// Kept jobs that ended lately, and when.
-    ended_kept: FastMap<JobId, Instant>,
+    recently_ended_kept: FastMap<JobId, Instant>,
     /// Whether a former owner still finishes jobs of it.
-    awaiting: bool,
+    predecessor_active: bool,
     /// Whether all workers that a former owner may have used are known.
-    all_listed: bool,
+    all_workers_known: bool,
     /// Since when none has, at the earliest.
-    alone_since: Instant,
+    sole_owner_since: Instant,
     /// Up to which version of the store no later claim of the pool was made.
-    sole_until: u64,
+    no_later_claim_until: u64,
     workers: BTreeMap<LifeId, WorkerLedger>,
     jobs: FastMap<JobId, JobLedger>,
     queue: JobQueue,
     /// Tasks under which workers were lost.
     crashes: CrashBook,
     /// Workers that are emptied for suspects.
-    cleared: Vec<LifeId>,
+    reserved_for_suspects: Vec<LifeId>,
     estimates: EstimateBook,
     arrivals: ArrivalBook,
     actions: Vec<PoolAction>,
@@ -109,7 +109,7 @@
 #[derive(Clone, Debug)]
 pub struct PoolStart {
     /// The pool's name.
-    pub home: Arc<str>,
+    pub name: Arc<str>,
     /// The fence, from the claim.
     pub fence: FenceToken,
     /// The platform's clock, in milliseconds.
@@ -128,31 +128,31 @@
         Self {
             settings: start.settings,
             fence: start.fence,
-            origin: now,
-            run_base: start.platform_millis,
-            last_run: 0,
+            clock_origin: now,
+            run_number_base: start.platform_millis,
+            last_run_number: 0,
             far_factor: start.far_factor,
             median_slowness: 1.0,
             accepting: true,
             evacuated: start.evacuated,
-            offered: Vec::new(),
-            home: start.home,
-            lost_answer: None,
-            answers: AnswerTimes::default(),
-            window: StartWindow::default(),
-            repeats: REPEATS_AT_ONCE,
-            store_contact: Some(now),
+            recent_offers: Vec::new(),
+            name: start.name,
+            last_missed_answer: None,
+            answer_times: AnswerTimes::default(),
+            start_window: StartWindow::default(),
+            resend_budget: RESEND_BURST,
+            last_store_contact: Some(now),
             kept_loaded: false,
-            ended_kept: FastMap::default(),
-            awaiting: false,
-            all_listed: false,
-            alone_since: now,
-            sole_until: 0,
+            recently_ended_kept: FastMap::default(),
+            predecessor_active: false,
+            all_workers_known: false,
+            sole_owner_since: now,
+            no_later_claim_until: 0,
             workers: BTreeMap::new(),
             jobs: FastMap::default(),
             queue: JobQueue::default(),
             crashes: CrashBook::default(),
-            cleared: Vec::new(),
+            reserved_for_suspects: Vec::new(),
             estimates: EstimateBook::default(),
             arrivals: ArrivalBook::default(),
             actions: Vec::new(),
@@ -333,7 +333,7 @@
             } else {
                 JobOutcome::Refused {
                     kind: RefusalKind::NotServing,
-                    retry_after: SHORTEST_RETRY,
+                    retry_after: MIN_RETRY_AFTER,
                     fits: 0,
                 }
             };
@@ -355,7 +355,7 @@
         let cores = load.capacity as f64 / 1000.0 * self.settings.packing;
         if work > 0.0 {
             let backlog = work / cores.max(1.0) / 1000.0;
-            load.backlog = Duration::try_from_secs_f64(backlog).unwrap_or(LONGEST_RETRY);
+            load.backlog = Duration::try_from_secs_f64(backlog).unwrap_or(MAX_RETRY_AFTER);
         }
         load
     }
@@ -491,7 +491,7 @@
             let Some(since) = worker.unlisted else {
                 continue;
             };
-            if worker.runs.is_empty() || now >= since + UNLISTED_LIMIT {
+            if worker.runs.is_empty() || now >= since + UNLISTED_WORKER_GRACE {
                 gone.push(life.clone());
             }
         }
@@ -539,14 +539,14 @@
     }
 
     fn millis(&self, now: Instant) -> u64 {
-        let passed = now.saturating_duration_since(self.origin).as_millis();
+        let passed = now.saturating_duration_since(self.clock_origin).as_millis();
         u64::try_from(passed).unwrap_or(u64::MAX)
     }
 
     fn next_run(&mut self, now: Instant) -> RunNumber {
-        let by_clock = self.run_base + self.millis(now);
-        self.last_run = by_clock.max(self.last_run + 1);
-        RunNumber(self.last_run)
+        let by_clock = self.run_number_base + self.millis(now);
+        self.last_run_number = by_clock.max(self.last_run_number + 1);
+        RunNumber(self.last_run_number)
     }
 }
 
--- a/crates/pool/src/pool/admit.rs
+++ b/crates/pool/src/pool/admit.rs
@@ -8,7 +8,7 @@
 
 use model::{FastMap, Mechanism};
 
-use super::{WorkerPool, LONGEST_RETRY, SHORTEST_RETRY};
+use super::{WorkerPool, MAX_RETRY_AFTER, MIN_RETRY_AFTER};
 use crate::{
     action::PoolNote,
     admission::{AdmissionForecast, AdmissionTrial, ForecastJob, ForecastStep},
@@ -107,7 +107,10 @@
         };
         Some(JobOutcome::Refused {
             kind,
-            retry_after: self.load(now).backlog.clamp(SHORTEST_RETRY, LONGEST_RETRY),
+            retry_after: self
+                .load(now)
+                .backlog
+                .clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER),
             fits,
         })
     }
@@ -137,11 +140,11 @@
     /// the same offers would give the pool several times what it has places for, and tasks without a place wait until their
     /// jobs are of no use.
     fn leave_offered(&mut self, now: Instant, fits: u32) -> u32 {
-        self.offered.retain(|(at, _)| now < *at + OFFER_TIME);
-        let before: u32 = self.offered.iter().map(|(_, fits)| *fits).sum();
+        self.recent_offers.retain(|(at, _)| now < *at + OFFER_TIME);
+        let before: u32 = self.recent_offers.iter().map(|(_, fits)| *fits).sum();
         let left = fits.saturating_sub(before);
         if left > 0 {
-            self.offered.push((now, left));
+            self.recent_offers.push((now, left));
         }
         left
     }
--- a/crates/pool/src/pool/answers.rs
+++ b/crates/pool/src/pool/answers.rs
@@ -85,13 +85,13 @@
         let Some(run) = worker.run_mut(order.task, order.run) else {
             return;
         };
-        if run.phase != RunPhase::Ordered || self.repeats < 1.0 {
+        if run.phase != RunPhase::Ordered || self.resend_budget < 1.0 {
             self.send_orders(now);
             return;
         }
         let tries = run.tries;
-        self.repeats -= 1.0;
-        self.answers.miss();
+        self.resend_budget -= 1.0;
+        self.answer_times.miss();
         self.notes.push(PoolNote::StartTrouble {
             task: order.task,
             run: order.run,
@@ -109,27 +109,27 @@
         if !self.has(Mechanism::AnswerLimits) {
             return settings.order_timeout;
         }
-        self.answers
+        self.answer_times
             .limit(settings.order_timeout, settings.longest_order_timeout)
     }
 
     /// Whether the path to the workers is full.
     pub(super) fn is_strained(&self) -> bool {
-        self.has(Mechanism::AnswerLimits) && self.answers.is_strained()
+        self.has(Mechanism::AnswerLimits) && self.answer_times.is_strained()
     }
 
     fn learn_answer_time(&mut self, now: Instant, took: Duration) {
         let was = self.is_strained();
-        self.answers.take(took);
+        self.answer_times.take(took);
         let (strained, under_way) = (self.is_strained(), self.starts_under_way());
-        self.window
-            .take(now, strained, self.answers.smoothed(), under_way);
+        self.start_window
+            .take(now, strained, self.answer_times.smoothed(), under_way);
         if strained != was {
             self.notes.push(PoolNote::Strained {
                 strained,
-                smoothed: self.answers.smoothed(),
-                least: self.answers.least(),
-                window: self.window.size(),
+                smoothed: self.answer_times.smoothed(),
+                least: self.answer_times.least(),
+                window: self.start_window.size(),
             });
         }
     }
--- a/crates/pool/src/pool/crashing.rs
+++ b/crates/pool/src/pool/crashing.rs
@@ -138,7 +138,7 @@
     /// Empties some workers for suspects that find none empty: on a full pool they would never run.
     pub(super) fn clear_for_suspects(&mut self, now: Instant) {
         if self.crashes.is_empty() {
-            self.cleared.clear();
+            self.reserved_for_suspects.clear();
             return;
         }
         let waiting = self.crashes.suspects().filter(|task| {
@@ -147,7 +147,7 @@
             waits && self.crashes.caution(now, *task) == TaskCaution::Alone
         });
         let waiting = waiting.count();
-        let former = std::mem::take(&mut self.cleared);
+        let former = std::mem::take(&mut self.reserved_for_suspects);
         if waiting == 0 {
             return;
         }
@@ -162,7 +162,7 @@
             (worker.runs.len(), !begun)
         });
         let cleared = open.iter().take(waiting.min(most));
-        self.cleared = cleared.map(|worker| worker.record.life.clone()).collect();
+        self.reserved_for_suspects = cleared.map(|worker| worker.record.life.clone()).collect();
     }
 
     pub(super) fn is_kept(&self, id: JobId) -> bool {
--- a/crates/pool/src/pool/evacuating.rs
+++ b/crates/pool/src/pool/evacuating.rs
@@ -7,7 +7,7 @@
 
 use jobs::{JobId, JobOutcome, LifeId, RefusalKind, RunNumber, TaskId};
 
-use super::{stop_run, WorkerPool, SHORTEST_RETRY};
+use super::{stop_run, WorkerPool, MIN_RETRY_AFTER};
 use crate::{action::PoolNote, worker::RunPhase};
 
 impl WorkerPool {
@@ -75,7 +75,7 @@
                 true => JobOutcome::GivenUp,
                 false => JobOutcome::Refused {
                     kind: RefusalKind::Evacuated,
-                    retry_after: SHORTEST_RETRY,
+                    retry_after: MIN_RETRY_AFTER,
                     fits: 0,
                 },
             };
--- a/crates/pool/src/pool/keeping.rs
+++ b/crates/pool/src/pool/keeping.rs
@@ -10,7 +10,7 @@
     RefusalKind, StepRecord, TaskId,
 };
 
-use super::{WorkerPool, SHORTEST_RETRY};
+use super::{WorkerPool, MIN_RETRY_AFTER};
 use crate::{
     action::{PoolAction, PoolNote, WaiterId},
     kept::{HeldEnd, KeepAnswer, KeepOrder, KeptLedger},
@@ -71,7 +71,7 @@
         };
         self.queue.remove(id);
         if outcome == JobOutcome::Accepted {
-            self.ended_kept.insert(id, now);
+            self.recently_ended_kept.insert(id, now);
         }
         for waiter in job.waiters {
             self.answer(waiter, outcome);
@@ -141,7 +141,7 @@
 
     /// Has what changed about a kept job stored, unless a write is under way: its answer brings the next.
     pub(super) fn store_changes(&mut self, id: JobId) {
-        let home: Arc<str> = self.home.clone();
+        let home: Arc<str> = self.name.clone();
         let fence = self.fence.0;
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -193,7 +193,7 @@
             KeepAnswer::TurnedAway => {
                 let refused = JobOutcome::Refused {
                     kind: RefusalKind::NotServing,
-                    retry_after: SHORTEST_RETRY,
+                    retry_after: MIN_RETRY_AFTER,
                     fits: 0,
                 };
                 self.drop_kept(now, id, refused);
@@ -201,7 +201,7 @@
             // Whoever has it runs it; if that is this pool, the next reading of the store finds it.
             KeepAnswer::Known => {
                 self.drop_kept(now, id, JobOutcome::Accepted);
-                self.ended_kept.remove(&id);
+                self.recently_ended_kept.remove(&id);
             }
             KeepAnswer::Gone => self.drop_kept(now, id, JobOutcome::Accepted),
             KeepAnswer::Changed(row, version) => {
@@ -242,7 +242,7 @@
         }
         if let Some(state) = over {
             self.jobs.remove(&id);
-            self.ended_kept.insert(id, now);
+            self.recently_ended_kept.insert(id, now);
             self.notes.push(PoolNote::KeptEnded { job: id, state });
             return;
         }
--- a/crates/pool/src/pool/polls.rs
+++ b/crates/pool/src/pool/polls.rs
@@ -99,7 +99,7 @@
     /// After which time a look gets a second one beside it, if answers get lost.
     fn poll_hedge_delay(&self, now: Instant) -> Option<Duration> {
         let lost = self
-            .lost_answer
+            .last_missed_answer
             .filter(|_| self.has(Mechanism::HedgedLooks))?;
         // Answers that are late because the path is full come in the end: looks beside them would fill it further.
         let lossy = now < lost + self.settings.loss_memory && !self.is_strained();
@@ -112,7 +112,9 @@
         if !self.has(Mechanism::AnswerLimits) {
             return settings.look_margin;
         }
-        let limit = self.answers.limit(Duration::ZERO, settings.order_give_up);
+        let limit = self
+            .answer_times
+            .limit(Duration::ZERO, settings.order_give_up);
         settings
             .look_margin
             .max(limit * 2)
@@ -120,7 +122,7 @@
     }
 
     fn record_missed_poll(&mut self, now: Instant, sent: Instant, life: &LifeId) {
-        self.lost_answer = Some(now);
+        self.last_missed_answer = Some(now);
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
--- a/crates/pool/src/pool/rebirth.rs
+++ b/crates/pool/src/pool/rebirth.rs
@@ -59,7 +59,7 @@
 
     /// No other claim of the pool was made up to this version of the store, so that every later owner's fence is higher.
     pub fn note_sole_owner(&mut self, version: u64) {
-        self.sole_until = self.sole_until.max(version);
+        self.no_later_claim_until = self.no_later_claim_until.max(version);
     }
 
     fn begin_life(&mut self, now: Instant, order: &LookOrder, listing: &WorkerListing) {
@@ -81,7 +81,7 @@
             .filter(|(_, _, fate)| !matches!(fate, FormerRun::Listed | FormerRun::Unsent));
         let culprits = self.note_crash(now, life, begun.map(|(task, _, _)| *task), true);
         if let Some(worker) = self.workers.get_mut(life) {
-            worker.begin_life(now, listing.born, self.sole_until);
+            worker.begin_life(now, listing.born, self.no_later_claim_until);
         }
         for job in self.jobs.values_mut() {
             if let Some(kept) = &mut job.kept {
--- a/crates/pool/src/pool/resizing.rs
+++ b/crates/pool/src/pool/resizing.rs
@@ -7,7 +7,7 @@
 
 use jobs::{JobId, JobOutcome, LifeId, RefusalKind, ResourceDemand, RunNumber, TaskId};
 
-use super::{WorkerPool, SHORTEST_RETRY};
+use super::{WorkerPool, MIN_RETRY_AFTER};
 use crate::{action::PoolNote, worker::WorkerLedger};
 
 impl WorkerPool {
@@ -44,7 +44,7 @@
         for id in homeless {
             let outcome = JobOutcome::Refused {
                 kind: RefusalKind::NoRoomEver,
-                retry_after: SHORTEST_RETRY,
+                retry_after: MIN_RETRY_AFTER,
                 fits: 0,
             };
             self.finish(now, id, outcome);
--- a/crates/pool/src/pool/schedule.rs
+++ b/crates/pool/src/pool/schedule.rs
@@ -5,7 +5,7 @@
 use jobs::{CpuMillis, JobId, JobOutcome, LifeId, RefusalKind, TaskId};
 use model::Mechanism;
 
-use super::{WorkerPool, REPEATS_AT_ONCE, SHORTEST_RETRY};
+use super::{WorkerPool, MIN_RETRY_AFTER, RESEND_BURST};
 use crate::{
     action::{PoolAction, PoolNote, StartOrder, StopOrder},
     crash::TaskCaution,
@@ -122,7 +122,7 @@
             far_factor: self.far_factor,
             median_slowness: self.median_slowness,
             alone,
-            cleared: &self.cleared,
+            cleared: &self.reserved_for_suspects,
         };
         choose_worker(self.workers.values(), &ask, now).map(|worker| worker.record.life.clone())
     }
@@ -167,7 +167,7 @@
     }
 
     fn is_window_full(&self) -> bool {
-        self.has(Mechanism::StartWindow) && self.starts_under_way() >= self.window.size()
+        self.has(Mechanism::StartWindow) && self.starts_under_way() >= self.start_window.size()
     }
 
     /// Starts that are sent or about to be, and not known to have been carried out.
@@ -189,15 +189,15 @@
             return Duration::ZERO;
         }
         let ahead = self.starts_under_way() + self.waiting_tasks() + tasks;
-        let rounds = ahead as f64 / self.window.size().max(1) as f64;
-        self.answers.smoothed().mul_f64(rounds)
+        let rounds = ahead as f64 / self.start_window.size().max(1) as f64;
+        self.answer_times.smoothed().mul_f64(rounds)
     }
 
     /// How many orders may be in flight at one worker, each on a connection of its own beside that for looks. Where an
     /// answer takes long, the second task of a job on a worker would wait for the first one's. Where answers are quick one
     /// order is better, since what has not been sent can be taken back.
     fn most_orders(&self) -> usize {
-        match self.answers.smoothed() > SLOW_ANSWER {
+        match self.answer_times.smoothed() > SLOW_ANSWER {
             true => SLOW_ORDERS,
             false => 1,
         }
@@ -237,8 +237,8 @@
                 };
                 if let Some(action) = action {
                     worker.orders_in_flight += 1;
-                    let repeats = self.repeats + self.settings.repeat_share;
-                    self.repeats = repeats.min(REPEATS_AT_ONCE);
+                    let resend_budget = self.resend_budget + self.settings.repeat_share;
+                    self.resend_budget = resend_budget.min(RESEND_BURST);
                     self.actions.push(action);
                 }
             }
@@ -261,7 +261,7 @@
                     *id,
                     JobOutcome::Refused {
                         kind,
-                        retry_after: SHORTEST_RETRY,
+                        retry_after: MIN_RETRY_AFTER,
                         fits: 0,
                     },
                 ));
--- a/crates/pool/src/pool/takeover.rs
+++ b/crates/pool/src/pool/takeover.rs
@@ -27,7 +27,7 @@
 impl WorkerPool {
     /// The store has shown that this owner's claim stands, by a call that was sent at `sent`.
     pub fn note_contact(&mut self, sent: Instant) {
-        self.store_contact = self.store_contact.max(Some(sent));
+        self.last_store_contact = self.last_store_contact.max(Some(sent));
     }
 
     /// Whether kept jobs wait until no run of a former owner can be left.
@@ -39,13 +39,13 @@
     /// Says whether a former owner still finishes jobs of the pool, and whether all workers that it may have used are
     /// known: entries of the directory may be missing for a while after the store was away.
     pub fn set_surroundings(&mut self, now: Instant, awaiting: bool, listed: bool) {
-        self.all_listed = listed;
+        self.all_workers_known = listed;
         if awaiting {
-            self.alone_since = now;
+            self.sole_owner_since = now;
             // The former owner goes on writing rows.
             self.unload_kept();
         }
-        self.awaiting = awaiting;
+        self.predecessor_active = awaiting;
     }
 
     /// Whether its kept jobs have been read: before that it cannot say how many there are.
@@ -55,20 +55,20 @@
 
     /// Whether its kept jobs have to be read from the store: not yet read, and nobody else goes on with them.
     pub fn wants_kept(&self) -> bool {
-        !self.kept_loaded && !self.awaiting
+        !self.kept_loaded && !self.predecessor_active
     }
 
     /// Takes the kept jobs that the store has of this pool.
     pub fn load_kept(&mut self, now: Instant, found: Vec<FoundJob>) {
-        if self.awaiting {
+        if self.predecessor_active {
             return;
         }
         self.kept_loaded = true;
-        self.ended_kept
+        self.recently_ended_kept
             .retain(|_, ended| now < *ended + ENDED_MEMORY);
         for job in found {
             // A row may have been read just before its job ended here.
-            let ended = self.ended_kept.contains_key(&job.job);
+            let ended = self.recently_ended_kept.contains_key(&job.job);
             if !ended && !self.jobs.contains_key(&job.job) {
                 self.adopt(now, job);
             }
@@ -127,7 +127,7 @@
 
     /// Whether this owner surely has not been replaced without knowing it.
     fn is_sure(&self, now: Instant) -> bool {
-        self.store_contact
+        self.last_store_contact
             .is_some_and(|sent| now < sent + CONTACT_LIMIT)
     }
 
@@ -136,8 +136,8 @@
         if !self.has_kept() {
             return;
         }
-        if self.awaiting {
-            self.alone_since = now;
+        if self.predecessor_active {
+            self.sole_owner_since = now;
         }
         if !self.is_sure(now) {
             self.stop_kept_runs(now);
@@ -160,9 +160,9 @@
         let clear = |worker: &WorkerLedger| {
             worker.ends_read && worker.foreign.is_empty() && worker.unlisted.is_none()
         };
-        let known = self.kept_loaded && self.all_listed && !self.awaiting;
+        let known = self.kept_loaded && self.all_workers_known && !self.predecessor_active;
         let seen = known && self.workers.values().all(clear);
-        seen || now >= self.alone_since + SETTLE_LIMIT
+        seen || now >= self.sole_owner_since + SETTLE_LIMIT
     }
 
     fn stop_kept_runs(&mut self, now: Instant) {
@@ -224,7 +224,7 @@
             worker.seen = worker.acknowledged;
         }
         self.unload_kept();
-        self.alone_since = now;
+        self.sole_owner_since = now;
     }
 
     /// Has the kept jobs read anew, and with them the ends that workers list.
--- a/crates/pool/tests/support/mod.rs
+++ b/crates/pool/tests/support/mod.rs
@@ -980,7 +980,7 @@
 
 fn pool_start(fence: u64) -> PoolStart {
     PoolStart {
-        home: Arc::from("east/0"),
+        name: Arc::from("east/0"),
         fence: FenceToken(fence),
         platform_millis: fence * 1_000_000,
         far_factor: 3.0,
