--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -13,7 +13,7 @@
 use peer::{JobCall, PoolService};
 use platform::RowVersion;
 use platform_adapter::{RowWrite, StoreTable, Transaction, TransactionEnd};
-use pool::{PoolAction, PoolStart, WaiterId, WorkerPool};
+use pool::{PoolAction, PoolInit, WaiterId, WorkerPool};
 use telemetry::{EventKind, EventLine};
 use tokio::{net::TcpStream, sync::oneshot, time::timeout};
 
@@ -181,7 +181,7 @@
 }
 
 fn take_up(state: &Rc<NodeState>, id: &PoolId, version: RowVersion, store_clock: Duration) {
-    let start = PoolStart {
+    let start = PoolInit {
         name: Arc::from(id.to_string()),
         fence: FenceToken(version.0),
         platform_millis: u64::try_from(store_clock.as_millis()).unwrap_or(u64::MAX),
--- a/crates/pool/benches/admission.rs
+++ b/crates/pool/benches/admission.rs
@@ -11,7 +11,7 @@
     CpuMillis, FenceToken, JobId, JobRequest, JobTerms, LifeId, MemoryMegabytes, ResourceDemand,
     ServiceId, StepSpec, WorkerClock, WorkerListing, WorkerRecord, WorkerState,
 };
-use pool::{PoolAction, PoolSettings, PoolStart, WaiterId, WorkerPool};
+use pool::{PoolAction, PoolInit, PoolSettings, WaiterId, WorkerPool};
 
 const WORKERS: usize = 60;
 const WAITING: [u64; 3] = [0, 20, 60];
@@ -73,7 +73,7 @@
 
 /// A pool with all places taken and so many jobs that wait.
 fn busy_pool(now: Instant, waiting: u64) -> WorkerPool {
-    let start = PoolStart {
+    let start = PoolInit {
         name: Arc::from("east/0"),
         fence: FenceToken(1),
         platform_millis: 1,
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -40,7 +40,7 @@
     admission::PoolLoad,
     evacuation::{EvacuationBook, EvacuationChange},
     kept::{FoundJob, KeepAnswer, KeepOrder},
-    pool::{PoolStart, WorkerPool},
+    pool::{PoolInit, WorkerPool},
     settings::PoolSettings,
     shift::{divide_step, order_pools, PoolCandidate},
     waits::{UsualWait, WaitBook},
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -107,7 +107,7 @@
 
 /// What a new owner starts with.
 #[derive(Clone, Debug)]
-pub struct PoolStart {
+pub struct PoolInit {
     /// The pool's name.
     pub name: Arc<str>,
     /// The fence, from the claim.
@@ -124,7 +124,7 @@
 
 impl WorkerPool {
     /// A pool just taken over. Its workers have to be told by [`Self::put_worker`].
-    pub fn new(start: PoolStart, now: Instant) -> Self {
+    pub fn new(start: PoolInit, now: Instant) -> Self {
         Self {
             settings: start.settings,
             fence: start.fence,
--- a/crates/pool/tests/support/mod.rs
+++ b/crates/pool/tests/support/mod.rs
@@ -21,8 +21,8 @@
     WorkerRecord, WorkerState,
 };
 use pool::{
-    CallFailure, FoundJob, KeepAnswer, KeepOrder, LookAnswer, LookOrder, PoolAction, PoolNote,
-    PoolSettings, PoolStart, StartAnswer, StartOrder, StopAnswer, StopOrder, WaiterId, WorkerPool,
+    CallFailure, FoundJob, KeepAnswer, KeepOrder, LookAnswer, LookOrder, PoolAction, PoolInit,
+    PoolNote, PoolSettings, StartAnswer, StartOrder, StopAnswer, StopOrder, WaiterId, WorkerPool,
 };
 
 use crashing::CrashPlan;
@@ -198,7 +198,7 @@
     /// The same with other settings.
     pub(crate) fn with_settings(seed: u64, workers: usize, settings: PoolSettings) -> Self {
         let origin = Instant::now();
-        let start = PoolStart {
+        let start = PoolInit {
             settings,
             ..pool_start(1)
         };
@@ -289,7 +289,7 @@
     pub(crate) fn replace_owner(&mut self) {
         self.fence += 1;
         let at = self.instant();
-        let start = PoolStart {
+        let start = PoolInit {
             evacuated: self.evacuated,
             ..pool_start(self.fence)
         };
@@ -978,8 +978,8 @@
     u64::try_from(time.as_millis()).unwrap()
 }
 
-fn pool_start(fence: u64) -> PoolStart {
-    PoolStart {
+fn pool_start(fence: u64) -> PoolInit {
+    PoolInit {
         name: Arc::from("east/0"),
         fence: FenceToken(fence),
         platform_millis: fence * 1_000_000,
