--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -243,7 +243,7 @@
             }
         }
     }
-    with_pool(state, id, |pool, now| pool.put_worker(now, worker));
+    with_pool(state, id, |pool, now| pool.upsert_worker(now, worker));
 }
 
 /// Tells a pool whether a former owner still finishes jobs of it.
@@ -279,7 +279,7 @@
         });
     }
     for worker in free {
-        with_pool(state, id, |pool, now| pool.put_worker(now, worker));
+        with_pool(state, id, |pool, now| pool.upsert_worker(now, worker));
     }
 }
 
@@ -322,7 +322,7 @@
     }
     if now >= since + YIELD_LIMIT {
         *state.yielding.borrow_mut() = None;
-        with_pool(state, &id, |pool, _| pool.accept_again());
+        with_pool(state, &id, |pool, _| pool.resume_accepting());
         let workers = state.directory.borrow().of_pool(&id);
         for worker in workers {
             put_worker(state, &id, worker);
@@ -335,7 +335,7 @@
     if let Some(owned) = state.pools.borrow_mut().get_mut(id) {
         owned.awaited.remove(life);
     }
-    with_pool(state, id, |pool, now| pool.drop_worker(now, life));
+    with_pool(state, id, |pool, now| pool.unlist_worker(now, life));
 }
 
 /// Carries out what the claim keeper asks for.
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -428,7 +428,7 @@
     owner::fill_pools(state);
     peers::connect_owners(state);
     each_pool(state, pool::WorkerPool::tick);
-    each_pool(state, |pool, _| pool.release_idle());
+    each_pool(state, |pool, _| pool.release_idle_workers());
     if state.leaving.get() {
         return;
     }
--- a/crates/pool/benches/admission.rs
+++ b/crates/pool/benches/admission.rs
@@ -83,7 +83,7 @@
     };
     let mut pool = WorkerPool::new(start, now);
     for number in 0..WORKERS {
-        pool.put_worker(now, record(number));
+        pool.upsert_worker(now, record(number));
     }
     for action in pool.take_actions() {
         if let PoolAction::Look(order) = action {
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -123,7 +123,7 @@
 }
 
 impl WorkerPool {
-    /// A pool just taken over. Its workers have to be told by [`Self::put_worker`].
+    /// A pool just taken over. Its workers have to be told by [`Self::upsert_worker`].
     pub fn new(start: PoolInit, now: Instant) -> Self {
         Self {
             settings: start.settings,
@@ -191,7 +191,7 @@
     }
 
     /// Takes new jobs again: nobody took the pool over.
-    pub fn accept_again(&mut self) {
+    pub fn resume_accepting(&mut self) {
         self.accepting = true;
         // It has let go of kept jobs that waited, and finds them in the store.
         self.unload_kept();
@@ -199,7 +199,7 @@
 
     /// Lets go of workers that its jobs do not use, so that its successor takes them. As long as tasks wait, all are
     /// kept: the next free place may be on any of them.
-    pub fn release_idle(&mut self) {
+    pub fn release_idle_workers(&mut self) {
         if self.accepting || self.queue.jobs().next().is_some() {
             return;
         }
@@ -260,7 +260,7 @@
             self.keep_new(now, waiter, request, terms);
             return;
         }
-        let job = self.open_job(now, Some(waiter), request, terms);
+        let job = self.build_job(now, Some(waiter), request, terms);
         self.jobs.insert(id, job);
         self.enqueue(now, id);
         self.schedule(now);
@@ -278,13 +278,13 @@
     }
 
     /// Takes up a worker of the directory, or what changed about it.
-    pub fn put_worker(&mut self, now: Instant, record: WorkerRecord) {
+    pub fn upsert_worker(&mut self, now: Instant, record: WorkerRecord) {
         let life = record.life.clone();
         let Some(worker) = self.workers.get_mut(&life) else {
             self.note_listed(now, &record);
             self.workers
                 .insert(life.clone(), WorkerLedger::new(record, self.fence, now));
-            self.note_worker(life, WorkerChange::Added);
+            self.note_worker_change(life, WorkerChange::Added);
             self.send_polls_and_orders(now);
             return;
         };
@@ -297,7 +297,7 @@
         worker.take_record(now, record);
         worker.unlisted = None;
         if changed {
-            self.note_worker(life.clone(), change);
+            self.note_worker_change(life.clone(), change);
         }
         if former != room {
             self.resize(now, &life, former);
@@ -309,15 +309,15 @@
     }
 
     /// A worker is not in the directory any more: it gets no new runs, and is forgotten when it has none.
-    pub fn drop_worker(&mut self, now: Instant, life: &LifeId) {
+    pub fn unlist_worker(&mut self, now: Instant, life: &LifeId) {
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
         if worker.unlisted.is_none() {
             worker.unlisted = Some(now);
-            self.note_worker(life.clone(), WorkerChange::Unlisted);
+            self.note_worker_change(life.clone(), WorkerChange::Unlisted);
         }
-        self.forget_unlisted(now);
+        self.remove_unlisted_workers(now);
     }
 
     /// This process stood still for longer than entries wait for a sign of life: they have given up what it holds,
@@ -347,7 +347,7 @@
         if self.evacuated {
             return load;
         }
-        for worker in self.expected_workers(now) {
+        for worker in self.usable_or_trial_workers(now) {
             load.capacity = load.capacity.saturating_add(worker.record.room.cpu.0);
             load.free = load.free.saturating_add(worker.free_room().cpu.0);
         }
@@ -362,7 +362,7 @@
 
     /// The workers on which jobs can expect to run: the sound ones. If there is none, those that have to be tried out: a
     /// pool that admits nothing for want of a sound worker would never find out that one is sound again.
-    fn expected_workers(&self, now: Instant) -> Vec<&WorkerLedger> {
+    fn usable_or_trial_workers(&self, now: Instant) -> Vec<&WorkerLedger> {
         let workers = self.workers.values();
         let sound: Vec<_> = workers.filter(|worker| worker.is_usable()).collect();
         if !sound.is_empty() {
@@ -372,7 +372,7 @@
         workers.filter(|worker| worker.is_on_trial(now)).collect()
     }
 
-    fn open_job(
+    fn build_job(
         &self,
         now: Instant,
         waiter: Option<WaiterId>,
@@ -425,8 +425,8 @@
             job: id,
             priority: job.terms.priority,
             arrived: job.arrived,
-            begun: job.ordered && self.has(Mechanism::BegunFirst),
-            by_arrival: !self.has(Mechanism::LatestStart),
+            begun: job.ordered && self.is_enabled(Mechanism::BegunFirst),
+            by_arrival: !self.is_enabled(Mechanism::LatestStart),
             latest_start: latest_start(job.arrived, job.objective, left),
             useless: job.arrived + job.objective.mul_f64(self.settings.useless_beyond),
         }
@@ -447,17 +447,17 @@
         for waiter in job.waiters {
             self.answer(waiter, outcome);
         }
-        self.stop_runs_of(now, id);
+        self.stop_job_runs(now, id);
     }
 
     fn abandon(&mut self, now: Instant, id: JobId) {
         self.jobs.remove(&id);
         self.queue.remove(id);
-        let stopped = self.stop_runs_of(now, id);
+        let stopped = self.stop_job_runs(now, id);
         self.notes.push(PoolNote::JobAbandoned { job: id, stopped });
     }
 
-    fn stop_runs_of(&mut self, now: Instant, id: JobId) -> usize {
+    fn stop_job_runs(&mut self, now: Instant, id: JobId) -> usize {
         let mut stopped = 0;
         for worker in self.workers.values_mut() {
             let of_job = |run: &&crate::worker::RunLedger| run.task.job == id;
@@ -481,11 +481,11 @@
         self.actions.push(PoolAction::Answer { waiter, outcome });
     }
 
-    fn note_worker(&mut self, life: LifeId, change: WorkerChange) {
+    fn note_worker_change(&mut self, life: LifeId, change: WorkerChange) {
         self.notes.push(PoolNote::WorkerChanged { life, change });
     }
 
-    fn forget_unlisted(&mut self, now: Instant) {
+    fn remove_unlisted_workers(&mut self, now: Instant) {
         let mut gone = Vec::new();
         for (life, worker) in &self.workers {
             let Some(since) = worker.unlisted else {
@@ -497,18 +497,18 @@
         }
         for life in gone {
             self.workers.remove(&life);
-            self.note_worker(life, WorkerChange::Forgotten);
+            self.note_worker_change(life, WorkerChange::Forgotten);
         }
     }
 
     /// Whether a mechanism is switched on.
-    fn has(&self, mechanism: Mechanism) -> bool {
+    fn is_enabled(&self, mechanism: Mechanism) -> bool {
         self.settings.switched_off.allows(mechanism)
     }
 
     /// Leaves a worker alone for a while.
     fn suspend(&mut self, now: Instant, life: &LifeId, cause: SuspensionCause) {
-        if !self.has(Mechanism::Suspension) {
+        if !self.is_enabled(Mechanism::Suspension) {
             return;
         }
         let Some(worker) = self.workers.get_mut(life) else {
@@ -522,11 +522,11 @@
         });
     }
 
-    fn find_median(&mut self, now: Instant) {
+    fn update_median_slowness(&mut self, now: Instant) {
         for worker in self.workers.values_mut() {
             worker.fade_slowness(now);
         }
-        if !self.has(Mechanism::SluggishWorkers) {
+        if !self.is_enabled(Mechanism::SluggishWorkers) {
             self.median_slowness = f64::INFINITY;
             return;
         }
@@ -538,13 +538,13 @@
         }
     }
 
-    fn millis(&self, now: Instant) -> u64 {
+    fn owner_millis(&self, now: Instant) -> u64 {
         let passed = now.saturating_duration_since(self.clock_origin).as_millis();
         u64::try_from(passed).unwrap_or(u64::MAX)
     }
 
-    fn next_run(&mut self, now: Instant) -> RunNumber {
-        let by_clock = self.run_number_base + self.millis(now);
+    fn next_run_number(&mut self, now: Instant) -> RunNumber {
+        let by_clock = self.run_number_base + self.owner_millis(now);
         self.last_run_number = by_clock.max(self.last_run_number + 1);
         RunNumber(self.last_run_number)
     }
--- a/crates/pool/src/pool/admit.rs
+++ b/crates/pool/src/pool/admit.rs
@@ -70,10 +70,10 @@
             .saturating_add(forecast.end)
             .saturating_add(lag);
         let queued = self.waiting_tasks();
-        let late = predicted > too_late && self.has(Mechanism::LateRefusal);
+        let late = predicted > too_late && self.is_enabled(Mechanism::LateRefusal);
         let late =
             late && !self.is_welcome_late(now, request, terms, &forecast, predicted, objective);
-        let harms = forecast.harms && self.has(Mechanism::HarmCheck);
+        let harms = forecast.harms && self.is_enabled(Mechanism::HarmCheck);
         let kind = if !self.accepting {
             Some(RefusalKind::NotServing)
         } else if self.evacuated {
@@ -197,7 +197,7 @@
         lag: Duration,
         limit: Duration,
     ) -> bool {
-        if terms.firm || !self.has(Mechanism::LateRefusal) {
+        if terms.firm || !self.is_enabled(Mechanism::LateRefusal) {
             return true;
         }
         let chain = self.predict_chain(request, terms);
@@ -262,7 +262,7 @@
     }
 
     pub(super) fn predict(&self, terms: &JobTerms, spec: &StepSpec) -> Duration {
-        if !self.has(Mechanism::RunTimes) {
+        if !self.is_enabled(Mechanism::RunTimes) {
             return spec.estimate;
         }
         self.estimates.predict(&terms.route, spec.estimate)
@@ -322,7 +322,7 @@
             arrived,
             begun: false,
             latest_start: latest_start(arrived, objective, chain),
-            by_arrival: !self.has(Mechanism::LatestStart),
+            by_arrival: !self.is_enabled(Mechanism::LatestStart),
             useless: arrived + objective.mul_f64(self.settings.useless_beyond),
         };
         let rank = entry.rank(now);
@@ -345,7 +345,7 @@
         };
         // On a full path jobs of the first priority are late for the path and not for want of places: room kept for them
         // stands empty.
-        let keeps_room = self.has(Mechanism::KeptRoom) && !self.is_strained();
+        let keeps_room = self.is_enabled(Mechanism::KeptRoom) && !self.is_strained();
         let expected = match keeps_room {
             true => self.arrivals.expected_before(now, terms.priority),
             false => Vec::new(),
@@ -426,7 +426,7 @@
     }
 
     fn pool_forecast(&self, now: Instant, service: &ServiceId) -> PoolForecast {
-        let workers = self.expected_workers(now).into_iter();
+        let workers = self.usable_or_trial_workers(now).into_iter();
         let workers = workers.filter(|worker| worker.record.service == *service);
         let (sluggish, sound): (Vec<_>, Vec<_>) =
             workers.partition(|worker| is_sluggish(worker, self.median_slowness));
--- a/crates/pool/src/pool/answers.rs
+++ b/crates/pool/src/pool/answers.rs
@@ -20,7 +20,7 @@
         let StartOrder {
             life, task, run, ..
         } = order;
-        let owner_millis = self.millis(now);
+        let owner_millis = self.owner_millis(now);
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
@@ -106,7 +106,7 @@
     /// How long a start or stop may go unanswered before it is sent again.
     pub(super) fn order_limit(&self) -> Duration {
         let settings = &self.settings;
-        if !self.has(Mechanism::AnswerLimits) {
+        if !self.is_enabled(Mechanism::AnswerLimits) {
             return settings.order_timeout;
         }
         self.answer_times
@@ -115,7 +115,7 @@
 
     /// Whether the path to the workers is full.
     pub(super) fn is_strained(&self) -> bool {
-        self.has(Mechanism::AnswerLimits) && self.answer_times.is_strained()
+        self.is_enabled(Mechanism::AnswerLimits) && self.answer_times.is_strained()
     }
 
     fn learn_answer_time(&mut self, now: Instant, took: Duration) {
@@ -139,7 +139,7 @@
         let StopOrder {
             life, task, run, ..
         } = order;
-        let owner_millis = self.millis(now);
+        let owner_millis = self.owner_millis(now);
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
--- a/crates/pool/src/pool/crashing.rs
+++ b/crates/pool/src/pool/crashing.rs
@@ -36,7 +36,7 @@
         };
         // One that leaves ends with all that runs there, as it has said.
         let leaves = worker.record.state == WorkerState::Draining;
-        if leaves || !self.has(Mechanism::CrashBlame) {
+        if leaves || !self.is_enabled(Mechanism::CrashBlame) {
             return Vec::new();
         }
         let tasks: Vec<LostTask> = begun.filter_map(|task| self.lost_task(task)).collect();
@@ -94,7 +94,7 @@
 
     /// Takes the deaths that a kept job's row tells of.
     pub(super) fn take_recorded_deaths(&mut self, now: Instant, id: JobId, steps: &[StepRecord]) {
-        if !self.has(Mechanism::CrashBlame) {
+        if !self.is_enabled(Mechanism::CrashBlame) {
             return;
         }
         let mut culprits = Vec::new();
--- a/crates/pool/src/pool/keeping.rs
+++ b/crates/pool/src/pool/keeping.rs
@@ -52,12 +52,12 @@
         terms: JobTerms,
     ) {
         let id = request.id;
-        let mut job = self.open_job(now, Some(waiter), request, terms);
+        let mut job = self.build_job(now, Some(waiter), request, terms);
         job.deadline = now + NO_DEADLINE;
         let records = job.request.steps.iter().map(|_| StepRecord::default());
         job.kept = Some(KeptLedger {
             progress: records.collect(),
-            revision: self.next_run(now).0,
+            revision: self.next_run_number(now).0,
             ..KeptLedger::default()
         });
         self.jobs.insert(id, job);
@@ -79,7 +79,7 @@
         if let Some(kept) = job.kept {
             self.release_ends(&kept.ends, u64::MAX);
         }
-        self.stop_runs_of(now, id);
+        self.stop_job_runs(now, id);
     }
 
     /// The job was cancelled in the store: what runs of it is stopped.
@@ -102,7 +102,7 @@
         kept.end = Some(state);
         kept.revision += 1;
         self.queue.remove(id);
-        self.stop_runs_of(now, id);
+        self.stop_job_runs(now, id);
         self.store_changes(id);
     }
 
--- a/crates/pool/src/pool/polls.rs
+++ b/crates/pool/src/pool/polls.rs
@@ -52,7 +52,7 @@
 impl WorkerPool {
     /// Sends the looks that are due, and the orders whose pause is over.
     pub(super) fn send_polls_and_orders(&mut self, now: Instant) {
-        let owner_millis = self.millis(now);
+        let owner_millis = self.owner_millis(now);
         let wants_ends = self.has_held_back();
         let hedge = self.poll_hedge_delay(now);
         let margin = self.poll_margin();
@@ -100,7 +100,7 @@
     fn poll_hedge_delay(&self, now: Instant) -> Option<Duration> {
         let lost = self
             .last_missed_answer
-            .filter(|_| self.has(Mechanism::HedgedLooks))?;
+            .filter(|_| self.is_enabled(Mechanism::HedgedLooks))?;
         // Answers that are late because the path is full come in the end: looks beside them would fill it further.
         let lossy = now < lost + self.settings.loss_memory && !self.is_strained();
         lossy.then_some(self.settings.look_hedge)
@@ -109,7 +109,7 @@
     /// How much longer than its wait a look may take: as long as answers may take now.
     fn poll_margin(&self) -> Duration {
         let settings = &self.settings;
-        if !self.has(Mechanism::AnswerLimits) {
+        if !self.is_enabled(Mechanism::AnswerLimits) {
             return settings.look_margin;
         }
         let limit = self
@@ -155,7 +155,7 @@
         if !self.check_life(now, sent, order, &listing) {
             return;
         }
-        let owner_millis = self.millis(now);
+        let owner_millis = self.owner_millis(now);
         let life = &order.life;
         let Some(worker) = self.workers.get_mut(life) else {
             return;
@@ -240,7 +240,7 @@
     }
 
     fn complete_task(&mut self, now: Instant, life: &LifeId, run: &RunLedger, took: Duration) {
-        let learning_enabled = self.has(Mechanism::Speeds);
+        let learning_enabled = self.is_enabled(Mechanism::Speeds);
         if let Some(worker) = self.workers.get_mut(life) {
             worker.health.succeed();
             if learning_enabled {
@@ -374,7 +374,7 @@
     }
 
     fn update_progress(&mut self, now: Instant, life: &LifeId, listing: &WorkerListing) {
-        let learning_enabled = self.has(Mechanism::Speeds);
+        let learning_enabled = self.is_enabled(Mechanism::Speeds);
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
@@ -411,7 +411,7 @@
         if let Some((predicted, projected)) = slowest.filter(|_| learning_enabled) {
             worker.learn_speed(now, predicted, projected);
         }
-        if stalled.is_empty() || !self.has(Mechanism::StallStop) {
+        if stalled.is_empty() || !self.is_enabled(Mechanism::StallStop) {
             return;
         }
         let Some(worker) = self.workers.get_mut(life) else {
@@ -483,7 +483,7 @@
         self.lose_all_runs(now, life, RunLoss::NewLife);
         self.confirm_crash(now, life);
         if self.workers.remove(life).is_some() {
-            self.note_worker(life.clone(), WorkerChange::Forgotten);
+            self.note_worker_change(life.clone(), WorkerChange::Forgotten);
         }
     }
 
@@ -493,7 +493,7 @@
         let Some(worker) = self.workers.remove(life) else {
             return;
         };
-        self.note_worker(life.clone(), WorkerChange::TakenOver);
+        self.note_worker_change(life.clone(), WorkerChange::TakenOver);
         let is_of_kept_job = |run: &RunLedger| {
             let job = self.jobs.get(&run.task.job);
             job.is_some_and(|job| job.kept.is_some())
--- a/crates/pool/src/pool/schedule.rs
+++ b/crates/pool/src/pool/schedule.rs
@@ -27,8 +27,8 @@
         self.tick_kept(now);
         self.leave_evacuated(now);
         self.expire_silent(now);
-        self.forget_unlisted(now);
-        self.find_median(now);
+        self.remove_unlisted_workers(now);
+        self.update_median_slowness(now);
         self.forget_crashes(now);
         self.clear_for_suspects(now);
         self.schedule(now);
@@ -128,7 +128,7 @@
     }
 
     fn place(&mut self, now: Instant, id: JobId, step: usize, task: WaitingTask, life: &LifeId) {
-        let run = self.next_run(now);
+        let run = self.next_run_number(now);
         let job = &self.jobs[&id];
         let spec = &job.request.steps[step];
         let task_id = task_id(id, step, task.index);
@@ -167,7 +167,8 @@
     }
 
     fn is_window_full(&self) -> bool {
-        self.has(Mechanism::StartWindow) && self.starts_under_way() >= self.start_window.size()
+        self.is_enabled(Mechanism::StartWindow)
+            && self.starts_under_way() >= self.start_window.size()
     }
 
     /// Starts that are sent or about to be, and not known to have been carried out.
@@ -209,10 +210,10 @@
         let most_orders = self.most_orders();
         let frame = OrderFrame {
             now,
-            owner_millis: self.millis(now),
+            owner_millis: self.owner_millis(now),
             lease: self.settings.lease,
             overdue,
-            limit: match self.has(Mechanism::AnswerLimits) {
+            limit: match self.is_enabled(Mechanism::AnswerLimits) {
                 true => self.settings.order_give_up,
                 false => overdue,
             },
@@ -276,7 +277,7 @@
 
     /// Frees what silent workers held once their leases surely are over.
     fn expire_silent(&mut self, now: Instant) {
-        let owner_millis = self.millis(now);
+        let owner_millis = self.owner_millis(now);
         let mut lapsed = Vec::new();
         for (life, worker) in &self.workers {
             if worker.runs.is_empty() || !worker.is_silent() {
--- a/crates/pool/src/pool/takeover.rs
+++ b/crates/pool/src/pool/takeover.rs
@@ -82,7 +82,7 @@
             version,
         } = found;
         let (request, terms) = (Arc::new(row.request(id)), row.terms());
-        let mut job = self.open_job(now, None, request, terms);
+        let mut job = self.build_job(now, None, request, terms);
         job.deadline = now + NO_DEADLINE;
         for (step, record) in row.progress.iter().enumerate() {
             job.take_record(step, record);
@@ -94,7 +94,7 @@
             }
         }
         job.open_steps();
-        let revision = self.next_run(now).0;
+        let revision = self.next_run_number(now).0;
         job.kept = Some(KeptLedger {
             version: Some(version),
             revision,
--- a/crates/pool/tests/rebirth.rs
+++ b/crates/pool/tests/rebirth.rs
@@ -88,7 +88,7 @@
     for round in 2..6 {
         let at = world.instant();
         for record in &older {
-            world.pool.put_worker(at, record.clone());
+            world.pool.upsert_worker(at, record.clone());
         }
         world.run_for(20);
         end_some(&mut world, round * 10);
--- a/crates/pool/tests/support/crashing.rs
+++ b/crates/pool/tests/support/crashing.rs
@@ -105,7 +105,7 @@
         }
         let former = self.workers.remove(life).unwrap();
         let at = self.instant();
-        self.pool.drop_worker(at, life);
+        self.pool.unlist_worker(at, life);
         let mut record = former.record;
         record.life = LifeId::from(format!("{life}+").as_str());
         self.add_worker(record, former.speed);
--- a/crates/pool/tests/support/mod.rs
+++ b/crates/pool/tests/support/mod.rs
@@ -245,7 +245,7 @@
 
     pub(crate) fn add_worker(&mut self, record: WorkerRecord, speed: f64) {
         let at = self.instant();
-        self.pool.put_worker(at, record.clone());
+        self.pool.upsert_worker(at, record.clone());
         let clock_offset = self.rng.u64(1_000..500_000);
         let worker = WorldWorker {
             record: record.clone(),
@@ -297,7 +297,7 @@
         self.open.clear();
         let records: Vec<_> = self.workers.values().map(|w| w.record.clone()).collect();
         for record in records {
-            self.pool.put_worker(at, record);
+            self.pool.upsert_worker(at, record);
         }
         self.carry_out();
     }
@@ -520,7 +520,7 @@
     fn tell_records(&mut self, records: Vec<WorkerRecord>) {
         let at = self.instant();
         for record in records {
-            self.pool.put_worker(at, record);
+            self.pool.upsert_worker(at, record);
         }
         self.carry_out();
     }
