--- a/crates/pool/src/pool/admit.rs
+++ b/crates/pool/src/pool/admit.rs
@@ -69,7 +69,7 @@
             .waited
             .saturating_add(forecast.end)
             .saturating_add(lag);
-        let queued = self.waiting_tasks();
+        let queued = self.waiting_task_count();
         let late = predicted > too_late && self.is_enabled(Mechanism::LateRefusal);
         let late =
             late && !self.is_welcome_late(now, request, terms, &forecast, predicted, objective);
--- a/crates/pool/src/pool/answers.rs
+++ b/crates/pool/src/pool/answers.rs
@@ -104,7 +104,7 @@
     }
 
     /// How long a start or stop may go unanswered before it is sent again.
-    pub(super) fn order_limit(&self) -> Duration {
+    pub(super) fn resend_timeout(&self) -> Duration {
         let settings = &self.settings;
         if !self.is_enabled(Mechanism::AnswerLimits) {
             return settings.order_timeout;
@@ -121,7 +121,7 @@
     fn learn_answer_time(&mut self, now: Instant, took: Duration) {
         let was = self.is_strained();
         self.answer_times.take(took);
-        let (strained, under_way) = (self.is_strained(), self.starts_under_way());
+        let (strained, under_way) = (self.is_strained(), self.starts_in_flight());
         self.start_window
             .take(now, strained, self.answer_times.smoothed(), under_way);
         if strained != was {
--- a/crates/pool/src/pool/schedule.rs
+++ b/crates/pool/src/pool/schedule.rs
@@ -15,18 +15,18 @@
 };
 
 /// An answer that takes longer than this is worth a connection more: a tenth of what the shortest class has beside its work.
-const SLOW_ANSWER: Duration = Duration::from_millis(8);
+const SLOW_ANSWER_TIME: Duration = Duration::from_millis(8);
 
 /// Orders in flight at a worker whose answers are slow: as many as it has places for wide tasks.
-const SLOW_ORDERS: usize = 3;
+const MAX_SLOW_ORDERS_IN_FLIGHT: usize = 3;
 
 impl WorkerPool {
     /// Does what is due: deadlines, lapsed leases, looks, orders, places.
     pub fn tick(&mut self, now: Instant) {
-        self.end_overdue(now);
+        self.end_overdue_jobs(now);
         self.tick_kept(now);
         self.leave_evacuated(now);
-        self.expire_silent(now);
+        self.expire_silent_workers(now);
         self.remove_unlisted_workers(now);
         self.update_median_slowness(now);
         self.forget_crashes(now);
@@ -43,31 +43,31 @@
         }
         self.queue.move_late(now);
         let order: Vec<JobId> = self.queue.jobs().collect();
-        let mut most_free = self.most_free();
+        let mut max_free_cpu = self.max_free_cpu();
         for job in order {
-            if self.is_window_full() {
+            if self.is_start_window_full() {
                 break;
             }
             // With hundreds of waiting jobs and no place free, trying each on each worker is most of an owner's work.
-            if self.jobs[&job].least_demand() > most_free {
+            if self.jobs[&job].least_demand() > max_free_cpu {
                 continue;
             }
-            if self.place_tasks(now, job) {
-                most_free = self.most_free();
+            if self.place_job_tasks(now, job) {
+                max_free_cpu = self.max_free_cpu();
             }
         }
         self.send_orders(now);
     }
 
     /// The most processor room that is free on any worker that may get runs.
-    fn most_free(&self) -> CpuMillis {
+    fn max_free_cpu(&self) -> CpuMillis {
         let open = self.workers.values().filter(|worker| worker.is_open());
         let free = open.map(|worker| worker.free_room().cpu);
         free.max().unwrap_or_default()
     }
 
     /// Places what finds a place. Says whether anything did.
-    fn place_tasks(&mut self, now: Instant, id: JobId) -> bool {
+    fn place_job_tasks(&mut self, now: Instant, id: JobId) -> bool {
         if !self.may_run(now, &self.jobs[&id]) {
             return false;
         }
@@ -78,17 +78,17 @@
         let mut placed = false;
         for step in steps {
             while let Some(task) = self.jobs[&id].steps[step].waiting.last().cloned() {
-                if self.is_window_full() {
+                if self.is_start_window_full() {
                     break;
                 }
-                let Some(life) = self.find_place(now, id, step, &task) else {
+                let Some(life) = self.find_worker(now, id, step, &task) else {
                     break;
                 };
                 if let Some(job) = self.jobs.get_mut(&id) {
                     job.steps[step].waiting.pop();
                     job.ordered = true;
                 }
-                self.place(now, id, step, task, &life);
+                self.place_task(now, id, step, task, &life);
                 placed = true;
             }
         }
@@ -98,7 +98,7 @@
         placed
     }
 
-    fn find_place(
+    fn find_worker(
         &self,
         now: Instant,
         id: JobId,
@@ -127,7 +127,14 @@
         choose_worker(self.workers.values(), &ask, now).map(|worker| worker.record.life.clone())
     }
 
-    fn place(&mut self, now: Instant, id: JobId, step: usize, task: WaitingTask, life: &LifeId) {
+    fn place_task(
+        &mut self,
+        now: Instant,
+        id: JobId,
+        step: usize,
+        task: WaitingTask,
+        life: &LifeId,
+    ) {
         let run = self.next_run_number(now);
         let job = &self.jobs[&id];
         let spec = &job.request.steps[step];
@@ -166,20 +173,20 @@
         worker.orders.push_back(WaitingOrder::Start(task_id, run));
     }
 
-    fn is_window_full(&self) -> bool {
+    fn is_start_window_full(&self) -> bool {
         self.is_enabled(Mechanism::StartWindow)
-            && self.starts_under_way() >= self.start_window.size()
+            && self.starts_in_flight() >= self.start_window.size()
     }
 
     /// Starts that are sent or about to be, and not known to have been carried out.
-    pub(super) fn starts_under_way(&self) -> usize {
+    pub(super) fn starts_in_flight(&self) -> usize {
         let workers = self.workers.values().filter(|worker| !worker.is_silent());
         let runs = workers.flat_map(|worker| &worker.runs);
         runs.filter(|run| run.phase == RunPhase::Ordered).count()
     }
 
     /// Tasks that wait for a place and may be placed now.
-    pub(super) fn waiting_tasks(&self) -> usize {
+    pub(super) fn waiting_task_count(&self) -> usize {
         let jobs = self.queue.jobs();
         jobs.map(|job| self.jobs[&job].waiting_count()).sum()
     }
@@ -189,7 +196,7 @@
         if !self.is_strained() {
             return Duration::ZERO;
         }
-        let ahead = self.starts_under_way() + self.waiting_tasks() + tasks;
+        let ahead = self.starts_in_flight() + self.waiting_task_count() + tasks;
         let rounds = ahead as f64 / self.start_window.size().max(1) as f64;
         self.answer_times.smoothed().mul_f64(rounds)
     }
@@ -197,18 +204,18 @@
     /// How many orders may be in flight at one worker, each on a connection of its own beside that for looks. Where an
     /// answer takes long, the second task of a job on a worker would wait for the first one's. Where answers are quick one
     /// order is better, since what has not been sent can be taken back.
-    fn most_orders(&self) -> usize {
-        match self.answer_times.smoothed() > SLOW_ANSWER {
-            true => SLOW_ORDERS,
+    fn max_orders_in_flight(&self) -> usize {
+        match self.answer_times.smoothed() > SLOW_ANSWER_TIME {
+            true => MAX_SLOW_ORDERS_IN_FLIGHT,
             false => 1,
         }
     }
 
     /// Sends each worker its next orders.
     pub(super) fn send_orders(&mut self, now: Instant) {
-        let overdue = self.order_limit();
-        let most_orders = self.most_orders();
-        let frame = OrderFrame {
+        let overdue = self.resend_timeout();
+        let max_orders_in_flight = self.max_orders_in_flight();
+        let context = OrderContext {
             now,
             owner_millis: self.owner_millis(now),
             lease: self.settings.lease,
@@ -224,7 +231,7 @@
                 continue;
             }
             worker.order_pause = None;
-            while worker.orders_in_flight < most_orders {
+            while worker.orders_in_flight < max_orders_in_flight {
                 let Some(order) = worker.orders.pop_front() else {
                     break;
                 };
@@ -233,8 +240,8 @@
                         withdrawn.push((worker.record.life.clone(), task, run));
                         continue;
                     }
-                    WaitingOrder::Start(task, run) => start_action(worker, task, run, &frame),
-                    WaitingOrder::Stop(task, run) => stop_action(worker, task, run, &frame),
+                    WaitingOrder::Start(task, run) => start_action(worker, task, run, &context),
+                    WaitingOrder::Stop(task, run) => stop_action(worker, task, run, &context),
                 };
                 if let Some(action) = action {
                     worker.orders_in_flight += 1;
@@ -251,7 +258,7 @@
     }
 
     /// Ends jobs whose time is over.
-    fn end_overdue(&mut self, now: Instant) {
+    fn end_overdue_jobs(&mut self, now: Instant) {
         let mut ends = Vec::new();
         let unkept = self.jobs.iter().filter(|(_, job)| job.kept.is_none());
         for (id, job) in unkept {
@@ -276,7 +283,7 @@
     }
 
     /// Frees what silent workers held once their leases surely are over.
-    fn expire_silent(&mut self, now: Instant) {
+    fn expire_silent_workers(&mut self, now: Instant) {
         let owner_millis = self.owner_millis(now);
         let mut lapsed = Vec::new();
         for (life, worker) in &self.workers {
@@ -306,7 +313,7 @@
 }
 
 /// What all orders have that are sent at one time.
-struct OrderFrame {
+struct OrderContext {
     now: Instant,
     owner_millis: u64,
     lease: Duration,
@@ -318,10 +325,10 @@
     worker: &mut WorkerLedger,
     task: jobs::TaskId,
     number: jobs::RunNumber,
-    frame: &OrderFrame,
+    context: &OrderContext,
 ) -> Option<PoolAction> {
-    let clock = worker.clock_now(frame.owner_millis)?;
-    let lease_end = clock.plus(frame.lease);
+    let clock = worker.clock_now(context.owner_millis)?;
+    let lease_end = clock.plus(context.lease);
     let (life, address) = (worker.record.life.clone(), worker.record.address);
     let run = worker.run_mut(task, number)?;
     run.tries += 1;
@@ -337,9 +344,9 @@
         run: number,
         text,
         lease_end,
-        sent: frame.now,
-        overdue: frame.overdue,
-        limit: frame.limit,
+        sent: context.now,
+        overdue: context.overdue,
+        limit: context.limit,
     }))
 }
 
@@ -347,7 +354,7 @@
     worker: &WorkerLedger,
     task: jobs::TaskId,
     run: jobs::RunNumber,
-    frame: &OrderFrame,
+    context: &OrderContext,
 ) -> Option<PoolAction> {
     let known = worker.runs.iter().any(|r| r.task == task && r.run == run);
     if !known && !worker.foreign.contains(&(task, run)) {
@@ -359,8 +366,8 @@
         fence: worker.fence,
         task,
         run,
-        sent: frame.now,
+        sent: context.now,
         // Stopping twice is idempotent, and a place waits for it.
-        limit: frame.overdue,
+        limit: context.overdue,
     }))
 }
