--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -419,7 +419,7 @@
         let job = &self.jobs[&id];
         let left = longest_chain(&job.request.steps, |step, spec| match job.is_done(step) {
             true => Duration::ZERO,
-            false => self.predict(&job.terms, spec),
+            false => self.predict_run_time(&job.terms, spec),
         });
         QueueEntry {
             job: id,
--- a/crates/pool/src/pool/admit.rs
+++ b/crates/pool/src/pool/admit.rs
@@ -21,27 +21,27 @@
 
 /// What a run that takes longer than predicted is expected to take still, as a share of its predicted time. Estimates
 /// are off by 40%.
-const OVERDUE_SHARE: f64 = 0.25;
+const MIN_REMAINING_SHARE: f64 = 0.25;
 
 /// How long an offer stands: the entry gathers others', and sends its parts, within some milliseconds.
-const OFFER_TIME: Duration = Duration::from_millis(12);
+const OFFER_LIFETIME: Duration = Duration::from_millis(12);
 
 /// How long a run takes to end after it was told to stop: what workers promise.
 const STOP_TIME: Duration = Duration::from_millis(50);
 
 /// The share of a pool that has to be free for a job that will be late.
-const IDLE_SHARE: f64 = 0.4;
+const MIN_IDLE_SHARE: f64 = 0.4;
 
 /// How many times its predicted time such a job may take from its start: it must not wait for a place.
-const UNHURRIED: f64 = 1.3;
+const LATE_JOB_MAX_SLOWDOWN: f64 = 1.3;
 
 /// The share of the time within which an answer is worth anything that a late job may be predicted to take.
-const STILL_USEFUL: f64 = 0.85;
+const LATE_JOB_USEFUL_SHARE: f64 = 0.85;
 
 /// The most jobs that are tried out, in the order in which they get places. Beyond them a new job is late for certain:
 /// they keep all places for seconds. Each costs some microseconds; with some hundreds of jobs that are kept and late the
 /// trials took all of a quarter core, so that the owner counted as silent and was replaced again and again.
-const MOST_TRIED: usize = 60;
+const MAX_SIMULATED_JOBS: usize = 60;
 
 impl WorkerPool {
     /// Decides whether a job is admitted, and gives the refusal if it is not.
@@ -56,9 +56,10 @@
         let lag = self.start_lag(tasks);
         let too_late = objective.mul_f64(self.settings.refuse_beyond);
         let too_late = too_late.min(terms.waited + terms.time_left);
-        let may = self.may_be_in_time(request, terms, lag, too_late) || self.has_idle_share(now);
-        let trial = match may {
-            true => self.trial(now, request, terms, objective),
+        let worth_simulating =
+            self.can_be_in_time(request, terms, lag, too_late) || self.has_idle_share(now);
+        let trial = match worth_simulating {
+            true => self.build_trial(now, request, terms, objective),
             false => None,
         };
         let forecast = match &trial {
@@ -72,7 +73,7 @@
         let queued = self.waiting_task_count();
         let late = predicted > too_late && self.is_enabled(Mechanism::LateRefusal);
         let late =
-            late && !self.is_welcome_late(now, request, terms, &forecast, predicted, objective);
+            late && !self.may_serve_late(now, request, terms, &forecast, predicted, objective);
         let harms = forecast.harms && self.is_enabled(Mechanism::HarmCheck);
         let kind = if !self.accepting {
             Some(RefusalKind::NotServing)
@@ -87,7 +88,7 @@
         } else {
             None
         };
-        self.note_arrival(now, request, terms, kind);
+        self.record_arrival(now, request, terms, kind);
         self.notes.push(PoolNote::Admission {
             job: request.id,
             refusal: kind,
@@ -122,10 +123,10 @@
         }
         let objective = self.objective(request, terms);
         let limit = objective.mul_f64(self.settings.refuse_beyond);
-        if !self.may_be_in_time(request, terms, self.start_lag(1), limit) {
+        if !self.can_be_in_time(request, terms, self.start_lag(1), limit) {
             return 0;
         }
-        let Some(trial) = self.trial(now, request, terms, objective) else {
+        let Some(trial) = self.build_trial(now, request, terms, objective) else {
             return 0;
         };
         let forecast = trial.forecast();
@@ -133,16 +134,17 @@
             true => u32::try_from(request.task_count()).unwrap_or(u32::MAX),
             false => self.count_in_time(&trial, request, terms, objective),
         };
-        self.leave_offered(now, fits)
+        self.reserve_offer(now, fits)
     }
 
     /// What is left of an offer beside those made just now, whose jobs may come at any moment: entries that divide jobs by
     /// the same offers would give the pool several times what it has places for, and tasks without a place wait until their
     /// jobs are of no use.
-    fn leave_offered(&mut self, now: Instant, fits: u32) -> u32 {
-        self.recent_offers.retain(|(at, _)| now < *at + OFFER_TIME);
-        let before: u32 = self.recent_offers.iter().map(|(_, fits)| *fits).sum();
-        let left = fits.saturating_sub(before);
+    fn reserve_offer(&mut self, now: Instant, fits: u32) -> u32 {
+        self.recent_offers
+            .retain(|(at, _)| now < *at + OFFER_LIFETIME);
+        let recently_offered: u32 = self.recent_offers.iter().map(|(_, fits)| *fits).sum();
+        let left = fits.saturating_sub(recently_offered);
         if left > 0 {
             self.recent_offers.push((now, left));
         }
@@ -166,7 +168,7 @@
     ///
     /// Load it answers: all processes were gone, and customers who waited for them come at once. Refused for what they have
     /// waited, they come back later still, while places stand empty.
-    fn is_welcome_late(
+    fn may_serve_late(
         &self,
         now: Instant,
         request: &JobRequest,
@@ -176,21 +178,21 @@
         objective: Duration,
     ) -> bool {
         let chain = self.predict_chain(request, terms);
-        let waits = forecast.end > chain.mul_f64(UNHURRIED);
-        let useful = objective.mul_f64(self.settings.useless_beyond * STILL_USEFUL);
-        let useful = useful.min(terms.waited + terms.time_left);
-        !waits && predicted <= useful && self.has_idle_share(now)
+        let waits = forecast.end > chain.mul_f64(LATE_JOB_MAX_SLOWDOWN);
+        let latest_useful = objective.mul_f64(self.settings.useless_beyond * LATE_JOB_USEFUL_SHARE);
+        let latest_useful = latest_useful.min(terms.waited + terms.time_left);
+        !waits && predicted <= latest_useful && self.has_idle_share(now)
     }
 
     /// Whether so much of the pool is free that a late job takes nobody's place.
     fn has_idle_share(&self, now: Instant) -> bool {
         let load = self.load(now);
-        load.backlog.is_zero() && load.free as f64 >= load.capacity as f64 * IDLE_SHARE
+        load.backlog.is_zero() && load.free as f64 >= load.capacity as f64 * MIN_IDLE_SHARE
     }
 
     /// Whether a job can be in time at all: not if starts alone take too long. Tried out all the same, hundreds of jobs that
     /// come at once to an owner that falls behind keep it from catching up.
-    fn may_be_in_time(
+    fn can_be_in_time(
         &self,
         request: &JobRequest,
         terms: &JobTerms,
@@ -205,7 +207,7 @@
         terms.waited.saturating_add(soonest).saturating_add(lag) <= limit
     }
 
-    fn note_arrival(
+    fn record_arrival(
         &mut self,
         now: Instant,
         request: &JobRequest,
@@ -221,7 +223,7 @@
             priority: terms.priority,
             tasks: spec.count,
             cpu: spec.demand.cpu.0,
-            work: self.predict(terms, spec),
+            work: self.predict_run_time(terms, spec),
             objective: self.objective(request, terms),
             refused: refusal == Some(RefusalKind::TooLate),
         };
@@ -261,7 +263,7 @@
         fits
     }
 
-    pub(super) fn predict(&self, terms: &JobTerms, spec: &StepSpec) -> Duration {
+    pub(super) fn predict_run_time(&self, terms: &JobTerms, spec: &StepSpec) -> Duration {
         if !self.is_enabled(Mechanism::RunTimes) {
             return spec.estimate;
         }
@@ -270,7 +272,7 @@
 
     /// The predicted time of the longest chain of a job's steps.
     fn predict_chain(&self, request: &JobRequest, terms: &JobTerms) -> Duration {
-        longest_chain(&request.steps, |_, spec| self.predict(terms, spec))
+        longest_chain(&request.steps, |_, spec| self.predict_run_time(terms, spec))
     }
 
     pub(super) fn objective(&self, request: &JobRequest, terms: &JobTerms) -> Duration {
@@ -283,7 +285,7 @@
         let job = &self.jobs[&job];
         let steps = job.open_waiting().map(|(step, spec)| {
             let cores = spec.demand.cpu.0 as f64 / 1000.0;
-            let millis = self.predict(&job.terms, spec).as_secs_f64() * 1000.0;
+            let millis = self.predict_run_time(&job.terms, spec).as_secs_f64() * 1000.0;
             cores * millis * job.steps[step].waiting.len() as f64
         });
         steps.sum()
@@ -307,7 +309,7 @@
     }
 
     /// The order in which places would be given with the new job among those that wait.
-    fn trial(
+    fn build_trial(
         &self,
         now: Instant,
         request: &JobRequest,
@@ -326,17 +328,17 @@
             useless: arrived + objective.mul_f64(self.settings.useless_beyond),
         };
         let rank = entry.rank(now);
-        let running = self.running_steps(now);
+        let running = self.remaining_step_times(now);
         let unplaced = self.unplaced_jobs(now, &terms.service);
-        let place = unplaced.partition_point(|(other, _)| *other < rank);
-        if place >= MOST_TRIED {
+        let position = unplaced.partition_point(|(other, _)| *other < rank);
+        if position >= MAX_SIMULATED_JOBS {
             return None;
         }
-        let tried = unplaced.iter().take(MOST_TRIED);
-        let mut behind: Vec<ForecastJob> = tried
+        let simulated = unplaced.iter().take(MAX_SIMULATED_JOBS);
+        let mut behind: Vec<ForecastJob> = simulated
             .map(|(_, id)| self.forecast_job(now, *id, &running))
             .collect();
-        let before: Vec<ForecastJob> = behind.drain(..place).collect();
+        let before: Vec<ForecastJob> = behind.drain(..position).collect();
         let steps = request.steps.iter();
         let steps = steps.map(|spec| self.forecast_step(terms, spec, spec.count as usize));
         let new = ForecastJob {
@@ -373,7 +375,7 @@
     }
 
     /// How long what runs of each step takes still, for jobs of several steps.
-    fn running_steps(&self, now: Instant) -> FastMap<(JobId, u32), Duration> {
+    fn remaining_step_times(&self, now: Instant) -> FastMap<(JobId, u32), Duration> {
         let mut running = FastMap::default();
         for worker in self.workers.values() {
             for run in &worker.runs {
@@ -381,7 +383,7 @@
                 if job.is_none_or(|job| job.steps.len() < 2) {
                     continue;
                 }
-                let left = time_left(run, worker.slowness, now);
+                let left = remaining_time(run, worker.slowness, now);
                 let step = running
                     .entry((run.task.job, run.task.step))
                     .or_insert(Duration::ZERO);
@@ -396,7 +398,7 @@
             waiting: WaitingGroup {
                 count,
                 cpu: spec.demand.cpu.0,
-                work: self.predict(terms, spec),
+                work: self.predict_run_time(terms, spec),
             },
             running: Duration::ZERO,
             after: spec.after.clone(),
@@ -444,17 +446,17 @@
     let room = worker.record.room.cpu.0;
     let mut forecast = WorkerForecast::new(room, worker.used_room().cpu.0, worker.slowness);
     for run in &worker.runs {
-        forecast.add_running(time_left(run, worker.slowness, now), run.demand.cpu.0);
+        forecast.add_running(remaining_time(run, worker.slowness, now), run.demand.cpu.0);
     }
     forecast
 }
 
-fn time_left(run: &RunLedger, slowness: f64, now: Instant) -> Duration {
+fn remaining_time(run: &RunLedger, slowness: f64, now: Instant) -> Duration {
     if run.phase == RunPhase::Stopping {
         return STOP_TIME;
     }
     let took = now.saturating_duration_since(run.placed);
     let predicted = run.predicted.mul_f64(slowness);
     let left = predicted.saturating_sub(took);
-    left.max(run.predicted.mul_f64(OVERDUE_SHARE).min(took))
+    left.max(run.predicted.mul_f64(MIN_REMAINING_SHARE).min(took))
 }
--- a/crates/pool/src/pool/schedule.rs
+++ b/crates/pool/src/pool/schedule.rs
@@ -152,7 +152,7 @@
             tries: 0,
             answered: 0,
             under_way: 0,
-            predicted: self.predict(&job.terms, spec),
+            predicted: self.predict_run_time(&job.terms, spec),
             estimate: spec.estimate,
             percent: 0,
             progressed: now,
