--- a/crates/pool/src/pool/answers.rs
+++ b/crates/pool/src/pool/answers.rs
@@ -25,11 +25,11 @@
             return;
         };
         // An answer to an order that was sent before the worker was found to be reborn may be its former life's.
-        let of_this_life = order.sent >= worker.life_since;
-        if let Some(clock) = answer_clock(answer).filter(|_| of_this_life) {
+        let from_current_life = order.sent >= worker.life_since;
+        if let Some(clock) = answer_clock(answer).filter(|_| from_current_life) {
             worker.read_clock(owner_millis, clock);
         }
-        let fenced_anew = order.fence < worker.fence;
+        let fence_raised = order.fence < worker.fence;
         let (mut tries, mut under_way) = (0, 0);
         if let Some(run) = worker.run_mut(*task, *run) {
             run.answered += u32::from(answer != StartAnswer::Failed(CallFailure::NoAnswer));
@@ -49,24 +49,24 @@
         }
         match answer {
             // A run that was outrun was carried out by an earlier copy of this start and has ended; its end is listed.
-            StartAnswer::Started(_) | StartAnswer::Outrun(_) if !of_this_life => (),
+            StartAnswer::Started(_) | StartAnswer::Outrun(_) if !from_current_life => (),
             StartAnswer::Started(_) | StartAnswer::Outrun(_) => {
-                confirm(worker, *task, *run, now);
-                self.learn_answer_time(now, now.saturating_duration_since(order.sent));
+                confirm_run(worker, *task, *run, now);
+                self.record_answer_time(now, now.saturating_duration_since(order.sent));
             }
-            StartAnswer::Late(_) => self.try_again(now, life, *task, *run),
+            StartAnswer::Late(_) => self.retry_start(now, life, *task, *run),
             StartAnswer::NoRoom(_) | StartAnswer::NotAllowed(_) => {
-                self.turn_away(now, life, *task, *run);
+                self.handle_rejected_start(now, life, *task, *run);
             }
             StartAnswer::Failed(CallFailure::Unhealthy | CallFailure::Malformed) => {
-                self.turn_away(now, life, *task, *run);
+                self.handle_rejected_start(now, life, *task, *run);
             }
             // Another copy may still be answered.
             StartAnswer::Failed(CallFailure::NoAnswer) if under_way > 0 => (),
-            StartAnswer::Failed(CallFailure::NoAnswer) => self.try_again(now, life, *task, *run),
+            StartAnswer::Failed(CallFailure::NoAnswer) => self.retry_start(now, life, *task, *run),
             StartAnswer::Failed(CallFailure::NewLife) => self.forget_life(now, life),
-            StartAnswer::Failed(CallFailure::FencedOut) if fenced_anew => {
-                self.try_again(now, life, *task, *run);
+            StartAnswer::Failed(CallFailure::FencedOut) if fence_raised => {
+                self.retry_start(now, life, *task, *run);
             }
             StartAnswer::Failed(CallFailure::FencedOut) => self.lose_worker(now, life),
         }
@@ -99,7 +99,7 @@
             answer: StartAnswer::Failed(CallFailure::NoAnswer),
             tries,
         });
-        self.try_again(now, &order.life, order.task, order.run);
+        self.retry_start(now, &order.life, order.task, order.run);
         self.schedule(now);
     }
 
@@ -118,13 +118,13 @@
         self.is_enabled(Mechanism::AnswerLimits) && self.answer_times.is_strained()
     }
 
-    fn learn_answer_time(&mut self, now: Instant, took: Duration) {
-        let was = self.is_strained();
+    fn record_answer_time(&mut self, now: Instant, took: Duration) {
+        let was_strained = self.is_strained();
         self.answer_times.take(took);
         let (strained, under_way) = (self.is_strained(), self.starts_in_flight());
         self.start_window
             .take(now, strained, self.answer_times.smoothed(), under_way);
-        if strained != was {
+        if strained != was_strained {
             self.notes.push(PoolNote::Strained {
                 strained,
                 smoothed: self.answer_times.smoothed(),
@@ -144,11 +144,11 @@
             return;
         };
         worker.end_order(false);
-        let of_this_life = order.sent >= worker.life_since;
-        let fenced_anew = order.fence < worker.fence;
+        let from_current_life = order.sent >= worker.life_since;
+        let fence_raised = order.fence < worker.fence;
         match answer {
             // It may be the former life's: the new one has to be told.
-            StopAnswer::Stopped(_) if !of_this_life => {
+            StopAnswer::Stopped(_) if !from_current_life => {
                 worker.orders.push_back(WaitingOrder::Stop(*task, *run));
             }
             StopAnswer::Stopped(clock) => {
@@ -158,7 +158,7 @@
                 }
             }
             StopAnswer::Failed(CallFailure::NewLife) => self.forget_life(now, life),
-            StopAnswer::Failed(CallFailure::FencedOut) if fenced_anew => {
+            StopAnswer::Failed(CallFailure::FencedOut) if fence_raised => {
                 worker.orders.push_back(WaitingOrder::Stop(*task, *run));
             }
             StopAnswer::Failed(CallFailure::FencedOut) => self.lose_worker(now, life),
@@ -173,7 +173,7 @@
     }
 
     /// Sends an unanswered start again. After a few tries the run is stopped and the worker left alone for a while.
-    fn try_again(&mut self, now: Instant, life: &LifeId, task: TaskId, number: RunNumber) {
+    fn retry_start(&mut self, now: Instant, life: &LifeId, task: TaskId, number: RunNumber) {
         let strained = self.is_strained();
         let Some(worker) = self.workers.get_mut(life) else {
             return;
@@ -202,7 +202,13 @@
     }
 
     /// The worker did nothing for this call. If that was the only try, the run can never begin.
-    fn turn_away(&mut self, now: Instant, life: &LifeId, task: TaskId, number: RunNumber) {
+    fn handle_rejected_start(
+        &mut self,
+        now: Instant,
+        life: &LifeId,
+        task: TaskId,
+        number: RunNumber,
+    ) {
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
@@ -223,7 +229,7 @@
     }
 }
 
-fn confirm(worker: &mut WorkerLedger, task: TaskId, number: RunNumber, now: Instant) {
+fn confirm_run(worker: &mut WorkerLedger, task: TaskId, number: RunNumber, now: Instant) {
     let Some(run) = worker.run_mut(task, number) else {
         return;
     };
