--- a/crates/node/src/keeping.rs
+++ b/crates/node/src/keeping.rs
@@ -180,7 +180,7 @@
 
 fn answer(state: &Rc<NodeState>, call: &KeepCall, answer: KeepAnswer) {
     with_fenced(state, &call.pool, call.fence, |pool, now| {
-        pool.on_kept(now, &call.order, answer);
+        pool.on_store_answer(now, &call.order, answer);
     });
 }
 
--- a/crates/node/src/keeping/care.rs
+++ b/crates/node/src/keeping/care.rs
@@ -68,9 +68,9 @@
         let pool = &owned.pool;
         (
             pool.fence(),
-            pool.wants_kept(),
+            pool.needs_kept_load(),
             pool.has_kept(),
-            pool.knows_kept(),
+            pool.has_loaded_kept(),
             pool.pending_jobs(),
         )
     };
@@ -149,7 +149,7 @@
         }
     };
     if row.version.0 == fence.0 {
-        with_fenced(&state, &id, fence, |pool, _| pool.note_contact(sent));
+        with_fenced(&state, &id, fence, |pool, _| pool.note_store_contact(sent));
     }
 }
 
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -252,7 +252,7 @@
     let filled = !state.unfilled.borrow().contains(id);
     let listed = filled && !state.directory.borrow().is_doubtful(state.now());
     with_pool(state, id, |pool, now| {
-        pool.set_surroundings(now, shared, listed);
+        pool.set_takeover_state(now, shared, listed);
     });
 }
 
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -4,7 +4,7 @@
 mod answers;
 mod crashing;
 mod evacuating;
-mod keeping;
+mod kept_jobs;
 mod polls;
 mod rebirth;
 mod resizing;
@@ -194,7 +194,7 @@
     pub fn resume_accepting(&mut self) {
         self.accepting = true;
         // It has let go of kept jobs that waited, and finds them in the store.
-        self.unload_kept();
+        self.request_kept_reload();
     }
 
     /// Lets go of workers that its jobs do not use, so that its successor takes them. As long as tasks wait, all are
@@ -257,7 +257,7 @@
         }
         let id = request.id;
         if request.kept {
-            self.keep_new(now, waiter, request, terms);
+            self.store_new_job(now, waiter, request, terms);
             return;
         }
         let job = self.build_job(now, Some(waiter), request, terms);
@@ -324,7 +324,7 @@
     /// and customers may have come back elsewhere. Starting what still waits here could run a task twice at the same
     /// time, so everything is let go.
     pub fn give_up_all(&mut self, now: Instant) {
-        self.forget_kept(now);
+        self.release_all_kept(now);
         let open: Vec<JobId> = self.jobs.keys().copied().collect();
         for id in open {
             let ordered = self.jobs[&id].ordered;
--- a/crates/pool/src/pool/keeping.rs
+++ b/crates/pool/src/pool/kept_jobs.rs
@@ -44,7 +44,7 @@
     }
 
     /// Has a new job stored; it runs once it is.
-    pub(super) fn keep_new(
+    pub(super) fn store_new_job(
         &mut self,
         now: Instant,
         waiter: WaiterId,
@@ -65,7 +65,7 @@
     }
 
     /// Takes a job out without storing anything.
-    pub(super) fn drop_kept(&mut self, now: Instant, id: JobId, outcome: JobOutcome) {
+    pub(super) fn remove_kept(&mut self, now: Instant, id: JobId, outcome: JobOutcome) {
         let Some(job) = self.jobs.remove(&id) else {
             return;
         };
@@ -91,7 +91,7 @@
             job: id,
             state: KeptState::Cancelled,
         });
-        self.drop_kept(now, id, JobOutcome::Accepted);
+        self.remove_kept(now, id, JobOutcome::Accepted);
     }
 
     /// Notes how a kept job ended and has it stored. It stays until it is.
@@ -176,7 +176,7 @@
     }
 
     /// Takes what became of a write.
-    pub fn on_kept(&mut self, now: Instant, order: &KeepOrder, answer: KeepAnswer) {
+    pub fn on_store_answer(&mut self, now: Instant, order: &KeepOrder, answer: KeepAnswer) {
         let id = order.job;
         let Some(kept) = self.jobs.get_mut(&id).and_then(|job| job.kept.as_mut()) else {
             return;
@@ -189,21 +189,21 @@
         kept.writing = None;
         let written = order.row.revision;
         match answer {
-            KeepAnswer::Stored(version) => self.take_stored(now, id, version, written),
+            KeepAnswer::Stored(version) => self.apply_stored(now, id, version, written),
             KeepAnswer::TurnedAway => {
                 let refused = JobOutcome::Refused {
                     kind: RefusalKind::NotServing,
                     retry_after: MIN_RETRY_AFTER,
                     fits: 0,
                 };
-                self.drop_kept(now, id, refused);
+                self.remove_kept(now, id, refused);
             }
             // Whoever has it runs it; if that is this pool, the next reading of the store finds it.
             KeepAnswer::Known => {
-                self.drop_kept(now, id, JobOutcome::Accepted);
+                self.remove_kept(now, id, JobOutcome::Accepted);
                 self.recently_ended_kept.remove(&id);
             }
-            KeepAnswer::Gone => self.drop_kept(now, id, JobOutcome::Accepted),
+            KeepAnswer::Gone => self.remove_kept(now, id, JobOutcome::Accepted),
             KeepAnswer::Changed(row, version) => {
                 // A former owner's last write. What it knew counts, too, and this owner's is written over it.
                 kept.version = Some(version);
@@ -220,7 +220,7 @@
         self.send_polls_and_orders(now);
     }
 
-    fn take_stored(&mut self, now: Instant, id: JobId, version: u64, written: u64) {
+    fn apply_stored(&mut self, now: Instant, id: JobId, version: u64, written: u64) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
--- a/crates/pool/src/pool/polls.rs
+++ b/crates/pool/src/pool/polls.rs
@@ -53,7 +53,7 @@
     /// Sends the looks that are due, and the orders whose pause is over.
     pub(super) fn send_polls_and_orders(&mut self, now: Instant) {
         let owner_millis = self.owner_millis(now);
-        let wants_ends = self.has_held_back();
+        let wants_ends = self.has_kept_on_hold();
         let hedge = self.poll_hedge_delay(now);
         let margin = self.poll_margin();
         for worker in self.workers.values_mut() {
@@ -207,7 +207,7 @@
             return;
         };
         let Some(run) = worker.take_run(task, end.run) else {
-            self.take_found_end(now, life, end);
+            self.apply_found_end(now, life, end);
             return;
         };
         worker.last_end = now;
@@ -499,7 +499,7 @@
             job.is_some_and(|job| job.kept.is_some())
         };
         if worker.runs.iter().any(is_of_kept_job) {
-            self.forget_kept(now);
+            self.release_all_kept(now);
         }
         for run in &worker.runs {
             self.finish(now, run.task.job, JobOutcome::GivenUp);
--- a/crates/pool/src/pool/takeover.rs
+++ b/crates/pool/src/pool/takeover.rs
@@ -12,7 +12,7 @@
 
 use jobs::{EndCause, EndedRun, JobId, JobOutcome, KeptState, LifeId};
 
-use super::{keeping::NO_DEADLINE, stop_run, WorkerPool};
+use super::{kept_jobs::NO_DEADLINE, stop_run, WorkerPool};
 use crate::{
     action::PoolNote,
     job::JobLedger,
@@ -22,39 +22,44 @@
 
 /// How long ended jobs are remembered, so that an older view of their rows does not bring them back: the longest time that
 /// a read of the store takes, and much more.
-const ENDED_MEMORY: Duration = Duration::from_secs(10);
+const ENDED_KEPT_MEMORY: Duration = Duration::from_secs(10);
 
 impl WorkerPool {
     /// The store has shown that this owner's claim stands, by a call that was sent at `sent`.
-    pub fn note_contact(&mut self, sent: Instant) {
+    pub fn note_store_contact(&mut self, sent: Instant) {
         self.last_store_contact = self.last_store_contact.max(Some(sent));
     }
 
     /// Whether kept jobs wait until no run of a former owner can be left.
-    pub(super) fn has_held_back(&self) -> bool {
+    pub(super) fn has_kept_on_hold(&self) -> bool {
         let mut kept = self.jobs.values().filter_map(|job| job.kept.as_ref());
         kept.any(|kept| kept.held_back)
     }
 
     /// Says whether a former owner still finishes jobs of the pool, and whether all workers that it may have used are
     /// known: entries of the directory may be missing for a while after the store was away.
-    pub fn set_surroundings(&mut self, now: Instant, awaiting: bool, listed: bool) {
-        self.all_workers_known = listed;
-        if awaiting {
+    pub fn set_takeover_state(
+        &mut self,
+        now: Instant,
+        predecessor_active: bool,
+        all_workers_known: bool,
+    ) {
+        self.all_workers_known = all_workers_known;
+        if predecessor_active {
             self.sole_owner_since = now;
             // The former owner goes on writing rows.
-            self.unload_kept();
+            self.request_kept_reload();
         }
-        self.predecessor_active = awaiting;
+        self.predecessor_active = predecessor_active;
     }
 
     /// Whether its kept jobs have been read: before that it cannot say how many there are.
-    pub fn knows_kept(&self) -> bool {
+    pub fn has_loaded_kept(&self) -> bool {
         self.kept_loaded
     }
 
     /// Whether its kept jobs have to be read from the store: not yet read, and nobody else goes on with them.
-    pub fn wants_kept(&self) -> bool {
+    pub fn needs_kept_load(&self) -> bool {
         !self.kept_loaded && !self.predecessor_active
     }
 
@@ -65,17 +70,17 @@
         }
         self.kept_loaded = true;
         self.recently_ended_kept
-            .retain(|_, ended| now < *ended + ENDED_MEMORY);
+            .retain(|_, ended| now < *ended + ENDED_KEPT_MEMORY);
         for job in found {
             // A row may have been read just before its job ended here.
             let ended = self.recently_ended_kept.contains_key(&job.job);
             if !ended && !self.jobs.contains_key(&job.job) {
-                self.adopt(now, job);
+                self.adopt_job(now, job);
             }
         }
     }
 
-    fn adopt(&mut self, now: Instant, found: FoundJob) {
+    fn adopt_job(&mut self, now: Instant, found: FoundJob) {
         let FoundJob {
             job: id,
             row,
@@ -122,11 +127,11 @@
             return true;
         };
         let stored = kept.version.is_some() && kept.end.is_none();
-        stored && !kept.held_back && self.accepting && self.is_sure(now)
+        stored && !kept.held_back && self.accepting && self.has_recent_store_contact(now)
     }
 
     /// Whether this owner surely has not been replaced without knowing it.
-    fn is_sure(&self, now: Instant) -> bool {
+    fn has_recent_store_contact(&self, now: Instant) -> bool {
         self.last_store_contact
             .is_some_and(|sent| now < sent + CONTACT_LIMIT)
     }
@@ -139,10 +144,10 @@
         if self.predecessor_active {
             self.sole_owner_since = now;
         }
-        if !self.is_sure(now) {
+        if !self.has_recent_store_contact(now) {
             self.stop_kept_runs(now);
         }
-        if self.is_settled(now) {
+        if self.is_takeover_settled(now) {
             for job in self.jobs.values_mut() {
                 if let Some(kept) = &mut job.kept {
                     kept.held_back = false;
@@ -150,19 +155,19 @@
             }
         }
         if !self.accepting {
-            self.leave_kept();
+            self.release_idle_kept();
         }
     }
 
     /// Whether no run of a former owner can be left: every worker has said under this fence what it runs, or all that
     /// a former owner may have ordered is over.
-    fn is_settled(&self, now: Instant) -> bool {
-        let clear = |worker: &WorkerLedger| {
+    fn is_takeover_settled(&self, now: Instant) -> bool {
+        let is_clear = |worker: &WorkerLedger| {
             worker.ends_read && worker.foreign.is_empty() && worker.unlisted.is_none()
         };
-        let known = self.kept_loaded && self.all_workers_known && !self.predecessor_active;
-        let seen = known && self.workers.values().all(clear);
-        seen || now >= self.sole_owner_since + SETTLE_LIMIT
+        let view_complete = self.kept_loaded && self.all_workers_known && !self.predecessor_active;
+        let all_reported = view_complete && self.workers.values().all(is_clear);
+        all_reported || now >= self.sole_owner_since + SETTLE_LIMIT
     }
 
     fn stop_kept_runs(&mut self, now: Instant) {
@@ -192,7 +197,7 @@
     }
 
     /// Lets go of stored jobs of which nothing runs: the next owner finds them in the store.
-    fn leave_kept(&mut self) {
+    fn release_idle_kept(&mut self) {
         let idle = self.jobs.iter().filter(|(id, job)| {
             let stored = job.kept.as_ref().is_some_and(KeptLedger::is_all_stored);
             stored
@@ -209,26 +214,26 @@
     }
 
     /// Lets go of all kept jobs, since another owner may have them. They are read anew.
-    pub(super) fn forget_kept(&mut self, now: Instant) {
+    pub(super) fn release_all_kept(&mut self, now: Instant) {
         let kept = self.jobs.iter().filter(|(_, job)| job.kept.is_some());
         let kept: Vec<JobId> = kept.map(|(id, _)| *id).collect();
         if kept.is_empty() {
             return;
         }
         for id in kept {
-            self.drop_kept(now, id, JobOutcome::GivenUp);
+            self.remove_kept(now, id, JobOutcome::GivenUp);
         }
         // What was not acknowledged is listed again, and counts then.
         for worker in self.workers.values_mut() {
             worker.unstored.clear();
             worker.seen = worker.acknowledged;
         }
-        self.unload_kept();
+        self.request_kept_reload();
         self.sole_owner_since = now;
     }
 
     /// Has the kept jobs read anew, and with them the ends that workers list.
-    pub(super) fn unload_kept(&mut self) {
+    pub(super) fn request_kept_reload(&mut self) {
         self.kept_loaded = false;
         for worker in self.workers.values_mut() {
             worker.ends_read = false;
@@ -236,7 +241,7 @@
     }
 
     /// An end of a run that a former owner ordered.
-    pub(super) fn take_found_end(&mut self, now: Instant, life: &LifeId, end: &EndedRun) {
+    pub(super) fn apply_found_end(&mut self, now: Instant, life: &LifeId, end: &EndedRun) {
         let Some(task) = end.task else {
             return;
         };
@@ -253,17 +258,17 @@
             return;
         };
         let waits = progress.waiting.iter().position(|w| w.index == task.index);
-        let Some(place) = waits else {
+        let Some(position) = waits else {
             return;
         };
         match end.cause {
             EndCause::Done => {
-                progress.waiting.swap_remove(place);
+                progress.waiting.swap_remove(position);
                 self.record_end(task, life, end);
                 self.advance_job(now, task.job);
             }
             EndCause::Failed => {
-                progress.waiting[place].failures += 1;
+                progress.waiting[position].failures += 1;
                 let attempts = job.terms.attempts;
                 if self.record_end(task, life, end) >= attempts {
                     self.end_kept(now, task.job, KeptState::Failed);
--- a/crates/pool/tests/support/mod.rs
+++ b/crates/pool/tests/support/mod.rs
@@ -441,7 +441,7 @@
             let in_contact = self.store_up && self.contact_up;
             if in_contact && self.now.is_multiple_of(CONTACT_BEAT) {
                 let at = self.instant();
-                self.pool.note_contact(at);
+                self.pool.note_store_contact(at);
             }
             if self.now.is_multiple_of(20) {
                 let at = self.instant();
@@ -572,7 +572,8 @@
         self.rows
             .insert(order.job, (order.row.clone(), self.serial));
         let (at, version) = (self.instant(), self.serial);
-        self.pool.on_kept(at, order, KeepAnswer::Stored(version));
+        self.pool
+            .on_store_answer(at, order, KeepAnswer::Stored(version));
         self.carry_out();
     }
 
@@ -588,7 +589,7 @@
             version: *version,
         });
         let (at, found) = (self.instant(), found.collect());
-        self.pool.set_surroundings(at, false, true);
+        self.pool.set_takeover_state(at, false, true);
         self.pool.load_kept(at, found);
         self.carry_out();
     }
@@ -614,7 +615,7 @@
             }
         };
         let at = self.instant();
-        self.pool.on_kept(at, &order, answer);
+        self.pool.on_store_answer(at, &order, answer);
     }
 
     /// Hands a job in again, as its customer does that got no answer.
