--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -176,7 +176,7 @@
 /// All claims up to a version of the store are known: the pools that are still this node's have no later owner up to it.
 pub(crate) fn note_sole_owner(state: &NodeState, version: u64) {
     for owned in state.pools.borrow_mut().values_mut() {
-        owned.pool.note_sole_owner(version);
+        owned.pool.note_no_later_claim(version);
     }
 }
 
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -2,12 +2,12 @@
 
 mod admit;
 mod answers;
-mod crashing;
+mod crash_blame;
 mod evacuating;
 mod kept_jobs;
 mod polls;
-mod rebirth;
 mod resizing;
+mod restart;
 mod schedule;
 mod takeover;
 
@@ -281,7 +281,7 @@
     pub fn upsert_worker(&mut self, now: Instant, record: WorkerRecord) {
         let life = record.life.clone();
         let Some(worker) = self.workers.get_mut(&life) else {
-            self.note_listed(now, &record);
+            self.note_new_worker(now, &record);
             self.workers
                 .insert(life.clone(), WorkerLedger::new(record, self.fence, now));
             self.note_worker_change(life, WorkerChange::Added);
@@ -300,7 +300,7 @@
             self.note_worker_change(life.clone(), change);
         }
         if former != room {
-            self.resize(now, &life, former);
+            self.apply_resize(now, &life, former);
         }
         if changed || former != room {
             self.schedule(now);
--- a/crates/pool/src/pool/crashing.rs
+++ b/crates/pool/src/pool/crash_blame.rs
@@ -19,12 +19,12 @@
 };
 
 /// The share of a pool's workers that are emptied for suspects at the most.
-const CLEARED_SHARE: usize = 8;
+const MAX_RESERVED_DIVISOR: usize = 8;
 
 impl WorkerPool {
     /// Notes that a worker was lost with tasks that may have begun, of one of which it may have died. Gives the tasks that are
     /// named now; the caller gives their jobs up once it has put the runs away.
-    pub(super) fn note_crash(
+    pub(super) fn note_worker_loss(
         &mut self,
         now: Instant,
         life: &LifeId,
@@ -35,8 +35,8 @@
             return Vec::new();
         };
         // One that leaves ends with all that runs there, as it has said.
-        let leaves = worker.record.state == WorkerState::Draining;
-        if leaves || !self.is_enabled(Mechanism::CrashBlame) {
+        let is_leaving = worker.record.state == WorkerState::Draining;
+        if is_leaving || !self.is_enabled(Mechanism::CrashBlame) {
             return Vec::new();
         }
         let tasks: Vec<LostTask> = begun.filter_map(|task| self.lost_task(task)).collect();
@@ -54,22 +54,22 @@
             died,
         };
         let suspects = loss.tasks.len();
-        let verdict = self.crashes.note_loss(loss, &self.shape());
+        let loss_result = self.crashes.note_loss(loss, &self.pool_shape());
         self.notes.push(PoolNote::CrashSuspected {
             life: life.clone(),
             died,
-            common: verdict.common,
+            common: loss_result.common,
             suspects,
         });
-        self.record_deaths();
-        verdict.culprits
+        self.store_deaths();
+        loss_result.culprits
     }
 
     /// A worker that was lost is known to have died.
     pub(super) fn confirm_crash(&mut self, now: Instant, life: &LifeId) {
         let culprits = self.crashes.confirm(now, life);
-        self.record_deaths();
-        self.give_up_culprits(now, culprits);
+        self.store_deaths();
+        self.fail_culprit_jobs(now, culprits);
     }
 
     /// A worker answers in the life in which it was lost.
@@ -81,19 +81,19 @@
     }
 
     /// Takes a worker that the directory has anew: one that was lost may have come back as it.
-    pub(super) fn note_listed(&mut self, now: Instant, record: &WorkerRecord) {
+    pub(super) fn note_new_worker(&mut self, now: Instant, record: &WorkerRecord) {
         if self.crashes.is_empty() {
             return;
         }
         let culprits = self
             .crashes
             .note_listed(now, &record.life, record.born, record.address);
-        self.record_deaths();
-        self.give_up_culprits(now, culprits);
+        self.store_deaths();
+        self.fail_culprit_jobs(now, culprits);
     }
 
     /// Takes the deaths that a kept job's row tells of.
-    pub(super) fn take_recorded_deaths(&mut self, now: Instant, id: JobId, steps: &[StepRecord]) {
+    pub(super) fn load_recorded_deaths(&mut self, now: Instant, id: JobId, steps: &[StepRecord]) {
         if !self.is_enabled(Mechanism::CrashBlame) {
             return;
         }
@@ -114,11 +114,11 @@
                 culprits.extend(self.crashes.note_recorded(loss));
             }
         }
-        self.give_up_culprits(now, culprits);
+        self.fail_culprit_jobs(now, culprits);
     }
 
     /// Ends the jobs of tasks that are named: a further try would only cost a further worker.
-    pub(super) fn give_up_culprits(&mut self, now: Instant, culprits: Vec<TaskId>) {
+    pub(super) fn fail_culprit_jobs(&mut self, now: Instant, culprits: Vec<TaskId>) {
         for task in culprits {
             self.notes.push(PoolNote::CrashCulprit { task });
             match self.is_kept(task.job) {
@@ -128,7 +128,7 @@
         }
     }
 
-    pub(super) fn forget_crashes(&mut self, now: Instant) {
+    pub(super) fn prune_crashes(&mut self, now: Instant) {
         if !self.crashes.is_empty() {
             let jobs = &self.jobs;
             self.crashes.forget(now, |job| jobs.contains_key(&job));
@@ -136,7 +136,7 @@
     }
 
     /// Empties some workers for suspects that find none empty: on a full pool they would never run.
-    pub(super) fn clear_for_suspects(&mut self, now: Instant) {
+    pub(super) fn reserve_workers_for_suspects(&mut self, now: Instant) {
         if self.crashes.is_empty() {
             self.reserved_for_suspects.clear();
             return;
@@ -156,13 +156,13 @@
             .values()
             .filter(|worker| worker.is_open() && !worker.runs.iter().any(|run| run.alone));
         let mut open: Vec<&WorkerLedger> = open.collect();
-        let most = (open.len() / CLEARED_SHARE).max(1);
+        let most = (open.len() / MAX_RESERVED_DIVISOR).max(1);
         open.sort_by_key(|worker| {
-            let begun = former.contains(&worker.record.life);
-            (worker.runs.len(), !begun)
+            let was_reserved = former.contains(&worker.record.life);
+            (worker.runs.len(), !was_reserved)
         });
-        let cleared = open.iter().take(waiting.min(most));
-        self.reserved_for_suspects = cleared.map(|worker| worker.record.life.clone()).collect();
+        let reserved = open.iter().take(waiting.min(most));
+        self.reserved_for_suspects = reserved.map(|worker| worker.record.life.clone()).collect();
     }
 
     pub(super) fn is_kept(&self, id: JobId) -> bool {
@@ -178,7 +178,7 @@
         })
     }
 
-    fn shape(&self) -> PoolShape {
+    fn pool_shape(&self) -> PoolShape {
         let mut shape = PoolShape {
             workers: self.workers.len(),
             ..PoolShape::default()
@@ -192,7 +192,7 @@
     }
 
     /// Has the deaths stored that stand against tasks of kept jobs.
-    fn record_deaths(&mut self) {
+    fn store_deaths(&mut self) {
         let suspects = self.crashes.suspects().map(|task| task.job);
         let kept: FastSet<JobId> = suspects.filter(|id| self.is_kept(*id)).collect();
         for id in kept {
--- a/crates/pool/src/pool/evacuating.rs
+++ b/crates/pool/src/pool/evacuating.rs
@@ -35,7 +35,7 @@
             withdrawn: unsent.len(),
         });
         self.withdraw_starts(now, unsent);
-        self.leave_evacuated(now);
+        self.end_evacuated_jobs(now);
         self.schedule(now);
     }
 
@@ -63,7 +63,7 @@
     /// Lets go of jobs whose tasks wait while nothing may start: their entries find places elsewhere for those of which
     /// nothing has begun. Of the others nobody can say that nothing ran, and their end would wait for the data centre's
     /// return. Kept jobs wait for it.
-    pub(super) fn leave_evacuated(&mut self, now: Instant) {
+    pub(super) fn end_evacuated_jobs(&mut self, now: Instant) {
         if !self.evacuated {
             return;
         }
--- a/crates/pool/src/pool/kept_jobs.rs
+++ b/crates/pool/src/pool/kept_jobs.rs
@@ -211,7 +211,7 @@
                 for (step, record) in row.progress.iter().enumerate() {
                     self.merge_record(id, step, record);
                 }
-                self.take_recorded_deaths(now, id, &row.progress);
+                self.load_recorded_deaths(now, id, &row.progress);
                 self.advance_job(now, id);
                 self.store_changes(id);
             }
--- a/crates/pool/src/pool/polls.rs
+++ b/crates/pool/src/pool/polls.rs
@@ -470,12 +470,12 @@
         worker.orders.clear();
         let died = loss == RunLoss::NewLife;
         let begun = runs.iter().filter(|run| run.tries > 0);
-        let culprits = self.note_crash(now, life, begun.map(|run| run.task), died);
+        let culprits = self.note_worker_loss(now, life, begun.map(|run| run.task), died);
         for run in runs {
             self.note_lost_run(&run, life, loss);
             self.requeue(now, run);
         }
-        self.give_up_culprits(now, culprits);
+        self.fail_culprit_jobs(now, culprits);
     }
 
     /// The worker has another life: what ran in this one is over.
--- a/crates/pool/src/pool/resizing.rs
+++ b/crates/pool/src/pool/resizing.rs
@@ -12,7 +12,7 @@
 
 impl WorkerPool {
     /// Follows a change of a worker's room.
-    pub(super) fn resize(&mut self, now: Instant, life: &LifeId, former: ResourceDemand) {
+    pub(super) fn apply_resize(&mut self, now: Instant, life: &LifeId, former: ResourceDemand) {
         let Some(worker) = self.workers.get(life) else {
             return;
         };
@@ -28,20 +28,20 @@
         let withdrawn = withdrawn.map(|(task, run)| (life.clone(), task, run));
         self.withdraw_starts(now, withdrawn.collect());
         if !room.holds(&former) {
-            self.refuse_homeless(now);
+            self.refuse_unplaceable(now);
         }
     }
 
     /// Tells the callers of jobs that no worker can hold any more, and of which nothing was ordered.
-    fn refuse_homeless(&mut self, now: Instant) {
+    fn refuse_unplaceable(&mut self, now: Instant) {
         let queued = self.queue.jobs();
-        let homeless = queued.filter(|id| {
+        let unplaceable = queued.filter(|id| {
             let job = &self.jobs[id];
             let can_wait = job.ordered || job.kept.is_some();
             !can_wait && !self.can_ever_hold(&job.request, &job.terms)
         });
-        let homeless: Vec<JobId> = homeless.collect();
-        for id in homeless {
+        let unplaceable: Vec<JobId> = unplaceable.collect();
+        for id in unplaceable {
             let outcome = JobOutcome::Refused {
                 kind: RefusalKind::NoRoomEver,
                 retry_after: MIN_RETRY_AFTER,
--- a/crates/pool/src/pool/rebirth.rs
+++ b/crates/pool/src/pool/restart.rs
@@ -21,13 +21,13 @@
 
 /// What is to become of a run that was known before a worker's new life was found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum FormerRun {
+enum FormerRunFate {
     /// The new life lists it: its start came after the rebirth.
     Listed,
     /// It was never sent.
     Unsent,
     /// A copy of its start has no answer, and may yet be carried out by the new life. A stop that is answered rules that out.
-    AtLarge,
+    Unanswered,
     /// It died with its worker.
     Dead,
     /// It died with its worker, or the new life has ended it and has forgotten that end, since the look acknowledged as many
@@ -58,7 +58,7 @@
     }
 
     /// No other claim of the pool was made up to this version of the store, so that every later owner's fence is higher.
-    pub fn note_sole_owner(&mut self, version: u64) {
+    pub fn note_no_later_claim(&mut self, version: u64) {
         self.no_later_claim_until = self.no_later_claim_until.max(version);
     }
 
@@ -68,18 +68,18 @@
             return;
         };
         let last_listed = worker.answered_look;
-        let fates: Vec<(TaskId, RunNumber, FormerRun)> = worker
+        let fates: Vec<(TaskId, RunNumber, FormerRunFate)> = worker
             .runs
             .iter()
             .map(|run| {
-                let fate = former_run(run, order, listing, last_listed);
+                let fate = classify_former_run(run, order, listing, last_listed);
                 (run.task, run.run, fate)
             })
             .collect();
         let begun = fates
             .iter()
-            .filter(|(_, _, fate)| !matches!(fate, FormerRun::Listed | FormerRun::Unsent));
-        let culprits = self.note_crash(now, life, begun.map(|(task, _, _)| *task), true);
+            .filter(|(_, _, fate)| !matches!(fate, FormerRunFate::Listed | FormerRunFate::Unsent));
+        let culprits = self.note_worker_loss(now, life, begun.map(|(task, _, _)| *task), true);
         if let Some(worker) = self.workers.get_mut(life) {
             worker.begin_life(now, listing.born, self.no_later_claim_until);
         }
@@ -95,35 +95,35 @@
             runs: fates.len(),
         });
         for (task, run, fate) in fates {
-            self.end_former(now, life, task, run, fate);
+            self.resolve_former_run(now, life, task, run, fate);
         }
         self.confirm_crash(now, life);
-        self.give_up_culprits(now, culprits);
+        self.fail_culprit_jobs(now, culprits);
     }
 
-    fn end_former(
+    fn resolve_former_run(
         &mut self,
         now: Instant,
         life: &LifeId,
         task: TaskId,
         number: RunNumber,
-        fate: FormerRun,
+        fate: FormerRunFate,
     ) {
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
         match fate {
-            FormerRun::Listed => (),
-            FormerRun::AtLarge => worker.stop_at_large(task, number),
-            FormerRun::Unsent => {
+            FormerRunFate::Listed => (),
+            FormerRunFate::Unanswered => worker.stop_at_large(task, number),
+            FormerRunFate::Unsent => {
                 self.withdraw_starts(now, vec![(life.clone(), task, number)]);
             }
-            FormerRun::Dead | FormerRun::Unknown => {
+            FormerRunFate::Dead | FormerRunFate::Unknown => {
                 let Some(run) = worker.take_run(task, number) else {
                     return;
                 };
                 self.note_lost_run(&run, life, RunLoss::NewLife);
-                if fate == FormerRun::Unknown && !self.is_kept(task.job) {
+                if fate == FormerRunFate::Unknown && !self.is_kept(task.job) {
                     self.finish(now, task.job, JobOutcome::GivenUp);
                 } else {
                     self.requeue(now, run);
@@ -133,25 +133,25 @@
     }
 }
 
-fn former_run(
+fn classify_former_run(
     run: &RunLedger,
     order: &LookOrder,
     listing: &WorkerListing,
     last_listed: Option<Instant>,
-) -> FormerRun {
+) -> FormerRunFate {
     let runs = listing.running.iter();
     let mut running = runs.filter(|r| r.task == Some(run.task) && r.run == run.run);
     let ends = listing.ended.iter();
     let mut ended = ends.filter(|end| end.task == Some(run.task) && end.run == run.run);
     if running.next().is_some() || ended.next().is_some() {
-        FormerRun::Listed
+        FormerRunFate::Listed
     } else if run.tries == 0 {
-        FormerRun::Unsent
+        FormerRunFate::Unsent
     } else if run.tries > run.answered {
-        FormerRun::AtLarge
+        FormerRunFate::Unanswered
     } else if order.last_seen > 0 && run.confirmed > last_listed {
-        FormerRun::Unknown
+        FormerRunFate::Unknown
     } else {
-        FormerRun::Dead
+        FormerRunFate::Dead
     }
 }
--- a/crates/pool/src/pool/schedule.rs
+++ b/crates/pool/src/pool/schedule.rs
@@ -25,12 +25,12 @@
     pub fn tick(&mut self, now: Instant) {
         self.end_overdue_jobs(now);
         self.tick_kept(now);
-        self.leave_evacuated(now);
+        self.end_evacuated_jobs(now);
         self.expire_silent_workers(now);
         self.remove_unlisted_workers(now);
         self.update_median_slowness(now);
-        self.forget_crashes(now);
-        self.clear_for_suspects(now);
+        self.prune_crashes(now);
+        self.reserve_workers_for_suspects(now);
         self.schedule(now);
         self.send_polls_and_orders(now);
     }
--- a/crates/pool/src/pool/takeover.rs
+++ b/crates/pool/src/pool/takeover.rs
@@ -117,7 +117,7 @@
             self.end_kept(now, id, KeptState::Completed);
         } else {
             self.enqueue(now, id);
-            self.take_recorded_deaths(now, id, &progress.unwrap_or_default());
+            self.load_recorded_deaths(now, id, &progress.unwrap_or_default());
         }
     }
 
--- a/crates/pool/tests/rebirth.rs
+++ b/crates/pool/tests/rebirth.rs
@@ -106,7 +106,7 @@
             worker.fault.late = 0.6;
         }
         world.traffic(600, [0.3, 0.3, 0.3]);
-        world.pool.note_sole_owner(500);
+        world.pool.note_no_later_claim(500);
         for worker in world.workers.values_mut() {
             worker.fault = WorkerFault::default();
         }
@@ -150,7 +150,7 @@
                 world.tell_all();
             }
             if round % 3 == 2 {
-                world.pool.note_sole_owner(2_000 + round);
+                world.pool.note_no_later_claim(2_000 + round);
             }
             world.traffic(500, [0.4, 0.4, 0.4]);
         }
