--- a/crates/pool/tests/crash.rs
+++ b/crates/pool/tests/crash.rs
@@ -36,7 +36,7 @@
     of_job.next().map(|result| result.outcome)
 }
 
-fn commons(world: &World) -> usize {
+fn common_cause_losses(world: &World) -> usize {
     let notes = world.crashes.notes.iter();
     let common = notes.filter(|n| matches!(n, PoolNote::CrashSuspected { common: true, .. }));
     common.count()
@@ -45,7 +45,7 @@
 /// Guards against a kept job that takes one worker after another for good: it ends as failed, after few deaths, wherever in its
 /// work it crashes and however its workers come back.
 #[test]
-fn a_crashing_kept_job_is_given_up() {
+fn a_crashing_kept_job_fails() {
     for returns in [CrashReturn::SameId, CrashReturn::NewId] {
         for share in [0.0, 0.5, 0.95] {
             let mut world = kept_world(1, 6, returns);
@@ -66,7 +66,7 @@
 
 /// Guards against innocent jobs that are given up for what ran beside them.
 #[test]
-fn what_ran_beside_a_crashing_task_is_served() {
+fn jobs_beside_a_crashing_task_complete() {
     for seed in 0..10 {
         let mut world = kept_world(seed, 4, CrashReturn::SameId);
         world.poison(JobId(1), 0.5);
@@ -76,13 +76,13 @@
         }
         world.run_for(30_000);
         for id in 1..12 {
-            let wanted = match id {
+            let expected = match id {
                 1 | 2 => KeptState::Failed,
                 _ => KeptState::Completed,
             };
             assert_eq!(
                 state(&world, JobId(id)),
-                Some(wanted),
+                Some(expected),
                 "seed {seed}, job {id}"
             );
         }
@@ -92,7 +92,7 @@
 
 /// Guards against owners that each begin to count anew: what a former one saw is in the job's row.
 #[test]
-fn deaths_outlive_the_owner() {
+fn recorded_deaths_survive_a_change_of_owner() {
     let mut world = kept_world(3, 4, CrashReturn::SameId);
     let job = JobId(7);
     world.poison(job, 0.5);
@@ -115,7 +115,7 @@
 
 /// Guards against tasks that are blamed for a rack that fails: its workers are lost together.
 #[test]
-fn a_rack_that_fails_blames_nobody() {
+fn a_failed_rack_blames_no_task() {
     let mut world = kept_world(4, 12, CrashReturn::SameId);
     for id in 1..9 {
         world.submit_sized(1, JobId(id), vec![1_500.0], 1_500.0, HALF_WORKER);
@@ -128,7 +128,7 @@
         world.crash(life);
     }
     world.run_for(12_000);
-    assert!(commons(&world) > 0);
+    assert!(common_cause_losses(&world) > 0);
     for id in 1..9 {
         assert_eq!(
             state(&world, JobId(id)),
@@ -140,7 +140,7 @@
 
 /// Guards against tasks that are blamed for a worker which was only out of reach.
 #[test]
-fn a_worker_that_was_cut_off_blames_nobody() {
+fn a_worker_that_was_cut_off_blames_no_task() {
     let mut world = kept_world(5, 4, CrashReturn::SameId);
     let job = JobId(1);
     world.submit_sized(1, job, vec![900.0], 900.0, WHOLE_WORKER);
@@ -159,7 +159,7 @@
 
 /// Guards against a customer whose next tries crash further workers: a job that is known for it fails at once.
 #[test]
-fn the_next_try_of_a_crashing_job_fails_at_once() {
+fn the_next_attempt_of_a_crashing_job_fails_at_once() {
     let mut world = World::new(6, 6);
     world.name_births();
     world.crashes.away = 400;
--- a/crates/pool/tests/evacuation.rs
+++ b/crates/pool/tests/evacuation.rs
@@ -29,7 +29,7 @@
 /// second is told at once that nothing of it ran, which is true; a third finds the pool closed. After the data centre is
 /// taken back a fourth is served.
 #[test]
-fn what_runs_goes_on_and_what_waits_is_refused() {
+fn running_jobs_continue_and_waiting_jobs_are_refused() {
     let mut world = World::new(1, 1);
     let [first, second, third, fourth] = [1, 2, 3, 4].map(JobId);
     world.submit_sized(1, first, vec![300.0], 300.0, ONE_PLACE);
@@ -55,7 +55,7 @@
 /// A job of two tasks has place for one. When the data centre is evacuated the second may not start, and as the first has
 /// begun nobody can say that nothing ran: the caller is told at once that it is unknown, and does not wait for the return.
 #[test]
-fn a_job_that_has_begun_and_cannot_end_is_given_up_at_once() {
+fn a_started_job_that_cannot_finish_is_given_up_at_once() {
     let mut world = World::new(1, 1);
     let wide = JobId(1);
     world.submit_sized(1, wide, vec![300.0; 2], 100.0, ONE_PLACE);
@@ -71,7 +71,7 @@
 /// Starts get no answer when the data centre is evacuated. They are not sent again, whether they were carried out or not;
 /// they are stopped. A run that fails is not started again either.
 #[test]
-fn starts_without_an_answer_are_not_sent_again() {
+fn unanswered_starts_are_not_resent() {
     for seed in 0..20 {
         let mut world = World::new(seed, 4);
         for worker in world.workers.values_mut() {
@@ -105,7 +105,7 @@
 /// A kept job was accepted before the evacuation. It waits, since its caller was told that it will run, and runs after the
 /// return.
 #[test]
-fn a_kept_job_waits_for_the_return() {
+fn a_kept_job_waits_for_the_end_of_the_evacuation() {
     let mut world = World::new(1, 1);
     world.keeps = true;
     let kept = JobId(1);
@@ -123,7 +123,7 @@
 
 /// A new owner of the pool is told of the evacuation before it knows a worker.
 #[test]
-fn a_new_owner_starts_nothing() {
+fn a_new_owner_starts_nothing_while_evacuated() {
     let mut world = World::new(1, 2);
     world.traffic(500, [0.5, 0.5, 0.5]);
     world.set_evacuated(true);
@@ -147,7 +147,7 @@
 /// Rows are read whole after the history was lost, as of version 20. What began after that is not shown, and has not ended
 /// for it; what began before and is not shown has.
 #[test]
-fn an_older_reading_does_not_end_a_newer_evacuation() {
+fn an_older_snapshot_does_not_end_a_newer_evacuation() {
     let mut book = EvacuationBook::default();
     assert!(book.begin(centre("east"), 10));
     assert!(!book.begin(centre("east"), 10));
--- a/crates/pool/tests/faults.rs
+++ b/crates/pool/tests/faults.rs
@@ -69,7 +69,7 @@
 /// A customer's connection breaks, and it hands the same job in again before the runs of its first try have ended. It
 /// is told that the outcome is not known, so that it comes again later; starting at once would run tasks twice.
 #[test]
-fn the_same_job_again_does_not_run_beside_itself() {
+fn a_resubmitted_job_does_not_run_twice_at_once() {
     let mut world = World::new(1, 4);
     world.submit_sized(1, JOB, vec![500.0, 500.0], 500.0, 6_800);
     world.run_for(100);
@@ -107,7 +107,7 @@
 /// Tasks stand still on a worker that answers as ever. They are stopped once they are overdue without progress, and run
 /// elsewhere long before their callers give up.
 #[test]
-fn tasks_that_stand_still_are_moved() {
+fn stalled_tasks_are_moved() {
     let mut world = World::new(1, 1);
     with_fault(
         &mut world,
@@ -127,7 +127,7 @@
 /// The job that runs there is given up, since its tasks may still run; the job on the other worker goes on, and the pool
 /// stays with its owner.
 #[test]
-fn a_worker_that_another_owner_takes_costs_its_own_jobs_only() {
+fn a_taken_over_worker_costs_only_its_own_jobs() {
     let mut world = World::new(1, 2);
     let (first, second) = (JobId(1), JobId(2));
     world.submit_sized(1, first, vec![600.0; 2], 600.0, 7_900);
--- a/crates/pool/tests/kept.rs
+++ b/crates/pool/tests/kept.rs
@@ -51,7 +51,7 @@
 /// The owner dies while a job runs. Its successor reads the job, stops what runs, counts the ends that the workers still
 /// list, and starts only what is not done: the customer sees its job completed, and no task is done twice.
 #[test]
-fn a_new_owner_goes_on_with_what_it_finds() {
+fn a_new_owner_resumes_found_jobs() {
     for death in [5, 40, 80, 120, 160, 200, 260] {
         let mut world = world(2);
         world.submit_steps(1, JOB, vec![vec![60.0; 3], vec![90.0; 2]], 80.0, 6_800);
@@ -98,7 +98,7 @@
 /// The process stands still, lets go of its jobs and finds them again in the store. Runs that it had ordered are being
 /// stopped meanwhile: their tasks wait once and not twice.
 #[test]
-fn a_job_that_is_let_go_of_and_found_again_runs_once() {
+fn a_released_and_reloaded_job_runs_once() {
     for pause in [20, 60, 100, 150] {
         let mut world = world(2);
         world.submit_sized(1, JOB, vec![120.0; 4], 120.0, 6_800);
@@ -122,7 +122,7 @@
 /// The store is away for longer than an owner may go on without it: it may have been replaced. Its kept jobs stop, and go
 /// on when the store is back.
 #[test]
-fn without_the_store_kept_jobs_stop_and_go_on_later() {
+fn kept_jobs_stop_without_the_store_and_resume_later() {
     let mut world = world(2);
     world.submit_sized(1, JOB, vec![3_000.0; 2], 3_000.0, 6_800);
     world.run_for(200);
@@ -175,7 +175,7 @@
 /// Hundreds of kept jobs wait, more than the pool can do for long. A new job is refused without trying out all of them,
 /// which would take the owner's processor for so long that others count it as silent.
 #[test]
-fn a_long_queue_is_not_tried_out() {
+fn a_long_queue_is_not_simulated() {
     let mut world = world(4);
     world.traffic(8_000, [4.0, 4.0, 4.0]);
     let before = std::time::Instant::now();
@@ -190,7 +190,7 @@
 /// the job was found again and ends of it are being stored: it must not be taken for theirs, or the worker forgets ends
 /// that no row has, and an owner that comes then runs their tasks again.
 #[test]
-fn an_answer_to_a_write_from_before_counts_for_nothing() {
+fn an_answer_to_a_stale_write_is_ignored() {
     let mut world = world(2);
     world.submit_sized(1, JOB, vec![60.0, 160.0], 100.0, 6_800);
     world.run_for(50);
@@ -222,7 +222,7 @@
 /// Kept jobs are stopped, since the store has not shown for too long that the claim stands, while an order to start a task
 /// has not been sent yet. The task waits again with the others; forgotten, its job would never end.
 #[test]
-fn a_start_that_was_not_sent_is_not_forgotten() {
+fn a_task_whose_start_was_not_sent_is_requeued() {
     for late in [880, 900, 920, 940, 960, 980] {
         let mut world = world(1);
         let life = world.workers.keys().next().unwrap().clone();
--- a/crates/pool/tests/rebirth.rs
+++ b/crates/pool/tests/rebirth.rs
@@ -8,7 +8,7 @@
 
 const WHOLE_WORKER: u64 = 16_000;
 
-fn named_world(seed: u64, workers: usize) -> World {
+fn world_with_births(seed: u64, workers: usize) -> World {
     let mut world = World::new(seed, workers);
     world.name_births();
     world.run_for(100);
@@ -25,7 +25,7 @@
 }
 
 /// Ends some jobs, so that the worker's ends have numbers above 1.
-fn end_some(world: &mut World, first: u64) {
+fn complete_some_jobs(world: &mut World, first: u64) {
     for number in first..first + 5 {
         let id = JobId(number);
         world.submit_sized(2, id, vec![40.0], 40.0, WHOLE_WORKER);
@@ -38,60 +38,60 @@
 /// life, and its end has the number 1, which the former life's ends have long passed. The caller gets its answer.
 #[test]
 fn a_task_that_died_with_its_worker_runs_again() {
-    let mut world = named_world(1, 1);
-    end_some(&mut world, 10);
+    let mut world = world_with_births(1, 1);
+    complete_some_jobs(&mut world, 10);
     let (job, life) = (JobId(1), only_life(&world));
     world.submit_sized(1, job, vec![300.0], 300.0, WHOLE_WORKER);
     world.run_for(100);
     world.rebirth(&life);
     world.run_for(1_200);
     assert_eq!(outcome(&world, job), Some(JobOutcome::Completed));
-    end_some(&mut world, 20);
+    complete_some_jobs(&mut world, 20);
 }
 
 /// An idle worker dies and is back, and nobody is told. The next job's start reaches the new life, whose first end must be
 /// heard: acknowledged by the former life's numbers it would never be listed, and the caller would wait for nothing.
 #[test]
-fn the_first_ends_of_a_new_life_are_heard() {
-    let mut world = named_world(1, 1);
+fn the_first_ends_of_a_new_life_are_processed() {
+    let mut world = world_with_births(1, 1);
     for round in 1..8 {
-        end_some(&mut world, round * 100);
+        complete_some_jobs(&mut world, round * 100);
         world.run_for(2_000);
         let life = only_life(&world);
         world.rebirth(&life);
     }
-    end_some(&mut world, 1_000);
+    complete_some_jobs(&mut world, 1_000);
 }
 
 /// The directory tells of a new life before the worker has listed anything. Nothing starts there until it has: a moment
 /// later it serves.
 #[test]
-fn a_new_life_in_the_directory_is_asked_first() {
-    let mut world = named_world(1, 1);
-    end_some(&mut world, 10);
+fn a_new_life_in_the_directory_is_polled_first() {
+    let mut world = world_with_births(1, 1);
+    complete_some_jobs(&mut world, 10);
     let life = only_life(&world);
     world.rebirth(&life);
     world.tell_all();
     world.run_for(20);
-    end_some(&mut world, 20);
+    complete_some_jobs(&mut world, 20);
 }
 
 /// The directory still tells of the former life, as it does for up to a heartbeat, after the worker has listed its new one. The
 /// worker goes on serving: an older entry must not stop it, however often it is told.
 #[test]
-fn an_older_entry_does_not_stop_a_worker() {
-    let mut world = named_world(1, 1);
+fn an_outdated_entry_does_not_stop_a_worker() {
+    let mut world = world_with_births(1, 1);
     let older: Vec<_> = world.workers.values().map(|w| w.record.clone()).collect();
     let life = only_life(&world);
     world.rebirth(&life);
-    end_some(&mut world, 10);
+    complete_some_jobs(&mut world, 10);
     for round in 2..6 {
         let at = world.instant();
         for record in &older {
             world.pool.upsert_worker(at, record.clone());
         }
         world.run_for(20);
-        end_some(&mut world, round * 10);
+        complete_some_jobs(&mut world, round * 10);
         world.tell_all();
     }
 }
@@ -99,9 +99,9 @@
 /// Starts get no answer, the worker dies, and seconds later it is handed the starts that were meant for its former life, whose
 /// leases its new clock cannot judge. By then it has been shown a fence that is higher than theirs, and does nothing for them.
 #[test]
-fn late_starts_of_a_former_life_do_nothing() {
+fn late_starts_of_a_former_life_are_fenced_out() {
     for seed in 0..20 {
-        let mut world = named_world(seed, 3);
+        let mut world = world_with_births(seed, 3);
         for worker in world.workers.values_mut() {
             worker.fault.late = 0.6;
         }
@@ -127,9 +127,9 @@
 /// Workers are reborn again and again among lost answers, silence and failures; some of it the directory tells late. Every job
 /// gets an answer and nothing is left running.
 #[test]
-fn no_task_runs_twice_while_workers_are_reborn() {
+fn no_task_runs_twice_while_workers_restart() {
     for seed in 0..60 {
-        let mut world = named_world(seed, 6);
+        let mut world = world_with_births(seed, 6);
         for round in 0..8 {
             let lives: Vec<_> = world.workers.keys().cloned().collect();
             for life in lives {
@@ -171,9 +171,9 @@
 /// starts after its end, and all jobs end. A worker that is back sooner than any process can start could be handed the
 /// acknowledgement that its former life was sent, and would never list as many of its own ends.
 #[test]
-fn ends_of_kept_jobs_stand() {
+fn acknowledged_ends_of_kept_jobs_are_not_lost() {
     for seed in 0..40 {
-        let mut world = named_world(seed, 4);
+        let mut world = world_with_births(seed, 4);
         world.keeps = true;
         world.ends_stand = true;
         world.rebirth_time = 50;
--- a/crates/pool/tests/room.rs
+++ b/crates/pool/tests/room.rs
@@ -18,13 +18,13 @@
     result.map(|result| result.outcome)
 }
 
-fn is_refused(outcome: Option<JobOutcome>, wanted: RefusalKind) -> bool {
-    matches!(outcome, Some(JobOutcome::Refused { kind, .. }) if kind == wanted)
+fn is_refused(outcome: Option<JobOutcome>, expected: RefusalKind) -> bool {
+    matches!(outcome, Some(JobOutcome::Refused { kind, .. }) if kind == expected)
 }
 
 /// Guards against starts that were placed before a worker shrank and leave afterwards.
 #[test]
-fn starts_that_wait_are_taken_back() {
+fn unsent_starts_are_withdrawn_from_a_shrunk_worker() {
     let mut world = World::new(1, 1);
     let (job, life) = (JobId(1), first_life(&world));
     world.submit_sized(1, job, vec![300.0; 4], 300.0, QUARTER_WORKER);
@@ -38,7 +38,7 @@
 
 /// Guards against a start without an answer that is sent again to a worker which has shrunk meanwhile.
 #[test]
-fn lost_starts_are_not_repeated_beyond_the_room() {
+fn lost_starts_are_not_resent_beyond_the_room() {
     let mut world = World::new(2, 1);
     let (first, second) = (JobId(1), JobId(2));
     let life = first_life(&world);
@@ -75,7 +75,7 @@
 
 /// Guards against a job that is admitted for room which comes free on a worker that is over its room: it would be late.
 #[test]
-fn room_that_is_owed_is_not_promised() {
+fn room_of_an_overcommitted_worker_is_not_promised() {
     let mut world = World::new(4, 1);
     let life = first_life(&world);
     world.submit_sized(1, JobId(1), vec![60.0], 60.0, 8_000);
@@ -88,7 +88,7 @@
 
 /// Guards against a worker without room, or with more than any worker has, that costs more than its own places.
 #[test]
-fn any_room_is_borne() {
+fn any_room_size_is_handled() {
     for cpu in [0, 1, WHOLE_WORKER, 1 << 50, u64::MAX] {
         let mut world = World::new(5, 3);
         let life = first_life(&world);
@@ -107,7 +107,7 @@
 
 /// Guards against any order of changes, faults and owners in which a start goes beyond a room.
 #[test]
-fn no_start_goes_beyond_a_room_that_flaps() {
+fn no_start_exceeds_a_changing_room() {
     for seed in 0..60 {
         let mut world = World::new(seed, 6);
         for _ in 0..12 {
