--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -1,4 +1,4 @@
-//! The pool itself: its state and what comes from entries and from the directory.
+//! The worker pool: its state, requests from entries and updates from the worker directory.
 
 mod admit;
 mod answers;
@@ -37,67 +37,69 @@
     worker::{RunPhase, WaitingOrder, WorkerLedger},
 };
 
-/// How long a worker may be missing from the directory while it still has runs, which end by themselves.
+/// How long a worker that is missing from the directory is kept while it still has runs, which end
+/// by themselves.
 const UNLISTED_WORKER_GRACE: Duration = Duration::from_secs(10);
 
-/// The shortest time after which a refused customer is told to come back: what is told is in whole seconds.
+/// The minimum retry delay that a refused customer is told, which is sent in whole seconds.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The longest time after which a refused customer is told to come back. Bursts last seconds.
+/// The maximum retry delay that a refused customer is told. Bursts last seconds.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// Starts that may be sent again at any time, beside the share of those sent first: a few connections that went silent at
-/// once.
+/// The maximum number of starts that may be resent at once, enough for a few connections that go
+/// silent together. Each order sent refills this budget by a share of a start.
 const RESEND_BURST: f64 = 12.0;
 
 /// The owner's view of one pool of workers.
 pub struct WorkerPool {
     settings: PoolSettings,
     fence: FenceToken,
-    /// When the pool was taken over; owner times are counted from here.
+    /// When the pool was taken over. The owner's clock counts from here.
     clock_origin: Instant,
-    /// The platform's clock at `origin`, in milliseconds. Run numbers are times on that clock, so that they rise over
-    /// owners without being stored.
+    /// The platform's clock at `clock_origin`, in milliseconds. Run numbers are times on that
+    /// clock, so that they increase across owners without being stored.
     run_number_base: u64,
     last_run_number: u64,
     far_factor: f64,
     /// The median slowness of its workers, as of the last tick.
     median_slowness: f64,
     accepting: bool,
-    /// Whether its data centre is evacuated: its workers get no start.
+    /// Whether the pool's data centre is evacuated. Its workers then get no starts.
     evacuated: bool,
-    /// Offers made just now: when, and of how many tasks.
+    /// The offers of the last moments: when each was made, and for how many tasks.
     recent_offers: Vec<(Instant, u32)>,
-    /// Its name, which the rows of its kept jobs have.
+    /// The pool's name, which is stored in the rows of its kept jobs.
     name: Arc<str>,
-    /// When a worker's answer was last missed.
+    /// When a worker last failed to answer a poll.
     last_missed_answer: Option<Instant>,
     /// How long workers take to answer starts.
     answer_times: AnswerTimes,
-    /// How many starts may be under way.
+    /// Limits how many starts may be in flight.
     start_window: StartWindow,
-    /// How many starts may be sent again at present.
+    /// How many starts may be resent at present.
     resend_budget: f64,
-    /// When the last call was sent by which the store has shown that the claim stands.
+    /// When the last call was sent with which the store confirmed this owner's claim.
     last_store_contact: Option<Instant>,
-    /// Whether its kept jobs have been read. Until then no end is acknowledged: it may be one of theirs.
+    /// Whether the kept jobs have been loaded from the store. Until then no end is acknowledged,
+    /// since it may belong to one of them.
     kept_loaded: bool,
-    /// Kept jobs that ended lately, and when.
+    /// Kept jobs that ended recently, and when.
     recently_ended_kept: FastMap<JobId, Instant>,
-    /// Whether a former owner still finishes jobs of it.
+    /// Whether a former owner is still finishing jobs of the pool.
     predecessor_active: bool,
     /// Whether all workers that a former owner may have used are known.
     all_workers_known: bool,
-    /// Since when none has, at the earliest.
+    /// The last time at which another owner may have been active.
     sole_owner_since: Instant,
-    /// Up to which version of the store no later claim of the pool was made.
+    /// The store version up to which no later claim of the pool was made.
     no_later_claim_until: u64,
     workers: BTreeMap<LifeId, WorkerLedger>,
     jobs: FastMap<JobId, JobLedger>,
     queue: JobQueue,
-    /// Tasks under which workers were lost.
+    /// Losses of workers, and the tasks suspected of causing them.
     crashes: CrashBook,
-    /// Workers that are emptied for suspects.
+    /// Workers that are being emptied so that crash suspects can run alone on them.
     reserved_for_suspects: Vec<LifeId>,
     estimates: EstimateBook,
     arrivals: ArrivalBook,
@@ -105,12 +107,12 @@
     notes: Vec<PoolNote>,
 }
 
-/// What a new owner starts with.
+/// The initial state of a pool under a new owner.
 #[derive(Clone, Debug)]
 pub struct PoolInit {
     /// The pool's name.
     pub name: Arc<str>,
-    /// The fence, from the claim.
+    /// The fence that the claim has given this owner.
     pub fence: FenceToken,
     /// The platform's clock, in milliseconds.
     pub platform_millis: u64,
@@ -123,7 +125,8 @@
 }
 
 impl WorkerPool {
-    /// A pool just taken over. Its workers have to be told by [`Self::upsert_worker`].
+    /// Creates a pool that was just taken over. Its workers have to be added by
+    /// [`Self::upsert_worker`].
     pub fn new(start: PoolInit, now: Instant) -> Self {
         Self {
             settings: start.settings,
@@ -160,7 +163,7 @@
         }
     }
 
-    /// The fence under which it acts.
+    /// The fence under which this owner acts.
     pub fn fence(&self) -> FenceToken {
         self.fence
     }
@@ -170,35 +173,37 @@
         self.jobs.len()
     }
 
-    /// What is to be sent, in order.
+    /// Takes the pending actions, in order.
     pub fn take_actions(&mut self) -> Vec<PoolAction> {
         std::mem::take(&mut self.actions)
     }
 
-    /// What was decided and learned, in order.
+    /// Takes the pending notes for the log, in order.
     pub fn take_notes(&mut self) -> Vec<PoolNote> {
         std::mem::take(&mut self.notes)
     }
 
-    /// Takes no more new jobs; those it has go on.
+    /// Stops accepting new jobs. Jobs that were admitted continue.
     pub fn stop_accepting(&mut self) {
         self.accepting = false;
     }
 
-    /// Whether it takes new jobs.
+    /// Whether the pool accepts new jobs.
     pub fn is_accepting(&self) -> bool {
         self.accepting
     }
 
-    /// Takes new jobs again: nobody took the pool over.
+    /// Accepts new jobs again, if no other owner has taken the pool over.
     pub fn resume_accepting(&mut self) {
         self.accepting = true;
-        // It has let go of kept jobs that waited, and finds them in the store.
+        // Waiting kept jobs were released in the meantime and have to be loaded from the store
+        // again.
         self.request_kept_reload();
     }
 
-    /// Lets go of workers that its jobs do not use, so that its successor takes them. As long as tasks wait, all are
-    /// kept: the next free place may be on any of them.
+    /// Once the pool accepts no new jobs, releases the workers that its jobs do not use, so that
+    /// its successor takes them. While tasks wait, all workers are kept, since the next free
+    /// capacity may be on any of them.
     pub fn release_idle_workers(&mut self) {
         if self.accepting || self.queue.jobs().next().is_some() {
             return;
@@ -206,17 +211,18 @@
         self.workers.retain(|_, worker| !worker.is_idle());
     }
 
-    /// Whether it has the worker.
+    /// Whether the pool has the worker.
     pub fn has_worker(&self, life: &LifeId) -> bool {
         self.workers.contains_key(life)
     }
 
-    /// The workers that it has.
+    /// The workers of the pool.
     pub fn worker_lives(&self) -> Vec<LifeId> {
         self.workers.keys().cloned().collect()
     }
 
-    /// Takes a job for a waiting entry, or answers it with a refusal. The same job again joins the first.
+    /// Admits a job for a waiting entry, or answers with a refusal. A job that is submitted again
+    /// joins its first submission.
     pub fn submit(
         &mut self,
         now: Instant,
@@ -229,7 +235,8 @@
                 self.answer(waiter, JobOutcome::Accepted);
                 return;
             }
-            // Another part of the same job belongs to a try that its customer has given up.
+            // A different part of the same job belongs to an attempt that its customer has given
+            // up.
             if job.request.steps == request.steps {
                 job.waiters.push(waiter);
             } else {
@@ -237,8 +244,9 @@
             }
             return;
         }
-        // Runs of an earlier try of the same job are still ending. Starting beside them would run a task twice at the
-        // same time; the customer's next try comes after they are gone.
+        // Runs of an earlier attempt at the same job are still ending. Starting the job now would
+        // run a task twice at the same time; the customer's next attempt comes after they have
+        // ended.
         if self
             .workers
             .values()
@@ -266,7 +274,8 @@
         self.schedule(now);
     }
 
-    /// An entry does not wait any more. When none does, what runs of the job is stopped.
+    /// Removes an entry that no longer waits for a job. Once no entry waits, the job's runs are
+    /// stopped, unless it is a kept job.
     pub fn cancel(&mut self, now: Instant, job: JobId, waiter: WaiterId) {
         let Some(ledger) = self.jobs.get_mut(&job) else {
             return;
@@ -277,7 +286,7 @@
         }
     }
 
-    /// Takes up a worker of the directory, or what changed about it.
+    /// Adds a worker from the directory, or updates its record.
     pub fn upsert_worker(&mut self, now: Instant, record: WorkerRecord) {
         let life = record.life.clone();
         let Some(worker) = self.workers.get_mut(&life) else {
@@ -308,7 +317,8 @@
         self.send_polls_and_orders(now);
     }
 
-    /// A worker is not in the directory any more: it gets no new runs, and is forgotten when it has none.
+    /// Marks a worker as missing from the directory. It gets no new runs, and is removed once it
+    /// has no runs or after a grace period.
     pub fn unlist_worker(&mut self, now: Instant, life: &LifeId) {
         let Some(worker) = self.workers.get_mut(life) else {
             return;
@@ -320,9 +330,9 @@
         self.remove_unlisted_workers(now);
     }
 
-    /// This process stood still for longer than entries wait for a sign of life: they have given up what it holds,
-    /// and customers may have come back elsewhere. Starting what still waits here could run a task twice at the same
-    /// time, so everything is let go.
+    /// Ends all jobs after this process has stalled for longer than entries wait to hear from it.
+    /// They have given up its jobs, and customers may have resubmitted them elsewhere, so starting
+    /// what still waits here could run a task twice at the same time.
     pub fn give_up_all(&mut self, now: Instant) {
         self.release_all_kept(now);
         let open: Vec<JobId> = self.jobs.keys().copied().collect();
@@ -341,7 +351,7 @@
         }
     }
 
-    /// What the pool can take.
+    /// The pool's capacity, free capacity and backlog.
     pub fn load(&self, now: Instant) -> PoolLoad {
         let mut load = PoolLoad::default();
         if self.evacuated {
@@ -360,8 +370,9 @@
         load
     }
 
-    /// The workers on which jobs can expect to run: the sound ones. If there is none, those that have to be tried out: a
-    /// pool that admits nothing for want of a sound worker would never find out that one is sound again.
+    /// The workers that count as capacity for new jobs: the healthy ones or, if there is none,
+    /// those that are due for a trial run. Otherwise a pool without a healthy worker would admit
+    /// nothing and never find out that a worker has recovered.
     fn usable_or_trial_workers(&self, now: Instant) -> Vec<&WorkerLedger> {
         let workers = self.workers.values();
         let sound: Vec<_> = workers.filter(|worker| worker.is_usable()).collect();
@@ -403,7 +414,7 @@
         job
     }
 
-    /// Puts a job with waiting tasks into the queue, or takes one without out.
+    /// Puts a job with waiting tasks into the queue, or removes a job without.
     fn enqueue(&mut self, now: Instant, id: JobId) {
         if self.jobs[&id].waiting_count() == 0 {
             self.queue.remove(id);
@@ -413,8 +424,8 @@
         self.queue.put(now, entry);
     }
 
-    /// What decides a job's place in the queue. All steps that are not done count: a job of three steps has to start
-    /// its first one so early that the two others are still in time.
+    /// The queue entry that determines a job's position. All steps that are not done count: a job
+    /// of three steps has to start its first one early enough for the two others to be in time.
     fn queue_entry(&self, id: JobId) -> QueueEntry {
         let job = &self.jobs[&id];
         let left = longest_chain(&job.request.steps, |step, spec| match job.is_done(step) {
@@ -432,7 +443,7 @@
         }
     }
 
-    /// Gives a job its final outcome. What still runs of it is stopped.
+    /// Ends a job with its final outcome and stops its remaining runs.
     fn finish(&mut self, now: Instant, id: JobId, outcome: JobOutcome) {
         let Some(job) = self.jobs.remove(&id) else {
             return;
@@ -501,12 +512,12 @@
         }
     }
 
-    /// Whether a mechanism is switched on.
+    /// Whether a mechanism is enabled.
     fn is_enabled(&self, mechanism: Mechanism) -> bool {
         self.settings.switched_off.allows(mechanism)
     }
 
-    /// Leaves a worker alone for a while.
+    /// Suspends a worker, so that it gets no new runs for a while.
     fn suspend(&mut self, now: Instant, life: &LifeId, cause: SuspensionCause) {
         if !self.is_enabled(Mechanism::Suspension) {
             return;
@@ -550,8 +561,8 @@
     }
 }
 
-/// Marks a run as to be stopped and orders the stop. A start that was never sent is taken back instead. Says whether
-/// a run that may be there was told to stop now.
+/// Marks a run as stopping and queues the order to stop it. If its start was never sent, the run is
+/// removed instead. Returns whether a stop was queued.
 fn stop_run(worker: &mut WorkerLedger, task: jobs::TaskId, number: RunNumber) -> bool {
     let Some(run) = worker.run_mut(task, number) else {
         return false;
--- a/crates/pool/src/pool/admit.rs
+++ b/crates/pool/src/pool/admit.rs
@@ -1,4 +1,4 @@
-//! Whether a new job is admitted: what the forecast needs to know, and what follows from it.
+//! Admission control: forecasts when a new job would end, and admits or refuses it.
 
 use std::time::{Duration, Instant};
 
@@ -19,32 +19,36 @@
     worker::{RunLedger, RunPhase, WorkerLedger, SLOWNESS_BOUNDS},
 };
 
-/// What a run that takes longer than predicted is expected to take still, as a share of its predicted time. Estimates
-/// are off by 40%.
+/// The remaining time expected of a run that takes longer than predicted, as a share of its
+/// predicted time. Estimates are off by 40%.
 const MIN_REMAINING_SHARE: f64 = 0.25;
 
-/// How long an offer stands: the entry gathers others', and sends its parts, within some milliseconds.
+/// How long an offer reserves capacity. The entry collects the offers of other pools and sends the
+/// parts of its job within some milliseconds.
 const OFFER_LIFETIME: Duration = Duration::from_millis(12);
 
-/// How long a run takes to end after it was told to stop: what workers promise.
+/// The time within which a run ends after it was told to stop, as workers guarantee.
 const STOP_TIME: Duration = Duration::from_millis(50);
 
-/// The share of a pool that has to be free for a job that will be late.
+/// The minimum share of a pool's capacity that must be free to admit a job that will be late.
 const MIN_IDLE_SHARE: f64 = 0.4;
 
-/// How many times its predicted time such a job may take from its start: it must not wait for a place.
+/// The maximum forecast time of such a job, as a multiple of its predicted time. A longer forecast
+/// means that the job would have to wait for capacity.
 const LATE_JOB_MAX_SLOWDOWN: f64 = 1.3;
 
-/// The share of the time within which an answer is worth anything that a late job may be predicted to take.
+/// The maximum predicted time of a late job, as a share of the time after which its answer is
+/// useless.
 const LATE_JOB_USEFUL_SHARE: f64 = 0.85;
 
-/// The most jobs that are tried out, in the order in which they get places. Beyond them a new job is late for certain:
-/// they keep all places for seconds. Each costs some microseconds; with some hundreds of jobs that are kept and late the
-/// trials took all of a quarter core, so that the owner counted as silent and was replaced again and again.
+/// The maximum number of waiting jobs that are simulated, in the order of placement. A new job
+/// behind that many is certain to be late, since they occupy the pool for seconds. Each costs some
+/// microseconds: with some hundreds of late kept jobs, the simulations used up an entire quarter
+/// core, so that the owner counted as silent and was replaced again and again.
 const MAX_SIMULATED_JOBS: usize = 60;
 
 impl WorkerPool {
-    /// Decides whether a job is admitted, and gives the refusal if it is not.
+    /// Decides whether a job is admitted. Returns the refusal if it is not.
     pub(super) fn admit(
         &mut self,
         now: Instant,
@@ -116,7 +120,8 @@
         })
     }
 
-    /// How many tasks of a job the pool could take in time now: all, or of a job of one step some. Nothing is promised.
+    /// The number of tasks of a job that the pool could finish in time now: all of them, or a part
+    /// if the job has a single step. An offer is not a guarantee.
     pub fn offer(&mut self, now: Instant, request: &JobRequest, terms: &JobTerms) -> u32 {
         if !self.accepting || self.evacuated || !self.can_ever_hold(request, terms) {
             return 0;
@@ -137,9 +142,10 @@
         self.reserve_offer(now, fits)
     }
 
-    /// What is left of an offer beside those made just now, whose jobs may come at any moment: entries that divide jobs by
-    /// the same offers would give the pool several times what it has places for, and tasks without a place wait until their
-    /// jobs are of no use.
+    /// Reduces an offer by the other offers of the last moments, whose jobs may arrive at any time,
+    /// and records the rest. Otherwise entries that divide jobs by the same offers would send the
+    /// pool several times as many tasks as it has capacity for, and tasks without capacity wait
+    /// until their jobs are useless.
     fn reserve_offer(&mut self, now: Instant, fits: u32) -> u32 {
         self.recent_offers
             .retain(|(at, _)| now < *at + OFFER_LIFETIME);
@@ -163,11 +169,12 @@
         end.saturating_add(lag) <= limit && !forecast.harms && !forecast.crowds
     }
 
-    /// Whether a job that will be late is served all the same: its start need not wait, most of the pool is idle, and its answer is
-    /// still worth something to its customer.
+    /// Whether a job that will be late is admitted all the same: its start need not wait for
+    /// capacity, a large share of the pool is idle, and its answer is still useful to its customer.
     ///
-    /// Load it answers: all processes were gone, and customers who waited for them come at once. Refused for what they have
-    /// waited, they come back later still, while places stand empty.
+    /// This covers an outage of all processes, after which the customers who waited for them come
+    /// at once. If they were refused because of the time they have already waited, they would come
+    /// back even later while capacity stays idle.
     fn may_serve_late(
         &self,
         now: Instant,
@@ -184,14 +191,15 @@
         !waits && predicted <= latest_useful && self.has_idle_share(now)
     }
 
-    /// Whether so much of the pool is free that a late job takes nobody's place.
+    /// Whether enough of the pool is idle for a late job to displace no other job.
     fn has_idle_share(&self, now: Instant) -> bool {
         let load = self.load(now);
         load.backlog.is_zero() && load.free as f64 >= load.capacity as f64 * MIN_IDLE_SHARE
     }
 
-    /// Whether a job can be in time at all: not if starts alone take too long. Tried out all the same, hundreds of jobs that
-    /// come at once to an owner that falls behind keep it from catching up.
+    /// Whether a job can be in time at all, given the delay of its starts. If hopeless jobs were
+    /// simulated, hundreds of them arriving at once would keep an owner that has fallen behind from
+    /// catching up.
     fn can_be_in_time(
         &self,
         request: &JobRequest,
@@ -215,7 +223,7 @@
         refusal: Option<RefusalKind>,
     ) {
         let mut first = request.steps.iter().filter(|spec| spec.after.is_empty());
-        // A part of a divided job says nothing about how wide jobs are.
+        // Parts of divided jobs are skipped, since they say nothing about how wide jobs are.
         let Some(spec) = first.next().filter(|_| !terms.firm) else {
             return;
         };
@@ -230,8 +238,9 @@
         self.arrivals.note(now, &job);
     }
 
-    /// How many tasks of a job that is too wide would be in time. Wide jobs of short tasks find no single pool with
-    /// places for all their tasks at once, while all pools together have them.
+    /// The number of tasks of a single-step job that would be in time, and zero for jobs of several
+    /// steps. A wide job of short tasks may find no single pool with capacity for all its tasks at
+    /// once, while all pools together have it.
     fn count_in_time(
         &self,
         trial: &AdmissionTrial,
@@ -247,7 +256,7 @@
             let forecast = trial.forecast_part(count as usize);
             self.is_in_time(&forecast, u64::from(count), terms, limit)
         };
-        // Where places are short mostly not even one fits.
+        // When capacity is scarce, mostly not even one task fits, so that is checked first.
         if !in_time(1) {
             return 0;
         }
@@ -308,7 +317,8 @@
         })
     }
 
-    /// The order in which places would be given with the new job among those that wait.
+    /// Builds the simulation of the pool with the new job inserted among the waiting jobs. Returns
+    /// `None` if too many jobs are ahead of it.
     fn build_trial(
         &self,
         now: Instant,
@@ -345,8 +355,8 @@
             steps: steps.collect(),
             limit: None,
         };
-        // On a full path jobs of the first priority are late for the path and not for want of places: room kept for them
-        // stands empty.
+        // While the path to the workers is congested, jobs of the first priority are late because
+        // of the path and not for lack of capacity, so room kept for them would stay empty.
         let keeps_room = self.is_enabled(Mechanism::KeptRoom) && !self.is_strained();
         let expected = match keeps_room {
             true => self.arrivals.expected_before(now, terms.priority),
@@ -356,8 +366,8 @@
         Some(AdmissionTrial::new(pool, &before, new, behind, expected))
     }
 
-    /// The jobs of a service with tasks that have no place yet, in the order in which they get places. Beside those in
-    /// the queue these are the ones whose later steps wait for earlier ones.
+    /// The jobs of a service that have unplaced tasks, in the order of placement. Besides the
+    /// queued jobs, these are the ones whose later steps wait for earlier ones.
     fn unplaced_jobs(&self, now: Instant, service: &ServiceId) -> Vec<(QueueRank, JobId)> {
         let of_service = |id: &JobId| self.jobs[id].terms.service == *service;
         let queued = self.queue.ranked();
@@ -374,7 +384,7 @@
         unplaced
     }
 
-    /// How long what runs of each step takes still, for jobs of several steps.
+    /// The longest remaining time of the runs of each step, for jobs of several steps.
     fn remaining_step_times(&self, now: Instant) -> FastMap<(JobId, u32), Duration> {
         let mut running = FastMap::default();
         for worker in self.workers.values() {
@@ -432,8 +442,9 @@
         let workers = workers.filter(|worker| worker.record.service == *service);
         let (sluggish, sound): (Vec<_>, Vec<_>) =
             workers.partition(|worker| is_sluggish(worker, self.median_slowness));
-        // The median is that of the last tick: a pool's only worker may look slower than its pool until the next one. A job
-        // must not be refused then as if there were no worker.
+        // The median is as of the last tick, so a pool's only worker may seem slower than its pool
+        // until the next one. In that case sluggish workers count, since a job must not be refused
+        // as if there were no worker.
         let counted = if sound.is_empty() { sluggish } else { sound };
         let workers = counted.into_iter();
         PoolForecast {
--- a/crates/pool/src/pool/polls.rs
+++ b/crates/pool/src/pool/polls.rs
@@ -1,4 +1,4 @@
-//! Looks at workers: when one is sent, and what its answer says.
+//! Polling of workers: when polls are sent, and how listings and missed polls are handled.
 
 use std::time::{Duration, Instant};
 
@@ -21,36 +21,39 @@
     worker::{RunLedger, RunPhase, WaitingOrder, WorkerLedger},
 };
 
-/// Ends of an idle worker are acknowledged after this time, for the one look that costs. Soon enough for a worker's
-/// list of ends to stay short.
+/// The delay after which the ends of an idle worker are acknowledged, which costs one poll. Short
+/// enough to keep the worker's list of ends short.
 const IDLE_ACK_DELAY: Duration = Duration::from_millis(1_000);
 
-/// The pause after a look that a silent worker did not answer.
+/// The pause after a poll that a silent worker did not answer.
 const SILENT_POLL_PAUSE: Duration = Duration::from_millis(150);
 
-/// The shortest wait of a look, so that a run that is looked at for a stall does not draw look after look.
+/// The minimum wait of a poll, so that a run that is checked for a stall does not cause poll after
+/// poll.
 const MIN_POLL_WAIT: Duration = Duration::from_millis(30);
 
-/// The wait of a look while runs of a former owner are being stopped, which takes 50 ms at most.
+/// The wait of a poll while runs of a former owner are being stopped, which takes 50 ms at most.
 const FOREIGN_POLL_WAIT: Duration = Duration::from_millis(20);
 
-/// A run that has not advanced by one percent in this time while it is overdue stands still. At a tenth of its speed
-/// a run of 900 ms takes 90 ms for a percent.
+/// An overdue run that has not advanced by one percent in this time counts as stalled. At a tenth
+/// of its speed, a run of 900 ms takes 90 ms per percent.
 const STALL_TIME: Duration = Duration::from_millis(110);
 
-/// Fewest failures of one task before its job counts as failed, if its route allows fewer: one or two may be the
-/// fault of workers that fail everything.
+/// The minimum number of failures of one task before its job fails, even if its route allows fewer
+/// attempts: one or two failures may be the fault of workers that fail every run.
 const MIN_JOB_FAILURES: u32 = 3;
 
-/// The progress from which on a run says how fast it is. Of less, what a start and a listing take on their way is the most, and
-/// a sound worker seemed several times too slow for the next job.
+/// The minimum progress at which a run's speed is judged. Below it, most of the time is the travel
+/// time of the start and the listing, which made sound workers seem several times too slow for the
+/// next job.
 const MIN_PROGRESS_PERCENT: u8 = 10;
 
-/// A run whose progress projects to this many times its predicted time says that its worker is slow.
+/// A run whose projected time exceeds this multiple of its predicted time shows that its worker is
+/// slow.
 const SLOW_RUN_FACTOR: f64 = 2.0;
 
 impl WorkerPool {
-    /// Sends the looks that are due, and the orders whose pause is over.
+    /// Sends the polls that are due and the orders whose pause is over.
     pub(super) fn send_polls_and_orders(&mut self, now: Instant) {
         let owner_millis = self.owner_millis(now);
         let wants_ends = self.has_kept_on_hold();
@@ -69,7 +72,7 @@
         self.send_orders(now);
     }
 
-    /// Takes the answer to a look that was sent at `sent`.
+    /// Handles the answer to a poll that was sent at `sent`.
     pub fn on_poll_answer(
         &mut self,
         now: Instant,
@@ -84,7 +87,7 @@
         worker.looks_in_flight = worker.looks_in_flight.saturating_sub(1);
         match answer {
             Ok(listing) => self.apply_listing(now, sent, order, listing),
-            // Its fence was raised meanwhile, by this owner.
+            // This owner has raised the worker's fence since the poll was sent.
             Err(CallFailure::FencedOut) if order.fence < worker.fence => (),
             Err(CallFailure::FencedOut) => self.lose_worker(now, life),
             Err(CallFailure::NewLife) => self.forget_life(now, life),
@@ -96,17 +99,19 @@
         self.send_polls_and_orders(now);
     }
 
-    /// After which time a look gets a second one beside it, if answers get lost.
+    /// The delay after which an unanswered poll is hedged by a second one, or `None` if no answers
+    /// were lost recently.
     fn poll_hedge_delay(&self, now: Instant) -> Option<Duration> {
         let lost = self
             .last_missed_answer
             .filter(|_| self.is_enabled(Mechanism::HedgedLooks))?;
-        // Answers that are late because the path is full come in the end: looks beside them would fill it further.
+        // Answers that are late because the path is congested arrive in the end, and hedged polls
+        // would only add to the congestion.
         let lossy = now < lost + self.settings.loss_memory && !self.is_strained();
         lossy.then_some(self.settings.look_hedge)
     }
 
-    /// How much longer than its wait a look may take: as long as answers may take now.
+    /// How much longer than its wait a poll may take, based on current answer times.
     fn poll_margin(&self) -> Duration {
         let settings = &self.settings;
         if !self.is_enabled(Mechanism::AnswerLimits) {
@@ -126,7 +131,7 @@
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
-        // A later look was answered: this one was lost, its worker was not.
+        // A later poll was answered, so only this poll was lost and its worker is alive.
         if worker.answered_look.is_some_and(|later| later > sent) {
             return;
         }
@@ -165,7 +170,8 @@
         let newly_answering = worker.clock.is_none() || had_misses;
         worker.misses = 0;
         worker.answered_look = worker.answered_look.max(Some(sent));
-        // Answers to two looks may overtake each other. Ends are numbered; all else holds only in the newest listing.
+        // Answers to two polls may overtake each other. Ends are numbered; everything else is valid
+        // only in the newest listing.
         let newest = listing.clock > worker.listed;
         worker.listed = worker.listed.max(listing.clock);
         worker.ends_read |= self.kept_loaded;
@@ -228,7 +234,8 @@
         self.store_changes(task.job);
     }
 
-    /// A worker lists an end again and again until it is acknowledged: while it must not be, looks have a pause.
+    /// Pauses polls of a worker while its ends must not be acknowledged, since it lists them again
+    /// and again until they are.
     fn pause_polls(&mut self, now: Instant, life: &LifeId, listing: &WorkerListing) {
         let Some(worker) = self.workers.get_mut(life) else {
             return;
@@ -259,7 +266,7 @@
         self.advance_job(now, id);
     }
 
-    /// Opens steps that can begin now, or ends the job if none is left.
+    /// Opens the steps that can begin now, or ends the job if none is left.
     pub(super) fn advance_job(&mut self, now: Instant, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -274,7 +281,8 @@
         }
     }
 
-    /// Takes a failed run. `counted` failures of the task stand in the record of a kept job.
+    /// Handles a failed run. `counted` is the number of the task's failures in the record of a kept
+    /// job.
     fn fail_task(&mut self, now: Instant, life: &LifeId, mut run: RunLedger, counted: u32) {
         let id = run.task.job;
         let mut blame = true;
@@ -291,7 +299,7 @@
             return;
         };
         if job.kept.is_some() {
-            // A kept job's attempts are counted whoever was to blame.
+            // For a kept job every failure counts as an attempt, even if the worker is to blame.
             if counted >= job.terms.attempts {
                 self.end_kept(now, id, KeptState::Failed);
             } else {
@@ -306,14 +314,14 @@
         self.requeue(now, run);
     }
 
-    /// Lets a task wait again whose run surely is over.
+    /// Requeues a task whose run is certainly over.
     pub(super) fn requeue(&mut self, now: Instant, run: RunLedger) {
         let id = run.task.job;
         let Some(job) = self.jobs.get_mut(&id).filter(|job| !job.has_ended()) else {
             return;
         };
         let step_index = run.task.step as usize;
-        // Of a kept job that was let go of and found again the task may wait or be done already.
+        // If a kept job was released and loaded again, the task may already be waiting or done.
         if job.kept.is_some() && !job.lacks(step_index, run.task.index) {
             return;
         }
@@ -325,7 +333,8 @@
             failures: run.failures,
             failed_on: run.failed_on,
         };
-        // The last one is placed first, and a suspect may have to wait longer than others of its step.
+        // The last task in the list is placed first. A crash suspect goes to the front, since it
+        // may have to wait longer than the other tasks of its step.
         match self.crashes.caution(now, run.task) {
             TaskCaution::None => step.waiting.push(task),
             TaskCaution::Alone | TaskCaution::Wait => step.waiting.insert(0, task),
@@ -347,7 +356,8 @@
             if worker.run_mut(task, run).is_some() {
                 continue;
             }
-            // An end that came with this listing or an earlier one goes before an older view of what runs.
+            // An end in the listing, new or repeated, takes precedence over its older view of what
+            // runs.
             let ended = listing
                 .ended
                 .iter()
@@ -427,11 +437,12 @@
                 percent,
             });
         }
-        // Runs that stand still together are one trouble of their worker, and cost one pause.
+        // Runs that stall together are one fault of their worker and cost one suspension.
         self.suspend(now, life, SuspensionCause::Stalled);
     }
 
-    /// Drops run records that the listing proves to be over, or never to begin.
+    /// Removes the runs that the listing proves to be over or never to begin, and requeues their
+    /// tasks.
     fn drop_missing_runs(
         &mut self,
         now: Instant,
@@ -460,7 +471,7 @@
         }
     }
 
-    /// Takes all runs of a worker as over.
+    /// Treats all runs of a worker as over and requeues their tasks.
     pub(super) fn lose_all_runs(&mut self, now: Instant, life: &LifeId, loss: RunLoss) {
         let Some(worker) = self.workers.get_mut(life) else {
             return;
@@ -478,7 +489,7 @@
         self.fail_culprit_jobs(now, culprits);
     }
 
-    /// The worker has another life: what ran in this one is over.
+    /// Removes a worker that now has another life: the runs of this one are over.
     pub(super) fn forget_life(&mut self, now: Instant, life: &LifeId) {
         self.lose_all_runs(now, life, RunLoss::NewLife);
         self.confirm_crash(now, life);
@@ -487,8 +498,9 @@
         }
     }
 
-    /// Another owner has the worker. It stops what runs there, but not before this owner could start the same tasks
-    /// elsewhere; so the jobs that have runs there are given up, and the other workers and jobs go on.
+    /// Handles the takeover of a worker by another owner. That owner stops the runs there, but
+    /// possibly only after this owner could have started the same tasks elsewhere. So the jobs with
+    /// runs on the worker are given up, and the other workers and jobs continue.
     pub(super) fn lose_worker(&mut self, now: Instant, life: &LifeId) {
         let Some(worker) = self.workers.remove(life) else {
             return;
@@ -519,11 +531,12 @@
     }
 }
 
-/// Whether a run that a listing does not show is over or can never begin.
+/// Whether a run that is missing from a listing is over or can never begin.
 ///
-/// A run whose start was answered before the look was sent was there, so it must have ended. One whose stop was
-/// answered before ended or never begins. One whose start went unanswered may still begin, until the lease end that
-/// its last start carried has passed on the worker's clock.
+/// If its start was answered before the poll was sent, the run existed and must have ended. If its
+/// stop was answered before the poll was sent, it has ended or never begins. If its start went
+/// unanswered, it may still begin until the lease end of its last start has passed on the worker's
+/// clock.
 fn is_over(run: &RunLedger, sent: Instant, clock: WorkerClock) -> bool {
     let was_there = run.confirmed.is_some_and(|confirmed| confirmed < sent);
     let was_stopped = run.stop_acked.is_some_and(|acked| acked < sent);
@@ -538,8 +551,8 @@
     settings: &crate::PoolSettings,
     margin: Duration,
 ) -> LookOrder {
-    // Runs of a former owner are not renewed, and a worker that does not answer is left to its lease: what it was
-    // last told must be what it goes by.
+    // The lease is renewed neither for runs of a former owner nor for a worker that does not
+    // answer: the lease end that the worker was last told must stay the one it uses.
     let renew = !worker.runs.is_empty() && worker.foreign.is_empty() && worker.misses == 0;
     let clock = worker.clock_now(owner_millis).filter(|_| renew);
     let lease_end = clock.map(|clock| clock.plus(settings.lease));
--- a/crates/pool/src/pool/schedule.rs
+++ b/crates/pool/src/pool/schedule.rs
@@ -1,4 +1,5 @@
-//! Giving free places to waiting tasks, and what time alone changes.
+//! Scheduling: places waiting tasks on workers with free capacity, sends orders and handles
+//! timeouts.
 
 use std::time::{Duration, Instant};
 
@@ -14,14 +15,16 @@
     worker::{RunLedger, RunPhase, WaitingOrder, WorkerLedger},
 };
 
-/// An answer that takes longer than this is worth a connection more: a tenth of what the shortest class has beside its work.
+/// The smoothed answer time above which a worker may have several orders in flight, each on its own
+/// connection: a tenth of the time that jobs of the shortest class have beside their work.
 const SLOW_ANSWER_TIME: Duration = Duration::from_millis(8);
 
-/// Orders in flight at a worker whose answers are slow: as many as it has places for wide tasks.
+/// The maximum number of orders in flight to one worker while answers are slow: as many as a worker
+/// has places for wide tasks.
 const MAX_SLOW_ORDERS_IN_FLIGHT: usize = 3;
 
 impl WorkerPool {
-    /// Does what is due: deadlines, lapsed leases, looks, orders, places.
+    /// Runs all time-driven work: deadlines, expired leases, placement, polls and orders.
     pub fn tick(&mut self, now: Instant) {
         self.end_overdue_jobs(now);
         self.tick_kept(now);
@@ -35,7 +38,7 @@
         self.send_polls_and_orders(now);
     }
 
-    /// Places waiting tasks in the queue's order for as long as places are free.
+    /// Places waiting tasks in queue order while workers have free capacity, and sends the orders.
     pub(super) fn schedule(&mut self, now: Instant) {
         if self.evacuated {
             self.send_orders(now);
@@ -48,7 +51,8 @@
             if self.is_start_window_full() {
                 break;
             }
-            // With hundreds of waiting jobs and no place free, trying each on each worker is most of an owner's work.
+            // Skips jobs that fit on no worker: with hundreds of waiting jobs and no free capacity,
+            // trying each job on each worker would take most of the owner's time.
             if self.jobs[&job].least_demand() > max_free_cpu {
                 continue;
             }
@@ -59,14 +63,14 @@
         self.send_orders(now);
     }
 
-    /// The most processor room that is free on any worker that may get runs.
+    /// The largest free processor capacity of any worker that may get runs.
     fn max_free_cpu(&self) -> CpuMillis {
         let open = self.workers.values().filter(|worker| worker.is_open());
         let free = open.map(|worker| worker.free_room().cpu);
         free.max().unwrap_or_default()
     }
 
-    /// Places what finds a place. Says whether anything did.
+    /// Places as many tasks of a job as find a worker. Returns whether any was placed.
     fn place_job_tasks(&mut self, now: Instant, id: JobId) -> bool {
         if !self.may_run(now, &self.jobs[&id]) {
             return false;
@@ -178,20 +182,22 @@
             && self.starts_in_flight() >= self.start_window.size()
     }
 
-    /// Starts that are sent or about to be, and not known to have been carried out.
+    /// The number of starts that are sent or about to be and not known to have been carried out.
+    /// Silent workers are not counted.
     pub(super) fn starts_in_flight(&self) -> usize {
         let workers = self.workers.values().filter(|worker| !worker.is_silent());
         let runs = workers.flat_map(|worker| &worker.runs);
         runs.filter(|run| run.phase == RunPhase::Ordered).count()
     }
 
-    /// Tasks that wait for a place and may be placed now.
+    /// The number of waiting tasks that may be placed now.
     pub(super) fn waiting_task_count(&self) -> usize {
         let jobs = self.queue.jobs();
         jobs.map(|job| self.jobs[&job].waiting_count()).sum()
     }
 
-    /// How long the tasks of a new job take to be started beside those under way, at the pace at which answers come now.
+    /// How long it takes to start the tasks of a new job after the starts in flight and the waiting
+    /// tasks, at the current answer time. Zero unless the path to the workers is congested.
     pub(super) fn start_lag(&self, tasks: usize) -> Duration {
         if !self.is_strained() {
             return Duration::ZERO;
@@ -201,9 +207,10 @@
         self.answer_times.smoothed().mul_f64(rounds)
     }
 
-    /// How many orders may be in flight at one worker, each on a connection of its own beside that for looks. Where an
-    /// answer takes long, the second task of a job on a worker would wait for the first one's. Where answers are quick one
-    /// order is better, since what has not been sent can be taken back.
+    /// The maximum number of orders in flight to one worker, each on its own connection beside the
+    /// one for polls. While answers are slow, several orders keep the second task of a job on a
+    /// worker from waiting for the answer to the first. While answers are quick, a single order is
+    /// better, since an order that has not been sent can be withdrawn.
     fn max_orders_in_flight(&self) -> usize {
         match self.answer_times.smoothed() > SLOW_ANSWER_TIME {
             true => MAX_SLOW_ORDERS_IN_FLIGHT,
@@ -211,7 +218,8 @@
         }
     }
 
-    /// Sends each worker its next orders.
+    /// Sends each worker its next orders. Starts are withdrawn instead if the data centre is
+    /// evacuated or the worker is over its room.
     pub(super) fn send_orders(&mut self, now: Instant) {
         let overdue = self.resend_timeout();
         let max_orders_in_flight = self.max_orders_in_flight();
@@ -257,7 +265,8 @@
         }
     }
 
-    /// Ends jobs whose time is over.
+    /// Refuses jobs that have not started by their deadline or by the time at which their answer
+    /// becomes useless, and gives up started jobs at their deadline. Kept jobs are exempt.
     fn end_overdue_jobs(&mut self, now: Instant) {
         let mut ends = Vec::new();
         let unkept = self.jobs.iter().filter(|(_, job)| job.kept.is_none());
@@ -282,7 +291,7 @@
         }
     }
 
-    /// Frees what silent workers held once their leases surely are over.
+    /// Requeues the runs of silent workers once their leases have certainly expired.
     fn expire_silent_workers(&mut self, now: Instant) {
         let owner_millis = self.owner_millis(now);
         let mut lapsed = Vec::new();
@@ -312,7 +321,7 @@
     }
 }
 
-/// What all orders have that are sent at one time.
+/// Values shared by all orders that are sent in one pass.
 struct OrderContext {
     now: Instant,
     owner_millis: u64,
@@ -367,7 +376,8 @@
         task,
         run,
         sent: context.now,
-        // Stopping twice is idempotent, and a place waits for it.
+        // A repeated stop is idempotent and the run occupies its capacity until it has stopped, so
+        // stops use the shorter limit.
         limit: context.overdue,
     }))
 }
