--- a/crates/pool/src/pool/answers.rs
+++ b/crates/pool/src/pool/answers.rs
@@ -1,4 +1,4 @@
-//! What workers answer to starts and stops.
+//! Handling of workers' answers to starts and stops.
 
 use std::time::{Duration, Instant};
 
@@ -15,7 +15,7 @@
 };
 
 impl WorkerPool {
-    /// Takes the answer to a start.
+    /// Handles the answer to a start.
     pub fn on_start_answer(&mut self, now: Instant, order: &StartOrder, answer: StartAnswer) {
         let StartOrder {
             life, task, run, ..
@@ -24,7 +24,8 @@
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
-        // An answer to an order that was sent before the worker was found to be reborn may be its former life's.
+        // If the order was sent before the worker's restart was noticed, the answer may come from
+        // its former life.
         let from_current_life = order.sent >= worker.life_since;
         if let Some(clock) = answer_clock(answer).filter(|_| from_current_life) {
             worker.read_clock(owner_millis, clock);
@@ -48,7 +49,8 @@
             });
         }
         match answer {
-            // A run that was outrun was carried out by an earlier copy of this start and has ended; its end is listed.
+            // For `Outrun`, an earlier copy of this start was carried out and its run has ended;
+            // its end is listed.
             StartAnswer::Started(_) | StartAnswer::Outrun(_) if !from_current_life => (),
             StartAnswer::Started(_) | StartAnswer::Outrun(_) => {
                 confirm_run(worker, *task, *run, now);
@@ -61,7 +63,7 @@
             StartAnswer::Failed(CallFailure::Unhealthy | CallFailure::Malformed) => {
                 self.handle_rejected_start(now, life, *task, *run);
             }
-            // Another copy may still be answered.
+            // Another copy of the start may still be answered.
             StartAnswer::Failed(CallFailure::NoAnswer) if under_way > 0 => (),
             StartAnswer::Failed(CallFailure::NoAnswer) => self.retry_start(now, life, *task, *run),
             StartAnswer::Failed(CallFailure::NewLife) => self.forget_life(now, life),
@@ -74,9 +76,10 @@
         self.send_polls_and_orders(now);
     }
 
-    /// A start has had no answer for as long as answers take now. It may have been lost, so it is sent again beside the
-    /// first, whose answer still counts. Where many are late at once the owner's own path is full, and copies would only
-    /// fill it further.
+    /// Handles a start that has gone unanswered for as long as answers take at present. It may have
+    /// been lost, so it is sent again; the answer to the first copy still counts. If many starts
+    /// are late at once, the owner's own path is congested and copies would only add to it, so
+    /// resends are limited.
     pub fn on_start_overdue(&mut self, now: Instant, order: &StartOrder) {
         let Some(worker) = self.workers.get_mut(&order.life) else {
             return;
@@ -113,7 +116,7 @@
             .limit(settings.order_timeout, settings.longest_order_timeout)
     }
 
-    /// Whether the path to the workers is full.
+    /// Whether the path to the workers is congested.
     pub(super) fn is_strained(&self) -> bool {
         self.is_enabled(Mechanism::AnswerLimits) && self.answer_times.is_strained()
     }
@@ -134,7 +137,7 @@
         }
     }
 
-    /// Takes the answer to a stop.
+    /// Handles the answer to a stop.
     pub fn on_stop_answer(&mut self, now: Instant, order: &StopOrder, answer: StopAnswer) {
         let StopOrder {
             life, task, run, ..
@@ -147,7 +150,7 @@
         let from_current_life = order.sent >= worker.life_since;
         let fence_raised = order.fence < worker.fence;
         match answer {
-            // It may be the former life's: the new one has to be told.
+            // The answer may come from the former life, so the stop is sent again to the new one.
             StopAnswer::Stopped(_) if !from_current_life => {
                 worker.orders.push_back(WaitingOrder::Stop(*task, *run));
             }
@@ -172,7 +175,8 @@
         self.send_orders(now);
     }
 
-    /// Sends an unanswered start again. After a few tries the run is stopped and the worker left alone for a while.
+    /// Sends an unanswered start again. After a few tries the run is stopped and the worker
+    /// suspended.
     fn retry_start(&mut self, now: Instant, life: &LifeId, task: TaskId, number: RunNumber) {
         let strained = self.is_strained();
         let Some(worker) = self.workers.get_mut(life) else {
@@ -185,13 +189,14 @@
             return;
         }
         if run.tries < self.settings.start_tries {
-            // One that is lost is sent again at once: a pause would only add to what its job waits.
+            // The first resend follows at once, since a pause would only delay the job.
             let pause = (run.tries > 1).then(|| now + self.settings.retry_pause);
             worker.orders.push_front(WaitingOrder::Start(task, number));
             worker.order_pause = pause;
             return;
         }
-        // On a path that is full all workers answer late: this one is not to blame, and its answer may still come.
+        // On a congested path all workers answer late, so this one is not to blame, and its answer
+        // may still arrive.
         if strained && run.under_way > 0 {
             return;
         }
@@ -201,7 +206,8 @@
         }
     }
 
-    /// The worker did nothing for this call. If that was the only try, the run can never begin.
+    /// Handles a start that the worker rejected without any effect, and suspends the worker. If
+    /// that was the only try, the run can never begin and its task is requeued.
     fn handle_rejected_start(
         &mut self,
         now: Instant,
--- a/crates/pool/src/pool/crash_blame.rs
+++ b/crates/pool/src/pool/crash_blame.rs
@@ -1,7 +1,8 @@
-//! Workers that die under their runs: what the pool tells the book of crashes, and what follows for tasks and workers.
+//! Crash blame: records losses of workers, and handles the tasks that are suspected of causing
+//! them.
 //!
-//! Such a worker is not sick: it gets runs again as soon as it answers. What speaks against a task of a kept job is stored
-//! with the job, so that it outlives the owner.
+//! A worker that was lost is not unhealthy: it gets runs again as soon as it answers. The deaths
+//! under a task of a kept job are stored with the job, so that they survive a change of owner.
 
 use std::time::Instant;
 
@@ -18,12 +19,13 @@
     worker::WorkerLedger,
 };
 
-/// The share of a pool's workers that are emptied for suspects at the most.
+/// At most one in this many open workers is emptied for crash suspects, but at least one.
 const MAX_RESERVED_DIVISOR: usize = 8;
 
 impl WorkerPool {
-    /// Notes that a worker was lost with tasks that may have begun, of one of which it may have died. Gives the tasks that are
-    /// named now; the caller gives their jobs up once it has put the runs away.
+    /// Records the loss of a worker with tasks that may have begun, one of which may have killed
+    /// it. Returns the tasks that this identifies as culprits; the caller ends their jobs once it
+    /// has removed the runs.
     pub(super) fn note_worker_loss(
         &mut self,
         now: Instant,
@@ -34,7 +36,7 @@
         let Some(worker) = self.workers.get(life) else {
             return Vec::new();
         };
-        // One that leaves ends with all that runs there, as it has said.
+        // A draining worker ends with all its runs, as it has announced, so no task is to blame.
         let is_leaving = worker.record.state == WorkerState::Draining;
         if is_leaving || !self.is_enabled(Mechanism::CrashBlame) {
             return Vec::new();
@@ -65,14 +67,14 @@
         loss_result.culprits
     }
 
-    /// A worker that was lost is known to have died.
+    /// Records that a lost worker is known to have died.
     pub(super) fn confirm_crash(&mut self, now: Instant, life: &LifeId) {
         let culprits = self.crashes.confirm(now, life);
         self.store_deaths();
         self.fail_culprit_jobs(now, culprits);
     }
 
-    /// A worker answers in the life in which it was lost.
+    /// Clears the loss of a worker that answers in the life in which it was lost.
     pub(super) fn clear_crash(&mut self, life: &LifeId, born: Option<BirthTime>) {
         if self.crashes.acquit(life, born) {
             self.notes
@@ -80,7 +82,8 @@
         }
     }
 
-    /// Takes a worker that the directory has anew: one that was lost may have come back as it.
+    /// Handles a worker that is new in the directory. It may be a lost worker that has come back,
+    /// which shows that the lost one died.
     pub(super) fn note_new_worker(&mut self, now: Instant, record: &WorkerRecord) {
         if self.crashes.is_empty() {
             return;
@@ -92,7 +95,7 @@
         self.fail_culprit_jobs(now, culprits);
     }
 
-    /// Takes the deaths that a kept job's row tells of.
+    /// Loads the deaths that are recorded in a kept job's row.
     pub(super) fn load_recorded_deaths(&mut self, now: Instant, id: JobId, steps: &[StepRecord]) {
         if !self.is_enabled(Mechanism::CrashBlame) {
             return;
@@ -117,7 +120,7 @@
         self.fail_culprit_jobs(now, culprits);
     }
 
-    /// Ends the jobs of tasks that are named: a further try would only cost a further worker.
+    /// Fails the jobs of culprit tasks: another attempt would only cost another worker.
     pub(super) fn fail_culprit_jobs(&mut self, now: Instant, culprits: Vec<TaskId>) {
         for task in culprits {
             self.notes.push(PoolNote::CrashCulprit { task });
@@ -135,7 +138,8 @@
         }
     }
 
-    /// Empties some workers for suspects that find none empty: on a full pool they would never run.
+    /// Has some workers emptied for crash suspects that find no empty one: on a full pool they
+    /// would never run.
     pub(super) fn reserve_workers_for_suspects(&mut self, now: Instant) {
         if self.crashes.is_empty() {
             self.reserved_for_suspects.clear();
@@ -169,7 +173,7 @@
         self.jobs.get(&id).is_some_and(|job| job.kept.is_some())
     }
 
-    /// None for a task of a job that is not here any more.
+    /// Returns `None` if the task's job is no longer in the pool.
     fn lost_task(&self, task: TaskId) -> Option<LostTask> {
         let job = self.jobs.get(&task.job)?;
         Some(LostTask {
@@ -191,7 +195,7 @@
         shape
     }
 
-    /// Has the deaths stored that stand against tasks of kept jobs.
+    /// Stores the deaths that are attributed to tasks of kept jobs.
     fn store_deaths(&mut self) {
         let suspects = self.crashes.suspects().map(|task| task.job);
         let kept: FastSet<JobId> = suspects.filter(|id| self.is_kept(*id)).collect();
--- a/crates/pool/src/pool/evacuating.rs
+++ b/crates/pool/src/pool/evacuating.rs
@@ -1,7 +1,8 @@
-//! What an evacuation changes for a pool: its workers get no start until its data centre is taken back.
+//! Evacuation of the pool's data centre: its workers get no starts until the evacuation ends.
 //!
-//! Failure prevented: an operator evacuates a data centre and takes its machines away, and tasks that were started since
-//! are lost with them. All ways to a start end in `send_orders`, which lets none pass; what runs goes on to its end.
+//! An operator evacuates a data centre and then takes its machines away, so tasks that were started
+//! in between would be lost with them. Every start passes through `send_orders`, which sends none
+//! to evacuated workers. Runs that have begun continue to their end.
 
 use std::time::Instant;
 
@@ -11,7 +12,7 @@
 use crate::{action::PoolNote, worker::RunPhase};
 
 impl WorkerPool {
-    /// Says whether the pool's data centre is evacuated.
+    /// Sets whether the pool's data centre is evacuated.
     pub fn set_evacuated(&mut self, now: Instant, evacuated: bool) {
         if self.evacuated == evacuated {
             return;
@@ -39,8 +40,8 @@
         self.schedule(now);
     }
 
-    /// Takes starts back. One that was never sent lets its task wait again at once; one that was sent and has no answer is
-    /// stopped, since it must not be sent again.
+    /// Withdraws starts. If a start was never sent, its task is requeued at once. If it was sent
+    /// and has no answer, its run is stopped, since the start must not be sent again.
     pub(super) fn withdraw_starts(
         &mut self,
         now: Instant,
@@ -60,9 +61,10 @@
         }
     }
 
-    /// Lets go of jobs whose tasks wait while nothing may start: their entries find places elsewhere for those of which
-    /// nothing has begun. Of the others nobody can say that nothing ran, and their end would wait for the data centre's
-    /// return. Kept jobs wait for it.
+    /// Ends jobs that have unplaced tasks while the data centre is evacuated. Jobs of which nothing
+    /// was ordered are refused, so that their entries run them elsewhere. The others are given up:
+    /// it is unknown whether any of their tasks ran, and they could not end before the evacuation
+    /// does. Kept jobs wait for its end.
     pub(super) fn end_evacuated_jobs(&mut self, now: Instant) {
         if !self.evacuated {
             return;
--- a/crates/pool/src/pool/kept_jobs.rs
+++ b/crates/pool/src/pool/kept_jobs.rs
@@ -1,4 +1,4 @@
-//! Kept jobs in the pool: accepting them, and having stored what becomes of them.
+//! Kept jobs: storing new ones, and storing their progress and ends.
 
 use std::{
     sync::Arc,
@@ -16,16 +16,16 @@
     kept::{HeldEnd, KeepAnswer, KeepOrder, KeptLedger},
 };
 
-/// The deadline of a job for whose end nobody waits: far beyond the life of a process.
+/// The deadline of a job whose end nobody waits for: far beyond the lifetime of a process.
 pub(super) const NO_DEADLINE: Duration = Duration::from_secs(365 * 24 * 3_600);
 
 impl WorkerPool {
-    /// Whether it has any kept job.
+    /// Whether the pool has any kept job.
     pub fn has_kept(&self) -> bool {
         self.jobs.values().any(|job| job.kept.is_some())
     }
 
-    /// How many kept jobs of each route have not begun.
+    /// The number of stored kept jobs of each route that have not begun.
     pub fn pending_jobs(&self) -> Vec<(Arc<str>, u64)> {
         let mut counts: Vec<(Arc<str>, u64)> = Vec::new();
         for job in self.jobs.values() {
@@ -43,7 +43,7 @@
         counts
     }
 
-    /// Has a new job stored; it runs once it is.
+    /// Stores a new job, which runs only once it is stored.
     pub(super) fn store_new_job(
         &mut self,
         now: Instant,
@@ -64,7 +64,7 @@
         self.store_changes(id);
     }
 
-    /// Takes a job out without storing anything.
+    /// Removes a job from the pool and stops its runs, without storing anything.
     pub(super) fn remove_kept(&mut self, now: Instant, id: JobId, outcome: JobOutcome) {
         let Some(job) = self.jobs.remove(&id) else {
             return;
@@ -82,7 +82,7 @@
         self.stop_job_runs(now, id);
     }
 
-    /// The job was cancelled in the store: what runs of it is stopped.
+    /// Removes a job that was cancelled in the store and stops its runs.
     pub fn cancel_kept(&mut self, now: Instant, id: JobId) {
         if self.jobs.get(&id).is_none_or(|job| job.kept.is_none()) {
             return;
@@ -94,7 +94,7 @@
         self.remove_kept(now, id, JobOutcome::Accepted);
     }
 
-    /// Notes how a kept job ended and has it stored. It stays until it is.
+    /// Records and stores how a kept job ended. The job stays in the pool until that is stored.
     pub(super) fn end_kept(&mut self, now: Instant, id: JobId, state: KeptState) {
         let Some(kept) = self.jobs.get_mut(&id).and_then(|job| job.kept.as_mut()) else {
             return;
@@ -106,12 +106,13 @@
         self.store_changes(id);
     }
 
-    /// Notes a task's end in its job's record, and that the worker's end must not be acknowledged before that is
-    /// stored. Gives how often the task has failed.
+    /// Records a run's end in its job, and that the worker's end must not be acknowledged before
+    /// the record is stored. Returns how often the task has failed if this run failed, and 0
+    /// otherwise.
     pub(super) fn record_end(&mut self, task: TaskId, life: &LifeId, end: &EndedRun) -> u32 {
         let job = self.jobs.get_mut(&task.job);
         let kept = job.and_then(|job| job.kept.as_mut());
-        // Once the job has ended its row says all there is to know.
+        // Once the job has ended, its row needs no further records.
         let Some(kept) = kept.filter(|kept| kept.end.is_none()) else {
             return 0;
         };
@@ -139,7 +140,8 @@
         failures
     }
 
-    /// Has what changed about a kept job stored, unless a write is under way: its answer brings the next.
+    /// Writes the changes of a kept job to the store, unless a write is in flight: its answer
+    /// triggers the next one.
     pub(super) fn store_changes(&mut self, id: JobId) {
         let home: Arc<str> = self.name.clone();
         let fence = self.fence.0;
@@ -175,14 +177,15 @@
         }));
     }
 
-    /// Takes what became of a write.
+    /// Handles the result of a write.
     pub fn on_store_answer(&mut self, now: Instant, order: &KeepOrder, answer: KeepAnswer) {
         let id = order.job;
         let Some(kept) = self.jobs.get_mut(&id).and_then(|job| job.kept.as_mut()) else {
             return;
         };
-        // A write from before the job was let go of and found again says nothing about a later one: taken for its answer,
-        // ends would be acknowledged that no row has. If it took effect, the later one finds the row changed.
+        // A write from before the job was released and loaded again says nothing about a later one.
+        // If its answer were taken for the later write's, ends would be acknowledged that no row
+        // contains. If it took effect, the later write finds the row changed.
         if kept.writing != Some(order.row.revision) {
             return;
         }
@@ -198,14 +201,16 @@
                 };
                 self.remove_kept(now, id, refused);
             }
-            // Whoever has it runs it; if that is this pool, the next reading of the store finds it.
+            // The owner that has the job runs it. If that is this pool, the next read of the store
+            // finds it.
             KeepAnswer::Known => {
                 self.remove_kept(now, id, JobOutcome::Accepted);
                 self.recently_ended_kept.remove(&id);
             }
             KeepAnswer::Gone => self.remove_kept(now, id, JobOutcome::Accepted),
             KeepAnswer::Changed(row, version) => {
-                // A former owner's last write. What it knew counts, too, and this owner's is written over it.
+                // The row holds a former owner's last write. Its progress is merged into this
+                // owner's, which then overwrites the row.
                 kept.version = Some(version);
                 kept.revision += 1;
                 for (step, record) in row.progress.iter().enumerate() {
--- a/crates/pool/src/pool/resizing.rs
+++ b/crates/pool/src/pool/resizing.rs
@@ -1,7 +1,8 @@
-//! Workers whose room shrinks or grows while they run.
+//! Workers whose room shrinks or grows while they have runs.
 //!
-//! Failure prevented: a start that was placed before its worker shrank leaves afterwards and brings it over its room. What runs
-//! there goes on: a worker over its room gets nothing new until its runs fit again.
+//! A start that was placed before its worker shrank and is sent afterwards would bring the worker over
+//! its room, so such starts are withdrawn. Runs that have begun continue: a worker over its room gets
+//! no new runs until its runs fit again.
 
 use std::time::Instant;
 
@@ -11,7 +12,8 @@
 use crate::{action::PoolNote, worker::WorkerLedger};
 
 impl WorkerPool {
-    /// Follows a change of a worker's room.
+    /// Handles a change of a worker's room, after which starts may have to be withdrawn and jobs
+    /// refused.
     pub(super) fn apply_resize(&mut self, now: Instant, life: &LifeId, former: ResourceDemand) {
         let Some(worker) = self.workers.get(life) else {
             return;
@@ -32,7 +34,8 @@
         }
     }
 
-    /// Tells the callers of jobs that no worker can hold any more, and of which nothing was ordered.
+    /// Refuses queued jobs that no worker can hold any more. Kept jobs and jobs with ordered starts
+    /// wait instead.
     fn refuse_unplaceable(&mut self, now: Instant) {
         let queued = self.queue.jobs();
         let unplaceable = queued.filter(|id| {
--- a/crates/pool/src/pool/restart.rs
+++ b/crates/pool/src/pool/restart.rs
@@ -1,13 +1,14 @@
-//! Workers that start again under their id.
+//! Workers that restart under the same id.
 //!
-//! Failure prevented: a worker that died and came back knows nothing of before, and its counts begin anew. Taken for the same
-//! life, its first ends would be acknowledged by the numbers of the former one and never be listed; its clock would be read
-//! wrongly; runs that died with it would count as running; and a start of the former life that is still on its way would run
-//! beside the one that replaced it.
+//! A restarted worker has no memory of its former life, and its counts begin anew. If it were taken
+//! for the same life, its first ends would be acknowledged by the former life's numbers and never
+//! be listed, its clock would be read wrongly, runs that died with it would count as running, and a
+//! start of the former life that is still in flight would run beside its replacement.
 //!
-//! Only what a worker itself lists says which life it is. Its entry in the directory may be older or newer, so one that names
-//! another life has the worker asked, and nothing started there until it has answered. An answer to a look that was sent
-//! before this life was found is of a former one.
+//! Only a worker's own listing tells which life it is in. Its directory entry may be older or
+//! newer, so if the entry names another life, the worker is polled and gets no starts until it has
+//! answered. A listing of another life that answers a poll sent before the current life was noticed
+//! is from a former life.
 
 use std::time::Instant;
 
@@ -19,24 +20,26 @@
     worker::{LifeVerdict, RunLedger},
 };
 
-/// What is to become of a run that was known before a worker's new life was found.
+/// What has become of a run that was known before its worker's restart was noticed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FormerRunFate {
-    /// The new life lists it: its start came after the rebirth.
+    /// The new life lists the run: its start arrived after the restart.
     Listed,
-    /// It was never sent.
+    /// Its start was never sent.
     Unsent,
-    /// A copy of its start has no answer, and may yet be carried out by the new life. A stop that is answered rules that out.
+    /// A copy of its start has no answer and may still be carried out by the new life. An answered
+    /// stop rules that out.
     Unanswered,
-    /// It died with its worker.
+    /// The run died with its worker.
     Dead,
-    /// It died with its worker, or the new life has ended it and has forgotten that end, since the look acknowledged as many
-    /// of the former life.
+    /// The run died with its worker, or the new life has ended it and has forgotten that end,
+    /// because the poll acknowledged that many ends of the former life.
     Unknown,
 }
 
 impl WorkerPool {
-    /// Whether a listing is of the life that is known. Makes the one that it is of known, if that is a new one.
+    /// Whether a listing is from the worker's current life. A life that was not known becomes the
+    /// current one.
     pub(super) fn check_life(
         &mut self,
         now: Instant,
@@ -57,7 +60,8 @@
         }
     }
 
-    /// No other claim of the pool was made up to this version of the store, so that every later owner's fence is higher.
+    /// Records that no other claim of the pool was made up to this version of the store, so that
+    /// the fence of every later owner is higher.
     pub fn note_no_later_claim(&mut self, version: u64) {
         self.no_later_claim_until = self.no_later_claim_until.max(version);
     }
--- a/crates/pool/src/pool/takeover.rs
+++ b/crates/pool/src/pool/takeover.rs
@@ -1,9 +1,11 @@
-//! Kept jobs of a former owner, and what an owner does that may have been replaced itself.
+//! Takeover of a former owner's kept jobs, and precautions of an owner that may itself have been
+//! replaced.
 //!
-//! Failure prevented: two owners run the same task. A successor cannot ask a predecessor that it does not hear, and the
-//! store does not know what runs. So a successor holds back what it finds until the workers have said what runs and
-//! ended, or until all that the predecessor may have ordered is surely over; and an owner without a sign of the store
-//! stops its kept jobs in time for that.
+//! Two owners must not run the same task. A successor cannot ask a predecessor that it cannot
+//! reach, and the store does not record what runs. So a successor holds back the kept jobs that it
+//! finds until the workers have reported what runs and what ended, or until everything that the
+//! predecessor may have ordered is certainly over. An owner without contact to the store stops its
+//! kept jobs in time for that.
 
 use std::{
     sync::Arc,
@@ -20,24 +22,25 @@
     worker::{RunPhase, WorkerLedger},
 };
 
-/// How long ended jobs are remembered, so that an older view of their rows does not bring them back: the longest time that
-/// a read of the store takes, and much more.
+/// How long ended jobs are remembered, so that an outdated read of their rows does not bring them
+/// back: much longer than the longest time that a read of the store takes.
 const ENDED_KEPT_MEMORY: Duration = Duration::from_secs(10);
 
 impl WorkerPool {
-    /// The store has shown that this owner's claim stands, by a call that was sent at `sent`.
+    /// Records that the store has confirmed this owner's claim, by a call that was sent at `sent`.
     pub fn note_store_contact(&mut self, sent: Instant) {
         self.last_store_contact = self.last_store_contact.max(Some(sent));
     }
 
-    /// Whether kept jobs wait until no run of a former owner can be left.
+    /// Whether any kept job is held back until no run of a former owner can be left.
     pub(super) fn has_kept_on_hold(&self) -> bool {
         let mut kept = self.jobs.values().filter_map(|job| job.kept.as_ref());
         kept.any(|kept| kept.held_back)
     }
 
-    /// Says whether a former owner still finishes jobs of the pool, and whether all workers that it may have used are
-    /// known: entries of the directory may be missing for a while after the store was away.
+    /// Sets whether a former owner is still finishing jobs of the pool, and whether all workers
+    /// that it may have used are known: directory entries may be missing for a while after the
+    /// store was unavailable.
     pub fn set_takeover_state(
         &mut self,
         now: Instant,
@@ -47,23 +50,24 @@
         self.all_workers_known = all_workers_known;
         if predecessor_active {
             self.sole_owner_since = now;
-            // The former owner goes on writing rows.
+            // The former owner goes on writing rows, so they have to be read again later.
             self.request_kept_reload();
         }
         self.predecessor_active = predecessor_active;
     }
 
-    /// Whether its kept jobs have been read: before that it cannot say how many there are.
+    /// Whether the kept jobs have been loaded. Before that their number is unknown.
     pub fn has_loaded_kept(&self) -> bool {
         self.kept_loaded
     }
 
-    /// Whether its kept jobs have to be read from the store: not yet read, and nobody else goes on with them.
+    /// Whether the kept jobs have to be loaded from the store: they are not loaded, and no former
+    /// owner is still finishing them.
     pub fn needs_kept_load(&self) -> bool {
         !self.kept_loaded && !self.predecessor_active
     }
 
-    /// Takes the kept jobs that the store has of this pool.
+    /// Loads the kept jobs that the store has of this pool.
     pub fn load_kept(&mut self, now: Instant, found: Vec<FoundJob>) {
         if self.predecessor_active {
             return;
@@ -92,7 +96,8 @@
         for (step, record) in row.progress.iter().enumerate() {
             job.take_record(step, record);
         }
-        // Runs that this owner ordered before it let go of the job: when they end, their tasks wait again.
+        // Tasks of runs that this owner ordered before it released the job do not wait until the
+        // runs end.
         for worker in self.workers.values() {
             for run in worker.runs.iter().filter(|run| run.task.job == id) {
                 job.leave_out(run.task.step as usize, run.task.index);
@@ -113,7 +118,8 @@
         self.jobs.insert(id, job);
         self.notes.push(PoolNote::KeptFound { job: id, version });
         if complete {
-            // Its last end was stored, and its owner was gone before it could store that it is complete.
+            // The job's last end was stored, but its owner was gone before it could store the
+            // completion.
             self.end_kept(now, id, KeptState::Completed);
         } else {
             self.enqueue(now, id);
@@ -121,7 +127,7 @@
         }
     }
 
-    /// Whether the tasks of a job may be placed, if room is free.
+    /// Whether the tasks of a job may be placed if a worker has room.
     pub(super) fn may_run(&self, now: Instant, job: &JobLedger) -> bool {
         let Some(kept) = &job.kept else {
             return true;
@@ -130,13 +136,14 @@
         stored && !kept.held_back && self.accepting && self.has_recent_store_contact(now)
     }
 
-    /// Whether this owner surely has not been replaced without knowing it.
+    /// Whether the last contact with the store is so recent that this owner cannot have been
+    /// replaced without knowing it.
     fn has_recent_store_contact(&self, now: Instant) -> bool {
         self.last_store_contact
             .is_some_and(|sent| now < sent + CONTACT_LIMIT)
     }
 
-    /// Does what time alone changes for kept jobs.
+    /// Runs the time-driven work for kept jobs.
     pub(super) fn tick_kept(&mut self, now: Instant) {
         if !self.has_kept() {
             return;
@@ -159,8 +166,8 @@
         }
     }
 
-    /// Whether no run of a former owner can be left: every worker has said under this fence what it runs, or all that
-    /// a former owner may have ordered is over.
+    /// Whether no run of a former owner can be left: every worker has listed its runs under this
+    /// fence, or everything that a former owner may have ordered is over.
     fn is_takeover_settled(&self, now: Instant) -> bool {
         let is_clear = |worker: &WorkerLedger| {
             worker.ends_read && worker.foreign.is_empty() && worker.unlisted.is_none()
@@ -187,7 +194,7 @@
             }
         }
         for run in unsent {
-            // It never begins, so no end of it comes that would let its task wait again.
+            // The run never begins, so there will be no end that requeues its task.
             self.requeue(now, run);
         }
         if stopped {
@@ -196,7 +203,7 @@
         }
     }
 
-    /// Lets go of stored jobs of which nothing runs: the next owner finds them in the store.
+    /// Releases stored jobs of which nothing runs. The next owner finds them in the store.
     fn release_idle_kept(&mut self) {
         let idle = self.jobs.iter().filter(|(id, job)| {
             let stored = job.kept.as_ref().is_some_and(KeptLedger::is_all_stored);
@@ -213,7 +220,7 @@
         }
     }
 
-    /// Lets go of all kept jobs, since another owner may have them. They are read anew.
+    /// Releases all kept jobs, since another owner may have them. They are loaded again later.
     pub(super) fn release_all_kept(&mut self, now: Instant) {
         let kept = self.jobs.iter().filter(|(_, job)| job.kept.is_some());
         let kept: Vec<JobId> = kept.map(|(id, _)| *id).collect();
@@ -223,7 +230,7 @@
         for id in kept {
             self.remove_kept(now, id, JobOutcome::GivenUp);
         }
-        // What was not acknowledged is listed again, and counts then.
+        // Ends that were not acknowledged are listed again, and count then.
         for worker in self.workers.values_mut() {
             worker.unstored.clear();
             worker.seen = worker.acknowledged;
@@ -232,7 +239,7 @@
         self.sole_owner_since = now;
     }
 
-    /// Has the kept jobs read anew, and with them the ends that workers list.
+    /// Requests that the kept jobs are loaded again, and with them the ends that workers list.
     pub(super) fn request_kept_reload(&mut self) {
         self.kept_loaded = false;
         for worker in self.workers.values_mut() {
@@ -240,7 +247,7 @@
         }
     }
 
-    /// An end of a run that a former owner ordered.
+    /// Handles the end of a run that a former owner ordered.
     pub(super) fn apply_found_end(&mut self, now: Instant, life: &LifeId, end: &EndedRun) {
         let Some(task) = end.task else {
             return;
