--- a/crates/pool/tests/crash.rs
+++ b/crates/pool/tests/crash.rs
@@ -1,5 +1,5 @@
-//! Tasks that crash their workers: their jobs end as failed, nobody else's do, and workers are lost no longer than it takes to
-//! name them.
+//! Tasks that crash their workers: their jobs fail, all other jobs are served, and workers are lost
+//! only until the culprits are identified.
 
 mod support;
 
@@ -10,7 +10,7 @@
 const HALF_WORKER: u64 = 8_000;
 const WHOLE_WORKER: u64 = 16_000;
 
-/// Times the usual traffic at which few places stand empty.
+/// A multiple of the usual traffic at which little capacity is free.
 const LOAD: f64 = 1.8;
 
 fn kept_world(seed: u64, workers: usize, returns: CrashReturn) -> World {
@@ -42,8 +42,8 @@
     common.count()
 }
 
-/// Guards against a kept job that takes one worker after another for good: it ends as failed, after few deaths, wherever in its
-/// work it crashes and however its workers come back.
+/// Guards against a kept job that crashes one worker after another for good. It fails after few
+/// deaths, wherever in its work it crashes and however its workers come back.
 #[test]
 fn a_crashing_kept_job_fails() {
     for returns in [CrashReturn::SameId, CrashReturn::NewId] {
@@ -64,7 +64,7 @@
     }
 }
 
-/// Guards against innocent jobs that are given up for what ran beside them.
+/// Guards against failing innocent jobs because of what ran beside them.
 #[test]
 fn jobs_beside_a_crashing_task_complete() {
     for seed in 0..10 {
@@ -90,7 +90,8 @@
     }
 }
 
-/// Guards against owners that each begin to count anew: what a former one saw is in the job's row.
+/// Guards against each new owner counting deaths from zero. The deaths that a former owner saw are
+/// in the job's row.
 #[test]
 fn recorded_deaths_survive_a_change_of_owner() {
     let mut world = kept_world(3, 4, CrashReturn::SameId);
@@ -113,7 +114,7 @@
     assert!(deaths(&world) <= 3, "{}", deaths(&world));
 }
 
-/// Guards against tasks that are blamed for a rack that fails: its workers are lost together.
+/// Guards against blaming tasks for a failed rack, whose workers are lost together.
 #[test]
 fn a_failed_rack_blames_no_task() {
     let mut world = kept_world(4, 12, CrashReturn::SameId);
@@ -138,7 +139,7 @@
     }
 }
 
-/// Guards against tasks that are blamed for a worker which was only out of reach.
+/// Guards against blaming tasks for a worker that was only out of reach.
 #[test]
 fn a_worker_that_was_cut_off_blames_no_task() {
     let mut world = kept_world(5, 4, CrashReturn::SameId);
@@ -157,7 +158,8 @@
     assert!(row.progress.iter().all(|step| step.deaths.is_empty()));
 }
 
-/// Guards against a customer whose next tries crash further workers: a job that is known for it fails at once.
+/// Guards against a customer whose further attempts crash further workers. A job that is known for
+/// it fails at once.
 #[test]
 fn the_next_attempt_of_a_crashing_job_fails_at_once() {
     let mut world = World::new(6, 6);
@@ -177,7 +179,8 @@
     assert_eq!(world.starts_sent, before);
 }
 
-/// Traffic of which a share of one kind crashes its workers. Gives what the innocent earned, and how many of them failed.
+/// Runs traffic in which a share of the jobs of one kind crashes its workers. Returns what the
+/// innocent jobs earned and how many of them failed.
 fn replay(seed: u64, share: f64) -> (f64, usize) {
     let mut world = World::new(seed, 24);
     world.name_births();
@@ -204,8 +207,8 @@
     (credit(&innocent), failed.count())
 }
 
-/// Guards against innocent jobs that pay for crashing ones: with one crashing job in 200 of a kind they earn at least 0.95 of
-/// what they earn without.
+/// Guards against innocent jobs suffering from crashing ones. With one crashing job in 200 of a
+/// kind, they earn at least 0.95 of what they earn without.
 #[test]
 fn innocent_jobs_are_served_beside_crashing_ones() {
     let (mut with, mut without) = (0.0, 0.0);
--- a/crates/pool/tests/evacuation.rs
+++ b/crates/pool/tests/evacuation.rs
@@ -1,5 +1,5 @@
-//! A data centre is evacuated: its workers get no start by any way until it is taken back, and callers are told the truth
-//! about what waits.
+//! Evacuation of a data centre: its workers get no starts in any way until the evacuation ends, and
+//! callers of waiting jobs get correct answers.
 
 mod support;
 
@@ -25,9 +25,9 @@
     )
 }
 
-/// One job runs and another waits for its place when the data centre is evacuated. The first caller gets its answer; the
-/// second is told at once that nothing of it ran, which is true; a third finds the pool closed. After the data centre is
-/// taken back a fourth is served.
+/// One job runs and another waits when the data centre is evacuated. The first completes. The
+/// second is refused at once, which is correct since none of its tasks ran. A third is refused on
+/// arrival. After the evacuation a fourth completes.
 #[test]
 fn running_jobs_continue_and_waiting_jobs_are_refused() {
     let mut world = World::new(1, 1);
@@ -52,8 +52,9 @@
     assert_eq!(outcome(&world, fourth), Some(JobOutcome::Completed));
 }
 
-/// A job of two tasks has place for one. When the data centre is evacuated the second may not start, and as the first has
-/// begun nobody can say that nothing ran: the caller is told at once that it is unknown, and does not wait for the return.
+/// Only one of a job's two tasks has a place when the data centre is evacuated. The second may not
+/// start, and the first has begun, so nobody can say that nothing ran. The caller is told at once
+/// that the outcome is unknown instead of waiting for the end of the evacuation.
 #[test]
 fn a_started_job_that_cannot_finish_is_given_up_at_once() {
     let mut world = World::new(1, 1);
@@ -68,8 +69,8 @@
     assert_eq!(world.running(), 0, "nobody waits for it");
 }
 
-/// Starts get no answer when the data centre is evacuated. They are not sent again, whether they were carried out or not;
-/// they are stopped. A run that fails is not started again either.
+/// Starts are unanswered when the data centre is evacuated. They are not sent again, whether they
+/// were carried out or not, but stopped. A run that fails is not started again either.
 #[test]
 fn unanswered_starts_are_not_resent() {
     for seed in 0..20 {
@@ -102,8 +103,8 @@
     }
 }
 
-/// A kept job was accepted before the evacuation. It waits, since its caller was told that it will run, and runs after the
-/// return.
+/// A kept job was accepted before the evacuation. Its caller was told that it will run, so it waits
+/// and runs after the evacuation.
 #[test]
 fn a_kept_job_waits_for_the_end_of_the_evacuation() {
     let mut world = World::new(1, 1);
@@ -121,7 +122,7 @@
     assert!(row.state.is_final(), "{:?}", row.state);
 }
 
-/// A new owner of the pool is told of the evacuation before it knows a worker.
+/// A new owner of the pool is told of the evacuation before it knows any worker.
 #[test]
 fn a_new_owner_starts_nothing_while_evacuated() {
     let mut world = World::new(1, 2);
@@ -144,8 +145,9 @@
     }
 }
 
-/// Rows are read whole after the history was lost, as of version 20. What began after that is not shown, and has not ended
-/// for it; what began before and is not shown has.
+/// After a loss of the store's history, all rows are read as of version 20. An evacuation that
+/// began later is not in that snapshot and must not end because of it; one that began before and is
+/// missing has ended.
 #[test]
 fn an_older_snapshot_does_not_end_a_newer_evacuation() {
     let mut book = EvacuationBook::default();
--- a/crates/pool/tests/faults.rs
+++ b/crates/pool/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Single failures of workers and owners, one after another in simulated time.
+//! Single failures of workers and owners in simulated time.
 
 mod support;
 
@@ -21,8 +21,9 @@
         .collect()
 }
 
-/// A worker hears its owner, but none of its answers arrive. Were its leases renewed all the same, its run would never
-/// count as over, and the caller would wait until its deadline. They run out, and the task runs elsewhere.
+/// A worker receives its owner's calls, but all its answers are lost. If its leases were still
+/// renewed, its run would never count as over and the caller would wait until its deadline. The
+/// leases must expire, so that the task runs elsewhere.
 #[test]
 fn a_worker_whose_answers_are_lost_loses_its_runs() {
     let mut world = World::new(1, 1);
@@ -41,8 +42,9 @@
     assert_eq!(outcomes(&world), [(JOB, JobOutcome::Completed)]);
 }
 
-/// A new owner finds runs of the former one, and its stops do not arrive. The runs end by their leases, which it must
-/// not renew, and until then nothing may be placed beside them: what they take of the worker's room is not known.
+/// A new owner finds runs of the former one, and its stops are lost. The runs end by their leases,
+/// which the new owner must not renew. Until then nothing may be placed beside them, since the room
+/// they take is unknown.
 #[test]
 fn runs_of_a_former_owner_end_by_their_leases() {
     let mut world = World::new(1, 1);
@@ -66,8 +68,9 @@
     assert!(outcomes(&world).contains(&(JobId(3), JobOutcome::Completed)));
 }
 
-/// A customer's connection breaks, and it hands the same job in again before the runs of its first try have ended. It
-/// is told that the outcome is not known, so that it comes again later; starting at once would run tasks twice.
+/// A customer's connection breaks, and it submits the same job again before the runs of the first
+/// attempt have ended. Starting at once would run tasks twice, so the customer is told that the
+/// outcome is unknown and tries again later.
 #[test]
 fn a_resubmitted_job_does_not_run_twice_at_once() {
     let mut world = World::new(1, 4);
@@ -83,8 +86,9 @@
     assert_eq!(outcomes(&world)[1..], [(JOB, JobOutcome::Completed)]);
 }
 
-/// A worker fails whatever it is given. It is free again at once, so without a memory it would draw every task that
-/// waits until their attempts are used up, and callers would be told that jobs failed that could have been done.
+/// A worker fails every run. It is free again at once, so without suspension it would draw every
+/// waiting task until the attempts are used up, and jobs that could have been done would be
+/// reported as failed.
 #[test]
 fn a_worker_that_fails_everything_does_not_fail_jobs() {
     let mut world = World::new(3, 6);
@@ -104,8 +108,8 @@
     assert_eq!(failed, 0);
 }
 
-/// Tasks stand still on a worker that answers as ever. They are stopped once they are overdue without progress, and run
-/// elsewhere long before their callers give up.
+/// Tasks stall on a worker that still answers. They are stopped once they are overdue without
+/// progress, and run elsewhere long before their callers give up.
 #[test]
 fn stalled_tasks_are_moved() {
     let mut world = World::new(1, 1);
@@ -123,9 +127,9 @@
     assert_eq!(outcomes(&world), [(JOB, JobOutcome::Completed)]);
 }
 
-/// Another owner takes one worker of the pool, as when workers are divided anew and this owner has not heard of it yet.
-/// The job that runs there is given up, since its tasks may still run; the job on the other worker goes on, and the pool
-/// stays with its owner.
+/// Another owner takes one worker of the pool, as when workers are redistributed and this owner has
+/// not been told yet. The job that runs there is given up, since its tasks may still run. The job
+/// on the other worker continues, and the owner keeps the pool.
 #[test]
 fn a_taken_over_worker_costs_only_its_own_jobs() {
     let mut world = World::new(1, 2);
--- a/crates/pool/tests/kept.rs
+++ b/crates/pool/tests/kept.rs
@@ -1,5 +1,6 @@
-//! Kept jobs: what is stored when, and what an owner may do with jobs of a former one. The world checks at each
-//! millisecond that no task runs twice at the same time and no worker holds more than its room.
+//! Kept jobs: what is stored when, and what an owner may do with jobs of a former one. At each
+//! millisecond the simulation checks that no task runs twice at the same time and that no worker
+//! exceeds its room.
 
 mod support;
 
@@ -15,7 +16,7 @@
     world
 }
 
-/// The runs of all workers that ended as done, for each task.
+/// The number of runs that ended as done, for each task, over all workers.
 fn done_runs(world: &World) -> Vec<usize> {
     let mut counts = std::collections::BTreeMap::new();
     for worker in world.workers.values() {
@@ -30,8 +31,8 @@
     world.rows.get(&JOB).map(|(row, _)| row.state)
 }
 
-/// The customer is told that its job is accepted once it is stored, and no task starts before: an owner that dies in
-/// between leaves either nothing behind or a job that its successor finds.
+/// The customer is told that its job is accepted once it is stored, and no task starts before. An
+/// owner that dies in between leaves either nothing behind or a job that its successor finds.
 #[test]
 fn nothing_starts_before_the_job_is_stored() {
     let mut world = world(2);
@@ -48,8 +49,9 @@
     assert_eq!(done_runs(&world), [1, 1, 1]);
 }
 
-/// The owner dies while a job runs. Its successor reads the job, stops what runs, counts the ends that the workers still
-/// list, and starts only what is not done: the customer sees its job completed, and no task is done twice.
+/// The owner dies while a job runs. Its successor loads the job, stops what runs, counts the ends
+/// that the workers still list, and starts only what is not done. The job completes, and no task is
+/// done twice.
 #[test]
 fn a_new_owner_resumes_found_jobs() {
     for death in [5, 40, 80, 120, 160, 200, 260] {
@@ -72,8 +74,8 @@
     }
 }
 
-/// A worker cannot be reached by the new owner, while the former one may still renew what runs there. The job waits until
-/// that surely is over and then runs elsewhere.
+/// The new owner cannot reach a worker whose runs the former owner may still renew. The job waits
+/// until those runs are certainly over, and then runs elsewhere.
 #[test]
 fn a_new_owner_waits_for_a_worker_that_it_cannot_reach() {
     let mut world = world(2);
@@ -95,8 +97,8 @@
     assert_eq!(state(&world), Some(KeptState::Completed));
 }
 
-/// The process stands still, lets go of its jobs and finds them again in the store. Runs that it had ordered are being
-/// stopped meanwhile: their tasks wait once and not twice.
+/// The process stalls, releases its jobs and loads them again from the store, while the runs that
+/// it had ordered are being stopped. The tasks of those runs must wait once and not twice.
 #[test]
 fn a_released_and_reloaded_job_runs_once() {
     for pause in [20, 60, 100, 150] {
@@ -119,8 +121,8 @@
     }
 }
 
-/// The store is away for longer than an owner may go on without it: it may have been replaced. Its kept jobs stop, and go
-/// on when the store is back.
+/// The store is unavailable for longer than an owner may continue without it, since it may have
+/// been replaced. Its kept jobs stop, and resume when the store is back.
 #[test]
 fn kept_jobs_stop_without_the_store_and_resume_later() {
     let mut world = world(2);
@@ -135,8 +137,9 @@
     assert_eq!(state(&world), Some(KeptState::Completed));
 }
 
-/// A task fails on its first run. The failure is stored before it is acknowledged, and an owner that finds it in both the
-/// row and the worker's list counts it once: the job fails after as many runs as its route allows, not sooner.
+/// A task fails on its first run. The failure is stored before it is acknowledged, and an owner
+/// that finds it both in the row and in the worker's list counts it once, so the job does not fail
+/// before its route's attempts are used up.
 #[test]
 fn a_failed_run_counts_once_over_owners() {
     let mut world = world(1);
@@ -158,7 +161,7 @@
     assert_eq!(state(&world), Some(KeptState::Completed));
 }
 
-/// A customer cancels its job: what runs is stopped and nothing of it starts again.
+/// A customer cancels its job: its runs are stopped, and none of its tasks starts again.
 #[test]
 fn a_cancelled_job_stops() {
     let mut world = world(2);
@@ -172,8 +175,9 @@
     assert_eq!(done_runs(&world), [0; 0]);
 }
 
-/// Hundreds of kept jobs wait, more than the pool can do for long. A new job is refused without trying out all of them,
-/// which would take the owner's processor for so long that others count it as silent.
+/// Hundreds of kept jobs wait, more than the pool can finish in a long time. A new job must be
+/// refused without simulating all of them, which would occupy the owner's processor for so long
+/// that others count it as silent.
 #[test]
 fn a_long_queue_is_not_simulated() {
     let mut world = world(4);
@@ -186,9 +190,10 @@
     assert!(each.as_millis() < 10, "{each:?} for an admission");
 }
 
-/// The process stands still while a write of a job is under way, and lets the job go. The answer to that write comes after
-/// the job was found again and ends of it are being stored: it must not be taken for theirs, or the worker forgets ends
-/// that no row has, and an owner that comes then runs their tasks again.
+/// The process stalls while a write of a job is in flight, and releases the job. The write's answer
+/// comes after the job was loaded again and while ends of it are being stored. If it were taken for
+/// the answer to that later write, the worker would forget ends that no row has, and the next owner
+/// would run their tasks again.
 #[test]
 fn an_answer_to_a_stale_write_is_ignored() {
     let mut world = world(2);
@@ -219,8 +224,8 @@
     assert_eq!(done_runs(&world), [1, 1]);
 }
 
-/// Kept jobs are stopped, since the store has not shown for too long that the claim stands, while an order to start a task
-/// has not been sent yet. The task waits again with the others; forgotten, its job would never end.
+/// The store has not confirmed the claim for too long, so kept jobs are stopped while a start is
+/// queued but not sent. Its task must be requeued with the others; otherwise the job never ends.
 #[test]
 fn a_task_whose_start_was_not_sent_is_requeued() {
     for late in [880, 900, 920, 940, 960, 980] {
--- a/crates/pool/tests/rebirth.rs
+++ b/crates/pool/tests/rebirth.rs
@@ -1,5 +1,5 @@
-//! Workers die and start again under their id. Checked at every millisecond: no worker holds more than its room, no task runs
-//! twice at the same time.
+//! Workers die and restart under the same id. At every millisecond the simulation checks that no
+//! worker exceeds its room and that no task runs twice at the same time.
 
 mod support;
 
@@ -24,7 +24,7 @@
     result.map(|result| result.outcome)
 }
 
-/// Ends some jobs, so that the worker's ends have numbers above 1.
+/// Completes some jobs, so that the worker's end numbers are above 1.
 fn complete_some_jobs(world: &mut World, first: u64) {
     for number in first..first + 5 {
         let id = JobId(number);
@@ -34,8 +34,9 @@
     }
 }
 
-/// The worker dies with a task on it and is back at once. Its listing no longer has the run; the task runs again in the new
-/// life, and its end has the number 1, which the former life's ends have long passed. The caller gets its answer.
+/// A worker dies with a task and restarts at once. Its listing no longer has the run, so the task
+/// runs again in the new life. Its end has the number 1, which the former life's ends have long
+/// passed, and must be processed all the same.
 #[test]
 fn a_task_that_died_with_its_worker_runs_again() {
     let mut world = world_with_births(1, 1);
@@ -49,8 +50,9 @@
     complete_some_jobs(&mut world, 20);
 }
 
-/// An idle worker dies and is back, and nobody is told. The next job's start reaches the new life, whose first end must be
-/// heard: acknowledged by the former life's numbers it would never be listed, and the caller would wait for nothing.
+/// An idle worker dies and restarts without notice. The next job's start reaches the new life,
+/// whose first end must be processed: if it were acknowledged by the former life's numbers, it
+/// would never be listed and the caller would wait in vain.
 #[test]
 fn the_first_ends_of_a_new_life_are_processed() {
     let mut world = world_with_births(1, 1);
@@ -63,8 +65,8 @@
     complete_some_jobs(&mut world, 1_000);
 }
 
-/// The directory tells of a new life before the worker has listed anything. Nothing starts there until it has: a moment
-/// later it serves.
+/// The directory announces a new life before the worker has listed anything. Nothing is started
+/// there until it has answered a poll; soon after, it runs tasks.
 #[test]
 fn a_new_life_in_the_directory_is_polled_first() {
     let mut world = world_with_births(1, 1);
@@ -76,8 +78,9 @@
     complete_some_jobs(&mut world, 20);
 }
 
-/// The directory still tells of the former life, as it does for up to a heartbeat, after the worker has listed its new one. The
-/// worker goes on serving: an older entry must not stop it, however often it is told.
+/// The directory still has the entry of the former life, as it may for up to a heartbeat, after the
+/// worker has listed its new one. The outdated entry must not stop the worker, however often it is
+/// repeated.
 #[test]
 fn an_outdated_entry_does_not_stop_a_worker() {
     let mut world = world_with_births(1, 1);
@@ -96,8 +99,9 @@
     }
 }
 
-/// Starts get no answer, the worker dies, and seconds later it is handed the starts that were meant for its former life, whose
-/// leases its new clock cannot judge. By then it has been shown a fence that is higher than theirs, and does nothing for them.
+/// Starts go unanswered, the worker restarts, and seconds later it receives the starts that were
+/// meant for its former life, whose leases its new clock cannot judge. By then it has seen a higher
+/// fence and ignores them.
 #[test]
 fn late_starts_of_a_former_life_are_fenced_out() {
     for seed in 0..20 {
@@ -124,8 +128,8 @@
     }
 }
 
-/// Workers are reborn again and again among lost answers, silence and failures; some of it the directory tells late. Every job
-/// gets an answer and nothing is left running.
+/// Workers restart again and again amid lost answers, silence and failures, and the directory
+/// reports some restarts late. Every job gets an answer and nothing is left running.
 #[test]
 fn no_task_runs_twice_while_workers_restart() {
     for seed in 0..60 {
@@ -167,9 +171,10 @@
     }
 }
 
-/// Kept jobs, whose ends stand for good once they are acknowledged, while workers are reborn and nothing else is wrong. No task
-/// starts after its end, and all jobs end. A worker that is back sooner than any process can start could be handed the
-/// acknowledgement that its former life was sent, and would never list as many of its own ends.
+/// Kept jobs, whose acknowledged ends are final, while workers restart and nothing else fails. No
+/// task starts after its end, and all jobs end. Workers restart no faster than a process can start:
+/// a faster one could receive the acknowledgement that was sent to its former life, and would never
+/// list that many of its own ends.
 #[test]
 fn acknowledged_ends_of_kept_jobs_are_not_lost() {
     for seed in 0..40 {
--- a/crates/pool/tests/room.rs
+++ b/crates/pool/tests/room.rs
@@ -1,5 +1,6 @@
-//! Workers whose room shrinks and grows while they run. Checked at each start: what runs on the worker, what is being stopped
-//! included, fits with it into the room that its owner was told of.
+//! Workers whose room shrinks and grows while they have runs. At each start the simulation checks
+//! that the worker's runs, including those being stopped, fit with the new one into the room that
+//! its owner was told of.
 
 mod support;
 
@@ -22,7 +23,7 @@
     matches!(outcome, Some(JobOutcome::Refused { kind, .. }) if kind == expected)
 }
 
-/// Guards against starts that were placed before a worker shrank and leave afterwards.
+/// Guards against starts that were placed before a worker shrank and are sent afterwards.
 #[test]
 fn unsent_starts_are_withdrawn_from_a_shrunk_worker() {
     let mut world = World::new(1, 1);
@@ -36,7 +37,8 @@
     assert_eq!(outcome(&world, job), Some(JobOutcome::Completed));
 }
 
-/// Guards against a start without an answer that is sent again to a worker which has shrunk meanwhile.
+/// Guards against an unanswered start that is sent again to a worker that has shrunk in the
+/// meantime.
 #[test]
 fn lost_starts_are_not_resent_beyond_the_room() {
     let mut world = World::new(2, 1);
@@ -53,7 +55,8 @@
     assert_eq!(outcome(&world, first), Some(JobOutcome::Completed));
 }
 
-/// Guards against a job that waits until its deadline for a place which no worker has any more: its caller is told at once.
+/// Guards against a job that waits until its deadline for room that no worker has any more. Its
+/// caller is told at once.
 #[test]
 fn a_job_that_no_worker_can_hold_any_more_is_refused() {
     let mut world = World::new(3, 1);
@@ -73,7 +76,8 @@
     assert_eq!(outcome(&world, small), Some(JobOutcome::Completed));
 }
 
-/// Guards against a job that is admitted for room which comes free on a worker that is over its room: it would be late.
+/// Guards against admitting a job because of runs that end on a worker that is still over its room.
+/// The job would be late.
 #[test]
 fn room_of_an_overcommitted_worker_is_not_promised() {
     let mut world = World::new(4, 1);
@@ -86,7 +90,8 @@
     assert!(is_refused(outcome(&world, JobId(3)), RefusalKind::TooLate));
 }
 
-/// Guards against a worker without room, or with more than any worker has, that costs more than its own places.
+/// Guards against a worker with no room, or with more room than any real worker, that affects more
+/// than its own runs.
 #[test]
 fn any_room_size_is_handled() {
     for cpu in [0, 1, WHOLE_WORKER, 1 << 50, u64::MAX] {
@@ -105,7 +110,8 @@
     }
 }
 
-/// Guards against any order of changes, faults and owners in which a start goes beyond a room.
+/// Guards against any sequence of room changes, faults and owners in which a start exceeds a
+/// worker's room.
 #[test]
 fn no_start_exceeds_a_changing_room() {
     for seed in 0..60 {
