--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -118,7 +118,7 @@
     pub platform_millis: u64,
     /// How many times as long a task takes away from its data's rack.
     pub far_factor: f64,
-    /// Whether its data centre is evacuated.
+    /// Whether the pool's data centre is evacuated.
     pub evacuated: bool,
     /// Times and limits.
     pub settings: PoolSettings,
@@ -127,19 +127,19 @@
 impl WorkerPool {
     /// Creates a pool that was just taken over. Its workers have to be added by
     /// [`Self::upsert_worker`].
-    pub fn new(start: PoolInit, now: Instant) -> Self {
+    pub fn new(init: PoolInit, now: Instant) -> Self {
         Self {
-            settings: start.settings,
-            fence: start.fence,
+            settings: init.settings,
+            fence: init.fence,
             clock_origin: now,
-            run_number_base: start.platform_millis,
+            run_number_base: init.platform_millis,
             last_run_number: 0,
-            far_factor: start.far_factor,
+            far_factor: init.far_factor,
             median_slowness: 1.0,
             accepting: true,
-            evacuated: start.evacuated,
+            evacuated: init.evacuated,
             recent_offers: Vec::new(),
-            name: start.name,
+            name: init.name,
             last_missed_answer: None,
             answer_times: AnswerTimes::default(),
             start_window: StartWindow::default(),
--- a/crates/pool/src/pool/admit.rs
+++ b/crates/pool/src/pool/admit.rs
@@ -340,15 +340,15 @@
         let rank = entry.rank(now);
         let running = self.remaining_step_times(now);
         let unplaced = self.unplaced_jobs(now, &terms.service);
-        let position = unplaced.partition_point(|(other, _)| *other < rank);
-        if position >= MAX_SIMULATED_JOBS {
+        let queue_position = unplaced.partition_point(|(other, _)| *other < rank);
+        if queue_position >= MAX_SIMULATED_JOBS {
             return None;
         }
         let simulated = unplaced.iter().take(MAX_SIMULATED_JOBS);
         let mut behind: Vec<ForecastJob> = simulated
             .map(|(_, id)| self.forecast_job(now, *id, &running))
             .collect();
-        let before: Vec<ForecastJob> = behind.drain(..position).collect();
+        let before: Vec<ForecastJob> = behind.drain(..queue_position).collect();
         let steps = request.steps.iter();
         let steps = steps.map(|spec| self.forecast_step(terms, spec, spec.count as usize));
         let new = ForecastJob {
--- a/crates/pool/src/pool/crash_blame.rs
+++ b/crates/pool/src/pool/crash_blame.rs
@@ -160,12 +160,12 @@
             .values()
             .filter(|worker| worker.is_open() && !worker.runs.iter().any(|run| run.alone));
         let mut open: Vec<&WorkerLedger> = open.collect();
-        let most = (open.len() / MAX_RESERVED_DIVISOR).max(1);
+        let max_reserved = (open.len() / MAX_RESERVED_DIVISOR).max(1);
         open.sort_by_key(|worker| {
             let was_reserved = former.contains(&worker.record.life);
             (worker.runs.len(), !was_reserved)
         });
-        let reserved = open.iter().take(waiting.min(most));
+        let reserved = open.iter().take(waiting.min(max_reserved));
         self.reserved_for_suspects = reserved.map(|worker| worker.record.life.clone()).collect();
     }
 
--- a/crates/pool/src/pool/kept_jobs.rs
+++ b/crates/pool/src/pool/kept_jobs.rs
@@ -240,12 +240,12 @@
             .into_iter()
             .partition(|end| end.revision <= written);
         kept.ends = later;
-        let over = kept.end.filter(|_| kept.stored >= kept.revision);
+        let final_state = kept.end.filter(|_| kept.stored >= kept.revision);
         self.release_ends(&stored, written);
         for waiter in waiters {
             self.answer(waiter, JobOutcome::Accepted);
         }
-        if let Some(state) = over {
+        if let Some(state) = final_state {
             self.jobs.remove(&id);
             self.recently_ended_kept.insert(id, now);
             self.notes.push(PoolNote::KeptEnded { job: id, state });
