--- a/crates/pool/src/pool/admit.rs
+++ b/crates/pool/src/pool/admit.rs
@@ -33,8 +33,8 @@
 /// The minimum share of a pool's capacity that must be free to admit a job that will be late.
 const MIN_IDLE_SHARE: f64 = 0.4;
 
-/// The maximum forecast time of such a job, as a multiple of its predicted time. A longer forecast
-/// means that the job would have to wait for capacity.
+/// The maximum forecast time of an admitted late job, as a multiple of its predicted time. A longer
+/// forecast means that the job would have to wait for capacity.
 const LATE_JOB_MAX_SLOWDOWN: f64 = 1.3;
 
 /// The maximum predicted time of a late job, as a share of the time after which its answer is
--- a/crates/pool/src/pool/schedule.rs
+++ b/crates/pool/src/pool/schedule.rs
@@ -16,7 +16,8 @@
 };
 
 /// The smoothed answer time above which a worker may have several orders in flight, each on its own
-/// connection: a tenth of the time that jobs of the shortest class have beside their work.
+/// connection: a tenth of the time that jobs of the shortest class have in addition to their run
+/// time.
 const SLOW_ANSWER_TIME: Duration = Duration::from_millis(8);
 
 /// The maximum number of orders in flight to one worker while answers are slow: as many as a worker
@@ -29,7 +30,7 @@
         self.end_overdue_jobs(now);
         self.tick_kept(now);
         self.end_evacuated_jobs(now);
-        self.expire_silent_workers(now);
+        self.expire_silent_leases(now);
         self.remove_unlisted_workers(now);
         self.update_median_slowness(now);
         self.prune_crashes(now);
@@ -292,7 +293,7 @@
     }
 
     /// Requeues the runs of silent workers once their leases have certainly expired.
-    fn expire_silent_workers(&mut self, now: Instant) {
+    fn expire_silent_leases(&mut self, now: Instant) {
         let owner_millis = self.owner_millis(now);
         let mut lapsed = Vec::new();
         for (life, worker) in &self.workers {
--- a/crates/pool/src/pool/takeover.rs
+++ b/crates/pool/src/pool/takeover.rs
@@ -96,8 +96,8 @@
         for (step, record) in row.progress.iter().enumerate() {
             job.take_record(step, record);
         }
-        // Tasks of runs that this owner ordered before it released the job do not wait until the
-        // runs end.
+        // This owner may have ordered runs of the job before it released it. Their tasks do not
+        // wait until those runs have ended.
         for worker in self.workers.values() {
             for run in worker.runs.iter().filter(|run| run.task.job == id) {
                 job.leave_out(run.task.step as usize, run.task.index);
@@ -239,7 +239,7 @@
         self.sole_owner_since = now;
     }
 
-    /// Requests that the kept jobs are loaded again, and with them the ends that workers list.
+    /// Has the kept jobs loaded again, and with them the ends that workers list.
     pub(super) fn request_kept_reload(&mut self) {
         self.kept_loaded = false;
         for worker in self.workers.values_mut() {
