--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -193,7 +193,7 @@
         self.accepting
     }
 
-    /// Accepts new jobs again, if no other owner has taken the pool over.
+    /// Accepts new jobs again, because no other owner has taken the pool over.
     pub fn resume_accepting(&mut self) {
         self.accepting = true;
         // Waiting kept jobs were released in the meantime and have to be loaded from the store
--- a/crates/pool/src/pool/takeover.rs
+++ b/crates/pool/src/pool/takeover.rs
@@ -265,17 +265,17 @@
             return;
         };
         let waits = progress.waiting.iter().position(|w| w.index == task.index);
-        let Some(position) = waits else {
+        let Some(waiting_index) = waits else {
             return;
         };
         match end.cause {
             EndCause::Done => {
-                progress.waiting.swap_remove(position);
+                progress.waiting.swap_remove(waiting_index);
                 self.record_end(task, life, end);
                 self.advance_job(now, task.job);
             }
             EndCause::Failed => {
-                progress.waiting[position].failures += 1;
+                progress.waiting[waiting_index].failures += 1;
                 let attempts = job.terms.attempts;
                 if self.record_end(task, life, end) >= attempts {
                     self.end_kept(now, task.job, KeptState::Failed);
