--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -13,7 +13,7 @@
 use peer::{JobCall, PoolService};
 use platform::RowVersion;
 use platform_adapter::{RowWrite, StoreTable, Transaction, TransactionOutcome};
-use pool::{PoolAction, PoolStart, WaiterId, WorkerPool};
+use pool::{PoolAction, PoolInit, WaiterId, WorkerPool};
 use telemetry::{EventKind, EventLine};
 use tokio::{net::TcpStream, sync::oneshot, time::timeout};
 
@@ -107,7 +107,7 @@
             PoolAction::Poll(order) => {
                 let answer = state.workers.poll(&order).await;
                 with_fenced(&state, &id, fence, |pool, now| {
-                    pool.on_look_answer(now, sent, &order, answer);
+                    pool.on_poll_answer(now, sent, &order, answer);
                 });
             }
             PoolAction::Answer { .. } | PoolAction::ReleasePool | PoolAction::WriteKeptJob(_) => (),
@@ -176,13 +176,13 @@
 /// All claims up to a version of the store are known: the pools that are still this node's have no later owner up to it.
 pub(crate) fn note_sole_owner(state: &NodeState, version: u64) {
     for owned in state.pools.borrow_mut().values_mut() {
-        owned.pool.note_sole_owner(version);
+        owned.pool.note_no_later_claim(version);
     }
 }
 
 fn take_up(state: &Rc<NodeState>, id: &PoolId, version: RowVersion, store_clock: Duration) {
-    let start = PoolStart {
-        home: Arc::from(id.to_string()),
+    let start = PoolInit {
+        name: Arc::from(id.to_string()),
         fence: FenceToken(version.0),
         platform_millis: u64::try_from(store_clock.as_millis()).unwrap_or(u64::MAX),
         far_factor: state.settings.far_factor,
@@ -243,7 +243,7 @@
             }
         }
     }
-    with_pool(state, id, |pool, now| pool.put_worker(now, worker));
+    with_pool(state, id, |pool, now| pool.upsert_worker(now, worker));
 }
 
 /// Tells a pool whether a former owner still finishes jobs of it.
@@ -255,7 +255,7 @@
     let filled = !state.unfilled.borrow().contains(id);
     let listed = filled && !state.directory.borrow().is_doubtful(state.now());
     with_pool(state, id, |pool, now| {
-        pool.set_surroundings(now, shared, listed);
+        pool.set_takeover_state(now, shared, listed);
     });
 }
 
@@ -282,7 +282,7 @@
         });
     }
     for worker in free {
-        with_pool(state, id, |pool, now| pool.put_worker(now, worker));
+        with_pool(state, id, |pool, now| pool.upsert_worker(now, worker));
     }
 }
 
@@ -325,7 +325,7 @@
     }
     if now >= since + YIELD_LIMIT {
         *state.yielding.borrow_mut() = None;
-        with_pool(state, &id, |pool, _| pool.accept_again());
+        with_pool(state, &id, |pool, _| pool.resume_accepting());
         let workers = state.directory.borrow().of_pool(&id);
         for worker in workers {
             put_worker(state, &id, worker);
@@ -338,7 +338,7 @@
     if let Some(owned) = state.pools.borrow_mut().get_mut(id) {
         owned.awaited.remove(life);
     }
-    with_pool(state, id, |pool, now| pool.drop_worker(now, life));
+    with_pool(state, id, |pool, now| pool.unlist_worker(now, life));
 }
 
 /// Carries out what the claim keeper asks for.
--- a/crates/pool/benches/admission.rs
+++ b/crates/pool/benches/admission.rs
@@ -11,7 +11,7 @@
     CpuMillis, FenceToken, JobId, JobRequest, JobTerms, LifeId, MemoryMegabytes, ResourceDemand,
     ServiceId, StepSpec, WorkerClock, WorkerListing, WorkerRecord, WorkerState,
 };
-use pool::{PoolAction, PoolSettings, PoolStart, WaiterId, WorkerPool};
+use pool::{PoolAction, PoolInit, PoolSettings, WaiterId, WorkerPool};
 
 const WORKERS: usize = 60;
 const WAITING: [u64; 3] = [0, 20, 60];
@@ -73,8 +73,8 @@
 
 /// A pool whose room is all taken, with `waiting` jobs waiting.
 fn busy_pool(now: Instant, waiting: u64) -> WorkerPool {
-    let start = PoolStart {
-        home: Arc::from("east/0"),
+    let start = PoolInit {
+        name: Arc::from("east/0"),
         fence: FenceToken(1),
         platform_millis: 1,
         far_factor: 2.0,
@@ -83,7 +83,7 @@
     };
     let mut pool = WorkerPool::new(start, now);
     for number in 0..WORKERS {
-        pool.put_worker(now, record(number));
+        pool.upsert_worker(now, record(number));
     }
     for action in pool.take_actions() {
         if let PoolAction::Poll(order) = action {
@@ -91,7 +91,7 @@
                 clock: WorkerClock(1_000),
                 ..WorkerListing::default()
             };
-            pool.on_look_answer(now, now, &order, Ok(listing));
+            pool.on_poll_answer(now, now, &order, Ok(listing));
         }
     }
     let job_count = 20 + waiting;
--- a/crates/pool/src/action.rs
+++ b/crates/pool/src/action.rs
@@ -135,7 +135,7 @@
     Start(StartOrder),
     /// Send a stop; its answer goes to `on_stop_answer`.
     Stop(StopOrder),
-    /// Send a poll; its answer goes to `on_look_answer`.
+    /// Send a poll; its answer goes to `on_poll_answer`.
     Poll(PollOrder),
     /// Tell an entry how its job ended.
     Answer {
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -41,7 +41,7 @@
     admission::PoolLoad,
     evacuation::{EvacuationChange, EvacuationSet},
     kept::{FoundJob, KeptWrite, KeptWriteResult},
-    pool::{PoolStart, WorkerPool},
+    pool::{PoolInit, WorkerPool},
     pool_choice::{divide_step, order_pools, PoolCandidate},
     settings::PoolSettings,
     time_budget::{BudgetTracker, RouteBudget},
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -1,13 +1,13 @@
-//! The pool itself: its state and what comes from entries and from the directory.
+//! The worker pool: its state, requests from entries and updates from the worker directory.
 
 mod admit;
 mod answers;
-mod crashing;
+mod crash_blame;
 mod evacuating;
-mod keeping;
-mod looks;
-mod rebirth;
+mod kept_jobs;
+mod polls;
 mod resizing;
+mod restart;
 mod schedule;
 mod takeover;
 
@@ -37,122 +37,125 @@
     worker::{QueuedOrder, RunPhase, TrackedWorker},
 };
 
-/// How long a worker may be missing from the directory while it still has runs, which end by themselves.
-const UNLISTED_LIMIT: Duration = Duration::from_secs(10);
+/// How long a worker that is missing from the directory is kept while it still has runs, which end
+/// by themselves.
+const UNLISTED_WORKER_GRACE: Duration = Duration::from_secs(10);
 
-/// The shortest time after which a refused customer is told to come back: what is told is in whole seconds.
-const SHORTEST_RETRY: Duration = Duration::from_secs(1);
+/// The minimum retry delay that a refused customer is told, which is sent in whole seconds.
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The longest time after which a refused customer is told to come back. Bursts last seconds.
-const LONGEST_RETRY: Duration = Duration::from_secs(5);
+/// The maximum retry delay that a refused customer is told. Bursts last seconds.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// Starts that may be sent again at any time, beside the share of those sent first: a few connections that went silent at
-/// once.
-const REPEATS_AT_ONCE: f64 = 12.0;
+/// The maximum number of starts that may be resent at once, enough for a few connections that go
+/// silent together. Each order sent refills this budget by a share of a start.
+const RESEND_BURST: f64 = 12.0;
 
 /// The owner's view of one pool of workers.
 pub struct WorkerPool {
     settings: PoolSettings,
     fence: FenceToken,
-    /// When the pool was taken over; owner times are counted from here.
-    origin: Instant,
-    /// The platform's clock at `origin`, in milliseconds. Run numbers are times on that clock, so that they rise over
-    /// owners without being stored.
-    run_base: u64,
-    last_run: u64,
+    /// When the pool was taken over. The owner's clock counts from here.
+    clock_origin: Instant,
+    /// The platform's clock at `clock_origin`, in milliseconds. Run numbers are times on that
+    /// clock, so that they increase across owners without being stored.
+    run_number_base: u64,
+    last_run_number: u64,
     far_factor: f64,
     /// The median slowness of its workers, as of the last tick.
     median_slowness: f64,
     accepting: bool,
-    /// Whether its data centre is evacuated: its workers get no start.
+    /// Whether the pool's data centre is evacuated. Its workers then get no starts.
     evacuated: bool,
-    /// Offers made just now: when, and of how many tasks.
-    offered: Vec<(Instant, u32)>,
-    /// Its name, which the rows of its kept jobs have.
-    home: Arc<str>,
-    /// When a worker's answer was last missed.
-    lost_answer: Option<Instant>,
+    /// The offers of the last moments: when each was made, and for how many tasks.
+    recent_offers: Vec<(Instant, u32)>,
+    /// The pool's name, which is stored in the rows of its kept jobs.
+    name: Arc<str>,
+    /// When a worker last failed to answer a poll.
+    last_missed_answer: Option<Instant>,
     /// How long workers take to answer starts.
-    answers: AnswerTimes,
-    /// How many starts may be under way.
-    window: StartWindow,
-    /// How many starts may be sent again at present.
-    repeats: f64,
-    /// When the last call was sent by which the store has shown that the claim stands.
-    store_contact: Option<Instant>,
-    /// Whether its kept jobs have been read. Until then no end is acknowledged: it may be one of theirs.
+    answer_times: AnswerTimes,
+    /// Limits how many starts may be in flight.
+    start_window: StartWindow,
+    /// How many starts may be resent at present.
+    resend_budget: f64,
+    /// When the last call was sent with which the store confirmed this owner's claim.
+    last_store_contact: Option<Instant>,
+    /// Whether the kept jobs have been loaded from the store. Until then no end is acknowledged,
+    /// since it may belong to one of them.
     kept_loaded: bool,
-    /// Kept jobs that ended lately, and when.
-    ended_kept: FastMap<JobId, Instant>,
-    /// Whether a former owner still finishes jobs of it.
-    awaiting: bool,
+    /// Kept jobs that ended recently, and when.
+    recently_ended_kept: FastMap<JobId, Instant>,
+    /// Whether a former owner is still finishing jobs of the pool.
+    predecessor_active: bool,
     /// Whether all workers that a former owner may have used are known.
-    all_listed: bool,
-    /// Since when none has, at the earliest.
-    alone_since: Instant,
-    /// Up to which version of the store no later claim of the pool was made.
-    sole_until: u64,
+    all_workers_known: bool,
+    /// The last time at which another owner may have been active.
+    sole_owner_since: Instant,
+    /// The store version up to which no later claim of the pool was made.
+    no_later_claim_until: u64,
     workers: BTreeMap<LifeId, TrackedWorker>,
     jobs: FastMap<JobId, TrackedJob>,
     queue: JobQueue,
-    /// Tasks under which workers were lost.
+    /// Losses of workers, and the tasks suspected of causing them.
     crashes: CrashTracker,
-    /// Workers that are emptied for suspects.
-    cleared: Vec<LifeId>,
+    /// Workers that are being emptied so that crash suspects can run alone on them.
+    reserved_for_suspects: Vec<LifeId>,
     estimates: EstimateCorrections,
     arrivals: ArrivalStats,
     actions: Vec<PoolAction>,
     notes: Vec<PoolNote>,
 }
 
-/// What a new owner starts with.
+/// The initial state of a pool under a new owner.
 #[derive(Clone, Debug)]
-pub struct PoolStart {
+pub struct PoolInit {
     /// The pool's name.
-    pub home: Arc<str>,
-    /// The fence, from the claim.
+    pub name: Arc<str>,
+    /// The fence that the claim has given this owner.
     pub fence: FenceToken,
     /// The platform's clock, in milliseconds.
     pub platform_millis: u64,
     /// How many times as long a task takes away from its data's rack.
     pub far_factor: f64,
-    /// Whether its data centre is evacuated.
+    /// Whether the pool's data centre is evacuated.
     pub evacuated: bool,
     /// Times and limits.
     pub settings: PoolSettings,
 }
 
 impl WorkerPool {
-    /// A pool just taken over. Its workers have to be told by [`Self::put_worker`].
-    pub fn new(start: PoolStart, now: Instant) -> Self {
+    /// Creates a pool that was just taken over. Its workers have to be added by
+    /// [`Self::upsert_worker`].
+    pub fn new(init: PoolInit, now: Instant) -> Self {
         Self {
-            settings: start.settings,
-            fence: start.fence,
-            origin: now,
-            run_base: start.platform_millis,
-            last_run: 0,
-            far_factor: start.far_factor,
+            settings: init.settings,
+            fence: init.fence,
+            clock_origin: now,
+            run_number_base: init.platform_millis,
+            last_run_number: 0,
+            far_factor: init.far_factor,
             median_slowness: 1.0,
             accepting: true,
-            evacuated: start.evacuated,
-            offered: Vec::new(),
-            home: start.home,
-            lost_answer: None,
-            answers: AnswerTimes::default(),
-            window: StartWindow::default(),
-            repeats: REPEATS_AT_ONCE,
-            store_contact: Some(now),
+            evacuated: init.evacuated,
+            recent_offers: Vec::new(),
+            name: init.name,
+            last_missed_answer: None,
+            answer_times: AnswerTimes::default(),
+            start_window: StartWindow::default(),
+            resend_budget: RESEND_BURST,
+            last_store_contact: Some(now),
             kept_loaded: false,
-            ended_kept: FastMap::default(),
-            awaiting: false,
-            all_listed: false,
-            alone_since: now,
-            sole_until: 0,
+            recently_ended_kept: FastMap::default(),
+            predecessor_active: false,
+            all_workers_known: false,
+            sole_owner_since: now,
+            no_later_claim_until: 0,
             workers: BTreeMap::new(),
             jobs: FastMap::default(),
             queue: JobQueue::default(),
             crashes: CrashTracker::default(),
-            cleared: Vec::new(),
+            reserved_for_suspects: Vec::new(),
             estimates: EstimateCorrections::default(),
             arrivals: ArrivalStats::default(),
             actions: Vec::new(),
@@ -160,7 +163,7 @@
         }
     }
 
-    /// The fence under which it acts.
+    /// The fence under which this owner acts.
     pub fn fence(&self) -> FenceToken {
         self.fence
     }
@@ -170,53 +173,56 @@
         self.jobs.len()
     }
 
-    /// What is to be sent, in order.
+    /// Takes the pending actions, in order.
     pub fn take_actions(&mut self) -> Vec<PoolAction> {
         std::mem::take(&mut self.actions)
     }
 
-    /// What was decided and learned, in order.
+    /// Takes the pending notes for the log, in order.
     pub fn take_notes(&mut self) -> Vec<PoolNote> {
         std::mem::take(&mut self.notes)
     }
 
-    /// Takes no more new jobs; those it has go on.
+    /// Stops accepting new jobs. Jobs that were admitted continue.
     pub fn stop_accepting(&mut self) {
         self.accepting = false;
     }
 
-    /// Whether it takes new jobs.
+    /// Whether the pool accepts new jobs.
     pub fn is_accepting(&self) -> bool {
         self.accepting
     }
 
-    /// Takes new jobs again: nobody took the pool over.
-    pub fn accept_again(&mut self) {
+    /// Accepts new jobs again, because no other owner has taken the pool over.
+    pub fn resume_accepting(&mut self) {
         self.accepting = true;
-        // It has let go of kept jobs that waited, and finds them in the store.
-        self.unload_kept();
+        // Waiting kept jobs were released in the meantime and have to be loaded from the store
+        // again.
+        self.request_kept_reload();
     }
 
-    /// Lets go of workers that its jobs do not use, so that its successor takes them. As long as tasks wait, all are
-    /// kept: the next free place may be on any of them.
-    pub fn release_idle(&mut self) {
+    /// Once the pool accepts no new jobs, releases the workers that its jobs do not use, so that
+    /// its successor takes them. While tasks wait, all workers are kept, since the next free
+    /// capacity may be on any of them.
+    pub fn release_idle_workers(&mut self) {
         if self.accepting || self.queue.jobs().next().is_some() {
             return;
         }
         self.workers.retain(|_, worker| !worker.is_idle());
     }
 
-    /// Whether it has the worker.
+    /// Whether the pool has the worker.
     pub fn has_worker(&self, life: &LifeId) -> bool {
         self.workers.contains_key(life)
     }
 
-    /// The workers that it has.
+    /// The workers of the pool.
     pub fn worker_lives(&self) -> Vec<LifeId> {
         self.workers.keys().cloned().collect()
     }
 
-    /// Takes a job for a waiting entry, or answers it with a refusal. The same job again joins the first.
+    /// Admits a job for a waiting entry, or answers with a refusal. A job that is submitted again
+    /// joins its first submission.
     pub fn submit(
         &mut self,
         now: Instant,
@@ -229,7 +235,8 @@
                 self.answer(waiter, JobOutcome::Accepted);
                 return;
             }
-            // Another part of the same job belongs to a try that its customer has given up.
+            // A different part of the same job belongs to an attempt that its customer has given
+            // up.
             if job.request.steps == request.steps {
                 job.waiters.push(waiter);
             } else {
@@ -237,8 +244,9 @@
             }
             return;
         }
-        // Runs of an earlier try of the same job are still ending. Starting beside them would run a task twice at the
-        // same time; the customer's next try comes after they are gone.
+        // Runs of an earlier attempt at the same job are still ending. Starting the job now would
+        // run a task twice at the same time; the customer's next attempt comes after they have
+        // ended.
         if self
             .workers
             .values()
@@ -257,16 +265,17 @@
         }
         let id = request.id;
         if request.kept {
-            self.keep_new(now, waiter, request, terms);
+            self.store_new_job(now, waiter, request, terms);
             return;
         }
-        let job = self.open_job(now, Some(waiter), request, terms);
+        let job = self.build_job(now, Some(waiter), request, terms);
         self.jobs.insert(id, job);
         self.enqueue(now, id);
         self.schedule(now);
     }
 
-    /// An entry does not wait any more. When none does, what runs of the job is stopped.
+    /// Removes an entry that no longer waits for a job. Once no entry waits, the job's runs are
+    /// stopped, unless it is a kept job.
     pub fn cancel(&mut self, now: Instant, job: JobId, waiter: WaiterId) {
         let Some(ledger) = self.jobs.get_mut(&job) else {
             return;
@@ -277,15 +286,15 @@
         }
     }
 
-    /// Takes up a worker of the directory, or what changed about it.
-    pub fn put_worker(&mut self, now: Instant, record: WorkerRecord) {
+    /// Adds a worker from the directory, or updates its record.
+    pub fn upsert_worker(&mut self, now: Instant, record: WorkerRecord) {
         let life = record.life.clone();
         let Some(worker) = self.workers.get_mut(&life) else {
-            self.note_listed(now, &record);
+            self.note_new_worker(now, &record);
             self.workers
                 .insert(life.clone(), TrackedWorker::new(record, self.fence, now));
-            self.note_worker(life, WorkerChange::Added);
-            self.keep_watch(now);
+            self.note_worker_change(life, WorkerChange::Added);
+            self.send_polls_and_orders(now);
             return;
         };
         let change = match record.state {
@@ -297,34 +306,35 @@
         worker.update_record(now, record);
         worker.unlisted_since = None;
         if changed {
-            self.note_worker(life.clone(), change);
+            self.note_worker_change(life.clone(), change);
         }
         if former != room {
-            self.resize(now, &life, former);
+            self.apply_resize(now, &life, former);
         }
         if changed || former != room {
             self.schedule(now);
         }
-        self.keep_watch(now);
+        self.send_polls_and_orders(now);
     }
 
-    /// A worker is not in the directory any more: it gets no new runs, and is forgotten when it has none.
-    pub fn drop_worker(&mut self, now: Instant, life: &LifeId) {
+    /// Marks a worker as missing from the directory. It gets no new runs, and is removed once it
+    /// has no runs or after a grace period.
+    pub fn unlist_worker(&mut self, now: Instant, life: &LifeId) {
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
         if worker.unlisted_since.is_none() {
             worker.unlisted_since = Some(now);
-            self.note_worker(life.clone(), WorkerChange::Unlisted);
+            self.note_worker_change(life.clone(), WorkerChange::Unlisted);
         }
-        self.forget_unlisted(now);
+        self.remove_unlisted_workers(now);
     }
 
-    /// This process stood still for longer than entries wait for a sign of life: they have given up what it holds,
-    /// and customers may have come back elsewhere. Starting what still waits here could run a task twice at the same
-    /// time, so everything is let go.
+    /// Ends all jobs after this process has stalled for longer than entries wait to hear from it.
+    /// They have given up its jobs, and customers may have resubmitted them elsewhere, so starting
+    /// what still waits here could run a task twice at the same time.
     pub fn give_up_all(&mut self, now: Instant) {
-        self.forget_kept(now);
+        self.release_all_kept(now);
         let open: Vec<JobId> = self.jobs.keys().copied().collect();
         for id in open {
             let ordered = self.jobs[&id].start_ordered;
@@ -333,7 +343,7 @@
             } else {
                 JobOutcome::Refused {
                     kind: RefusalKind::NotServing,
-                    retry_after: SHORTEST_RETRY,
+                    retry_after: MIN_RETRY_AFTER,
                     fits: 0,
                 }
             };
@@ -341,13 +351,13 @@
         }
     }
 
-    /// What the pool can take.
+    /// The pool's capacity, free capacity and backlog.
     pub fn load(&self, now: Instant) -> PoolLoad {
         let mut load = PoolLoad::default();
         if self.evacuated {
             return load;
         }
-        for worker in self.expected_workers(now) {
+        for worker in self.usable_or_trial_workers(now) {
             load.capacity = load.capacity.saturating_add(worker.record.room.cpu.0);
             load.free = load.free.saturating_add(worker.free_room().cpu.0);
         }
@@ -355,14 +365,15 @@
         let cores = load.capacity as f64 / 1000.0 * self.settings.packing_share;
         if work > 0.0 {
             let backlog = work / cores.max(1.0) / 1000.0;
-            load.backlog = Duration::try_from_secs_f64(backlog).unwrap_or(LONGEST_RETRY);
+            load.backlog = Duration::try_from_secs_f64(backlog).unwrap_or(MAX_RETRY_AFTER);
         }
         load
     }
 
-    /// The workers on which jobs can expect to run: the sound ones. If there is none, those that have to be tried out: a
-    /// pool that admits nothing for want of a sound worker would never find out that one is sound again.
-    fn expected_workers(&self, now: Instant) -> Vec<&TrackedWorker> {
+    /// The workers that count as capacity for new jobs: the healthy ones or, if there is none,
+    /// those that are due for a trial run. Otherwise a pool without a healthy worker would admit
+    /// nothing and never find out that a worker has recovered.
+    fn usable_or_trial_workers(&self, now: Instant) -> Vec<&TrackedWorker> {
         let workers = self.workers.values();
         let sound: Vec<_> = workers.filter(|worker| worker.is_usable()).collect();
         if !sound.is_empty() {
@@ -374,7 +385,7 @@
             .collect()
     }
 
-    fn open_job(
+    fn build_job(
         &self,
         now: Instant,
         waiter: Option<WaiterId>,
@@ -405,7 +416,7 @@
         job
     }
 
-    /// Puts a job with waiting tasks into the queue, or takes one without out.
+    /// Puts a job with waiting tasks into the queue, or removes a job without.
     fn enqueue(&mut self, now: Instant, id: JobId) {
         if self.jobs[&id].placeable_count() == 0 {
             self.queue.remove(id);
@@ -415,26 +426,26 @@
         self.queue.put(now, entry);
     }
 
-    /// What decides a job's place in the queue. All steps that are not done count: a job of three steps has to start
-    /// its first one so early that the two others are still in time.
+    /// The queue entry that determines a job's position. All steps that are not done count: a job
+    /// of three steps has to start its first one early enough for the two others to be in time.
     fn queue_entry(&self, id: JobId) -> QueueEntry {
         let job = &self.jobs[&id];
         let left = critical_path(&job.request.steps, |step, spec| match job.is_done(step) {
             true => Duration::ZERO,
-            false => self.predict(&job.terms, spec),
+            false => self.predict_run_time(&job.terms, spec),
         });
         QueueEntry {
             job: id,
             priority: job.terms.priority,
             arrived: job.arrived,
-            begun: job.start_ordered && self.has(Mechanism::BegunFirst),
-            by_arrival: !self.has(Mechanism::LatestStart),
+            begun: job.start_ordered && self.is_enabled(Mechanism::BegunFirst),
+            by_arrival: !self.is_enabled(Mechanism::LatestStart),
             latest_start: latest_start(job.arrived, job.objective, left),
             useless_from: job.arrived + job.objective.mul_f64(self.settings.useless_factor),
         }
     }
 
-    /// Gives a job its final outcome. What still runs of it is stopped.
+    /// Ends a job with its final outcome and stops its remaining runs.
     fn finish(&mut self, now: Instant, id: JobId, outcome: JobOutcome) {
         let Some(job) = self.jobs.remove(&id) else {
             return;
@@ -449,17 +460,17 @@
         for waiter in job.waiters {
             self.answer(waiter, outcome);
         }
-        self.stop_runs_of(now, id);
+        self.stop_job_runs(now, id);
     }
 
     fn abandon(&mut self, now: Instant, id: JobId) {
         self.jobs.remove(&id);
         self.queue.remove(id);
-        let stopped = self.stop_runs_of(now, id);
+        let stopped = self.stop_job_runs(now, id);
         self.notes.push(PoolNote::JobAbandoned { job: id, stopped });
     }
 
-    fn stop_runs_of(&mut self, now: Instant, id: JobId) -> usize {
+    fn stop_job_runs(&mut self, now: Instant, id: JobId) -> usize {
         let mut stopped = 0;
         for worker in self.workers.values_mut() {
             let of_job = |run: &&crate::worker::TrackedRun| run.task.job == id;
@@ -483,34 +494,34 @@
         self.actions.push(PoolAction::Answer { waiter, outcome });
     }
 
-    fn note_worker(&mut self, life: LifeId, change: WorkerChange) {
+    fn note_worker_change(&mut self, life: LifeId, change: WorkerChange) {
         self.notes.push(PoolNote::WorkerChanged { life, change });
     }
 
-    fn forget_unlisted(&mut self, now: Instant) {
+    fn remove_unlisted_workers(&mut self, now: Instant) {
         let mut gone = Vec::new();
         for (life, worker) in &self.workers {
             let Some(since) = worker.unlisted_since else {
                 continue;
             };
-            if worker.runs.is_empty() || now >= since + UNLISTED_LIMIT {
+            if worker.runs.is_empty() || now >= since + UNLISTED_WORKER_GRACE {
                 gone.push(life.clone());
             }
         }
         for life in gone {
             self.workers.remove(&life);
-            self.note_worker(life, WorkerChange::Forgotten);
+            self.note_worker_change(life, WorkerChange::Forgotten);
         }
     }
 
-    /// Whether a mechanism is switched on.
-    fn has(&self, mechanism: Mechanism) -> bool {
+    /// Whether a mechanism is enabled.
+    fn is_enabled(&self, mechanism: Mechanism) -> bool {
         self.settings.switched_off.allows(mechanism)
     }
 
-    /// Leaves a worker alone for a while.
+    /// Suspends a worker, so that it gets no new runs for a while.
     fn suspend(&mut self, now: Instant, life: &LifeId, cause: SuspensionCause) {
-        if !self.has(Mechanism::Suspension) {
+        if !self.is_enabled(Mechanism::Suspension) {
             return;
         }
         let Some(worker) = self.workers.get_mut(life) else {
@@ -524,11 +535,11 @@
         });
     }
 
-    fn find_median(&mut self, now: Instant) {
+    fn update_median_slowness(&mut self, now: Instant) {
         for worker in self.workers.values_mut() {
             worker.decay_slowness(now);
         }
-        if !self.has(Mechanism::SluggishWorkers) {
+        if !self.is_enabled(Mechanism::SluggishWorkers) {
             self.median_slowness = f64::INFINITY;
             return;
         }
@@ -540,20 +551,20 @@
         }
     }
 
-    fn millis(&self, now: Instant) -> u64 {
-        let passed = now.saturating_duration_since(self.origin).as_millis();
+    fn owner_millis(&self, now: Instant) -> u64 {
+        let passed = now.saturating_duration_since(self.clock_origin).as_millis();
         u64::try_from(passed).unwrap_or(u64::MAX)
     }
 
-    fn next_run(&mut self, now: Instant) -> RunNumber {
-        let by_clock = self.run_base + self.millis(now);
-        self.last_run = by_clock.max(self.last_run + 1);
-        RunNumber(self.last_run)
+    fn next_run_number(&mut self, now: Instant) -> RunNumber {
+        let by_clock = self.run_number_base + self.owner_millis(now);
+        self.last_run_number = by_clock.max(self.last_run_number + 1);
+        RunNumber(self.last_run_number)
     }
 }
 
-/// Marks a run as to be stopped and orders the stop. A start that was never sent is taken back instead. Says whether
-/// a run that may be there was told to stop now.
+/// Marks a run as stopping and queues the order to stop it. If its start was never sent, the run is
+/// removed instead. Returns whether a stop was queued.
 fn stop_run(worker: &mut TrackedWorker, task: jobs::TaskId, number: RunNumber) -> bool {
     let Some(run) = worker.run_mut(task, number) else {
         return false;
--- a/crates/pool/src/pool/admit.rs
+++ b/crates/pool/src/pool/admit.rs
@@ -1,4 +1,4 @@
-//! Whether a new job is admitted: what the forecast needs to know, and what follows from it.
+//! Admission control: forecasts when a new job would end, and admits or refuses it.
 
 use std::time::{Duration, Instant};
 
@@ -8,7 +8,7 @@
 
 use model::{FastMap, Mechanism};
 
-use super::{WorkerPool, LONGEST_RETRY, SHORTEST_RETRY};
+use super::{WorkerPool, MAX_RETRY_AFTER, MIN_RETRY_AFTER};
 use crate::{
     action::PoolNote,
     admission::{AdmissionForecast, AdmissionSimulation, ForecastJob, ForecastStep},
@@ -19,32 +19,36 @@
     worker::{RunPhase, TrackedRun, TrackedWorker, SLOWNESS_BOUNDS},
 };
 
-/// What a run that takes longer than predicted is expected to take still, as a share of its predicted time. Estimates
-/// are off by 40%.
-const OVERDUE_SHARE: f64 = 0.25;
+/// The remaining time expected of a run that takes longer than predicted, as a share of its
+/// predicted time. Estimates are off by 40%.
+const MIN_REMAINING_SHARE: f64 = 0.25;
 
-/// How long an offer stands: the entry gathers others', and sends its parts, within some milliseconds.
-const OFFER_TIME: Duration = Duration::from_millis(12);
+/// How long an offer reserves capacity. The entry collects the offers of other pools and sends the
+/// parts of its job within some milliseconds.
+const OFFER_LIFETIME: Duration = Duration::from_millis(12);
 
-/// How long a run takes to end after it was told to stop: what workers promise.
+/// The time within which a run ends after it was told to stop, as workers guarantee.
 const STOP_TIME: Duration = Duration::from_millis(50);
 
-/// The share of a pool that has to be free for a job that will be late.
-const IDLE_SHARE: f64 = 0.4;
+/// The minimum share of a pool's capacity that must be free to admit a job that will be late.
+const MIN_IDLE_SHARE: f64 = 0.4;
 
-/// How many times its predicted time such a job may take from its start: it must not wait for a place.
-const UNHURRIED: f64 = 1.3;
+/// The maximum forecast time of an admitted late job, as a multiple of its predicted time. A longer
+/// forecast means that the job would have to wait for capacity.
+const LATE_JOB_MAX_SLOWDOWN: f64 = 1.3;
 
-/// The share of the time within which an answer is worth anything that a late job may be predicted to take.
-const STILL_USEFUL: f64 = 0.85;
+/// The maximum predicted time of a late job, as a share of the time after which its answer is
+/// useless.
+const LATE_JOB_USEFUL_SHARE: f64 = 0.85;
 
-/// The most jobs that are tried out, in the order in which they get places. Beyond them a new job is late for certain:
-/// they keep all places for seconds. Each costs some microseconds; with some hundreds of jobs that are kept and late the
-/// trials took all of a quarter core, so that the owner counted as silent and was replaced again and again.
-const MOST_TRIED: usize = 60;
+/// The maximum number of waiting jobs that are simulated, in the order of placement. A new job
+/// behind that many is certain to be late, since they occupy the pool for seconds. Each costs some
+/// microseconds: with some hundreds of late kept jobs, the simulations used up an entire quarter
+/// core, so that the owner counted as silent and was replaced again and again.
+const MAX_SIMULATED_JOBS: usize = 60;
 
 impl WorkerPool {
-    /// Decides whether a job is admitted, and gives the refusal if it is not.
+    /// Decides whether a job is admitted. Returns the refusal if it is not.
     pub(super) fn admit(
         &mut self,
         now: Instant,
@@ -56,9 +60,10 @@
         let lag = self.start_lag(tasks);
         let too_late = objective.mul_f64(self.settings.refusal_factor);
         let too_late = too_late.min(terms.waited + terms.time_left);
-        let may = self.may_be_in_time(request, terms, lag, too_late) || self.has_idle_share(now);
-        let trial = match may {
-            true => self.trial(now, request, terms, objective),
+        let worth_simulating =
+            self.can_be_in_time(request, terms, lag, too_late) || self.has_idle_share(now);
+        let trial = match worth_simulating {
+            true => self.build_trial(now, request, terms, objective),
             false => None,
         };
         let forecast = match &trial {
@@ -69,11 +74,11 @@
             .waited
             .saturating_add(forecast.end)
             .saturating_add(lag);
-        let queued = self.waiting_tasks();
-        let late = predicted > too_late && self.has(Mechanism::LateRefusal);
+        let queued = self.waiting_task_count();
+        let late = predicted > too_late && self.is_enabled(Mechanism::LateRefusal);
         let late =
-            late && !self.is_welcome_late(now, request, terms, &forecast, predicted, objective);
-        let harms = forecast.delays_admitted && self.has(Mechanism::HarmCheck);
+            late && !self.may_serve_late(now, request, terms, &forecast, predicted, objective);
+        let harms = forecast.delays_admitted && self.is_enabled(Mechanism::HarmCheck);
         let kind = if !self.accepting {
             Some(RefusalKind::NotServing)
         } else if self.evacuated {
@@ -87,7 +92,7 @@
         } else {
             None
         };
-        self.note_arrival(now, request, terms, kind);
+        self.record_arrival(now, request, terms, kind);
         self.notes.push(PoolNote::Admission {
             job: request.id,
             refusal: kind,
@@ -107,22 +112,26 @@
         };
         Some(JobOutcome::Refused {
             kind,
-            retry_after: self.load(now).backlog.clamp(SHORTEST_RETRY, LONGEST_RETRY),
+            retry_after: self
+                .load(now)
+                .backlog
+                .clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER),
             fits,
         })
     }
 
-    /// How many tasks of a job the pool could take in time now: all, or of a job of one step some. Nothing is promised.
+    /// The number of tasks of a job that the pool could finish in time now: all of them, or a part
+    /// if the job has a single step. An offer is not a guarantee.
     pub fn offer(&mut self, now: Instant, request: &JobRequest, terms: &JobTerms) -> u32 {
         if !self.accepting || self.evacuated || !self.can_ever_hold(request, terms) {
             return 0;
         }
         let objective = self.objective(request, terms);
         let limit = objective.mul_f64(self.settings.refusal_factor);
-        if !self.may_be_in_time(request, terms, self.start_lag(1), limit) {
+        if !self.can_be_in_time(request, terms, self.start_lag(1), limit) {
             return 0;
         }
-        let Some(trial) = self.trial(now, request, terms, objective) else {
+        let Some(trial) = self.build_trial(now, request, terms, objective) else {
             return 0;
         };
         let forecast = trial.forecast();
@@ -130,18 +139,20 @@
             true => u32::try_from(request.task_count()).unwrap_or(u32::MAX),
             false => self.count_in_time(&trial, request, terms, objective),
         };
-        self.leave_offered(now, fits)
+        self.reserve_offer(now, fits)
     }
 
-    /// What is left of an offer beside those made just now, whose jobs may come at any moment: entries that divide jobs by
-    /// the same offers would give the pool several times what it has places for, and tasks without a place wait until their
-    /// jobs are of no use.
-    fn leave_offered(&mut self, now: Instant, fits: u32) -> u32 {
-        self.offered.retain(|(at, _)| now < *at + OFFER_TIME);
-        let before: u32 = self.offered.iter().map(|(_, fits)| *fits).sum();
-        let left = fits.saturating_sub(before);
+    /// Reduces an offer by the other offers of the last moments, whose jobs may arrive at any time,
+    /// and records the rest. Otherwise entries that divide jobs by the same offers would send the
+    /// pool several times as many tasks as it has capacity for, and tasks without capacity wait
+    /// until their jobs are useless.
+    fn reserve_offer(&mut self, now: Instant, fits: u32) -> u32 {
+        self.recent_offers
+            .retain(|(at, _)| now < *at + OFFER_LIFETIME);
+        let recently_offered: u32 = self.recent_offers.iter().map(|(_, fits)| *fits).sum();
+        let left = fits.saturating_sub(recently_offered);
         if left > 0 {
-            self.offered.push((now, left));
+            self.recent_offers.push((now, left));
         }
         left
     }
@@ -158,12 +169,13 @@
         end.saturating_add(lag) <= limit && !forecast.delays_admitted && !forecast.takes_reserved
     }
 
-    /// Whether a job that will be late is served all the same: its start need not wait, most of the pool is idle, and its answer is
-    /// still worth something to its customer.
+    /// Whether a job that will be late is admitted all the same: its start need not wait for
+    /// capacity, a large share of the pool is idle, and its answer is still useful to its customer.
     ///
-    /// Load it answers: all processes were gone, and customers who waited for them come at once. Refused for what they have
-    /// waited, they come back later still, while places stand empty.
-    fn is_welcome_late(
+    /// This covers an outage of all processes, after which the customers who waited for them come
+    /// at once. If they were refused because of the time they have already waited, they would come
+    /// back even later while capacity stays idle.
+    fn may_serve_late(
         &self,
         now: Instant,
         request: &JobRequest,
@@ -173,28 +185,29 @@
         objective: Duration,
     ) -> bool {
         let chain = self.predict_chain(request, terms);
-        let waits = forecast.end > chain.mul_f64(UNHURRIED);
-        let useful = objective.mul_f64(self.settings.useless_factor * STILL_USEFUL);
-        let useful = useful.min(terms.waited + terms.time_left);
-        !waits && predicted <= useful && self.has_idle_share(now)
+        let waits = forecast.end > chain.mul_f64(LATE_JOB_MAX_SLOWDOWN);
+        let latest_useful = objective.mul_f64(self.settings.useless_factor * LATE_JOB_USEFUL_SHARE);
+        let latest_useful = latest_useful.min(terms.waited + terms.time_left);
+        !waits && predicted <= latest_useful && self.has_idle_share(now)
     }
 
-    /// Whether so much of the pool is free that a late job takes nobody's place.
+    /// Whether enough of the pool is idle for a late job to displace no other job.
     fn has_idle_share(&self, now: Instant) -> bool {
         let load = self.load(now);
-        load.backlog.is_zero() && load.free as f64 >= load.capacity as f64 * IDLE_SHARE
+        load.backlog.is_zero() && load.free as f64 >= load.capacity as f64 * MIN_IDLE_SHARE
     }
 
-    /// Whether a job can be in time at all: not if starts alone take too long. Tried out all the same, hundreds of jobs that
-    /// come at once to an owner that falls behind keep it from catching up.
-    fn may_be_in_time(
+    /// Whether a job can be in time at all, given the delay of its starts. If hopeless jobs were
+    /// simulated, hundreds of them arriving at once would keep an owner that has fallen behind from
+    /// catching up.
+    fn can_be_in_time(
         &self,
         request: &JobRequest,
         terms: &JobTerms,
         lag: Duration,
         limit: Duration,
     ) -> bool {
-        if terms.firm || !self.has(Mechanism::LateRefusal) {
+        if terms.firm || !self.is_enabled(Mechanism::LateRefusal) {
             return true;
         }
         let chain = self.predict_chain(request, terms);
@@ -202,7 +215,7 @@
         terms.waited.saturating_add(soonest).saturating_add(lag) <= limit
     }
 
-    fn note_arrival(
+    fn record_arrival(
         &mut self,
         now: Instant,
         request: &JobRequest,
@@ -210,7 +223,7 @@
         refusal: Option<RefusalKind>,
     ) {
         let mut first = request.steps.iter().filter(|spec| spec.after.is_empty());
-        // A part of a divided job says nothing about how wide jobs are.
+        // Parts of divided jobs are skipped, since they say nothing about how wide jobs are.
         let Some(spec) = first.next().filter(|_| !terms.firm) else {
             return;
         };
@@ -218,15 +231,16 @@
             priority: terms.priority,
             tasks: spec.count,
             cpu: spec.demand.cpu.0,
-            work: self.predict(terms, spec),
+            work: self.predict_run_time(terms, spec),
             objective: self.objective(request, terms),
             refused: refusal == Some(RefusalKind::TooLate),
         };
         self.arrivals.record(now, &job);
     }
 
-    /// How many tasks of a job that is too wide would be in time. Wide jobs of short tasks find no single pool with
-    /// places for all their tasks at once, while all pools together have them.
+    /// The number of tasks of a single-step job that would be in time, and zero for jobs of several
+    /// steps. A wide job of short tasks may find no single pool with capacity for all its tasks at
+    /// once, while all pools together have it.
     fn count_in_time(
         &self,
         trial: &AdmissionSimulation,
@@ -242,7 +256,7 @@
             let forecast = trial.forecast_tasks_per_step(count as usize);
             self.is_in_time(&forecast, u64::from(count), terms, limit)
         };
-        // Where places are short mostly not even one fits.
+        // When capacity is scarce, mostly not even one task fits, so that is checked first.
         if !in_time(1) {
             return 0;
         }
@@ -258,8 +272,8 @@
         fits
     }
 
-    pub(super) fn predict(&self, terms: &JobTerms, spec: &StepSpec) -> Duration {
-        if !self.has(Mechanism::RunTimes) {
+    pub(super) fn predict_run_time(&self, terms: &JobTerms, spec: &StepSpec) -> Duration {
+        if !self.is_enabled(Mechanism::RunTimes) {
             return spec.estimate;
         }
         self.estimates.predict(&terms.route, spec.estimate)
@@ -267,7 +281,7 @@
 
     /// The predicted time of the longest chain of a job's steps.
     fn predict_chain(&self, request: &JobRequest, terms: &JobTerms) -> Duration {
-        critical_path(&request.steps, |_, spec| self.predict(terms, spec))
+        critical_path(&request.steps, |_, spec| self.predict_run_time(terms, spec))
     }
 
     pub(super) fn objective(&self, request: &JobRequest, terms: &JobTerms) -> Duration {
@@ -280,7 +294,7 @@
         let job = &self.jobs[&job];
         let steps = job.placeable_steps().map(|(step, spec)| {
             let cores = spec.demand.cpu.0 as f64 / 1000.0;
-            let millis = self.predict(&job.terms, spec).as_secs_f64() * 1000.0;
+            let millis = self.predict_run_time(&job.terms, spec).as_secs_f64() * 1000.0;
             cores * millis * job.steps[step].waiting.len() as f64
         });
         steps.sum()
@@ -303,8 +317,9 @@
         })
     }
 
-    /// The order in which places would be given with the new job among those that wait.
-    fn trial(
+    /// Builds the simulation of the pool with the new job inserted among the waiting jobs. Returns
+    /// `None` if too many jobs are ahead of it.
+    fn build_trial(
         &self,
         now: Instant,
         request: &JobRequest,
@@ -319,30 +334,30 @@
             arrived,
             begun: false,
             latest_start: latest_start(arrived, objective, chain),
-            by_arrival: !self.has(Mechanism::LatestStart),
+            by_arrival: !self.is_enabled(Mechanism::LatestStart),
             useless_from: arrived + objective.mul_f64(self.settings.useless_factor),
         };
         let rank = entry.rank(now);
-        let running = self.running_steps(now);
+        let running = self.remaining_step_times(now);
         let unplaced = self.unplaced_jobs(now, &terms.service);
-        let place = unplaced.partition_point(|(other, _)| *other < rank);
-        if place >= MOST_TRIED {
+        let queue_position = unplaced.partition_point(|(other, _)| *other < rank);
+        if queue_position >= MAX_SIMULATED_JOBS {
             return None;
         }
-        let tried = unplaced.iter().take(MOST_TRIED);
-        let mut behind: Vec<ForecastJob> = tried
+        let simulated = unplaced.iter().take(MAX_SIMULATED_JOBS);
+        let mut behind: Vec<ForecastJob> = simulated
             .map(|(_, id)| self.forecast_job(now, *id, &running))
             .collect();
-        let before: Vec<ForecastJob> = behind.drain(..place).collect();
+        let before: Vec<ForecastJob> = behind.drain(..queue_position).collect();
         let steps = request.steps.iter();
         let steps = steps.map(|spec| self.forecast_step(terms, spec, spec.count as usize));
         let new = ForecastJob {
             steps: steps.collect(),
             limit: None,
         };
-        // On a full path jobs of the first priority are late for the path and not for want of places: room kept for them
-        // stands empty.
-        let keeps_room = self.has(Mechanism::KeptRoom) && !self.is_strained();
+        // While the path to the workers is congested, jobs of the first priority are late because
+        // of the path and not for lack of capacity, so room kept for them would stay empty.
+        let keeps_room = self.is_enabled(Mechanism::KeptRoom) && !self.is_strained();
         let expected = match keeps_room {
             true => self.arrivals.expected_above(now, terms.priority),
             false => Vec::new(),
@@ -353,8 +368,8 @@
         ))
     }
 
-    /// The jobs of a service with tasks that have no place yet, in the order in which they get places. Beside those in
-    /// the queue these are the ones whose later steps wait for earlier ones.
+    /// The jobs of a service that have unplaced tasks, in the order of placement. Besides the
+    /// queued jobs, these are the ones whose later steps wait for earlier ones.
     fn unplaced_jobs(&self, now: Instant, service: &ServiceId) -> Vec<(QueueRank, JobId)> {
         let of_service = |id: &JobId| self.jobs[id].terms.service == *service;
         let queued = self.queue.ranked();
@@ -371,8 +386,8 @@
         unplaced
     }
 
-    /// How long what runs of each step takes still, for jobs of several steps.
-    fn running_steps(&self, now: Instant) -> FastMap<(JobId, u32), Duration> {
+    /// The longest remaining time of the runs of each step, for jobs of several steps.
+    fn remaining_step_times(&self, now: Instant) -> FastMap<(JobId, u32), Duration> {
         let mut running = FastMap::default();
         for worker in self.workers.values() {
             for run in &worker.runs {
@@ -380,7 +395,7 @@
                 if job.is_none_or(|job| job.steps.len() < 2) {
                     continue;
                 }
-                let left = time_left(run, worker.slowness, now);
+                let left = remaining_time(run, worker.slowness, now);
                 let step = running
                     .entry((run.task.job, run.task.step))
                     .or_insert(Duration::ZERO);
@@ -395,7 +410,7 @@
             waiting: WaitingGroup {
                 count,
                 cpu: spec.demand.cpu.0,
-                work: self.predict(terms, spec),
+                work: self.predict_run_time(terms, spec),
             },
             running: Duration::ZERO,
             after: spec.after.clone(),
@@ -425,12 +440,13 @@
     }
 
     fn pool_forecast(&self, now: Instant, service: &ServiceId) -> PoolForecast {
-        let workers = self.expected_workers(now).into_iter();
+        let workers = self.usable_or_trial_workers(now).into_iter();
         let workers = workers.filter(|worker| worker.record.service == *service);
         let (sluggish, sound): (Vec<_>, Vec<_>) =
             workers.partition(|worker| is_sluggish(worker, self.median_slowness));
-        // The median is that of the last tick: a pool's only worker may look slower than its pool until the next one. A job
-        // must not be refused then as if there were no worker.
+        // The median is as of the last tick, so a pool's only worker may seem slower than its pool
+        // until the next one. In that case sluggish workers count, since a job must not be refused
+        // as if there were no worker.
         let counted = if sound.is_empty() { sluggish } else { sound };
         let workers = counted.into_iter();
         PoolForecast {
@@ -443,17 +459,17 @@
     let room = worker.record.room.cpu.0;
     let mut forecast = WorkerForecast::new(room, worker.used_room().cpu.0, worker.slowness);
     for run in &worker.runs {
-        forecast.add_running(time_left(run, worker.slowness, now), run.demand.cpu.0);
+        forecast.add_running(remaining_time(run, worker.slowness, now), run.demand.cpu.0);
     }
     forecast
 }
 
-fn time_left(run: &TrackedRun, slowness: f64, now: Instant) -> Duration {
+fn remaining_time(run: &TrackedRun, slowness: f64, now: Instant) -> Duration {
     if run.phase == RunPhase::Stopping {
         return STOP_TIME;
     }
     let took = now.saturating_duration_since(run.placed_at);
     let predicted = run.predicted.mul_f64(slowness);
     let left = predicted.saturating_sub(took);
-    left.max(run.predicted.mul_f64(OVERDUE_SHARE).min(took))
+    left.max(run.predicted.mul_f64(MIN_REMAINING_SHARE).min(took))
 }
--- a/crates/pool/src/pool/answers.rs
+++ b/crates/pool/src/pool/answers.rs
@@ -1,4 +1,4 @@
-//! What workers answer to starts and stops.
+//! Handling of workers' answers to starts and stops.
 
 use std::time::{Duration, Instant};
 
@@ -15,21 +15,22 @@
 };
 
 impl WorkerPool {
-    /// Takes the answer to a start.
+    /// Handles the answer to a start.
     pub fn on_start_answer(&mut self, now: Instant, order: &StartOrder, answer: StartAnswer) {
         let StartOrder {
             life, task, run, ..
         } = order;
-        let owner_millis = self.millis(now);
+        let owner_millis = self.owner_millis(now);
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
-        // An answer to an order that was sent before the worker was found to be reborn may be its former life's.
-        let of_this_life = order.sent >= worker.life_since;
-        if let Some(clock) = answer_clock(answer).filter(|_| of_this_life) {
+        // If the order was sent before the worker's restart was noticed, the answer may come from
+        // its former life.
+        let from_current_life = order.sent >= worker.life_since;
+        if let Some(clock) = answer_clock(answer).filter(|_| from_current_life) {
             worker.update_clock(owner_millis, clock);
         }
-        let fenced_anew = order.fence < worker.fence;
+        let fence_raised = order.fence < worker.fence;
         let (mut tries, mut under_way) = (0, 0);
         if let Some(run) = worker.run_mut(*task, *run) {
             run.answered_starts += u32::from(answer != StartAnswer::Failed(CallFailure::NoAnswer));
@@ -48,35 +49,37 @@
             });
         }
         match answer {
-            // A run that was outrun was carried out by an earlier copy of this start and has ended; its end is listed.
-            StartAnswer::Started(_) | StartAnswer::Superseded(_) if !of_this_life => (),
+            // For `Outrun`, an earlier copy of this start was carried out and its run has ended;
+            // its end is listed.
+            StartAnswer::Started(_) | StartAnswer::Superseded(_) if !from_current_life => (),
             StartAnswer::Started(_) | StartAnswer::Superseded(_) => {
-                confirm(worker, *task, *run, now);
-                self.learn_answer_time(now, now.saturating_duration_since(order.sent));
+                confirm_run(worker, *task, *run, now);
+                self.record_answer_time(now, now.saturating_duration_since(order.sent));
             }
-            StartAnswer::LeaseExpired(_) => self.try_again(now, life, *task, *run),
+            StartAnswer::LeaseExpired(_) => self.retry_start(now, life, *task, *run),
             StartAnswer::NoRoom(_) | StartAnswer::NotAllowed(_) => {
-                self.turn_away(now, life, *task, *run);
+                self.handle_rejected_start(now, life, *task, *run);
             }
             StartAnswer::Failed(CallFailure::Unhealthy | CallFailure::Malformed) => {
-                self.turn_away(now, life, *task, *run);
+                self.handle_rejected_start(now, life, *task, *run);
             }
-            // Another copy may still be answered.
+            // Another copy of the start may still be answered.
             StartAnswer::Failed(CallFailure::NoAnswer) if under_way > 0 => (),
-            StartAnswer::Failed(CallFailure::NoAnswer) => self.try_again(now, life, *task, *run),
+            StartAnswer::Failed(CallFailure::NoAnswer) => self.retry_start(now, life, *task, *run),
             StartAnswer::Failed(CallFailure::NewLife) => self.forget_life(now, life),
-            StartAnswer::Failed(CallFailure::FencedOut) if fenced_anew => {
-                self.try_again(now, life, *task, *run);
+            StartAnswer::Failed(CallFailure::FencedOut) if fence_raised => {
+                self.retry_start(now, life, *task, *run);
             }
             StartAnswer::Failed(CallFailure::FencedOut) => self.lose_worker(now, life),
         }
         self.schedule(now);
-        self.keep_watch(now);
+        self.send_polls_and_orders(now);
     }
 
-    /// A start has had no answer for as long as answers take now. It may have been lost, so it is sent again beside the
-    /// first, whose answer still counts. Where many are late at once the owner's own path is full, and copies would only
-    /// fill it further.
+    /// Handles a start that has gone unanswered for as long as answers take at present. It may have
+    /// been lost, so it is sent again; the answer to the first copy still counts. If many starts
+    /// are late at once, the owner's own path is congested and copies would only add to it, so
+    /// resends are limited.
     pub fn on_start_overdue(&mut self, now: Instant, order: &StartOrder) {
         let Some(worker) = self.workers.get_mut(&order.life) else {
             return;
@@ -85,13 +88,13 @@
         let Some(run) = worker.run_mut(order.task, order.run) else {
             return;
         };
-        if run.phase != RunPhase::Ordered || self.repeats < 1.0 {
+        if run.phase != RunPhase::Ordered || self.resend_budget < 1.0 {
             self.send_orders(now);
             return;
         }
         let tries = run.starts_sent;
-        self.repeats -= 1.0;
-        self.answers.record_timeout();
+        self.resend_budget -= 1.0;
+        self.answer_times.record_timeout();
         self.notes.push(PoolNote::StartFailed {
             task: order.task,
             run: order.run,
@@ -99,56 +102,56 @@
             answer: StartAnswer::Failed(CallFailure::NoAnswer),
             starts_sent: tries,
         });
-        self.try_again(now, &order.life, order.task, order.run);
+        self.retry_start(now, &order.life, order.task, order.run);
         self.schedule(now);
     }
 
     /// How long a start or stop may go unanswered before it is sent again.
-    pub(super) fn order_limit(&self) -> Duration {
+    pub(super) fn resend_timeout(&self) -> Duration {
         let settings = &self.settings;
-        if !self.has(Mechanism::AnswerLimits) {
+        if !self.is_enabled(Mechanism::AnswerLimits) {
             return settings.start_resend_delay;
         }
-        self.answers
+        self.answer_times
             .timeout(settings.start_resend_delay, settings.max_start_resend_delay)
     }
 
-    /// Whether the path to the workers is full.
+    /// Whether the path to the workers is congested.
     pub(super) fn is_strained(&self) -> bool {
-        self.has(Mechanism::AnswerLimits) && self.answers.is_congested()
+        self.is_enabled(Mechanism::AnswerLimits) && self.answer_times.is_congested()
     }
 
-    fn learn_answer_time(&mut self, now: Instant, took: Duration) {
-        let was = self.is_strained();
-        self.answers.record(took);
-        let (strained, under_way) = (self.is_strained(), self.starts_under_way());
-        self.window
-            .on_answer(now, strained, self.answers.smoothed(), under_way);
-        if strained != was {
+    fn record_answer_time(&mut self, now: Instant, took: Duration) {
+        let was_strained = self.is_strained();
+        self.answer_times.record(took);
+        let (strained, under_way) = (self.is_strained(), self.starts_in_flight());
+        self.start_window
+            .on_answer(now, strained, self.answer_times.smoothed(), under_way);
+        if strained != was_strained {
             self.notes.push(PoolNote::Congestion {
                 congested: strained,
-                smoothed: self.answers.smoothed(),
-                minimum: self.answers.minimum(),
-                window: self.window.size(),
+                smoothed: self.answer_times.smoothed(),
+                minimum: self.answer_times.minimum(),
+                window: self.start_window.size(),
             });
         }
     }
 
-    /// Takes the answer to a stop.
+    /// Handles the answer to a stop.
     pub fn on_stop_answer(&mut self, now: Instant, order: &StopOrder, answer: StopAnswer) {
         let StopOrder {
             life, task, run, ..
         } = order;
-        let owner_millis = self.millis(now);
+        let owner_millis = self.owner_millis(now);
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
         worker.finish_order(false);
-        let of_this_life = order.sent >= worker.life_since;
-        let fenced_anew = order.fence < worker.fence;
+        let from_current_life = order.sent >= worker.life_since;
+        let fence_raised = order.fence < worker.fence;
         match answer {
-            // It may be the former life's: the new one has to be told.
-            StopAnswer::Stopped(_) if !of_this_life => {
+            // The answer may come from the former life, so the stop is sent again to the new one.
+            StopAnswer::Stopped(_) if !from_current_life => {
                 worker
                     .queued_orders
                     .push_back(QueuedOrder::Stop(*task, *run));
@@ -160,7 +163,7 @@
                 }
             }
             StopAnswer::Failed(CallFailure::NewLife) => self.forget_life(now, life),
-            StopAnswer::Failed(CallFailure::FencedOut) if fenced_anew => {
+            StopAnswer::Failed(CallFailure::FencedOut) if fence_raised => {
                 worker
                     .queued_orders
                     .push_back(QueuedOrder::Stop(*task, *run));
@@ -178,8 +181,9 @@
         self.send_orders(now);
     }
 
-    /// Sends an unanswered start again. After a few tries the run is stopped and the worker left alone for a while.
-    fn try_again(&mut self, now: Instant, life: &LifeId, task: TaskId, number: RunNumber) {
+    /// Sends an unanswered start again. After a few tries the run is stopped and the worker
+    /// suspended.
+    fn retry_start(&mut self, now: Instant, life: &LifeId, task: TaskId, number: RunNumber) {
         let strained = self.is_strained();
         let Some(worker) = self.workers.get_mut(life) else {
             return;
@@ -191,7 +195,7 @@
             return;
         }
         if run.starts_sent < self.settings.max_unanswered_starts {
-            // One that is lost is sent again at once: a pause would only add to what its job waits.
+            // The first resend follows at once, since a pause would only delay the job.
             let pause = (run.starts_sent > 1).then(|| now + self.settings.retry_delay);
             worker
                 .queued_orders
@@ -199,7 +203,8 @@
             worker.orders_paused_until = pause;
             return;
         }
-        // On a path that is full all workers answer late: this one is not to blame, and its answer may still come.
+        // On a congested path all workers answer late, so this one is not to blame, and its answer
+        // may still arrive.
         if strained && run.starts_in_flight > 0 {
             return;
         }
@@ -209,8 +214,15 @@
         }
     }
 
-    /// The worker did nothing for this call. If that was the only try, the run can never begin.
-    fn turn_away(&mut self, now: Instant, life: &LifeId, task: TaskId, number: RunNumber) {
+    /// Handles a start that the worker rejected without any effect, and suspends the worker. If
+    /// that was the only try, the run can never begin and its task is requeued.
+    fn handle_rejected_start(
+        &mut self,
+        now: Instant,
+        life: &LifeId,
+        task: TaskId,
+        number: RunNumber,
+    ) {
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
@@ -225,13 +237,13 @@
         };
         self.suspend(now, life, SuspensionCause::Unhealthy);
         if let Some(run) = lost {
-            self.note_lost(&run, life, RunLoss::Rejected);
+            self.note_lost_run(&run, life, RunLoss::Rejected);
             self.requeue(now, run);
         }
     }
 }
 
-fn confirm(worker: &mut TrackedWorker, task: TaskId, number: RunNumber, now: Instant) {
+fn confirm_run(worker: &mut TrackedWorker, task: TaskId, number: RunNumber, now: Instant) {
     let Some(run) = worker.run_mut(task, number) else {
         return;
     };
--- a/crates/pool/src/pool/looks.rs
+++ b/crates/pool/src/pool/polls.rs
@@ -1,4 +1,4 @@
-//! Looks at workers: when one is sent, and what its answer says.
+//! Polling of workers: when polls are sent, and how listings and missed polls are handled.
 
 use std::time::{Duration, Instant};
 
@@ -21,46 +21,49 @@
     worker::{QueuedOrder, RunPhase, TrackedRun, TrackedWorker},
 };
 
-/// Ends of an idle worker are acknowledged after this time, for the one look that costs. Soon enough for a worker's
-/// list of ends to stay short.
-const IDLE_ACK: Duration = Duration::from_millis(1_000);
+/// The delay after which the ends of an idle worker are acknowledged, which costs one poll. Short
+/// enough to keep the worker's list of ends short.
+const IDLE_ACK_DELAY: Duration = Duration::from_millis(1_000);
 
-/// The pause after a look that a silent worker did not answer.
-const SILENT_PAUSE: Duration = Duration::from_millis(150);
+/// The pause after a poll that a silent worker did not answer.
+const SILENT_POLL_PAUSE: Duration = Duration::from_millis(150);
 
-/// The shortest wait of a look, so that a run that is looked at for a stall does not draw look after look.
-const SHORTEST_WAIT: Duration = Duration::from_millis(30);
+/// The minimum wait of a poll, so that a run that is checked for a stall does not cause poll after
+/// poll.
+const MIN_POLL_WAIT: Duration = Duration::from_millis(30);
 
-/// The wait of a look while runs of a former owner are being stopped, which takes 50 ms at most.
-const FOREIGN_WAIT: Duration = Duration::from_millis(20);
+/// The wait of a poll while runs of a former owner are being stopped, which takes 50 ms at most.
+const FOREIGN_POLL_WAIT: Duration = Duration::from_millis(20);
 
-/// A run that has not advanced by one percent in this time while it is overdue stands still. At a tenth of its speed
-/// a run of 900 ms takes 90 ms for a percent.
-const STANDSTILL: Duration = Duration::from_millis(110);
+/// An overdue run that has not advanced by one percent in this time counts as stalled. At a tenth
+/// of its speed, a run of 900 ms takes 90 ms per percent.
+const STALL_TIME: Duration = Duration::from_millis(110);
 
-/// Fewest failures of one task before its job counts as failed, if its route allows fewer: one or two may be the
-/// fault of workers that fail everything.
-const FEWEST_FAILURES: u32 = 3;
+/// The minimum number of failures of one task before its job fails, even if its route allows fewer
+/// attempts: one or two failures may be the fault of workers that fail every run.
+const MIN_JOB_FAILURES: u32 = 3;
 
-/// The progress from which on a run says how fast it is. Of less, what a start and a listing take on their way is the most, and
-/// a sound worker seemed several times too slow for the next job.
-const TELLING_PERCENT: u8 = 10;
+/// The minimum progress at which a run's speed is judged. Below it, most of the time is the travel
+/// time of the start and the listing, which made sound workers seem several times too slow for the
+/// next job.
+const MIN_PROGRESS_PERCENT: u8 = 10;
 
-/// A run whose progress projects to this many times its predicted time says that its worker is slow.
-const SLOW_PROJECTION: f64 = 2.0;
+/// A run whose projected time exceeds this multiple of its predicted time shows that its worker is
+/// slow.
+const SLOW_RUN_FACTOR: f64 = 2.0;
 
 impl WorkerPool {
-    /// Sends the looks that are due, and the orders whose pause is over.
-    pub(super) fn keep_watch(&mut self, now: Instant) {
-        let owner_millis = self.millis(now);
-        let wants_ends = self.has_held_back();
-        let hedge = self.hedge(now);
-        let margin = self.look_margin();
+    /// Sends the polls that are due and the orders whose pause is over.
+    pub(super) fn send_polls_and_orders(&mut self, now: Instant) {
+        let owner_millis = self.owner_millis(now);
+        let wants_ends = self.has_kept_on_hold();
+        let hedge = self.poll_hedge_delay(now);
+        let margin = self.poll_margin();
         for worker in self.workers.values_mut() {
-            if !worker.needs_poll(now, IDLE_ACK, wants_ends, hedge) {
+            if !worker.needs_poll(now, IDLE_ACK_DELAY, wants_ends, hedge) {
                 continue;
             }
-            let order = look_order(worker, now, owner_millis, &self.settings, margin);
+            let order = poll_order(worker, now, owner_millis, &self.settings, margin);
             worker.polls_in_flight += 1;
             worker.last_poll_sent = now;
             worker.polls_paused_until = None;
@@ -69,8 +72,8 @@
         self.send_orders(now);
     }
 
-    /// Takes the answer to a look that was sent at `sent`.
-    pub fn on_look_answer(
+    /// Handles the answer to a poll that was sent at `sent`.
+    pub fn on_poll_answer(
         &mut self,
         now: Instant,
         sent: Instant,
@@ -83,37 +86,39 @@
         };
         worker.polls_in_flight = worker.polls_in_flight.saturating_sub(1);
         match answer {
-            Ok(listing) => self.take_listing(now, sent, order, listing),
-            // Its fence was raised meanwhile, by this owner.
+            Ok(listing) => self.apply_listing(now, sent, order, listing),
+            // This owner has raised the worker's fence since the poll was sent.
             Err(CallFailure::FencedOut) if order.fence < worker.fence => (),
             Err(CallFailure::FencedOut) => self.lose_worker(now, life),
             Err(CallFailure::NewLife) => self.forget_life(now, life),
             Err(CallFailure::NoAnswer | CallFailure::Unhealthy | CallFailure::Malformed) => {
-                self.miss_look(now, sent, life);
+                self.record_missed_poll(now, sent, life);
             }
         }
         self.schedule(now);
-        self.keep_watch(now);
+        self.send_polls_and_orders(now);
     }
 
-    /// After which time a look gets a second one beside it, if answers get lost.
-    fn hedge(&self, now: Instant) -> Option<Duration> {
+    /// The delay after which an unanswered poll is hedged by a second one, or `None` if no answers
+    /// were lost recently.
+    fn poll_hedge_delay(&self, now: Instant) -> Option<Duration> {
         let lost = self
-            .lost_answer
-            .filter(|_| self.has(Mechanism::HedgedLooks))?;
-        // Answers that are late because the path is full come in the end: looks beside them would fill it further.
+            .last_missed_answer
+            .filter(|_| self.is_enabled(Mechanism::HedgedLooks))?;
+        // Answers that are late because the path is congested arrive in the end, and hedged polls
+        // would only add to the congestion.
         let lossy = now < lost + self.settings.lost_answer_memory && !self.is_strained();
         lossy.then_some(self.settings.poll_hedge_delay)
     }
 
-    /// How much longer than its wait a look may take: as long as answers may take now.
-    fn look_margin(&self) -> Duration {
+    /// How much longer than its wait a poll may take, based on current answer times.
+    fn poll_margin(&self) -> Duration {
         let settings = &self.settings;
-        if !self.has(Mechanism::AnswerLimits) {
+        if !self.is_enabled(Mechanism::AnswerLimits) {
             return settings.poll_margin;
         }
         let limit = self
-            .answers
+            .answer_times
             .timeout(Duration::ZERO, settings.order_answer_timeout);
         settings
             .poll_margin
@@ -121,12 +126,12 @@
             .min(settings.max_poll_margin)
     }
 
-    fn miss_look(&mut self, now: Instant, sent: Instant, life: &LifeId) {
-        self.lost_answer = Some(now);
+    fn record_missed_poll(&mut self, now: Instant, sent: Instant, life: &LifeId) {
+        self.last_missed_answer = Some(now);
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
-        // A later look was answered: this one was lost, its worker was not.
+        // A later poll was answered, so only this poll was lost and its worker is alive.
         if worker.answered_poll_sent.is_some_and(|later| later > sent) {
             return;
         }
@@ -134,7 +139,7 @@
         if !worker.is_silent() {
             return;
         }
-        worker.polls_paused_until = Some(now + SILENT_PAUSE);
+        worker.polls_paused_until = Some(now + SILENT_POLL_PAUSE);
         let runs = worker.runs.len();
         let first = worker.missed_polls == crate::worker::MISSED_POLLS_TO_SILENCE;
         if first {
@@ -145,7 +150,7 @@
         }
     }
 
-    fn take_listing(
+    fn apply_listing(
         &mut self,
         now: Instant,
         sent: Instant,
@@ -155,17 +160,18 @@
         if !self.check_life(now, sent, order, &listing) {
             return;
         }
-        let owner_millis = self.millis(now);
+        let owner_millis = self.owner_millis(now);
         let life = &order.life;
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
         worker.record_listing(now, order.fence);
-        let returns = worker.missed_polls > 0;
-        let new_here = worker.clock.is_none() || returns;
+        let had_misses = worker.missed_polls > 0;
+        let newly_answering = worker.clock.is_none() || had_misses;
         worker.missed_polls = 0;
         worker.answered_poll_sent = worker.answered_poll_sent.max(Some(sent));
-        // Answers to two looks may overtake each other. Ends are numbered; all else holds only in the newest listing.
+        // Answers to two polls may overtake each other. Ends are numbered; everything else is valid
+        // only in the newest listing.
         let newest = listing.clock > worker.listed_clock;
         worker.listed_clock = worker.listed_clock.max(listing.clock);
         worker.ends_listed |= self.kept_loaded;
@@ -173,27 +179,27 @@
         worker.acknowledged_end = worker.acknowledged_end.max(order.acknowledged_end);
         let clock_offset = worker.clock.map_or(0, |clock| clock.offset);
         let born = worker.born;
-        if new_here {
+        if newly_answering {
             self.notes.push(PoolNote::WorkerAnswers {
                 life: life.clone(),
                 clock_offset,
             });
         }
-        if returns {
+        if had_misses {
             self.clear_crash(life, born);
         }
         for end in &listing.ended {
-            self.take_end(now, life, end);
+            self.apply_end(now, life, end);
         }
-        self.pause_looks(now, life, &listing);
+        self.pause_polls(now, life, &listing);
         if newest {
-            self.stop_foreign(life, &listing);
-            self.read_progress(now, life, &listing);
+            self.stop_foreign_runs(life, &listing);
+            self.update_progress(now, life, &listing);
         }
-        self.drop_missing(now, sent, life, &listing);
+        self.drop_missing_runs(now, sent, life, &listing);
     }
 
-    fn take_end(&mut self, now: Instant, life: &LifeId, end: &EndedRun) {
+    fn apply_end(&mut self, now: Instant, life: &LifeId, end: &EndedRun) {
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
@@ -207,7 +213,7 @@
             return;
         };
         let Some(run) = worker.remove_run(task, end.run) else {
-            self.take_found_end(now, life, end);
+            self.apply_found_end(now, life, end);
             return;
         };
         worker.last_end_time = now;
@@ -228,8 +234,9 @@
         self.store_changes(task.job);
     }
 
-    /// A worker lists an end again and again until it is acknowledged: while it must not be, looks have a pause.
-    fn pause_looks(&mut self, now: Instant, life: &LifeId, listing: &WorkerListing) {
+    /// Pauses polls of a worker while its ends must not be acknowledged, since it lists them again
+    /// and again until they are.
+    fn pause_polls(&mut self, now: Instant, life: &LifeId, listing: &WorkerListing) {
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
@@ -240,10 +247,10 @@
     }
 
     fn complete_task(&mut self, now: Instant, life: &LifeId, run: &TrackedRun, took: Duration) {
-        let learns = self.has(Mechanism::Speeds);
+        let learning_enabled = self.is_enabled(Mechanism::Speeds);
         if let Some(worker) = self.workers.get_mut(life) {
             worker.health.record_success();
-            if learns {
+            if learning_enabled {
                 worker.update_slowness(now, run.predicted, took);
             }
         }
@@ -257,11 +264,11 @@
         if let Some(step) = job.steps.get_mut(run.task.step as usize) {
             step.done += 1;
         }
-        self.after_done(now, id);
+        self.advance_job(now, id);
     }
 
-    /// Opens steps that can begin now, or ends the job if none is left.
-    pub(super) fn after_done(&mut self, now: Instant, id: JobId) {
+    /// Opens the steps that can begin now, or ends the job if none is left.
+    pub(super) fn advance_job(&mut self, now: Instant, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -275,7 +282,8 @@
         }
     }
 
-    /// Takes a failed run. `counted` failures of the task stand in the record of a kept job.
+    /// Handles a failed run. `counted` is the number of the task's failures in the record of a kept
+    /// job.
     fn fail_task(&mut self, now: Instant, life: &LifeId, mut run: TrackedRun, counted: u32) {
         let id = run.task.job;
         let mut blame = true;
@@ -292,7 +300,7 @@
             return;
         };
         if job.kept.is_some() {
-            // A kept job's attempts are counted whoever was to blame.
+            // For a kept job every failure counts as an attempt, even if the worker is to blame.
             if counted >= job.terms.attempts {
                 self.end_kept(now, id, KeptState::Failed);
             } else {
@@ -300,25 +308,25 @@
             }
             return;
         }
-        if run.failures >= job.terms.attempts.max(FEWEST_FAILURES) {
+        if run.failures >= job.terms.attempts.max(MIN_JOB_FAILURES) {
             self.finish(now, id, JobOutcome::Failed);
             return;
         }
         self.requeue(now, run);
     }
 
-    /// Lets a task wait again whose run surely is over.
+    /// Requeues a task whose run is certainly over.
     pub(super) fn requeue(&mut self, now: Instant, run: TrackedRun) {
         let id = run.task.job;
         let Some(job) = self.jobs.get_mut(&id).filter(|job| !job.has_ended()) else {
             return;
         };
-        let place = run.task.step as usize;
-        // Of a kept job that was let go of and found again the task may wait or be done already.
-        if job.kept.is_some() && !job.is_unaccounted(place, run.task.index) {
+        let step_index = run.task.step as usize;
+        // If a kept job was released and loaded again, the task may already be waiting or done.
+        if job.kept.is_some() && !job.is_unaccounted(step_index, run.task.index) {
             return;
         }
-        let Some(step) = job.steps.get_mut(place) else {
+        let Some(step) = job.steps.get_mut(step_index) else {
             return;
         };
         let task = WaitingTask {
@@ -326,7 +334,8 @@
             failures: run.failures,
             failed_on: run.failed_on,
         };
-        // The last one is placed first, and a suspect may have to wait longer than others of its step.
+        // The last task in the list is placed first. A crash suspect goes to the front, since it
+        // may have to wait longer than the other tasks of its step.
         match self.crashes.restriction(now, run.task) {
             TaskRestriction::None => step.waiting.push(task),
             TaskRestriction::Alone | TaskRestriction::Hold => step.waiting.insert(0, task),
@@ -335,7 +344,7 @@
     }
 
     /// Stops runs that a former owner left behind. Their demands are not known, so nothing is placed beside them.
-    fn stop_foreign(&mut self, life: &LifeId, listing: &WorkerListing) {
+    fn stop_foreign_runs(&mut self, life: &LifeId, listing: &WorkerListing) {
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
@@ -348,7 +357,8 @@
             if worker.run_mut(task, run).is_some() {
                 continue;
             }
-            // An end that came with this listing or an earlier one goes before an older view of what runs.
+            // An end in the listing, new or repeated, takes precedence over its older view of what
+            // runs.
             let ended = listing
                 .ended
                 .iter()
@@ -374,8 +384,8 @@
         worker.foreign_runs = foreign;
     }
 
-    fn read_progress(&mut self, now: Instant, life: &LifeId, listing: &WorkerListing) {
-        let learns = self.has(Mechanism::Speeds);
+    fn update_progress(&mut self, now: Instant, life: &LifeId, listing: &WorkerListing) {
+        let learning_enabled = self.is_enabled(Mechanism::Speeds);
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
@@ -396,23 +406,23 @@
                 run.progressed_at = now;
             }
             let took = now.saturating_duration_since(run.placed_at);
-            let still = now.saturating_duration_since(run.progressed_at);
+            let stalled_for = now.saturating_duration_since(run.progressed_at);
             let overdue =
                 run.predicted.mul_f64(self.settings.stall_factor) + self.settings.stall_margin;
-            if run.phase == RunPhase::Running && took >= overdue && still >= STANDSTILL {
+            if run.phase == RunPhase::Running && took >= overdue && stalled_for >= STALL_TIME {
                 stalled.push((run.task, run.run, took, run.percent));
-            } else if run.percent >= TELLING_PERCENT {
+            } else if run.percent >= MIN_PROGRESS_PERCENT {
                 let worked = now.saturating_duration_since(run.confirmed_at.unwrap_or(now));
                 let projected = worked.mul_f64(100.0 / f64::from(run.percent));
-                if projected > run.predicted.mul_f64(SLOW_PROJECTION) {
+                if projected > run.predicted.mul_f64(SLOW_RUN_FACTOR) {
                     slowest = Some((run.predicted, projected));
                 }
             }
         }
-        if let Some((predicted, projected)) = slowest.filter(|_| learns) {
+        if let Some((predicted, projected)) = slowest.filter(|_| learning_enabled) {
             worker.update_slowness(now, predicted, projected);
         }
-        if stalled.is_empty() || !self.has(Mechanism::StallStop) {
+        if stalled.is_empty() || !self.is_enabled(Mechanism::StallStop) {
             return;
         }
         let Some(worker) = self.workers.get_mut(life) else {
@@ -428,12 +438,13 @@
                 percent,
             });
         }
-        // Runs that stand still together are one trouble of their worker, and cost one pause.
+        // Runs that stall together are one fault of their worker and cost one suspension.
         self.suspend(now, life, SuspensionCause::Stalled);
     }
 
-    /// Drops run records that the listing proves to be over, or never to begin.
-    fn drop_missing(
+    /// Removes the runs that the listing proves to be over or never to begin, and requeues their
+    /// tasks.
+    fn drop_missing_runs(
         &mut self,
         now: Instant,
         sent: Instant,
@@ -456,12 +467,12 @@
             lost.extend(worker.remove_run(task, run));
         }
         for run in lost {
-            self.note_lost(&run, life, RunLoss::NotListed);
+            self.note_lost_run(&run, life, RunLoss::NotListed);
             self.requeue(now, run);
         }
     }
 
-    /// Takes all runs of a worker as over.
+    /// Treats all runs of a worker as over and requeues their tasks.
     pub(super) fn lose_all_runs(&mut self, now: Instant, life: &LifeId, loss: RunLoss) {
         let Some(worker) = self.workers.get_mut(life) else {
             return;
@@ -471,36 +482,37 @@
         worker.queued_orders.clear();
         let died = loss == RunLoss::NewLife;
         let begun = runs.iter().filter(|run| run.starts_sent > 0);
-        let culprits = self.note_crash(now, life, begun.map(|run| run.task), died);
+        let culprits = self.note_worker_loss(now, life, begun.map(|run| run.task), died);
         for run in runs {
-            self.note_lost(&run, life, loss);
+            self.note_lost_run(&run, life, loss);
             self.requeue(now, run);
         }
-        self.give_up_culprits(now, culprits);
+        self.fail_culprit_jobs(now, culprits);
     }
 
-    /// The worker has another life: what ran in this one is over.
+    /// Removes a worker that now has another life: the runs of this one are over.
     pub(super) fn forget_life(&mut self, now: Instant, life: &LifeId) {
         self.lose_all_runs(now, life, RunLoss::NewLife);
         self.confirm_crash(now, life);
         if self.workers.remove(life).is_some() {
-            self.note_worker(life.clone(), WorkerChange::Forgotten);
+            self.note_worker_change(life.clone(), WorkerChange::Forgotten);
         }
     }
 
-    /// Another owner has the worker. It stops what runs there, but not before this owner could start the same tasks
-    /// elsewhere; so the jobs that have runs there are given up, and the other workers and jobs go on.
+    /// Handles the takeover of a worker by another owner. That owner stops the runs there, but
+    /// possibly only after this owner could have started the same tasks elsewhere. So the jobs with
+    /// runs on the worker are given up, and the other workers and jobs continue.
     pub(super) fn lose_worker(&mut self, now: Instant, life: &LifeId) {
         let Some(worker) = self.workers.remove(life) else {
             return;
         };
-        self.note_worker(life.clone(), WorkerChange::TakenOver);
-        let of_kept = |run: &TrackedRun| {
+        self.note_worker_change(life.clone(), WorkerChange::TakenOver);
+        let is_of_kept_job = |run: &TrackedRun| {
             let job = self.jobs.get(&run.task.job);
             job.is_some_and(|job| job.kept.is_some())
         };
-        if worker.runs.iter().any(of_kept) {
-            self.forget_kept(now);
+        if worker.runs.iter().any(is_of_kept_job) {
+            self.release_all_kept(now);
         }
         for run in &worker.runs {
             self.finish(now, run.task.job, JobOutcome::GivenUp);
@@ -510,7 +522,7 @@
         }
     }
 
-    pub(super) fn note_lost(&mut self, run: &TrackedRun, life: &LifeId, loss: RunLoss) {
+    pub(super) fn note_lost_run(&mut self, run: &TrackedRun, life: &LifeId, loss: RunLoss) {
         self.notes.push(PoolNote::RunLost {
             task: run.task,
             run: run.run,
@@ -520,11 +532,12 @@
     }
 }
 
-/// Whether a run that a listing does not show is over or can never begin.
+/// Whether a run that is missing from a listing is over or can never begin.
 ///
-/// A run whose start was answered before the look was sent was there, so it must have ended. One whose stop was
-/// answered before ended or never begins. One whose start went unanswered may still begin, until the lease end that
-/// its last start carried has passed on the worker's clock.
+/// If its start was answered before the poll was sent, the run existed and must have ended. If its
+/// stop was answered before the poll was sent, it has ended or never begins. If its start went
+/// unanswered, it may still begin until the lease end of its last start has passed on the worker's
+/// clock.
 fn is_over(run: &TrackedRun, sent: Instant, clock: WorkerClock) -> bool {
     let was_there = run.confirmed_at.is_some_and(|confirmed| confirmed < sent);
     let was_stopped = run.stop_acked_at.is_some_and(|acked| acked < sent);
@@ -532,21 +545,21 @@
     was_there || was_stopped || never_begins
 }
 
-fn look_order(
+fn poll_order(
     worker: &mut TrackedWorker,
     now: Instant,
     owner_millis: u64,
     settings: &crate::PoolSettings,
     margin: Duration,
 ) -> PollOrder {
-    // Runs of a former owner are not renewed, and a worker that does not answer is left to its lease: what it was
-    // last told must be what it goes by.
+    // The lease is renewed neither for runs of a former owner nor for a worker that does not
+    // answer: the lease end that the worker was last told must stay the one it uses.
     let renew =
         !worker.runs.is_empty() && worker.foreign_runs.is_empty() && worker.missed_polls == 0;
     let clock = worker.min_clock_now(owner_millis).filter(|_| renew);
     let lease_end = clock.map(|clock| clock.plus(settings.lease));
     worker.lease_end = worker.lease_end.max(lease_end.unwrap_or_default());
-    let wait = look_wait(worker, now, settings);
+    let wait = poll_wait(worker, now, settings);
     PollOrder {
         life: worker.record.life.clone(),
         address: worker.record.address,
@@ -558,9 +571,9 @@
     }
 }
 
-fn look_wait(worker: &TrackedWorker, now: Instant, settings: &crate::PoolSettings) -> Duration {
+fn poll_wait(worker: &TrackedWorker, now: Instant, settings: &crate::PoolSettings) -> Duration {
     if !worker.foreign_runs.is_empty() {
-        return FOREIGN_WAIT;
+        return FOREIGN_POLL_WAIT;
     }
     if !worker.accepts_runs() || worker.runs.is_empty() {
         return Duration::ZERO;
@@ -569,7 +582,7 @@
     for run in &worker.runs {
         let overdue = run.predicted.mul_f64(settings.stall_factor) + settings.stall_margin;
         let left = (run.placed_at + overdue).saturating_duration_since(now);
-        wait = wait.min(left.max(SHORTEST_WAIT));
+        wait = wait.min(left.max(MIN_POLL_WAIT));
     }
     wait
 }
--- a/crates/pool/src/pool/resizing.rs
+++ b/crates/pool/src/pool/resizing.rs
@@ -1,18 +1,20 @@
-//! Workers whose room shrinks or grows while they run.
+//! Workers whose room shrinks or grows while they have runs.
 //!
-//! Failure prevented: a start that was placed before its worker shrank leaves afterwards and brings it over its room. What runs
-//! there goes on: a worker over its room gets nothing new until its runs fit again.
+//! A start that was placed before its worker shrank and is sent afterwards would bring the worker over
+//! its room, so such starts are withdrawn. Runs that have begun continue: a worker over its room gets
+//! no new runs until its runs fit again.
 
 use std::time::Instant;
 
 use jobs::{JobId, JobOutcome, LifeId, RefusalKind, ResourceDemand, RunNumber, TaskId};
 
-use super::{WorkerPool, SHORTEST_RETRY};
+use super::{WorkerPool, MIN_RETRY_AFTER};
 use crate::{action::PoolNote, worker::TrackedWorker};
 
 impl WorkerPool {
-    /// Follows a change of a worker's room.
-    pub(super) fn resize(&mut self, now: Instant, life: &LifeId, former: ResourceDemand) {
+    /// Handles a change of a worker's room, after which starts may have to be withdrawn and jobs
+    /// refused.
+    pub(super) fn apply_resize(&mut self, now: Instant, life: &LifeId, former: ResourceDemand) {
         let Some(worker) = self.workers.get(life) else {
             return;
         };
@@ -28,23 +30,24 @@
         let withdrawn = withdrawn.map(|(task, run)| (life.clone(), task, run));
         self.withdraw_starts(now, withdrawn.collect());
         if !room.holds(&former) {
-            self.refuse_homeless(now);
+            self.refuse_unplaceable(now);
         }
     }
 
-    /// Tells the callers of jobs that no worker can hold any more, and of which nothing was ordered.
-    fn refuse_homeless(&mut self, now: Instant) {
+    /// Refuses queued jobs that no worker can hold any more. Kept jobs and jobs with ordered starts
+    /// wait instead.
+    fn refuse_unplaceable(&mut self, now: Instant) {
         let queued = self.queue.jobs();
-        let homeless = queued.filter(|id| {
+        let unplaceable = queued.filter(|id| {
             let job = &self.jobs[id];
             let can_wait = job.start_ordered || job.kept.is_some();
             !can_wait && !self.can_ever_hold(&job.request, &job.terms)
         });
-        let homeless: Vec<JobId> = homeless.collect();
-        for id in homeless {
+        let unplaceable: Vec<JobId> = unplaceable.collect();
+        for id in unplaceable {
             let outcome = JobOutcome::Refused {
                 kind: RefusalKind::NoRoomEver,
-                retry_after: SHORTEST_RETRY,
+                retry_after: MIN_RETRY_AFTER,
                 fits: 0,
             };
             self.finish(now, id, outcome);
--- a/crates/pool/src/pool/rebirth.rs
+++ b/crates/pool/src/pool/restart.rs
@@ -1,13 +1,14 @@
-//! Workers that start again under their id.
+//! Workers that restart under the same id.
 //!
-//! Failure prevented: a worker that died and came back knows nothing of before, and its counts begin anew. Taken for the same
-//! life, its first ends would be acknowledged by the numbers of the former one and never be listed; its clock would be read
-//! wrongly; runs that died with it would count as running; and a start of the former life that is still on its way would run
-//! beside the one that replaced it.
+//! A restarted worker has no memory of its former life, and its counts begin anew. If it were taken
+//! for the same life, its first ends would be acknowledged by the former life's numbers and never
+//! be listed, its clock would be read wrongly, runs that died with it would count as running, and a
+//! start of the former life that is still in flight would run beside its replacement.
 //!
-//! Only what a worker itself lists says which life it is. Its entry in the directory may be older or newer, so one that names
-//! another life has the worker asked, and nothing started there until it has answered. An answer to a look that was sent
-//! before this life was found is of a former one.
+//! Only a worker's own listing tells which life it is in. Its directory entry may be older or
+//! newer, so if the entry names another life, the worker is polled and gets no starts until it has
+//! answered. A listing of another life that answers a poll sent before the current life was noticed
+//! is from a former life.
 
 use std::time::Instant;
 
@@ -19,24 +20,26 @@
     worker::{ListingLife, TrackedRun},
 };
 
-/// What is to become of a run that was known before a worker's new life was found.
+/// What has become of a run that was known before its worker's restart was noticed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum FormerRun {
-    /// The new life lists it: its start came after the rebirth.
+enum FormerRunFate {
+    /// The new life lists the run: its start arrived after the restart.
     Listed,
-    /// It was never sent.
+    /// Its start was never sent.
     Unsent,
-    /// A copy of its start has no answer, and may yet be carried out by the new life. A stop that is answered rules that out.
-    AtLarge,
-    /// It died with its worker.
+    /// A copy of its start has no answer and may still be carried out by the new life. An answered
+    /// stop rules that out.
+    Unanswered,
+    /// The run died with its worker.
     Dead,
-    /// It died with its worker, or the new life has ended it and has forgotten that end, since the look acknowledged as many
-    /// of the former life.
+    /// The run died with its worker, or the new life has ended it and has forgotten that end,
+    /// because the poll acknowledged that many ends of the former life.
     Unknown,
 }
 
 impl WorkerPool {
-    /// Whether a listing is of the life that is known. Makes the one that it is of known, if that is a new one.
+    /// Whether a listing is from the worker's current life. A life that was not known becomes the
+    /// current one.
     pub(super) fn check_life(
         &mut self,
         now: Instant,
@@ -57,9 +60,10 @@
         }
     }
 
-    /// No other claim of the pool was made up to this version of the store, so that every later owner's fence is higher.
-    pub fn note_sole_owner(&mut self, version: u64) {
-        self.sole_until = self.sole_until.max(version);
+    /// Records that no other claim of the pool was made up to this version of the store, so that
+    /// the fence of every later owner is higher.
+    pub fn note_no_later_claim(&mut self, version: u64) {
+        self.no_later_claim_until = self.no_later_claim_until.max(version);
     }
 
     fn begin_life(&mut self, now: Instant, order: &PollOrder, listing: &WorkerListing) {
@@ -68,20 +72,20 @@
             return;
         };
         let last_listed = worker.answered_poll_sent;
-        let fates: Vec<(TaskId, RunNumber, FormerRun)> = worker
+        let fates: Vec<(TaskId, RunNumber, FormerRunFate)> = worker
             .runs
             .iter()
             .map(|run| {
-                let fate = former_run(run, order, listing, last_listed);
+                let fate = classify_former_run(run, order, listing, last_listed);
                 (run.task, run.run, fate)
             })
             .collect();
         let begun = fates
             .iter()
-            .filter(|(_, _, fate)| !matches!(fate, FormerRun::Listed | FormerRun::Unsent));
-        let culprits = self.note_crash(now, life, begun.map(|(task, _, _)| *task), true);
+            .filter(|(_, _, fate)| !matches!(fate, FormerRunFate::Listed | FormerRunFate::Unsent));
+        let culprits = self.note_worker_loss(now, life, begun.map(|(task, _, _)| *task), true);
         if let Some(worker) = self.workers.get_mut(life) {
-            worker.begin_life(now, listing.born, self.sole_until);
+            worker.begin_life(now, listing.born, self.no_later_claim_until);
         }
         for job in self.jobs.values_mut() {
             if let Some(kept) = &mut job.kept {
@@ -95,35 +99,35 @@
             runs: fates.len(),
         });
         for (task, run, fate) in fates {
-            self.end_former(now, life, task, run, fate);
+            self.resolve_former_run(now, life, task, run, fate);
         }
         self.confirm_crash(now, life);
-        self.give_up_culprits(now, culprits);
+        self.fail_culprit_jobs(now, culprits);
     }
 
-    fn end_former(
+    fn resolve_former_run(
         &mut self,
         now: Instant,
         life: &LifeId,
         task: TaskId,
         number: RunNumber,
-        fate: FormerRun,
+        fate: FormerRunFate,
     ) {
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
         match fate {
-            FormerRun::Listed => (),
-            FormerRun::AtLarge => worker.stop_stray_run(task, number),
-            FormerRun::Unsent => {
+            FormerRunFate::Listed => (),
+            FormerRunFate::Unanswered => worker.stop_stray_run(task, number),
+            FormerRunFate::Unsent => {
                 self.withdraw_starts(now, vec![(life.clone(), task, number)]);
             }
-            FormerRun::Dead | FormerRun::Unknown => {
+            FormerRunFate::Dead | FormerRunFate::Unknown => {
                 let Some(run) = worker.remove_run(task, number) else {
                     return;
                 };
-                self.note_lost(&run, life, RunLoss::NewLife);
-                if fate == FormerRun::Unknown && !self.is_kept(task.job) {
+                self.note_lost_run(&run, life, RunLoss::NewLife);
+                if fate == FormerRunFate::Unknown && !self.is_kept(task.job) {
                     self.finish(now, task.job, JobOutcome::GivenUp);
                 } else {
                     self.requeue(now, run);
@@ -133,25 +137,25 @@
     }
 }
 
-fn former_run(
+fn classify_former_run(
     run: &TrackedRun,
     order: &PollOrder,
     listing: &WorkerListing,
     last_listed: Option<Instant>,
-) -> FormerRun {
+) -> FormerRunFate {
     let runs = listing.running.iter();
     let mut running = runs.filter(|r| r.task == Some(run.task) && r.run == run.run);
     let ends = listing.ended.iter();
     let mut ended = ends.filter(|end| end.task == Some(run.task) && end.run == run.run);
     if running.next().is_some() || ended.next().is_some() {
-        FormerRun::Listed
+        FormerRunFate::Listed
     } else if run.starts_sent == 0 {
-        FormerRun::Unsent
+        FormerRunFate::Unsent
     } else if run.starts_sent > run.answered_starts {
-        FormerRun::AtLarge
+        FormerRunFate::Unanswered
     } else if order.acknowledged_end > 0 && run.confirmed_at > last_listed {
-        FormerRun::Unknown
+        FormerRunFate::Unknown
     } else {
-        FormerRun::Dead
+        FormerRunFate::Dead
     }
 }
--- a/crates/pool/src/pool/schedule.rs
+++ b/crates/pool/src/pool/schedule.rs
@@ -1,11 +1,12 @@
-//! Giving free places to waiting tasks, and what time alone changes.
+//! Scheduling: places waiting tasks on workers with free capacity, sends orders and handles
+//! timeouts.
 
 use std::time::{Duration, Instant};
 
 use jobs::{CpuMillis, JobId, JobOutcome, LifeId, RefusalKind, TaskId};
 use model::Mechanism;
 
-use super::{WorkerPool, REPEATS_AT_ONCE, SHORTEST_RETRY};
+use super::{WorkerPool, MIN_RETRY_AFTER, RESEND_BURST};
 use crate::{
     action::{PoolAction, PoolNote, StartOrder, StopOrder},
     crash::TaskRestriction,
@@ -14,28 +15,31 @@
     worker::{QueuedOrder, RunPhase, TrackedRun, TrackedWorker},
 };
 
-/// An answer that takes longer than this is worth a connection more: a tenth of what the shortest class has beside its work.
-const SLOW_ANSWER: Duration = Duration::from_millis(8);
+/// The smoothed answer time above which a worker may have several orders in flight, each on its own
+/// connection: a tenth of the time that jobs of the shortest class have in addition to their run
+/// time.
+const SLOW_ANSWER_TIME: Duration = Duration::from_millis(8);
 
-/// Orders in flight at a worker whose answers are slow: as many as it has places for wide tasks.
-const SLOW_ORDERS: usize = 3;
+/// The maximum number of orders in flight to one worker while answers are slow: as many as a worker
+/// has places for wide tasks.
+const MAX_SLOW_ORDERS_IN_FLIGHT: usize = 3;
 
 impl WorkerPool {
-    /// Does what is due: deadlines, lapsed leases, looks, orders, places.
+    /// Runs all time-driven work: deadlines, expired leases, placement, polls and orders.
     pub fn tick(&mut self, now: Instant) {
-        self.end_overdue(now);
+        self.end_overdue_jobs(now);
         self.tick_kept(now);
-        self.leave_evacuated(now);
-        self.expire_silent(now);
-        self.forget_unlisted(now);
-        self.find_median(now);
-        self.forget_crashes(now);
-        self.clear_for_suspects(now);
+        self.end_evacuated_jobs(now);
+        self.expire_silent_leases(now);
+        self.remove_unlisted_workers(now);
+        self.update_median_slowness(now);
+        self.prune_crashes(now);
+        self.reserve_workers_for_suspects(now);
         self.schedule(now);
-        self.keep_watch(now);
+        self.send_polls_and_orders(now);
     }
 
-    /// Places waiting tasks in the queue's order for as long as places are free.
+    /// Places waiting tasks in queue order while workers have free capacity, and sends the orders.
     pub(super) fn schedule(&mut self, now: Instant) {
         if self.evacuated {
             self.send_orders(now);
@@ -43,31 +47,32 @@
         }
         self.queue.reclassify(now);
         let order: Vec<JobId> = self.queue.jobs().collect();
-        let mut most_free = self.most_free();
+        let mut max_free_cpu = self.max_free_cpu();
         for job in order {
-            if self.is_window_full() {
+            if self.is_start_window_full() {
                 break;
             }
-            // With hundreds of waiting jobs and no place free, trying each on each worker is most of an owner's work.
-            if self.jobs[&job].min_placeable_cpu() > most_free {
+            // Skips jobs that fit on no worker: with hundreds of waiting jobs and no free capacity,
+            // trying each job on each worker would take most of the owner's time.
+            if self.jobs[&job].min_placeable_cpu() > max_free_cpu {
                 continue;
             }
-            if self.place_tasks(now, job) {
-                most_free = self.most_free();
+            if self.place_job_tasks(now, job) {
+                max_free_cpu = self.max_free_cpu();
             }
         }
         self.send_orders(now);
     }
 
-    /// The most processor room that is free on any worker that may get runs.
-    fn most_free(&self) -> CpuMillis {
+    /// The largest free processor capacity of any worker that may get runs.
+    fn max_free_cpu(&self) -> CpuMillis {
         let open = self.workers.values().filter(|worker| worker.accepts_runs());
         let free = open.map(|worker| worker.free_room().cpu);
         free.max().unwrap_or_default()
     }
 
-    /// Places what finds a place. Says whether anything did.
-    fn place_tasks(&mut self, now: Instant, id: JobId) -> bool {
+    /// Places as many tasks of a job as find a worker. Returns whether any was placed.
+    fn place_job_tasks(&mut self, now: Instant, id: JobId) -> bool {
         if !self.may_run(now, &self.jobs[&id]) {
             return false;
         }
@@ -78,17 +83,17 @@
         let mut placed = false;
         for step in steps {
             while let Some(task) = self.jobs[&id].steps[step].waiting.last().cloned() {
-                if self.is_window_full() {
+                if self.is_start_window_full() {
                     break;
                 }
-                let Some(life) = self.find_place(now, id, step, &task) else {
+                let Some(life) = self.find_worker(now, id, step, &task) else {
                     break;
                 };
                 if let Some(job) = self.jobs.get_mut(&id) {
                     job.steps[step].waiting.pop();
                     job.start_ordered = true;
                 }
-                self.place(now, id, step, task, &life);
+                self.place_task(now, id, step, task, &life);
                 placed = true;
             }
         }
@@ -98,7 +103,7 @@
         placed
     }
 
-    fn find_place(
+    fn find_worker(
         &self,
         now: Instant,
         id: JobId,
@@ -122,13 +127,20 @@
             far_factor: self.far_factor,
             median_slowness: self.median_slowness,
             exclusive: alone,
-            reserved: &self.cleared,
+            reserved: &self.reserved_for_suspects,
         };
         choose_worker(self.workers.values(), &ask, now).map(|worker| worker.record.life.clone())
     }
 
-    fn place(&mut self, now: Instant, id: JobId, step: usize, task: WaitingTask, life: &LifeId) {
-        let run = self.next_run(now);
+    fn place_task(
+        &mut self,
+        now: Instant,
+        id: JobId,
+        step: usize,
+        task: WaitingTask,
+        life: &LifeId,
+    ) {
+        let run = self.next_run_number(now);
         let job = &self.jobs[&id];
         let spec = &job.request.steps[step];
         let task_id = task_id(id, step, task.index);
@@ -145,7 +157,7 @@
             starts_sent: 0,
             answered_starts: 0,
             starts_in_flight: 0,
-            predicted: self.predict(&job.terms, spec),
+            predicted: self.predict_run_time(&job.terms, spec),
             estimate: spec.estimate,
             percent: 0,
             progressed_at: now,
@@ -168,53 +180,58 @@
             .push_back(QueuedOrder::Start(task_id, run));
     }
 
-    fn is_window_full(&self) -> bool {
-        self.has(Mechanism::StartWindow) && self.starts_under_way() >= self.window.size()
+    fn is_start_window_full(&self) -> bool {
+        self.is_enabled(Mechanism::StartWindow)
+            && self.starts_in_flight() >= self.start_window.size()
     }
 
-    /// Starts that are sent or about to be, and not known to have been carried out.
-    pub(super) fn starts_under_way(&self) -> usize {
+    /// The number of starts that are sent or about to be and not known to have been carried out.
+    /// Silent workers are not counted.
+    pub(super) fn starts_in_flight(&self) -> usize {
         let workers = self.workers.values().filter(|worker| !worker.is_silent());
         let runs = workers.flat_map(|worker| &worker.runs);
         runs.filter(|run| run.phase == RunPhase::Ordered).count()
     }
 
-    /// Tasks that wait for a place and may be placed now.
-    pub(super) fn waiting_tasks(&self) -> usize {
+    /// The number of waiting tasks that may be placed now.
+    pub(super) fn waiting_task_count(&self) -> usize {
         let jobs = self.queue.jobs();
         jobs.map(|job| self.jobs[&job].placeable_count()).sum()
     }
 
-    /// How long the tasks of a new job take to be started beside those under way, at the pace at which answers come now.
+    /// How long it takes to start the tasks of a new job after the starts in flight and the waiting
+    /// tasks, at the current answer time. Zero unless the path to the workers is congested.
     pub(super) fn start_lag(&self, tasks: usize) -> Duration {
         if !self.is_strained() {
             return Duration::ZERO;
         }
-        let ahead = self.starts_under_way() + self.waiting_tasks() + tasks;
-        let rounds = ahead as f64 / self.window.size().max(1) as f64;
-        self.answers.smoothed().mul_f64(rounds)
+        let ahead = self.starts_in_flight() + self.waiting_task_count() + tasks;
+        let rounds = ahead as f64 / self.start_window.size().max(1) as f64;
+        self.answer_times.smoothed().mul_f64(rounds)
     }
 
-    /// How many orders may be in flight at one worker, each on a connection of its own beside that for looks. Where an
-    /// answer takes long, the second task of a job on a worker would wait for the first one's. Where answers are quick one
-    /// order is better, since what has not been sent can be taken back.
-    fn most_orders(&self) -> usize {
-        match self.answers.smoothed() > SLOW_ANSWER {
-            true => SLOW_ORDERS,
+    /// The maximum number of orders in flight to one worker, each on its own connection beside the
+    /// one for polls. While answers are slow, several orders keep the second task of a job on a
+    /// worker from waiting for the answer to the first. While answers are quick, a single order is
+    /// better, since an order that has not been sent can be withdrawn.
+    fn max_orders_in_flight(&self) -> usize {
+        match self.answer_times.smoothed() > SLOW_ANSWER_TIME {
+            true => MAX_SLOW_ORDERS_IN_FLIGHT,
             false => 1,
         }
     }
 
-    /// Sends each worker its next orders.
+    /// Sends each worker its next orders. Starts are withdrawn instead if the data centre is
+    /// evacuated or the worker is over its room.
     pub(super) fn send_orders(&mut self, now: Instant) {
-        let overdue = self.order_limit();
-        let most_orders = self.most_orders();
-        let frame = OrderFrame {
+        let overdue = self.resend_timeout();
+        let max_orders_in_flight = self.max_orders_in_flight();
+        let context = OrderContext {
             now,
-            owner_millis: self.millis(now),
+            owner_millis: self.owner_millis(now),
             lease: self.settings.lease,
             overdue,
-            limit: match self.has(Mechanism::AnswerLimits) {
+            limit: match self.is_enabled(Mechanism::AnswerLimits) {
                 true => self.settings.order_answer_timeout,
                 false => overdue,
             },
@@ -225,7 +242,7 @@
                 continue;
             }
             worker.orders_paused_until = None;
-            while worker.orders_in_flight < most_orders {
+            while worker.orders_in_flight < max_orders_in_flight {
                 let Some(order) = worker.queued_orders.pop_front() else {
                     break;
                 };
@@ -234,13 +251,13 @@
                         withdrawn.push((worker.record.life.clone(), task, run));
                         continue;
                     }
-                    QueuedOrder::Start(task, run) => start_action(worker, task, run, &frame),
-                    QueuedOrder::Stop(task, run) => stop_action(worker, task, run, &frame),
+                    QueuedOrder::Start(task, run) => start_action(worker, task, run, &context),
+                    QueuedOrder::Stop(task, run) => stop_action(worker, task, run, &context),
                 };
                 if let Some(action) = action {
                     worker.orders_in_flight += 1;
-                    let repeats = self.repeats + self.settings.max_resend_share;
-                    self.repeats = repeats.min(REPEATS_AT_ONCE);
+                    let resend_budget = self.resend_budget + self.settings.max_resend_share;
+                    self.resend_budget = resend_budget.min(RESEND_BURST);
                     self.actions.push(action);
                 }
             }
@@ -251,8 +268,9 @@
         }
     }
 
-    /// Ends jobs whose time is over.
-    fn end_overdue(&mut self, now: Instant) {
+    /// Refuses jobs that have not started by their deadline or by the time at which their answer
+    /// becomes useless, and gives up started jobs at their deadline. Kept jobs are exempt.
+    fn end_overdue_jobs(&mut self, now: Instant) {
         let mut ends = Vec::new();
         let unkept = self.jobs.iter().filter(|(_, job)| job.kept.is_none());
         for (id, job) in unkept {
@@ -263,7 +281,7 @@
                     *id,
                     JobOutcome::Refused {
                         kind,
-                        retry_after: SHORTEST_RETRY,
+                        retry_after: MIN_RETRY_AFTER,
                         fits: 0,
                     },
                 ));
@@ -276,9 +294,9 @@
         }
     }
 
-    /// Frees what silent workers held once their leases surely are over.
-    fn expire_silent(&mut self, now: Instant) {
-        let owner_millis = self.millis(now);
+    /// Requeues the runs of silent workers once their leases have certainly expired.
+    fn expire_silent_leases(&mut self, now: Instant) {
+        let owner_millis = self.owner_millis(now);
         let mut lapsed = Vec::new();
         for (life, worker) in &self.workers {
             if worker.runs.is_empty() || !worker.is_silent() {
@@ -306,8 +324,8 @@
     }
 }
 
-/// What all orders have that are sent at one time.
-struct OrderFrame {
+/// Values shared by all orders that are sent in one pass.
+struct OrderContext {
     now: Instant,
     owner_millis: u64,
     lease: Duration,
@@ -319,10 +337,10 @@
     worker: &mut TrackedWorker,
     task: jobs::TaskId,
     number: jobs::RunNumber,
-    frame: &OrderFrame,
+    context: &OrderContext,
 ) -> Option<PoolAction> {
-    let clock = worker.min_clock_now(frame.owner_millis)?;
-    let lease_end = clock.plus(frame.lease);
+    let clock = worker.min_clock_now(context.owner_millis)?;
+    let lease_end = clock.plus(context.lease);
     let (life, address) = (worker.record.life.clone(), worker.record.address);
     let run = worker.run_mut(task, number)?;
     run.starts_sent += 1;
@@ -338,9 +356,9 @@
         run: number,
         text,
         lease_end,
-        sent: frame.now,
-        overdue_after: frame.overdue,
-        timeout: frame.limit,
+        sent: context.now,
+        overdue_after: context.overdue,
+        timeout: context.limit,
     }))
 }
 
@@ -348,7 +366,7 @@
     worker: &TrackedWorker,
     task: jobs::TaskId,
     run: jobs::RunNumber,
-    frame: &OrderFrame,
+    context: &OrderContext,
 ) -> Option<PoolAction> {
     let known = worker.runs.iter().any(|r| r.task == task && r.run == run);
     if !known && !worker.foreign_runs.contains(&(task, run)) {
@@ -360,8 +378,9 @@
         fence: worker.fence,
         task,
         run,
-        sent: frame.now,
-        // Stopping twice is idempotent, and a place waits for it.
-        timeout: frame.overdue,
+        sent: context.now,
+        // A repeated stop is idempotent and the run occupies its capacity until it has stopped, so
+        // stops use the shorter limit.
+        timeout: context.overdue,
     }))
 }
--- a/crates/pool/tests/crash.rs
+++ b/crates/pool/tests/crash.rs
@@ -1,5 +1,5 @@
-//! Tasks that crash their workers: their jobs end as failed, nobody else's do, and workers are lost no longer than it takes to
-//! name them.
+//! Tasks that crash their workers: their jobs fail, all other jobs are served, and workers are lost
+//! only until the culprits are identified.
 
 mod support;
 
@@ -10,7 +10,7 @@
 const HALF_WORKER: u64 = 8_000;
 const WHOLE_WORKER: u64 = 16_000;
 
-/// Times the usual traffic at which few places stand empty.
+/// A multiple of the usual traffic at which little capacity is free.
 const LOAD: f64 = 1.8;
 
 fn kept_world(seed: u64, workers: usize, returns: CrashReturn) -> World {
@@ -36,16 +36,16 @@
     of_job.next().map(|result| result.outcome)
 }
 
-fn commons(world: &World) -> usize {
+fn common_cause_losses(world: &World) -> usize {
     let notes = world.crashes.notes.iter();
     let common = notes.filter(|n| matches!(n, PoolNote::CrashSuspected { common: true, .. }));
     common.count()
 }
 
-/// Guards against a kept job that takes one worker after another for good: it ends as failed, after few deaths, wherever in its
-/// work it crashes and however its workers come back.
+/// Guards against a kept job that crashes one worker after another for good. It fails after few
+/// deaths, wherever in its work it crashes and however its workers come back.
 #[test]
-fn a_crashing_kept_job_is_given_up() {
+fn a_crashing_kept_job_fails() {
     for returns in [CrashReturn::SameId, CrashReturn::NewId] {
         for share in [0.0, 0.5, 0.95] {
             let mut world = kept_world(1, 6, returns);
@@ -64,9 +64,9 @@
     }
 }
 
-/// Guards against innocent jobs that are given up for what ran beside them.
+/// Guards against failing innocent jobs because of what ran beside them.
 #[test]
-fn what_ran_beside_a_crashing_task_is_served() {
+fn jobs_beside_a_crashing_task_complete() {
     for seed in 0..10 {
         let mut world = kept_world(seed, 4, CrashReturn::SameId);
         world.make_crashing(JobId(1), 0.5);
@@ -76,13 +76,13 @@
         }
         world.run_for(30_000);
         for id in 1..12 {
-            let wanted = match id {
+            let expected = match id {
                 1 | 2 => KeptState::Failed,
                 _ => KeptState::Completed,
             };
             assert_eq!(
                 state(&world, JobId(id)),
-                Some(wanted),
+                Some(expected),
                 "seed {seed}, job {id}"
             );
         }
@@ -90,9 +90,10 @@
     }
 }
 
-/// Guards against owners that each begin to count anew: what a former one saw is in the job's row.
+/// Guards against each new owner counting deaths from zero. The deaths that a former owner saw are
+/// in the job's row.
 #[test]
-fn deaths_outlive_the_owner() {
+fn recorded_deaths_survive_a_change_of_owner() {
     let mut world = kept_world(3, 4, CrashReturn::SameId);
     let job = JobId(7);
     world.make_crashing(job, 0.5);
@@ -113,9 +114,9 @@
     assert!(deaths(&world) <= 3, "{}", deaths(&world));
 }
 
-/// Guards against tasks that are blamed for a rack that fails: its workers are lost together.
+/// Guards against blaming tasks for a failed rack, whose workers are lost together.
 #[test]
-fn a_rack_that_fails_blames_nobody() {
+fn a_failed_rack_blames_no_task() {
     let mut world = kept_world(4, 12, CrashReturn::SameId);
     for id in 1..9 {
         world.submit_sized(1, JobId(id), vec![1_500.0], 1_500.0, HALF_WORKER);
@@ -128,7 +129,7 @@
         world.crash(life);
     }
     world.run_for(12_000);
-    assert!(commons(&world) > 0);
+    assert!(common_cause_losses(&world) > 0);
     for id in 1..9 {
         assert_eq!(
             state(&world, JobId(id)),
@@ -138,9 +139,9 @@
     }
 }
 
-/// Guards against tasks that are blamed for a worker which was only out of reach.
+/// Guards against blaming tasks for a worker that was only out of reach.
 #[test]
-fn a_worker_that_was_cut_off_blames_nobody() {
+fn a_worker_that_was_cut_off_blames_no_task() {
     let mut world = kept_world(5, 4, CrashReturn::SameId);
     let job = JobId(1);
     world.submit_sized(1, job, vec![900.0], 900.0, WHOLE_WORKER);
@@ -157,9 +158,10 @@
     assert!(row.progress.iter().all(|step| step.deaths.is_empty()));
 }
 
-/// Guards against a customer whose next tries crash further workers: a job that is known for it fails at once.
+/// Guards against a customer whose further attempts crash further workers. A job that is known for
+/// it fails at once.
 #[test]
-fn the_next_try_of_a_crashing_job_fails_at_once() {
+fn the_next_attempt_of_a_crashing_job_fails_at_once() {
     let mut world = World::new(6, 6);
     world.publish_births();
     world.crashes.away_ms = 400;
@@ -177,7 +179,8 @@
     assert_eq!(world.starts_sent, before);
 }
 
-/// Traffic of which a share of one kind crashes its workers. Gives what the innocent earned, and how many of them failed.
+/// Runs traffic in which a share of the jobs of one kind crashes its workers. Returns what the
+/// innocent jobs earned and how many of them failed.
 fn replay(seed: u64, share: f64) -> (f64, usize) {
     let mut world = World::new(seed, 24);
     world.publish_births();
@@ -204,8 +207,8 @@
     (credit(&innocent), failed.count())
 }
 
-/// Guards against innocent jobs that pay for crashing ones: with one crashing job in 200 of a kind they earn at least 0.95 of
-/// what they earn without.
+/// Guards against innocent jobs suffering from crashing ones. With one crashing job in 200 of a
+/// kind, they earn at least 0.95 of what they earn without.
 #[test]
 fn innocent_jobs_are_served_beside_crashing_ones() {
     let (mut with, mut without) = (0.0, 0.0);
--- a/crates/pool/tests/support/mod.rs
+++ b/crates/pool/tests/support/mod.rs
@@ -21,8 +21,8 @@
     WorkerRecord, WorkerState,
 };
 use pool::{
-    CallFailure, FoundJob, KeptWrite, KeptWriteResult, PollAnswer, PollOrder, PoolAction, PoolNote,
-    PoolSettings, PoolStart, StartAnswer, StartOrder, StopAnswer, StopOrder, WaiterId, WorkerPool,
+    CallFailure, FoundJob, KeptWrite, KeptWriteResult, PollAnswer, PollOrder, PoolAction, PoolInit,
+    PoolNote, PoolSettings, StartAnswer, StartOrder, StopAnswer, StopOrder, WaiterId, WorkerPool,
 };
 
 use crashing::CrashPlan;
@@ -198,7 +198,7 @@
     /// As [`Self::new`], with other settings.
     pub(crate) fn with_settings(seed: u64, workers: usize, settings: PoolSettings) -> Self {
         let origin = Instant::now();
-        let start = PoolStart {
+        let start = PoolInit {
             settings,
             ..pool_start(1)
         };
@@ -245,7 +245,7 @@
 
     pub(crate) fn add_worker(&mut self, record: WorkerRecord, speed: f64) {
         let at = self.instant();
-        self.pool.put_worker(at, record.clone());
+        self.pool.upsert_worker(at, record.clone());
         let clock_offset = self.rng.u64(1_000..500_000);
         let worker = SimulatedWorker {
             record: record.clone(),
@@ -289,7 +289,7 @@
     pub(crate) fn replace_owner(&mut self) {
         self.fence += 1;
         let at = self.instant();
-        let start = PoolStart {
+        let start = PoolInit {
             evacuated: self.evacuated,
             ..pool_start(self.fence)
         };
@@ -297,7 +297,7 @@
         self.open.clear();
         let records: Vec<_> = self.workers.values().map(|w| w.record.clone()).collect();
         for record in records {
-            self.pool.put_worker(at, record);
+            self.pool.upsert_worker(at, record);
         }
         self.execute_actions();
     }
@@ -441,7 +441,7 @@
             let in_contact = self.store_up && self.claim_confirmable;
             if in_contact && self.now.is_multiple_of(CONTACT_INTERVAL_MS) {
                 let at = self.instant();
-                self.pool.note_contact(at);
+                self.pool.note_store_contact(at);
             }
             if self.now.is_multiple_of(20) {
                 let at = self.instant();
@@ -520,7 +520,7 @@
     fn put_records(&mut self, records: Vec<WorkerRecord>) {
         let at = self.instant();
         for record in records {
-            self.pool.put_worker(at, record);
+            self.pool.upsert_worker(at, record);
         }
         self.execute_actions();
     }
@@ -573,7 +573,7 @@
             .insert(order.job, (order.row.clone(), self.serial));
         let (at, version) = (self.instant(), self.serial);
         self.pool
-            .on_kept(at, order, KeptWriteResult::Stored(version));
+            .on_store_answer(at, order, KeptWriteResult::Stored(version));
         self.execute_actions();
     }
 
@@ -589,7 +589,7 @@
             version: *version,
         });
         let (at, found) = (self.instant(), found.collect());
-        self.pool.set_surroundings(at, false, true);
+        self.pool.set_takeover_state(at, false, true);
         self.pool.load_kept(at, found);
         self.execute_actions();
     }
@@ -619,7 +619,7 @@
             }
         };
         let at = self.instant();
-        self.pool.on_kept(at, &order, answer);
+        self.pool.on_store_answer(at, &order, answer);
     }
 
     /// Submits a job again, as a customer does that got no answer.
@@ -773,7 +773,7 @@
             }
             Event::PollAnswer(_, order, sent, answer) => {
                 let sent = self.origin + Duration::from_millis(sent);
-                self.pool.on_look_answer(at, sent, &order, answer);
+                self.pool.on_poll_answer(at, sent, &order, answer);
             }
             _ => (),
         }
@@ -987,9 +987,9 @@
     u64::try_from(time.as_millis()).unwrap()
 }
 
-fn pool_start(fence: u64) -> PoolStart {
-    PoolStart {
-        home: Arc::from("east/0"),
+fn pool_start(fence: u64) -> PoolInit {
+    PoolInit {
+        name: Arc::from("east/0"),
         fence: FenceToken(fence),
         platform_millis: fence * 1_000_000,
         far_factor: 3.0,
