--- a/crates/node/src/front.rs
+++ b/crates/node/src/customer_server.rs
@@ -26,7 +26,7 @@
 use crate::{
     connections,
     entry::{note_answered, run_job, EntryJob},
-    keeping,
+    kept_jobs,
     state::NodeState,
     NodeError,
 };
@@ -124,7 +124,7 @@
     let rule = Rc::new(found.rule.clone());
     let method = request.method().clone();
     if found.rest.is_empty() && method == Method::GET {
-        return match keeping::pending(state, &rule.name).await {
+        return match kept_jobs::pending(state, &rule.name).await {
             Ok(count) => plain(StatusCode::OK, encode_pending(count)),
             Err(error) => store_away(state, "pending", &error),
         };
@@ -152,7 +152,7 @@
 
 /// Tells how far a kept job is, as the store has it. Jobs that are not kept are known to nobody.
 async fn tell_state(state: &NodeState, id: JobId) -> Response<BoxBody> {
-    match keeping::find_row(state, id).await {
+    match kept_jobs::find_row(state, id).await {
         Ok(Some(found)) => plain(StatusCode::OK, encode_state(found.row.state)),
         Ok(None) => plain(StatusCode::GONE, "{}"),
         Err(error) => store_away(state, "job_state", &error),
@@ -160,7 +160,7 @@
 }
 
 async fn cancel(state: &NodeState, id: JobId) -> Response<BoxBody> {
-    let cancelled = keeping::cancel(state, id).await;
+    let cancelled = kept_jobs::cancel(state, id).await;
     let line = EventLine::new("job_cancelled").text("job", id);
     match cancelled {
         Ok(found) => {
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -490,7 +490,7 @@
         .text("pool", pool)
         .text("owner", &owner.node)
         .number("fence", owner.fence.0);
-    let (kind, line) = crate::notes::outcome_line(line, outcome);
+    let (kind, line) = crate::event_lines::outcome_line(line, outcome);
     let waited = state.now().saturating_duration_since(job.arrived);
     state.log(kind, line.millis("waited_ms", waited));
 }
@@ -506,7 +506,7 @@
         .text("job", job.request.id)
         .text("route", &job.rule.name)
         .number("tasks", job.request.task_count());
-    let (kind, line) = crate::notes::outcome_line(line, outcome);
+    let (kind, line) = crate::event_lines::outcome_line(line, outcome);
     let took = state.now().saturating_duration_since(job.arrived);
     crate::metrics::count_answer(&state.metrics, outcome, took);
     let limit = job.deadline.saturating_duration_since(job.arrived);
--- a/crates/node/src/feeds.rs
+++ b/crates/node/src/feeds.rs
@@ -9,7 +9,7 @@
 use pool::UsualWait;
 use telemetry::{EventKind, EventLine};
 
-use crate::{groups, keeping, listing, operator, owner, state::NodeState, workers};
+use crate::{groups, kept_jobs, list_schedule, operator, owner, state::NodeState, workers};
 
 /// How long the feed of what operators write waits for a change, as a share of the time in which that has to be in force. A
 /// connection that has gone silent is found after this time and the client's limit.
@@ -60,7 +60,7 @@
     };
     let begun = state.now();
     if table == StoreTable::Workers {
-        listing::wait_to_read(&state, begun).await;
+        list_schedule::wait_to_read(&state, begun).await;
     }
     let mut after: Option<RowVersion> = None;
     let mut partial = false;
@@ -68,15 +68,15 @@
     let mut newest = RowVersion(0);
     loop {
         if table == StoreTable::Workers && after.is_some() && !partial {
-            if let Some(version) = listing::take_confirmation(&state) {
+            if let Some(version) = list_schedule::take_confirmation(&state) {
                 newest = newest.max(version);
                 after = Some(newest);
-                listing::rest_confirmed(&state).await;
+                list_schedule::rest_confirmed(&state).await;
                 continue;
             }
         }
         let wait = match table {
-            StoreTable::Workers => listing::begin_reading(&state),
+            StoreTable::Workers => list_schedule::begin_reading(&state),
             _ => wait,
         };
         let read = match after {
@@ -102,7 +102,7 @@
                     continue;
                 }
                 if table == StoreTable::Workers {
-                    listing::note_read(&state, newest);
+                    list_schedule::note_read(&state, newest);
                 }
                 let age = state.now().saturating_duration_since(begun);
                 rest(&state, table, age).await;
@@ -128,7 +128,7 @@
 /// Waits until a table is to be read again.
 async fn rest(state: &Rc<NodeState>, table: StoreTable, age: Duration) {
     let gap = match table {
-        StoreTable::Workers => return listing::rest(state, age).await,
+        StoreTable::Workers => return list_schedule::rest(state, age).await,
         StoreTable::Members => members_gap(state, age),
         StoreTable::Operator | StoreTable::Claims => FEED_GAP,
         StoreTable::Jobs
@@ -245,7 +245,7 @@
 fn take_cancelled(state: &Rc<NodeState>, page: FeedPage) {
     for change in page.changes {
         if let Some(row) = put_row(state, change) {
-            keeping::take_cancelled(state, &row);
+            kept_jobs::take_cancelled(state, &row);
         }
     }
 }
--- a/crates/node/src/keeping.rs
+++ b/crates/node/src/kept_jobs.rs
@@ -4,7 +4,7 @@
 //! to. Writes of a part that wait go together in one transaction: at the users' rates of 150 transactions a second and
 //! part, one write each would carry a fifth of their jobs.
 
-mod care;
+mod maintenance;
 
 use std::{
     rc::Rc,
@@ -21,7 +21,7 @@
 use telemetry::{EventKind, EventLine};
 use xxhash_rust::xxh3::xxh3_64;
 
-pub(crate) use self::care::{look_after, pending};
+pub(crate) use self::maintenance::{look_after, pending};
 use crate::{owner::with_fenced, state::NodeState};
 
 /// The parts of the store over which rows of jobs are spread. Fewer make larger transactions, more let more of them run
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -6,16 +6,16 @@
 //! their inputs and outputs.
 
 mod connections;
+mod customer_server;
 mod directory;
 mod entry;
 mod error;
+mod event_lines;
 mod feeds;
-mod front;
 mod groups;
-mod keeping;
-mod listing;
+mod kept_jobs;
+mod list_schedule;
 mod metrics;
-mod notes;
 mod operator;
 mod owner;
 mod peers;
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -4,7 +4,7 @@
 use pool::{CallFailure, PoolNote, RunLoss, StartAnswer, SuspensionCause};
 use telemetry::{CounterFamily, NodeMetrics, TelemetryError, TimeFamily, TrafficBook, TrafficKind};
 
-use crate::listing::ListSource;
+use crate::list_schedule::ListSource;
 
 const ANSWERS: &str = "node_answers_total";
 const REFUSALS: &str = "node_refusals_total";
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -17,7 +17,7 @@
 use telemetry::{EventKind, EventLine};
 use tokio::{net::TcpStream, sync::oneshot, time::timeout};
 
-use crate::{keeping, notes, state::NodeState};
+use crate::{event_lines, kept_jobs, state::NodeState};
 
 /// How many workers are tried before a claim. One that answers suffices; three that do not are a cut.
 const PROBED_WORKERS: usize = 3;
@@ -55,7 +55,7 @@
     act(&mut owned.pool, now);
     let fence = owned.pool.fence();
     for note in owned.pool.take_notes() {
-        notes::log_pool(state, id, fence, &note);
+        event_lines::log_pool(state, id, fence, &note);
     }
     let mut let_go = false;
     for action in owned.pool.take_actions() {
@@ -67,7 +67,7 @@
                 }
             }
             PoolAction::LetGo => let_go = true,
-            PoolAction::Keep(order) => keeping::keep(state, id, fence, order),
+            PoolAction::Keep(order) => kept_jobs::keep(state, id, fence, order),
             action => send(state, id, fence, action),
         }
     }
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -23,8 +23,9 @@
 };
 
 use crate::{
+    customer_server,
     directory::WorkerDirectory,
-    feeds, front, groups, keeping,
+    feeds, groups, kept_jobs,
     metrics::new_metrics,
     owner::{self, PoolPort},
     peers::{self, BeatSender, OwnerLinks},
@@ -252,7 +253,7 @@
         actix_rt::spawn(refresh_member(state.clone())),
         actix_rt::spawn(tick_all(state.clone(), beats)),
         actix_rt::spawn(groups::keep_groups(state.clone())),
-        actix_rt::spawn(keeping::look_after(state.clone())),
+        actix_rt::spawn(kept_jobs::look_after(state.clone())),
         actix_rt::spawn(peers::hear(state.clone(), socket)),
         actix_rt::spawn(peer::serve_pool(
             peers,
@@ -263,7 +264,7 @@
         )),
         actix_rt::spawn(or_log(
             state.clone(),
-            front::serve(state.clone(), customers),
+            customer_server::serve(state.clone(), customers),
         )),
         actix_rt::spawn(or_log(state.clone(), ready::serve(state.clone(), ready))),
     ];
@@ -418,7 +419,7 @@
             state.links.lose(node);
             state.lost_peer(node).notify_waiters();
         }
-        crate::notes::log_claim(state, &note);
+        crate::event_lines::log_claim(state, &note);
     }
     // Whoever may take a pool over soon needs its workers as they are now.
     if state.keeper.borrow().may_claim_soon() {
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -19,7 +19,7 @@
 use tokio::sync::Notify;
 
 use crate::{
-    directory::WorkerDirectory, keeping::KeepQueue, listing::ListSource, owner::OwnedPool,
+    directory::WorkerDirectory, kept_jobs::KeepQueue, list_schedule::ListSource, owner::OwnedPool,
     peers::OwnerLinks, traffic::LinkUse,
 };
 
