--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -38,7 +38,7 @@
     accept_each(listener, move |stream| {
         let (state, current, answer) = (state.clone(), current.clone(), answer.clone());
         async move {
-            renew(&state, &current, answer).await;
+            rebuild_if_changed(&state, &current, answer).await;
             let server = current.borrow().1.clone();
             server(stream).await;
         }
@@ -53,7 +53,7 @@
 }
 
 /// Builds the server anew if the configuration has other limits now.
-async fn renew<F, Fut>(
+async fn rebuild_if_changed<F, Fut>(
     state: &Rc<NodeState>,
     current: &RefCell<(BodyLimits, ConnectionServer)>,
     answer: F,
--- a/crates/node/src/customer_server.rs
+++ b/crates/node/src/customer_server.rs
@@ -25,7 +25,7 @@
 
 use crate::{
     connections,
-    entry::{note_answered, run_job, EntryJob},
+    entry::{log_answer, run_job, EntryJob},
     kept_jobs,
     state::NodeState,
     NodeError,
@@ -64,18 +64,18 @@
 
 impl OpenRequest {
     fn new(state: &Rc<NodeState>) -> Self {
-        step(&state.open_requests, 1);
+        add_to_count(&state.open_requests, 1);
         Self(state.clone())
     }
 }
 
 impl Drop for OpenRequest {
     fn drop(&mut self) {
-        step(&self.0.open_requests, -1);
+        add_to_count(&self.0.open_requests, -1);
     }
 }
 
-fn step(count: &Cell<usize>, by: isize) {
+fn add_to_count(count: &Cell<usize>, by: isize) {
     count.set(count.get().saturating_add_signed(by));
 }
 
@@ -100,65 +100,65 @@
     // A request that lay in its socket while this process stood still may be running elsewhere by now, under its
     // customer's next try. It has not run here, so it is turned away.
     if state.has_paused() {
-        note_refused(state, "process_paused");
+        log_refusal(state, "process_paused");
         return not_ready();
     }
     if state.refusing.get() {
-        note_refused(state, "process_stopped");
+        log_refusal(state, "process_stopped");
         return not_ready();
     }
     let Some(table) = state.table.borrow().clone() else {
-        note_refused(state, "no_configuration");
+        log_refusal(state, "no_configuration");
         return not_ready();
     };
     if head_bytes(&request) > table.limits.head_bytes {
-        return plain(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE, "{}");
+        return json_response(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE, "{}");
     }
     let host = host_of(&request).to_owned();
     let path = request.path().to_owned();
     let Some(found) = table.find(&host, &path) else {
-        return plain(StatusCode::NOT_FOUND, "{}");
+        return json_response(StatusCode::NOT_FOUND, "{}");
     };
     let rule = Rc::new(found.rule.clone());
     let method = request.method().clone();
     if found.rest.is_empty() && method == Method::GET {
-        return match kept_jobs::pending(state, &rule.name).await {
-            Ok(count) => plain(StatusCode::OK, encode_pending(count)),
-            Err(error) => store_away(state, "pending", &error),
+        return match kept_jobs::count_pending(state, &rule.name).await {
+            Ok(count) => json_response(StatusCode::OK, encode_pending(count)),
+            Err(error) => store_unavailable(state, "pending", &error),
         };
     }
     let Ok(id) = found.rest.parse::<JobId>() else {
-        return plain(StatusCode::BAD_REQUEST, "{}");
+        return json_response(StatusCode::BAD_REQUEST, "{}");
     };
     if method == Method::GET {
-        return tell_state(state, id).await;
+        return job_state_response(state, id).await;
     }
     if method == Method::DELETE {
         return cancel(state, id).await;
     }
     if method != Method::POST {
-        return plain(StatusCode::METHOD_NOT_ALLOWED, "{}");
+        return json_response(StatusCode::METHOD_NOT_ALLOWED, "{}");
     }
-    let stated = stated_limit(&request);
+    let stated = stated_deadline(&request);
     let body = match read_body(request.take_payload(), table.limits).await {
         Ok(body) => body,
-        Err(status) => return plain(status, "{}"),
+        Err(status) => return json_response(status, "{}"),
     };
     state.traffic.receive(TrafficKind::Customers, body.len());
     submit(state, id, rule, &body, arrived, stated).await
 }
 
 /// Tells how far a kept job is, as the store has it. Jobs that are not kept are known to nobody.
-async fn tell_state(state: &NodeState, id: JobId) -> Response<BoxBody> {
-    match kept_jobs::find_row(state, id).await {
-        Ok(Some(found)) => plain(StatusCode::OK, encode_state(found.row.state)),
-        Ok(None) => plain(StatusCode::GONE, "{}"),
-        Err(error) => store_away(state, "job_state", &error),
+async fn job_state_response(state: &NodeState, id: JobId) -> Response<BoxBody> {
+    match kept_jobs::find_job(state, id).await {
+        Ok(Some(found)) => json_response(StatusCode::OK, encode_state(found.row.state)),
+        Ok(None) => json_response(StatusCode::GONE, "{}"),
+        Err(error) => store_unavailable(state, "job_state", &error),
     }
 }
 
 async fn cancel(state: &NodeState, id: JobId) -> Response<BoxBody> {
-    let cancelled = kept_jobs::cancel(state, id).await;
+    let cancelled = kept_jobs::cancel_job(state, id).await;
     let line = EventLine::new("job_cancelled").text("job", id);
     match cancelled {
         Ok(found) => {
@@ -168,14 +168,18 @@
             } else {
                 StatusCode::GONE
             };
-            plain(status, "{}")
+            json_response(status, "{}")
         }
-        Err(error) => store_away(state, "cancel", &error),
+        Err(error) => store_unavailable(state, "cancel", &error),
     }
 }
 
 /// Nothing can be said without the store: the customer asks again.
-fn store_away(state: &NodeState, what: &'static str, error: &StoreError) -> Response<BoxBody> {
+fn store_unavailable(
+    state: &NodeState,
+    what: &'static str,
+    error: &StoreError,
+) -> Response<BoxBody> {
     let line = EventLine::new("store_not_reached")
         .text("for", what)
         .text("error", error);
@@ -199,7 +203,7 @@
                 .text("job", id)
                 .text("error", error);
             state.log(EventKind::Kept, line);
-            return plain(StatusCode::BAD_REQUEST, "{}");
+            return json_response(StatusCode::BAD_REQUEST, "{}");
         }
     };
     let advised = rule.advised.then_some(UnsupportedNeed::Advice);
@@ -228,17 +232,17 @@
     };
     let outcome = if unsupported.is_some() {
         refused(RefusalKind::Unsupported)
-    } else if is_past_stop(state, &job) {
+    } else if ends_after_stop(state, &job) {
         refused(RefusalKind::NotServing)
     } else {
         run_until_cut(state, &job).await
     };
-    note_answered(state, &job, outcome);
-    encoded(&encode_outcome(outcome))
+    log_answer(state, &job, outcome);
+    encoded_response(&encode_outcome(outcome))
 }
 
 /// Whether the process will be gone before the job can be expected to end. Taken all the same, the job would be cut.
-fn is_past_stop(state: &NodeState, job: &EntryJob) -> bool {
+fn ends_after_stop(state: &NodeState, job: &EntryJob) -> bool {
     let chain = longest_chain(&job.request.steps, |_, step| step.estimate);
     let expected = chain.mul_f64(job.rule.stretch) + job.rule.goal;
     state
@@ -258,7 +262,7 @@
     }
 }
 
-fn note_refused(state: &NodeState, reason: &'static str) {
+fn log_refusal(state: &NodeState, reason: &'static str) {
     crate::metrics::count_refusal(&state.metrics, reason);
     state.log(
         EventKind::Kept,
@@ -301,7 +305,7 @@
 }
 
 /// How long the customer says that it waits.
-fn stated_limit(request: &Request) -> Option<Duration> {
+fn stated_deadline(request: &Request) -> Option<Duration> {
     let header = request
         .headers()
         .get(DEADLINE_HEADER)
@@ -324,16 +328,16 @@
 }
 
 fn not_ready() -> Response<BoxBody> {
-    encoded(&EncodedAnswer {
+    encoded_response(&EncodedAnswer {
         status: 503,
         body: "{}",
         retry_after: Some(NOT_READY_RETRY_AFTER),
     })
 }
 
-fn encoded(answer: &EncodedAnswer) -> Response<BoxBody> {
+fn encoded_response(answer: &EncodedAnswer) -> Response<BoxBody> {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    let mut response = plain(status, answer.body);
+    let mut response = json_response(status, answer.body);
     if let Some(retry_after) = answer.retry_after {
         // The header holds whole seconds; an earlier return would meet the same load.
         let seconds = retry_after.as_millis().div_ceil(1_000).max(1).to_string();
@@ -344,7 +348,7 @@
     response
 }
 
-fn plain(status: StatusCode, body: impl Into<String>) -> Response<BoxBody> {
+fn json_response(status: StatusCode, body: impl Into<String>) -> Response<BoxBody> {
     Response::build(status)
         .insert_header((header::CONTENT_TYPE, "application/json"))
         .body(body.into())
--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -65,7 +65,7 @@
 
 impl WorkerDirectory {
     /// The store failed a call.
-    pub(crate) fn note_failure(&mut self, now: Instant) {
+    pub(crate) fn record_store_failure(&mut self, now: Instant) {
         self.last_failure = Some(now);
     }
 
@@ -76,12 +76,12 @@
     }
 
     /// Its changes are asked for.
-    pub(crate) fn note_asked(&mut self, now: Instant) {
+    pub(crate) fn record_request(&mut self, now: Instant) {
         self.asked = Some(now);
     }
 
     /// Its changes until now were read.
-    pub(crate) fn note_read(&mut self, now: Instant, version: u64) {
+    pub(crate) fn record_read(&mut self, now: Instant, version: u64) {
         self.asked = None;
         self.last_read = Some(now);
         self.own_read = Some(now);
@@ -89,13 +89,13 @@
     }
 
     /// Another process that has read it knows the same.
-    pub(crate) fn note_confirmed(&mut self, at: Instant, version: u64) {
+    pub(crate) fn record_confirmation(&mut self, at: Instant, version: u64) {
         self.last_read = self.last_read.max(Some(at));
         self.version = self.version.max(version);
     }
 
     /// The process stood still: how long ago anything was read is not known.
-    pub(crate) fn note_paused(&mut self) {
+    pub(crate) fn forget_reads(&mut self) {
         self.last_read = None;
         self.own_read = None;
         self.asked = None;
@@ -141,12 +141,12 @@
     }
 
     /// Workers were divided anew: for a while runs of a pool may be left on workers of another.
-    pub(crate) fn note_divided(&mut self, now: Instant) {
+    pub(crate) fn record_regrouping(&mut self, now: Instant) {
         self.last_divided = Some(now);
     }
 
     /// Whether workers may be missing on which a pool's runs are left.
-    pub(crate) fn is_doubtful(&self, now: Instant) -> bool {
+    pub(crate) fn may_miss_workers(&self, now: Instant) -> bool {
         let last = self.last_failure.max(self.last_divided);
         last.is_some_and(|at| now < at + LAPSED_ENTRY_GRACE)
     }
@@ -158,7 +158,7 @@
         if self.workers.get(&record.life) == Some(&record) {
             return;
         }
-        self.take_out(&record.life);
+        self.remove_record(&record.life);
         self.digest = self.digest.wrapping_add(digest_of(&record));
         match self.counts.get_mut(&record.data_centre) {
             Some(count) => *count += 1,
@@ -167,7 +167,7 @@
         self.workers.insert(record.life.clone(), record);
     }
 
-    fn take_out(&mut self, life: &LifeId) -> Option<WorkerRecord> {
+    fn remove_record(&mut self, life: &LifeId) -> Option<WorkerRecord> {
         let record = self.workers.remove(life)?;
         self.digest = self.digest.wrapping_sub(digest_of(&record));
         if let Some(count) = self.counts.get_mut(&record.data_centre) {
@@ -177,20 +177,24 @@
     }
 
     /// Takes an entry as one that names no worker. Gives the worker that it named before.
-    pub(crate) fn set_aside(&mut self, life: LifeId, entry: UnusedEntry) -> Option<WorkerRecord> {
+    pub(crate) fn mark_unusable(
+        &mut self,
+        life: LifeId,
+        entry: UnusedEntry,
+    ) -> Option<WorkerRecord> {
         self.doubtful.remove(&life);
-        let former = self.take_out(&life);
+        let former = self.remove_record(&life);
         self.unused.insert(life, entry);
         former
     }
 
     /// Whether the log says already that the entry names no worker.
-    pub(crate) fn is_noted(&self, life: &LifeId) -> bool {
+    pub(crate) fn is_logged(&self, life: &LifeId) -> bool {
         self.unused.get(life).is_some_and(|entry| entry.noted)
     }
 
     /// What entries hold that name no worker now and may under another configuration.
-    pub(crate) fn unused_records(&self) -> Vec<WorkerRecord> {
+    pub(crate) fn unusable_records(&self) -> Vec<WorkerRecord> {
         let entries = self.unused.values();
         entries.filter_map(|entry| entry.record.clone()).collect()
     }
@@ -211,11 +215,11 @@
             return None;
         }
         self.doubtful.remove(life);
-        self.take_out(life)
+        self.remove_record(life)
     }
 
     /// Workers whose entry did not come back in time.
-    pub(crate) fn take_gone(&mut self, now: Instant) -> Vec<WorkerRecord> {
+    pub(crate) fn take_expired(&mut self, now: Instant) -> Vec<WorkerRecord> {
         if self.doubtful.is_empty() {
             return Vec::new();
         }
@@ -224,7 +228,7 @@
         let mut gone = Vec::new();
         for life in due {
             self.doubtful.remove(&life);
-            gone.extend(self.take_out(&life));
+            gone.extend(self.remove_record(&life));
         }
         gone
     }
@@ -278,7 +282,7 @@
     }
 
     /// How many workers each data centre has.
-    pub(crate) fn counts(&self) -> FastMap<DataCentreId, usize> {
+    pub(crate) fn worker_counts(&self) -> FastMap<DataCentreId, usize> {
         let counts = self.counts.iter().filter(|(_, count)| **count > 0);
         counts
             .map(|(centre, count)| (centre.clone(), *count))
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -88,12 +88,12 @@
 /// without the job's text: asked outright one after another, each costs a round trip and the bytes of the whole job, which
 /// alone fill narrow links.
 pub(crate) async fn run_job(state: &Rc<NodeState>, job: &EntryJob) -> JobOutcome {
-    await_owner(state, job).await;
-    let mut last = nowhere(state);
+    wait_for_owner(state, job).await;
+    let mut last = no_pool_refusal(state);
     let mut offers = Vec::new();
-    let mut pools = pools_in_order(state, &job.request).into_iter();
+    let mut pools = rank_pools(state, &job.request).into_iter();
     for AskedPool { pool, owner, .. } in pools.by_ref() {
-        let Some(outcome) = ask_in_time(state, job, &pool, &owner, None).await else {
+        let Some(outcome) = submit_before_deadline(state, job, &pool, &owner, None).await else {
             continue;
         };
         let JobOutcome::Refused { fits, .. } = outcome else {
@@ -103,22 +103,24 @@
         offers.push(PartOffer { pool, owner, fits });
         break;
     }
-    let (near, far) = worth_asking(state, &job.request, pools.collect());
+    let (near, far) = select_offer_pools(state, &job.request, pools.collect());
     for pools in [near, far] {
         if can_divide(state, &job.request) && offers_suffice(&job.request, &offers) {
             break;
         }
-        let more = gather_offers(state, job, pools).await;
-        let whole = more.iter().find(|offer| takes_all(&job.request, offer));
+        let more = collect_offers(state, job, pools).await;
+        let whole = more
+            .iter()
+            .find(|offer| fits_whole_job(&job.request, offer));
         if let Some(PartOffer { pool, owner, .. }) = whole {
-            match ask_in_time(state, job, pool, owner, None).await {
+            match submit_before_deadline(state, job, pool, owner, None).await {
                 Some(JobOutcome::Refused { .. }) | None => (),
                 Some(outcome) => return outcome,
             }
         }
         offers.extend(more);
     }
-    match divide(state, &job.request, offers) {
+    match divide_job(state, &job.request, offers) {
         Some(parts) => run_parts(state, job, &parts).await,
         None => last,
     }
@@ -128,18 +130,18 @@
 ///
 /// Load it answers: all processes start again at once, and customers who waited come at that moment. Pools have owners some
 /// tenths of a second later, in time for most jobs; refused at once, all of these would be lost to their customers.
-async fn await_owner(state: &Rc<NodeState>, job: &EntryJob) {
+async fn wait_for_owner(state: &Rc<NodeState>, job: &EntryJob) {
     let until = (job.arrived + OWNER_WAIT_TIMEOUT)
         .min(state.started + STARTUP_PERIOD)
         .min(job.deadline);
-    while reached_pools(state).is_empty() && state.now() < until {
+    while reachable_pools(state).is_empty() && state.now() < until {
         sleep(OWNER_POLL_INTERVAL).await;
     }
 }
 
 /// The refusal of a job for which no pool can be asked.
-fn nowhere(state: &NodeState) -> JobOutcome {
-    let kind = match reached_pools(state).is_empty() {
+fn no_pool_refusal(state: &NodeState) -> JobOutcome {
+    let kind = match reachable_pools(state).is_empty() {
         true => RefusalKind::Unreachable,
         false => RefusalKind::Evacuated,
     };
@@ -152,7 +154,7 @@
 
 /// The pools that are asked for an offer, those of this data centre apart. Where the link is busy only those that seem to
 /// have room, and no more than seem to have it twice over: of the others an answer is likely known.
-fn worth_asking(
+fn select_offer_pools(
     state: &NodeState,
     request: &JobRequest,
     pools: Vec<AskedPool>,
@@ -175,12 +177,12 @@
     worth.into_iter().partition(|pool| pool.near)
 }
 
-fn takes_all(request: &JobRequest, offer: &PartOffer) -> bool {
+fn fits_whole_job(request: &JobRequest, offer: &PartOffer) -> bool {
     u64::from(offer.fits) >= request.task_count()
 }
 
 /// Asks several owners at once what they could take. Those that do not say so in time offer nothing.
-async fn gather_offers(
+async fn collect_offers(
     state: &Rc<NodeState>,
     job: &EntryJob,
     pools: Vec<AskedPool>,
@@ -190,7 +192,7 @@
         .map(|AskedPool { pool, owner, .. }| async move {
             let call = job_call(state, job, &pool, state.now(), None);
             let fits = if owner.here {
-                owner::offer_here(state, &call)
+                owner::offer_locally(state, &call)
             } else {
                 let link = state.links.get(owner.address)?;
                 timeout(OFFER_TIMEOUT, link.link.offer(&call))
@@ -216,7 +218,11 @@
 }
 
 /// The parts of a job of one step, as the pools offered to take them, if together they can take all.
-fn divide(state: &NodeState, request: &JobRequest, offers: Vec<PartOffer>) -> Option<Vec<JobPart>> {
+fn divide_job(
+    state: &NodeState,
+    request: &JobRequest,
+    offers: Vec<PartOffer>,
+) -> Option<Vec<JobPart>> {
     if !can_divide(state, request) {
         return None;
     }
@@ -236,7 +242,7 @@
     let runs = parts
         .iter()
         .map(|part| run_part(state, job, part, parts).boxed_local());
-    all_complete(runs.collect()).await
+    join_parts(runs.collect()).await
 }
 
 /// Runs one part. Nothing of it ran if its pool refuses it, as one does whose data centre is evacuated meanwhile, or has
@@ -249,7 +255,8 @@
     all: &[JobPart],
 ) -> Option<JobOutcome> {
     let step = part.step.clone();
-    let outcome = ask_in_time(state, job, &part.pool, &part.owner, Some(step.clone())).await;
+    let outcome =
+        submit_before_deadline(state, job, &part.pool, &part.owner, Some(step.clone())).await;
     if !matches!(outcome, None | Some(JobOutcome::Refused { .. })) {
         return outcome;
     }
@@ -262,16 +269,16 @@
         rule: job.rule.clone(),
         ..*job
     };
-    let mut pools = pools_in_order(state, &job.request);
+    let mut pools = rank_pools(state, &job.request);
     pools.retain(|asked| all.iter().all(|part| part.pool != asked.pool));
-    let (near, far) = worth_asking(state, &job.request, pools);
-    let mut offers = gather_offers(state, &job, near).await;
+    let (near, far) = select_offer_pools(state, &job.request, pools);
+    let mut offers = collect_offers(state, &job, near).await;
     if !offers_suffice(&job.request, &offers) {
-        offers.extend(gather_offers(state, &job, far).await);
+        offers.extend(collect_offers(state, &job, far).await);
     }
-    let parts = divide(state, &job.request, offers)?;
+    let parts = divide_job(state, &job.request, offers)?;
     let runs = parts.iter().map(|part| {
-        ask_in_time(
+        submit_before_deadline(
             state,
             &job,
             &part.pool,
@@ -280,11 +287,11 @@
         )
         .boxed_local()
     });
-    Some(all_complete(runs.collect()).await)
+    Some(join_parts(runs.collect()).await)
 }
 
 /// How a job ends whose parts are under way.
-async fn all_complete(
+async fn join_parts(
     mut running: FuturesUnordered<LocalBoxFuture<'_, Option<JobOutcome>>>,
 ) -> JobOutcome {
     while let Some(outcome) = running.next().await {
@@ -302,7 +309,7 @@
 }
 
 /// Asks one owner, for at most as long as the customer waits. None if the job surely did not reach it.
-async fn ask_in_time(
+async fn submit_before_deadline(
     state: &Rc<NodeState>,
     job: &EntryJob,
     pool: &PoolId,
@@ -312,20 +319,20 @@
     let now = state.now();
     let left = job.deadline.saturating_duration_since(now);
     let call = job_call(state, job, pool, now, part);
-    let outcome = match timeout(left, ask(state, pool, owner, call)).await {
+    let outcome = match timeout(left, submit_to_owner(state, pool, owner, call)).await {
         Ok(asked) => asked?,
         Err(_) => JobOutcome::GivenUp,
     };
-    note_asked(state, job, pool, owner, outcome);
+    log_submission(state, job, pool, owner, outcome);
     Some(outcome)
 }
 
 /// The pools whose owners can take a job, in the order in which they are asked.
-fn pools_in_order(state: &NodeState, request: &JobRequest) -> Vec<AskedPool> {
-    let mut pools = open_pools(state);
+fn rank_pools(state: &NodeState, request: &JobRequest) -> Vec<AskedPool> {
+    let mut pools = eligible_pools(state);
     let candidates: Vec<PoolCandidate> = pools
         .iter()
-        .map(|(pool, owner)| candidate(state, pool, owner))
+        .map(|(pool, owner)| pool_candidate(state, pool, owner))
         .collect();
     let blind = !state.has(Mechanism::PoolChoice);
     let candidates = match blind {
@@ -334,7 +341,7 @@
     };
     let order = order_pools(
         &candidates,
-        first_demand(request),
+        initial_demand(request),
         &mut state.rng.borrow_mut(),
     );
     let mut pools: Vec<Option<(PoolId, OwnerView)>> = pools.drain(..).map(Some).collect();
@@ -351,7 +358,7 @@
 }
 
 /// What the tasks need that can start at once, in thousandths of a core.
-fn first_demand(request: &JobRequest) -> u64 {
+fn initial_demand(request: &JobRequest) -> u64 {
     let first = request.steps.iter().filter(|step| step.after.is_empty());
     first
         .map(|step| step.demand.cpu.0 * u64::from(step.count))
@@ -359,15 +366,15 @@
 }
 
 /// The reached pools whose workers get starts.
-fn open_pools(state: &NodeState) -> Vec<(PoolId, OwnerView)> {
+fn eligible_pools(state: &NodeState) -> Vec<(PoolId, OwnerView)> {
     let evacuations = state.evacuations.borrow();
-    let mut pools = reached_pools(state);
+    let mut pools = reachable_pools(state);
     pools.retain(|(pool, _)| !evacuations.contains(&pool.data_centre));
     pools
 }
 
 /// The pools whose owners are alive and connected.
-fn reached_pools(state: &NodeState) -> Vec<(PoolId, OwnerView)> {
+fn reachable_pools(state: &NodeState) -> Vec<(PoolId, OwnerView)> {
     let now = state.now();
     let keeper = state.keeper.borrow();
     let mut pools = Vec::new();
@@ -383,7 +390,7 @@
     pools
 }
 
-fn candidate(state: &NodeState, pool: &PoolId, owner: &OwnerView) -> PoolCandidate {
+fn pool_candidate(state: &NodeState, pool: &PoolId, owner: &OwnerView) -> PoolCandidate {
     let near = pool.data_centre == state.settings.data_centre;
     let pools = state.pools.borrow();
     if let Some(owned) = pools.get(pool).filter(|_| owner.here) {
@@ -407,7 +414,7 @@
 }
 
 /// Notes what was sent to a pool since its owner was last heard.
-fn note_sent(state: &NodeState, pool: &PoolId, owner: &OwnerView, call: &JobCall) {
+fn record_sent_demand(state: &NodeState, pool: &PoolId, owner: &OwnerView, call: &JobCall) {
     let Some(heard) = owner.heard.filter(|_| !owner.here) else {
         return;
     };
@@ -458,17 +465,17 @@
 }
 
 /// Asks one owner. None if the job surely did not reach it.
-async fn ask(
+async fn submit_to_owner(
     state: &Rc<NodeState>,
     pool: &PoolId,
     owner: &OwnerView,
     call: JobCall,
 ) -> Option<JobOutcome> {
     if owner.here {
-        return Some(owner::run_here(state.clone(), pool.clone(), call).await);
+        return Some(owner::run_locally(state.clone(), pool.clone(), call).await);
     }
     let link = state.links.get(owner.address)?;
-    note_sent(state, pool, owner, &call);
+    record_sent_demand(state, pool, owner, &call);
     let lost = std::pin::pin!(link.lost.notified());
     let run = std::pin::pin!(link.link.run(&call));
     match select(run, lost).await {
@@ -478,7 +485,7 @@
     }
 }
 
-fn note_asked(
+fn log_submission(
     state: &NodeState,
     job: &EntryJob,
     pool: &PoolId,
@@ -497,11 +504,11 @@
 
 /// Whether this node can have a job run at all.
 pub(crate) fn can_serve(state: &NodeState) -> bool {
-    !reached_pools(state).is_empty()
+    !reachable_pools(state).is_empty()
 }
 
 /// Logs how a customer's request ended.
-pub(crate) fn note_answered(state: &NodeState, job: &EntryJob, outcome: JobOutcome) {
+pub(crate) fn log_answer(state: &NodeState, job: &EntryJob, outcome: JobOutcome) {
     let line = EventLine::new("job_answered")
         .text("job", job.request.id)
         .text("route", &job.rule.name)
--- a/crates/node/src/event_lines.rs
+++ b/crates/node/src/event_lines.rs
@@ -6,7 +6,7 @@
 use telemetry::{EventKind, EventLine};
 
 use crate::{
-    metrics::{count_note, start_answer},
+    metrics::{count_note, start_answer_label},
     state::NodeState,
 };
 
@@ -30,7 +30,7 @@
 }
 
 /// Logs what a pool decided or learned.
-pub(crate) fn log_pool(state: &NodeState, id: &PoolId, fence: FenceToken, note: &PoolNote) {
+pub(crate) fn log_pool_note(state: &NodeState, id: &PoolId, fence: FenceToken, note: &PoolNote) {
     count_note(&state.metrics, note);
     let (kind, line) = pool_line(note);
     state.log(kind, line.text("pool", id).number("fence", fence.0));
@@ -173,7 +173,7 @@
                 .number("run", run.0);
             let line = line
                 .text("worker", life)
-                .text("answer", start_answer(*answer));
+                .text("answer", start_answer_label(*answer));
             (EventKind::Kept, line.number("tries", *tries))
         }
         PoolNote::Ended {
@@ -274,7 +274,7 @@
 }
 
 /// Logs what the claim keeper learned.
-pub(crate) fn log_claim(state: &NodeState, note: &ClaimNote) {
+pub(crate) fn log_claim_note(state: &NodeState, note: &ClaimNote) {
     let line = match note {
         ClaimNote::PeerHeard(node) => EventLine::new("peer_heard").text("peer", node),
         ClaimNote::PeerSilent { node, age } => EventLine::new("peer_silent")
--- a/crates/node/src/feeds.rs
+++ b/crates/node/src/feeds.rs
@@ -51,7 +51,7 @@
 ///
 /// What is read then may be older than what is known. Believed, it would end evacuations that have just begun, and bring
 /// workers back that have left; so it is passed over until the store is as far as it was.
-pub(crate) async fn follow(state: Rc<NodeState>, table: StoreTable) {
+pub(crate) async fn follow_table(state: Rc<NodeState>, table: StoreTable) {
     let urgent = table == StoreTable::Operator;
     let limit = state.settings.config_limit_ms.duration();
     let wait = match urgent {
@@ -60,7 +60,7 @@
     };
     let begun = state.now();
     if table == StoreTable::Workers {
-        list_schedule::wait_to_read(&state, begun).await;
+        list_schedule::wait_until_needed(&state, begun).await;
     }
     let mut after: Option<RowVersion> = None;
     let mut partial = false;
@@ -71,12 +71,12 @@
             if let Some(version) = list_schedule::take_confirmation(&state) {
                 newest = newest.max(version);
                 after = Some(newest);
-                list_schedule::rest_confirmed(&state).await;
+                list_schedule::wait_after_confirmation(&state).await;
                 continue;
             }
         }
         let wait = match table {
-            StoreTable::Workers => list_schedule::begin_reading(&state),
+            StoreTable::Workers => list_schedule::begin_read(&state),
             _ => wait,
         };
         let read = match after {
@@ -86,26 +86,26 @@
         match read {
             Ok(page) => {
                 if let Some(since) = lost_since.take() {
-                    note_regained(&state, table, since);
+                    log_store_regained(&state, table, since);
                 }
                 let whole = after.is_none();
                 if page.version < newest {
-                    note_stale(&state, table, page.version, newest);
+                    log_stale_rows(&state, table, page.version, newest);
                     actix_rt::time::sleep(STALE_READ_BACKOFF).await;
                     continue;
                 }
                 newest = page.version;
                 after = Some(newest);
                 partial = !whole && page.changes.len() >= PARTIAL_PAGE_CHANGES;
-                take_page(&state, table, page, whole);
+                apply_page(&state, table, page, whole);
                 if partial {
                     continue;
                 }
                 if table == StoreTable::Workers {
-                    list_schedule::note_read(&state, newest);
+                    list_schedule::record_read(&state, newest);
                 }
                 let age = state.now().saturating_duration_since(begun);
-                rest(&state, table, age).await;
+                wait_for_next_read(&state, table, age).await;
             }
             Err(StoreError::HistoryGone) => {
                 let line = EventLine::new("history_gone").text("table", table.as_str());
@@ -114,10 +114,10 @@
             }
             Err(error) => {
                 let now = state.now();
-                state.directory.borrow_mut().note_failure(now);
+                state.directory.borrow_mut().record_store_failure(now);
                 if lost_since.is_none() {
                     lost_since = Some(now);
-                    note_lost(&state, table, &error);
+                    log_store_lost(&state, table, &error);
                 }
                 actix_rt::time::sleep(FAILED_READ_BACKOFF).await;
             }
@@ -126,10 +126,10 @@
 }
 
 /// Waits until a table is to be read again.
-async fn rest(state: &Rc<NodeState>, table: StoreTable, age: Duration) {
+async fn wait_for_next_read(state: &Rc<NodeState>, table: StoreTable, age: Duration) {
     let gap = match table {
-        StoreTable::Workers => return list_schedule::rest(state, age).await,
-        StoreTable::Members => members_gap(state, age),
+        StoreTable::Workers => return list_schedule::wait_after_read(state, age).await,
+        StoreTable::Members => members_read_interval(state, age),
         StoreTable::Operator | StoreTable::Claims => FEED_READ_INTERVAL,
         StoreTable::Jobs
         | StoreTable::EndedJobs
@@ -139,7 +139,7 @@
     actix_rt::time::sleep(gap).await;
 }
 
-fn members_gap(state: &NodeState, age: Duration) -> Duration {
+fn members_read_interval(state: &NodeState, age: Duration) -> Duration {
     if age < STARTUP_MEMBERS_PERIOD {
         return STARTUP_MEMBERS_READ_INTERVAL;
     }
@@ -149,7 +149,7 @@
     }
 }
 
-fn note_stale(state: &NodeState, table: StoreTable, shown: RowVersion, known: RowVersion) {
+fn log_stale_rows(state: &NodeState, table: StoreTable, shown: RowVersion, known: RowVersion) {
     let line = EventLine::new("stale_rows")
         .text("table", table.as_str())
         .number("shown", shown.0)
@@ -157,14 +157,14 @@
     state.log(EventKind::Kept, line);
 }
 
-fn note_lost(state: &NodeState, table: StoreTable, error: &StoreError) {
+fn log_store_lost(state: &NodeState, table: StoreTable, error: &StoreError) {
     let line = EventLine::new("store_lost")
         .text("table", table.as_str())
         .text("error", error);
     state.log(EventKind::Kept, line);
 }
 
-fn note_regained(state: &NodeState, table: StoreTable, since: std::time::Instant) {
+fn log_store_regained(state: &NodeState, table: StoreTable, since: std::time::Instant) {
     let now = state.now();
     let line = EventLine::new("store_regained")
         .text("table", table.as_str())
@@ -172,24 +172,24 @@
     state.log(EventKind::Kept, line);
 }
 
-fn take_page(state: &Rc<NodeState>, table: StoreTable, page: FeedPage, whole: bool) {
+fn apply_page(state: &Rc<NodeState>, table: StoreTable, page: FeedPage, whole: bool) {
     match table {
-        StoreTable::Operator => operator::take_page(state, page, whole),
-        StoreTable::Workers => workers::take_page(state, page, whole),
-        StoreTable::Members => take_members(state, page),
+        StoreTable::Operator => operator::apply_page(state, page, whole),
+        StoreTable::Workers => workers::apply_page(state, page, whole),
+        StoreTable::Members => apply_members(state, page),
         StoreTable::Claims => {
             let version = page.version.0;
-            take_claims(state, page);
-            owner::note_sole_owner(state, version);
+            apply_claims(state, page);
+            owner::record_sole_ownership(state, version);
         }
-        StoreTable::CancelledJobs => take_cancelled(state, page),
+        StoreTable::CancelledJobs => apply_cancelled(state, page),
         // Read by row or by part, not followed.
         StoreTable::Jobs | StoreTable::EndedJobs | StoreTable::PendingJobs => (),
     }
 }
 
 /// The row, if it was written and can be read. What cannot be read is logged.
-pub(crate) fn put_row(state: &NodeState, change: RowChange) -> Option<StoredRow> {
+pub(crate) fn stored_row(state: &NodeState, change: RowChange) -> Option<StoredRow> {
     match change {
         RowChange::Put(row) => Some(row),
         RowChange::Removed { .. } => None,
@@ -201,7 +201,7 @@
     }
 }
 
-pub(crate) fn note_unreadable(state: &NodeState, row: &StoredRow, error: &serde_json::Error) {
+pub(crate) fn log_unreadable_row(state: &NodeState, row: &StoredRow, error: &serde_json::Error) {
     let line = EventLine::new("row_unreadable")
         .text("key", &row.key)
         .number("version", row.version.0)
@@ -209,16 +209,16 @@
     state.log(EventKind::Kept, line);
 }
 
-fn take_members(state: &NodeState, page: FeedPage) {
+fn apply_members(state: &NodeState, page: FeedPage) {
     let now = state.now();
     for change in page.changes {
         match change {
             RowChange::Put(row) => match serde_json::from_slice::<MemberRow>(&row.value) {
                 Ok(member) => {
-                    adopt_waits(state, &member);
+                    import_waits(state, &member);
                     state.keeper.borrow_mut().on_member(now, member);
                 }
-                Err(error) => note_unreadable(state, &row, &error),
+                Err(error) => log_unreadable_row(state, &row, &error),
             },
             RowChange::Removed { key } => {
                 state
@@ -226,13 +226,13 @@
                     .borrow_mut()
                     .on_member_gone(&NodeId::from(key.as_str()));
             }
-            change @ RowChange::Unreadable { .. } => drop(put_row(state, change)),
+            change @ RowChange::Unreadable { .. } => drop(stored_row(state, change)),
         }
     }
 }
 
 /// Takes over what a process has learnt of customers' times, its own former life among them.
-fn adopt_waits(state: &NodeState, member: &MemberRow) {
+fn import_waits(state: &NodeState, member: &MemberRow) {
     let mut waits = state.waits.borrow_mut();
     for wait in &member.waits {
         waits.adopt(&UsualWait {
@@ -242,17 +242,17 @@
     }
 }
 
-fn take_cancelled(state: &Rc<NodeState>, page: FeedPage) {
+fn apply_cancelled(state: &Rc<NodeState>, page: FeedPage) {
     for change in page.changes {
-        if let Some(row) = put_row(state, change) {
-            kept_jobs::take_cancelled(state, &row);
+        if let Some(row) = stored_row(state, change) {
+            kept_jobs::apply_cancelled(state, &row);
         }
     }
 }
 
-fn take_claims(state: &Rc<NodeState>, page: FeedPage) {
+fn apply_claims(state: &Rc<NodeState>, page: FeedPage) {
     for change in page.changes {
-        let Some(row) = put_row(state, change) else {
+        let Some(row) = stored_row(state, change) else {
             continue;
         };
         if let Some(centre) = groups::centre_of_key(&row.key) {
@@ -261,9 +261,9 @@
                     let mut versions = state.group_versions.borrow_mut();
                     versions.insert(centre.clone(), row.version.0);
                     drop(versions);
-                    groups::take_groups(state, centre, groups, row.version);
+                    groups::apply_groups(state, centre, groups, row.version);
                 }
-                Err(error) => note_unreadable(state, &row, &error),
+                Err(error) => log_unreadable_row(state, &row, &error),
             }
             continue;
         }
@@ -271,8 +271,8 @@
             continue;
         };
         match serde_json::from_slice::<ClaimRow>(&row.value) {
-            Ok(claim) => owner::take_claim(state, &pool, claim, row.version, page.clock),
-            Err(error) => note_unreadable(state, &row, &error),
+            Ok(claim) => owner::apply_claim(state, &pool, claim, row.version, page.clock),
+            Err(error) => log_unreadable_row(state, &row, &error),
         }
     }
 }
--- a/crates/node/src/groups.rs
+++ b/crates/node/src/groups.rs
@@ -44,7 +44,7 @@
 }
 
 /// Takes what the store says, and moves workers to the pools where they belong now.
-pub(crate) fn take_groups(
+pub(crate) fn apply_groups(
     state: &Rc<NodeState>,
     centre: DataCentreId,
     row: GroupRow,
@@ -66,23 +66,23 @@
         .map(|w| (state.directory.borrow().pool_of(w), w))
         .collect();
     if let Some(former) = former {
-        claim_anew(state, &centre, former.groups.max(row.groups), row, version);
+        release_regrouped_pools(state, &centre, former.groups.max(row.groups), row, version);
     }
-    expect_workers(state, &centre, row);
+    assume_workers(state, &centre, row);
     state.directory.borrow_mut().set_groups(centre, row);
     for (pool, worker) in moved {
         if let Some(pool) = pool {
-            owner::drop_worker(state, &pool, &worker.life);
+            owner::remove_worker(state, &pool, &worker.life);
         }
     }
     for worker in workers {
-        place_worker(state, worker);
+        assign_worker(state, worker);
     }
 }
 
 /// Takes for granted, until the list of workers is read, that each group has some: most processes do not read it before a pool
 /// falls to them.
-fn expect_workers(state: &Rc<NodeState>, centre: &DataCentreId, row: GroupRow) {
+fn assume_workers(state: &Rc<NodeState>, centre: &DataCentreId, row: GroupRow) {
     if state.directory.borrow().was_read() {
         return;
     }
@@ -97,14 +97,14 @@
 ///
 /// A worker that changes its pool turns away an owner whose fence is lower than what it has seen, and was then lost to both.
 /// Each claim that is made after the new number's row has a higher fence than all before it.
-fn claim_anew(
+fn release_regrouped_pools(
     state: &Rc<NodeState>,
     centre: &DataCentreId,
     pools: u32,
     row: GroupRow,
     version: RowVersion,
 ) {
-    state.directory.borrow_mut().note_divided(state.now());
+    state.directory.borrow_mut().record_regrouping(state.now());
     for group in 0..pools {
         let pool = PoolId {
             data_centre: centre.clone(),
@@ -117,7 +117,7 @@
             .map(|owned| owned.pool.fence());
         if fence.is_some_and(|fence| fence.0 < version.0) {
             state.keeper.borrow_mut().on_let_go(&pool);
-            owner::release(state, &pool, "divided_anew");
+            owner::release_pool(state, &pool, "divided_anew");
         }
         if group >= row.groups {
             state.keeper.borrow_mut().on_workers(&pool, false);
@@ -126,16 +126,16 @@
 }
 
 /// Tells a worker to the pool that it belongs to.
-pub(crate) fn place_worker(state: &Rc<NodeState>, record: WorkerRecord) {
+pub(crate) fn assign_worker(state: &Rc<NodeState>, record: WorkerRecord) {
     let Some(pool) = state.directory.borrow().pool_of(&record) else {
         return;
     };
     state.keeper.borrow_mut().on_workers(&pool, true);
-    owner::put_worker(state, &pool, record);
+    owner::upsert_worker(state, &pool, record);
 }
 
 /// Writes numbers that are missing or too small, for as long as the process runs.
-pub(crate) async fn keep_groups(state: Rc<NodeState>) {
+pub(crate) async fn maintain_groups(state: Rc<NodeState>) {
     let begun = state.now();
     let mut listed = ListedCounts::default();
     loop {
@@ -144,7 +144,7 @@
         if !state.directory.borrow().is_current(state.now()) {
             continue;
         }
-        let counts = state.directory.borrow().counts();
+        let counts = state.directory.borrow().worker_counts();
         for (centre, workers) in counts {
             let near = centre == state.settings.data_centre;
             let wait = if near {
@@ -241,6 +241,6 @@
             .group_versions
             .borrow_mut()
             .insert(centre.clone(), version.0);
-        take_groups(state, centre.clone(), row, version);
+        apply_groups(state, centre.clone(), row, version);
     }
 }
--- a/crates/node/src/kept_jobs.rs
+++ b/crates/node/src/kept_jobs.rs
@@ -21,8 +21,8 @@
 use telemetry::{EventKind, EventLine};
 use xxhash_rust::xxh3::xxh3_64;
 
-pub(crate) use self::maintenance::{look_after, pending};
-use crate::{owner::with_fenced, state::NodeState};
+pub(crate) use self::maintenance::{count_pending, maintain_pools};
+use crate::{owner::with_fenced_pool, state::NodeState};
 
 /// The parts of the store over which rows of jobs are spread. Fewer make larger transactions, more let more of them run
 /// beside each other; a transaction takes about 12 ms, so eight carry 600 a second.
@@ -73,7 +73,12 @@
 }
 
 /// Takes a write that a pool asks for.
-pub(crate) fn keep(state: &Rc<NodeState>, pool: &PoolId, fence: FenceToken, order: KeepOrder) {
+pub(crate) fn queue_write(
+    state: &Rc<NodeState>,
+    pool: &PoolId,
+    fence: FenceToken,
+    order: KeepOrder,
+) {
     state.keeps_jobs.set(true);
     let part = part_number(order.job);
     let Some(value) = encode(state, &order) else {
@@ -118,12 +123,12 @@
         ..Transaction::default()
     };
     for call in &batch {
-        add_order(&mut transaction, &call.order, call.value.clone());
+        add_to_transaction(&mut transaction, &call.order, call.value.clone());
     }
     match state.store.transact(&transaction).await {
         Ok(TransactionEnd::Done { version, .. }) => {
             for call in batch {
-                answer(state, &call, KeepAnswer::Stored(version.0));
+                report_result(state, &call, KeepAnswer::Stored(version.0));
             }
         }
         // One of them holds up all: each is looked at alone.
@@ -134,21 +139,21 @@
         }
         Ok(TransactionEnd::Conflict) => {
             for call in batch {
-                resolve(state, part, call).await;
+                resolve_conflict(state, part, call).await;
             }
         }
         Err(error) => {
             let turned_away = matches!(error, StoreError::TurnedAway(_));
-            note_trouble(state, &batch, &error);
+            log_write_failure(state, &batch, &error);
             actix_rt::time::sleep(STORE_RETRY_BACKOFF).await;
             for call in batch {
-                try_again(state, part, call, turned_away);
+                requeue_write(state, part, call, turned_away);
             }
         }
     }
 }
 
-fn note_trouble(state: &NodeState, batch: &[KeepCall], error: &StoreError) {
+fn log_write_failure(state: &NodeState, batch: &[KeepCall], error: &StoreError) {
     let line = EventLine::new("jobs_not_stored")
         .number("jobs", batch.len() as u64)
         .text("error", error);
@@ -156,15 +161,15 @@
 }
 
 /// Has a write done again. A new job that was surely not stored is refused after a while.
-fn try_again(state: &Rc<NodeState>, part: u64, call: KeepCall, turned_away: bool) {
+fn requeue_write(state: &Rc<NodeState>, part: u64, call: KeepCall, turned_away: bool) {
     let in_doubt = call.in_doubt || !turned_away;
     let is_new = call.order.replaces.is_none();
     let waited = state.now().saturating_duration_since(call.asked);
     if is_new && !in_doubt && waited >= NEW_JOB_RETRY_TIME {
-        answer(state, &call, KeepAnswer::TurnedAway);
+        report_result(state, &call, KeepAnswer::TurnedAway);
         return;
     }
-    if !is_held(state, &call) {
+    if !is_current_owner(state, &call) {
         return;
     }
     let call = KeepCall { in_doubt, ..call };
@@ -172,14 +177,14 @@
     queue.waiting.entry(part).or_default().push(call);
 }
 
-fn is_held(state: &NodeState, call: &KeepCall) -> bool {
+fn is_current_owner(state: &NodeState, call: &KeepCall) -> bool {
     let pools = state.pools.borrow();
     let owned = pools.get(&call.pool);
     owned.is_some_and(|owned| owned.pool.fence() == call.fence)
 }
 
-fn answer(state: &Rc<NodeState>, call: &KeepCall, answer: KeepAnswer) {
-    with_fenced(state, &call.pool, call.fence, |pool, now| {
+fn report_result(state: &Rc<NodeState>, call: &KeepCall, answer: KeepAnswer) {
+    with_fenced_pool(state, &call.pool, call.fence, |pool, now| {
         pool.on_kept(now, &call.order, answer);
     });
 }
@@ -196,7 +201,7 @@
     }
 }
 
-fn add_order(transaction: &mut Transaction, order: &KeepOrder, value: Vec<u8>) {
+fn add_to_transaction(transaction: &mut Transaction, order: &KeepOrder, value: Vec<u8>) {
     let key = order.job.to_string();
     let replaced = RowVersion(order.replaces.unwrap_or(0));
     let absent = RowVersion(0);
@@ -231,25 +236,25 @@
 }
 
 /// Reads what stands in the way of a write, and says what that means.
-async fn resolve(state: &Rc<NodeState>, part: u64, call: KeepCall) {
+async fn resolve_conflict(state: &Rc<NodeState>, part: u64, call: KeepCall) {
     let job = call.order.job;
-    match find_row(state, job).await {
+    match find_job(state, job).await {
         Ok(Some(found)) => {
-            let what = judge(&call.order, found);
-            answer(state, &call, what);
+            let what = classify_conflict(&call.order, found);
+            report_result(state, &call, what);
         }
         // An older view: the row is there, since the write was turned away for it.
-        Ok(None) if call.order.replaces.is_none() => try_again(state, part, call, true),
-        Ok(None) => answer(state, &call, KeepAnswer::Gone),
+        Ok(None) if call.order.replaces.is_none() => requeue_write(state, part, call, true),
+        Ok(None) => report_result(state, &call, KeepAnswer::Gone),
         Err(error) => {
-            note_trouble(state, std::slice::from_ref(&call), &error);
+            log_write_failure(state, std::slice::from_ref(&call), &error);
             actix_rt::time::sleep(STORE_RETRY_BACKOFF).await;
-            try_again(state, part, call, false);
+            requeue_write(state, part, call, false);
         }
     }
 }
 
-fn judge(order: &KeepOrder, found: FoundJob) -> KeepAnswer {
+fn classify_conflict(order: &KeepOrder, found: FoundJob) -> KeepAnswer {
     let FoundJob { row, version, .. } = found;
     let own = row.writer == order.row.writer && row.home == order.row.home;
     if own && row.revision == order.row.revision {
@@ -270,21 +275,21 @@
 /// # Errors
 ///
 /// The store gave no answer, so that nothing can be said.
-pub(crate) async fn find_row(
+pub(crate) async fn find_job(
     state: &NodeState,
     job: JobId,
 ) -> Result<Option<FoundJob>, StoreError> {
     let (part, key) = (part_of(job), job.to_string());
     for table in [StoreTable::Jobs, StoreTable::EndedJobs] {
         let row = state.store.get(table, &part, &key).await?;
-        if let Some(found) = row.and_then(|row| read_row(state, &row)) {
+        if let Some(found) = row.and_then(|row| decode_row(state, &row)) {
             return Ok(Some(found));
         }
     }
     Ok(None)
 }
 
-fn read_row(state: &NodeState, row: &StoredRow) -> Option<FoundJob> {
+fn decode_row(state: &NodeState, row: &StoredRow) -> Option<FoundJob> {
     let job = row.key.parse().ok()?;
     match serde_json::from_slice::<KeptRow>(&row.value) {
         Ok(kept) => Some(FoundJob {
@@ -293,7 +298,7 @@
             version: row.version.0,
         }),
         Err(error) => {
-            crate::feeds::note_unreadable(state, row, &error);
+            crate::feeds::log_unreadable_row(state, row, &error);
             None
         }
     }
@@ -304,9 +309,9 @@
 /// # Errors
 ///
 /// The store gave no answer: it may be cancelled or not.
-pub(crate) async fn cancel(state: &NodeState, job: JobId) -> Result<bool, StoreError> {
+pub(crate) async fn cancel_job(state: &NodeState, job: JobId) -> Result<bool, StoreError> {
     loop {
-        let Some(found) = find_row(state, job).await? else {
+        let Some(found) = find_job(state, job).await? else {
             return Ok(false);
         };
         if found.row.state.is_final() {
@@ -327,7 +332,7 @@
         let Some(value) = encode(state, &order) else {
             return Err(CallFailure::NotBuilt("the job's row".to_owned()).into());
         };
-        add_order(&mut transaction, &order, value);
+        add_to_transaction(&mut transaction, &order, value);
         transaction.writes.push(RowWrite {
             table: StoreTable::CancelledJobs,
             key: job.to_string(),
@@ -342,7 +347,7 @@
 }
 
 /// Tells the owner of a job's pool, if that is here, that the job was cancelled.
-pub(crate) fn take_cancelled(state: &Rc<NodeState>, row: &StoredRow) {
+pub(crate) fn apply_cancelled(state: &Rc<NodeState>, row: &StoredRow) {
     let Ok(job) = row.key.parse::<JobId>() else {
         return;
     };
--- a/crates/node/src/kept_jobs/maintenance.rs
+++ b/crates/node/src/kept_jobs/maintenance.rs
@@ -11,10 +11,10 @@
 use platform_adapter::{RowWrite, StoreError, StoreTable, Transaction};
 use telemetry::{EventKind, EventLine};
 
-use super::{part_name, read_row, PART_COUNT, STORE_RETRY_BACKOFF};
+use super::{decode_row, part_name, PART_COUNT, STORE_RETRY_BACKOFF};
 use crate::{
-    feeds::{note_unreadable, put_row},
-    owner::with_fenced,
+    feeds::{log_unreadable_row, stored_row},
+    owner::with_fenced_pool,
     state::NodeState,
 };
 
@@ -30,7 +30,7 @@
 
 /// Reads the kept jobs of pools that want it, shows owners that their claims stand, and publishes what has not begun,
 /// for as long as the process runs.
-pub(crate) async fn look_after(state: Rc<NodeState>) {
+pub(crate) async fn maintain_pools(state: Rc<NodeState>) {
     let mut pools: FastMap<PoolId, PoolCare> = FastMap::default();
     loop {
         actix_rt::time::sleep(MAINTENANCE_INTERVAL).await;
@@ -38,7 +38,7 @@
         pools.retain(|pool, _| owned.contains(pool));
         for pool in owned {
             let care = pools.entry(pool.clone()).or_default();
-            look_after_pool(&state, &pool, care);
+            maintain_pool(&state, &pool, care);
         }
     }
 }
@@ -58,7 +58,7 @@
     published: Option<(Instant, WaitingCounts)>,
 }
 
-fn look_after_pool(state: &Rc<NodeState>, id: &PoolId, care: &mut PoolCare) {
+fn maintain_pool(state: &Rc<NodeState>, id: &PoolId, care: &mut PoolCare) {
     let now = state.now();
     let (fence, wants, has_kept, knows, pending) = {
         let pools = state.pools.borrow();
@@ -88,14 +88,14 @@
     }
     if has_kept && due(care.contact, CLAIM_CHECK_INTERVAL) {
         care.contact = Some(now);
-        actix_rt::spawn(show_contact(state.clone(), id.clone(), fence));
+        actix_rt::spawn(confirm_claim(state.clone(), id.clone(), fence));
     }
     let known = care.published.as_ref();
     // What a former owner published stays until this one knows better.
     let changed = known.map_or(state.keeps_jobs.get(), |(_, known)| *known != pending);
     if knows && changed && due(known.map(|(at, _)| *at), PENDING_PUBLISH_INTERVAL) {
         care.published = Some((now, pending.clone()));
-        actix_rt::spawn(publish(state.clone(), id.clone(), pending));
+        actix_rt::spawn(publish_pending(state.clone(), id.clone(), pending));
     }
 }
 
@@ -123,17 +123,17 @@
             }
         };
         for change in page.changes {
-            let Some(row) = put_row(&state, change) else {
+            let Some(row) = stored_row(&state, change) else {
                 continue;
             };
             state.keeps_jobs.set(true);
-            found.extend(read_row(&state, &row).filter(|found| *found.row.home == *home));
+            found.extend(decode_row(&state, &row).filter(|found| *found.row.home == *home));
         }
     }
-    with_fenced(&state, &id, fence, |pool, now| pool.load_kept(now, found));
+    with_fenced_pool(&state, &id, fence, |pool, now| pool.load_kept(now, found));
 }
 
-async fn show_contact(state: Rc<NodeState>, id: PoolId, fence: FenceToken) {
+async fn confirm_claim(state: Rc<NodeState>, id: PoolId, fence: FenceToken) {
     let sent = state.now();
     let key = id.to_string();
     let read = state.store.get(StoreTable::Claims, "", &key);
@@ -149,11 +149,11 @@
         }
     };
     if row.version.0 == fence.0 {
-        with_fenced(&state, &id, fence, |pool, _| pool.note_contact(sent));
+        with_fenced_pool(&state, &id, fence, |pool, _| pool.note_contact(sent));
     }
 }
 
-async fn publish(state: Rc<NodeState>, id: PoolId, pending: WaitingCounts) {
+async fn publish_pending(state: Rc<NodeState>, id: PoolId, pending: WaitingCounts) {
     let Ok(value) = serde_json::to_vec(&pending) else {
         let line = EventLine::new("pending_not_encoded").text("pool", &id);
         return state.log(EventKind::Kept, line);
@@ -178,17 +178,17 @@
 /// # Errors
 ///
 /// The store gave no answer.
-pub(crate) async fn pending(state: &NodeState, route: &str) -> Result<u64, StoreError> {
+pub(crate) async fn count_pending(state: &NodeState, route: &str) -> Result<u64, StoreError> {
     let page = state.store.read_all(StoreTable::PendingJobs, "").await?;
     let mut sum = 0;
     for change in page.changes {
-        let Some(row) = put_row(state, change) else {
+        let Some(row) = stored_row(state, change) else {
             continue;
         };
         let counts = match serde_json::from_slice::<Vec<(String, u64)>>(&row.value) {
             Ok(counts) => counts,
             Err(error) => {
-                note_unreadable(state, &row, &error);
+                log_unreadable_row(state, &row, &error);
                 continue;
             }
         };
--- a/crates/node/src/list_schedule.rs
+++ b/crates/node/src/list_schedule.rs
@@ -14,7 +14,7 @@
 use telemetry::{EventKind, EventLine};
 use tokio::time::timeout;
 
-use crate::{metrics::count_list, state::NodeState};
+use crate::{metrics::count_list_source, state::NodeState};
 
 /// The shortest time between two readings. Some 30 rows a second change at 48 workers; a worker that drains has to be left
 /// alone within 2 s.
@@ -53,11 +53,11 @@
 }
 
 /// Waits until this process needs the list: it owns a pool, is about to, stands by or is asked for it.
-pub(crate) async fn wait_to_read(state: &Rc<NodeState>, begun: Instant) {
+pub(crate) async fn wait_until_needed(state: &Rc<NodeState>, begun: Instant) {
     loop {
         let now = state.now();
         let settled = now >= begun + MEMBERS_SETTLING_TIME;
-        if owns_soon(state) || (settled && stands_by(state, now)) {
+        if owns_or_may_claim(state) || (settled && is_standby(state, now)) {
             return;
         }
         let asked = timeout(NEED_POLL_INTERVAL, state.wake_workers.notified()).await;
@@ -68,11 +68,11 @@
 }
 
 /// Notes that a reading begins, and gives how long it may wait for a change.
-pub(crate) fn begin_reading(state: &NodeState) -> Duration {
+pub(crate) fn begin_read(state: &NodeState) -> Duration {
     let now = state.now();
     let mut directory = state.directory.borrow_mut();
     let current = directory.is_current(now);
-    directory.note_asked(now);
+    directory.record_request(now);
     match current {
         true => LIST_READ_INTERVAL,
         // Whoever waits for it needs to know at once that there is nothing new.
@@ -88,23 +88,23 @@
     match state.keeper.borrow().list_turn(now, known) {
         ListTurn::Read => None,
         ListTurn::Confirmed { version, at } => {
-            directory.note_confirmed(at, version);
-            note_source(state, ListSource::Confirmed, version);
+            directory.record_confirmation(at, version);
+            record_source(state, ListSource::Confirmed, version);
             Some(RowVersion(version))
         }
     }
 }
 
 /// Notes that the list was read.
-pub(crate) fn note_read(state: &NodeState, version: RowVersion) {
+pub(crate) fn record_read(state: &NodeState, version: RowVersion) {
     let now = state.now();
-    state.directory.borrow_mut().note_read(now, version.0);
-    note_source(state, ListSource::Read, version.0);
+    state.directory.borrow_mut().record_read(now, version.0);
+    record_source(state, ListSource::Read, version.0);
 }
 
 /// Counts where the list came from, and tells the log where that changes. While much changes it does so several times a second.
-fn note_source(state: &NodeState, source: ListSource, version: u64) {
-    count_list(&state.metrics, source);
+fn record_source(state: &NodeState, source: ListSource, version: u64) {
+    count_list_source(&state.metrics, source);
     let now = state.now();
     let told = state.list_source.get();
     if told.is_some_and(|(told, at)| told == source || now < at + SOURCE_LOG_INTERVAL) {
@@ -118,12 +118,12 @@
 }
 
 /// Waits until the next look after a confirmation.
-pub(crate) async fn rest_confirmed(state: &Rc<NodeState>) {
-    rest_for(state, CONFIRMATION_POLL_INTERVAL).await;
+pub(crate) async fn wait_after_confirmation(state: &Rc<NodeState>) {
+    wait_between_reads(state, CONFIRMATION_POLL_INTERVAL).await;
 }
 
 /// Waits until the next reading.
-pub(crate) async fn rest(state: &Rc<NodeState>, age: Duration) {
+pub(crate) async fn wait_after_read(state: &Rc<NodeState>, age: Duration) {
     let listing = match state.directory.borrow().is_divided() {
         true => GROUPED_STARTUP_READ_PERIOD,
         false => STARTUP_READ_PERIOD,
@@ -132,26 +132,26 @@
         actix_rt::time::sleep(LIST_READ_INTERVAL).await;
         return;
     }
-    rest_for(state, LIST_READ_INTERVAL).await;
+    wait_between_reads(state, LIST_READ_INTERVAL).await;
 }
 
-async fn rest_for(state: &Rc<NodeState>, gap: Duration) {
+async fn wait_between_reads(state: &Rc<NodeState>, gap: Duration) {
     let begun = state.now();
-    if owns_soon(state) {
+    if owns_or_may_claim(state) {
         actix_rt::time::sleep(gap).await;
     } else {
         // Whoever is about to take a pool over is woken.
         let _either = timeout(STANDBY_READ_INTERVAL, state.wake_workers.notified()).await;
     }
-    wait_to_read(state, begun).await;
+    wait_until_needed(state, begun).await;
 }
 
 /// Whether this process owns a pool or is among the first that would claim one.
-fn owns_soon(state: &NodeState) -> bool {
+fn owns_or_may_claim(state: &NodeState) -> bool {
     !state.pools.borrow().is_empty() || state.keeper.borrow().may_claim_soon()
 }
 
-fn stands_by(state: &NodeState, now: Instant) -> bool {
+fn is_standby(state: &NodeState, now: Instant) -> bool {
     let centre = &state.settings.data_centre;
     let divided = state.directory.borrow().groups(centre).is_some();
     state.keeper.borrow().stands_by(now, divided)
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -208,7 +208,7 @@
             metrics.count(RETRIES, loss.as_str());
         }
         PoolNote::StartTrouble { answer, .. } => {
-            metrics.count(STARTS_NOT_DONE, start_answer(*answer));
+            metrics.count(STARTS_NOT_DONE, start_answer_label(*answer));
         }
         PoolNote::WorkerResized { former, room, .. } => {
             let grown = room.holds(former);
@@ -235,12 +235,12 @@
 }
 
 /// Counts where a list of workers came from.
-pub(crate) fn count_list(metrics: &NodeMetrics, source: ListSource) {
+pub(crate) fn count_list_source(metrics: &NodeMetrics, source: ListSource) {
     metrics.count(LIST_SOURCES, source.as_str());
 }
 
 /// The text form of an answer to a start, in logs and metrics.
-pub(crate) fn start_answer(answer: StartAnswer) -> &'static str {
+pub(crate) fn start_answer_label(answer: StartAnswer) -> &'static str {
     match answer {
         StartAnswer::Started(_) => "started",
         StartAnswer::Outrun(_) => "outrun",
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -8,7 +8,7 @@
 use telemetry::{EventKind, EventLine};
 
 use crate::{
-    feeds::{note_unreadable, put_row},
+    feeds::{log_unreadable_row, stored_row},
     owner,
     state::NodeState,
     workers,
@@ -16,7 +16,7 @@
 
 /// Takes what operators wrote. Evacuations go before the configuration that came with them: before there is one no worker is
 /// used, so nothing starts before the evacuations are known.
-pub(crate) fn take_page(state: &Rc<NodeState>, page: FeedPage, whole: bool) {
+pub(crate) fn apply_page(state: &Rc<NodeState>, page: FeedPage, whole: bool) {
     let version = page.version.0;
     let mut evacuated = Vec::new();
     let mut configs = Vec::new();
@@ -27,7 +27,7 @@
                 let row = evacuation_row(state, change, version);
                 match row {
                     Some(row) if whole => evacuated.push((centre, row)),
-                    row => take_evacuation(state, centre, row),
+                    row => apply_evacuation(state, centre, row),
                 }
             }
             OperatorRow::WrongEvacuation => {
@@ -43,14 +43,14 @@
             .borrow_mut()
             .take_whole(evacuated, version);
         for centre in change.begun {
-            tell_pools(state, &centre, true);
+            apply_evacuation_to_pools(state, &centre, true);
         }
         for centre in change.ended {
-            tell_pools(state, &centre, false);
+            apply_evacuation_to_pools(state, &centre, false);
         }
     }
     for change in configs {
-        take_config(state, change);
+        apply_config(state, change);
     }
 }
 
@@ -60,14 +60,14 @@
         RowChange::Put(row) => Some(row.version.0),
         RowChange::Removed { .. } => None,
         change @ RowChange::Unreadable { .. } => {
-            drop(put_row(state, change));
+            drop(stored_row(state, change));
             Some(page)
         }
     }
 }
 
 /// Takes one change: the row's version, or that it is gone.
-fn take_evacuation(state: &Rc<NodeState>, centre: DataCentreId, row: Option<u64>) {
+fn apply_evacuation(state: &Rc<NodeState>, centre: DataCentreId, row: Option<u64>) {
     let mut evacuations = state.evacuations.borrow_mut();
     let changed = match row {
         Some(version) => evacuations.begin(centre.clone(), version),
@@ -75,12 +75,12 @@
     };
     drop(evacuations);
     if changed {
-        tell_pools(state, &centre, row.is_some());
+        apply_evacuation_to_pools(state, &centre, row.is_some());
     }
 }
 
 /// Tells the pools of a data centre, and the log. One without workers is likely none that anybody here knows.
-fn tell_pools(state: &Rc<NodeState>, centre: &DataCentreId, evacuated: bool) {
+fn apply_evacuation_to_pools(state: &Rc<NodeState>, centre: &DataCentreId, evacuated: bool) {
     let workers = state.directory.borrow().of_centre(centre).len();
     let event = match evacuated {
         true => "evacuation_begun",
@@ -99,13 +99,13 @@
     }
 }
 
-fn take_config(state: &Rc<NodeState>, change: RowChange) {
-    let Some(row) = put_row(state, change) else {
+fn apply_config(state: &Rc<NodeState>, change: RowChange) {
+    let Some(row) = stored_row(state, change) else {
         return;
     };
     match decode_table(&row.value) {
         Ok(table) => install_table(state, table),
-        Err(error) => note_unreadable(state, &row, &error),
+        Err(error) => log_unreadable_row(state, &row, &error),
     }
 }
 
@@ -121,5 +121,5 @@
         .number("former", known.unwrap_or_default().0);
     state.log(EventKind::Kept, line);
     *state.table.borrow_mut() = Some(Rc::new(table));
-    workers::sort_again(state);
+    workers::reclassify_entries(state);
 }
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -55,7 +55,7 @@
     act(&mut owned.pool, now);
     let fence = owned.pool.fence();
     for note in owned.pool.take_notes() {
-        event_lines::log_pool(state, id, fence, &note);
+        event_lines::log_pool_note(state, id, fence, &note);
     }
     let mut let_go = false;
     for action in owned.pool.take_actions() {
@@ -67,19 +67,19 @@
                 }
             }
             PoolAction::LetGo => let_go = true,
-            PoolAction::Keep(order) => kept_jobs::keep(state, id, fence, order),
-            action => send(state, id, fence, action),
+            PoolAction::Keep(order) => kept_jobs::queue_write(state, id, fence, order),
+            action => send_worker_call(state, id, fence, action),
         }
     }
     drop(pools);
     if let_go {
         state.keeper.borrow_mut().on_let_go(id);
-        release(state, id, "fenced_out");
+        release_pool(state, id, "fenced_out");
     }
 }
 
 /// Sends one call to a worker and hands its answer to the pool that asked for it.
-fn send(state: &Rc<NodeState>, id: &PoolId, fence: FenceToken, action: PoolAction) {
+fn send_worker_call(state: &Rc<NodeState>, id: &PoolId, fence: FenceToken, action: PoolAction) {
     let (state, id) = (state.clone(), id.clone());
     let sent = state.now();
     actix_rt::spawn(async move {
@@ -90,23 +90,25 @@
                 let answer = match select(answer, overdue).await {
                     Either::Left((answer, _)) => answer,
                     Either::Right(((), answer)) => {
-                        with_fenced(&state, &id, fence, |p, now| p.on_start_overdue(now, &order));
+                        with_fenced_pool(&state, &id, fence, |p, now| {
+                            p.on_start_overdue(now, &order)
+                        });
                         answer.await
                     }
                 };
-                with_fenced(&state, &id, fence, |p, now| {
+                with_fenced_pool(&state, &id, fence, |p, now| {
                     p.on_start_answer(now, &order, answer)
                 });
             }
             PoolAction::Stop(order) => {
                 let answer = state.workers.stop(&order).await;
-                with_fenced(&state, &id, fence, |p, now| {
+                with_fenced_pool(&state, &id, fence, |p, now| {
                     p.on_stop_answer(now, &order, answer)
                 });
             }
             PoolAction::Look(order) => {
                 let answer = state.workers.look(&order).await;
-                with_fenced(&state, &id, fence, |pool, now| {
+                with_fenced_pool(&state, &id, fence, |pool, now| {
                     pool.on_look_answer(now, sent, &order, answer);
                 });
             }
@@ -116,7 +118,7 @@
 }
 
 /// As [`with_pool`], but only while the pool is held under the fence under which the call was sent.
-pub(crate) fn with_fenced(
+pub(crate) fn with_fenced_pool(
     state: &Rc<NodeState>,
     id: &PoolId,
     fence: FenceToken,
@@ -129,7 +131,7 @@
 }
 
 /// Lets go of a pool: its jobs may run on until their leases end, and their customers are told to try again.
-pub(crate) fn release(state: &Rc<NodeState>, id: &PoolId, why: &'static str) {
+pub(crate) fn release_pool(state: &Rc<NodeState>, id: &PoolId, why: &'static str) {
     let Some(owned) = state.pools.borrow_mut().remove(id) else {
         return;
     };
@@ -145,7 +147,7 @@
 }
 
 /// Takes what the store says about a claim.
-pub(crate) fn take_claim(
+pub(crate) fn apply_claim(
     state: &Rc<NodeState>,
     id: &PoolId,
     row: ClaimRow,
@@ -164,23 +166,23 @@
         .get(id)
         .map(|owned| owned.pool.fence().0);
     // An owner that hands its pool over finishes its jobs beside its successor, on the workers that they use.
-    if held.is_some_and(|held| held < version.0) && !state.hands_over(id) {
-        release(state, id, "claimed_by_another");
+    if held.is_some_and(|held| held < version.0) && !state.is_handing_over(id) {
+        release_pool(state, id, "claimed_by_another");
     }
     // A claim whose answer was lost shows up here.
     if mine && held.is_none_or(|held| held < version.0) && !state.leaving.get() {
-        take_up(state, id, version, store_clock);
+        open_pool(state, id, version, store_clock);
     }
 }
 
 /// All claims up to a version of the store are known: the pools that are still this node's have no later owner up to it.
-pub(crate) fn note_sole_owner(state: &NodeState, version: u64) {
+pub(crate) fn record_sole_ownership(state: &NodeState, version: u64) {
     for owned in state.pools.borrow_mut().values_mut() {
         owned.pool.note_sole_owner(version);
     }
 }
 
-fn take_up(state: &Rc<NodeState>, id: &PoolId, version: RowVersion, store_clock: Duration) {
+fn open_pool(state: &Rc<NodeState>, id: &PoolId, version: RowVersion, store_clock: Duration) {
     let start = PoolStart {
         home: Arc::from(id.to_string()),
         fence: FenceToken(version.0),
@@ -195,7 +197,7 @@
         awaited: FastMap::default(),
     };
     state.pools.borrow_mut().insert(id.clone(), owned);
-    tell_awaiting(state, id);
+    update_surroundings(state, id);
     let workers = state.directory.borrow().of_pool(id);
     let line = EventLine::new("pool_taken")
         .text("pool", id)
@@ -208,13 +210,13 @@
         return;
     }
     for worker in workers {
-        put_worker(state, id, worker);
+        upsert_worker(state, id, worker);
     }
 }
 
 /// Tells pools of their workers that were taken over while the directory was not current: a worker that has begun to drain
 /// since would get runs.
-pub(crate) fn fill_pools(state: &Rc<NodeState>) {
+pub(crate) fn populate_pools(state: &Rc<NodeState>) {
     if !state.directory.borrow().is_current(state.now()) {
         return;
     }
@@ -222,18 +224,18 @@
     for id in unfilled {
         let workers = state.directory.borrow().of_pool(&id);
         for worker in workers {
-            put_worker(state, &id, worker);
+            upsert_worker(state, &id, worker);
         }
     }
 }
 
 /// Tells a pool of a worker, or keeps it for later while a former owner uses it: a look under the higher fence would
 /// turn away that owner's orders and end its jobs.
-pub(crate) fn put_worker(state: &Rc<NodeState>, id: &PoolId, worker: WorkerRecord) {
+pub(crate) fn upsert_worker(state: &Rc<NodeState>, id: &PoolId, worker: WorkerRecord) {
     if let Some(owned) = state.pools.borrow_mut().get_mut(id) {
         if !owned.pool.has_worker(&worker.life) {
             // A pool that is being handed over gets no worker back that it has let go of.
-            if state.hands_over(id) {
+            if state.is_handing_over(id) {
                 return;
             }
             let held = state.keeper.borrow().held_workers(state.now(), id);
@@ -247,18 +249,18 @@
 }
 
 /// Tells a pool whether a former owner still finishes jobs of it.
-fn tell_awaiting(state: &Rc<NodeState>, id: &PoolId) {
+fn update_surroundings(state: &Rc<NodeState>, id: &PoolId) {
     let shared = state.keeper.borrow().is_shared(state.now(), id);
     let filled = !state.unfilled.borrow().contains(id);
-    let listed = filled && !state.directory.borrow().is_doubtful(state.now());
+    let listed = filled && !state.directory.borrow().may_miss_workers(state.now());
     with_pool(state, id, |pool, now| {
         pool.set_surroundings(now, shared, listed);
     });
 }
 
 /// Takes the workers that former owners have let go of.
-pub(crate) fn take_awaited(state: &Rc<NodeState>, id: &PoolId) {
-    tell_awaiting(state, id);
+pub(crate) fn add_deferred_workers(state: &Rc<NodeState>, id: &PoolId) {
+    update_surroundings(state, id);
     let awaits = state
         .pools
         .borrow()
@@ -287,7 +289,7 @@
 const YIELD_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 /// Hands over what is being handed over, or begins to, or gives it up when nobody takes it.
-pub(crate) fn keep_yielding(state: &Rc<NodeState>) {
+pub(crate) fn advance_handover(state: &Rc<NodeState>) {
     let now = state.now();
     let yielding = state.yielding.borrow().clone();
     let Some((id, since)) = yielding else {
@@ -315,7 +317,7 @@
             .get(&id)
             .map_or(0, |owned| owned.pool.open_jobs());
         if open == 0 {
-            release(state, &id, "yielded");
+            release_pool(state, &id, "yielded");
             *state.yielding.borrow_mut() = None;
         }
         return;
@@ -325,13 +327,13 @@
         with_pool(state, &id, |pool, _| pool.accept_again());
         let workers = state.directory.borrow().of_pool(&id);
         for worker in workers {
-            put_worker(state, &id, worker);
+            upsert_worker(state, &id, worker);
         }
     }
 }
 
 /// A worker is gone for good.
-pub(crate) fn drop_worker(state: &Rc<NodeState>, id: &PoolId, life: &LifeId) {
+pub(crate) fn remove_worker(state: &Rc<NodeState>, id: &PoolId, life: &LifeId) {
     if let Some(owned) = state.pools.borrow_mut().get_mut(id) {
         owned.awaited.remove(life);
     }
@@ -339,7 +341,7 @@
 }
 
 /// Carries out what the claim keeper asks for.
-pub(crate) fn act_on_claims(state: &Rc<NodeState>, actions: Vec<ClaimAction>) {
+pub(crate) fn run_claim_actions(state: &Rc<NodeState>, actions: Vec<ClaimAction>) {
     for action in actions {
         let state = state.clone();
         match action {
@@ -355,14 +357,14 @@
                 });
             }
             ClaimAction::Claim { pool, expected } => {
-                actix_rt::spawn(async move { claim(&state, &pool, expected).await });
+                actix_rt::spawn(async move { write_claim(&state, &pool, expected).await });
             }
         }
     }
 }
 
 /// Has the list of workers read, if it is not known which are the pool's.
-async fn list_workers(state: &Rc<NodeState>, pool: &PoolId) {
+async fn wait_for_worker_list(state: &Rc<NodeState>, pool: &PoolId) {
     let limit = state.now() + WORKER_LIST_TIMEOUT;
     while state.directory.borrow().of_pool(pool).is_empty() && state.now() < limit {
         state.wake_workers.notify_one();
@@ -372,7 +374,7 @@
 
 /// Whether any of a few workers of the pool takes a connection.
 async fn probe(state: &Rc<NodeState>, pool: &PoolId) -> bool {
-    list_workers(state, pool).await;
+    wait_for_worker_list(state, pool).await;
     let workers = state.directory.borrow().of_pool(pool);
     let mut tries = Vec::new();
     for worker in workers.iter().take(MAX_PROBED_WORKERS) {
@@ -382,7 +384,7 @@
     answers.iter().any(|answer| matches!(answer, Ok(Ok(_))))
 }
 
-async fn claim(state: &Rc<NodeState>, pool: &PoolId, expected: u64) {
+async fn write_claim(state: &Rc<NodeState>, pool: &PoolId, expected: u64) {
     let me = state.keeper.borrow().me().clone();
     let row = ClaimRow {
         node: me.node,
@@ -410,7 +412,7 @@
     match answer {
         Ok(TransactionEnd::Done { version, clock }) => {
             line = line.text("outcome", "won").number("fence", version.0);
-            take_claim(state, pool, row, version, clock);
+            apply_claim(state, pool, row, version, clock);
         }
         Ok(TransactionEnd::Conflict) => line = line.text("outcome", "conflict"),
         // It may still take effect: then the claims' feed shows it.
@@ -440,14 +442,14 @@
         if let Some(owned) = self.state.pools.borrow_mut().get_mut(&self.pool) {
             owned.waiters.remove(&waiter);
         }
-        with_fenced(&self.state, &self.pool, self.fence, |p, now| {
+        with_fenced_pool(&self.state, &self.pool, self.fence, |p, now| {
             p.cancel(now, job, waiter)
         });
     }
 }
 
 /// Runs a job in a pool that this node owns.
-pub(crate) async fn run_here(state: Rc<NodeState>, id: PoolId, call: JobCall) -> JobOutcome {
+pub(crate) async fn run_locally(state: Rc<NodeState>, id: PoolId, call: JobCall) -> JobOutcome {
     let not_serving = JobOutcome::Refused {
         kind: RefusalKind::NotServing,
         retry_after: NOT_SERVING_RETRY_AFTER,
@@ -488,7 +490,7 @@
 }
 
 /// How many tasks of a job a pool of this node could take in time now.
-pub(crate) fn offer_here(state: &Rc<NodeState>, call: &JobCall) -> u32 {
+pub(crate) fn offer_locally(state: &Rc<NodeState>, call: &JobCall) -> u32 {
     let now = state.now();
     let mut pools = state.pools.borrow_mut();
     match pools.get_mut(&call.pool) {
@@ -499,7 +501,7 @@
 
 impl PoolService for PoolPort {
     fn offer(&self, call: JobCall) -> u32 {
-        offer_here(&self.state, &call)
+        offer_locally(&self.state, &call)
     }
 
     fn run(&self, call: JobCall) -> LocalBoxFuture<'static, JobOutcome> {
@@ -513,9 +515,9 @@
                 };
             }
             let pool = call.pool.clone();
-            let lost = state.lost_peer(&call.entry);
+            let lost = state.peer_lost_signal(&call.entry);
             let entry = call.entry.clone();
-            let run = std::pin::pin!(run_here(state.clone(), pool, call));
+            let run = std::pin::pin!(run_locally(state.clone(), pool, call));
             let lost = std::pin::pin!(lost.notified());
             match select(run, lost).await {
                 Either::Left((outcome, _)) => outcome,
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -42,7 +42,7 @@
     }
 
     /// Closes the connection to a node that is not heard any more.
-    pub(crate) fn lose(&self, node: &NodeId) {
+    pub(crate) fn close(&self, node: &NodeId) {
         let mut open = self.open.borrow_mut();
         let lost: Vec<SocketAddr> = open
             .iter()
@@ -167,7 +167,7 @@
         fence: owned.pool.fence(),
         load: owned.pool.load(now),
         yielding: !owned.pool.is_accepting(),
-        held: if state.hands_over(id) {
+        held: if state.is_handing_over(id) {
             owned.pool.worker_lives()
         } else {
             Vec::new()
@@ -187,7 +187,7 @@
 }
 
 /// Takes heartbeats for as long as the process runs.
-pub(crate) async fn hear(state: Rc<NodeState>, socket: Rc<UdpSocket>) {
+pub(crate) async fn receive_heartbeats(state: Rc<NodeState>, socket: Rc<UdpSocket>) {
     let mut buffer = vec![0; MAX_HEARTBEAT_BYTES];
     loop {
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -114,8 +114,8 @@
             EventLine::new("process_stopping").millis("grace_ms", grace),
         );
         while state.now() < limit {
-            stop_succeeded(state, limit);
-            release_idle(state);
+            stop_accepting_jobs(state, limit);
+            release_idle_pools(state);
             if state.now() >= begun + BALANCER_DRAIN_TIME {
                 // New connections go elsewhere by now, so whoever is closed out gets another node.
                 state.close_idle.notify_waiters();
@@ -143,17 +143,17 @@
 /// Takes no more jobs for pools that another process can take over. While the store is away none can: a pool that took no
 /// jobs would have no owner until the store is back, which left twelve workers idle for 2.7 s. Its last jobs have to end in
 /// the time to stop.
-fn stop_succeeded(state: &Rc<NodeState>, limit: Instant) {
+fn stop_accepting_jobs(state: &Rc<NodeState>, limit: Instant) {
     let now = state.now();
     let store_away = state.directory.borrow().is_failing(now);
     if store_away && now + LAST_JOBS_TIME < limit {
         return;
     }
-    each_pool(state, |pool, _| pool.stop_accepting());
+    for_each_pool(state, |pool, _| pool.stop_accepting());
 }
 
 /// Lets go of pools whose jobs have ended, so that their next owner can take them.
-fn release_idle(state: &Rc<NodeState>) {
+fn release_idle_pools(state: &Rc<NodeState>) {
     let idle: Vec<_> = {
         let pools = state.pools.borrow();
         let idle = pools
@@ -162,7 +162,7 @@
         idle.map(|(id, _)| id.clone()).collect()
     };
     for id in idle {
-        owner::release(state, &id, "stopping");
+        owner::release_pool(state, &id, "stopping");
     }
 }
 
@@ -251,10 +251,10 @@
     let beats = BeatSender::new(socket.clone());
     let mut tasks = vec![
         actix_rt::spawn(refresh_member(state.clone())),
-        actix_rt::spawn(tick_all(state.clone(), beats)),
-        actix_rt::spawn(groups::keep_groups(state.clone())),
-        actix_rt::spawn(kept_jobs::look_after(state.clone())),
-        actix_rt::spawn(peers::hear(state.clone(), socket)),
+        actix_rt::spawn(run_ticks(state.clone(), beats)),
+        actix_rt::spawn(groups::maintain_groups(state.clone())),
+        actix_rt::spawn(kept_jobs::maintain_pools(state.clone())),
+        actix_rt::spawn(peers::receive_heartbeats(state.clone(), socket)),
         actix_rt::spawn(peer::serve_pool(
             peers,
             state.traffic.clone(),
@@ -262,11 +262,14 @@
                 state: state.clone(),
             }),
         )),
-        actix_rt::spawn(or_log(
+        actix_rt::spawn(log_server_failure(
             state.clone(),
             customer_server::serve(state.clone(), customers),
         )),
-        actix_rt::spawn(or_log(state.clone(), ready::serve(state.clone(), ready))),
+        actix_rt::spawn(log_server_failure(
+            state.clone(),
+            ready::serve(state.clone(), ready),
+        )),
     ];
     let tables = [
         StoreTable::Operator,
@@ -276,7 +279,7 @@
         StoreTable::CancelledJobs,
     ];
     for table in tables {
-        tasks.push(actix_rt::spawn(feeds::follow(state.clone(), table)));
+        tasks.push(actix_rt::spawn(feeds::follow_table(state.clone(), table)));
     }
     Ok(NodeProcess {
         state,
@@ -291,7 +294,7 @@
     listener.map_err(|cause| NodeError::Listen { address, cause })
 }
 
-async fn or_log(
+async fn log_server_failure(
     state: Rc<NodeState>,
     serving: impl std::future::Future<Output = Result<(), NodeError>>,
 ) {
@@ -363,26 +366,26 @@
     }
 }
 
-async fn tick_all(state: Rc<NodeState>, beats: BeatSender) {
+async fn run_ticks(state: Rc<NodeState>, beats: BeatSender) {
     let mut logged: Option<Instant> = None;
     let mut traffic = TrafficNotes::new(state.now());
     loop {
-        actix_rt::time::sleep(tick_gap(&state)).await;
+        actix_rt::time::sleep(tick_interval(&state)).await;
         if state.has_paused() {
             let line = EventLine::new("process_paused").millis(
                 "for_ms",
                 time_since_boot().saturating_sub(state.last_tick.get()),
             );
             state.log(EventKind::Kept, line);
-            each_pool(&state, pool::WorkerPool::give_up_all);
-            state.directory.borrow_mut().note_paused();
+            for_each_pool(&state, pool::WorkerPool::give_up_all);
+            state.directory.borrow_mut().forget_reads();
         }
         state.last_tick.set(time_since_boot());
         tick(&state);
         beats.tick(&state);
         let now = state.now();
         traffic.tick(&state, now);
-        note_link_use(&state, now);
+        update_link_use(&state, now);
         if logged.is_none_or(|at| now >= at + LOG_FLUSH_INTERVAL) {
             logged = Some(now);
             state.log.borrow_mut().flush();
@@ -391,7 +394,7 @@
 }
 
 /// A process that owns nothing and is about to own nothing has less that is due. In a large fleet most are of this kind.
-fn tick_gap(state: &NodeState) -> Duration {
+fn tick_interval(state: &NodeState) -> Duration {
     let owns = !state.pools.borrow().is_empty() || state.keeper.borrow().may_claim_soon();
     match owns || state.leaving.get() {
         true => TICK_INTERVAL,
@@ -399,48 +402,48 @@
     }
 }
 
-fn note_link_use(state: &NodeState, now: Instant) {
+fn update_link_use(state: &NodeState, now: Instant) {
     let mut link_use = state.link_use.get();
     let link = state.keeper.borrow().me().link;
-    link_use.take(now, state.traffic.total(), link);
+    link_use.update(now, state.traffic.total(), link);
     state.link_use.set(link_use);
 }
 
 fn tick(state: &Rc<NodeState>) {
     let now = state.now();
-    let gone = state.directory.borrow_mut().take_gone(now);
+    let gone = state.directory.borrow_mut().take_expired(now);
     for record in gone {
-        workers::drop_worker(state, &record);
+        workers::remove_worker(state, &record);
     }
     let actions = state.keeper.borrow_mut().tick(now);
     let notes = state.keeper.borrow_mut().take_notes();
     for note in notes {
         if let ClaimNote::PeerSilent { node, .. } = &note {
-            state.links.lose(node);
-            state.lost_peer(node).notify_waiters();
+            state.links.close(node);
+            state.peer_lost_signal(node).notify_waiters();
         }
-        crate::event_lines::log_claim(state, &note);
+        crate::event_lines::log_claim_note(state, &note);
     }
     // Whoever may take a pool over soon needs its workers as they are now.
     if state.keeper.borrow().may_claim_soon() {
         state.wake_workers.notify_one();
     }
-    owner::act_on_claims(state, actions);
-    owner::fill_pools(state);
+    owner::run_claim_actions(state, actions);
+    owner::populate_pools(state);
     peers::connect_owners(state);
-    each_pool(state, pool::WorkerPool::tick);
-    each_pool(state, |pool, _| pool.release_idle());
+    for_each_pool(state, pool::WorkerPool::tick);
+    for_each_pool(state, |pool, _| pool.release_idle());
     if state.leaving.get() {
         return;
     }
-    owner::keep_yielding(state);
+    owner::advance_handover(state);
     let pools: Vec<_> = state.pools.borrow().keys().cloned().collect();
     for id in pools {
-        owner::take_awaited(state, &id);
+        owner::add_deferred_workers(state, &id);
     }
 }
 
-fn each_pool(state: &Rc<NodeState>, act: impl Fn(&mut pool::WorkerPool, Instant)) {
+fn for_each_pool(state: &Rc<NodeState>, act: impl Fn(&mut pool::WorkerPool, Instant)) {
     let pools: Vec<_> = state.pools.borrow().keys().cloned().collect();
     for id in pools {
         owner::with_pool(state, &id, &act);
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -109,7 +109,7 @@
     }
 
     /// Whether the pool is being handed over: its jobs end here, new ones go to its next owner.
-    pub(crate) fn hands_over(&self, pool: &PoolId) -> bool {
+    pub(crate) fn is_handing_over(&self, pool: &PoolId) -> bool {
         let yielding = self.yielding.borrow();
         self.leaving.get()
             || yielding
@@ -118,7 +118,7 @@
     }
 
     /// Woken when the process is not heard any more.
-    pub(crate) fn lost_peer(&self, node: &NodeId) -> Rc<Notify> {
+    pub(crate) fn peer_lost_signal(&self, node: &NodeId) -> Rc<Notify> {
         self.lost_peers
             .borrow_mut()
             .entry(node.clone())
--- a/crates/node/src/traffic.rs
+++ b/crates/node/src/traffic.rs
@@ -59,7 +59,7 @@
 
 impl LinkUse {
     /// Takes what was counted until now on a link that carries so much.
-    pub(crate) fn take(&mut self, now: Instant, total: TrafficCount, link: LinkRate) {
+    pub(crate) fn update(&mut self, now: Instant, total: TrafficCount, link: LinkRate) {
         let Some((at, former)) = self.counted.replace((now, total)) else {
             return;
         };
--- a/crates/node/src/workers.rs
+++ b/crates/node/src/workers.rs
@@ -28,7 +28,7 @@
 }
 
 /// Takes what the directory says.
-pub(crate) fn take_page(state: &Rc<NodeState>, page: FeedPage, whole: bool) {
+pub(crate) fn apply_page(state: &Rc<NodeState>, page: FeedPage, whole: bool) {
     let mut seen: FastSet<LifeId> = FastSet::default();
     let mut removed = Vec::new();
     for change in page.changes {
@@ -36,29 +36,29 @@
         match change {
             RowChange::Put(row) => {
                 seen.insert(life.clone());
-                take_entry(state, life, &row);
+                apply_entry(state, life, &row);
             }
             RowChange::Unreadable { reason, .. } => {
                 seen.insert(life.clone());
-                set_aside(state, life, None, &EntryFault::Unreadable(reason));
+                reject_entry(state, life, None, &EntryFault::Unreadable(reason));
             }
             RowChange::Removed { .. } => removed.push(life),
         }
     }
     if whole {
         removed.extend(state.directory.borrow().missing_from(&seen));
-        forget_expected(state);
+        clear_assumed_workers(state);
     }
     for life in removed {
         let gone = state.directory.borrow_mut().remove(state.now(), &life);
         if let Some(record) = gone {
-            drop_worker(state, &record);
+            remove_worker(state, &record);
         }
     }
 }
 
 /// Pools that were taken to have workers before any were known have none if none are listed.
-fn forget_expected(state: &Rc<NodeState>) {
+fn clear_assumed_workers(state: &Rc<NodeState>) {
     let pools = state.keeper.borrow().pools();
     for pool in pools {
         let any = state.directory.borrow().has_pool(&pool);
@@ -67,46 +67,46 @@
 }
 
 /// Looks again at which entries name a worker, after the configuration has changed.
-pub(crate) fn sort_again(state: &Rc<NodeState>) {
-    let unused = state.directory.borrow().unused_records();
+pub(crate) fn reclassify_entries(state: &Rc<NodeState>) {
+    let unused = state.directory.borrow().unusable_records();
     for record in unused {
-        sort(state, record);
+        classify_entry(state, record);
     }
     let used = state.directory.borrow().records();
     for record in used {
         if find_fault(state, &record).is_some() {
-            sort(state, record);
+            classify_entry(state, record);
         }
     }
 }
 
 /// Tells that a worker is gone for good.
-pub(crate) fn drop_worker(state: &Rc<NodeState>, record: &WorkerRecord) {
+pub(crate) fn remove_worker(state: &Rc<NodeState>, record: &WorkerRecord) {
     let Some(pool) = state.directory.borrow().pool_of(record) else {
         return;
     };
     let any = state.directory.borrow().has_pool(&pool);
     state.keeper.borrow_mut().on_workers(&pool, any);
-    owner::drop_worker(state, &pool, &record.life);
+    owner::remove_worker(state, &pool, &record.life);
 }
 
-fn take_entry(state: &Rc<NodeState>, life: LifeId, row: &StoredRow) {
+fn apply_entry(state: &Rc<NodeState>, life: LifeId, row: &StoredRow) {
     match decode_worker(&row.key, &row.value) {
-        Ok(record) => sort(state, record),
+        Ok(record) => classify_entry(state, record),
         Err(error) => {
             let fault = EntryFault::Unreadable(error.to_string());
-            set_aside(state, life, None, &fault);
+            reject_entry(state, life, None, &fault);
         }
     }
 }
 
-fn sort(state: &Rc<NodeState>, record: WorkerRecord) {
+fn classify_entry(state: &Rc<NodeState>, record: WorkerRecord) {
     if let Some(fault) = find_fault(state, &record) {
-        set_aside(state, record.life.clone(), Some(record), &fault);
+        reject_entry(state, record.life.clone(), Some(record), &fault);
         return;
     }
     state.directory.borrow_mut().put(record.clone());
-    groups::place_worker(state, record);
+    groups::assign_worker(state, record);
 }
 
 fn find_fault(state: &NodeState, record: &WorkerRecord) -> Option<EntryFault> {
@@ -122,7 +122,7 @@
 }
 
 /// Keeps an entry for later. `record` is what it holds, if it may name a worker under another configuration.
-fn set_aside(
+fn reject_entry(
     state: &Rc<NodeState>,
     life: LifeId,
     record: Option<WorkerRecord>,
@@ -134,8 +134,8 @@
         noted: !early,
     };
     let mut directory = state.directory.borrow_mut();
-    let noted = directory.is_noted(&life);
-    let former = directory.set_aside(life.clone(), unused);
+    let noted = directory.is_logged(&life);
+    let former = directory.mark_unusable(life.clone(), unused);
     drop(directory);
     if !noted && !early {
         let line = EventLine::new("worker_unusable")
@@ -144,6 +144,6 @@
         state.log(EventKind::Kept, line);
     }
     if let Some(former) = former {
-        drop_worker(state, &former);
+        remove_worker(state, &former);
     }
 }
