--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -48,7 +48,7 @@
 }
 
 fn limits(state: &NodeState) -> BodyLimits {
-    let table = state.table.borrow();
+    let table = state.route_table.borrow();
     table.as_ref().map(|table| table.limits).unwrap_or_default()
 }
 
--- a/crates/node/src/customer_server.rs
+++ b/crates/node/src/customer_server.rs
@@ -103,11 +103,11 @@
         log_refusal(state, "process_paused");
         return not_ready();
     }
-    if state.refusing.get() {
+    if state.refuses_requests.get() {
         log_refusal(state, "process_stopped");
         return not_ready();
     }
-    let Some(table) = state.table.borrow().clone() else {
+    let Some(table) = state.route_table.borrow().clone() else {
         log_refusal(state, "no_configuration");
         return not_ready();
     };
@@ -139,13 +139,13 @@
     if method != Method::POST {
         return json_response(StatusCode::METHOD_NOT_ALLOWED, "{}");
     }
-    let stated = stated_deadline(&request);
+    let stated_deadline = stated_deadline(&request);
     let body = match read_body(request.take_payload(), table.limits).await {
         Ok(body) => body,
         Err(status) => return json_response(status, "{}"),
     };
     state.traffic.receive(TrafficKind::Customers, body.len());
-    submit(state, id, rule, &body, arrived, stated).await
+    submit(state, id, rule, &body, arrived, stated_deadline).await
 }
 
 /// Tells how far a kept job is, as the store has it. Jobs that are not kept are known to nobody.
@@ -177,11 +177,11 @@
 /// Nothing can be said without the store: the customer asks again.
 fn store_unavailable(
     state: &NodeState,
-    what: &'static str,
+    purpose: &'static str,
     error: &StoreError,
 ) -> Response<BoxBody> {
     let line = EventLine::new("store_not_reached")
-        .text("for", what)
+        .text("for", purpose)
         .text("error", error);
     state.log(EventKind::Kept, line);
     not_ready()
@@ -193,9 +193,9 @@
     rule: Rc<RouteRule>,
     body: &[u8],
     arrived: Instant,
-    stated: Option<Duration>,
+    stated_deadline: Option<Duration>,
 ) -> Response<BoxBody> {
-    let deadline = arrived + stated.unwrap_or(DEFAULT_DEADLINE);
+    let deadline = arrived + stated_deadline.unwrap_or(DEFAULT_DEADLINE);
     let request = match decode_job(id, body) {
         Ok(request) => request,
         Err(error) => {
@@ -216,7 +216,7 @@
     }
     let age = match request.kept {
         true => Duration::ZERO,
-        false => request_age(state, &rule, stated),
+        false => request_age(state, &rule, stated_deadline),
     };
     let job = EntryJob {
         request: Arc::new(request),
@@ -246,7 +246,7 @@
     let chain = longest_chain(&job.request.steps, |_, step| step.estimate);
     let expected = chain.mul_f64(job.rule.stretch) + job.rule.goal;
     state
-        .stop_limit
+        .stop_deadline
         .get()
         .is_some_and(|limit| state.now() + expected > limit)
 }
@@ -255,7 +255,7 @@
 /// a job that was taken from one that was not.
 async fn run_until_cut(state: &Rc<NodeState>, job: &EntryJob) -> JobOutcome {
     let run = std::pin::pin!(run_job(state, job));
-    let cut = std::pin::pin!(state.cut.notified());
+    let cut = std::pin::pin!(state.cut_requests.notified());
     match select(run, cut).await {
         Either::Left((outcome, _)) => outcome,
         Either::Right(_) => JobOutcome::GivenUp,
@@ -292,11 +292,11 @@
 ///
 /// It counts only while this process is new: then customers come again whom it, or all processes together, left without an
 /// answer. Later a short time says more likely that this customer is in a hurry.
-fn request_age(state: &NodeState, rule: &RouteRule, stated: Option<Duration>) -> Duration {
-    let Some(left) = stated else {
+fn request_age(state: &NodeState, rule: &RouteRule, stated_deadline: Option<Duration>) -> Duration {
+    let Some(left) = stated_deadline else {
         return Duration::ZERO;
     };
-    let age = state.waits.borrow_mut().take(&rule.name, left);
+    let age = state.request_waits.borrow_mut().take(&rule.name, left);
     let is_new = state.now() < state.started + CUSTOMER_RETURN_PERIOD;
     match is_new && state.has(Mechanism::RequestAges) {
         true => age,
--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -27,11 +27,11 @@
 const SHARED_READ_MAX_AGE: Duration = Duration::from_millis(1_000);
 
 /// An entry that names no worker to use.
-pub(crate) struct UnusedEntry {
+pub(crate) struct UnusableEntry {
     /// What it holds, if it can be read.
     pub(crate) record: Option<WorkerRecord>,
     /// Whether the log says so. It does once, not at each of its writer's heartbeats.
-    pub(crate) noted: bool,
+    pub(crate) logged: bool,
 }
 
 /// The workers that the platform lists.
@@ -39,26 +39,26 @@
 pub(crate) struct WorkerDirectory {
     workers: FastMap<LifeId, WorkerRecord>,
     /// Entries that name none, for as long as they are listed.
-    unused: FastMap<LifeId, UnusedEntry>,
+    unusable: FastMap<LifeId, UnusableEntry>,
     /// Entries that were removed soon after the store failed, and when they count as gone.
-    doubtful: FastMap<LifeId, Instant>,
+    unconfirmed_removals: FastMap<LifeId, Instant>,
     /// When the store last failed a call of this process, on whichever table: the reading of the workers may have waited
     /// all through an outage without noticing it.
     last_failure: Option<Instant>,
     /// When it was last read, by this process or by one that knows the same.
     last_read: Option<Instant>,
     /// When this process itself last read it.
-    own_read: Option<Instant>,
+    last_own_read: Option<Instant>,
     /// Up to which version it is known.
     version: u64,
     /// A digest of what `workers` holds, in whatever order it came.
     digest: u64,
     /// How many workers each data centre has.
-    counts: FastMap<DataCentreId, usize>,
+    worker_counts: FastMap<DataCentreId, usize>,
     /// Since when changes are asked for without an answer.
-    asked: Option<Instant>,
+    changes_requested: Option<Instant>,
     /// When workers were last divided anew.
-    last_divided: Option<Instant>,
+    last_regrouped: Option<Instant>,
     /// Into how many groups the workers of each data centre are divided.
     groups: FastMap<DataCentreId, GroupRow>,
 }
@@ -77,14 +77,14 @@
 
     /// Its changes are asked for.
     pub(crate) fn record_request(&mut self, now: Instant) {
-        self.asked = Some(now);
+        self.changes_requested = Some(now);
     }
 
     /// Its changes until now were read.
     pub(crate) fn record_read(&mut self, now: Instant, version: u64) {
-        self.asked = None;
+        self.changes_requested = None;
         self.last_read = Some(now);
-        self.own_read = Some(now);
+        self.last_own_read = Some(now);
         self.version = version;
     }
 
@@ -97,13 +97,15 @@
     /// The process stood still: how long ago anything was read is not known.
     pub(crate) fn forget_reads(&mut self) {
         self.last_read = None;
-        self.own_read = None;
-        self.asked = None;
+        self.last_own_read = None;
+        self.changes_requested = None;
     }
 
     /// What is known of it, once it was read. Entries of which it is not sure that they are gone are known to nobody else.
     pub(crate) fn known(&self) -> Option<KnownList> {
-        let at = self.last_read.filter(|_| self.doubtful.is_empty())?;
+        let at = self
+            .last_read
+            .filter(|_| self.unconfirmed_removals.is_empty())?;
         Some(KnownList {
             version: self.version,
             digest: self.digest,
@@ -114,7 +116,7 @@
     /// What others are told of this process's own last reading, if that was lately.
     pub(crate) fn reading(&self, now: Instant) -> Option<ListReading> {
         let known = self.known()?;
-        let age = now.saturating_duration_since(self.own_read?);
+        let age = now.saturating_duration_since(self.last_own_read?);
         (age < SHARED_READ_MAX_AGE).then_some(ListReading {
             version: known.version,
             age,
@@ -129,9 +131,12 @@
         let read = self
             .last_read
             .is_some_and(|at| now < at + CURRENT_READ_MAX_AGE);
-        let unchanged = self.asked.zip(self.last_read).is_some_and(|(asked, read)| {
-            now >= asked + NO_CHANGES_DELAY && asked < read + CURRENT_READ_MAX_AGE
-        });
+        let unchanged = self
+            .changes_requested
+            .zip(self.last_read)
+            .is_some_and(|(asked, read)| {
+                now >= asked + NO_CHANGES_DELAY && asked < read + CURRENT_READ_MAX_AGE
+            });
         read || unchanged
     }
 
@@ -142,27 +147,27 @@
 
     /// Workers were divided anew: for a while runs of a pool may be left on workers of another.
     pub(crate) fn record_regrouping(&mut self, now: Instant) {
-        self.last_divided = Some(now);
+        self.last_regrouped = Some(now);
     }
 
     /// Whether workers may be missing on which a pool's runs are left.
     pub(crate) fn may_miss_workers(&self, now: Instant) -> bool {
-        let last = self.last_failure.max(self.last_divided);
+        let last = self.last_failure.max(self.last_regrouped);
         last.is_some_and(|at| now < at + LAPSED_ENTRY_GRACE)
     }
 
     pub(crate) fn put(&mut self, record: WorkerRecord) {
-        self.doubtful.remove(&record.life);
-        self.unused.remove(&record.life);
+        self.unconfirmed_removals.remove(&record.life);
+        self.unusable.remove(&record.life);
         // Most entries are mere signs of life.
         if self.workers.get(&record.life) == Some(&record) {
             return;
         }
         self.remove_record(&record.life);
         self.digest = self.digest.wrapping_add(digest_of(&record));
-        match self.counts.get_mut(&record.data_centre) {
+        match self.worker_counts.get_mut(&record.data_centre) {
             Some(count) => *count += 1,
-            None => drop(self.counts.insert(record.data_centre.clone(), 1)),
+            None => drop(self.worker_counts.insert(record.data_centre.clone(), 1)),
         }
         self.workers.insert(record.life.clone(), record);
     }
@@ -170,7 +175,7 @@
     fn remove_record(&mut self, life: &LifeId) -> Option<WorkerRecord> {
         let record = self.workers.remove(life)?;
         self.digest = self.digest.wrapping_sub(digest_of(&record));
-        if let Some(count) = self.counts.get_mut(&record.data_centre) {
+        if let Some(count) = self.worker_counts.get_mut(&record.data_centre) {
             *count -= 1;
         }
         Some(record)
@@ -180,22 +185,22 @@
     pub(crate) fn mark_unusable(
         &mut self,
         life: LifeId,
-        entry: UnusedEntry,
+        entry: UnusableEntry,
     ) -> Option<WorkerRecord> {
-        self.doubtful.remove(&life);
+        self.unconfirmed_removals.remove(&life);
         let former = self.remove_record(&life);
-        self.unused.insert(life, entry);
+        self.unusable.insert(life, entry);
         former
     }
 
     /// Whether the log says already that the entry names no worker.
     pub(crate) fn is_logged(&self, life: &LifeId) -> bool {
-        self.unused.get(life).is_some_and(|entry| entry.noted)
+        self.unusable.get(life).is_some_and(|entry| entry.logged)
     }
 
     /// What entries hold that name no worker now and may under another configuration.
     pub(crate) fn unusable_records(&self) -> Vec<WorkerRecord> {
-        let entries = self.unused.values();
+        let entries = self.unusable.values();
         entries.filter_map(|entry| entry.record.clone()).collect()
     }
 
@@ -206,28 +211,31 @@
 
     /// Takes an entry as removed. Gives the worker if it counts as gone now.
     pub(crate) fn remove(&mut self, now: Instant, life: &LifeId) -> Option<WorkerRecord> {
-        self.unused.remove(life);
+        self.unusable.remove(life);
         let until = self.last_failure.map(|at| at + LAPSED_ENTRY_GRACE);
         if let Some(until) = until.filter(|until| now < *until) {
             if self.workers.contains_key(life) {
-                self.doubtful.insert(life.clone(), until);
+                self.unconfirmed_removals.insert(life.clone(), until);
             }
             return None;
         }
-        self.doubtful.remove(life);
+        self.unconfirmed_removals.remove(life);
         self.remove_record(life)
     }
 
     /// Workers whose entry did not come back in time.
     pub(crate) fn take_expired(&mut self, now: Instant) -> Vec<WorkerRecord> {
-        if self.doubtful.is_empty() {
+        if self.unconfirmed_removals.is_empty() {
             return Vec::new();
         }
-        let due = self.doubtful.iter().filter(|(_, until)| now >= **until);
+        let due = self
+            .unconfirmed_removals
+            .iter()
+            .filter(|(_, until)| now >= **until);
         let due: Vec<LifeId> = due.map(|(life, _)| life.clone()).collect();
         let mut gone = Vec::new();
         for life in due {
-            self.doubtful.remove(&life);
+            self.unconfirmed_removals.remove(&life);
             gone.extend(self.remove_record(&life));
         }
         gone
@@ -237,7 +245,7 @@
     pub(crate) fn missing_from(&self, seen: &FastSet<LifeId>) -> Vec<LifeId> {
         self.workers
             .keys()
-            .chain(self.unused.keys())
+            .chain(self.unusable.keys())
             .filter(|life| !seen.contains(*life))
             .cloned()
             .collect()
@@ -254,7 +262,7 @@
 
     /// Whether it is agreed for each data centre with workers how they are divided.
     pub(crate) fn is_divided(&self) -> bool {
-        let mut counts = self.counts.iter();
+        let mut counts = self.worker_counts.iter();
         counts.all(|(centre, count)| *count == 0 || self.groups.contains_key(centre))
     }
 
@@ -283,7 +291,7 @@
 
     /// How many workers each data centre has.
     pub(crate) fn worker_counts(&self) -> FastMap<DataCentreId, usize> {
-        let counts = self.counts.iter().filter(|(_, count)| **count > 0);
+        let counts = self.worker_counts.iter().filter(|(_, count)| **count > 0);
         counts
             .map(|(centre, count)| (centre.clone(), *count))
             .collect()
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -67,7 +67,7 @@
 }
 
 /// A pool that can be asked.
-struct AskedPool {
+struct EligiblePool {
     pool: PoolId,
     owner: OwnerView,
     near: bool,
@@ -92,7 +92,7 @@
     let mut last = no_pool_refusal(state);
     let mut offers = Vec::new();
     let mut pools = rank_pools(state, &job.request).into_iter();
-    for AskedPool { pool, owner, .. } in pools.by_ref() {
+    for EligiblePool { pool, owner, .. } in pools.by_ref() {
         let Some(outcome) = submit_before_deadline(state, job, &pool, &owner, None).await else {
             continue;
         };
@@ -157,24 +157,24 @@
 fn select_offer_pools(
     state: &NodeState,
     request: &JobRequest,
-    pools: Vec<AskedPool>,
-) -> (Vec<AskedPool>, Vec<AskedPool>) {
+    pools: Vec<EligiblePool>,
+) -> (Vec<EligiblePool>, Vec<EligiblePool>) {
     let demands = request.steps.iter().map(|step| step.demand.cpu.0);
-    let one = demands.min().unwrap_or_default().max(1);
-    let wanted = request.task_count().saturating_mul(OFFER_ROOM_FACTOR);
-    let busy = state.link_use.get().share() > BUSY_LINK_SHARE;
-    let mut found = 0;
-    let mut worth = Vec::new();
+    let task_cpu = demands.min().unwrap_or_default().max(1);
+    let enough_tasks = request.task_count().saturating_mul(OFFER_ROOM_FACTOR);
+    let link_busy = state.link_use.get().share() > BUSY_LINK_SHARE;
+    let mut expected_tasks = 0;
+    let mut selected = Vec::new();
     for pool in pools {
-        let fits = u64::try_from(pool.room).unwrap_or_default() / one;
-        let spared = busy && (fits == 0 || found >= wanted);
-        if spared || worth.len() >= MAX_OFFER_POOLS {
+        let fits = u64::try_from(pool.room).unwrap_or_default() / task_cpu;
+        let skipped = link_busy && (fits == 0 || expected_tasks >= enough_tasks);
+        if skipped || selected.len() >= MAX_OFFER_POOLS {
             continue;
         }
-        found += fits;
-        worth.push(pool);
+        expected_tasks += fits;
+        selected.push(pool);
     }
-    worth.into_iter().partition(|pool| pool.near)
+    selected.into_iter().partition(|pool| pool.near)
 }
 
 fn fits_whole_job(request: &JobRequest, offer: &PartOffer) -> bool {
@@ -185,11 +185,11 @@
 async fn collect_offers(
     state: &Rc<NodeState>,
     job: &EntryJob,
-    pools: Vec<AskedPool>,
+    pools: Vec<EligiblePool>,
 ) -> Vec<PartOffer> {
     let asked = pools
         .into_iter()
-        .map(|AskedPool { pool, owner, .. }| async move {
+        .map(|EligiblePool { pool, owner, .. }| async move {
             let call = job_call(state, job, &pool, state.now(), None);
             let fits = if owner.here {
                 owner::offer_locally(state, &call)
@@ -252,7 +252,7 @@
     state: &Rc<NodeState>,
     job: &EntryJob,
     part: &JobPart,
-    all: &[JobPart],
+    all_parts: &[JobPart],
 ) -> Option<JobOutcome> {
     let step = part.step.clone();
     let outcome =
@@ -270,7 +270,7 @@
         ..*job
     };
     let mut pools = rank_pools(state, &job.request);
-    pools.retain(|asked| all.iter().all(|part| part.pool != asked.pool));
+    pools.retain(|asked| all_parts.iter().all(|part| part.pool != asked.pool));
     let (near, far) = select_offer_pools(state, &job.request, pools);
     let mut offers = collect_offers(state, &job, near).await;
     if !offers_suffice(&job.request, &offers) {
@@ -317,9 +317,9 @@
     part: Option<StepSpec>,
 ) -> Option<JobOutcome> {
     let now = state.now();
-    let left = job.deadline.saturating_duration_since(now);
+    let time_left = job.deadline.saturating_duration_since(now);
     let call = job_call(state, job, pool, now, part);
-    let outcome = match timeout(left, submit_to_owner(state, pool, owner, call)).await {
+    let outcome = match timeout(time_left, submit_to_owner(state, pool, owner, call)).await {
         Ok(asked) => asked?,
         Err(_) => JobOutcome::GivenUp,
     };
@@ -328,14 +328,14 @@
 }
 
 /// The pools whose owners can take a job, in the order in which they are asked.
-fn rank_pools(state: &NodeState, request: &JobRequest) -> Vec<AskedPool> {
+fn rank_pools(state: &NodeState, request: &JobRequest) -> Vec<EligiblePool> {
     let mut pools = eligible_pools(state);
     let candidates: Vec<PoolCandidate> = pools
         .iter()
         .map(|(pool, owner)| pool_candidate(state, pool, owner))
         .collect();
-    let blind = !state.has(Mechanism::PoolChoice);
-    let candidates = match blind {
+    let ignores_load = !state.has(Mechanism::PoolChoice);
+    let candidates = match ignores_load {
         true => candidates.iter().map(PoolCandidate::unheard).collect(),
         false => candidates,
     };
@@ -345,13 +345,13 @@
         &mut state.rng.borrow_mut(),
     );
     let mut pools: Vec<Option<(PoolId, OwnerView)>> = pools.drain(..).map(Some).collect();
-    let ordered = order.into_iter().filter_map(|place| {
-        let (pool, owner) = pools[place].take()?;
-        Some(AskedPool {
+    let ordered = order.into_iter().filter_map(|index| {
+        let (pool, owner) = pools[index].take()?;
+        Some(EligiblePool {
             pool,
             owner,
-            near: candidates[place].near,
-            room: candidates[place].expected_room(),
+            near: candidates[index].near,
+            room: candidates[index].expected_room(),
         })
     });
     ordered.collect()
@@ -401,7 +401,7 @@
             sent: 0,
         };
     }
-    let sent = state.sent.borrow().get(pool).copied();
+    let sent = state.sent_demand.borrow().get(pool).copied();
     let sent = sent
         .filter(|(heard, _)| Some(*heard) == owner.heard)
         .map_or(0, |(_, cpu)| cpu);
@@ -422,7 +422,7 @@
     let cpu: u64 = steps
         .map(|step| step.demand.cpu.0 * u64::from(step.count))
         .sum();
-    let mut sent = state.sent.borrow_mut();
+    let mut sent = state.sent_demand.borrow_mut();
     let entry = sent.entry(pool.clone()).or_insert((heard, 0));
     if entry.0 != heard {
         *entry = (heard, 0);
--- a/crates/node/src/feeds.rs
+++ b/crates/node/src/feeds.rs
@@ -88,7 +88,7 @@
                 if let Some(since) = lost_since.take() {
                     log_store_regained(&state, table, since);
                 }
-                let whole = after.is_none();
+                let is_snapshot = after.is_none();
                 if page.version < newest {
                     log_stale_rows(&state, table, page.version, newest);
                     actix_rt::time::sleep(STALE_READ_BACKOFF).await;
@@ -96,8 +96,8 @@
                 }
                 newest = page.version;
                 after = Some(newest);
-                partial = !whole && page.changes.len() >= PARTIAL_PAGE_CHANGES;
-                apply_page(&state, table, page, whole);
+                partial = !is_snapshot && page.changes.len() >= PARTIAL_PAGE_CHANGES;
+                apply_page(&state, table, page, is_snapshot);
                 if partial {
                     continue;
                 }
@@ -172,10 +172,10 @@
     state.log(EventKind::Kept, line);
 }
 
-fn apply_page(state: &Rc<NodeState>, table: StoreTable, page: FeedPage, whole: bool) {
+fn apply_page(state: &Rc<NodeState>, table: StoreTable, page: FeedPage, is_snapshot: bool) {
     match table {
-        StoreTable::Operator => operator::apply_page(state, page, whole),
-        StoreTable::Workers => workers::apply_page(state, page, whole),
+        StoreTable::Operator => operator::apply_page(state, page, is_snapshot),
+        StoreTable::Workers => workers::apply_page(state, page, is_snapshot),
         StoreTable::Members => apply_members(state, page),
         StoreTable::Claims => {
             let version = page.version.0;
@@ -233,7 +233,7 @@
 
 /// Takes over what a process has learnt of customers' times, its own former life among them.
 fn import_waits(state: &NodeState, member: &MemberRow) {
-    let mut waits = state.waits.borrow_mut();
+    let mut waits = state.request_waits.borrow_mut();
     for wait in &member.waits {
         waits.adopt(&UsualWait {
             route: wait.route.clone(),
--- a/crates/node/src/kept_jobs.rs
+++ b/crates/node/src/kept_jobs.rs
@@ -40,21 +40,21 @@
 
 /// Writes that wait, by part.
 #[derive(Default)]
-pub(crate) struct KeepQueue {
-    waiting: FastMap<u64, Vec<KeepCall>>,
+pub(crate) struct JobWriteQueue {
+    waiting: FastMap<u64, Vec<JobWrite>>,
     /// Parts with a transaction under way.
     busy: FastSet<u64>,
 }
 
 /// A write that a pool has asked for.
 #[derive(Clone)]
-struct KeepCall {
+struct JobWrite {
     pool: PoolId,
     fence: FenceToken,
     order: KeepOrder,
     /// The row's bytes.
     value: Vec<u8>,
-    asked: Instant,
+    requested_at: Instant,
     /// Whether an earlier try may have taken effect.
     in_doubt: bool,
 }
@@ -79,21 +79,21 @@
     fence: FenceToken,
     order: KeepOrder,
 ) {
-    state.keeps_jobs.set(true);
+    state.has_kept_jobs.set(true);
     let part = part_number(order.job);
     let Some(value) = encode(state, &order) else {
         return;
     };
-    let call = KeepCall {
+    let write = JobWrite {
         value,
         pool: pool.clone(),
         fence,
         order,
-        asked: state.now(),
+        requested_at: state.now(),
         in_doubt: false,
     };
-    let mut queue = state.keeping.borrow_mut();
-    queue.waiting.entry(part).or_default().push(call);
+    let mut queue = state.job_writes.borrow_mut();
+    queue.waiting.entry(part).or_default().push(write);
     if queue.busy.insert(part) {
         actix_rt::spawn(write_part(state.clone(), part));
     }
@@ -103,10 +103,10 @@
 async fn write_part(state: Rc<NodeState>, part: u64) {
     loop {
         let batch = {
-            let mut queue = state.keeping.borrow_mut();
+            let mut queue = state.job_writes.borrow_mut();
             let waiting = queue.waiting.entry(part).or_default();
             let count = waiting.len().min(MAX_JOBS_PER_TRANSACTION);
-            let batch: Vec<KeepCall> = waiting.drain(..count).collect();
+            let batch: Vec<JobWrite> = waiting.drain(..count).collect();
             if batch.is_empty() {
                 queue.busy.remove(&part);
                 return;
@@ -117,43 +117,43 @@
     }
 }
 
-async fn write_batch(state: &Rc<NodeState>, part: u64, batch: Vec<KeepCall>) {
+async fn write_batch(state: &Rc<NodeState>, part: u64, batch: Vec<JobWrite>) {
     let mut transaction = Transaction {
         part: part_name(part),
         ..Transaction::default()
     };
-    for call in &batch {
-        add_to_transaction(&mut transaction, &call.order, call.value.clone());
+    for write in &batch {
+        add_to_transaction(&mut transaction, &write.order, write.value.clone());
     }
     match state.store.transact(&transaction).await {
         Ok(TransactionEnd::Done { version, .. }) => {
-            for call in batch {
-                report_result(state, &call, KeepAnswer::Stored(version.0));
+            for write in batch {
+                report_result(state, &write, KeepAnswer::Stored(version.0));
             }
         }
         // One of them holds up all: each is looked at alone.
         Ok(TransactionEnd::Conflict) if batch.len() > 1 => {
-            for call in batch {
-                Box::pin(write_batch(state, part, vec![call])).await;
+            for write in batch {
+                Box::pin(write_batch(state, part, vec![write])).await;
             }
         }
         Ok(TransactionEnd::Conflict) => {
-            for call in batch {
-                resolve_conflict(state, part, call).await;
+            for write in batch {
+                resolve_conflict(state, part, write).await;
             }
         }
         Err(error) => {
             let turned_away = matches!(error, StoreError::TurnedAway(_));
             log_write_failure(state, &batch, &error);
             actix_rt::time::sleep(STORE_RETRY_BACKOFF).await;
-            for call in batch {
-                requeue_write(state, part, call, turned_away);
+            for write in batch {
+                requeue_write(state, part, write, turned_away);
             }
         }
     }
 }
 
-fn log_write_failure(state: &NodeState, batch: &[KeepCall], error: &StoreError) {
+fn log_write_failure(state: &NodeState, batch: &[JobWrite], error: &StoreError) {
     let line = EventLine::new("jobs_not_stored")
         .number("jobs", batch.len() as u64)
         .text("error", error);
@@ -161,31 +161,31 @@
 }
 
 /// Has a write done again. A new job that was surely not stored is refused after a while.
-fn requeue_write(state: &Rc<NodeState>, part: u64, call: KeepCall, turned_away: bool) {
-    let in_doubt = call.in_doubt || !turned_away;
-    let is_new = call.order.replaces.is_none();
-    let waited = state.now().saturating_duration_since(call.asked);
+fn requeue_write(state: &Rc<NodeState>, part: u64, write: JobWrite, turned_away: bool) {
+    let in_doubt = write.in_doubt || !turned_away;
+    let is_new = write.order.replaces.is_none();
+    let waited = state.now().saturating_duration_since(write.requested_at);
     if is_new && !in_doubt && waited >= NEW_JOB_RETRY_TIME {
-        report_result(state, &call, KeepAnswer::TurnedAway);
+        report_result(state, &write, KeepAnswer::TurnedAway);
         return;
     }
-    if !is_current_owner(state, &call) {
+    if !is_current_owner(state, &write) {
         return;
     }
-    let call = KeepCall { in_doubt, ..call };
-    let mut queue = state.keeping.borrow_mut();
-    queue.waiting.entry(part).or_default().push(call);
+    let write = JobWrite { in_doubt, ..write };
+    let mut queue = state.job_writes.borrow_mut();
+    queue.waiting.entry(part).or_default().push(write);
 }
 
-fn is_current_owner(state: &NodeState, call: &KeepCall) -> bool {
+fn is_current_owner(state: &NodeState, write: &JobWrite) -> bool {
     let pools = state.pools.borrow();
-    let owned = pools.get(&call.pool);
-    owned.is_some_and(|owned| owned.pool.fence() == call.fence)
+    let owned = pools.get(&write.pool);
+    owned.is_some_and(|owned| owned.pool.fence() == write.fence)
 }
 
-fn report_result(state: &Rc<NodeState>, call: &KeepCall, answer: KeepAnswer) {
-    with_fenced_pool(state, &call.pool, call.fence, |pool, now| {
-        pool.on_kept(now, &call.order, answer);
+fn report_result(state: &Rc<NodeState>, write: &JobWrite, answer: KeepAnswer) {
+    with_fenced_pool(state, &write.pool, write.fence, |pool, now| {
+        pool.on_kept(now, &write.order, answer);
     });
 }
 
@@ -236,20 +236,20 @@
 }
 
 /// Reads what stands in the way of a write, and says what that means.
-async fn resolve_conflict(state: &Rc<NodeState>, part: u64, call: KeepCall) {
-    let job = call.order.job;
+async fn resolve_conflict(state: &Rc<NodeState>, part: u64, write: JobWrite) {
+    let job = write.order.job;
     match find_job(state, job).await {
         Ok(Some(found)) => {
-            let what = classify_conflict(&call.order, found);
-            report_result(state, &call, what);
+            let result = classify_conflict(&write.order, found);
+            report_result(state, &write, result);
         }
         // An older view: the row is there, since the write was turned away for it.
-        Ok(None) if call.order.replaces.is_none() => requeue_write(state, part, call, true),
-        Ok(None) => report_result(state, &call, KeepAnswer::Gone),
+        Ok(None) if write.order.replaces.is_none() => requeue_write(state, part, write, true),
+        Ok(None) => report_result(state, &write, KeepAnswer::Gone),
         Err(error) => {
-            log_write_failure(state, std::slice::from_ref(&call), &error);
+            log_write_failure(state, std::slice::from_ref(&write), &error);
             actix_rt::time::sleep(STORE_RETRY_BACKOFF).await;
-            requeue_write(state, part, call, false);
+            requeue_write(state, part, write, false);
         }
     }
 }
--- a/crates/node/src/kept_jobs/maintenance.rs
+++ b/crates/node/src/kept_jobs/maintenance.rs
@@ -31,14 +31,14 @@
 /// Reads the kept jobs of pools that want it, shows owners that their claims stand, and publishes what has not begun,
 /// for as long as the process runs.
 pub(crate) async fn maintain_pools(state: Rc<NodeState>) {
-    let mut pools: FastMap<PoolId, PoolCare> = FastMap::default();
+    let mut pools: FastMap<PoolId, MaintenanceTimes> = FastMap::default();
     loop {
         actix_rt::time::sleep(MAINTENANCE_INTERVAL).await;
         let owned: Vec<PoolId> = state.pools.borrow().keys().cloned().collect();
         pools.retain(|pool, _| owned.contains(pool));
         for pool in owned {
-            let care = pools.entry(pool.clone()).or_default();
-            maintain_pool(&state, &pool, care);
+            let times = pools.entry(pool.clone()).or_default();
+            maintain_pool(&state, &pool, times);
         }
     }
 }
@@ -47,20 +47,20 @@
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How many jobs of each route have not begun.
-type WaitingCounts = Vec<(Arc<str>, u64)>;
+type PendingCounts = Vec<(Arc<str>, u64)>;
 
 /// When something was last done for a pool.
 #[derive(Default)]
-struct PoolCare {
+struct MaintenanceTimes {
     fence: FenceToken,
-    read: Option<Instant>,
-    contact: Option<Instant>,
-    published: Option<(Instant, WaitingCounts)>,
+    last_read: Option<Instant>,
+    last_claim_check: Option<Instant>,
+    last_published: Option<(Instant, PendingCounts)>,
 }
 
-fn maintain_pool(state: &Rc<NodeState>, id: &PoolId, care: &mut PoolCare) {
+fn maintain_pool(state: &Rc<NodeState>, id: &PoolId, times: &mut MaintenanceTimes) {
     let now = state.now();
-    let (fence, wants, has_kept, knows, pending) = {
+    let (fence, wants_rows, has_kept, knows_rows, pending) = {
         let pools = state.pools.borrow();
         let Some(owned) = pools.get(id) else {
             return;
@@ -74,27 +74,27 @@
             pool.pending_jobs(),
         )
     };
-    if care.fence != fence {
-        *care = PoolCare {
+    if times.fence != fence {
+        *times = MaintenanceTimes {
             fence,
-            ..PoolCare::default()
+            ..MaintenanceTimes::default()
         };
     }
-    let due = |last: Option<Instant>, beat| last.is_none_or(|at| now >= at + beat);
-    let again = state.keeps_jobs.get() && due(care.read, JOBS_READ_INTERVAL);
-    if again || (wants && due(care.read, STORE_RETRY_BACKOFF)) {
-        care.read = Some(now);
+    let due = |last: Option<Instant>, interval| last.is_none_or(|at| now >= at + interval);
+    let periodic = state.has_kept_jobs.get() && due(times.last_read, JOBS_READ_INTERVAL);
+    if periodic || (wants_rows && due(times.last_read, STORE_RETRY_BACKOFF)) {
+        times.last_read = Some(now);
         actix_rt::spawn(read_jobs(state.clone(), id.clone(), fence));
     }
-    if has_kept && due(care.contact, CLAIM_CHECK_INTERVAL) {
-        care.contact = Some(now);
+    if has_kept && due(times.last_claim_check, CLAIM_CHECK_INTERVAL) {
+        times.last_claim_check = Some(now);
         actix_rt::spawn(confirm_claim(state.clone(), id.clone(), fence));
     }
-    let known = care.published.as_ref();
+    let known = times.last_published.as_ref();
     // What a former owner published stays until this one knows better.
-    let changed = known.map_or(state.keeps_jobs.get(), |(_, known)| *known != pending);
-    if knows && changed && due(known.map(|(at, _)| *at), PENDING_PUBLISH_INTERVAL) {
-        care.published = Some((now, pending.clone()));
+    let changed = known.map_or(state.has_kept_jobs.get(), |(_, known)| *known != pending);
+    if knows_rows && changed && due(known.map(|(at, _)| *at), PENDING_PUBLISH_INTERVAL) {
+        times.last_published = Some((now, pending.clone()));
         actix_rt::spawn(publish_pending(state.clone(), id.clone(), pending));
     }
 }
@@ -126,7 +126,7 @@
             let Some(row) = stored_row(&state, change) else {
                 continue;
             };
-            state.keeps_jobs.set(true);
+            state.has_kept_jobs.set(true);
             found.extend(decode_row(&state, &row).filter(|found| *found.row.home == *home));
         }
     }
@@ -153,7 +153,7 @@
     }
 }
 
-async fn publish_pending(state: Rc<NodeState>, id: PoolId, pending: WaitingCounts) {
+async fn publish_pending(state: Rc<NodeState>, id: PoolId, pending: PendingCounts) {
     let Ok(value) = serde_json::to_vec(&pending) else {
         let line = EventLine::new("pending_not_encoded").text("pool", &id);
         return state.log(EventKind::Kept, line);
--- a/crates/node/src/list_schedule.rs
+++ b/crates/node/src/list_schedule.rs
@@ -60,8 +60,8 @@
         if owns_or_may_claim(state) || (settled && is_standby(state, now)) {
             return;
         }
-        let asked = timeout(NEED_POLL_INTERVAL, state.wake_workers.notified()).await;
-        if asked.is_ok() {
+        let woken = timeout(NEED_POLL_INTERVAL, state.worker_list_needed.notified()).await;
+        if woken.is_ok() {
             return;
         }
     }
@@ -106,8 +106,9 @@
 fn record_source(state: &NodeState, source: ListSource, version: u64) {
     count_list_source(&state.metrics, source);
     let now = state.now();
-    let told = state.list_source.get();
-    if told.is_some_and(|(told, at)| told == source || now < at + SOURCE_LOG_INTERVAL) {
+    let last = state.list_source.get();
+    if last.is_some_and(|(last_source, at)| last_source == source || now < at + SOURCE_LOG_INTERVAL)
+    {
         return;
     }
     state.list_source.set(Some((source, now)));
@@ -124,11 +125,11 @@
 
 /// Waits until the next reading.
 pub(crate) async fn wait_after_read(state: &Rc<NodeState>, age: Duration) {
-    let listing = match state.directory.borrow().is_divided() {
+    let period = match state.directory.borrow().is_divided() {
         true => GROUPED_STARTUP_READ_PERIOD,
         false => STARTUP_READ_PERIOD,
     };
-    if age < listing {
+    if age < period {
         actix_rt::time::sleep(LIST_READ_INTERVAL).await;
         return;
     }
@@ -141,7 +142,7 @@
         actix_rt::time::sleep(gap).await;
     } else {
         // Whoever is about to take a pool over is woken.
-        let _either = timeout(STANDBY_READ_INTERVAL, state.wake_workers.notified()).await;
+        let _either = timeout(STANDBY_READ_INTERVAL, state.worker_list_needed.notified()).await;
     }
     wait_until_needed(state, begun).await;
 }
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -16,7 +16,7 @@
 
 /// Takes what operators wrote. Evacuations go before the configuration that came with them: before there is one no worker is
 /// used, so nothing starts before the evacuations are known.
-pub(crate) fn apply_page(state: &Rc<NodeState>, page: FeedPage, whole: bool) {
+pub(crate) fn apply_page(state: &Rc<NodeState>, page: FeedPage, is_snapshot: bool) {
     let version = page.version.0;
     let mut evacuated = Vec::new();
     let mut configs = Vec::new();
@@ -26,7 +26,7 @@
             OperatorRow::Evacuation(centre) => {
                 let row = evacuation_row(state, change, version);
                 match row {
-                    Some(row) if whole => evacuated.push((centre, row)),
+                    Some(row) if is_snapshot => evacuated.push((centre, row)),
                     row => apply_evacuation(state, centre, row),
                 }
             }
@@ -37,7 +37,7 @@
             OperatorRow::Other => (),
         }
     }
-    if whole {
+    if is_snapshot {
         let change = state
             .evacuations
             .borrow_mut()
@@ -111,7 +111,11 @@
 
 /// Versions only rise: an answer that was overtaken must not bring an older configuration back.
 fn install_table(state: &Rc<NodeState>, table: jobs::RouteTable) {
-    let known = state.table.borrow().as_ref().map(|known| known.version);
+    let known = state
+        .route_table
+        .borrow()
+        .as_ref()
+        .map(|known| known.version);
     if known.is_some_and(|known| known >= table.version) {
         return;
     }
@@ -120,6 +124,6 @@
         .number("routes", table.routes.len() as u64)
         .number("former", known.unwrap_or_default().0);
     state.log(EventKind::Kept, line);
-    *state.table.borrow_mut() = Some(Rc::new(table));
+    *state.route_table.borrow_mut() = Some(Rc::new(table));
     workers::reclassify_entries(state);
 }
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -38,7 +38,7 @@
     pub(crate) pool: WorkerPool,
     waiters: FastMap<WaiterId, oneshot::Sender<JobOutcome>>,
     /// Workers that a former owner still uses.
-    awaited: FastMap<LifeId, WorkerRecord>,
+    deferred_workers: FastMap<LifeId, WorkerRecord>,
 }
 
 /// Does something with a pool, if this node owns it, and carries out what comes of it.
@@ -57,7 +57,7 @@
     for note in owned.pool.take_notes() {
         event_lines::log_pool_note(state, id, fence, &note);
     }
-    let mut let_go = false;
+    let mut fenced_out = false;
     for action in owned.pool.take_actions() {
         match action {
             PoolAction::Answer { waiter, outcome } => {
@@ -66,13 +66,13 @@
                     let _gone = sender.send(outcome);
                 }
             }
-            PoolAction::LetGo => let_go = true,
+            PoolAction::LetGo => fenced_out = true,
             PoolAction::Keep(order) => kept_jobs::queue_write(state, id, fence, order),
             action => send_worker_call(state, id, fence, action),
         }
     }
     drop(pools);
-    if let_go {
+    if fenced_out {
         state.keeper.borrow_mut().on_let_go(id);
         release_pool(state, id, "fenced_out");
     }
@@ -131,14 +131,14 @@
 }
 
 /// Lets go of a pool: its jobs may run on until their leases end, and their customers are told to try again.
-pub(crate) fn release_pool(state: &Rc<NodeState>, id: &PoolId, why: &'static str) {
+pub(crate) fn release_pool(state: &Rc<NodeState>, id: &PoolId, reason: &'static str) {
     let Some(owned) = state.pools.borrow_mut().remove(id) else {
         return;
     };
     let line = EventLine::new("pool_released")
         .text("pool", id)
         .number("fence", owned.pool.fence().0)
-        .text("why", why)
+        .text("why", reason)
         .number("open_jobs", owned.waiters.len() as u64);
     state.log(EventKind::Kept, line);
     for (_, sender) in owned.waiters {
@@ -194,7 +194,7 @@
     let owned = OwnedPool {
         pool: WorkerPool::new(start, state.now()),
         waiters: FastMap::default(),
-        awaited: FastMap::default(),
+        deferred_workers: FastMap::default(),
     };
     state.pools.borrow_mut().insert(id.clone(), owned);
     update_surroundings(state, id);
@@ -205,8 +205,8 @@
         .number("workers", workers.len() as u64);
     state.log(EventKind::Kept, line);
     if !state.directory.borrow().is_current(state.now()) {
-        state.unfilled.borrow_mut().push(id.clone());
-        state.wake_workers.notify_one();
+        state.unpopulated_pools.borrow_mut().push(id.clone());
+        state.worker_list_needed.notify_one();
         return;
     }
     for worker in workers {
@@ -220,8 +220,8 @@
     if !state.directory.borrow().is_current(state.now()) {
         return;
     }
-    let unfilled = std::mem::take(&mut *state.unfilled.borrow_mut());
-    for id in unfilled {
+    let unpopulated = std::mem::take(&mut *state.unpopulated_pools.borrow_mut());
+    for id in unpopulated {
         let workers = state.directory.borrow().of_pool(&id);
         for worker in workers {
             upsert_worker(state, &id, worker);
@@ -240,7 +240,7 @@
             }
             let held = state.keeper.borrow().held_workers(state.now(), id);
             if held.contains(&worker.life) {
-                owned.awaited.insert(worker.life.clone(), worker);
+                owned.deferred_workers.insert(worker.life.clone(), worker);
                 return;
             }
         }
@@ -251,8 +251,8 @@
 /// Tells a pool whether a former owner still finishes jobs of it.
 fn update_surroundings(state: &Rc<NodeState>, id: &PoolId) {
     let shared = state.keeper.borrow().is_shared(state.now(), id);
-    let filled = !state.unfilled.borrow().contains(id);
-    let listed = filled && !state.directory.borrow().may_miss_workers(state.now());
+    let populated = !state.unpopulated_pools.borrow().contains(id);
+    let listed = populated && !state.directory.borrow().may_miss_workers(state.now());
     with_pool(state, id, |pool, now| {
         pool.set_surroundings(now, shared, listed);
     });
@@ -261,26 +261,26 @@
 /// Takes the workers that former owners have let go of.
 pub(crate) fn add_deferred_workers(state: &Rc<NodeState>, id: &PoolId) {
     update_surroundings(state, id);
-    let awaits = state
+    let has_deferred = state
         .pools
         .borrow()
         .get(id)
-        .is_some_and(|owned| !owned.awaited.is_empty());
-    if !awaits {
+        .is_some_and(|owned| !owned.deferred_workers.is_empty());
+    if !has_deferred {
         return;
     }
     let held = state.keeper.borrow().held_workers(state.now(), id);
-    let mut free = Vec::new();
+    let mut released = Vec::new();
     if let Some(owned) = state.pools.borrow_mut().get_mut(id) {
-        owned.awaited.retain(|life, worker| {
-            let stays = held.contains(life);
-            if !stays {
-                free.push(worker.clone());
+        owned.deferred_workers.retain(|life, worker| {
+            let still_held = held.contains(life);
+            if !still_held {
+                released.push(worker.clone());
             }
-            stays
+            still_held
         });
     }
-    for worker in free {
+    for worker in released {
         with_pool(state, id, |pool, now| pool.put_worker(now, worker));
     }
 }
@@ -291,7 +291,7 @@
 /// Hands over what is being handed over, or begins to, or gives it up when nobody takes it.
 pub(crate) fn advance_handover(state: &Rc<NodeState>) {
     let now = state.now();
-    let yielding = state.yielding.borrow().clone();
+    let yielding = state.yielding_pool.borrow().clone();
     let Some((id, since)) = yielding else {
         let wanted = state.keeper.borrow().pool_to_yield(now);
         let wanted = wanted.filter(|_| state.has(Mechanism::Yielding));
@@ -300,7 +300,7 @@
                 EventKind::Kept,
                 EventLine::new("pool_yielded").text("pool", &id),
             );
-            *state.yielding.borrow_mut() = Some((id.clone(), now));
+            *state.yielding_pool.borrow_mut() = Some((id.clone(), now));
             with_pool(state, &id, |pool, _| pool.stop_accepting());
         }
         return;
@@ -318,12 +318,12 @@
             .map_or(0, |owned| owned.pool.open_jobs());
         if open == 0 {
             release_pool(state, &id, "yielded");
-            *state.yielding.borrow_mut() = None;
+            *state.yielding_pool.borrow_mut() = None;
         }
         return;
     }
     if now >= since + YIELD_TIMEOUT {
-        *state.yielding.borrow_mut() = None;
+        *state.yielding_pool.borrow_mut() = None;
         with_pool(state, &id, |pool, _| pool.accept_again());
         let workers = state.directory.borrow().of_pool(&id);
         for worker in workers {
@@ -335,7 +335,7 @@
 /// A worker is gone for good.
 pub(crate) fn remove_worker(state: &Rc<NodeState>, id: &PoolId, life: &LifeId) {
     if let Some(owned) = state.pools.borrow_mut().get_mut(id) {
-        owned.awaited.remove(life);
+        owned.deferred_workers.remove(life);
     }
     with_pool(state, id, |pool, now| pool.drop_worker(now, life));
 }
@@ -367,7 +367,7 @@
 async fn wait_for_worker_list(state: &Rc<NodeState>, pool: &PoolId) {
     let limit = state.now() + WORKER_LIST_TIMEOUT;
     while state.directory.borrow().of_pool(pool).is_empty() && state.now() < limit {
-        state.wake_workers.notify_one();
+        state.worker_list_needed.notify_one();
         actix_rt::time::sleep(WORKER_LIST_POLL_INTERVAL).await;
     }
 }
@@ -376,11 +376,11 @@
 async fn probe(state: &Rc<NodeState>, pool: &PoolId) -> bool {
     wait_for_worker_list(state, pool).await;
     let workers = state.directory.borrow().of_pool(pool);
-    let mut tries = Vec::new();
+    let mut attempts = Vec::new();
     for worker in workers.iter().take(MAX_PROBED_WORKERS) {
-        tries.push(timeout(PROBE_TIMEOUT, TcpStream::connect(worker.address)));
+        attempts.push(timeout(PROBE_TIMEOUT, TcpStream::connect(worker.address)));
     }
-    let answers = futures::future::join_all(tries).await;
+    let answers = futures::future::join_all(attempts).await;
     answers.iter().any(|answer| matches!(answer, Ok(Ok(_))))
 }
 
@@ -424,7 +424,7 @@
 }
 
 /// A job that waits for its outcome. Dropping it cancels the job.
-struct JobWait {
+struct JobCancelGuard {
     state: Rc<NodeState>,
     pool: PoolId,
     fence: FenceToken,
@@ -433,7 +433,7 @@
     answered: bool,
 }
 
-impl Drop for JobWait {
+impl Drop for JobCancelGuard {
     fn drop(&mut self) {
         if self.answered {
             return;
@@ -455,8 +455,8 @@
         retry_after: NOT_SERVING_RETRY_AFTER,
         fits: 0,
     };
-    let waiter = WaiterId(state.next_waiter.get());
-    state.next_waiter.set(waiter.0 + 1);
+    let waiter = WaiterId(state.next_waiter_id.get());
+    state.next_waiter_id.set(waiter.0 + 1);
     let (sender, receiver) = oneshot::channel();
     let job = call.request.id;
     let fence = {
@@ -467,7 +467,7 @@
         owned.waiters.insert(waiter, sender);
         owned.pool.fence()
     };
-    let mut wait = JobWait {
+    let mut guard = JobCancelGuard {
         state: state.clone(),
         pool: id.clone(),
         fence,
@@ -480,7 +480,7 @@
         pool.submit(now, waiter, request, terms)
     });
     let outcome = receiver.await.unwrap_or(JobOutcome::GivenUp);
-    wait.answered = true;
+    guard.answered = true;
     outcome
 }
 
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -112,33 +112,33 @@
 }
 
 /// Sends heartbeats, each as often as its receiver's distance asks.
-pub(crate) struct BeatSender {
+pub(crate) struct HeartbeatSender {
     socket: Rc<UdpSocket>,
     /// When those of each pace were last told.
-    told: Cell<[Option<Instant>; BeatPace::ALL.len()]>,
+    last_sent: Cell<[Option<Instant>; BeatPace::ALL.len()]>,
 }
 
-impl BeatSender {
+impl HeartbeatSender {
     pub(crate) fn new(socket: Rc<UdpSocket>) -> Self {
         Self {
             socket,
-            told: Cell::default(),
+            last_sent: Cell::default(),
         }
     }
 
     pub(crate) fn tick(&self, state: &NodeState) {
         let now = state.now();
-        let mut told = self.told.get();
+        let mut last_sent = self.last_sent.get();
         let mut due = [false; BeatPace::ALL.len()];
         for pace in BeatPace::ALL {
-            let place = pace as usize;
-            let beat = state.keeper.borrow().beat(pace);
-            due[place] = told[place].is_none_or(|at| now >= at + beat);
-            if due[place] {
-                told[place] = Some(now);
+            let index = pace as usize;
+            let interval = state.keeper.borrow().beat(pace);
+            due[index] = last_sent[index].is_none_or(|at| now >= at + interval);
+            if due[index] {
+                last_sent[index] = Some(now);
             }
         }
-        self.told.set(told);
+        self.last_sent.set(last_sent);
         if due.contains(&true) {
             self.send(state, due);
         }
@@ -196,9 +196,9 @@
         };
         state.traffic.receive(TrafficKind::Heartbeats, length);
         match decode_heartbeat(&buffer[..length]) {
-            Ok(beat) => {
+            Ok(heartbeat) => {
                 let now = state.now();
-                state.keeper.borrow_mut().on_heartbeat(now, beat, from);
+                state.keeper.borrow_mut().on_heartbeat(now, heartbeat, from);
             }
             Err(error) => {
                 let line = EventLine::new("heartbeat_unreadable").text("error", error);
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -28,10 +28,10 @@
     feeds, groups, kept_jobs,
     metrics::new_metrics,
     owner::{self, PoolPort},
-    peers::{self, BeatSender, OwnerLinks},
+    peers::{self, HeartbeatSender, OwnerLinks},
     ready,
     state::{time_since_boot, NodeState},
-    traffic::TrafficNotes,
+    traffic::TrafficLogger,
     workers, NodeError,
 };
 
@@ -103,11 +103,11 @@
     /// until its own requests are answered or its time is over.
     pub async fn stop(&self) {
         let state = &self.state;
-        let begun = state.now();
+        let started = state.now();
         let grace = Duration::from_secs_f64(state.settings.stop_grace_s);
-        let limit = begun + grace.saturating_sub(STOP_MARGIN);
+        let limit = started + grace.saturating_sub(STOP_MARGIN);
         state.leaving.set(true);
-        state.stop_limit.set(Some(limit));
+        state.stop_deadline.set(Some(limit));
         state.keeper.borrow_mut().leave();
         state.log(
             EventKind::Kept,
@@ -116,25 +116,25 @@
         while state.now() < limit {
             stop_accepting_jobs(state, limit);
             release_idle_pools(state);
-            if state.now() >= begun + BALANCER_DRAIN_TIME {
+            if state.now() >= started + BALANCER_DRAIN_TIME {
                 // New connections go elsewhere by now, so whoever is closed out gets another node.
                 state.close_idle.notify_waiters();
             }
             let owns = !state.pools.borrow().is_empty();
             let busy = owns || state.open_requests.get() > 0;
-            if !busy && state.now() >= begun + BALANCER_DRAIN_TIME {
+            if !busy && state.now() >= started + BALANCER_DRAIN_TIME {
                 break;
             }
             actix_rt::time::sleep(TICK_INTERVAL).await;
         }
         // A request that comes now would be cut by the end of the process: it is told that nothing of it ran.
-        state.refusing.set(true);
+        state.refuses_requests.set(true);
         let cut = state.open_requests.get();
-        state.cut.notify_waiters();
+        state.cut_requests.notify_waiters();
         actix_rt::time::sleep(LAST_ANSWERS_TIME).await;
         let line = EventLine::new("process_stopped")
             .number("cut_requests", cut as u64)
-            .millis("took_ms", state.now().saturating_duration_since(begun));
+            .millis("took_ms", state.now().saturating_duration_since(started));
         state.log(EventKind::Kept, line);
         state.log.borrow_mut().flush();
     }
@@ -193,7 +193,7 @@
         ..PoolSettings::default()
     };
     let store = StoreClient::new(http.clone(), settings.store, STORE_CALL_TIMEOUT);
-    let me = MemberRow {
+    let member = MemberRow {
         node: NodeId::from(settings.vm.as_str()),
         incarnation: new_incarnation(&store, settings.vm.as_str()).await,
         data_centre: settings.data_centre.clone(),
@@ -204,9 +204,9 @@
         waits: Vec::new(),
     };
     let line = EventLine::new("process_started")
-        .text("node", &me.node)
-        .number("incarnation", me.incarnation)
-        .text("data_centre", &me.data_centre)
+        .text("node", &member.node)
+        .number("incarnation", member.incarnation)
+        .text("data_centre", &member.data_centre)
         .text("build", env!("CARGO_PKG_VERSION"));
     let claim_settings = ClaimSettings::default();
     let state = Rc::new(NodeState {
@@ -214,44 +214,48 @@
         store,
         pool_settings,
         system_addresses: vec![settings.store, customer_address, ready_address, address],
-        table: RefCell::default(),
-        keeper: RefCell::new(ClaimKeeper::new(me, claim_settings.clone(), clock.now())),
+        route_table: RefCell::default(),
+        keeper: RefCell::new(ClaimKeeper::new(
+            member,
+            claim_settings.clone(),
+            clock.now(),
+        )),
         directory: RefCell::new(WorkerDirectory::default()),
         evacuations: RefCell::default(),
         pools: RefCell::default(),
         group_versions: RefCell::default(),
-        sent: RefCell::default(),
-        waits: RefCell::default(),
+        sent_demand: RefCell::default(),
+        request_waits: RefCell::default(),
         list_source: Cell::new(None),
-        wake_workers: Notify::new(),
-        unfilled: RefCell::default(),
-        keeping: RefCell::default(),
-        keeps_jobs: Cell::new(false),
+        worker_list_needed: Notify::new(),
+        unpopulated_pools: RefCell::default(),
+        job_writes: RefCell::default(),
+        has_kept_jobs: Cell::new(false),
         rng: RefCell::new(fastrand::Rng::new()),
         links: OwnerLinks::default(),
-        lost_peers: RefCell::new(FastMap::default()),
+        peer_lost_signals: RefCell::new(FastMap::default()),
         log: RefCell::new(log),
         metrics: new_metrics()?,
         traffic,
         link_use: Cell::default(),
         leaving: Cell::new(false),
-        refusing: Cell::new(false),
-        yielding: RefCell::default(),
+        refuses_requests: Cell::new(false),
+        yielding_pool: RefCell::default(),
         open_requests: Cell::new(0),
-        stop_limit: Cell::new(None),
+        stop_deadline: Cell::new(None),
         close_idle: Rc::default(),
-        cut: Notify::new(),
+        cut_requests: Notify::new(),
         last_tick: Cell::new(time_since_boot()),
-        next_waiter: Cell::new(0),
+        next_waiter_id: Cell::new(0),
         settings,
         started: clock.now(),
         clock,
     });
     state.log(EventKind::Kept, line);
-    let beats = BeatSender::new(socket.clone());
+    let heartbeats = HeartbeatSender::new(socket.clone());
     let mut tasks = vec![
         actix_rt::spawn(refresh_member(state.clone())),
-        actix_rt::spawn(run_ticks(state.clone(), beats)),
+        actix_rt::spawn(run_ticks(state.clone(), heartbeats)),
         actix_rt::spawn(groups::maintain_groups(state.clone())),
         actix_rt::spawn(kept_jobs::maintain_pools(state.clone())),
         actix_rt::spawn(peers::receive_heartbeats(state.clone(), socket)),
@@ -296,9 +300,9 @@
 
 async fn log_server_failure(
     state: Rc<NodeState>,
-    serving: impl std::future::Future<Output = Result<(), NodeError>>,
+    server: impl std::future::Future<Output = Result<(), NodeError>>,
 ) {
-    if let Err(error) = serving.await {
+    if let Err(error) = server.await {
         state.log(
             EventKind::Kept,
             EventLine::new("server_failed").text("error", error),
@@ -324,7 +328,7 @@
 
 /// What this process has learnt of customers' times.
 fn usual_waits(state: &NodeState) -> Vec<RouteWait> {
-    let usual = state.waits.borrow().usual();
+    let usual = state.request_waits.borrow().usual();
     let waits = usual.into_iter().map(|wait| RouteWait {
         route: wait.route,
         least_ms: u64::try_from(wait.time.as_millis()).unwrap_or(u64::MAX),
@@ -354,8 +358,8 @@
             }
         }
         failed = answer.is_err();
-        let first = row.refreshes < 3 && failed;
-        if first {
+        let retry_soon = row.refreshes < 3 && failed;
+        if retry_soon {
             actix_rt::time::sleep(TICK_INTERVAL).await;
             continue;
         }
@@ -366,9 +370,9 @@
     }
 }
 
-async fn run_ticks(state: Rc<NodeState>, beats: BeatSender) {
+async fn run_ticks(state: Rc<NodeState>, heartbeats: HeartbeatSender) {
     let mut logged: Option<Instant> = None;
-    let mut traffic = TrafficNotes::new(state.now());
+    let mut traffic = TrafficLogger::new(state.now());
     loop {
         actix_rt::time::sleep(tick_interval(&state)).await;
         if state.has_paused() {
@@ -382,7 +386,7 @@
         }
         state.last_tick.set(time_since_boot());
         tick(&state);
-        beats.tick(&state);
+        heartbeats.tick(&state);
         let now = state.now();
         traffic.tick(&state, now);
         update_link_use(&state, now);
@@ -411,8 +415,8 @@
 
 fn tick(state: &Rc<NodeState>) {
     let now = state.now();
-    let gone = state.directory.borrow_mut().take_expired(now);
-    for record in gone {
+    let removed = state.directory.borrow_mut().take_expired(now);
+    for record in removed {
         workers::remove_worker(state, &record);
     }
     let actions = state.keeper.borrow_mut().tick(now);
@@ -426,7 +430,7 @@
     }
     // Whoever may take a pool over soon needs its workers as they are now.
     if state.keeper.borrow().may_claim_soon() {
-        state.wake_workers.notify_one();
+        state.worker_list_needed.notify_one();
     }
     owner::run_claim_actions(state, actions);
     owner::populate_pools(state);
--- a/crates/node/src/ready.rs
+++ b/crates/node/src/ready.rs
@@ -74,5 +74,5 @@
 
 /// Whether this node should get new connections: it knows the configuration, can have a job run, and is not stopping.
 fn is_ready(state: &NodeState) -> bool {
-    state.table.borrow().is_some() && !state.leaving.get() && can_serve(state)
+    state.route_table.borrow().is_some() && !state.leaving.get() && can_serve(state)
 }
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -19,8 +19,8 @@
 use tokio::sync::Notify;
 
 use crate::{
-    directory::WorkerDirectory, kept_jobs::KeepQueue, list_schedule::ListSource, owner::OwnedPool,
-    peers::OwnerLinks, traffic::LinkUse,
+    directory::WorkerDirectory, kept_jobs::JobWriteQueue, list_schedule::ListSource,
+    owner::OwnedPool, peers::OwnerLinks, traffic::LinkUse,
 };
 
 /// A tick later than this means that the process stood still: frozen, suspended, or without its share of the
@@ -38,7 +38,7 @@
     pub(crate) started: Instant,
     pub(crate) store: StoreClient,
     pub(crate) workers: WorkerClient,
-    pub(crate) table: RefCell<Option<Rc<RouteTable>>>,
+    pub(crate) route_table: RefCell<Option<Rc<RouteTable>>>,
     pub(crate) keeper: RefCell<ClaimKeeper>,
     pub(crate) directory: RefCell<WorkerDirectory>,
     pub(crate) evacuations: RefCell<EvacuationBook>,
@@ -46,42 +46,42 @@
     /// Versions of the rows that divide workers into groups.
     pub(crate) group_versions: RefCell<FastMap<DataCentreId, u64>>,
     /// What was sent to each pool since its owner was last heard, and when that was; in thousandths of a core.
-    pub(crate) sent: RefCell<FastMap<PoolId, (Instant, u64)>>,
+    pub(crate) sent_demand: RefCell<FastMap<PoolId, (Instant, u64)>>,
     /// With how much time customers' requests come.
-    pub(crate) waits: RefCell<pool::WaitBook>,
+    pub(crate) request_waits: RefCell<pool::WaitBook>,
     /// Where the list of workers came from when the log was last told, and when that was.
     pub(crate) list_source: Cell<Option<(ListSource, Instant)>>,
     /// Woken when the workers' table has to be read now.
-    pub(crate) wake_workers: Notify,
+    pub(crate) worker_list_needed: Notify,
     /// Pools that were taken over before the workers' table was read again.
-    pub(crate) unfilled: RefCell<Vec<PoolId>>,
+    pub(crate) unpopulated_pools: RefCell<Vec<PoolId>>,
     /// Writes of kept jobs that wait.
-    pub(crate) keeping: RefCell<KeepQueue>,
+    pub(crate) job_writes: RefCell<JobWriteQueue>,
     /// Whether a kept job was ever seen. Until then nothing is done for them.
-    pub(crate) keeps_jobs: Cell<bool>,
+    pub(crate) has_kept_jobs: Cell<bool>,
     pub(crate) rng: RefCell<fastrand::Rng>,
     pub(crate) links: OwnerLinks,
     /// Woken when a process is not heard any more.
-    pub(crate) lost_peers: RefCell<FastMap<NodeId, Rc<Notify>>>,
+    pub(crate) peer_lost_signals: RefCell<FastMap<NodeId, Rc<Notify>>>,
     pub(crate) log: RefCell<EventLog>,
     pub(crate) metrics: NodeMetrics,
     pub(crate) traffic: Arc<TrafficBook>,
     pub(crate) link_use: Cell<LinkUse>,
     pub(crate) leaving: Cell<bool>,
     /// A pool that is being handed over to a process that suits it better, and since when.
-    pub(crate) yielding: RefCell<Option<(PoolId, Instant)>>,
+    pub(crate) yielding_pool: RefCell<Option<(PoolId, Instant)>>,
     pub(crate) open_requests: Cell<usize>,
     /// Whether no request is taken any more, since the process is about to end.
-    pub(crate) refusing: Cell<bool>,
+    pub(crate) refuses_requests: Cell<bool>,
     /// When the process ends, once it is stopping.
-    pub(crate) stop_limit: Cell<Option<Instant>>,
+    pub(crate) stop_deadline: Cell<Option<Instant>>,
     /// Woken when customers' idle connections are to be closed.
     pub(crate) close_idle: Rc<Notify>,
     /// Woken when open requests have to be answered because the process ends.
-    pub(crate) cut: Notify,
+    pub(crate) cut_requests: Notify,
     /// The time since boot at the last tick, suspension included.
     pub(crate) last_tick: Cell<Duration>,
-    pub(crate) next_waiter: Cell<u64>,
+    pub(crate) next_waiter_id: Cell<u64>,
 }
 
 impl NodeState {
@@ -110,7 +110,7 @@
 
     /// Whether the pool is being handed over: its jobs end here, new ones go to its next owner.
     pub(crate) fn is_handing_over(&self, pool: &PoolId) -> bool {
-        let yielding = self.yielding.borrow();
+        let yielding = self.yielding_pool.borrow();
         self.leaving.get()
             || yielding
                 .as_ref()
@@ -119,7 +119,7 @@
 
     /// Woken when the process is not heard any more.
     pub(crate) fn peer_lost_signal(&self, node: &NodeId) -> Rc<Notify> {
-        self.lost_peers
+        self.peer_lost_signals
             .borrow_mut()
             .entry(node.clone())
             .or_default()
--- a/crates/node/src/traffic.rs
+++ b/crates/node/src/traffic.rs
@@ -12,36 +12,36 @@
 const TRAFFIC_LOG_INTERVAL: Duration = Duration::from_secs(5);
 
 /// What the last line told.
-pub(crate) struct TrafficNotes {
-    at: Instant,
-    told: Vec<TrafficCount>,
+pub(crate) struct TrafficLogger {
+    logged_at: Instant,
+    logged: Vec<TrafficCount>,
 }
 
-impl TrafficNotes {
+impl TrafficLogger {
     pub(crate) fn new(now: Instant) -> Self {
         Self {
-            at: now,
-            told: vec![TrafficCount::default(); TrafficKind::ALL.len()],
+            logged_at: now,
+            logged: vec![TrafficCount::default(); TrafficKind::ALL.len()],
         }
     }
 
     /// Writes a line when one is due: of each kind the bytes a second, out/in, and the calls.
     pub(crate) fn tick(&mut self, state: &Rc<NodeState>, now: Instant) {
-        let passed = now.saturating_duration_since(self.at);
+        let passed = now.saturating_duration_since(self.logged_at);
         if passed < TRAFFIC_LOG_INTERVAL {
             return;
         }
-        self.at = now;
+        self.logged_at = now;
         let mut line = EventLine::new("traffic").millis("for_ms", passed);
-        let a_second = |bytes: u64| (bytes as f64 / passed.as_secs_f64()) as u64;
-        for (kind, told) in TrafficKind::ALL.iter().zip(&mut self.told) {
+        let per_second = |bytes: u64| (bytes as f64 / passed.as_secs_f64()) as u64;
+        for (kind, logged) in TrafficKind::ALL.iter().zip(&mut self.logged) {
             let count = state.traffic.count(*kind);
-            let (sent, received) = (count.sent - told.sent, count.received - told.received);
-            let (sent, received) = (a_second(sent), a_second(received));
-            let calls = count.calls - told.calls;
+            let (sent, received) = (count.sent - logged.sent, count.received - logged.received);
+            let (sent, received) = (per_second(sent), per_second(received));
+            let calls = count.calls - logged.calls;
             let rates = format!("{sent}/{received}/{calls}");
             line = line.text(kind.as_str(), rates);
-            *told = count;
+            *logged = count;
         }
         state.log(EventKind::Kept, line);
     }
--- a/crates/node/src/workers.rs
+++ b/crates/node/src/workers.rs
@@ -14,7 +14,7 @@
 use telemetry::{EventKind, EventLine};
 use thiserror::Error;
 
-use crate::{directory::UnusedEntry, groups, owner, state::NodeState};
+use crate::{directory::UnusableEntry, groups, owner, state::NodeState};
 
 /// Why an entry names no worker to use.
 #[derive(Debug, Error)]
@@ -28,7 +28,7 @@
 }
 
 /// Takes what the directory says.
-pub(crate) fn apply_page(state: &Rc<NodeState>, page: FeedPage, whole: bool) {
+pub(crate) fn apply_page(state: &Rc<NodeState>, page: FeedPage, is_snapshot: bool) {
     let mut seen: FastSet<LifeId> = FastSet::default();
     let mut removed = Vec::new();
     for change in page.changes {
@@ -45,7 +45,7 @@
             RowChange::Removed { .. } => removed.push(life),
         }
     }
-    if whole {
+    if is_snapshot {
         removed.extend(state.directory.borrow().missing_from(&seen));
         clear_assumed_workers(state);
     }
@@ -61,8 +61,8 @@
 fn clear_assumed_workers(state: &Rc<NodeState>) {
     let pools = state.keeper.borrow().pools();
     for pool in pools {
-        let any = state.directory.borrow().has_pool(&pool);
-        state.keeper.borrow_mut().on_workers(&pool, any);
+        let has_workers = state.directory.borrow().has_pool(&pool);
+        state.keeper.borrow_mut().on_workers(&pool, has_workers);
     }
 }
 
@@ -85,8 +85,8 @@
     let Some(pool) = state.directory.borrow().pool_of(record) else {
         return;
     };
-    let any = state.directory.borrow().has_pool(&pool);
-    state.keeper.borrow_mut().on_workers(&pool, any);
+    let has_workers = state.directory.borrow().has_pool(&pool);
+    state.keeper.borrow_mut().on_workers(&pool, has_workers);
     owner::remove_worker(state, &pool, &record.life);
 }
 
@@ -113,7 +113,7 @@
     if state.system_addresses.contains(&record.address) {
         return Some(EntryFault::SystemAddress);
     }
-    let table = state.table.borrow();
+    let table = state.route_table.borrow();
     let known = table
         .as_ref()
         .map(|table| table.names_service(&record.service));
@@ -128,16 +128,16 @@
     record: Option<WorkerRecord>,
     fault: &EntryFault,
 ) {
-    let early = state.table.borrow().is_none();
-    let unused = UnusedEntry {
+    let unconfigured = state.route_table.borrow().is_none();
+    let entry = UnusableEntry {
         record,
-        noted: !early,
+        logged: !unconfigured,
     };
     let mut directory = state.directory.borrow_mut();
-    let noted = directory.is_logged(&life);
-    let former = directory.mark_unusable(life.clone(), unused);
+    let logged = directory.is_logged(&life);
+    let former = directory.mark_unusable(life.clone(), entry);
     drop(directory);
-    if !noted && !early {
+    if !logged && !unconfigured {
         let line = EventLine::new("worker_unusable")
             .text("worker", &life)
             .text("why", fault);
