--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -1,4 +1,4 @@
-//! Hands a customer's job to the owner of a pool.
+//! Submits a customer's job to the owners of pools.
 
 use std::{
     rc::Rc,
@@ -21,57 +21,61 @@
 
 use crate::{owner, state::NodeState};
 
-/// When a customer may come back while no owner of a pool can be reached: an owner is replaced within a second.
+/// The retry delay for customers while no owner of a pool can be reached. An owner is replaced within a second.
 const NO_OWNER_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// How long after its start a process expects pools to get their owners.
+/// The time after a process's start within which pools are expected to get their owners.
 const STARTUP_PERIOD: Duration = Duration::from_millis(2_000);
 
-/// How long a job waits for that.
+/// How long a job waits for a pool to get an owner during startup.
 const OWNER_WAIT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The time between two looks whether there is one.
+/// The interval at which a waiting job checks whether a pool has an owner.
 const OWNER_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The most pools that are asked for one job. The nearest takes it unless it is full; each further one costs a round trip of a few
-/// milliseconds, which a wide job of short tasks can spare only so often.
+/// The most pools that are asked for offers for one job. The nearest pool takes the job unless it is full; each
+/// further pool costs a round trip of a few milliseconds, and a wide job of short tasks has time for only a few of
+/// these.
 const MAX_OFFER_POOLS: usize = 6;
 
-/// How long an owner has for saying what it could take. Later it helps no wide job of short tasks.
+/// The time within which an owner must answer with its offer. A later offer does not help a wide job of short
+/// tasks.
 const OFFER_TIMEOUT: Duration = Duration::from_millis(80);
 
-/// How many times the room of a job the pools are expected to have together that are asked for offers. What is known of
-/// them is up to half a second old.
+/// The expected room of all pools that are asked for offers, as a multiple of the room that the job needs. It is
+/// above one because what is known of their load is up to half a second old.
 const OFFER_ROOM_FACTOR: u64 = 2;
 
-/// The share of the link from which on offers are asked for sparingly. On links that carry hundreds of times as many as are asked
-/// for, asking all refuses fewer jobs.
+/// The share of the link in use above which fewer offers are requested. On links that carry hundreds of times as
+/// many offer requests as are sent, asking all pools refuses fewer jobs.
 const BUSY_LINK_SHARE: f64 = 0.45;
 
-/// A job as it came in.
+/// A customer's job as it arrived.
 pub(crate) struct EntryJob {
     pub(crate) request: Arc<JobRequest>,
     pub(crate) rule: Rc<RouteRule>,
     pub(crate) arrived: Instant,
-    /// How long it had been under way before, at least: its customer was cut off, or found nobody.
+    /// How long the customer had been trying before this request arrived, at least: an earlier connection was cut,
+    /// or no process could take the job.
     pub(crate) age: Duration,
     /// When its customer stops waiting.
     pub(crate) deadline: Instant,
 }
 
-/// An owner that refused a job as a whole, and how many of its tasks it could take in time.
+/// A pool's offer: how many tasks of a job its owner could take in time. The owner states this when it refuses the
+/// whole job, or when it is asked for an offer.
 struct PartOffer {
     pool: PoolId,
     owner: OwnerView,
     fits: u32,
 }
 
-/// A pool that can be asked.
+/// A pool that a job can be submitted to.
 struct EligiblePool {
     pool: PoolId,
     owner: OwnerView,
     near: bool,
-    /// The room that it is expected to have, in thousandths of a core.
+    /// The pool's expected free processor capacity, in thousandths of a core.
     room: i64,
 }
 
@@ -82,11 +86,12 @@
     step: StepSpec,
 }
 
-/// Runs a job to its end: whole in one pool if one takes it, else divided among pools that can take it together.
+/// Runs a job to its end: in one pool if one takes the whole job, otherwise divided among pools that can take it
+/// together.
 ///
-/// One pool is asked outright. If it refuses, the others are asked what they could take, all of a distance at once and
-/// without the job's text: asked outright one after another, each costs a round trip and the bytes of the whole job, which
-/// alone fill narrow links.
+/// The job is submitted to the first pool directly. If that pool refuses it, the others are asked for offers, all
+/// pools at the same distance at once and without the job's text. Submitting the job to one pool after another
+/// would cost a round trip and the bytes of the whole job each time, which alone fills narrow links.
 pub(crate) async fn run_job(state: &Rc<NodeState>, job: &EntryJob) -> JobOutcome {
     wait_for_owner(state, job).await;
     let mut last = no_pool_refusal(state);
@@ -126,10 +131,11 @@
     }
 }
 
-/// Waits for the owner of a pool while the process is new.
+/// Waits for a pool to get an owner while the process is new.
 ///
-/// Load it answers: all processes start again at once, and customers who waited come at that moment. Pools have owners some
-/// tenths of a second later, in time for most jobs; refused at once, all of these would be lost to their customers.
+/// When all processes restart at once under load, the customers that waited come back at that moment. Pools get
+/// owners some tenths of a second later, which is in time for most jobs; jobs that were refused at once would be
+/// lost to their customers.
 async fn wait_for_owner(state: &Rc<NodeState>, job: &EntryJob) {
     let until = (job.arrived + OWNER_WAIT_TIMEOUT)
         .min(state.started + STARTUP_PERIOD)
@@ -139,7 +145,7 @@
     }
 }
 
-/// The refusal of a job for which no pool can be asked.
+/// Returns the refusal of a job that no pool can be asked to take.
 fn no_pool_refusal(state: &NodeState) -> JobOutcome {
     let kind = match reachable_pools(state).is_empty() {
         true => RefusalKind::Unreachable,
@@ -152,8 +158,9 @@
     }
 }
 
-/// The pools that are asked for an offer, those of this data centre apart. Where the link is busy only those that seem to
-/// have room, and no more than seem to have it twice over: of the others an answer is likely known.
+/// Selects the pools to ask for offers, separated into those of this data centre and the others. If the link is
+/// busy, only pools that seem to have room are selected, and no more than have the room `OFFER_ROOM_FACTOR` times
+/// over: the answers of the others are likely known.
 fn select_offer_pools(
     state: &NodeState,
     request: &JobRequest,
@@ -181,7 +188,7 @@
     u64::from(offer.fits) >= request.task_count()
 }
 
-/// Asks several owners at once what they could take. Those that do not say so in time offer nothing.
+/// Asks the owners of several pools at once for offers. Owners that do not answer in time offer nothing.
 async fn collect_offers(
     state: &Rc<NodeState>,
     job: &EntryJob,
@@ -206,18 +213,18 @@
     offers.into_iter().flatten().collect()
 }
 
-/// Whether a job may run in parts: the tasks of one step need nothing of each other.
+/// Returns whether a job may be divided: the tasks of one step do not depend on each other.
 fn can_divide(state: &NodeState, request: &JobRequest) -> bool {
     request.steps.len() == 1 && !request.kept && state.has(Mechanism::Dividing)
 }
 
-/// Whether the pools that were asked can take all tasks together. Asking on would only cost time.
+/// Returns whether the offers cover all tasks together. Asking further pools would then only cost time.
 fn offers_suffice(request: &JobRequest, offers: &[PartOffer]) -> bool {
     let offered: u64 = offers.iter().map(|offer| u64::from(offer.fits)).sum();
     offered >= request.task_count()
 }
 
-/// The parts of a job of one step, as the pools offered to take them, if together they can take all.
+/// Divides a job of one step according to the offers. None if the offers do not cover all tasks.
 fn divide_job(
     state: &NodeState,
     request: &JobRequest,
@@ -237,7 +244,8 @@
     Some(parts)
 }
 
-/// Runs the parts of a job. It is complete when all are; once one is not, the others are cancelled.
+/// Runs the parts of a job. The job is complete when all parts are; as soon as one part ends otherwise, the others
+/// are cancelled.
 async fn run_parts(state: &Rc<NodeState>, job: &EntryJob, parts: &[JobPart]) -> JobOutcome {
     let runs = parts
         .iter()
@@ -245,9 +253,12 @@
     join_parts(runs.collect()).await
 }
 
-/// Runs one part. Nothing of it ran if its pool refuses it, as one does whose data centre is evacuated meanwhile, or has
-/// become another's: pools that have no part of the job take it if together they can. Given up at once, the job would be
-/// lost to its customer with most of its tasks under way.
+/// Runs one part of a job.
+///
+/// If the part's pool refuses it, nothing of the part has run. That happens when the pool's data centre is
+/// evacuated or the pool changes its owner meanwhile. The part is then divided among pools that have no part of the
+/// job, if they can take it together: giving up at once would lose the job to its customer with most of its tasks
+/// in progress.
 async fn run_part(
     state: &Rc<NodeState>,
     job: &EntryJob,
@@ -290,16 +301,16 @@
     Some(join_parts(runs.collect()).await)
 }
 
-/// How a job ends whose parts are under way.
+/// Waits for the parts of a job and returns the outcome of the whole job.
 async fn join_parts(
     mut running: FuturesUnordered<LocalBoxFuture<'_, Option<JobOutcome>>>,
 ) -> JobOutcome {
     while let Some(outcome) = running.next().await {
         match outcome {
-            // Kept jobs are not divided.
+            // Jobs kept in the store (outcome `Accepted`) are not divided.
             Some(JobOutcome::Completed | JobOutcome::Accepted) => (),
             Some(JobOutcome::Failed) => return JobOutcome::Failed,
-            // Others of its parts may have begun, so it cannot be said that nothing ran.
+            // Other parts may have begun, so the answer cannot be that nothing ran.
             None | Some(JobOutcome::Refused { .. } | JobOutcome::GivenUp) => {
                 return JobOutcome::GivenUp;
             }
@@ -308,7 +319,8 @@
     JobOutcome::Completed
 }
 
-/// Asks one owner, for at most as long as the customer waits. None if the job surely did not reach it.
+/// Submits a job or a part of it to one owner and waits at most as long as the customer does. None if the job
+/// cannot have reached the owner.
 async fn submit_before_deadline(
     state: &Rc<NodeState>,
     job: &EntryJob,
@@ -327,7 +339,7 @@
     Some(outcome)
 }
 
-/// The pools whose owners can take a job, in the order in which they are asked.
+/// Returns the eligible pools in the order in which they are asked.
 fn rank_pools(state: &NodeState, request: &JobRequest) -> Vec<EligiblePool> {
     let mut pools = eligible_pools(state);
     let candidates: Vec<PoolCandidate> = pools
@@ -357,7 +369,7 @@
     ordered.collect()
 }
 
-/// What the tasks need that can start at once, in thousandths of a core.
+/// Returns the processor demand of the tasks that can start at once, in thousandths of a core.
 fn initial_demand(request: &JobRequest) -> u64 {
     let first = request.steps.iter().filter(|step| step.after.is_empty());
     first
@@ -365,7 +377,7 @@
         .sum()
 }
 
-/// The reached pools whose workers get starts.
+/// Returns the reachable pools whose data centre is not evacuated.
 fn eligible_pools(state: &NodeState) -> Vec<(PoolId, OwnerView)> {
     let evacuations = state.evacuations.borrow();
     let mut pools = reachable_pools(state);
@@ -373,7 +385,7 @@
     pools
 }
 
-/// The pools whose owners are alive and connected.
+/// Returns the pools whose owners are alive and connected.
 fn reachable_pools(state: &NodeState) -> Vec<(PoolId, OwnerView)> {
     let now = state.now();
     let keeper = state.keeper.borrow();
@@ -413,7 +425,7 @@
     }
 }
 
-/// Notes what was sent to a pool since its owner was last heard.
+/// Adds a job's demand to what was sent to a pool since its owner's last heartbeat.
 fn record_sent_demand(state: &NodeState, pool: &PoolId, owner: &OwnerView, call: &JobCall) {
     let Some(heard) = owner.heard.filter(|_| !owner.here) else {
         return;
@@ -464,7 +476,7 @@
     }
 }
 
-/// Asks one owner. None if the job surely did not reach it.
+/// Submits a job or a part of it to one owner. None if the job cannot have reached the owner.
 async fn submit_to_owner(
     state: &Rc<NodeState>,
     pool: &PoolId,
@@ -480,7 +492,7 @@
     let run = std::pin::pin!(link.link.run(&call));
     match select(run, lost).await {
         Either::Left((Ok(outcome), _)) => Some(outcome),
-        // It may run there. Its owner stops it, or its lease ends, before the customer's next try.
+        // The job may be running there. Its owner stops it, or its lease ends, before the customer's next try.
         Either::Left((Err(_), _)) | Either::Right(_) => Some(JobOutcome::GivenUp),
     }
 }
@@ -502,12 +514,12 @@
     state.log(kind, line.millis("waited_ms", waited));
 }
 
-/// Whether this node can have a job run at all.
+/// Returns whether this node can reach any pool to run a job.
 pub(crate) fn can_serve(state: &NodeState) -> bool {
     !reachable_pools(state).is_empty()
 }
 
-/// Logs how a customer's request ended.
+/// Logs and counts how a customer's request ended.
 pub(crate) fn log_answer(state: &NodeState, job: &EntryJob, outcome: JobOutcome) {
     let line = EventLine::new("job_answered")
         .text("job", job.request.id)
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -1,4 +1,4 @@
-//! The pools that this node owns: carries out what they ask for, and claims them.
+//! Claims pools, and carries out the actions of the pools that this node owns.
 
 use std::{
     rc::Rc,
@@ -19,29 +19,30 @@
 
 use crate::{event_lines, kept_jobs, state::NodeState};
 
-/// How many workers are tried before a claim. One that answers suffices; three that do not are a cut.
+/// The most workers of a pool that are probed before it is claimed. One that accepts a connection suffices; three
+/// that do not mean that this node is cut off from the pool.
 const MAX_PROBED_WORKERS: usize = 3;
 
-/// How long a process that has not read the list of workers waits for it before it claims one of their pools, and how often it
-/// looks.
+/// How long a process that knows no workers of a pool waits for the list of workers before it probes and claims the
+/// pool, and the interval at which it checks the list meanwhile.
 const WORKER_LIST_TIMEOUT: Duration = Duration::from_millis(350);
 const WORKER_LIST_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How long a worker has for taking a connection before a claim.
+/// The time within which a worker must accept a connection when it is probed before a claim.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// When customers may come back that were refused because a pool has no owner at the moment.
+/// The retry delay for customers that were refused because a pool has no owner at the moment.
 const NOT_SERVING_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A pool that this node owns, and who waits for its jobs.
+/// A pool that this node owns, with the callers that wait for the outcomes of its jobs.
 pub(crate) struct OwnedPool {
     pub(crate) pool: WorkerPool,
     waiters: FastMap<WaiterId, oneshot::Sender<JobOutcome>>,
-    /// Workers that a former owner still uses.
+    /// Workers that a former owner still uses. They are added to the pool once that owner has released them.
     deferred_workers: FastMap<LifeId, WorkerRecord>,
 }
 
-/// Does something with a pool, if this node owns it, and carries out what comes of it.
+/// Applies `act` to a pool if this node owns it, then logs the pool's notes and carries out its actions.
 pub(crate) fn with_pool(
     state: &Rc<NodeState>,
     id: &PoolId,
@@ -62,7 +63,7 @@
         match action {
             PoolAction::Answer { waiter, outcome } => {
                 if let Some(sender) = owned.waiters.remove(&waiter) {
-                    // A waiter that is gone has cancelled its job.
+                    // The receiver is gone if the job was cancelled.
                     let _gone = sender.send(outcome);
                 }
             }
@@ -78,7 +79,7 @@
     }
 }
 
-/// Sends one call to a worker and hands its answer to the pool that asked for it.
+/// Sends a call to a worker and passes the answer to the pool that requested it.
 fn send_worker_call(state: &Rc<NodeState>, id: &PoolId, fence: FenceToken, action: PoolAction) {
     let (state, id) = (state.clone(), id.clone());
     let sent = state.now();
@@ -117,7 +118,8 @@
     });
 }
 
-/// As [`with_pool`], but only while the pool is held under the fence under which the call was sent.
+/// Like [`with_pool`], but only if the pool is still held under `fence`, the fencing token under which the call was
+/// sent.
 pub(crate) fn with_fenced_pool(
     state: &Rc<NodeState>,
     id: &PoolId,
@@ -130,7 +132,7 @@
     }
 }
 
-/// Lets go of a pool: its jobs may run on until their leases end, and their customers are told to try again.
+/// Releases a pool. Its jobs may run on until their leases end, and their customers are told to try again.
 pub(crate) fn release_pool(state: &Rc<NodeState>, id: &PoolId, reason: &'static str) {
     let Some(owned) = state.pools.borrow_mut().remove(id) else {
         return;
@@ -146,7 +148,8 @@
     }
 }
 
-/// Takes what the store says about a claim.
+/// Applies a claim row of the store: releases the pool if another process has claimed it, and opens it if the claim
+/// is this process's own.
 pub(crate) fn apply_claim(
     state: &Rc<NodeState>,
     id: &PoolId,
@@ -165,17 +168,20 @@
         .borrow()
         .get(id)
         .map(|owned| owned.pool.fence().0);
-    // An owner that hands its pool over finishes its jobs beside its successor, on the workers that they use.
+    // During a handover the former owner finishes its jobs beside its successor, on the workers that these jobs
+    // use, so it does not release the pool yet.
     if held.is_some_and(|held| held < version.0) && !state.is_handing_over(id) {
         release_pool(state, id, "claimed_by_another");
     }
-    // A claim whose answer was lost shows up here.
+    // The store's answer to this process's own claim may have been lost; then this row is the first to show that
+    // the claim succeeded.
     if mine && held.is_none_or(|held| held < version.0) && !state.leaving.get() {
         open_pool(state, id, version, store_clock);
     }
 }
 
-/// All claims up to a version of the store are known: the pools that are still this node's have no later owner up to it.
+/// Records that all claims up to `version` of the store are known: the pools that this node still owns have no
+/// later owner up to that version.
 pub(crate) fn record_sole_ownership(state: &NodeState, version: u64) {
     for owned in state.pools.borrow_mut().values_mut() {
         owned.pool.note_sole_owner(version);
@@ -214,8 +220,8 @@
     }
 }
 
-/// Tells pools of their workers that were taken over while the directory was not current: a worker that has begun to drain
-/// since would get runs.
+/// Adds the workers to pools that were opened while the worker directory was not current. With an outdated
+/// directory, runs would be placed on workers that have begun to drain since.
 pub(crate) fn populate_pools(state: &Rc<NodeState>) {
     if !state.directory.borrow().is_current(state.now()) {
         return;
@@ -229,12 +235,12 @@
     }
 }
 
-/// Tells a pool of a worker, or keeps it for later while a former owner uses it: a look under the higher fence would
-/// turn away that owner's orders and end its jobs.
+/// Adds or updates a worker of a pool. A worker that a former owner still uses is deferred: polling it under the
+/// higher fencing token would make it reject that owner's orders and end its jobs.
 pub(crate) fn upsert_worker(state: &Rc<NodeState>, id: &PoolId, worker: WorkerRecord) {
     if let Some(owned) = state.pools.borrow_mut().get_mut(id) {
         if !owned.pool.has_worker(&worker.life) {
-            // A pool that is being handed over gets no worker back that it has let go of.
+            // A pool that is being handed over does not take back workers that it has released.
             if state.is_handing_over(id) {
                 return;
             }
@@ -248,7 +254,8 @@
     with_pool(state, id, |pool, now| pool.put_worker(now, worker));
 }
 
-/// Tells a pool whether a former owner still finishes jobs of it.
+/// Tells a pool whether a former owner still finishes jobs of it, and whether all workers that may run its jobs are
+/// listed.
 fn update_surroundings(state: &Rc<NodeState>, id: &PoolId) {
     let shared = state.keeper.borrow().is_shared(state.now(), id);
     let populated = !state.unpopulated_pools.borrow().contains(id);
@@ -258,7 +265,7 @@
     });
 }
 
-/// Takes the workers that former owners have let go of.
+/// Adds the deferred workers that former owners have released.
 pub(crate) fn add_deferred_workers(state: &Rc<NodeState>, id: &PoolId) {
     update_surroundings(state, id);
     let has_deferred = state
@@ -285,10 +292,11 @@
     }
 }
 
-/// How long a pool is offered to a process that suits it better before it is kept after all.
+/// How long a pool is offered to a better suited process before this process keeps it after all.
 const YIELD_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// Hands over what is being handed over, or begins to, or gives it up when nobody takes it.
+/// Continues the handover in progress, starts one if another process suits a pool better, or cancels it if no
+/// process takes the pool in time.
 pub(crate) fn advance_handover(state: &Rc<NodeState>) {
     let now = state.now();
     let yielding = state.yielding_pool.borrow().clone();
@@ -332,7 +340,7 @@
     }
 }
 
-/// A worker is gone for good.
+/// Removes a worker that is gone for good.
 pub(crate) fn remove_worker(state: &Rc<NodeState>, id: &PoolId, life: &LifeId) {
     if let Some(owned) = state.pools.borrow_mut().get_mut(id) {
         owned.deferred_workers.remove(life);
@@ -340,7 +348,7 @@
     with_pool(state, id, |pool, now| pool.drop_worker(now, life));
 }
 
-/// Carries out what the claim keeper asks for.
+/// Carries out the actions of the claim keeper.
 pub(crate) fn run_claim_actions(state: &Rc<NodeState>, actions: Vec<ClaimAction>) {
     for action in actions {
         let state = state.clone();
@@ -363,7 +371,7 @@
     }
 }
 
-/// Has the list of workers read, if it is not known which are the pool's.
+/// Requests the list of workers and waits for it while no workers of the pool are known.
 async fn wait_for_worker_list(state: &Rc<NodeState>, pool: &PoolId) {
     let limit = state.now() + WORKER_LIST_TIMEOUT;
     while state.directory.borrow().of_pool(pool).is_empty() && state.now() < limit {
@@ -372,7 +380,7 @@
     }
 }
 
-/// Whether any of a few workers of the pool takes a connection.
+/// Returns whether any of a few workers of the pool accepts a connection.
 async fn probe(state: &Rc<NodeState>, pool: &PoolId) -> bool {
     wait_for_worker_list(state, pool).await;
     let workers = state.directory.borrow().of_pool(pool);
@@ -415,7 +423,7 @@
             apply_claim(state, pool, row, version, clock);
         }
         Ok(TransactionEnd::Conflict) => line = line.text("outcome", "conflict"),
-        // It may still take effect: then the claims' feed shows it.
+        // The claim may still take effect; then the feed of the claims table shows it.
         Err(error) => line = line.text("outcome", "unknown").text("error", error),
     }
     let now = state.now();
@@ -423,7 +431,7 @@
     state.log(EventKind::Kept, line);
 }
 
-/// A job that waits for its outcome. Dropping it cancels the job.
+/// Cancels a job if it is dropped before the job's outcome has arrived.
 struct JobCancelGuard {
     state: Rc<NodeState>,
     pool: PoolId,
@@ -484,12 +492,13 @@
     outcome
 }
 
-/// What this node offers to the entries of other nodes.
+/// The pool service that this node provides to the entries of other nodes.
 pub(crate) struct PoolPort {
     pub(crate) state: Rc<NodeState>,
 }
 
-/// How many tasks of a job a pool of this node could take in time now.
+/// Returns how many tasks of a job a pool of this node could take in time now. 0 if this node does not own the pool
+/// or has just paused.
 pub(crate) fn offer_locally(state: &Rc<NodeState>, call: &JobCall) -> u32 {
     let now = state.now();
     let mut pools = state.pools.borrow_mut();
@@ -521,7 +530,7 @@
             let lost = std::pin::pin!(lost.notified());
             match select(run, lost).await {
                 Either::Left((outcome, _)) => outcome,
-                // The entry is not heard: its customer has been told to try again, or soon will be.
+                // The entry is silent: its customer has been told to try again or soon will be.
                 Either::Right(_) => {
                     log_entry_lost(&state, &entry);
                     JobOutcome::GivenUp
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -35,36 +35,38 @@
     workers, NodeError,
 };
 
-/// The time between two looks at what is due. Waits that matter to customers end by events, not by this.
+/// The interval of the periodic work. Waits that matter to customers end by events, not by this tick.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The same for a process without pools: half of the time between two signs of life.
+/// The tick interval of a process without pools: half of the heartbeat interval.
 const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The longest time for a call to the store. Its answers take 4 to 16 ms; beyond this the connection counts as silent.
+/// The timeout of a call to the store. The store answers in 4 to 16 ms; beyond this limit the connection counts as
+/// silent.
 const STORE_CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The time between two looks at whether the member's row has to be written: an owner's is sooner than another's.
+/// The interval at which a process checks whether its member row is due to be written. An owner's row is due sooner
+/// than that of other processes.
 const MEMBER_REFRESH_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The time between two writes of the log.
+/// The interval at which the log is flushed.
 const LOG_FLUSH_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The time in which the balancer turns away from a process that says it is not ready: two checks of a second each,
-/// and a little more.
+/// The time that the balancer needs to stop sending connections to a process that reports "not ready": two checks
+/// of one second each, with a small margin.
 const BALANCER_DRAIN_TIME: Duration = Duration::from_millis(2_200);
 
-/// What a pool's last jobs have of the time to stop: most tasks take under 2 s.
+/// The part of the time to stop that is reserved for a pool's last jobs. Most tasks take under 2 s.
 const LAST_JOBS_TIME: Duration = Duration::from_millis(2_500);
 
-/// What is left of the time to stop for the last answers to travel.
+/// The part of the time to stop that is reserved for sending the last answers.
 const STOP_MARGIN: Duration = Duration::from_millis(500);
 
-/// The time that answers of cut requests get to leave the process.
+/// The time that the answers to cut requests get to leave the process.
 const LAST_ANSWERS_TIME: Duration = Duration::from_millis(60);
 
-/// How long the start waits for this process's former row, so that its incarnation rises even where the clock of the
-/// VM was set back.
+/// How long the start waits for the member row of this VM's former process. The new incarnation must be higher than
+/// the former one even if the VM's clock was set back.
 const FORMER_ROW_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// A running node.
@@ -84,12 +86,12 @@
 }
 
 impl NodeProcess {
-    /// Where customers connect.
+    /// The address that customers connect to.
     pub fn customer_address(&self) -> SocketAddr {
         self.customer_address
     }
 
-    /// Where readiness is asked.
+    /// The address of the readiness check and the metrics.
     pub fn ready_address(&self) -> SocketAddr {
         self.ready_address
     }
@@ -99,8 +101,8 @@
         self.state.log.borrow().gathered()
     }
 
-    /// Leaves without cutting a request: says "not ready", ends the jobs of its pools and lets go of them, and stays
-    /// until its own requests are answered or its time is over.
+    /// Stops without cutting requests: reports "not ready", ends the jobs of its pools and releases the pools, and
+    /// stays until its own requests are answered or the grace period is over.
     pub async fn stop(&self) {
         let state = &self.state;
         let started = state.now();
@@ -117,7 +119,8 @@
             stop_accepting_jobs(state, limit);
             release_idle_pools(state);
             if state.now() >= started + BALANCER_DRAIN_TIME {
-                // New connections go elsewhere by now, so whoever is closed out gets another node.
+                // New connections go to other nodes by now, so a customer whose idle connection is closed reaches
+                // another node.
                 state.close_idle.notify_waiters();
             }
             let owns = !state.pools.borrow().is_empty();
@@ -127,7 +130,8 @@
             }
             actix_rt::time::sleep(TICK_INTERVAL).await;
         }
-        // A request that comes now would be cut by the end of the process: it is told that nothing of it ran.
+        // A request that arrives now would be cut by the end of the process, so it is refused before any of it
+        // runs.
         state.refuses_requests.set(true);
         let cut = state.open_requests.get();
         state.cut_requests.notify_waiters();
@@ -140,9 +144,11 @@
     }
 }
 
-/// Takes no more jobs for pools that another process can take over. While the store is away none can: a pool that took no
-/// jobs would have no owner until the store is back, which left twelve workers idle for 2.7 s. Its last jobs have to end in
-/// the time to stop.
+/// Stops accepting jobs for pools that another process can take over.
+///
+/// While the store is unavailable no process can take a pool over. A pool that accepted no jobs would then have no
+/// owner until the store is back, which once left twelve workers idle for 2.7 s. The pool still stops accepting in
+/// time for its last jobs to end before the process does.
 fn stop_accepting_jobs(state: &Rc<NodeState>, limit: Instant) {
     let now = state.now();
     let store_away = state.directory.borrow().is_failing(now);
@@ -152,7 +158,7 @@
     for_each_pool(state, |pool, _| pool.stop_accepting());
 }
 
-/// Lets go of pools whose jobs have ended, so that their next owner can take them.
+/// Releases pools whose jobs have ended, so that their next owner can take them.
 fn release_idle_pools(state: &Rc<NodeState>) {
     let idle: Vec<_> = {
         let pools = state.pools.borrow();
@@ -170,7 +176,7 @@
 ///
 /// # Errors
 ///
-/// An address cannot be listened on.
+/// An address cannot be listened on, or the metrics cannot be built.
 pub async fn start(
     settings: NodeSettings,
     clock: Arc<dyn ClockSource>,
@@ -310,8 +316,9 @@
     }
 }
 
-/// An incarnation above that of this VM's former process: the time of day, or one more than the former's where the
-/// clock was set back. Lower ones would be taken for messages of the former process.
+/// Returns an incarnation above that of this VM's former process: the time of day in milliseconds, or the former
+/// incarnation plus one if the clock was set back. Messages with a lower incarnation would be attributed to the
+/// former process.
 async fn new_incarnation(store: &StoreClient, vm: &str) -> u64 {
     let millis = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -326,7 +333,7 @@
     by_clock.max(former.map_or(0, |former| former.incarnation + 1))
 }
 
-/// What this process has learnt of customers' times.
+/// Returns the usual waiting times of customers by route, as this process has learnt them.
 fn usual_waits(state: &NodeState) -> Vec<RouteWait> {
     let usual = state.request_waits.borrow().usual();
     let waits = usual.into_iter().map(|wait| RouteWait {
@@ -336,7 +343,7 @@
     waits.collect()
 }
 
-/// Writes this process's row, and again every while.
+/// Writes this process's member row periodically.
 async fn refresh_member(state: Rc<NodeState>) {
     let mut row = state.keeper.borrow().me().clone();
     let mut failed = false;
@@ -397,7 +404,8 @@
     }
 }
 
-/// A process that owns nothing and is about to own nothing has less that is due. In a large fleet most are of this kind.
+/// Returns the time until the next tick. A process that owns no pool and is not about to claim one has less to do;
+/// in a large fleet most processes are of this kind.
 fn tick_interval(state: &NodeState) -> Duration {
     let owns = !state.pools.borrow().is_empty() || state.keeper.borrow().may_claim_soon();
     match owns || state.leaving.get() {
@@ -428,7 +436,7 @@
         }
         crate::event_lines::log_claim_note(state, &note);
     }
-    // Whoever may take a pool over soon needs its workers as they are now.
+    // A process that may soon claim a pool needs the current state of its workers.
     if state.keeper.borrow().may_claim_soon() {
         state.worker_list_needed.notify_one();
     }
@@ -469,8 +477,8 @@
             tokio::select! {
                 _ = terminate.recv() => break,
                 _ = interrupt.recv() => break,
-                // What the settings name stays for a process's life: addresses, its VM, its data centre. What changes
-                // while it runs is in the store.
+                // The settings (addresses, VM, data centre) are fixed while the process runs. Configuration that
+                // changes at run time is in the store.
                 _ = reload.recv() => process.state.log(
                     EventKind::Kept,
                     EventLine::new("reload_ignored").text("why", "settings hold for a process's life"),
@@ -478,7 +486,7 @@
             }
         }
         process.stop().await;
-        // The writing thread gets its turn for the last lines.
+        // Gives the log's writer thread time to write the last lines.
         actix_rt::time::sleep(TICK_INTERVAL).await;
         Ok(())
     })
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -1,4 +1,4 @@
-//! What the parts of a node share. All on one thread.
+//! The state that the modules of a node share. It stays on one thread.
 
 use std::{
     cell::{Cell, RefCell},
@@ -23,15 +23,15 @@
     owner::OwnedPool, peers::OwnerLinks, traffic::LinkUse,
 };
 
-/// A tick later than this means that the process stood still: frozen, suspended, or without its share of the
-/// processor. Others count it as gone after about the same time.
+/// A tick that is later than this means that the process has paused: it was frozen or suspended, or got no share of
+/// the processor. Other processes count it as gone after about the same time.
 pub(crate) const PAUSE_THRESHOLD: Duration = Duration::from_millis(450);
 
-/// What the parts of a node share.
+/// The state that the modules of a node share.
 pub(crate) struct NodeState {
     pub(crate) settings: NodeSettings,
     pub(crate) pool_settings: pool::PoolSettings,
-    /// Where the store and this process listen: no worker does.
+    /// The addresses on which the store and this process listen. No worker can have one of these.
     pub(crate) system_addresses: Vec<SocketAddr>,
     pub(crate) clock: Arc<dyn ClockSource>,
     /// When the process started.
@@ -45,41 +45,42 @@
     pub(crate) pools: RefCell<FastMap<PoolId, OwnedPool>>,
     /// Versions of the rows that divide workers into groups.
     pub(crate) group_versions: RefCell<FastMap<DataCentreId, u64>>,
-    /// What was sent to each pool since its owner was last heard, and when that was; in thousandths of a core.
+    /// The processor demand sent to each pool since its owner's last heartbeat, in thousandths of a core, with the
+    /// time of that heartbeat.
     pub(crate) sent_demand: RefCell<FastMap<PoolId, (Instant, u64)>>,
-    /// With how much time customers' requests come.
+    /// The time that customers' requests usually have left when they arrive, by route.
     pub(crate) request_waits: RefCell<pool::WaitBook>,
-    /// Where the list of workers came from when the log was last told, and when that was.
+    /// The source of the list of workers that was last logged, and when.
     pub(crate) list_source: Cell<Option<(ListSource, Instant)>>,
-    /// Woken when the workers' table has to be read now.
+    /// Notified when the workers' table has to be read now.
     pub(crate) worker_list_needed: Notify,
-    /// Pools that were taken over before the workers' table was read again.
+    /// Pools that were opened before the workers' table was read again. Their workers have not been added yet.
     pub(crate) unpopulated_pools: RefCell<Vec<PoolId>>,
-    /// Writes of kept jobs that wait.
+    /// Pending writes of kept jobs.
     pub(crate) job_writes: RefCell<JobWriteQueue>,
-    /// Whether a kept job was ever seen. Until then nothing is done for them.
+    /// Whether this process has ever seen a kept job. Until then it does no work for kept jobs.
     pub(crate) has_kept_jobs: Cell<bool>,
     pub(crate) rng: RefCell<fastrand::Rng>,
     pub(crate) links: OwnerLinks,
-    /// Woken when a process is not heard any more.
+    /// Notified when the given process goes silent.
     pub(crate) peer_lost_signals: RefCell<FastMap<NodeId, Rc<Notify>>>,
     pub(crate) log: RefCell<EventLog>,
     pub(crate) metrics: NodeMetrics,
     pub(crate) traffic: Arc<TrafficBook>,
     pub(crate) link_use: Cell<LinkUse>,
     pub(crate) leaving: Cell<bool>,
-    /// A pool that is being handed over to a process that suits it better, and since when.
+    /// The pool that is being handed over to a better suited process, and since when.
     pub(crate) yielding_pool: RefCell<Option<(PoolId, Instant)>>,
     pub(crate) open_requests: Cell<usize>,
-    /// Whether no request is taken any more, since the process is about to end.
+    /// Whether all requests are refused because the process is about to end.
     pub(crate) refuses_requests: Cell<bool>,
-    /// When the process ends, once it is stopping.
+    /// The time at which the process ends, set once it is stopping.
     pub(crate) stop_deadline: Cell<Option<Instant>>,
-    /// Woken when customers' idle connections are to be closed.
+    /// Notified when customers' idle connections are to be closed.
     pub(crate) close_idle: Rc<Notify>,
-    /// Woken when open requests have to be answered because the process ends.
+    /// Notified when open requests must be answered because the process ends.
     pub(crate) cut_requests: Notify,
-    /// The time since boot at the last tick, suspension included.
+    /// The time since boot at the last tick, including time in which the machine was suspended.
     pub(crate) last_tick: Cell<Duration>,
     pub(crate) next_waiter_id: Cell<u64>,
 }
@@ -89,7 +90,7 @@
         self.clock.now()
     }
 
-    /// Whether a mechanism is switched on.
+    /// Returns whether a mechanism is switched on.
     pub(crate) fn has(&self, mechanism: Mechanism) -> bool {
         self.pool_settings.switched_off.allows(mechanism)
     }
@@ -102,13 +103,13 @@
         self.log.borrow_mut().add(kind, line);
     }
 
-    /// Whether the process stands still or has just woken: its timers have not run yet, so what it holds is older
-    /// than others believe.
+    /// Returns whether the process has paused and its timers have not run since. Its state is then older than other
+    /// processes assume.
     pub(crate) fn has_paused(&self) -> bool {
         time_since_boot().saturating_sub(self.last_tick.get()) > PAUSE_THRESHOLD
     }
 
-    /// Whether the pool is being handed over: its jobs end here, new ones go to its next owner.
+    /// Returns whether the pool is being handed over: its jobs finish here, and new jobs go to its next owner.
     pub(crate) fn is_handing_over(&self, pool: &PoolId) -> bool {
         let yielding = self.yielding_pool.borrow();
         self.leaving.get()
@@ -117,7 +118,7 @@
                 .is_some_and(|(yielded, _)| yielded == pool)
     }
 
-    /// Woken when the process is not heard any more.
+    /// Returns the signal that is notified when the process goes silent.
     pub(crate) fn peer_lost_signal(&self, node: &NodeId) -> Rc<Notify> {
         self.peer_lost_signals
             .borrow_mut()
@@ -127,13 +128,13 @@
     }
 }
 
-/// The time since boot. Unlike the steady clock it counts the time in which the machine is suspended.
+/// Returns the time since boot. Unlike the monotonic clock it includes the time in which the machine was suspended.
 pub(crate) fn time_since_boot() -> Duration {
     let mut time = libc::timespec {
         tv_sec: 0,
         tv_nsec: 0,
     };
-    // SAFETY: `time` is a valid place for a timespec, and the clock's number is a constant of the platform.
+    // SAFETY: `time` is a valid, writable timespec, and the clock's number is a constant of the platform.
     let result = unsafe { libc::clock_gettime(libc::CLOCK_BOOTTIME, &raw mut time) };
     if result != 0 {
         // The call fails only for a clock that the kernel does not have.
