--- a/crates/node/src/feeds.rs
+++ b/crates/node/src/feeds.rs
@@ -1,4 +1,4 @@
-//! Follows the tables of the platform's store.
+//! Follows the tables of the platform's store and applies their changes.
 
 use std::{rc::Rc, time::Duration};
 
@@ -11,46 +11,49 @@
 
 use crate::{groups, kept_jobs, list_schedule, operator, owner, state::NodeState, workers};
 
-/// How long the feed of what operators write waits for a change, as a share of the time in which that has to be in force. A
-/// connection that has gone silent is found after this time and the client's limit.
+/// How long the feed of the operators' table waits for a change, as a share of the time within which a change must
+/// be in force. A connection that has gone silent is detected after this wait plus the client's timeout.
 const OPERATOR_FEED_WAIT_SHARE: f64 = 0.6;
 
-/// How long any other feed waits for a change.
+/// How long the feed of any other table waits for a change.
 const FEED_WAIT_TIME: Duration = Duration::from_millis(3_000);
 
-/// The shortest time between two readings of the members' table, of which heartbeats tell earlier.
+/// The interval between two reads of the members' table. Heartbeats report changes of members sooner.
 const MEMBERS_READ_INTERVAL: Duration = Duration::from_millis(4_000);
 
-/// The same for a process that hears nobody: the rows alone tell it who lives.
+/// The same for a process that receives no heartbeats: only the rows show it which processes are alive.
 const ISOLATED_MEMBERS_READ_INTERVAL: Duration = Duration::from_millis(900);
 
-/// The same until the first members are known, which heartbeats need.
+/// The same until the first members are known. Heartbeats cannot be sent to members that are not known.
 const STARTUP_MEMBERS_READ_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long after the start that is.
+/// How long after the start the members' table is read at the startup interval.
 const STARTUP_MEMBERS_PERIOD: Duration = Duration::from_millis(2_700);
 
-/// The shortest time between two readings of cancelled jobs, which have to be stopped within 3 s.
+/// The interval between two reads of cancelled jobs, which have to be stopped within 3 s.
 const CANCELLED_JOBS_READ_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The shortest time between two readings of any other table.
+/// The interval between two reads of any other table.
 const FEED_READ_INTERVAL: Duration = Duration::from_millis(15);
 
-/// The pause after a reading that shows rows older than those that are known. A store that has lost its history does so for
-/// seconds, and the workers' table is large.
+/// The pause after a read that returns rows older than those already known. A store that has lost its history
+/// returns such rows for seconds, and the workers' table is large.
 const STALE_READ_BACKOFF: Duration = Duration::from_millis(400);
 
-/// Changes from which on an answer may be a part of them: the store tells some hundreds at a time. What is read on at once counts
-/// as current only when little is left: a part that was taken for all had starts leave for workers that were about to go.
+/// The number of changes from which on an answer counts as partial: the store returns some hundreds of changes at a
+/// time. The rest is read at once, and the table counts as current only when little is left. When a partial answer
+/// was taken for a complete one, starts were sent to workers that were about to leave.
 const PARTIAL_PAGE_CHANGES: usize = 250;
 
-/// The pause after a reading that failed.
+/// The pause after a failed read.
 const FAILED_READ_BACKOFF: Duration = Duration::from_millis(120);
 
-/// Follows a table for as long as the process runs. The history may be gone at any time; then all is read again.
+/// Follows a table for as long as the process runs. When the store no longer has the history that the feed needs,
+/// the whole table is read again.
 ///
-/// What is read then may be older than what is known. Believed, it would end evacuations that have just begun, and bring
-/// workers back that have left; so it is passed over until the store is as far as it was.
+/// The rows of such a read may be older than what is already known. Applying them would end evacuations that have
+/// just begun and bring back workers that have left, so they are ignored until the store has caught up with the
+/// known version.
 pub(crate) async fn follow_table(state: Rc<NodeState>, table: StoreTable) {
     let urgent = table == StoreTable::Operator;
     let limit = state.settings.config_limit_ms.duration();
@@ -125,7 +128,7 @@
     }
 }
 
-/// Waits until a table is to be read again.
+/// Waits until the next read of a table is due.
 async fn wait_for_next_read(state: &Rc<NodeState>, table: StoreTable, age: Duration) {
     let gap = match table {
         StoreTable::Workers => return list_schedule::wait_after_read(state, age).await,
@@ -183,12 +186,12 @@
             owner::record_sole_ownership(state, version);
         }
         StoreTable::CancelledJobs => apply_cancelled(state, page),
-        // Read by row or by part, not followed.
+        // These tables are read by row or by part and have no feed.
         StoreTable::Jobs | StoreTable::EndedJobs | StoreTable::PendingJobs => (),
     }
 }
 
-/// The row, if it was written and can be read. What cannot be read is logged.
+/// Returns the row of a change, or None if the row was removed or cannot be read. An unreadable row is logged.
 pub(crate) fn stored_row(state: &NodeState, change: RowChange) -> Option<StoredRow> {
     match change {
         RowChange::Put(row) => Some(row),
@@ -231,7 +234,8 @@
     }
 }
 
-/// Takes over what a process has learnt of customers' times, its own former life among them.
+/// Imports the waiting times of customers that a process has learnt. This process's own former incarnation is one
+/// of the sources.
 fn import_waits(state: &NodeState, member: &MemberRow) {
     let mut waits = state.request_waits.borrow_mut();
     for wait in &member.waits {
--- a/crates/node/src/kept_jobs.rs
+++ b/crates/node/src/kept_jobs.rs
@@ -1,8 +1,9 @@
-//! Stores kept jobs for the pools of this node, and finds them after a predecessor.
+//! Stores kept jobs (jobs that outlive the process that accepted them) for the pools of this node, and finds those
+//! of former owners.
 //!
-//! Rows of jobs are in [`PART_COUNT`] parts of the store, by the job's id, so that a job has one row whichever pool it came
-//! to. Writes of a part that wait go together in one transaction: at the users' rates of 150 transactions a second and
-//! part, one write each would carry a fifth of their jobs.
+//! Rows of jobs are spread over [`PART_COUNT`] parts of the store by the job's id, so that a job has one row
+//! whichever pool received it. Pending writes of a part are batched into one transaction. A part completes 150
+//! transactions a second at the users' rates, so with one write each only a fifth of the jobs could be stored.
 
 mod maintenance;
 
@@ -24,42 +25,43 @@
 pub(crate) use self::maintenance::{count_pending, maintain_pools};
 use crate::{owner::with_fenced_pool, state::NodeState};
 
-/// The parts of the store over which rows of jobs are spread. Fewer make larger transactions, more let more of them run
-/// beside each other; a transaction takes about 12 ms, so eight carry 600 a second.
+/// The number of parts of the store over which rows of jobs are spread. Fewer parts make larger transactions, more
+/// parts let more transactions run in parallel. A transaction takes about 12 ms, so eight parts carry 600 a second.
 const PART_COUNT: u64 = 8;
 
-/// The most jobs of one transaction. The store takes 100 entries, and the end of a job is four: two conditions, a write and
-/// a removal. One entry too many turns all of them away, again at each try.
+/// The most jobs in one transaction. The store accepts 100 entries, and the end of a job needs four: two
+/// conditions, a write and a removal. With one entry too many the store rejects the whole transaction, and does so
+/// again on each retry.
 const MAX_JOBS_PER_TRANSACTION: usize = 25;
 
-/// The pause after a write that was not answered or was turned away.
+/// The pause after a write that was rejected or got no answer, and between reads of a pool's rows.
 const STORE_RETRY_BACKOFF: Duration = Duration::from_millis(80);
 
-/// How long a new job that the store turns away is tried again before it is refused.
+/// How long the write of a new job is retried before the job is refused, if the store rejects each try.
 const NEW_JOB_RETRY_TIME: Duration = Duration::from_millis(400);
 
-/// Writes that wait, by part.
+/// Pending writes by part.
 #[derive(Default)]
 pub(crate) struct JobWriteQueue {
     waiting: FastMap<u64, Vec<JobWrite>>,
-    /// Parts with a transaction under way.
+    /// Parts with a transaction in progress.
     busy: FastSet<u64>,
 }
 
-/// A write that a pool has asked for.
+/// A write that a pool has requested.
 #[derive(Clone)]
 struct JobWrite {
     pool: PoolId,
     fence: FenceToken,
     order: KeepOrder,
-    /// The row's bytes.
+    /// The encoded row.
     value: Vec<u8>,
     requested_at: Instant,
     /// Whether an earlier try may have taken effect.
     in_doubt: bool,
 }
 
-/// The part that has a job's row.
+/// Returns the part that holds a job's row.
 pub(crate) fn part_of(job: JobId) -> String {
     part_name(part_number(job))
 }
@@ -72,7 +74,7 @@
     format!("p{part}")
 }
 
-/// Takes a write that a pool asks for.
+/// Queues a write that a pool has requested.
 pub(crate) fn queue_write(
     state: &Rc<NodeState>,
     pool: &PoolId,
@@ -99,7 +101,7 @@
     }
 }
 
-/// Writes what waits for a part, transaction after transaction, until nothing does.
+/// Writes the pending rows of a part in successive transactions until none are left.
 async fn write_part(state: Rc<NodeState>, part: u64) {
     loop {
         let batch = {
@@ -131,7 +133,7 @@
                 report_result(state, &write, KeepAnswer::Stored(version.0));
             }
         }
-        // One of them holds up all: each is looked at alone.
+        // A single conflicting write fails the whole transaction, so each write is tried alone.
         Ok(TransactionEnd::Conflict) if batch.len() > 1 => {
             for write in batch {
                 Box::pin(write_batch(state, part, vec![write])).await;
@@ -160,7 +162,7 @@
     state.log(EventKind::Kept, line);
 }
 
-/// Has a write done again. A new job that was surely not stored is refused after a while.
+/// Queues a write again. A new job that certainly was not stored is refused after [`NEW_JOB_RETRY_TIME`].
 fn requeue_write(state: &Rc<NodeState>, part: u64, write: JobWrite, turned_away: bool) {
     let in_doubt = write.in_doubt || !turned_away;
     let is_new = write.order.replaces.is_none();
@@ -189,7 +191,7 @@
     });
 }
 
-/// A row's bytes. None, with a line in the log, for one that cannot be encoded, which no decoded job makes.
+/// Encodes a row. None, with a log line, for a row that cannot be encoded; no decoded job yields such a row.
 fn encode(state: &NodeState, order: &KeepOrder) -> Option<Vec<u8>> {
     match serde_json::to_vec(&order.row) {
         Ok(value) => Some(value),
@@ -220,7 +222,7 @@
         return;
     }
     if order.replaces.is_none() {
-        // The same job may have come earlier and ended.
+        // The same job may have been submitted before and have ended.
         transaction.checks.push(RowCheck {
             table: StoreTable::EndedJobs,
             key: key.clone(),
@@ -235,7 +237,7 @@
     });
 }
 
-/// Reads what stands in the way of a write, and says what that means.
+/// Reads the row that conflicts with a write and reports to the pool what the conflict means.
 async fn resolve_conflict(state: &Rc<NodeState>, part: u64, write: JobWrite) {
     let job = write.order.job;
     match find_job(state, job).await {
@@ -243,7 +245,7 @@
             let result = classify_conflict(&write.order, found);
             report_result(state, &write, result);
         }
-        // An older view: the row is there, since the write was turned away for it.
+        // The read returned an older state: the row must exist, since the write was rejected because of it.
         Ok(None) if write.order.replaces.is_none() => requeue_write(state, part, write, true),
         Ok(None) => report_result(state, &write, KeepAnswer::Gone),
         Err(error) => {
@@ -258,7 +260,7 @@
     let FoundJob { row, version, .. } = found;
     let own = row.writer == order.row.writer && row.home == order.row.home;
     if own && row.revision == order.row.revision {
-        // An earlier try of this very write.
+        // An earlier try of the same write took effect.
         return KeepAnswer::Stored(version);
     }
     if order.replaces.is_none() {
@@ -270,11 +272,11 @@
     KeepAnswer::Changed(row, version)
 }
 
-/// Reads a job's row, whether it has ended or not.
+/// Reads a job's row, whether the job has ended or not.
 ///
 /// # Errors
 ///
-/// The store gave no answer, so that nothing can be said.
+/// The store did not answer, so the job's state is unknown.
 pub(crate) async fn find_job(
     state: &NodeState,
     job: JobId,
@@ -304,11 +306,11 @@
     }
 }
 
-/// Cancels a job in the store. Gives whether there is such a job.
+/// Cancels a job in the store. Returns whether there is such a job.
 ///
 /// # Errors
 ///
-/// The store gave no answer: it may be cancelled or not.
+/// The store did not answer, so the job may or may not be cancelled; or the job's row could not be encoded.
 pub(crate) async fn cancel_job(state: &NodeState, job: JobId) -> Result<bool, StoreError> {
     loop {
         let Some(found) = find_job(state, job).await? else {
@@ -342,11 +344,11 @@
         if let TransactionEnd::Done { .. } = state.store.transact(&transaction).await? {
             return Ok(true);
         }
-        // Its owner has written meanwhile.
+        // The job's owner has written the row meanwhile, so the cancellation is tried again.
     }
 }
 
-/// Tells the owner of a job's pool, if that is here, that the job was cancelled.
+/// Tells the owned pools that a job was cancelled. Only the pool that has the job acts on it.
 pub(crate) fn apply_cancelled(state: &Rc<NodeState>, row: &StoredRow) {
     let Ok(job) = row.key.parse::<JobId>() else {
         return;
--- a/crates/node/src/kept_jobs/maintenance.rs
+++ b/crates/node/src/kept_jobs/maintenance.rs
@@ -1,4 +1,5 @@
-//! What pools with kept jobs need from time to time: their rows, signs of the store, and a word on what waits.
+//! The periodic work for pools with kept jobs: reading their rows, confirming that the owner's claim still stands,
+//! and publishing how many jobs have not begun.
 
 use std::{
     rc::Rc,
@@ -18,18 +19,18 @@
     state::NodeState,
 };
 
-/// The time between two looks at whether a claim still stands, while its pool has kept jobs: three fit into the time for
-/// which an owner goes on without one.
+/// The interval at which an owner checks that its claim still stands while its pool has kept jobs. Three checks fit
+/// into the time for which an owner continues without confirmation.
 const CLAIM_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
-/// The time between two readings of a pool's jobs, for those whose write took effect seconds late.
+/// The interval between two reads of a pool's jobs. Repeated reads find jobs whose write took effect seconds late.
 const JOBS_READ_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The shortest time between two writes of how many jobs of a pool have not begun. The number may be 2 s old.
+/// The shortest time between two writes of the number of a pool's jobs that have not begun. The published number
+/// may be 2 s old.
 const PENDING_PUBLISH_INTERVAL: Duration = Duration::from_millis(700);
 
-/// Reads the kept jobs of pools that want it, shows owners that their claims stand, and publishes what has not begun,
-/// for as long as the process runs.
+/// Does the periodic work for the kept jobs of owned pools for as long as the process runs.
 pub(crate) async fn maintain_pools(state: Rc<NodeState>) {
     let mut pools: FastMap<PoolId, MaintenanceTimes> = FastMap::default();
     loop {
@@ -43,13 +44,13 @@
     }
 }
 
-/// The time between two looks at what pools need.
+/// The interval at which the node checks which work is due.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How many jobs of each route have not begun.
+/// The number of jobs of each route that have not begun.
 type PendingCounts = Vec<(Arc<str>, u64)>;
 
-/// When something was last done for a pool.
+/// When each kind of periodic work was last done for a pool, under its current claim.
 #[derive(Default)]
 struct MaintenanceTimes {
     fence: FenceToken,
@@ -91,7 +92,7 @@
         actix_rt::spawn(confirm_claim(state.clone(), id.clone(), fence));
     }
     let known = times.last_published.as_ref();
-    // What a former owner published stays until this one knows better.
+    // A former owner's published numbers stay until this owner has read the jobs and knows better ones.
     let changed = known.map_or(state.has_kept_jobs.get(), |(_, known)| *known != pending);
     if knows_rows && changed && due(known.map(|(at, _)| *at), PENDING_PUBLISH_INTERVAL) {
         times.last_published = Some((now, pending.clone()));
@@ -141,7 +142,7 @@
         Ok(Some(row)) => row,
         Ok(None) => return,
         Err(error) => {
-            // Without an answer for too long the pool stops its kept jobs by itself.
+            // If the claim stays unconfirmed for too long, the pool stops its kept jobs by itself.
             let line = EventLine::new("claim_not_read")
                 .text("pool", &id)
                 .text("error", error);
@@ -165,7 +166,7 @@
         expected: None,
     };
     if let Err(error) = state.store.transact(&Transaction::of(write)).await {
-        // The next change is written over it.
+        // The next change overwrites the row.
         let line = EventLine::new("pending_not_published")
             .text("pool", &id)
             .text("error", error);
@@ -173,11 +174,11 @@
     }
 }
 
-/// How many kept jobs of a route have not begun, as the owners of all pools have published it.
+/// Returns how many kept jobs of a route have not begun, as published by the owners of all pools.
 ///
 /// # Errors
 ///
-/// The store gave no answer.
+/// The store did not answer.
 pub(crate) async fn count_pending(state: &NodeState, route: &str) -> Result<u64, StoreError> {
     let page = state.store.read_all(StoreTable::PendingJobs, "").await?;
     let mut sum = 0;
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -481,7 +481,7 @@
                 // changes at run time is in the store.
                 _ = reload.recv() => process.state.log(
                     EventKind::Kept,
-                    EventLine::new("reload_ignored").text("why", "settings hold for a process's life"),
+                    EventLine::new("reload_ignored").text("why", "settings are read only at the start of the process"),
                 ),
             }
         }
--- a/crates/node/src/workers.rs
+++ b/crates/node/src/workers.rs
@@ -1,10 +1,11 @@
-//! Entries of the workers' directory, and which of them name a worker to use.
+//! Decides which entries of the workers' directory name a usable worker.
 //!
-//! Other writers may put anything into the directory: entries that lack fields or hold other types, that name a state or
-//! a service that nobody knows, or an address of the system itself. A call to what such an entry names may reach
-//! whatever listens there, and a run would start where no queue sends it. So only an entry that is whole and names a
-//! service of the configuration names a worker; a known worker whose entry becomes another gets nothing new until its
-//! own next heartbeat mends it. The others are not touched.
+//! Other writers may put anything into the directory: entries that lack fields or have fields of the wrong type,
+//! and entries that name an unknown state, an unknown service or an address of the system itself. A call to such an
+//! address could reach any server that listens there, and a run would start where no queue sends it. An entry
+//! therefore names a usable worker only if it is complete and its service is in the configuration. A known worker
+//! whose entry becomes unusable gets nothing new until its own next heartbeat corrects the entry. Unusable entries
+//! are not changed in the store, and other workers are not affected.
 
 use std::rc::Rc;
 
@@ -16,18 +17,18 @@
 
 use crate::{directory::UnusableEntry, groups, owner, state::NodeState};
 
-/// Why an entry names no worker to use.
+/// Why an entry does not name a usable worker.
 #[derive(Debug, Error)]
 enum EntryFault {
-    #[error("not a whole entry: {0}")]
+    #[error("incomplete or malformed entry: {0}")]
     Unreadable(String),
-    #[error("no such service in the configuration: {0}")]
+    #[error("service {0} is not in the configuration")]
     UnknownService(ServiceId),
-    #[error("an address of the system itself")]
+    #[error("the address belongs to the system itself")]
     SystemAddress,
 }
 
-/// Takes what the directory says.
+/// Applies changes of the workers' directory.
 pub(crate) fn apply_page(state: &Rc<NodeState>, page: FeedPage, is_snapshot: bool) {
     let mut seen: FastSet<LifeId> = FastSet::default();
     let mut removed = Vec::new();
@@ -57,7 +58,8 @@
     }
 }
 
-/// Pools that were taken to have workers before any were known have none if none are listed.
+/// Clears the assumption that pools have workers for those pools that have none listed. The assumption holds only
+/// until the directory is read.
 fn clear_assumed_workers(state: &Rc<NodeState>) {
     let pools = state.keeper.borrow().pools();
     for pool in pools {
@@ -66,7 +68,7 @@
     }
 }
 
-/// Looks again at which entries name a worker, after the configuration has changed.
+/// Classifies entries again after the configuration has changed.
 pub(crate) fn reclassify_entries(state: &Rc<NodeState>) {
     let unused = state.directory.borrow().unusable_records();
     for record in unused {
@@ -80,7 +82,7 @@
     }
 }
 
-/// Tells that a worker is gone for good.
+/// Removes a worker that is gone for good from its pool.
 pub(crate) fn remove_worker(state: &Rc<NodeState>, record: &WorkerRecord) {
     let Some(pool) = state.directory.borrow().pool_of(record) else {
         return;
@@ -117,11 +119,12 @@
     let known = table
         .as_ref()
         .map(|table| table.names_service(&record.service));
-    // Before there is a configuration no entry names a worker, and none is wrong.
+    // Without a configuration no entry names a usable worker, and none is reported as faulty.
     (known != Some(true)).then(|| EntryFault::UnknownService(record.service.clone()))
 }
 
-/// Keeps an entry for later. `record` is what it holds, if it may name a worker under another configuration.
+/// Marks an entry as unusable and logs why. `record` is the entry's content, if it may name a usable worker under
+/// another configuration.
 fn reject_entry(
     state: &Rc<NodeState>,
     life: LifeId,
