--- a/crates/node/src/customer_server.rs
+++ b/crates/node/src/customer_server.rs
@@ -54,9 +54,9 @@
 ///
 /// The HTTP server cannot be built.
 pub(crate) async fn serve(state: Rc<NodeState>, listener: TcpListener) -> Result<(), NodeError> {
-    let answering = state.clone();
+    let server_state = state.clone();
     connections::serve(state, listener, move |request| {
-        answer(answering.clone(), request)
+        handle_request(server_state.clone(), request)
     })
     .await
 }
@@ -81,13 +81,13 @@
     count.set(count.get().saturating_add_signed(by));
 }
 
-async fn answer(state: Rc<NodeState>, request: Request) -> Response<BoxBody> {
+async fn handle_request(state: Rc<NodeState>, request: Request) -> Response<BoxBody> {
     let _open = OpenRequest::new(&state);
     state.traffic.call(TrafficKind::Customers);
     state
         .traffic
         .receive(TrafficKind::Customers, head_bytes(&request));
-    let mut response = route(&state, request).await;
+    let mut response = route_request(&state, request).await;
     state.traffic.send(TrafficKind::Customers, ANSWER_BYTES);
     if state.leaving.get() {
         response
@@ -97,7 +97,7 @@
     response
 }
 
-async fn route(state: &Rc<NodeState>, mut request: Request) -> Response<BoxBody> {
+async fn route_request(state: &Rc<NodeState>, mut request: Request) -> Response<BoxBody> {
     let arrived = state.now();
     // A request that waited in its socket while this process was paused may by now be running elsewhere as its
     // customer's next try. It has not run here, so it is refused.
--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -106,7 +106,7 @@
 
     /// Returns the version and digest of the directory once it was read. None while there are unconfirmed removals,
     /// which no other process knows of.
-    pub(crate) fn known(&self) -> Option<KnownList> {
+    pub(crate) fn known_list(&self) -> Option<KnownList> {
         let at = self
             .last_read
             .filter(|_| self.unconfirmed_removals.is_empty())?;
@@ -118,8 +118,8 @@
     }
 
     /// Returns this process's own last read, as it is reported to other processes, if it is recent.
-    pub(crate) fn reading(&self, now: Instant) -> Option<ListReading> {
-        let known = self.known()?;
+    pub(crate) fn recent_read(&self, now: Instant) -> Option<ListReading> {
+        let known = self.known_list()?;
         let age = now.saturating_duration_since(self.last_own_read?);
         (age < SHARED_READ_MAX_AGE).then_some(ListReading {
             version: known.version,
@@ -165,7 +165,7 @@
         last.is_some_and(|at| now < at + LAPSED_ENTRY_GRACE)
     }
 
-    pub(crate) fn put(&mut self, record: WorkerRecord) {
+    pub(crate) fn upsert(&mut self, record: WorkerRecord) {
         self.unconfirmed_removals.remove(&record.life);
         self.unusable.remove(&record.life);
         // Most changes are heartbeats that leave the worker's record unchanged.
@@ -286,7 +286,7 @@
         })
     }
 
-    pub(crate) fn of_pool(&self, pool: &PoolId) -> Vec<WorkerRecord> {
+    pub(crate) fn workers_of_pool(&self, pool: &PoolId) -> Vec<WorkerRecord> {
         let workers = self.workers.values();
         let workers = workers.filter(|worker| worker.data_centre == pool.data_centre);
         workers
@@ -295,7 +295,7 @@
             .collect()
     }
 
-    pub(crate) fn has_pool(&self, pool: &PoolId) -> bool {
+    pub(crate) fn pool_has_workers(&self, pool: &PoolId) -> bool {
         let mut workers = self.workers.values();
         workers.any(|worker| self.pool_of(worker).as_ref() == Some(pool))
     }
@@ -309,7 +309,7 @@
     }
 
     /// Returns all workers of a data centre.
-    pub(crate) fn of_centre(&self, centre: &DataCentreId) -> Vec<WorkerRecord> {
+    pub(crate) fn workers_of_centre(&self, centre: &DataCentreId) -> Vec<WorkerRecord> {
         let workers = self.workers.values();
         workers
             .filter(|worker| worker.data_centre == *centre)
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -94,7 +94,7 @@
 /// would cost a round trip and the bytes of the whole job each time, which alone fills narrow links.
 pub(crate) async fn run_job(state: &Rc<NodeState>, job: &EntryJob) -> JobOutcome {
     wait_for_owner(state, job).await;
-    let mut last = no_pool_refusal(state);
+    let mut last_refusal = no_pool_refusal(state);
     let mut offers = Vec::new();
     let mut pools = rank_pools(state, &job.request).into_iter();
     for EligiblePool { pool, owner, .. } in pools.by_ref() {
@@ -104,7 +104,7 @@
         let JobOutcome::Refused { fits, .. } = outcome else {
             return outcome;
         };
-        last = outcome;
+        last_refusal = outcome;
         offers.push(PartOffer { pool, owner, fits });
         break;
     }
@@ -114,10 +114,10 @@
             break;
         }
         let more = collect_offers(state, job, pools).await;
-        let whole = more
+        let whole_offer = more
             .iter()
             .find(|offer| fits_whole_job(&job.request, offer));
-        if let Some(PartOffer { pool, owner, .. }) = whole {
+        if let Some(PartOffer { pool, owner, .. }) = whole_offer {
             match submit_before_deadline(state, job, pool, owner, None).await {
                 Some(JobOutcome::Refused { .. }) | None => (),
                 Some(outcome) => return outcome,
@@ -127,7 +127,7 @@
     }
     match divide_job(state, &job.request, offers) {
         Some(parts) => run_parts(state, job, &parts).await,
-        None => last,
+        None => last_refusal,
     }
 }
 
--- a/crates/node/src/groups.rs
+++ b/crates/node/src/groups.rs
@@ -62,8 +62,8 @@
         .number("former", former.map_or(0, |former| former.groups))
         .text("spread", row.spread.as_str());
     state.log(EventKind::Kept, line);
-    let workers = state.directory.borrow().of_centre(&centre);
-    let moved: Vec<_> = workers
+    let workers = state.directory.borrow().workers_of_centre(&centre);
+    let former_pools: Vec<_> = workers
         .iter()
         .map(|w| (state.directory.borrow().pool_of(w), w))
         .collect();
@@ -72,7 +72,7 @@
     }
     assume_workers(state, &centre, row);
     state.directory.borrow_mut().set_groups(centre, row);
-    for (pool, worker) in moved {
+    for (pool, worker) in former_pools {
         if let Some(pool) = pool {
             owner::remove_worker(state, &pool, &worker.life);
         }
@@ -103,12 +103,12 @@
 fn release_regrouped_pools(
     state: &Rc<NodeState>,
     centre: &DataCentreId,
-    pools: u32,
+    group_count: u32,
     row: GroupRow,
     version: RowVersion,
 ) {
     state.directory.borrow_mut().record_regrouping(state.now());
-    for group in 0..pools {
+    for group in 0..group_count {
         let pool = PoolId {
             data_centre: centre.clone(),
             group,
@@ -178,8 +178,8 @@
 struct ListedCount {
     workers: usize,
     vms: usize,
-    first: Instant,
-    since: Instant,
+    first_seen: Instant,
+    unchanged_since: Instant,
 }
 
 /// The numbers of workers and VMs listed for each data centre.
@@ -199,13 +199,14 @@
         let count = self.0.entry(centre.clone()).or_insert(ListedCount {
             workers,
             vms,
-            first: now,
-            since: now,
+            first_seen: now,
+            unchanged_since: now,
         });
         if (count.workers, count.vms) != (workers, vms) {
-            (count.workers, count.vms, count.since) = (workers, vms, now);
+            (count.workers, count.vms, count.unchanged_since) = (workers, vms, now);
         }
-        now >= count.since + COUNTS_SETTLED_TIME || now >= count.first + MAX_SETTLING_TIME
+        now >= count.unchanged_since + COUNTS_SETTLED_TIME
+            || now >= count.first_seen + MAX_SETTLING_TIME
     }
 }
 
@@ -226,7 +227,7 @@
         .get(centre)
         .copied()
         .unwrap_or_default();
-    let workers = state.directory.borrow().of_centre(centre);
+    let workers = state.directory.borrow().workers_of_centre(centre);
     let row = GroupRow::even(groups, workers.iter().map(|w| (&w.life, w.address)));
     let Ok(value) = serde_json::to_vec(&row) else {
         return;
--- a/crates/node/src/list_schedule.rs
+++ b/crates/node/src/list_schedule.rs
@@ -87,7 +87,7 @@
 pub(crate) fn take_confirmation(state: &NodeState) -> Option<RowVersion> {
     let now = state.now();
     let mut directory = state.directory.borrow_mut();
-    let known = directory.known()?;
+    let known = directory.known_list()?;
     match state.keeper.borrow().list_turn(now, known) {
         ListTurn::Read => None,
         ListTurn::Confirmed { version, at } => {
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -83,7 +83,7 @@
 /// Applies a change of an evacuation to the pools of a data centre, and logs and counts it. If the logged number of
 /// workers is 0, this node most likely knows no such data centre.
 fn apply_evacuation_to_pools(state: &Rc<NodeState>, centre: &DataCentreId, evacuated: bool) {
-    let workers = state.directory.borrow().of_centre(centre).len();
+    let workers = state.directory.borrow().workers_of_centre(centre).len();
     let event = match evacuated {
         true => "evacuation_begun",
         false => "evacuation_ended",
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -42,18 +42,18 @@
     deferred_workers: FastMap<LifeId, WorkerRecord>,
 }
 
-/// Applies `act` to a pool if this node owns it, then logs the pool's notes and carries out its actions.
+/// Applies `update` to a pool if this node owns it, then logs the pool's notes and carries out its actions.
 pub(crate) fn with_pool(
     state: &Rc<NodeState>,
     id: &PoolId,
-    act: impl FnOnce(&mut WorkerPool, Instant),
+    update: impl FnOnce(&mut WorkerPool, Instant),
 ) {
     let now = state.now();
     let mut pools = state.pools.borrow_mut();
     let Some(owned) = pools.get_mut(id) else {
         return;
     };
-    act(&mut owned.pool, now);
+    update(&mut owned.pool, now);
     let fence = owned.pool.fence();
     for note in owned.pool.take_notes() {
         event_lines::log_pool_note(state, id, fence, &note);
@@ -124,11 +124,11 @@
     state: &Rc<NodeState>,
     id: &PoolId,
     fence: FenceToken,
-    act: impl FnOnce(&mut WorkerPool, Instant),
+    update: impl FnOnce(&mut WorkerPool, Instant),
 ) {
-    let held = state.pools.borrow().get(id).map(|owned| owned.pool.fence());
-    if held == Some(fence) {
-        with_pool(state, id, act);
+    let held_fence = state.pools.borrow().get(id).map(|owned| owned.pool.fence());
+    if held_fence == Some(fence) {
+        with_pool(state, id, update);
     }
 }
 
@@ -158,24 +158,27 @@
     store_clock: Duration,
 ) {
     let me = state.keeper.borrow().me().clone();
-    let mine = row.node == me.node && row.incarnation == me.incarnation;
+    let is_own_claim = row.node == me.node && row.incarnation == me.incarnation;
     state
         .keeper
         .borrow_mut()
         .on_claim(state.now(), id.clone(), row, version.0);
-    let held = state
+    let held_fence = state
         .pools
         .borrow()
         .get(id)
         .map(|owned| owned.pool.fence().0);
     // During a handover the former owner finishes its jobs beside its successor, on the workers that these jobs
     // use, so it does not release the pool yet.
-    if held.is_some_and(|held| held < version.0) && !state.is_handing_over(id) {
+    if held_fence.is_some_and(|held_fence| held_fence < version.0) && !state.is_handing_over(id) {
         release_pool(state, id, "claimed_by_another");
     }
     // The store's answer to this process's own claim may have been lost; then this row is the first to show that
     // the claim succeeded.
-    if mine && held.is_none_or(|held| held < version.0) && !state.leaving.get() {
+    if is_own_claim
+        && held_fence.is_none_or(|held_fence| held_fence < version.0)
+        && !state.leaving.get()
+    {
         open_pool(state, id, version, store_clock);
     }
 }
@@ -204,7 +207,7 @@
     };
     state.pools.borrow_mut().insert(id.clone(), owned);
     update_surroundings(state, id);
-    let workers = state.directory.borrow().of_pool(id);
+    let workers = state.directory.borrow().workers_of_pool(id);
     let line = EventLine::new("pool_taken")
         .text("pool", id)
         .number("fence", version.0)
@@ -228,7 +231,7 @@
     }
     let unpopulated = std::mem::take(&mut *state.unpopulated_pools.borrow_mut());
     for id in unpopulated {
-        let workers = state.directory.borrow().of_pool(&id);
+        let workers = state.directory.borrow().workers_of_pool(&id);
         for worker in workers {
             upsert_worker(state, &id, worker);
         }
@@ -313,12 +316,12 @@
         }
         return;
     };
-    let mine = state
+    let still_owner = state
         .keeper
         .borrow()
         .owner(now, &id)
         .is_some_and(|owner| owner.here);
-    if !mine {
+    if !still_owner {
         let open = state
             .pools
             .borrow()
@@ -333,7 +336,7 @@
     if now >= since + YIELD_TIMEOUT {
         *state.yielding_pool.borrow_mut() = None;
         with_pool(state, &id, |pool, _| pool.accept_again());
-        let workers = state.directory.borrow().of_pool(&id);
+        let workers = state.directory.borrow().workers_of_pool(&id);
         for worker in workers {
             upsert_worker(state, &id, worker);
         }
@@ -374,7 +377,7 @@
 /// Requests the list of workers and waits for it while no workers of the pool are known.
 async fn wait_for_worker_list(state: &Rc<NodeState>, pool: &PoolId) {
     let limit = state.now() + WORKER_LIST_TIMEOUT;
-    while state.directory.borrow().of_pool(pool).is_empty() && state.now() < limit {
+    while state.directory.borrow().workers_of_pool(pool).is_empty() && state.now() < limit {
         state.worker_list_needed.notify_one();
         actix_rt::time::sleep(WORKER_LIST_POLL_INTERVAL).await;
     }
@@ -383,7 +386,7 @@
 /// Returns whether any of a few workers of the pool accepts a connection.
 async fn probe(state: &Rc<NodeState>, pool: &PoolId) -> bool {
     wait_for_worker_list(state, pool).await;
-    let workers = state.directory.borrow().of_pool(pool);
+    let workers = state.directory.borrow().workers_of_pool(pool);
     let mut attempts = Vec::new();
     for worker in workers.iter().take(MAX_PROBED_WORKERS) {
         attempts.push(timeout(PROBE_TIMEOUT, TcpStream::connect(worker.address)));
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -82,7 +82,7 @@
 
 async fn connect(state: Rc<NodeState>, node: NodeId, address: SocketAddr) {
     let lost = Rc::new(Notify::new());
-    let closed = {
+    let on_closed = {
         let (state, lost, node) = (state.clone(), lost.clone(), node.clone());
         move || {
             state.links.open.borrow_mut().remove(&address);
@@ -91,7 +91,7 @@
             state.log(EventKind::Kept, line);
         }
     };
-    let opened = connect_pool(address, state.traffic.clone(), closed).await;
+    let opened = connect_pool(address, state.traffic.clone(), on_closed).await;
     state.links.connecting.borrow_mut().remove(&address);
     match opened {
         Ok(link) => {
@@ -181,7 +181,7 @@
         cores: keeper.me().cores,
         link: keeper.me().link,
         leaving: state.leaving.get(),
-        reading: state.directory.borrow().reading(now),
+        reading: state.directory.borrow().recent_read(now),
         hears: keeper.heard_owners(now),
         pools: news.collect(),
     }
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -455,10 +455,10 @@
     }
 }
 
-fn for_each_pool(state: &Rc<NodeState>, act: impl Fn(&mut pool::WorkerPool, Instant)) {
+fn for_each_pool(state: &Rc<NodeState>, update: impl Fn(&mut pool::WorkerPool, Instant)) {
     let pools: Vec<_> = state.pools.borrow().keys().cloned().collect();
     for id in pools {
-        owner::with_pool(state, &id, &act);
+        owner::with_pool(state, &id, &update);
     }
 }
 
--- a/crates/node/src/ready.rs
+++ b/crates/node/src/ready.rs
@@ -21,7 +21,7 @@
 /// The HTTP server cannot be built.
 pub(crate) async fn serve(state: Rc<NodeState>, listener: TcpListener) -> Result<(), NodeError> {
     let handler = move |request: Request| {
-        let response = answer(&state, &request);
+        let response = handle_request(&state, &request);
         async move { Ok::<_, Infallible>(response) }
     };
     let factory = HttpService::<TcpStream, _, _, _, _>::build()
@@ -42,7 +42,7 @@
     Ok(())
 }
 
-fn answer(state: &NodeState, request: &Request) -> Response<BoxBody> {
+fn handle_request(state: &NodeState, request: &Request) -> Response<BoxBody> {
     if request.path() == METRICS_PATH {
         return metrics_page(state);
     }
--- a/crates/node/src/traffic.rs
+++ b/crates/node/src/traffic.rs
@@ -54,14 +54,14 @@
 /// The share of the VM's link that is in use, in the busier direction.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct LinkUse {
-    counted: Option<(Instant, TrafficCount)>,
+    last_total: Option<(Instant, TrafficCount)>,
     share: f64,
 }
 
 impl LinkUse {
     /// Updates the share from the total traffic until `now`, for a link of the given rate.
     pub(crate) fn update(&mut self, now: Instant, total: TrafficCount, link: LinkRate) {
-        let Some((at, former)) = self.counted.replace((now, total)) else {
+        let Some((at, former)) = self.last_total.replace((now, total)) else {
             return;
         };
         let passed = now.saturating_duration_since(at).as_secs_f64();
--- a/crates/node/src/workers.rs
+++ b/crates/node/src/workers.rs
@@ -63,7 +63,7 @@
 fn clear_assumed_workers(state: &Rc<NodeState>) {
     let pools = state.keeper.borrow().pools();
     for pool in pools {
-        let has_workers = state.directory.borrow().has_pool(&pool);
+        let has_workers = state.directory.borrow().pool_has_workers(&pool);
         state.keeper.borrow_mut().on_workers(&pool, has_workers);
     }
 }
@@ -87,7 +87,7 @@
     let Some(pool) = state.directory.borrow().pool_of(record) else {
         return;
     };
-    let has_workers = state.directory.borrow().has_pool(&pool);
+    let has_workers = state.directory.borrow().pool_has_workers(&pool);
     state.keeper.borrow_mut().on_workers(&pool, has_workers);
     owner::remove_worker(state, &pool, &record.life);
 }
@@ -107,7 +107,7 @@
         reject_entry(state, record.life.clone(), Some(record), &fault);
         return;
     }
-    state.directory.borrow_mut().put(record.clone());
+    state.directory.borrow_mut().upsert(record.clone());
     groups::assign_worker(state, record);
 }
 
