--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -17,12 +17,12 @@
 /// The greatest age of a read that owners rely on. An owner reads about four times a second.
 const CURRENT_READ_MAX_AGE: Duration = Duration::from_millis(700);
 
-/// The time without an answer after which a read of changes shows that there are none. The store answers in 4 to 16
-/// ms.
+/// How long a request for changes must be open without an answer to show that there are none. The store answers in
+/// 4 to 16 ms.
 const NO_CHANGES_DELAY: Duration = Duration::from_millis(100);
 
-/// How long after a failed call the store counts as unavailable. This is longer than a failed feed pauses and tries
-/// again.
+/// How long after a failed call the store counts as unavailable. It is longer than the pause and the next try of a
+/// failed feed.
 const STORE_FAILURE_HOLD_TIME: Duration = Duration::from_millis(800);
 
 /// How long a read is reported to other processes.
--- a/crates/node/src/feeds.rs
+++ b/crates/node/src/feeds.rs
@@ -21,10 +21,12 @@
 /// The interval between two reads of the members' table. Heartbeats report changes of members sooner.
 const MEMBERS_READ_INTERVAL: Duration = Duration::from_millis(4_000);
 
-/// The same for a process that receives no heartbeats: only the rows show it which processes are alive.
+/// The interval between two reads of the members' table while no heartbeats arrive: only the rows then show which
+/// processes are alive.
 const ISOLATED_MEMBERS_READ_INTERVAL: Duration = Duration::from_millis(900);
 
-/// The same until the first members are known. Heartbeats cannot be sent to members that are not known.
+/// The interval between two reads of the members' table while the first members are being discovered. Heartbeats
+/// can be exchanged only with known members.
 const STARTUP_MEMBERS_READ_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How long after the start the members' table is read at the startup interval.
@@ -234,8 +236,8 @@
     }
 }
 
-/// Imports the waiting times of customers that a process has learnt. This process's own former incarnation is one
-/// of the sources.
+/// Imports what another process, or this process's own former incarnation, has learnt about the time that
+/// customers' requests have left when they arrive.
 fn import_waits(state: &NodeState, member: &MemberRow) {
     let mut waits = state.request_waits.borrow_mut();
     for wait in &member.waits {
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -295,7 +295,7 @@
     }
 }
 
-/// How long a pool is offered to a better suited process before this process keeps it after all.
+/// How long a pool is offered to a better-suited process before this process keeps it after all.
 const YIELD_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 /// Continues the handover in progress, starts one if another process suits a pool better, or cancels it if no
@@ -500,8 +500,8 @@
     pub(crate) state: Rc<NodeState>,
 }
 
-/// Returns how many tasks of a job a pool of this node could take in time now. 0 if this node does not own the pool
-/// or has just paused.
+/// Returns how many tasks of a job a pool of this node could take in time now, or 0 if this node does not own the
+/// pool or has just paused.
 pub(crate) fn offer_locally(state: &Rc<NodeState>, call: &JobCall) -> u32 {
     let now = state.now();
     let mut pools = state.pools.borrow_mut();
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -147,8 +147,8 @@
 /// Stops accepting jobs for pools that another process can take over.
 ///
 /// While the store is unavailable no process can take a pool over. A pool that accepted no jobs would then have no
-/// owner until the store is back, which once left twelve workers idle for 2.7 s. The pool still stops accepting in
-/// time for its last jobs to end before the process does.
+/// owner until the store is back, which left twelve workers idle for 2.7 s. The pool still stops accepting in time
+/// for its last jobs to end before the process does.
 fn stop_accepting_jobs(state: &Rc<NodeState>, limit: Instant) {
     let now = state.now();
     let store_away = state.directory.borrow().is_failing(now);
@@ -333,7 +333,8 @@
     by_clock.max(former.map_or(0, |former| former.incarnation + 1))
 }
 
-/// Returns the usual waiting times of customers by route, as this process has learnt them.
+/// Returns the time that the requests of each route usually have left when they arrive, as this process has learnt
+/// it.
 fn usual_waits(state: &NodeState) -> Vec<RouteWait> {
     let usual = state.request_waits.borrow().usual();
     let waits = usual.into_iter().map(|wait| RouteWait {
@@ -343,7 +344,7 @@
     waits.collect()
 }
 
-/// Writes this process's member row periodically.
+/// Writes this process's member row at the start and then periodically.
 async fn refresh_member(state: Rc<NodeState>) {
     let mut row = state.keeper.borrow().me().clone();
     let mut failed = false;
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -54,7 +54,7 @@
     pub(crate) list_source: Cell<Option<(ListSource, Instant)>>,
     /// Notified when the workers' table has to be read now.
     pub(crate) worker_list_needed: Notify,
-    /// Pools that were opened before the workers' table was read again. Their workers have not been added yet.
+    /// Pools that were opened while the worker directory was not current. Their workers have not been added yet.
     pub(crate) unpopulated_pools: RefCell<Vec<PoolId>>,
     /// Pending writes of kept jobs.
     pub(crate) job_writes: RefCell<JobWriteQueue>,
@@ -62,14 +62,14 @@
     pub(crate) has_kept_jobs: Cell<bool>,
     pub(crate) rng: RefCell<fastrand::Rng>,
     pub(crate) links: OwnerLinks,
-    /// Notified when the given process goes silent.
+    /// Signals that are notified when a process goes silent, by process.
     pub(crate) peer_lost_signals: RefCell<FastMap<NodeId, Rc<Notify>>>,
     pub(crate) log: RefCell<EventLog>,
     pub(crate) metrics: NodeMetrics,
     pub(crate) traffic: Arc<TrafficBook>,
     pub(crate) link_use: Cell<LinkUse>,
     pub(crate) leaving: Cell<bool>,
-    /// The pool that is being handed over to a better suited process, and since when.
+    /// The pool that is being handed over to a better-suited process, and since when.
     pub(crate) yielding_pool: RefCell<Option<(PoolId, Instant)>>,
     pub(crate) open_requests: Cell<usize>,
     /// Whether all requests are refused because the process is about to end.
