--- a/crates/node/src/front.rs
+++ b/crates/node/src/customer_server.rs
@@ -1,4 +1,4 @@
-//! What customers connect to.
+//! The HTTP server for customers.
 
 use std::{
     cell::Cell,
@@ -27,36 +27,38 @@
 
 use crate::{
     connections,
-    entry::{note_answered, run_job, EntryJob},
-    keeping,
+    entry::{log_answer, run_job, EntryJob},
+    kept_jobs,
     state::NodeState,
     NodeError,
 };
 
-/// How long a customer without a deadline waits.
+/// How long a customer without a stated deadline waits.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
 
-/// How long after a process's start customers come again whom it left without an answer: they wait for a few seconds.
-const RETURN_TIME: Duration = Duration::from_secs(10);
+/// How long after a process's start customers retry whose requests it left without an answer: they wait for a few
+/// seconds.
+const CUSTOMER_RETURN_PERIOD: Duration = Duration::from_secs(10);
 
-/// The longest deadline that is taken from a header.
-const LONGEST_DEADLINE: Duration = Duration::from_secs(3_600);
+/// The longest deadline that is accepted from the deadline header.
+const MAX_DEADLINE: Duration = Duration::from_secs(3_600);
 
-/// When a customer may come back that was turned away because this process is starting, stopping or has stood still.
-const NOT_READY_RETRY: Duration = Duration::from_secs(1);
+/// The retry delay for customers whose request was refused because this process is starting or stopping or has
+/// paused.
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The bytes of an answer to a customer: its head, and a body of a few bytes.
-const ANSWER_HEAD_BYTES: usize = 130;
+/// The size of an answer to a customer in bytes: its head and a body of a few bytes.
+const ANSWER_BYTES: usize = 130;
 
-/// Takes customers' connections for as long as the future is polled.
+/// Serves customers' connections for as long as the future is polled.
 ///
 /// # Errors
 ///
 /// The HTTP server cannot be built.
 pub(crate) async fn serve(state: Rc<NodeState>, listener: TcpListener) -> Result<(), NodeError> {
-    let answering = state.clone();
+    let server_state = state.clone();
     connections::serve(state, listener, move |request| {
-        answer(answering.clone(), request)
+        handle_request(server_state.clone(), request)
     })
     .await
 }
@@ -66,31 +68,31 @@
 
 impl OpenRequest {
     fn new(state: &Rc<NodeState>) -> Self {
-        step(&state.open_requests, 1);
+        add_to_count(&state.open_requests, 1);
         Self(state.clone())
     }
 }
 
 impl Drop for OpenRequest {
     fn drop(&mut self) {
-        step(&self.0.open_requests, -1);
+        add_to_count(&self.0.open_requests, -1);
     }
 }
 
-fn step(count: &Cell<usize>, by: isize) {
+fn add_to_count(count: &Cell<usize>, by: isize) {
     count.set(count.get().saturating_add_signed(by));
 }
 
-async fn answer(state: Rc<NodeState>, request: Request) -> Response<BoxBody> {
+async fn handle_request(state: Rc<NodeState>, request: Request) -> Response<BoxBody> {
     let _open = OpenRequest::new(&state);
     state.traffic.call(TrafficKind::Customers);
     state
         .traffic
         .receive(TrafficKind::Customers, head_bytes(&request));
-    let mut response = route(&state, request).await;
+    let mut response = route_request(&state, request).await;
     state
         .traffic
-        .send(TrafficKind::Customers, ANSWER_HEAD_BYTES);
+        .send(TrafficKind::Customers, ANSWER_BYTES);
     if state.leaving.get() {
         response
             .head_mut()
@@ -99,70 +101,71 @@
     response
 }
 
-async fn route(state: &Rc<NodeState>, mut request: Request) -> Response<BoxBody> {
+async fn route_request(state: &Rc<NodeState>, mut request: Request) -> Response<BoxBody> {
     let arrived = state.now();
-    // A request that lay in its socket while this process stood still may be running elsewhere by now, under its
-    // customer's next try. It has not run here, so it is turned away.
+    // A request that waited in its socket while this process was paused may by now be running elsewhere as its
+    // customer's next try. It has not run here, so it is refused.
     if state.has_paused() {
-        note_refused(state, "process_paused");
+        log_refusal(state, "process_paused");
         return not_ready();
     }
-    if state.refusing.get() {
-        note_refused(state, "process_stopped");
+    if state.refuses_requests.get() {
+        log_refusal(state, "process_stopped");
         return not_ready();
     }
-    let Some(table) = state.table.borrow().clone() else {
-        note_refused(state, "no_configuration");
+    let Some(table) = state.route_table.borrow().clone() else {
+        log_refusal(state, "no_configuration");
         return not_ready();
     };
     if head_bytes(&request) > table.limits.head_bytes {
-        return plain(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE, "{}");
+        return json_response(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE, "{}");
     }
     let host = host_of(&request).to_owned();
     let path = request.path().to_owned();
     let Some(found) = table.find(&host, &path) else {
-        return plain(StatusCode::NOT_FOUND, "{}");
+        return json_response(StatusCode::NOT_FOUND, "{}");
     };
     let rule = Rc::new(found.rule.clone());
     let method = request.method().clone();
     if found.rest.is_empty() && method == Method::GET {
-        return match keeping::pending(state, &rule.name).await {
-            Ok(count) => plain(StatusCode::OK, encode_pending(count)),
-            Err(error) => store_away(state, "pending", &error),
+        return match kept_jobs::count_pending(state, &rule.name).await {
+            Ok(count) => json_response(StatusCode::OK, encode_pending(count)),
+            Err(error) => store_unavailable(state, "pending", &error),
         };
     }
     let Ok(id) = found.rest.parse::<JobId>() else {
-        return plain(StatusCode::BAD_REQUEST, "{}");
+        return json_response(StatusCode::BAD_REQUEST, "{}");
     };
     if method == Method::GET {
-        return tell_state(state, id).await;
+        return job_state_response(state, id).await;
     }
     if method == Method::DELETE {
         return cancel(state, id).await;
     }
     if method != Method::POST {
-        return plain(StatusCode::METHOD_NOT_ALLOWED, "{}");
+        return json_response(StatusCode::METHOD_NOT_ALLOWED, "{}");
     }
-    let stated = stated_limit(&request);
+    let stated_deadline = stated_deadline(&request);
     let body = match read_body(request.take_payload(), table.limits).await {
         Ok(body) => body,
-        Err(status) => return plain(status, "{}"),
+        Err(status) => return json_response(status, "{}"),
     };
     state.traffic.receive(TrafficKind::Customers, body.len());
-    submit(state, id, rule, &body, arrived, stated).await
+    submit(state, id, rule, &body, arrived, stated_deadline).await
 }
 
-/// Tells how far a kept job is, as the store has it. Jobs that are not kept are known to nobody.
-async fn tell_state(state: &NodeState, id: JobId) -> Response<BoxBody> {
-    match keeping::find_row(state, id).await {
-        Ok(Some(found)) => plain(StatusCode::OK, encode_state(found.row.state)),
-        Ok(None) => plain(StatusCode::GONE, "{}"),
-        Err(error) => store_away(state, "job_state", &error),
+/// Answers with the state of a kept job according to the store. No process knows the state of jobs that are not
+/// kept.
+async fn job_state_response(state: &NodeState, id: JobId) -> Response<BoxBody> {
+    match kept_jobs::find_job(state, id).await {
+        Ok(Some(found)) => json_response(StatusCode::OK, encode_state(found.row.state)),
+        Ok(None) => json_response(StatusCode::GONE, "{}"),
+        Err(error) => store_unavailable(state, "job_state", &error),
     }
 }
 
 async fn cancel(state: &NodeState, id: JobId) -> Response<BoxBody> {
-    let cancelled = keeping::cancel(state, id).await;
+    let cancelled = kept_jobs::cancel_job(state, id).await;
     let line = EventLine::new("job_cancelled").text("job", id);
     match cancelled {
         Ok(found) => {
@@ -172,16 +175,17 @@
             } else {
                 StatusCode::GONE
             };
-            plain(status, "{}")
+            json_response(status, "{}")
         }
-        Err(error) => store_away(state, "cancel", &error),
+        Err(error) => store_unavailable(state, "cancel", &error),
     }
 }
 
-/// Nothing can be said without the store: the customer asks again.
-fn store_away(state: &NodeState, what: &'static str, error: &StoreError) -> Response<BoxBody> {
+/// Answers that the store cannot be reached. The customer has to ask again.
+fn store_unavailable(state: &NodeState,
+    purpose: &'static str, error: &StoreError) -> Response<BoxBody> {
     let line = EventLine::new("store_not_reached")
-        .text("for", what)
+        .text("for", purpose)
         .text("error", error);
     state.log(EventKind::Kept, line);
     not_ready()
@@ -193,9 +197,9 @@
     rule: Rc<RouteRule>,
     body: &[u8],
     arrived: Instant,
-    stated: Option<Duration>,
+    stated_deadline: Option<Duration>,
 ) -> Response<BoxBody> {
-    let deadline = arrived + stated.unwrap_or(DEFAULT_DEADLINE);
+    let deadline = arrived + stated_deadline.unwrap_or(DEFAULT_DEADLINE);
     let request = match decode_job(id, body) {
         Ok(request) => request,
         Err(error) => {
@@ -203,7 +207,7 @@
                 .text("job", id)
                 .text("error", error);
             state.log(EventKind::Kept, line);
-            return plain(StatusCode::BAD_REQUEST, "{}");
+            return json_response(StatusCode::BAD_REQUEST, "{}");
         }
     };
     let advised = rule.advised.then_some(UnsupportedNeed::Advice);
@@ -216,7 +220,7 @@
     }
     let age = match request.kept {
         true => Duration::ZERO,
-        false => request_age(state, &rule, stated),
+        false => request_age(state, &rule, stated_deadline),
     };
     let job = EntryJob {
         request: Arc::new(request),
@@ -227,42 +231,43 @@
     };
     let refused = |kind| JobOutcome::Refused {
         kind,
-        retry_after: NOT_READY_RETRY,
+        retry_after: NOT_READY_RETRY_AFTER,
         fits: 0,
     };
     let outcome = if unsupported.is_some() {
         refused(RefusalKind::Unsupported)
-    } else if is_past_stop(state, &job) {
+    } else if ends_after_stop(state, &job) {
         refused(RefusalKind::NotServing)
     } else {
         run_until_cut(state, &job).await
     };
-    note_answered(state, &job, outcome);
-    encoded(&encode_outcome(outcome))
+    log_answer(state, &job, outcome);
+    encoded_response(&encode_outcome(outcome))
 }
 
-/// Whether the process will be gone before the job can be expected to end. Taken all the same, the job would be cut.
-fn is_past_stop(state: &NodeState, job: &EntryJob) -> bool {
+/// Returns whether the process will end before the job can be expected to. The job would be cut if it were
+/// accepted.
+fn ends_after_stop(state: &NodeState, job: &EntryJob) -> bool {
     let chain = critical_path(&job.request.steps, |_, step| step.estimate);
     let expected = chain.mul_f64(job.rule.stretch) + job.rule.goal;
     state
-        .stop_limit
+        .stop_deadline
         .get()
         .is_some_and(|limit| state.now() + expected > limit)
 }
 
-/// Runs a job, but answers before the process ends: a customer whose connection breaks without an answer cannot tell
-/// a job that was taken from one that was not.
+/// Runs a job, but answers before the process ends. A customer whose connection breaks without an answer cannot
+/// tell whether its job was accepted.
 async fn run_until_cut(state: &Rc<NodeState>, job: &EntryJob) -> JobOutcome {
     let run = std::pin::pin!(run_job(state, job));
-    let cut = std::pin::pin!(state.cut.notified());
+    let cut = std::pin::pin!(state.cut_requests.notified());
     match select(run, cut).await {
         Either::Left((outcome, _)) => outcome,
         Either::Right(_) => JobOutcome::GivenUp,
     }
 }
 
-fn note_refused(state: &NodeState, reason: &'static str) {
+fn log_refusal(state: &NodeState, reason: &'static str) {
     crate::metrics::count_refusal(&state.metrics, reason);
     state.log(
         EventKind::Kept,
@@ -279,7 +284,7 @@
     host.split_once(':').map_or(host, |(name, _)| name)
 }
 
-/// The bytes of a request's head, but for its separators.
+/// Returns the size of a request's head in bytes, without separators.
 fn head_bytes(request: &Request) -> usize {
     let headers = request.headers().iter();
     let headers: usize = headers
@@ -288,31 +293,33 @@
     request.path().len() + headers
 }
 
-/// How long a request has been under way before it came here, as far as what is left of its customer's time tells.
+/// Estimates how long a request had been in progress before it arrived here, from the time that its customer has
+/// left.
 ///
-/// It counts only while this process is new: then customers come again whom it, or all processes together, left without an
-/// answer. Later a short time says more likely that this customer is in a hurry.
-fn request_age(state: &NodeState, rule: &RouteRule, stated: Option<Duration>) -> Duration {
-    let Some(left) = stated else {
+/// The estimate is used only while this process is new: customers then retry whose requests this process, or all
+/// processes together, left without an answer. Later, little time left more likely means that the customer is in a
+/// hurry.
+fn request_age(state: &NodeState, rule: &RouteRule, stated_deadline: Option<Duration>) -> Duration {
+    let Some(left) = stated_deadline else {
         return Duration::ZERO;
     };
-    let age = state.waits.borrow_mut().record_request(&rule.name, left);
-    let is_new = state.now() < state.started + RETURN_TIME;
+    let age = state.request_waits.borrow_mut().record_request(&rule.name, left);
+    let is_new = state.now() < state.started + CUSTOMER_RETURN_PERIOD;
     match is_new && state.has(Mechanism::RequestAges) {
         true => age,
         false => Duration::ZERO,
     }
 }
 
-/// How long the customer says that it waits.
-fn stated_limit(request: &Request) -> Option<Duration> {
+/// Returns how long the customer states that it waits.
+fn stated_deadline(request: &Request) -> Option<Duration> {
     let header = request
         .headers()
         .get(DEADLINE_HEADER)
         .and_then(|value| value.to_str().ok());
     let millis = header.and_then(|text| text.trim().parse::<u64>().ok());
     let waits = millis.map(Duration::from_millis);
-    waits.map(|waits| waits.min(LONGEST_DEADLINE))
+    waits.map(|waits| waits.min(MAX_DEADLINE))
 }
 
 async fn read_body(mut payload: Payload, limits: RequestLimits) -> Result<Vec<u8>, StatusCode> {
@@ -328,18 +335,19 @@
 }
 
 fn not_ready() -> Response<BoxBody> {
-    encoded(&EncodedResponse {
+    encoded_response(&EncodedResponse {
         status: 503,
         body: "{}",
-        retry_after: Some(NOT_READY_RETRY),
+        retry_after: Some(NOT_READY_RETRY_AFTER),
     })
 }
 
-fn encoded(answer: &EncodedResponse) -> Response<BoxBody> {
+fn encoded_response(answer: &EncodedResponse) -> Response<BoxBody> {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    let mut response = plain(status, answer.body);
+    let mut response = json_response(status, answer.body);
     if let Some(retry_after) = answer.retry_after {
-        // The header holds whole seconds; an earlier return would meet the same load.
+        // The header holds whole seconds. The value is rounded up, because a customer that returned earlier would
+        // meet the same load.
         let seconds = retry_after.as_millis().div_ceil(1_000).max(1).to_string();
         if let Ok(value) = header::HeaderValue::from_str(&seconds) {
             response.headers_mut().insert(header::RETRY_AFTER, value);
@@ -348,7 +356,7 @@
     response
 }
 
-fn plain(status: StatusCode, body: impl Into<String>) -> Response<BoxBody> {
+fn json_response(status: StatusCode, body: impl Into<String>) -> Response<BoxBody> {
     Response::build(status)
         .insert_header((header::CONTENT_TYPE, "application/json"))
         .body(body.into())
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -1,4 +1,4 @@
-//! Hands a customer's job to the owner of a pool.
+//! Submits a customer's job to the owners of pools.
 
 use std::{
     rc::Rc,
@@ -21,57 +21,61 @@
 
 use crate::{owner, state::NodeState};
 
-/// When a customer may come back while no owner of a pool can be reached: an owner is replaced within a second.
-const NO_OWNER_RETRY: Duration = Duration::from_secs(1);
+/// The retry delay for customers while no owner of a pool can be reached. An owner is replaced within a second.
+const NO_OWNER_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// How long after its start a process expects pools to get their owners.
-const STARTING_TIME: Duration = Duration::from_millis(2_000);
+/// The time after a process's start within which pools are expected to get their owners.
+const STARTUP_PERIOD: Duration = Duration::from_millis(2_000);
 
-/// How long a job waits for that.
-const OWNER_WAIT: Duration = Duration::from_millis(300);
+/// How long a job waits for a pool to get an owner during startup.
+const OWNER_WAIT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The time between two looks whether there is one.
-const OWNER_LOOK: Duration = Duration::from_millis(10);
+/// The interval at which a waiting job checks whether a pool has an owner.
+const OWNER_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The most pools that are asked for one job. The nearest takes it unless it is full; each further one costs a round trip of a few
-/// milliseconds, which a wide job of short tasks can spare only so often.
-const MOST_ASKED: usize = 6;
+/// The most pools that are asked for offers for one job. The nearest pool takes the job unless it is full; each
+/// further pool costs a round trip of a few milliseconds, and a wide job of short tasks has time for only a few of
+/// these.
+const MAX_OFFER_POOLS: usize = 6;
 
-/// How long an owner has for saying what it could take. Later it helps no wide job of short tasks.
-const OFFER_LIMIT: Duration = Duration::from_millis(80);
+/// The time within which an owner must answer with its offer. A later offer does not help a wide job of short
+/// tasks.
+const OFFER_TIMEOUT: Duration = Duration::from_millis(80);
 
-/// How many times the room of a job the pools are expected to have together that are asked for offers. What is known of
-/// them is up to half a second old.
-const ROOM_ASKED: u64 = 2;
+/// The expected room of all pools that are asked for offers, as a multiple of the room that the job needs. It is
+/// above one because what is known of their load is up to half a second old.
+const OFFER_ROOM_FACTOR: u64 = 2;
 
-/// The share of the link from which on offers are asked for sparingly. On links that carry hundreds of times as many as are asked
-/// for, asking all refuses fewer jobs.
-const BUSY_LINK: f64 = 0.45;
+/// The share of the link in use above which fewer offers are requested. On links that carry hundreds of times as
+/// many offer requests as are sent, asking all pools refuses fewer jobs.
+const BUSY_LINK_SHARE: f64 = 0.45;
 
-/// A job as it came in.
+/// A customer's job as it arrived.
 pub(crate) struct EntryJob {
     pub(crate) request: Arc<JobRequest>,
     pub(crate) rule: Rc<RouteRule>,
     pub(crate) arrived: Instant,
-    /// How long it had been under way before, at least: its customer was cut off, or found nobody.
+    /// How long the customer had been trying before this request arrived, at least: an earlier connection was cut,
+    /// or no process could take the job.
     pub(crate) age: Duration,
     /// When its customer stops waiting.
     pub(crate) deadline: Instant,
 }
 
-/// An owner that refused a job as a whole, and how many of its tasks it could take in time.
+/// A pool's offer: how many tasks of a job its owner could take in time. The owner states this when it refuses the
+/// whole job, or when it is asked for an offer.
 struct PartOffer {
     pool: PoolId,
     owner: OwnerView,
     fits: u32,
 }
 
-/// A pool that can be asked.
-struct AskedPool {
+/// A pool that a job can be submitted to.
+struct EligiblePool {
     pool: PoolId,
     owner: OwnerView,
     near: bool,
-    /// The room that it is expected to have, in thousandths of a core.
+    /// The pool's expected free processor capacity, in thousandths of a core.
     room: i64,
 }
 
@@ -82,118 +86,121 @@
     step: StepSpec,
 }
 
-/// Runs a job to its end: whole in one pool if one takes it, else divided among pools that can take it together.
+/// Runs a job to its end: in one pool if one takes the whole job, otherwise divided among pools that can take it
+/// together.
 ///
-/// One pool is asked outright. If it refuses, the others are asked what they could take, all of a distance at once and
-/// without the job's text: asked outright one after another, each costs a round trip and the bytes of the whole job, which
-/// alone fill narrow links.
+/// The job is submitted to the first pool directly. If that pool refuses it, the others are asked for offers, all
+/// pools at the same distance at once and without the job's text. Submitting the job to one pool after another
+/// would cost a round trip and the bytes of the whole job each time, which alone fills narrow links.
 pub(crate) async fn run_job(state: &Rc<NodeState>, job: &EntryJob) -> JobOutcome {
-    await_owner(state, job).await;
-    let mut last = nowhere(state);
+    wait_for_owner(state, job).await;
+    let mut last_refusal = no_pool_refusal(state);
     let mut offers = Vec::new();
-    let mut pools = pools_in_order(state, &job.request).into_iter();
-    for AskedPool { pool, owner, .. } in pools.by_ref() {
-        let Some(outcome) = ask_in_time(state, job, &pool, &owner, None).await else {
+    let mut pools = rank_pools(state, &job.request).into_iter();
+    for EligiblePool { pool, owner, .. } in pools.by_ref() {
+        let Some(outcome) = submit_before_deadline(state, job, &pool, &owner, None).await else {
             continue;
         };
         let JobOutcome::Refused { fits, .. } = outcome else {
             return outcome;
         };
-        last = outcome;
+        last_refusal = outcome;
         offers.push(PartOffer { pool, owner, fits });
         break;
     }
-    let (near, far) = worth_asking(state, &job.request, pools.collect());
+    let (near, far) = select_offer_pools(state, &job.request, pools.collect());
     for pools in [near, far] {
         if can_divide(state, &job.request) && offers_suffice(&job.request, &offers) {
             break;
         }
-        let more = gather_offers(state, job, pools).await;
-        let whole = more.iter().find(|offer| takes_all(&job.request, offer));
-        if let Some(PartOffer { pool, owner, .. }) = whole {
-            match ask_in_time(state, job, pool, owner, None).await {
+        let more = collect_offers(state, job, pools).await;
+        let whole_offer = more.iter().find(|offer| fits_whole_job(&job.request, offer));
+        if let Some(PartOffer { pool, owner, .. }) = whole_offer {
+            match submit_before_deadline(state, job, pool, owner, None).await {
                 Some(JobOutcome::Refused { .. }) | None => (),
                 Some(outcome) => return outcome,
             }
         }
         offers.extend(more);
     }
-    match divide(state, &job.request, offers) {
+    match divide_job(state, &job.request, offers) {
         Some(parts) => run_parts(state, job, &parts).await,
-        None => last,
+        None => last_refusal,
     }
 }
 
-/// Waits for the owner of a pool while the process is new.
+/// Waits for a pool to get an owner while the process is new.
 ///
-/// Load it answers: all processes start again at once, and customers who waited come at that moment. Pools have owners some
-/// tenths of a second later, in time for most jobs; refused at once, all of these would be lost to their customers.
-async fn await_owner(state: &Rc<NodeState>, job: &EntryJob) {
-    let until = (job.arrived + OWNER_WAIT)
-        .min(state.started + STARTING_TIME)
+/// When all processes restart at once under load, the customers that waited come back at that moment. Pools get
+/// owners some tenths of a second later, which is in time for most jobs; jobs that were refused at once would be
+/// lost to their customers.
+async fn wait_for_owner(state: &Rc<NodeState>, job: &EntryJob) {
+    let until = (job.arrived + OWNER_WAIT_TIMEOUT)
+        .min(state.started + STARTUP_PERIOD)
         .min(job.deadline);
-    while reached_pools(state).is_empty() && state.now() < until {
-        sleep(OWNER_LOOK).await;
+    while reachable_pools(state).is_empty() && state.now() < until {
+        sleep(OWNER_POLL_INTERVAL).await;
     }
 }
 
-/// The refusal of a job for which no pool can be asked.
-fn nowhere(state: &NodeState) -> JobOutcome {
-    let kind = match reached_pools(state).is_empty() {
+/// Returns the refusal of a job that no pool can be asked to take.
+fn no_pool_refusal(state: &NodeState) -> JobOutcome {
+    let kind = match reachable_pools(state).is_empty() {
         true => RefusalKind::Unreachable,
         false => RefusalKind::Evacuated,
     };
     JobOutcome::Refused {
         kind,
-        retry_after: NO_OWNER_RETRY,
+        retry_after: NO_OWNER_RETRY_AFTER,
         fits: 0,
     }
 }
 
-/// The pools that are asked for an offer, those of this data centre apart. Where the link is busy only those that seem to
-/// have room, and no more than seem to have it twice over: of the others an answer is likely known.
-fn worth_asking(
+/// Selects the pools to ask for offers, separated into those of this data centre and the others. If the link is
+/// busy, only pools that seem to have room are selected, and no more than have the room `OFFER_ROOM_FACTOR` times
+/// over: the answers of the others are likely known.
+fn select_offer_pools(
     state: &NodeState,
     request: &JobRequest,
-    pools: Vec<AskedPool>,
-) -> (Vec<AskedPool>, Vec<AskedPool>) {
+    pools: Vec<EligiblePool>,
+) -> (Vec<EligiblePool>, Vec<EligiblePool>) {
     let demands = request.steps.iter().map(|step| step.demand.cpu.0);
-    let one = demands.min().unwrap_or_default().max(1);
-    let wanted = request.task_count().saturating_mul(ROOM_ASKED);
-    let busy = state.link_use.get().share() > BUSY_LINK;
-    let mut found = 0;
-    let mut worth = Vec::new();
+    let task_cpu = demands.min().unwrap_or_default().max(1);
+    let enough_tasks = request.task_count().saturating_mul(OFFER_ROOM_FACTOR);
+    let link_busy = state.link_use.get().share() > BUSY_LINK_SHARE;
+    let mut expected_tasks = 0;
+    let mut selected = Vec::new();
     for pool in pools {
-        let fits = u64::try_from(pool.room).unwrap_or_default() / one;
-        let spared = busy && (fits == 0 || found >= wanted);
-        if spared || worth.len() >= MOST_ASKED {
+        let fits = u64::try_from(pool.room).unwrap_or_default() / task_cpu;
+        let skipped = link_busy && (fits == 0 || expected_tasks >= enough_tasks);
+        if skipped || selected.len() >= MAX_OFFER_POOLS {
             continue;
         }
-        found += fits;
-        worth.push(pool);
+        expected_tasks += fits;
+        selected.push(pool);
     }
-    worth.into_iter().partition(|pool| pool.near)
+    selected.into_iter().partition(|pool| pool.near)
 }
 
-fn takes_all(request: &JobRequest, offer: &PartOffer) -> bool {
+fn fits_whole_job(request: &JobRequest, offer: &PartOffer) -> bool {
     u64::from(offer.fits) >= request.task_count()
 }
 
-/// Asks several owners at once what they could take. Those that do not say so in time offer nothing.
-async fn gather_offers(
+/// Asks the owners of several pools at once for offers. Owners that do not answer in time offer nothing.
+async fn collect_offers(
     state: &Rc<NodeState>,
     job: &EntryJob,
-    pools: Vec<AskedPool>,
+    pools: Vec<EligiblePool>,
 ) -> Vec<PartOffer> {
     let asked = pools
         .into_iter()
-        .map(|AskedPool { pool, owner, .. }| async move {
+        .map(|EligiblePool { pool, owner, .. }| async move {
             let call = job_call(state, job, &pool, state.now(), None);
             let fits = if owner.here {
-                owner::offer_here(state, &call)
+                owner::offer_locally(state, &call)
             } else {
                 let link = state.links.get(owner.address)?;
-                timeout(OFFER_LIMIT, link.link.offer(&call))
+                timeout(OFFER_TIMEOUT, link.link.offer(&call))
                     .await
                     .ok()?
                     .ok()?
@@ -204,19 +211,19 @@
     offers.into_iter().flatten().collect()
 }
 
-/// Whether a job may run in parts: the tasks of one step need nothing of each other.
+/// Returns whether a job may be divided: the tasks of one step do not depend on each other.
 fn can_divide(state: &NodeState, request: &JobRequest) -> bool {
     request.steps.len() == 1 && !request.kept && state.has(Mechanism::Dividing)
 }
 
-/// Whether the pools that were asked can take all tasks together. Asking on would only cost time.
+/// Returns whether the offers cover all tasks together. Asking further pools would then only cost time.
 fn offers_suffice(request: &JobRequest, offers: &[PartOffer]) -> bool {
     let offered: u64 = offers.iter().map(|offer| u64::from(offer.fits)).sum();
     offered >= request.task_count()
 }
 
-/// The parts of a job of one step, as the pools offered to take them, if together they can take all.
-fn divide(state: &NodeState, request: &JobRequest, offers: Vec<PartOffer>) -> Option<Vec<JobPart>> {
+/// Divides a job of one step according to the offers. None if the offers do not cover all tasks.
+fn divide_job(state: &NodeState, request: &JobRequest, offers: Vec<PartOffer>) -> Option<Vec<JobPart>> {
     if !can_divide(state, request) {
         return None;
     }
@@ -231,25 +238,30 @@
     Some(parts)
 }
 
-/// Runs the parts of a job. It is complete when all are; once one is not, the others are cancelled.
+/// Runs the parts of a job. The job is complete when all parts are; as soon as one part ends otherwise, the others
+/// are cancelled.
 async fn run_parts(state: &Rc<NodeState>, job: &EntryJob, parts: &[JobPart]) -> JobOutcome {
     let runs = parts
         .iter()
         .map(|part| run_part(state, job, part, parts).boxed_local());
-    all_complete(runs.collect()).await
+    join_parts(runs.collect()).await
 }
 
-/// Runs one part. Nothing of it ran if its pool refuses it, as one does whose data centre is evacuated meanwhile, or has
-/// become another's: pools that have no part of the job take it if together they can. Given up at once, the job would be
-/// lost to its customer with most of its tasks under way.
+/// Runs one part of a job.
+///
+/// If the part's pool refuses it, nothing of the part has run. That happens when the pool's data centre is
+/// evacuated or the pool changes its owner meanwhile. The part is then divided among pools that have no part of the
+/// job, if they can take it together: giving up at once would lose the job to its customer with most of its tasks
+/// in progress.
 async fn run_part(
     state: &Rc<NodeState>,
     job: &EntryJob,
     part: &JobPart,
-    all: &[JobPart],
+    all_parts: &[JobPart],
 ) -> Option<JobOutcome> {
     let step = part.step.clone();
-    let outcome = ask_in_time(state, job, &part.pool, &part.owner, Some(step.clone())).await;
+    let outcome =
+        submit_before_deadline(state, job, &part.pool, &part.owner, Some(step.clone())).await;
     if !matches!(outcome, None | Some(JobOutcome::Refused { .. })) {
         return outcome;
     }
@@ -262,16 +274,16 @@
         rule: job.rule.clone(),
         ..*job
     };
-    let mut pools = pools_in_order(state, &job.request);
-    pools.retain(|asked| all.iter().all(|part| part.pool != asked.pool));
-    let (near, far) = worth_asking(state, &job.request, pools);
-    let mut offers = gather_offers(state, &job, near).await;
+    let mut pools = rank_pools(state, &job.request);
+    pools.retain(|asked| all_parts.iter().all(|part| part.pool != asked.pool));
+    let (near, far) = select_offer_pools(state, &job.request, pools);
+    let mut offers = collect_offers(state, &job, near).await;
     if !offers_suffice(&job.request, &offers) {
-        offers.extend(gather_offers(state, &job, far).await);
+        offers.extend(collect_offers(state, &job, far).await);
     }
-    let parts = divide(state, &job.request, offers)?;
+    let parts = divide_job(state, &job.request, offers)?;
     let runs = parts.iter().map(|part| {
-        ask_in_time(
+        submit_before_deadline(
             state,
             &job,
             &part.pool,
@@ -280,19 +292,19 @@
         )
         .boxed_local()
     });
-    Some(all_complete(runs.collect()).await)
+    Some(join_parts(runs.collect()).await)
 }
 
-/// How a job ends whose parts are under way.
-async fn all_complete(
+/// Waits for the parts of a job and returns the outcome of the whole job.
+async fn join_parts(
     mut running: FuturesUnordered<LocalBoxFuture<'_, Option<JobOutcome>>>,
 ) -> JobOutcome {
     while let Some(outcome) = running.next().await {
         match outcome {
-            // Kept jobs are not divided.
+            // Jobs kept in the store (outcome `Accepted`) are not divided.
             Some(JobOutcome::Completed | JobOutcome::Accepted) => (),
             Some(JobOutcome::Failed) => return JobOutcome::Failed,
-            // Others of its parts may have begun, so it cannot be said that nothing ran.
+            // Other parts may have begun, so the answer cannot be that nothing ran.
             None | Some(JobOutcome::Refused { .. } | JobOutcome::GivenUp) => {
                 return JobOutcome::GivenUp;
             }
@@ -301,8 +313,9 @@
     JobOutcome::Completed
 }
 
-/// Asks one owner, for at most as long as the customer waits. None if the job surely did not reach it.
-async fn ask_in_time(
+/// Submits a job or a part of it to one owner and waits at most as long as the customer does. None if the job
+/// cannot have reached the owner.
+async fn submit_before_deadline(
     state: &Rc<NodeState>,
     job: &EntryJob,
     pool: &PoolId,
@@ -310,64 +323,64 @@
     part: Option<StepSpec>,
 ) -> Option<JobOutcome> {
     let now = state.now();
-    let left = job.deadline.saturating_duration_since(now);
+    let time_left = job.deadline.saturating_duration_since(now);
     let call = job_call(state, job, pool, now, part);
-    let outcome = match timeout(left, ask(state, pool, owner, call)).await {
+    let outcome = match timeout(time_left, submit_to_owner(state, pool, owner, call)).await {
         Ok(asked) => asked?,
         Err(_) => JobOutcome::GivenUp,
     };
-    note_asked(state, job, pool, owner, outcome);
+    log_submission(state, job, pool, owner, outcome);
     Some(outcome)
 }
 
-/// The pools whose owners can take a job, in the order in which they are asked.
-fn pools_in_order(state: &NodeState, request: &JobRequest) -> Vec<AskedPool> {
-    let mut pools = open_pools(state);
+/// Returns the eligible pools in the order in which they are asked.
+fn rank_pools(state: &NodeState, request: &JobRequest) -> Vec<EligiblePool> {
+    let mut pools = eligible_pools(state);
     let candidates: Vec<PoolCandidate> = pools
         .iter()
-        .map(|(pool, owner)| candidate(state, pool, owner))
+        .map(|(pool, owner)| pool_candidate(state, pool, owner))
         .collect();
-    let blind = !state.has(Mechanism::PoolChoice);
-    let candidates = match blind {
+    let ignores_load = !state.has(Mechanism::PoolChoice);
+    let candidates = match ignores_load {
         true => candidates.iter().map(PoolCandidate::without_load).collect(),
         false => candidates,
     };
     let order = order_pools(
         &candidates,
-        first_demand(request),
+        initial_demand(request),
         &mut state.rng.borrow_mut(),
     );
     let mut pools: Vec<Option<(PoolId, OwnerView)>> = pools.drain(..).map(Some).collect();
-    let ordered = order.into_iter().filter_map(|place| {
-        let (pool, owner) = pools[place].take()?;
-        Some(AskedPool {
+    let ordered = order.into_iter().filter_map(|index| {
+        let (pool, owner) = pools[index].take()?;
+        Some(EligiblePool {
             pool,
             owner,
-            near: candidates[place].same_data_centre,
-            room: candidates[place].expected_free_room(),
+            near: candidates[index].same_data_centre,
+            room: candidates[index].expected_free_room(),
         })
     });
     ordered.collect()
 }
 
-/// What the tasks need that can start at once, in thousandths of a core.
-fn first_demand(request: &JobRequest) -> u64 {
+/// Returns the processor demand of the tasks that can start at once, in thousandths of a core.
+fn initial_demand(request: &JobRequest) -> u64 {
     let first = request.steps.iter().filter(|step| step.after.is_empty());
     first
         .map(|step| step.demand.cpu.0 * u64::from(step.count))
         .sum()
 }
 
-/// The reached pools whose workers get starts.
-fn open_pools(state: &NodeState) -> Vec<(PoolId, OwnerView)> {
+/// Returns the reachable pools whose data centre is not evacuated.
+fn eligible_pools(state: &NodeState) -> Vec<(PoolId, OwnerView)> {
     let evacuations = state.evacuations.borrow();
-    let mut pools = reached_pools(state);
+    let mut pools = reachable_pools(state);
     pools.retain(|(pool, _)| !evacuations.contains(&pool.data_centre));
     pools
 }
 
-/// The pools whose owners are alive and connected.
-fn reached_pools(state: &NodeState) -> Vec<(PoolId, OwnerView)> {
+/// Returns the pools whose owners are alive and connected.
+fn reachable_pools(state: &NodeState) -> Vec<(PoolId, OwnerView)> {
     let now = state.now();
     let keeper = state.keeper.borrow();
     let mut pools = Vec::new();
@@ -383,7 +396,7 @@
     pools
 }
 
-fn candidate(state: &NodeState, pool: &PoolId, owner: &OwnerView) -> PoolCandidate {
+fn pool_candidate(state: &NodeState, pool: &PoolId, owner: &OwnerView) -> PoolCandidate {
     let near = pool.data_centre == state.settings.data_centre;
     let pools = state.pools.borrow();
     if let Some(owned) = pools.get(pool).filter(|_| owner.here) {
@@ -394,7 +407,7 @@
             sent_cpu: 0,
         };
     }
-    let sent = state.sent.borrow().get(pool).copied();
+    let sent = state.sent_demand.borrow().get(pool).copied();
     let sent = sent
         .filter(|(heard, _)| Some(*heard) == owner.heard_at)
         .map_or(0, |(_, cpu)| cpu);
@@ -406,8 +419,8 @@
     }
 }
 
-/// Notes what was sent to a pool since its owner was last heard.
-fn note_sent(state: &NodeState, pool: &PoolId, owner: &OwnerView, call: &JobCall) {
+/// Adds a job's demand to what was sent to a pool since its owner's last heartbeat.
+fn record_sent_demand(state: &NodeState, pool: &PoolId, owner: &OwnerView, call: &JobCall) {
     let Some(heard) = owner.heard_at.filter(|_| !owner.here) else {
         return;
     };
@@ -415,7 +428,7 @@
     let cpu: u64 = steps
         .map(|step| step.demand.cpu.0 * u64::from(step.count))
         .sum();
-    let mut sent = state.sent.borrow_mut();
+    let mut sent = state.sent_demand.borrow_mut();
     let entry = sent.entry(pool.clone()).or_insert((heard, 0));
     if entry.0 != heard {
         *entry = (heard, 0);
@@ -457,28 +470,28 @@
     }
 }
 
-/// Asks one owner. None if the job surely did not reach it.
-async fn ask(
+/// Submits a job or a part of it to one owner. None if the job cannot have reached the owner.
+async fn submit_to_owner(
     state: &Rc<NodeState>,
     pool: &PoolId,
     owner: &OwnerView,
     call: JobCall,
 ) -> Option<JobOutcome> {
     if owner.here {
-        return Some(owner::run_here(state.clone(), pool.clone(), call).await);
+        return Some(owner::run_locally(state.clone(), pool.clone(), call).await);
     }
     let link = state.links.get(owner.address)?;
-    note_sent(state, pool, owner, &call);
+    record_sent_demand(state, pool, owner, &call);
     let lost = std::pin::pin!(link.lost.notified());
     let run = std::pin::pin!(link.link.run(&call));
     match select(run, lost).await {
         Either::Left((Ok(outcome), _)) => Some(outcome),
-        // It may run there. Its owner stops it, or its lease ends, before the customer's next try.
+        // The job may be running there. Its owner stops it, or its lease ends, before the customer's next try.
         Either::Left((Err(_), _)) | Either::Right(_) => Some(JobOutcome::GivenUp),
     }
 }
 
-fn note_asked(
+fn log_submission(
     state: &NodeState,
     job: &EntryJob,
     pool: &PoolId,
@@ -490,23 +503,23 @@
         .text("pool", pool)
         .text("owner", &owner.node)
         .number("fence", owner.fence.0);
-    let (kind, line) = crate::notes::outcome_line(line, outcome);
+    let (kind, line) = crate::event_lines::outcome_line(line, outcome);
     let waited = state.now().saturating_duration_since(job.arrived);
     state.log(kind, line.millis("waited_ms", waited));
 }
 
-/// Whether this node can have a job run at all.
+/// Returns whether this node can reach any pool to run a job.
 pub(crate) fn can_serve(state: &NodeState) -> bool {
-    !reached_pools(state).is_empty()
+    !reachable_pools(state).is_empty()
 }
 
-/// Logs how a customer's request ended.
-pub(crate) fn note_answered(state: &NodeState, job: &EntryJob, outcome: JobOutcome) {
+/// Logs and counts how a customer's request ended.
+pub(crate) fn log_answer(state: &NodeState, job: &EntryJob, outcome: JobOutcome) {
     let line = EventLine::new("job_answered")
         .text("job", job.request.id)
         .text("route", &job.rule.name)
         .number("tasks", job.request.task_count());
-    let (kind, line) = crate::notes::outcome_line(line, outcome);
+    let (kind, line) = crate::event_lines::outcome_line(line, outcome);
     let took = state.now().saturating_duration_since(job.arrived);
     crate::metrics::count_answer(&state.metrics, outcome, took);
     let limit = job.deadline.saturating_duration_since(job.arrived);
--- a/crates/node/src/notes.rs
+++ b/crates/node/src/event_lines.rs
@@ -1,4 +1,4 @@
-//! Log lines of decisions and changes of belief.
+//! Writes the log lines of pools and of the claim keeper.
 
 use claims::ClaimEvent;
 use jobs::{FenceToken, JobOutcome, PoolId};
@@ -6,11 +6,11 @@
 use telemetry::{EventKind, EventLine};
 
 use crate::{
-    metrics::{count_note, start_answer},
+    metrics::{count_note, start_answer_label},
     state::NodeState,
 };
 
-/// Adds an outcome to a line, and says how much the line matters.
+/// Adds an outcome to a line, and returns the line with the kind of event it is logged as.
 pub(crate) fn outcome_line(line: EventLine, outcome: JobOutcome) -> (EventKind, EventLine) {
     match outcome {
         JobOutcome::Completed => (EventKind::Plain, line.text("outcome", "completed")),
@@ -30,7 +30,7 @@
 }
 
 /// Logs what a pool decided or learned.
-pub(crate) fn log_pool(state: &NodeState, id: &PoolId, fence: FenceToken, note: &PoolNote) {
+pub(crate) fn log_pool_note(state: &NodeState, id: &PoolId, fence: FenceToken, note: &PoolNote) {
     count_note(&state.metrics, note);
     let (kind, line) = pool_line(note);
     state.log(kind, line.text("pool", id).number("fence", fence.0));
@@ -173,7 +173,7 @@
                 .number("run", run.0);
             let line = line
                 .text("worker", life)
-                .text("answer", start_answer(*answer));
+                .text("answer", start_answer_label(*answer));
             (EventKind::Kept, line.number("tries", *starts_sent))
         }
         PoolNote::RunEnded {
@@ -274,7 +274,7 @@
 }
 
 /// Logs what the claim keeper learned.
-pub(crate) fn log_claim(state: &NodeState, note: &ClaimEvent) {
+pub(crate) fn log_claim_note(state: &NodeState, note: &ClaimEvent) {
     let line = match note {
         ClaimEvent::PeerHeard(node) => EventLine::new("peer_heard").text("peer", node),
         ClaimEvent::PeerSilent { node, age } => EventLine::new("peer_silent")
--- /dev/null
+++ b/crates/node/src/kept_jobs.rs
@@ -0,0 +1,355 @@
+//! Stores kept jobs for the pools of this node, and finds those of former owners. A kept job is recorded in the
+//! store when it is accepted and outlives the processes that run it.
+//!
+//! Rows of jobs are spread over [`PART_COUNT`] parts of the store by the job's id, so that a job has one row
+//! whichever pool received it. Pending writes of a part are batched into one transaction: at the users' rates of
+//! 150 transactions a second and part, transactions of one write each would carry only a fifth of the users' jobs.
+
+mod maintenance;
+
+use std::{
+    rc::Rc,
+    time::{Duration, Instant},
+};
+
+use jobs::{FenceToken, JobId, KeptRow, KeptState, PoolId};
+use model::{FastMap, FastSet};
+use platform::{CallFailure, RowVersion};
+use platform_adapter::{
+    RowCheck, RowWrite, StoreError, StoreTable, StoredRow, Transaction, TransactionOutcome,
+};
+use pool::{FoundJob, KeptWrite, KeptWriteResult};
+use telemetry::{EventKind, EventLine};
+use xxhash_rust::xxh3::xxh3_64;
+
+pub(crate) use self::maintenance::{count_pending, maintain_pools};
+use crate::{owner::with_fenced_pool, state::NodeState};
+
+/// The number of parts of the store over which rows of jobs are spread. Fewer parts make larger transactions, more
+/// parts let more transactions run in parallel. A transaction takes about 12 ms, so eight parts carry 600 a second.
+const PART_COUNT: u64 = 8;
+
+/// The most jobs in one transaction. The store accepts 100 entries, and the end of a job needs four: two
+/// conditions, a write and a removal. With one entry too many the store rejects the whole transaction, and does so
+/// again on each retry.
+const MAX_JOBS_PER_TRANSACTION: usize = 25;
+
+/// The pause after a write that was rejected or got no answer, and between tries to read a pool's rows.
+const STORE_RETRY_BACKOFF: Duration = Duration::from_millis(80);
+
+/// How long the write of a new job is retried before the job is refused, if the store rejects each try.
+const NEW_JOB_RETRY_TIME: Duration = Duration::from_millis(400);
+
+/// Pending writes by part.
+#[derive(Default)]
+pub(crate) struct JobWriteQueue {
+    waiting: FastMap<u64, Vec<JobWrite>>,
+    /// Parts with a transaction in progress.
+    busy: FastSet<u64>,
+}
+
+/// A write that a pool has requested.
+#[derive(Clone)]
+struct JobWrite {
+    pool: PoolId,
+    fence: FenceToken,
+    order: KeptWrite,
+    /// The encoded row.
+    value: Vec<u8>,
+    requested_at: Instant,
+    /// Whether an earlier try may have taken effect.
+    in_doubt: bool,
+}
+
+/// Returns the part that holds a job's row.
+pub(crate) fn part_of(job: JobId) -> String {
+    part_name(part_number(job))
+}
+
+fn part_number(job: JobId) -> u64 {
+    xxh3_64(&job.0.to_be_bytes()) % PART_COUNT
+}
+
+fn part_name(part: u64) -> String {
+    format!("p{part}")
+}
+
+/// Queues a write that a pool has requested.
+pub(crate) fn queue_write(state: &Rc<NodeState>, pool: &PoolId, fence: FenceToken, order: KeptWrite) {
+    state.has_kept_jobs.set(true);
+    let part = part_number(order.job);
+    let Some(value) = encode(state, &order) else {
+        return;
+    };
+    let write = JobWrite {
+        value,
+        pool: pool.clone(),
+        fence,
+        order,
+        requested_at: state.now(),
+        in_doubt: false,
+    };
+    let mut queue = state.job_writes.borrow_mut();
+    queue.waiting.entry(part).or_default().push(write);
+    if queue.busy.insert(part) {
+        actix_rt::spawn(write_part(state.clone(), part));
+    }
+}
+
+/// Writes the pending rows of a part in successive transactions until none are left.
+async fn write_part(state: Rc<NodeState>, part: u64) {
+    loop {
+        let batch = {
+            let mut queue = state.job_writes.borrow_mut();
+            let waiting = queue.waiting.entry(part).or_default();
+            let count = waiting.len().min(MAX_JOBS_PER_TRANSACTION);
+            let batch: Vec<JobWrite> = waiting.drain(..count).collect();
+            if batch.is_empty() {
+                queue.busy.remove(&part);
+                return;
+            }
+            batch
+        };
+        write_batch(&state, part, batch).await;
+    }
+}
+
+async fn write_batch(state: &Rc<NodeState>, part: u64, batch: Vec<JobWrite>) {
+    let mut transaction = Transaction {
+        partition: part_name(part),
+        ..Transaction::default()
+    };
+    for write in &batch {
+        add_to_transaction(&mut transaction, &write.order, write.value.clone());
+    }
+    match state.store.transact(&transaction).await {
+        Ok(TransactionOutcome::Committed { version, .. }) => {
+            for write in batch {
+                report_result(state, &write, KeptWriteResult::Stored(version.0));
+            }
+        }
+        // A single conflicting write fails the whole transaction, so each write is tried alone.
+        Ok(TransactionOutcome::Conflict) if batch.len() > 1 => {
+            for write in batch {
+                Box::pin(write_batch(state, part, vec![write])).await;
+            }
+        }
+        Ok(TransactionOutcome::Conflict) => {
+            for write in batch {
+                resolve_conflict(state, part, write).await;
+            }
+        }
+        Err(error) => {
+            let turned_away = matches!(error, StoreError::Rejected(_));
+            log_write_failure(state, &batch, &error);
+            actix_rt::time::sleep(STORE_RETRY_BACKOFF).await;
+            for write in batch {
+                requeue_write(state, part, write, turned_away);
+            }
+        }
+    }
+}
+
+fn log_write_failure(state: &NodeState, batch: &[JobWrite], error: &StoreError) {
+    let line = EventLine::new("jobs_not_stored")
+        .number("jobs", batch.len() as u64)
+        .text("error", error);
+    state.log(EventKind::Kept, line);
+}
+
+/// Queues a write again. A new job that certainly was not stored is refused after [`NEW_JOB_RETRY_TIME`].
+fn requeue_write(state: &Rc<NodeState>, part: u64, write: JobWrite, turned_away: bool) {
+    let in_doubt = write.in_doubt || !turned_away;
+    let is_new = write.order.expected_version.is_none();
+    let waited = state.now().saturating_duration_since(write.requested_at);
+    if is_new && !in_doubt && waited >= NEW_JOB_RETRY_TIME {
+        report_result(state, &write, KeptWriteResult::Rejected);
+        return;
+    }
+    if !is_current_owner(state, &write) {
+        return;
+    }
+    let write = JobWrite { in_doubt, ..write };
+    let mut queue = state.job_writes.borrow_mut();
+    queue.waiting.entry(part).or_default().push(write);
+}
+
+fn is_current_owner(state: &NodeState, write: &JobWrite) -> bool {
+    let pools = state.pools.borrow();
+    let owned = pools.get(&write.pool);
+    owned.is_some_and(|owned| owned.pool.fence() == write.fence)
+}
+
+fn report_result(state: &Rc<NodeState>, write: &JobWrite, answer: KeptWriteResult) {
+    with_fenced_pool(state, &write.pool, write.fence, |pool, now| {
+        pool.on_store_answer(now, &write.order, answer);
+    });
+}
+
+/// Encodes a row. None, with a log line, for a row that cannot be encoded; no decoded job yields such a row.
+fn encode(state: &NodeState, order: &KeptWrite) -> Option<Vec<u8>> {
+    match serde_json::to_vec(&order.row) {
+        Ok(value) => Some(value),
+        Err(error) => {
+            let line = EventLine::new("job_not_encoded").text("job", order.job);
+            state.log(EventKind::Kept, line.text("error", error));
+            None
+        }
+    }
+}
+
+fn add_to_transaction(transaction: &mut Transaction, order: &KeptWrite, value: Vec<u8>) {
+    let key = order.job.to_string();
+    let replaced = RowVersion(order.expected_version.unwrap_or(0));
+    let absent = RowVersion(0);
+    if order.row.state.is_final() {
+        transaction.removals.push(RowCheck {
+            table: StoreTable::Jobs,
+            key: key.clone(),
+            expected: replaced,
+        });
+        transaction.writes.push(RowWrite {
+            table: StoreTable::EndedJobs,
+            key,
+            value,
+            expected: Some(absent),
+        });
+        return;
+    }
+    if order.expected_version.is_none() {
+        // The same job may have been submitted before and have ended.
+        transaction.checks.push(RowCheck {
+            table: StoreTable::EndedJobs,
+            key: key.clone(),
+            expected: absent,
+        });
+    }
+    transaction.writes.push(RowWrite {
+        table: StoreTable::Jobs,
+        key,
+        value,
+        expected: Some(replaced),
+    });
+}
+
+/// Reads the row that conflicts with a write and reports to the pool what the conflict means.
+async fn resolve_conflict(state: &Rc<NodeState>, part: u64, write: JobWrite) {
+    let job = write.order.job;
+    match find_job(state, job).await {
+        Ok(Some(found)) => {
+            let result = classify_conflict(&write.order, found);
+            report_result(state, &write, result);
+        }
+        // The read returned an older state: the row must exist, since the write was rejected because of it.
+        Ok(None) if write.order.expected_version.is_none() => requeue_write(state, part, write, true),
+        Ok(None) => report_result(state, &write, KeptWriteResult::Gone),
+        Err(error) => {
+            log_write_failure(state, std::slice::from_ref(&write), &error);
+            actix_rt::time::sleep(STORE_RETRY_BACKOFF).await;
+            requeue_write(state, part, write, false);
+        }
+    }
+}
+
+fn classify_conflict(order: &KeptWrite, found: FoundJob) -> KeptWriteResult {
+    let FoundJob { row, version, .. } = found;
+    let own = row.writer == order.row.writer && row.home == order.row.home;
+    if own && row.revision == order.row.revision {
+        // An earlier try of the same write took effect.
+        return KeptWriteResult::Stored(version);
+    }
+    if order.expected_version.is_none() {
+        return KeptWriteResult::AlreadyExists;
+    }
+    if row.state.is_final() {
+        return KeptWriteResult::Gone;
+    }
+    KeptWriteResult::Conflict(row, version)
+}
+
+/// Reads a job's row, whether the job has ended or not.
+///
+/// # Errors
+///
+/// The store did not answer, so the job's state is unknown.
+pub(crate) async fn find_job(
+    state: &NodeState,
+    job: JobId,
+) -> Result<Option<FoundJob>, StoreError> {
+    let (part, key) = (part_of(job), job.to_string());
+    for table in [StoreTable::Jobs, StoreTable::EndedJobs] {
+        let row = state.store.get(table, &part, &key).await?;
+        if let Some(found) = row.and_then(|row| decode_row(state, &row)) {
+            return Ok(Some(found));
+        }
+    }
+    Ok(None)
+}
+
+fn decode_row(state: &NodeState, row: &StoredRow) -> Option<FoundJob> {
+    let job = row.key.parse().ok()?;
+    match serde_json::from_slice::<KeptRow>(&row.value) {
+        Ok(kept) => Some(FoundJob {
+            job,
+            row: kept,
+            version: row.version.0,
+        }),
+        Err(error) => {
+            crate::feeds::log_unreadable_row(state, row, &error);
+            None
+        }
+    }
+}
+
+/// Cancels a job in the store. Returns whether there is such a job.
+///
+/// # Errors
+///
+/// The store did not answer, so the job may or may not be cancelled; or the job's row could not be encoded.
+pub(crate) async fn cancel_job(state: &NodeState, job: JobId) -> Result<bool, StoreError> {
+    loop {
+        let Some(found) = find_job(state, job).await? else {
+            return Ok(false);
+        };
+        if found.row.state.is_final() {
+            return Ok(true);
+        }
+        let order = KeptWrite {
+            job,
+            expected_version: Some(found.version),
+            row: KeptRow {
+                state: KeptState::Cancelled,
+                ..found.row
+            },
+        };
+        let mut transaction = Transaction {
+            partition: part_of(job),
+            ..Transaction::default()
+        };
+        let Some(value) = encode(state, &order) else {
+            return Err(CallFailure::NotBuilt("the job's row".to_owned()).into());
+        };
+        add_to_transaction(&mut transaction, &order, value);
+        transaction.writes.push(RowWrite {
+            table: StoreTable::CancelledJobs,
+            key: job.to_string(),
+            value: order.row.home.as_bytes().to_vec(),
+            expected: None,
+        });
+        if let TransactionOutcome::Committed { .. } = state.store.transact(&transaction).await? {
+            return Ok(true);
+        }
+        // The job's owner has written the row meanwhile, so the cancellation is tried again.
+    }
+}
+
+/// Tells the owned pools that a job was cancelled. Only the pool that has the job acts on it.
+pub(crate) fn apply_cancelled(state: &Rc<NodeState>, row: &StoredRow) {
+    let Ok(job) = row.key.parse::<JobId>() else {
+        return;
+    };
+    let pools: Vec<PoolId> = state.pools.borrow().keys().cloned().collect();
+    for pool in pools {
+        crate::owner::with_pool(state, &pool, |pool, now| pool.cancel_kept(now, job));
+    }
+}
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -1,4 +1,4 @@
-//! What operators write: the configuration, and which data centres are evacuated.
+//! Applies what operators write to the store: the configuration, and which data centres are evacuated.
 
 use std::rc::Rc;
 
@@ -8,15 +8,15 @@
 use telemetry::{EventKind, EventLine};
 
 use crate::{
-    feeds::{note_unreadable, put_row},
+    feeds::{log_unreadable_row, stored_row},
     owner,
     state::NodeState,
     workers,
 };
 
-/// Takes what operators wrote. Evacuations go before the configuration that came with them: before there is one no worker is
-/// used, so nothing starts before the evacuations are known.
-pub(crate) fn take_page(state: &Rc<NodeState>, page: FeedPage, whole: bool) {
+/// Applies changes of the operators' table. Evacuations are applied before a configuration of the same page:
+/// without a configuration no worker is used, so nothing starts before the evacuations are known.
+pub(crate) fn apply_page(state: &Rc<NodeState>, page: FeedPage, is_snapshot: bool) {
     let version = page.version.0;
     let mut evacuated = Vec::new();
     let mut configs = Vec::new();
@@ -26,8 +26,8 @@
             OperatorRow::Evacuation(centre) => {
                 let row = evacuation_row(state, change, version);
                 match row {
-                    Some(row) if whole => evacuated.push((centre, row)),
-                    row => take_evacuation(state, centre, row),
+                    Some(row) if is_snapshot => evacuated.push((centre, row)),
+                    row => apply_evacuation(state, centre, row),
                 }
             }
             OperatorRow::InvalidEvacuation => {
@@ -37,37 +37,38 @@
             OperatorRow::Other => (),
         }
     }
-    if whole {
+    if is_snapshot {
         let change = state
             .evacuations
             .borrow_mut()
             .apply_snapshot(evacuated, version);
         for centre in change.begun {
-            tell_pools(state, &centre, true);
+            apply_evacuation_to_pools(state, &centre, true);
         }
         for centre in change.ended {
-            tell_pools(state, &centre, false);
+            apply_evacuation_to_pools(state, &centre, false);
         }
     }
     for change in configs {
-        take_config(state, change);
+        apply_config(state, change);
     }
 }
 
-/// The version of an evacuation's row, if it is there. What it holds says nothing, but is told where it cannot be read.
+/// Returns the version of an evacuation's row if the row exists. The row's content has no meaning, but an
+/// unreadable row is logged.
 fn evacuation_row(state: &NodeState, change: RowChange, page: u64) -> Option<u64> {
     match change {
         RowChange::Put(row) => Some(row.version.0),
         RowChange::Removed { .. } => None,
         change @ RowChange::Unreadable { .. } => {
-            drop(put_row(state, change));
+            drop(stored_row(state, change));
             Some(page)
         }
     }
 }
 
-/// Takes one change: the row's version, or that it is gone.
-fn take_evacuation(state: &Rc<NodeState>, centre: DataCentreId, row: Option<u64>) {
+/// Applies one change of an evacuation: `row` is the row's version, or None if the row is gone.
+fn apply_evacuation(state: &Rc<NodeState>, centre: DataCentreId, row: Option<u64>) {
     let mut evacuations = state.evacuations.borrow_mut();
     let changed = match row {
         Some(version) => evacuations.begin(centre.clone(), version),
@@ -75,13 +76,14 @@
     };
     drop(evacuations);
     if changed {
-        tell_pools(state, &centre, row.is_some());
+        apply_evacuation_to_pools(state, &centre, row.is_some());
     }
 }
 
-/// Tells the pools of a data centre, and the log. One without workers is likely none that anybody here knows.
-fn tell_pools(state: &Rc<NodeState>, centre: &DataCentreId, evacuated: bool) {
-    let workers = state.directory.borrow().of_centre(centre).len();
+/// Applies a change of an evacuation to the pools of a data centre, and logs and counts it. If the logged number of
+/// workers is 0, this node most likely knows no such data centre.
+fn apply_evacuation_to_pools(state: &Rc<NodeState>, centre: &DataCentreId, evacuated: bool) {
+    let workers = state.directory.borrow().workers_of_centre(centre).len();
     let event = match evacuated {
         true => "evacuation_begun",
         false => "evacuation_ended",
@@ -99,19 +101,24 @@
     }
 }
 
-fn take_config(state: &Rc<NodeState>, change: RowChange) {
-    let Some(row) = put_row(state, change) else {
+fn apply_config(state: &Rc<NodeState>, change: RowChange) {
+    let Some(row) = stored_row(state, change) else {
         return;
     };
     match decode_table(&row.value) {
         Ok(table) => install_table(state, table),
-        Err(error) => note_unreadable(state, &row, &error),
+        Err(error) => log_unreadable_row(state, &row, &error),
     }
 }
 
-/// Versions only rise: an answer that was overtaken must not bring an older configuration back.
+/// Installs a configuration if its version is higher than the current one: an answer that was overtaken must not
+/// bring back an older configuration.
 fn install_table(state: &Rc<NodeState>, table: jobs::RouteTable) {
-    let known = state.table.borrow().as_ref().map(|known| known.version);
+    let known = state
+        .route_table
+        .borrow()
+        .as_ref()
+        .map(|known| known.version);
     if known.is_some_and(|known| known >= table.version) {
         return;
     }
@@ -120,6 +127,6 @@
         .number("routes", table.routes.len() as u64)
         .number("former", known.unwrap_or_default().0);
     state.log(EventKind::Kept, line);
-    *state.table.borrow_mut() = Some(Rc::new(table));
-    workers::sort_again(state);
+    *state.route_table.borrow_mut() = Some(Rc::new(table));
+    workers::reclassify_entries(state);
 }
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -23,48 +23,51 @@
 };
 
 use crate::{
+    customer_server,
     directory::WorkerDirectory,
-    feeds, front, groups, keeping,
+    feeds, groups, kept_jobs,
     metrics::new_metrics,
     owner::{self, PoolPort},
-    peers::{self, BeatSender, OwnerLinks},
+    peers::{self, HeartbeatSender, OwnerLinks},
     ready,
     state::{time_since_boot, NodeState},
-    traffic::TrafficNotes,
+    traffic::TrafficLogger,
     workers, NodeError,
 };
 
-/// The time between two looks at what is due. Waits that matter to customers end by events, not by this.
-const TICK: Duration = Duration::from_millis(20);
+/// The interval of the periodic work. Waits that matter to customers end by events, not by this tick.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The same for a process without pools: half of the time between two signs of life.
-const IDLE_TICK: Duration = Duration::from_millis(50);
+/// The tick interval of a process without pools: half of the heartbeat interval.
+const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The longest time for a call to the store. Its answers take 4 to 16 ms; beyond this the connection counts as silent.
-const STORE_LIMIT: Duration = Duration::from_millis(500);
+/// The timeout of a call to the store. The store answers in 4 to 16 ms; beyond this limit the connection counts as
+/// silent.
+const STORE_CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The time between two looks at whether the member's row has to be written: an owner's is sooner than another's.
-const REFRESH_LOOK: Duration = Duration::from_millis(500);
+/// The interval at which a process checks whether its member row is due to be written. An owner's row is due sooner
+/// than that of other processes.
+const MEMBER_REFRESH_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The time between two writes of the log.
-const LOG_BEAT: Duration = Duration::from_millis(200);
+/// The interval at which the log is flushed.
+const LOG_FLUSH_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The time in which the balancer turns away from a process that says it is not ready: two checks of a second each,
-/// and a little more.
-const TURN_AWAY: Duration = Duration::from_millis(2_200);
+/// The time that the balancer needs to stop sending connections to a process that reports "not ready": two checks
+/// of one second each, with a small margin.
+const BALANCER_DRAIN_TIME: Duration = Duration::from_millis(2_200);
 
-/// What a pool's last jobs have of the time to stop: most tasks take under 2 s.
-const LAST_JOBS: Duration = Duration::from_millis(2_500);
+/// The part of the time to stop that is reserved for a pool's last jobs. Most tasks take under 2 s.
+const LAST_JOBS_TIME: Duration = Duration::from_millis(2_500);
 
-/// What is left of the time to stop for the last answers to travel.
+/// The part of the time to stop that is reserved for sending the last answers.
 const STOP_MARGIN: Duration = Duration::from_millis(500);
 
-/// The time that answers of cut requests get to leave the process.
-const LAST_ANSWERS: Duration = Duration::from_millis(60);
+/// The time that the answers to cut requests get to leave the process.
+const LAST_ANSWERS_TIME: Duration = Duration::from_millis(60);
 
-/// How long the start waits for this process's former row, so that its incarnation rises even where the clock of the
-/// VM was set back.
-const FORMER_ROW_LIMIT: Duration = Duration::from_millis(400);
+/// How long the start waits for the member row of this VM's former process. The new incarnation must be higher than
+/// the former one even if the VM's clock was set back.
+const FORMER_ROW_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// A running node.
 pub struct NodeProcess {
@@ -83,12 +86,12 @@
 }
 
 impl NodeProcess {
-    /// Where customers connect.
+    /// The address that customers connect to.
     pub fn customer_address(&self) -> SocketAddr {
         self.customer_address
     }
 
-    /// Where readiness is asked.
+    /// The address of the readiness check and the metrics.
     pub fn ready_address(&self) -> SocketAddr {
         self.ready_address
     }
@@ -98,61 +101,65 @@
         self.state.log.borrow().gathered()
     }
 
-    /// Leaves without cutting a request: says "not ready", ends the jobs of its pools and lets go of them, and stays
-    /// until its own requests are answered or its time is over.
+    /// Stops without cutting requests: reports "not ready", ends the jobs of its pools and releases the pools, and
+    /// stays until its own requests are answered or the grace period is over.
     pub async fn stop(&self) {
         let state = &self.state;
-        let begun = state.now();
+        let started = state.now();
         let grace = Duration::from_secs_f64(state.settings.stop_grace_s);
-        let limit = begun + grace.saturating_sub(STOP_MARGIN);
+        let limit = started + grace.saturating_sub(STOP_MARGIN);
         state.leaving.set(true);
-        state.stop_limit.set(Some(limit));
+        state.stop_deadline.set(Some(limit));
         state.keeper.borrow_mut().leave();
         state.log(
             EventKind::Kept,
             EventLine::new("process_stopping").millis("grace_ms", grace),
         );
         while state.now() < limit {
-            stop_succeeded(state, limit);
-            release_idle(state);
-            if state.now() >= begun + TURN_AWAY {
-                // New connections go elsewhere by now, so whoever is closed out gets another node.
+            stop_accepting_jobs(state, limit);
+            release_idle_pools(state);
+            if state.now() >= started + BALANCER_DRAIN_TIME {
+                // New connections go to other nodes by now, so a customer whose idle connection is closed reaches
+                // another node.
                 state.close_idle.notify_waiters();
             }
             let owns = !state.pools.borrow().is_empty();
             let busy = owns || state.open_requests.get() > 0;
-            if !busy && state.now() >= begun + TURN_AWAY {
+            if !busy && state.now() >= started + BALANCER_DRAIN_TIME {
                 break;
             }
-            actix_rt::time::sleep(TICK).await;
+            actix_rt::time::sleep(TICK_INTERVAL).await;
         }
-        // A request that comes now would be cut by the end of the process: it is told that nothing of it ran.
-        state.refusing.set(true);
+        // A request that arrives now would be cut by the end of the process, so it is refused before any of it
+        // runs.
+        state.refuses_requests.set(true);
         let cut = state.open_requests.get();
-        state.cut.notify_waiters();
-        actix_rt::time::sleep(LAST_ANSWERS).await;
+        state.cut_requests.notify_waiters();
+        actix_rt::time::sleep(LAST_ANSWERS_TIME).await;
         let line = EventLine::new("process_stopped")
             .number("cut_requests", cut as u64)
-            .millis("took_ms", state.now().saturating_duration_since(begun));
+            .millis("took_ms", state.now().saturating_duration_since(started));
         state.log(EventKind::Kept, line);
         state.log.borrow_mut().flush();
     }
 }
 
-/// Takes no more jobs for pools that another process can take over. While the store is away none can: a pool that took no
-/// jobs would have no owner until the store is back, which left twelve workers idle for 2.7 s. Its last jobs have to end in
-/// the time to stop.
-fn stop_succeeded(state: &Rc<NodeState>, limit: Instant) {
+/// Stops accepting jobs for pools that another process can take over.
+///
+/// While the store is unavailable no process can take a pool over. A pool that accepted no jobs would then have no
+/// owner until the store is back, which left twelve workers idle for 2.7 s. The pool still stops accepting in time
+/// for its last jobs to end before the process does.
+fn stop_accepting_jobs(state: &Rc<NodeState>, limit: Instant) {
     let now = state.now();
     let store_away = state.directory.borrow().is_failing(now);
-    if store_away && now + LAST_JOBS < limit {
+    if store_away && now + LAST_JOBS_TIME < limit {
         return;
     }
-    each_pool(state, |pool, _| pool.stop_accepting());
+    for_each_pool(state, |pool, _| pool.stop_accepting());
 }
 
-/// Lets go of pools whose jobs have ended, so that their next owner can take them.
-fn release_idle(state: &Rc<NodeState>) {
+/// Releases pools whose jobs have ended, so that their next owner can take them.
+fn release_idle_pools(state: &Rc<NodeState>) {
     let idle: Vec<_> = {
         let pools = state.pools.borrow();
         let idle = pools
@@ -161,7 +168,7 @@
         idle.map(|(id, _)| id.clone()).collect()
     };
     for id in idle {
-        owner::release(state, &id, "stopping");
+        owner::release_pool(state, &id, "stopping");
     }
 }
 
@@ -169,7 +176,7 @@
 ///
 /// # Errors
 ///
-/// An address cannot be listened on.
+/// An address cannot be listened on, or the metrics cannot be built.
 pub async fn start(
     settings: NodeSettings,
     clock: Arc<dyn ClockSource>,
@@ -191,8 +198,8 @@
         switched_off: settings.switched_off.iter().copied().collect(),
         ..PoolSettings::default()
     };
-    let store = StoreClient::new(http.clone(), settings.store, STORE_LIMIT);
-    let me = MemberRow {
+    let store = StoreClient::new(http.clone(), settings.store, STORE_CALL_TIMEOUT);
+    let member = MemberRow {
         node: NodeId::from(settings.vm.as_str()),
         incarnation: new_incarnation(&store, settings.vm.as_str()).await,
         data_centre: settings.data_centre.clone(),
@@ -203,9 +210,9 @@
         waits: Vec::new(),
     };
     let line = EventLine::new("process_started")
-        .text("node", &me.node)
-        .number("incarnation", me.incarnation)
-        .text("data_centre", &me.data_centre)
+        .text("node", &member.node)
+        .number("incarnation", member.incarnation)
+        .text("data_centre", &member.data_centre)
         .text("build", env!("CARGO_PKG_VERSION"));
     let claim_settings = ClaimSettings::default();
     let state = Rc::new(NodeState {
@@ -213,9 +220,9 @@
         store,
         pool_settings,
         system_addresses: vec![settings.store, customer_address, ready_address, address],
-        table: RefCell::default(),
+        route_table: RefCell::default(),
         keeper: RefCell::new(ClaimController::new(
-            me,
+            member,
             claim_settings.clone(),
             clock.now(),
         )),
@@ -223,41 +230,41 @@
         evacuations: RefCell::default(),
         pools: RefCell::default(),
         group_versions: RefCell::default(),
-        sent: RefCell::default(),
-        waits: RefCell::default(),
+        sent_demand: RefCell::default(),
+        request_waits: RefCell::default(),
         list_source: Cell::new(None),
-        wake_workers: Notify::new(),
-        unfilled: RefCell::default(),
-        keeping: RefCell::default(),
-        keeps_jobs: Cell::new(false),
+        worker_list_needed: Notify::new(),
+        unpopulated_pools: RefCell::default(),
+        job_writes: RefCell::default(),
+        has_kept_jobs: Cell::new(false),
         rng: RefCell::new(fastrand::Rng::new()),
         links: OwnerLinks::default(),
-        lost_peers: RefCell::new(FastMap::default()),
+        peer_lost_signals: RefCell::new(FastMap::default()),
         log: RefCell::new(log),
         metrics: new_metrics()?,
         traffic,
         link_use: Cell::default(),
         leaving: Cell::new(false),
-        refusing: Cell::new(false),
-        yielding: RefCell::default(),
+        refuses_requests: Cell::new(false),
+        yielding_pool: RefCell::default(),
         open_requests: Cell::new(0),
-        stop_limit: Cell::new(None),
+        stop_deadline: Cell::new(None),
         close_idle: Rc::default(),
-        cut: Notify::new(),
+        cut_requests: Notify::new(),
         last_tick: Cell::new(time_since_boot()),
-        next_waiter: Cell::new(0),
+        next_waiter_id: Cell::new(0),
         settings,
         started: clock.now(),
         clock,
     });
     state.log(EventKind::Kept, line);
-    let beats = BeatSender::new(socket.clone());
+    let heartbeats = HeartbeatSender::new(socket.clone());
     let mut tasks = vec![
         actix_rt::spawn(refresh_member(state.clone())),
-        actix_rt::spawn(tick_all(state.clone(), beats)),
-        actix_rt::spawn(groups::keep_groups(state.clone())),
-        actix_rt::spawn(keeping::look_after(state.clone())),
-        actix_rt::spawn(peers::hear(state.clone(), socket)),
+        actix_rt::spawn(run_ticks(state.clone(), heartbeats)),
+        actix_rt::spawn(groups::maintain_groups(state.clone())),
+        actix_rt::spawn(kept_jobs::maintain_pools(state.clone())),
+        actix_rt::spawn(peers::receive_heartbeats(state.clone(), socket)),
         actix_rt::spawn(peer::serve_pool(
             peers,
             state.traffic.clone(),
@@ -265,11 +272,11 @@
                 state: state.clone(),
             }),
         )),
-        actix_rt::spawn(or_log(
+        actix_rt::spawn(log_server_failure(
             state.clone(),
-            front::serve(state.clone(), customers),
+            customer_server::serve(state.clone(), customers),
         )),
-        actix_rt::spawn(or_log(state.clone(), ready::serve(state.clone(), ready))),
+        actix_rt::spawn(log_server_failure(state.clone(), ready::serve(state.clone(), ready))),
     ];
     let tables = [
         StoreTable::Operator,
@@ -279,7 +286,7 @@
         StoreTable::CancelledJobs,
     ];
     for table in tables {
-        tasks.push(actix_rt::spawn(feeds::follow(state.clone(), table)));
+        tasks.push(actix_rt::spawn(feeds::follow_table(state.clone(), table)));
     }
     Ok(NodeProcess {
         state,
@@ -294,11 +301,11 @@
     listener.map_err(|cause| NodeError::Listen { address, cause })
 }
 
-async fn or_log(
+async fn log_server_failure(
     state: Rc<NodeState>,
-    serving: impl std::future::Future<Output = Result<(), NodeError>>,
+    server: impl std::future::Future<Output = Result<(), NodeError>>,
 ) {
-    if let Err(error) = serving.await {
+    if let Err(error) = server.await {
         state.log(
             EventKind::Kept,
             EventLine::new("server_failed").text("error", error),
@@ -306,8 +313,9 @@
     }
 }
 
-/// An incarnation above that of this VM's former process: the time of day, or one more than the former's where the
-/// clock was set back. Lower ones would be taken for messages of the former process.
+/// Returns an incarnation above that of this VM's former process: the time of day in milliseconds, or the former
+/// incarnation plus one if the clock was set back. Messages with a lower incarnation would be attributed to the
+/// former process.
 async fn new_incarnation(store: &StoreClient, vm: &str) -> u64 {
     let millis = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -315,16 +323,17 @@
         .as_millis();
     let by_clock = u64::try_from(millis).unwrap_or(u64::MAX);
     let read = store.get(StoreTable::Members, "", vm);
-    let Ok(Ok(Some(row))) = tokio::time::timeout(FORMER_ROW_LIMIT, read).await else {
+    let Ok(Ok(Some(row))) = tokio::time::timeout(FORMER_ROW_TIMEOUT, read).await else {
         return by_clock;
     };
     let former = serde_json::from_slice::<MemberRow>(&row.value).ok();
     by_clock.max(former.map_or(0, |former| former.incarnation + 1))
 }
 
-/// What this process has learnt of customers' times.
+/// Returns the time that the requests of each route usually have left when they arrive, as this process has learnt
+/// it.
 fn usual_waits(state: &NodeState) -> Vec<RouteWait> {
-    let usual = state.waits.borrow().learned_budgets();
+    let usual = state.request_waits.borrow().learned_budgets();
     let waits = usual.into_iter().map(|wait| RouteWait {
         route: wait.route,
         least_ms: u64::try_from(wait.budget.as_millis()).unwrap_or(u64::MAX),
@@ -332,7 +341,7 @@
     waits.collect()
 }
 
-/// Writes this process's row, and again every while.
+/// Writes this process's member row at the start and then periodically.
 async fn refresh_member(state: Rc<NodeState>) {
     let mut row = state.keeper.borrow().own_row().clone();
     let mut failed = false;
@@ -354,99 +363,100 @@
             }
         }
         failed = answer.is_err();
-        let first = row.refreshes < 3 && failed;
-        if first {
-            actix_rt::time::sleep(TICK).await;
+        let retry_soon = row.refreshes < 3 && failed;
+        if retry_soon {
+            actix_rt::time::sleep(TICK_INTERVAL).await;
             continue;
         }
         let written = state.now();
         while state.now() < written + state.keeper.borrow().refresh_interval() {
-            actix_rt::time::sleep(REFRESH_LOOK).await;
+            actix_rt::time::sleep(MEMBER_REFRESH_CHECK_INTERVAL).await;
         }
     }
 }
 
-async fn tick_all(state: Rc<NodeState>, beats: BeatSender) {
+async fn run_ticks(state: Rc<NodeState>, heartbeats: HeartbeatSender) {
     let mut logged: Option<Instant> = None;
-    let mut traffic = TrafficNotes::new(state.now());
+    let mut traffic = TrafficLogger::new(state.now());
     loop {
-        actix_rt::time::sleep(tick_gap(&state)).await;
+        actix_rt::time::sleep(tick_interval(&state)).await;
         if state.has_paused() {
             let line = EventLine::new("process_paused").millis(
                 "for_ms",
                 time_since_boot().saturating_sub(state.last_tick.get()),
             );
             state.log(EventKind::Kept, line);
-            each_pool(&state, pool::WorkerPool::give_up_all);
-            state.directory.borrow_mut().note_paused();
+            for_each_pool(&state, pool::WorkerPool::give_up_all);
+            state.directory.borrow_mut().forget_reads();
         }
         state.last_tick.set(time_since_boot());
         tick(&state);
-        beats.tick(&state);
+        heartbeats.tick(&state);
         let now = state.now();
         traffic.tick(&state, now);
-        note_link_use(&state, now);
-        if logged.is_none_or(|at| now >= at + LOG_BEAT) {
+        update_link_use(&state, now);
+        if logged.is_none_or(|at| now >= at + LOG_FLUSH_INTERVAL) {
             logged = Some(now);
             state.log.borrow_mut().flush();
         }
     }
 }
 
-/// A process that owns nothing and is about to own nothing has less that is due. In a large fleet most are of this kind.
-fn tick_gap(state: &NodeState) -> Duration {
+/// Returns the time until the next tick. A process that owns no pool and is not about to claim one has less to do;
+/// in a large fleet most processes are of this kind.
+fn tick_interval(state: &NodeState) -> Duration {
     let owns = !state.pools.borrow().is_empty() || state.keeper.borrow().may_claim_soon();
     match owns || state.leaving.get() {
-        true => TICK,
-        false => IDLE_TICK,
+        true => TICK_INTERVAL,
+        false => IDLE_TICK_INTERVAL,
     }
 }
 
-fn note_link_use(state: &NodeState, now: Instant) {
+fn update_link_use(state: &NodeState, now: Instant) {
     let mut link_use = state.link_use.get();
     let link = state.keeper.borrow().own_row().link;
-    link_use.take(now, state.traffic.total(), link);
+    link_use.update(now, state.traffic.total(), link);
     state.link_use.set(link_use);
 }
 
 fn tick(state: &Rc<NodeState>) {
     let now = state.now();
-    let gone = state.directory.borrow_mut().take_gone(now);
-    for record in gone {
-        workers::drop_worker(state, &record);
+    let removed = state.directory.borrow_mut().take_expired(now);
+    for record in removed {
+        workers::remove_worker(state, &record);
     }
     let actions = state.keeper.borrow_mut().tick(now);
     let notes = state.keeper.borrow_mut().take_events();
     for note in notes {
         if let ClaimEvent::PeerSilent { node, .. } = &note {
-            state.links.lose(node);
-            state.lost_peer(node).notify_waiters();
+            state.links.close(node);
+            state.peer_lost_signal(node).notify_waiters();
         }
-        crate::notes::log_claim(state, &note);
+        crate::event_lines::log_claim_note(state, &note);
     }
-    // Whoever may take a pool over soon needs its workers as they are now.
+    // A process that may soon claim a pool needs the current state of its workers.
     if state.keeper.borrow().may_claim_soon() {
-        state.wake_workers.notify_one();
+        state.worker_list_needed.notify_one();
     }
-    owner::act_on_claims(state, actions);
-    owner::fill_pools(state);
+    owner::run_claim_actions(state, actions);
+    owner::populate_pools(state);
     peers::connect_owners(state);
-    each_pool(state, pool::WorkerPool::tick);
-    each_pool(state, |pool, _| pool.release_idle_workers());
+    for_each_pool(state, pool::WorkerPool::tick);
+    for_each_pool(state, |pool, _| pool.release_idle_workers());
     if state.leaving.get() {
         return;
     }
-    owner::keep_yielding(state);
+    owner::advance_handover(state);
     let pools: Vec<_> = state.pools.borrow().keys().cloned().collect();
     for id in pools {
-        owner::take_awaited(state, &id);
+        owner::add_deferred_workers(state, &id);
     }
 }
 
-fn each_pool(state: &Rc<NodeState>, act: impl Fn(&mut pool::WorkerPool, Instant)) {
+fn for_each_pool(state: &Rc<NodeState>, update: impl Fn(&mut pool::WorkerPool, Instant)) {
     let pools: Vec<_> = state.pools.borrow().keys().cloned().collect();
     for id in pools {
-        owner::with_pool(state, &id, &act);
+        owner::with_pool(state, &id, &update);
     }
 }
 
@@ -465,17 +475,17 @@
             tokio::select! {
                 _ = terminate.recv() => break,
                 _ = interrupt.recv() => break,
-                // What the settings name stays for a process's life: addresses, its VM, its data centre. What changes
-                // while it runs is in the store.
+                // The settings (addresses, VM, data centre) are fixed while the process runs. Configuration that
+                // changes at run time is in the store.
                 _ = reload.recv() => process.state.log(
                     EventKind::Kept,
-                    EventLine::new("reload_ignored").text("why", "settings hold for a process's life"),
+                    EventLine::new("reload_ignored").text("why", "settings are read only at the start of the process"),
                 ),
             }
         }
         process.stop().await;
-        // The writing thread gets its turn for the last lines.
-        actix_rt::time::sleep(TICK).await;
+        // Gives the log's writer thread time to write the last lines.
+        actix_rt::time::sleep(TICK_INTERVAL).await;
         Ok(())
     })
 }
