--- a/crates/node/src/customer_server.rs
+++ b/crates/node/src/customer_server.rs
@@ -90,9 +90,7 @@
         .traffic
         .receive(TrafficKind::Customers, head_bytes(&request));
     let mut response = route_request(&state, request).await;
-    state
-        .traffic
-        .send(TrafficKind::Customers, ANSWER_BYTES);
+    state.traffic.send(TrafficKind::Customers, ANSWER_BYTES);
     if state.leaving.get() {
         response
             .head_mut()
@@ -182,8 +180,11 @@
 }
 
 /// Answers that the store cannot be reached. The customer has to ask again.
-fn store_unavailable(state: &NodeState,
-    purpose: &'static str, error: &StoreError) -> Response<BoxBody> {
+fn store_unavailable(
+    state: &NodeState,
+    purpose: &'static str,
+    error: &StoreError,
+) -> Response<BoxBody> {
     let line = EventLine::new("store_not_reached")
         .text("for", purpose)
         .text("error", error);
@@ -303,7 +304,10 @@
     let Some(left) = stated_deadline else {
         return Duration::ZERO;
     };
-    let age = state.request_waits.borrow_mut().record_request(&rule.name, left);
+    let age = state
+        .request_waits
+        .borrow_mut()
+        .record_request(&rule.name, left);
     let is_new = state.now() < state.started + CUSTOMER_RETURN_PERIOD;
     match is_new && state.has(Mechanism::RequestAges) {
         true => age,
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -114,7 +114,9 @@
             break;
         }
         let more = collect_offers(state, job, pools).await;
-        let whole_offer = more.iter().find(|offer| fits_whole_job(&job.request, offer));
+        let whole_offer = more
+            .iter()
+            .find(|offer| fits_whole_job(&job.request, offer));
         if let Some(PartOffer { pool, owner, .. }) = whole_offer {
             match submit_before_deadline(state, job, pool, owner, None).await {
                 Some(JobOutcome::Refused { .. }) | None => (),
@@ -223,7 +225,11 @@
 }
 
 /// Divides a job of one step according to the offers. None if the offers do not cover all tasks.
-fn divide_job(state: &NodeState, request: &JobRequest, offers: Vec<PartOffer>) -> Option<Vec<JobPart>> {
+fn divide_job(
+    state: &NodeState,
+    request: &JobRequest,
+    offers: Vec<PartOffer>,
+) -> Option<Vec<JobPart>> {
     if !can_divide(state, request) {
         return None;
     }
--- a/crates/node/src/groups.rs
+++ b/crates/node/src/groups.rs
@@ -205,7 +205,8 @@
         if (count.workers, count.vms) != (workers, vms) {
             (count.workers, count.vms, count.unchanged_since) = (workers, vms, now);
         }
-        now >= count.unchanged_since + COUNTS_SETTLED_TIME || now >= count.first_seen + MAX_SETTLING_TIME
+        now >= count.unchanged_since + COUNTS_SETTLED_TIME
+            || now >= count.first_seen + MAX_SETTLING_TIME
     }
 }
 
--- a/crates/node/src/kept_jobs.rs
+++ b/crates/node/src/kept_jobs.rs
@@ -75,7 +75,12 @@
 }
 
 /// Queues a write that a pool has requested.
-pub(crate) fn queue_write(state: &Rc<NodeState>, pool: &PoolId, fence: FenceToken, order: KeptWrite) {
+pub(crate) fn queue_write(
+    state: &Rc<NodeState>,
+    pool: &PoolId,
+    fence: FenceToken,
+    order: KeptWrite,
+) {
     state.has_kept_jobs.set(true);
     let part = part_number(order.job);
     let Some(value) = encode(state, &order) else {
@@ -241,7 +246,9 @@
             report_result(state, &write, result);
         }
         // The read returned an older state: the row must exist, since the write was rejected because of it.
-        Ok(None) if write.order.expected_version.is_none() => requeue_write(state, part, write, true),
+        Ok(None) if write.order.expected_version.is_none() => {
+            requeue_write(state, part, write, true)
+        }
         Ok(None) => report_result(state, &write, KeptWriteResult::Gone),
         Err(error) => {
             log_write_failure(state, std::slice::from_ref(&write), &error);
--- a/crates/node/src/kept_jobs/maintenance.rs
+++ b/crates/node/src/kept_jobs/maintenance.rs
@@ -12,7 +12,7 @@
 use platform_adapter::{RowWrite, StoreError, StoreTable, Transaction};
 use telemetry::{EventKind, EventLine};
 
-use super::{decode_row,part_name, PART_COUNT, STORE_RETRY_BACKOFF};
+use super::{decode_row, part_name, PART_COUNT, STORE_RETRY_BACKOFF};
 use crate::{
     feeds::{log_unreadable_row, stored_row},
     owner::with_fenced_pool,
--- a/crates/node/src/list_schedule.rs
+++ b/crates/node/src/list_schedule.rs
@@ -111,7 +111,8 @@
     count_list_source(&state.metrics, source);
     let now = state.now();
     let last = state.list_source.get();
-    if last.is_some_and(|(last_source, at)| last_source == source || now < at + SOURCE_LOG_INTERVAL) {
+    if last.is_some_and(|(last_source, at)| last_source == source || now < at + SOURCE_LOG_INTERVAL)
+    {
         return;
     }
     state.list_source.set(Some((source, now)));
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -91,7 +91,8 @@
                 let answer = match select(answer, overdue).await {
                     Either::Left((answer, _)) => answer,
                     Either::Right(((), answer)) => {
-                        with_fenced_pool(&state, &id, fence, |p, now| { p.on_start_overdue(now, &order)
+                        with_fenced_pool(&state, &id, fence, |p, now| {
+                            p.on_start_overdue(now, &order)
                         });
                         answer.await
                     }
@@ -174,7 +175,10 @@
     }
     // The store's answer to this process's own claim may have been lost; then this row is the first to show that
     // the claim succeeded.
-    if is_own_claim && held_fence.is_none_or(|held_fence| held_fence < version.0) && !state.leaving.get() {
+    if is_own_claim
+        && held_fence.is_none_or(|held_fence| held_fence < version.0)
+        && !state.leaving.get()
+    {
         open_pool(state, id, version, store_clock);
     }
 }
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -276,7 +276,10 @@
             state.clone(),
             customer_server::serve(state.clone(), customers),
         )),
-        actix_rt::spawn(log_server_failure(state.clone(), ready::serve(state.clone(), ready))),
+        actix_rt::spawn(log_server_failure(
+            state.clone(),
+            ready::serve(state.clone(), ready),
+        )),
     ];
     let tables = [
         StoreTable::Operator,
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -19,8 +19,8 @@
 use tokio::sync::Notify;
 
 use crate::{
-    directory::WorkerDirectory, kept_jobs::JobWriteQueue, list_schedule::ListSource, owner::OwnedPool,
-    peers::OwnerLinks, traffic::LinkUse,
+    directory::WorkerDirectory, kept_jobs::JobWriteQueue, list_schedule::ListSource,
+    owner::OwnedPool, peers::OwnerLinks, traffic::LinkUse,
 };
 
 /// A tick that is later than this means that the process has paused: it was frozen or suspended, or got no share of
