--- a/crates/claims/tests/beats.rs
+++ b/crates/claims/tests/beats.rs
@@ -1,4 +1,4 @@
-//! How many signs of life a fleet exchanges, and how soon a silence is noticed.
+//! How many heartbeats a fleet exchanges, and how soon a silent process is detected.
 
 use std::{
     net::SocketAddr,
@@ -6,16 +6,16 @@
 };
 
 use claims::{
-    BeatPace, ClaimKeeper, ClaimNote, ClaimRow, ClaimSettings, Heartbeat, LinkRate, MemberRow,
-    NodeId,
+    ClaimController, ClaimEvent, ClaimRow, ClaimSettings, Heartbeat, HeartbeatClass, LinkRate,
+    MemberRow, NodeId,
 };
 use jobs::PoolId;
 use model::DataCentreId;
 
 const CENTRES: usize = 5;
 
-/// One owner among so many processes.
-const OWNER_ONE_IN: usize = 6;
+/// One of this many processes owns a pool.
+const PROCESSES_PER_OWNER: usize = 6;
 
 fn centre(number: usize) -> DataCentreId {
     format!("dc-{}", number % CENTRES).parse().unwrap()
@@ -35,12 +35,13 @@
     }
 }
 
-/// A process among so many, each `OWNER_ONE_IN`th of which owns a pool.
-fn keeper(me: usize, count: usize, now: Instant) -> ClaimKeeper {
-    let mut keeper = ClaimKeeper::new(member(me), ClaimSettings::default(), now);
+/// The controller of one process of a fleet of `count`, in which each `PROCESSES_PER_OWNER`th process owns a
+/// pool.
+fn controller(me: usize, count: usize, now: Instant) -> ClaimController {
+    let mut controller = ClaimController::new(member(me), ClaimSettings::default(), now);
     for number in 0..count {
-        keeper.on_member(now, member(number));
-        if number % OWNER_ONE_IN == 0 {
+        controller.on_member(now, member(number));
+        if number % PROCESSES_PER_OWNER == 0 {
             let owner = member(number);
             let row = ClaimRow {
                 node: owner.node,
@@ -51,52 +52,63 @@
                 data_centre: owner.data_centre,
                 group: u32::try_from(number).unwrap(),
             };
-            keeper.on_claim(now, pool, row, 7);
+            controller.on_claim(now, pool, row, 7);
         }
     }
-    keeper
+    controller
 }
 
-/// Datagrams that it sends a second.
-fn sent(keeper: &ClaimKeeper) -> f64 {
-    let peers = keeper.peers();
-    let rates = peers.map(|(_, pace)| 1.0 / keeper.beat(pace).as_secs_f64());
+/// Heartbeats that the process sends per second.
+fn datagrams_per_second(controller: &ClaimController) -> f64 {
+    let peers = controller.peers();
+    let rates = peers.map(|(_, class)| 1.0 / controller.heartbeat_interval(class).as_secs_f64());
     rates.sum()
 }
 
-/// Compares what a fleet sends with what it would if all processes of a data centre told each other as often as owners do: at
-/// most `share` of it on the mean.
+/// Compares the heartbeats of a fleet with those that it would send if all processes of a data centre sent
+/// them as often as owners do: the mean must be at most `share` of that.
 fn check(count: usize, share: f64) {
     let now = Instant::now();
     let mut all = 0.0;
-    let mut mesh = 0.0;
+    let mut full_mesh = 0.0;
     for me in 0..count {
-        let keeper = keeper(me, count, now);
-        all += sent(&keeper);
-        let near = keeper.peers().filter(|(_, pace)| *pace != BeatPace::Far);
-        let far = keeper.peers().filter(|(_, pace)| *pace == BeatPace::Far);
-        mesh += near.count() as f64 / keeper.beat(BeatPace::Owner).as_secs_f64();
-        mesh += far.count() as f64 / keeper.beat(BeatPace::Far).as_secs_f64();
+        let controller = controller(me, count, now);
+        all += datagrams_per_second(&controller);
+        let near = controller
+            .peers()
+            .filter(|(_, class)| *class != HeartbeatClass::Far);
+        let far = controller
+            .peers()
+            .filter(|(_, class)| *class == HeartbeatClass::Far);
+        full_mesh += near.count() as f64
+            / controller
+                .heartbeat_interval(HeartbeatClass::Owner)
+                .as_secs_f64();
+        full_mesh += far.count() as f64
+            / controller
+                .heartbeat_interval(HeartbeatClass::Far)
+                .as_secs_f64();
     }
     let count = count as f64;
     println!(
         "{count} processes: {:.1} a second each of {:.1}",
         all / count,
-        mesh / count
+        full_mesh / count
     );
-    assert!(all <= mesh * share, "{all:.1} of {mesh:.1}");
+    assert!(all <= full_mesh * share, "{all:.1} of {full_mesh:.1}");
 }
 
-/// Each datagram costs some tens of microseconds at each end. What a process sends must not grow with its fleet as a full mesh
-/// does: from a few dozen processes on at least a third of that is saved, and more than half among hundreds.
+/// Each datagram costs some tens of microseconds at each end. Guards against heartbeats that grow with the
+/// fleet as in a full mesh: from a few dozen processes on, at least a third of them is saved, and more than
+/// half among hundreds.
 #[test]
-fn signs_of_life_do_not_grow_with_the_square_of_the_fleet() {
+fn heartbeats_do_not_grow_with_the_square_of_the_fleet() {
     check(30, 1.0);
     check(100, 0.67);
     check(300, 0.5);
 }
 
-fn beat(member: &MemberRow) -> Heartbeat {
+fn heartbeat(member: &MemberRow) -> Heartbeat {
     Heartbeat {
         node: member.node.clone(),
         incarnation: member.incarnation,
@@ -110,26 +122,26 @@
     }
 }
 
-/// How long after its last sign of life `other` counts as silent at `me`.
-fn silence(me: usize, other: usize) -> Duration {
+/// How long after its last heartbeat `other` counts as silent at `me`.
+fn time_until_silent(me: usize, other: usize) -> Duration {
     let count = 60 * CENTRES;
     let begun = Instant::now();
-    let mut keeper = keeper(me, count, begun);
+    let mut controller = controller(me, count, begun);
     let mut now = begun;
     let step = Duration::from_millis(20);
     while now < begun + Duration::from_secs(5) {
-        keeper.on_heartbeat(now, beat(&member(other)), member(other).address);
-        keeper.tick(now);
+        controller.on_heartbeat(now, heartbeat(&member(other)), member(other).address);
+        controller.tick(now);
         now += step;
     }
     let last = now - step;
-    keeper.take_notes();
+    controller.take_events();
     loop {
-        keeper.tick(now);
-        let notes = keeper.take_notes();
-        let silent = notes
+        controller.tick(now);
+        let events = controller.take_events();
+        let silent = events
             .iter()
-            .any(|note| matches!(note, ClaimNote::PeerSilent { .. }));
+            .any(|event| matches!(event, ClaimEvent::PeerSilent { .. }));
         if silent {
             return now - last;
         }
@@ -137,16 +149,18 @@
     }
 }
 
-/// An owner falls silent, or an entry whose jobs an owner runs: its caller comes back elsewhere 1.3 s later, when nothing of the
-/// job may run any more. That between two processes without pools may take longer; it is never taken for one too soon.
+/// Guards against late detection of a silent owner, or of a silent entry whose jobs an owner runs: its caller
+/// comes back elsewhere after 1.3 s, when no part of the job may run any more. Between two processes without
+/// pools, detection may take longer but must not come too soon.
 #[test]
-fn silences_that_matter_are_noticed_at_once() {
+fn silent_owners_and_entries_are_detected_at_once() {
     let (owner, other_owner) = (0, 30);
     let (entry, other_entry) = (5, 10);
     let soon = Duration::from_millis(460);
-    assert!(silence(entry, owner) <= soon);
-    assert!(silence(owner, entry) <= soon);
-    assert!(silence(owner, other_owner) <= soon);
-    let idle = keeper(entry, 60 * CENTRES, Instant::now()).beat(BeatPace::Idle);
-    assert!(silence(entry, other_entry) >= idle * 3);
+    assert!(time_until_silent(entry, owner) <= soon);
+    assert!(time_until_silent(owner, entry) <= soon);
+    assert!(time_until_silent(owner, other_owner) <= soon);
+    let idle =
+        controller(entry, 60 * CENTRES, Instant::now()).heartbeat_interval(HeartbeatClass::Idle);
+    assert!(time_until_silent(entry, other_entry) >= idle * 3);
 }
--- a/crates/jobs/src/ids.rs
+++ b/crates/jobs/src/ids.rs
@@ -9,12 +9,12 @@
 /// The length of a job id's text form: 64 bits in hexadecimal digits.
 const JOB_ID_DIGITS: usize = 16;
 
-/// A text that is not a job id.
+/// The error for a text that is not a job id.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("not a job id of {JOB_ID_DIGITS} hexadecimal digits")]
-pub struct WrongJobId;
+pub struct InvalidJobId;
 
-/// The id of a job, chosen by its customer. The same id again is the same job.
+/// The id of a job, chosen by its customer. A request with the same id is for the same job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u64);
 
@@ -25,20 +25,22 @@
 }
 
 impl FromStr for JobId {
-    type Err = WrongJobId;
+    type Err = InvalidJobId;
 
-    fn from_str(s: &str) -> Result<Self, WrongJobId> {
-        let plain = s
+    fn from_str(s: &str) -> Result<Self, InvalidJobId> {
+        let is_lower_hex = s
             .bytes()
             .all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(&b));
-        if s.len() != JOB_ID_DIGITS || !plain {
-            return Err(WrongJobId);
+        if s.len() != JOB_ID_DIGITS || !is_lower_hex {
+            return Err(InvalidJobId);
         }
-        u64::from_str_radix(s, 16).map(Self).map_err(|_| WrongJobId)
+        u64::from_str_radix(s, 16)
+            .map(Self)
+            .map_err(|_| InvalidJobId)
     }
 }
 
-/// One task of a job.
+/// The id of one task of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
     /// The job.
@@ -64,16 +66,16 @@
 }
 
 impl FromStr for TaskId {
-    type Err = WrongJobId;
+    type Err = InvalidJobId;
 
-    fn from_str(s: &str) -> Result<Self, WrongJobId> {
+    fn from_str(s: &str) -> Result<Self, InvalidJobId> {
         let mut parts = s.split('.');
-        let job = parts.next().ok_or(WrongJobId)?.parse()?;
+        let job = parts.next().ok_or(InvalidJobId)?.parse()?;
         let mut number = || {
             parts
                 .next()
                 .and_then(|part| part.parse().ok())
-                .ok_or(WrongJobId)
+                .ok_or(InvalidJobId)
         };
         let id = Self {
             job,
@@ -83,7 +85,7 @@
         };
         match parts.next() {
             None => Ok(id),
-            Some(_) => Err(WrongJobId),
+            Some(_) => Err(InvalidJobId),
         }
     }
 }
@@ -114,11 +116,12 @@
 }
 
 number_id!(
-    /// Numbers the runs of a task. It only rises, over owners too.
+    /// The number of a run of a task. It only increases, also when the pool gets another owner.
     RunNumber
 );
 number_id!(
-    /// The version of the claim under which an owner acts. Workers turn away orders under a lower one.
+    /// A fencing token: the version of the claim under which an owner acts. Workers reject orders with a
+    /// lower one.
     FenceToken
 );
 
@@ -151,27 +154,28 @@
 }
 
 text_id!(
-    /// One life of a worker process. A restarted worker has another one and remembers no run and no fence.
+    /// The id of one life (incarnation) of a worker process. A restarted worker has another one and remembers
+    /// neither runs nor fencing tokens.
     LifeId
 );
 text_id!(
-    /// A service: the kind of work that a set of workers does.
+    /// The id of a service: the kind of work that a set of workers does.
     ServiceId
 );
 
-/// A pool: one group of the workers of a data centre. Each has one owner.
+/// The id of a pool: one group of the workers of a data centre. Each pool has one owner.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PoolId {
-    /// Where its workers are.
+    /// The data centre of its workers.
     pub data_centre: DataCentreId,
-    /// Which group of them, from 0.
+    /// The number of the group within the data centre, from 0.
     pub group: u32,
 }
 
-/// A text that is not a pool id.
+/// The error for a text that is not a pool id.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("not a pool id")]
-pub struct WrongPoolId;
+#[error("not a pool id of the form DATA_CENTRE/GROUP")]
+pub struct InvalidPoolId;
 
 impl fmt::Display for PoolId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -180,13 +184,13 @@
 }
 
 impl FromStr for PoolId {
-    type Err = WrongPoolId;
+    type Err = InvalidPoolId;
 
-    fn from_str(s: &str) -> Result<Self, WrongPoolId> {
-        let (data_centre, group) = s.rsplit_once('/').ok_or(WrongPoolId)?;
+    fn from_str(s: &str) -> Result<Self, InvalidPoolId> {
+        let (data_centre, group) = s.rsplit_once('/').ok_or(InvalidPoolId)?;
         Ok(Self {
-            data_centre: data_centre.parse().map_err(|_| WrongPoolId)?,
-            group: group.parse().map_err(|_| WrongPoolId)?,
+            data_centre: data_centre.parse().map_err(|_| InvalidPoolId)?,
+            group: group.parse().map_err(|_| InvalidPoolId)?,
         })
     }
 }
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -1,6 +1,7 @@
-//! Plain data of jobs that run in steps on workers: ids, demands, job requests, routes and worker records.
+//! Plain data types for jobs that run in steps on workers: ids, demands, job requests, routes and worker
+//! records.
 //!
-//! Nothing here does I/O or reads a clock. Every type is decoded once at the platform's border.
+//! Nothing here does I/O or reads a clock. Every type is decoded once, where it enters the system.
 
 mod demand;
 mod ids;
@@ -12,14 +13,15 @@
 pub use crate::{
     demand::{CpuMillis, MemoryMegabytes, ResourceDemand},
     ids::{
-        FenceToken, JobId, LifeId, PoolId, RunNumber, ServiceId, TaskId, WrongJobId, WrongPoolId,
+        FenceToken, InvalidJobId, InvalidPoolId, JobId, LifeId, PoolId, RunNumber, ServiceId,
+        TaskId,
     },
     kept::{KeptRow, KeptState, StepRecord, TaskDeath},
     request::{
-        longest_chain, JobOutcome, JobRequest, JobTerms, RefusalKind, StepSpec, TaskText,
+        critical_path, JobOutcome, JobRequest, JobTerms, RefusalKind, StepSpec, TaskText,
         UnsupportedNeed,
     },
-    route::{BodyLimits, RouteMatch, RouteRule, RouteTable, ServiceRule, TableVersion},
+    route::{RequestLimits, RouteMatch, RouteRule, RouteTable, ServiceRule, TableVersion},
     worker::{
         BirthTime, EndCause, EndedRun, RunningRun, WorkerClock, WorkerListing, WorkerRecord,
         WorkerState,
--- a/crates/node/src/feeds.rs
+++ b/crates/node/src/feeds.rs
@@ -1,4 +1,4 @@
-//! Follows the tables of the platform's store.
+//! Follows the tables of the platform's store and applies their changes.
 
 use std::{rc::Rc, time::Duration};
 
@@ -6,61 +6,66 @@
 use jobs::PoolId;
 use platform::RowVersion;
 use platform_adapter::{FeedPage, RowChange, StoreError, StoreTable, StoredRow};
-use pool::UsualWait;
+use pool::RouteBudget;
 use telemetry::{EventKind, EventLine};
 
-use crate::{groups, keeping, listing, operator, owner, state::NodeState, workers};
+use crate::{groups, kept_jobs, list_schedule, operator, owner, state::NodeState, workers};
 
-/// How long the feed of what operators write waits for a change, as a share of the time in which that has to be in force. A
-/// connection that has gone silent is found after this time and the client's limit.
-const URGENT_SHARE: f64 = 0.6;
+/// How long the feed of the operators' table waits for a change, as a share of the time within which a change must
+/// be in force. A connection that has gone silent is detected after this wait plus the client's timeout.
+const OPERATOR_FEED_WAIT_SHARE: f64 = 0.6;
 
-/// How long any other feed waits for a change.
-const FEED_WAIT: Duration = Duration::from_millis(3_000);
+/// How long the feed of any other table waits for a change.
+const FEED_WAIT_TIME: Duration = Duration::from_millis(3_000);
 
-/// The shortest time between two readings of the members' table, of which heartbeats tell earlier.
-const MEMBERS_GAP: Duration = Duration::from_millis(4_000);
+/// The interval between two reads of the members' table. Heartbeats report changes of members sooner.
+const MEMBERS_READ_INTERVAL: Duration = Duration::from_millis(4_000);
 
-/// The same for a process that hears nobody: the rows alone tell it who lives.
-const ALONE_MEMBERS_GAP: Duration = Duration::from_millis(900);
+/// The interval between two reads of the members' table while no heartbeats arrive: only the rows then show which
+/// processes are alive.
+const ISOLATED_MEMBERS_READ_INTERVAL: Duration = Duration::from_millis(900);
 
-/// The same until the first members are known, which heartbeats need.
-const FIRST_MEMBERS_GAP: Duration = Duration::from_millis(100);
+/// The interval between two reads of the members' table while the first members are being discovered. Heartbeats
+/// can be exchanged only with known members.
+const STARTUP_MEMBERS_READ_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long after the start that is.
-const FIRST_MEMBERS_TIME: Duration = Duration::from_millis(2_700);
+/// How long after the start the members' table is read at the startup interval.
+const STARTUP_MEMBERS_PERIOD: Duration = Duration::from_millis(2_700);
 
-/// The shortest time between two readings of cancelled jobs, which have to be stopped within 3 s.
-const JOBS_GAP: Duration = Duration::from_millis(100);
+/// The interval between two reads of cancelled jobs, which have to be stopped within 3 s.
+const CANCELLED_JOBS_READ_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The shortest time between two readings of any other table.
-const FEED_GAP: Duration = Duration::from_millis(15);
+/// The interval between two reads of any other table.
+const FEED_READ_INTERVAL: Duration = Duration::from_millis(15);
 
-/// The pause after a reading that shows rows older than those that are known. A store that has lost its history does so for
-/// seconds, and the workers' table is large.
-const STALE_PAUSE: Duration = Duration::from_millis(400);
+/// The pause after a read that returns rows older than those already known. A store that has lost its history
+/// returns such rows for seconds, and the workers' table is large.
+const STALE_READ_BACKOFF: Duration = Duration::from_millis(400);
 
-/// Changes from which on an answer may be a part of them: the store tells some hundreds at a time. What is read on at once counts
-/// as current only when little is left: a part that was taken for all had starts leave for workers that were about to go.
-const PARTIAL_PAGE: usize = 250;
+/// The number of changes from which on an answer counts as partial: the store returns some hundreds of changes at a
+/// time. The rest is read at once, and the table counts as current only when little is left. When a partial answer
+/// was taken for a complete one, starts were sent to workers that were about to leave.
+const PARTIAL_PAGE_CHANGES: usize = 250;
 
-/// The pause after a reading that failed.
-const RETRY_PAUSE: Duration = Duration::from_millis(120);
+/// The pause after a failed read.
+const FAILED_READ_BACKOFF: Duration = Duration::from_millis(120);
 
-/// Follows a table for as long as the process runs. The history may be gone at any time; then all is read again.
+/// Follows a table for as long as the process runs. When the store no longer has the history that the feed needs,
+/// the whole table is read again.
 ///
-/// What is read then may be older than what is known. Believed, it would end evacuations that have just begun, and bring
-/// workers back that have left; so it is passed over until the store is as far as it was.
-pub(crate) async fn follow(state: Rc<NodeState>, table: StoreTable) {
+/// The rows of such a read may be older than what is already known. Applying them would end evacuations that have
+/// just begun and bring back workers that have left, so they are ignored until the store has caught up with the
+/// known version.
+pub(crate) async fn follow_table(state: Rc<NodeState>, table: StoreTable) {
     let urgent = table == StoreTable::Operator;
     let limit = state.settings.config_limit_ms.duration();
     let wait = match urgent {
-        true => limit.mul_f64(URGENT_SHARE),
-        false => FEED_WAIT,
+        true => limit.mul_f64(OPERATOR_FEED_WAIT_SHARE),
+        false => FEED_WAIT_TIME,
     };
     let begun = state.now();
     if table == StoreTable::Workers {
-        listing::wait_to_read(&state, begun).await;
+        list_schedule::wait_until_needed(&state, begun).await;
     }
     let mut after: Option<RowVersion> = None;
     let mut partial = false;
@@ -68,15 +73,15 @@
     let mut newest = RowVersion(0);
     loop {
         if table == StoreTable::Workers && after.is_some() && !partial {
-            if let Some(version) = listing::take_confirmation(&state) {
+            if let Some(version) = list_schedule::take_confirmation(&state) {
                 newest = newest.max(version);
                 after = Some(newest);
-                listing::rest_confirmed(&state).await;
+                list_schedule::wait_after_confirmation(&state).await;
                 continue;
             }
         }
         let wait = match table {
-            StoreTable::Workers => listing::begin_reading(&state),
+            StoreTable::Workers => list_schedule::begin_read(&state),
             _ => wait,
         };
         let read = match after {
@@ -86,26 +91,26 @@
         match read {
             Ok(page) => {
                 if let Some(since) = lost_since.take() {
-                    note_regained(&state, table, since);
+                    log_store_regained(&state, table, since);
                 }
-                let whole = after.is_none();
+                let is_snapshot = after.is_none();
                 if page.version < newest {
-                    note_stale(&state, table, page.version, newest);
-                    actix_rt::time::sleep(STALE_PAUSE).await;
+                    log_stale_rows(&state, table, page.version, newest);
+                    actix_rt::time::sleep(STALE_READ_BACKOFF).await;
                     continue;
                 }
                 newest = page.version;
                 after = Some(newest);
-                partial = !whole && page.changes.len() >= PARTIAL_PAGE;
-                take_page(&state, table, page, whole);
+                partial = !is_snapshot && page.changes.len() >= PARTIAL_PAGE_CHANGES;
+                apply_page(&state, table, page, is_snapshot);
                 if partial {
                     continue;
                 }
                 if table == StoreTable::Workers {
-                    listing::note_read(&state, newest);
+                    list_schedule::record_read(&state, newest);
                 }
                 let age = state.now().saturating_duration_since(begun);
-                rest(&state, table, age).await;
+                wait_for_next_read(&state, table, age).await;
             }
             Err(StoreError::HistoryGone) => {
                 let line = EventLine::new("history_gone").text("table", table.as_str());
@@ -114,42 +119,42 @@
             }
             Err(error) => {
                 let now = state.now();
-                state.directory.borrow_mut().note_failure(now);
+                state.directory.borrow_mut().record_store_failure(now);
                 if lost_since.is_none() {
                     lost_since = Some(now);
-                    note_lost(&state, table, &error);
+                    log_store_lost(&state, table, &error);
                 }
-                actix_rt::time::sleep(RETRY_PAUSE).await;
+                actix_rt::time::sleep(FAILED_READ_BACKOFF).await;
             }
         }
     }
 }
 
-/// Waits until a table is to be read again.
-async fn rest(state: &Rc<NodeState>, table: StoreTable, age: Duration) {
+/// Waits until the next read of a table is due.
+async fn wait_for_next_read(state: &Rc<NodeState>, table: StoreTable, age: Duration) {
     let gap = match table {
-        StoreTable::Workers => return listing::rest(state, age).await,
-        StoreTable::Members => members_gap(state, age),
-        StoreTable::Operator | StoreTable::Claims => FEED_GAP,
+        StoreTable::Workers => return list_schedule::wait_after_read(state, age).await,
+        StoreTable::Members => members_read_interval(state, age),
+        StoreTable::Operator | StoreTable::Claims => FEED_READ_INTERVAL,
         StoreTable::Jobs
         | StoreTable::EndedJobs
         | StoreTable::CancelledJobs
-        | StoreTable::PendingJobs => JOBS_GAP,
+        | StoreTable::PendingJobs => CANCELLED_JOBS_READ_INTERVAL,
     };
     actix_rt::time::sleep(gap).await;
 }
 
-fn members_gap(state: &NodeState, age: Duration) -> Duration {
-    if age < FIRST_MEMBERS_TIME {
-        return FIRST_MEMBERS_GAP;
+fn members_read_interval(state: &NodeState, age: Duration) -> Duration {
+    if age < STARTUP_MEMBERS_PERIOD {
+        return STARTUP_MEMBERS_READ_INTERVAL;
     }
-    match state.keeper.borrow().hears_nobody(state.now()) {
-        true => ALONE_MEMBERS_GAP,
-        false => MEMBERS_GAP,
+    match state.keeper.borrow().is_isolated(state.now()) {
+        true => ISOLATED_MEMBERS_READ_INTERVAL,
+        false => MEMBERS_READ_INTERVAL,
     }
 }
 
-fn note_stale(state: &NodeState, table: StoreTable, shown: RowVersion, known: RowVersion) {
+fn log_stale_rows(state: &NodeState, table: StoreTable, shown: RowVersion, known: RowVersion) {
     let line = EventLine::new("stale_rows")
         .text("table", table.as_str())
         .number("shown", shown.0)
@@ -157,14 +162,14 @@
     state.log(EventKind::Kept, line);
 }
 
-fn note_lost(state: &NodeState, table: StoreTable, error: &StoreError) {
+fn log_store_lost(state: &NodeState, table: StoreTable, error: &StoreError) {
     let line = EventLine::new("store_lost")
         .text("table", table.as_str())
         .text("error", error);
     state.log(EventKind::Kept, line);
 }
 
-fn note_regained(state: &NodeState, table: StoreTable, since: std::time::Instant) {
+fn log_store_regained(state: &NodeState, table: StoreTable, since: std::time::Instant) {
     let now = state.now();
     let line = EventLine::new("store_regained")
         .text("table", table.as_str())
@@ -172,24 +177,24 @@
     state.log(EventKind::Kept, line);
 }
 
-fn take_page(state: &Rc<NodeState>, table: StoreTable, page: FeedPage, whole: bool) {
+fn apply_page(state: &Rc<NodeState>, table: StoreTable, page: FeedPage, is_snapshot: bool) {
     match table {
-        StoreTable::Operator => operator::take_page(state, page, whole),
-        StoreTable::Workers => workers::take_page(state, page, whole),
-        StoreTable::Members => take_members(state, page),
+        StoreTable::Operator => operator::apply_page(state, page, is_snapshot),
+        StoreTable::Workers => workers::apply_page(state, page, is_snapshot),
+        StoreTable::Members => apply_members(state, page),
         StoreTable::Claims => {
             let version = page.version.0;
-            take_claims(state, page);
-            owner::note_sole_owner(state, version);
+            apply_claims(state, page);
+            owner::record_sole_ownership(state, version);
         }
-        StoreTable::CancelledJobs => take_cancelled(state, page),
-        // Read by row or by part, not followed.
+        StoreTable::CancelledJobs => apply_cancelled(state, page),
+        // These tables are read by row or by part and have no feed.
         StoreTable::Jobs | StoreTable::EndedJobs | StoreTable::PendingJobs => (),
     }
 }
 
-/// The row, if it was written and can be read. What cannot be read is logged.
-pub(crate) fn put_row(state: &NodeState, change: RowChange) -> Option<StoredRow> {
+/// Returns the row of a change, or None if the row was removed or cannot be read. An unreadable row is logged.
+pub(crate) fn stored_row(state: &NodeState, change: RowChange) -> Option<StoredRow> {
     match change {
         RowChange::Put(row) => Some(row),
         RowChange::Removed { .. } => None,
@@ -201,7 +206,7 @@
     }
 }
 
-pub(crate) fn note_unreadable(state: &NodeState, row: &StoredRow, error: &serde_json::Error) {
+pub(crate) fn log_unreadable_row(state: &NodeState, row: &StoredRow, error: &serde_json::Error) {
     let line = EventLine::new("row_unreadable")
         .text("key", &row.key)
         .number("version", row.version.0)
@@ -209,16 +214,16 @@
     state.log(EventKind::Kept, line);
 }
 
-fn take_members(state: &NodeState, page: FeedPage) {
+fn apply_members(state: &NodeState, page: FeedPage) {
     let now = state.now();
     for change in page.changes {
         match change {
             RowChange::Put(row) => match serde_json::from_slice::<MemberRow>(&row.value) {
                 Ok(member) => {
-                    adopt_waits(state, &member);
+                    import_waits(state, &member);
                     state.keeper.borrow_mut().on_member(now, member);
                 }
-                Err(error) => note_unreadable(state, &row, &error),
+                Err(error) => log_unreadable_row(state, &row, &error),
             },
             RowChange::Removed { key } => {
                 state
@@ -226,33 +231,34 @@
                     .borrow_mut()
                     .on_member_gone(&NodeId::from(key.as_str()));
             }
-            change @ RowChange::Unreadable { .. } => drop(put_row(state, change)),
+            change @ RowChange::Unreadable { .. } => drop(stored_row(state, change)),
         }
     }
 }
 
-/// Takes over what a process has learnt of customers' times, its own former life among them.
-fn adopt_waits(state: &NodeState, member: &MemberRow) {
-    let mut waits = state.waits.borrow_mut();
+/// Imports what another process, or this process's own former incarnation, has learnt about the time that
+/// customers' requests have left when they arrive.
+fn import_waits(state: &NodeState, member: &MemberRow) {
+    let mut waits = state.request_waits.borrow_mut();
     for wait in &member.waits {
-        waits.adopt(&UsualWait {
+        waits.adopt(&RouteBudget {
             route: wait.route.clone(),
-            time: Duration::from_millis(wait.least_ms),
+            budget: Duration::from_millis(wait.least_ms),
         });
     }
 }
 
-fn take_cancelled(state: &Rc<NodeState>, page: FeedPage) {
+fn apply_cancelled(state: &Rc<NodeState>, page: FeedPage) {
     for change in page.changes {
-        if let Some(row) = put_row(state, change) {
-            keeping::take_cancelled(state, &row);
+        if let Some(row) = stored_row(state, change) {
+            kept_jobs::apply_cancelled(state, &row);
         }
     }
 }
 
-fn take_claims(state: &Rc<NodeState>, page: FeedPage) {
+fn apply_claims(state: &Rc<NodeState>, page: FeedPage) {
     for change in page.changes {
-        let Some(row) = put_row(state, change) else {
+        let Some(row) = stored_row(state, change) else {
             continue;
         };
         if let Some(centre) = groups::centre_of_key(&row.key) {
@@ -261,9 +267,9 @@
                     let mut versions = state.group_versions.borrow_mut();
                     versions.insert(centre.clone(), row.version.0);
                     drop(versions);
-                    groups::take_groups(state, centre, groups, row.version);
+                    groups::apply_groups(state, centre, groups, row.version);
                 }
-                Err(error) => note_unreadable(state, &row, &error),
+                Err(error) => log_unreadable_row(state, &row, &error),
             }
             continue;
         }
@@ -271,8 +277,8 @@
             continue;
         };
         match serde_json::from_slice::<ClaimRow>(&row.value) {
-            Ok(claim) => owner::take_claim(state, &pool, claim, row.version, page.clock),
-            Err(error) => note_unreadable(state, &row, &error),
+            Ok(claim) => owner::apply_claim(state, &pool, claim, row.version, page.clock),
+            Err(error) => log_unreadable_row(state, &row, &error),
         }
     }
 }
--- a/crates/node/src/groups.rs
+++ b/crates/node/src/groups.rs
@@ -1,50 +1,52 @@
-//! Into how many groups the workers of a data centre are divided, one pool each.
+//! Decides into how many groups the workers of a data centre are divided. Each group is one pool.
 //!
-//! An owner's processor time grows with its pool's tasks, so a pool must fit the machine that owns it; few large pools
-//! place better than many small ones. The number is a row in the store, written under a condition, so that all
-//! processes agree on which worker is in which pool. It grows with the number of workers and never falls by itself:
-//! workers that are away for a while must not send all others to other owners.
+//! An owner's processor time grows with its pool's tasks, so a pool must fit the machine that owns it; few large
+//! pools place tasks better than many small ones. The number of groups is a row in the store that is written
+//! conditionally, so that all processes agree on which worker is in which pool. The number grows with the number of
+//! workers and never falls by itself: when some workers are away for a while, the others must not be moved to other
+//! owners.
 
 use std::{
     rc::Rc,
     time::{Duration, Instant},
 };
 
-use claims::{is_outgrown, plan_groups, GroupRow, VmStrength};
+use claims::{is_outgrown, plan_groups, GroupRow, VmCapacity};
 use jobs::{PoolId, WorkerRecord};
 use model::{DataCentreId, FastMap};
 use platform::RowVersion;
-use platform_adapter::{RowWrite, StoreTable, Transaction, TransactionEnd};
+use platform_adapter::{RowWrite, StoreTable, Transaction, TransactionOutcome};
 use telemetry::{EventKind, EventLine};
 
 use crate::{owner, state::NodeState};
 
-/// How long after its start a process waits for all workers to be listed before it writes a number.
-const FIRST_WAIT: Duration = Duration::from_millis(500);
+/// How long after its start a process waits for all workers to be listed before it writes a number of groups.
+const GROUPS_WRITE_DELAY: Duration = Duration::from_millis(500);
 
-/// How much longer it waits where it is not in the data centre itself.
-const FAR_WAIT: Duration = Duration::from_millis(2_500);
+/// How much longer a process waits for the workers of another data centre.
+const REMOTE_GROUPS_EXTRA_DELAY: Duration = Duration::from_millis(2_500);
 
-/// How long nothing must have been added before all count as listed: workers heartbeat each 1.5 s, so that of a few dozen
-/// that start at once one comes each 60 ms, and VMs start within 0.3 s of each other.
-const SETTLED_TIME: Duration = Duration::from_millis(700);
+/// How long the counts must stay unchanged before all workers and VMs count as listed. Workers send a heartbeat
+/// every 1.5 s, so that of a few dozen that start at once one appears every 60 ms, and VMs start within 0.3 s of
+/// each other.
+const COUNTS_SETTLED_TIME: Duration = Duration::from_millis(700);
 
-/// How long that is waited for. Without a number no pool has an owner.
-const LONGEST_SETTLING: Duration = Duration::from_millis(4_000);
+/// The longest time that a process waits for the counts to settle. Without a number of groups no pool has an owner.
+const MAX_SETTLING_TIME: Duration = Duration::from_millis(4_000);
 
-/// The time between two looks at whether a number is needed.
-const LOOK_BEAT: Duration = Duration::from_millis(250);
+/// The interval at which a process checks whether a number of groups has to be written.
+const GROUPS_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What a data centre's row is called, behind its name.
-const KEY_END: &str = "/groups";
+/// The suffix of the key of a data centre's row, after the data centre's name.
+const GROUPS_KEY_SUFFIX: &str = "/groups";
 
-/// The data centre of a row's key, if it is such a row's.
+/// Returns the data centre if the key is that of a row of groups.
 pub(crate) fn centre_of_key(key: &str) -> Option<DataCentreId> {
-    key.strip_suffix(KEY_END)?.parse().ok()
+    key.strip_suffix(GROUPS_KEY_SUFFIX)?.parse().ok()
 }
 
-/// Takes what the store says, and moves workers to the pools where they belong now.
-pub(crate) fn take_groups(
+/// Applies a data centre's row of groups and moves workers to the pools that they now belong to.
+pub(crate) fn apply_groups(
     state: &Rc<NodeState>,
     centre: DataCentreId,
     row: GroupRow,
@@ -60,29 +62,29 @@
         .number("former", former.map_or(0, |former| former.groups))
         .text("spread", row.spread.as_str());
     state.log(EventKind::Kept, line);
-    let workers = state.directory.borrow().of_centre(&centre);
-    let moved: Vec<_> = workers
+    let workers = state.directory.borrow().workers_of_centre(&centre);
+    let former_pools: Vec<_> = workers
         .iter()
         .map(|w| (state.directory.borrow().pool_of(w), w))
         .collect();
     if let Some(former) = former {
-        claim_anew(state, &centre, former.groups.max(row.groups), row, version);
+        release_regrouped_pools(state, &centre, former.groups.max(row.groups), row, version);
     }
-    expect_workers(state, &centre, row);
+    assume_workers(state, &centre, row);
     state.directory.borrow_mut().set_groups(centre, row);
-    for (pool, worker) in moved {
+    for (pool, worker) in former_pools {
         if let Some(pool) = pool {
-            owner::drop_worker(state, &pool, &worker.life);
+            owner::remove_worker(state, &pool, &worker.life);
         }
     }
     for worker in workers {
-        place_worker(state, worker);
+        assign_worker(state, worker);
     }
 }
 
-/// Takes for granted, until the list of workers is read, that each group has some: most processes do not read it before a pool
-/// falls to them.
-fn expect_workers(state: &Rc<NodeState>, centre: &DataCentreId, row: GroupRow) {
+/// Assumes that each group has workers until the list of workers is read. Most processes do not read the list
+/// before they have to take over a pool.
+fn assume_workers(state: &Rc<NodeState>, centre: &DataCentreId, row: GroupRow) {
     if state.directory.borrow().was_read() {
         return;
     }
@@ -93,19 +95,20 @@
     }
 }
 
-/// Lets go of a data centre's pools, to claim those anew that still have workers.
+/// Releases a data centre's pools, so that those that still have workers are claimed again.
 ///
-/// A worker that changes its pool turns away an owner whose fence is lower than what it has seen, and was then lost to both.
-/// Each claim that is made after the new number's row has a higher fence than all before it.
-fn claim_anew(
+/// A worker that changes its pool rejects an owner whose fencing token is lower than the highest that it has seen;
+/// neither the old nor the new pool could then use it. A claim made after the row of the new number has a higher
+/// fencing token than all claims before it.
+fn release_regrouped_pools(
     state: &Rc<NodeState>,
     centre: &DataCentreId,
-    pools: u32,
+    group_count: u32,
     row: GroupRow,
     version: RowVersion,
 ) {
-    state.directory.borrow_mut().note_divided(state.now());
-    for group in 0..pools {
+    state.directory.borrow_mut().record_regrouping(state.now());
+    for group in 0..group_count {
         let pool = PoolId {
             data_centre: centre.clone(),
             group,
@@ -116,8 +119,8 @@
             .get(&pool)
             .map(|owned| owned.pool.fence());
         if fence.is_some_and(|fence| fence.0 < version.0) {
-            state.keeper.borrow_mut().on_let_go(&pool);
-            owner::release(state, &pool, "divided_anew");
+            state.keeper.borrow_mut().on_released(&pool);
+            owner::release_pool(state, &pool, "divided_anew");
         }
         if group >= row.groups {
             state.keeper.borrow_mut().on_workers(&pool, false);
@@ -125,32 +128,32 @@
     }
 }
 
-/// Tells a worker to the pool that it belongs to.
-pub(crate) fn place_worker(state: &Rc<NodeState>, record: WorkerRecord) {
+/// Adds a worker to the pool that it belongs to.
+pub(crate) fn assign_worker(state: &Rc<NodeState>, record: WorkerRecord) {
     let Some(pool) = state.directory.borrow().pool_of(&record) else {
         return;
     };
     state.keeper.borrow_mut().on_workers(&pool, true);
-    owner::put_worker(state, &pool, record);
+    owner::upsert_worker(state, &pool, record);
 }
 
-/// Writes numbers that are missing or too small, for as long as the process runs.
-pub(crate) async fn keep_groups(state: Rc<NodeState>) {
+/// Writes numbers of groups that are missing or too small, for as long as the process runs.
+pub(crate) async fn maintain_groups(state: Rc<NodeState>) {
     let begun = state.now();
     let mut listed = ListedCounts::default();
     loop {
-        actix_rt::time::sleep(LOOK_BEAT).await;
+        actix_rt::time::sleep(GROUPS_CHECK_INTERVAL).await;
         let age = state.now().saturating_duration_since(begun);
         if !state.directory.borrow().is_current(state.now()) {
             continue;
         }
-        let counts = state.directory.borrow().counts();
+        let counts = state.directory.borrow().worker_counts();
         for (centre, workers) in counts {
             let near = centre == state.settings.data_centre;
             let wait = if near {
-                FIRST_WAIT
+                GROUPS_WRITE_DELAY
             } else {
-                FIRST_WAIT + FAR_WAIT
+                GROUPS_WRITE_DELAY + REMOTE_GROUPS_EXTRA_DELAY
             };
             if age < wait || state.leaving.get() {
                 continue;
@@ -160,7 +163,7 @@
                 .borrow()
                 .groups(&centre)
                 .map(|row| row.groups);
-            let vms = state.keeper.borrow().strengths(&centre);
+            let vms = state.keeper.borrow().vm_capacities(&centre);
             if groups.is_none() && !listed.have_settled(state.now(), &centre, workers, vms.len()) {
                 continue;
             }
@@ -171,21 +174,21 @@
     }
 }
 
-/// What is listed of a data centre, and since when.
+/// The numbers of workers and VMs listed for a data centre, and since when.
 struct ListedCount {
     workers: usize,
     vms: usize,
-    first: Instant,
-    since: Instant,
+    first_seen: Instant,
+    unchanged_since: Instant,
 }
 
-/// What is listed of each data centre.
+/// The numbers of workers and VMs listed for each data centre.
 #[derive(Default)]
 struct ListedCounts(FastMap<DataCentreId, ListedCount>);
 
 impl ListedCounts {
-    /// Whether all workers and VMs of a data centre seem to be listed. When a fleet starts they come one after another,
-    /// and a number that was made from the first of them would be far too small.
+    /// Returns whether all workers and VMs of a data centre seem to be listed. When a fleet starts they appear one
+    /// after another, and a number of groups computed from the first of them would be far too small.
     fn have_settled(
         &mut self,
         now: Instant,
@@ -196,18 +199,19 @@
         let count = self.0.entry(centre.clone()).or_insert(ListedCount {
             workers,
             vms,
-            first: now,
-            since: now,
+            first_seen: now,
+            unchanged_since: now,
         });
         if (count.workers, count.vms) != (workers, vms) {
-            (count.workers, count.vms, count.since) = (workers, vms, now);
+            (count.workers, count.vms, count.unchanged_since) = (workers, vms, now);
         }
-        now >= count.since + SETTLED_TIME || now >= count.first + LONGEST_SETTLING
+        now >= count.unchanged_since + COUNTS_SETTLED_TIME
+            || now >= count.first_seen + MAX_SETTLING_TIME
     }
 }
 
-/// The number that a data centre should have, if it is not what it has.
-fn wanted_groups(workers: usize, vms: &[VmStrength], groups: Option<u32>) -> Option<u32> {
+/// Returns the number of groups that a data centre should have, if it differs from the current one.
+fn wanted_groups(workers: usize, vms: &[VmCapacity], groups: Option<u32>) -> Option<u32> {
     let planned = plan_groups(workers, vms);
     match groups {
         None => Some(planned),
@@ -216,15 +220,15 @@
 }
 
 async fn write_groups(state: &Rc<NodeState>, centre: &DataCentreId, groups: u32) {
-    let key = format!("{centre}{KEY_END}");
+    let key = format!("{centre}{GROUPS_KEY_SUFFIX}");
     let known = state
         .group_versions
         .borrow()
         .get(centre)
         .copied()
         .unwrap_or_default();
-    let workers = state.directory.borrow().of_centre(centre);
-    let row = GroupRow::even(groups, workers.iter().map(|w| (&w.life, w.address)));
+    let workers = state.directory.borrow().workers_of_centre(centre);
+    let row = GroupRow::balanced(groups, workers.iter().map(|w| (&w.life, w.address)));
     let Ok(value) = serde_json::to_vec(&row) else {
         return;
     };
@@ -235,12 +239,14 @@
         expected: Some(RowVersion(known)),
     };
     let transaction = Transaction::of(write);
-    // Whoever loses the race, or whose answer is lost, hears the number by the feed.
-    if let Ok(TransactionEnd::Done { version, .. }) = state.store.transact(&transaction).await {
+    // A process that loses the race or whose answer is lost reads the number from the feed.
+    if let Ok(TransactionOutcome::Committed { version, .. }) =
+        state.store.transact(&transaction).await
+    {
         state
             .group_versions
             .borrow_mut()
             .insert(centre.clone(), version.0);
-        take_groups(state, centre.clone(), row, version);
+        apply_groups(state, centre.clone(), row, version);
     }
 }
--- /dev/null
+++ b/crates/node/src/kept_jobs/maintenance.rs
@@ -0,0 +1,200 @@
+//! The periodic work for pools with kept jobs: reading their rows, confirming that the owner's claim still stands,
+//! and publishing how many jobs have not begun.
+
+use std::{
+    rc::Rc,
+    sync::Arc,
+    time::{Duration, Instant},
+};
+
+use jobs::{FenceToken, PoolId};
+use model::FastMap;
+use platform_adapter::{RowWrite, StoreError, StoreTable, Transaction};
+use telemetry::{EventKind, EventLine};
+
+use super::{decode_row, part_name, PART_COUNT, STORE_RETRY_BACKOFF};
+use crate::{
+    feeds::{log_unreadable_row, stored_row},
+    owner::with_fenced_pool,
+    state::NodeState,
+};
+
+/// The interval at which an owner checks that its claim still stands while its pool has kept jobs. Three checks fit
+/// into the time for which an owner continues without confirmation.
+const CLAIM_CHECK_INTERVAL: Duration = Duration::from_millis(300);
+
+/// The interval between two reads of a pool's jobs. Repeated reads find jobs whose write took effect seconds late.
+const JOBS_READ_INTERVAL: Duration = Duration::from_secs(5);
+
+/// The shortest time between two writes of the number of a pool's jobs that have not begun. The published number
+/// may be 2 s old.
+const PENDING_PUBLISH_INTERVAL: Duration = Duration::from_millis(700);
+
+/// Does the periodic work for the kept jobs of owned pools for as long as the process runs.
+pub(crate) async fn maintain_pools(state: Rc<NodeState>) {
+    let mut pools: FastMap<PoolId, MaintenanceTimes> = FastMap::default();
+    loop {
+        actix_rt::time::sleep(MAINTENANCE_INTERVAL).await;
+        let owned: Vec<PoolId> = state.pools.borrow().keys().cloned().collect();
+        pools.retain(|pool, _| owned.contains(pool));
+        for pool in owned {
+            let times = pools.entry(pool.clone()).or_default();
+            maintain_pool(&state, &pool, times);
+        }
+    }
+}
+
+/// The interval at which the node checks which work is due.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(20);
+
+/// The number of jobs of each route that have not begun.
+type PendingCounts = Vec<(Arc<str>, u64)>;
+
+/// When each kind of periodic work was last done for a pool, under its current claim.
+#[derive(Default)]
+struct MaintenanceTimes {
+    fence: FenceToken,
+    last_read: Option<Instant>,
+    last_claim_check: Option<Instant>,
+    last_published: Option<(Instant, PendingCounts)>,
+}
+
+fn maintain_pool(state: &Rc<NodeState>, id: &PoolId, times: &mut MaintenanceTimes) {
+    let now = state.now();
+    let (fence, wants_rows, has_kept, knows_rows, pending) = {
+        let pools = state.pools.borrow();
+        let Some(owned) = pools.get(id) else {
+            return;
+        };
+        let pool = &owned.pool;
+        (
+            pool.fence(),
+            pool.needs_kept_load(),
+            pool.has_kept(),
+            pool.has_loaded_kept(),
+            pool.pending_jobs(),
+        )
+    };
+    if times.fence != fence {
+        *times = MaintenanceTimes {
+            fence,
+            ..MaintenanceTimes::default()
+        };
+    }
+    let due = |last: Option<Instant>, interval| last.is_none_or(|at| now >= at + interval);
+    let periodic = state.has_kept_jobs.get() && due(times.last_read, JOBS_READ_INTERVAL);
+    if periodic || (wants_rows && due(times.last_read, STORE_RETRY_BACKOFF)) {
+        times.last_read = Some(now);
+        actix_rt::spawn(read_jobs(state.clone(), id.clone(), fence));
+    }
+    if has_kept && due(times.last_claim_check, CLAIM_CHECK_INTERVAL) {
+        times.last_claim_check = Some(now);
+        actix_rt::spawn(confirm_claim(state.clone(), id.clone(), fence));
+    }
+    let known = times.last_published.as_ref();
+    // A former owner's published numbers stay until this owner has read the jobs and knows better ones.
+    let changed = known.map_or(state.has_kept_jobs.get(), |(_, known)| *known != pending);
+    if knows_rows && changed && due(known.map(|(at, _)| *at), PENDING_PUBLISH_INTERVAL) {
+        times.last_published = Some((now, pending.clone()));
+        actix_rt::spawn(publish_pending(state.clone(), id.clone(), pending));
+    }
+}
+
+async fn read_jobs(state: Rc<NodeState>, id: PoolId, fence: FenceToken) {
+    let reads = (0..PART_COUNT).map(|part| {
+        let state = state.clone();
+        async move {
+            state
+                .store
+                .read_all(StoreTable::Jobs, &part_name(part))
+                .await
+        }
+    });
+    let home = id.to_string();
+    let mut found = Vec::new();
+    for read in futures::future::join_all(reads).await {
+        let page = match read {
+            Ok(page) => page,
+            Err(error) => {
+                let line = EventLine::new("jobs_not_read")
+                    .text("pool", &id)
+                    .text("error", error);
+                state.log(EventKind::Kept, line);
+                return;
+            }
+        };
+        for change in page.changes {
+            let Some(row) = stored_row(&state, change) else {
+                continue;
+            };
+            state.has_kept_jobs.set(true);
+            found.extend(decode_row(&state, &row).filter(|found| *found.row.home == *home));
+        }
+    }
+    with_fenced_pool(&state, &id, fence, |pool, now| pool.load_kept(now, found));
+}
+
+async fn confirm_claim(state: Rc<NodeState>, id: PoolId, fence: FenceToken) {
+    let sent = state.now();
+    let key = id.to_string();
+    let read = state.store.get(StoreTable::Claims, "", &key);
+    let row = match read.await {
+        Ok(Some(row)) => row,
+        Ok(None) => return,
+        Err(error) => {
+            // If the claim stays unconfirmed for too long, the pool stops its kept jobs by itself.
+            let line = EventLine::new("claim_not_read")
+                .text("pool", &id)
+                .text("error", error);
+            return state.log(EventKind::Kept, line);
+        }
+    };
+    if row.version.0 == fence.0 {
+        with_fenced_pool(&state, &id, fence, |pool, _| pool.note_store_contact(sent));
+    }
+}
+
+async fn publish_pending(state: Rc<NodeState>, id: PoolId, pending: PendingCounts) {
+    let Ok(value) = serde_json::to_vec(&pending) else {
+        let line = EventLine::new("pending_not_encoded").text("pool", &id);
+        return state.log(EventKind::Kept, line);
+    };
+    let write = RowWrite {
+        table: StoreTable::PendingJobs,
+        key: id.to_string(),
+        value,
+        expected: None,
+    };
+    if let Err(error) = state.store.transact(&Transaction::of(write)).await {
+        // The next change overwrites the row.
+        let line = EventLine::new("pending_not_published")
+            .text("pool", &id)
+            .text("error", error);
+        state.log(EventKind::Kept, line);
+    }
+}
+
+/// Returns how many kept jobs of a route have not begun, as published by the owners of all pools.
+///
+/// # Errors
+///
+/// The store did not answer.
+pub(crate) async fn count_pending(state: &NodeState, route: &str) -> Result<u64, StoreError> {
+    let page = state.store.read_all(StoreTable::PendingJobs, "").await?;
+    let mut sum = 0;
+    for change in page.changes {
+        let Some(row) = stored_row(state, change) else {
+            continue;
+        };
+        let counts = match serde_json::from_slice::<Vec<(String, u64)>>(&row.value) {
+            Ok(counts) => counts,
+            Err(error) => {
+                log_unreadable_row(state, &row, &error);
+                continue;
+            }
+        };
+        let of_route = counts.iter().filter(|(name, _)| name == route);
+        sum += of_route.map(|(_, count)| count).sum::<u64>();
+    }
+    Ok(sum)
+}
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,21 +1,21 @@
-//! The process that runs on the users' platform: it takes customers' jobs, hands each to the owner of a pool of
+//! The process that runs on the users' platform: it accepts customers' jobs, submits each to the owner of a pool of
 //! workers, and owns pools itself.
 //!
-//! Every VM runs one, and all are equal. All its state is on one thread: its machine has a quarter of a core, where a
-//! second thread would only add wake-ups. What decides is in `pool` and `claims`, which do no I/O; this crate moves
-//! their inputs and outputs.
+//! Every VM runs one such process, and all are equal. All state of a process is on one thread: its machine has a
+//! quarter of a core, where a second thread would only add wake-ups. The decisions are made in `pool` and `claims`,
+//! which do no I/O; this crate carries their inputs and outputs.
 
 mod connections;
+mod customer_server;
 mod directory;
 mod entry;
 mod error;
+mod event_lines;
 mod feeds;
-mod front;
 mod groups;
-mod keeping;
-mod listing;
+mod kept_jobs;
+mod list_schedule;
 mod metrics;
-mod notes;
 mod operator;
 mod owner;
 mod peers;
@@ -27,6 +27,6 @@
 
 pub use crate::{
     error::NodeError,
-    metrics::{counter_families, TIMES},
+    metrics::{counter_families, TIME_FAMILIES},
     process::{run, start, NodeProcess},
 };
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -1,4 +1,4 @@
-//! Heartbeats, and connections to the owners of pools.
+//! Sends and receives heartbeats, and keeps connections to the owners of pools.
 
 use std::{
     cell::{Cell, RefCell},
@@ -7,7 +7,7 @@
     time::{Duration, Instant},
 };
 
-use claims::{BeatPace, Heartbeat, NodeId, PoolNews};
+use claims::{Heartbeat, HeartbeatClass, NodeId, PoolNews};
 use model::FastMap;
 use peer::{connect_pool, decode_heartbeat, encode_heartbeat, PeerError, PoolLink};
 use telemetry::{EventKind, EventLine, TrafficKind};
@@ -15,21 +15,22 @@
 
 use crate::state::NodeState;
 
-/// The largest heartbeat that is read, in bytes.
-const LARGEST_BEAT: usize = 8 * 1024;
+/// The largest heartbeat that can be received, in bytes.
+const MAX_HEARTBEAT_BYTES: usize = 8 * 1024;
 
-/// The pause after a socket error, which comes from a port without a listener or a lack of descriptors.
-const SOCKET_PAUSE: Duration = Duration::from_millis(20);
+/// The pause after a socket error. Such errors come from ports without a listener or from a lack of file
+/// descriptors.
+const SOCKET_ERROR_BACKOFF: Duration = Duration::from_millis(20);
 
 /// An open connection to the owner of a pool.
 pub(crate) struct OwnerLink {
     node: NodeId,
     pub(crate) link: PoolLink,
-    /// Woken when the connection breaks or its node is not heard any more.
+    /// Notified when the connection breaks or its node goes silent.
     pub(crate) lost: Rc<Notify>,
 }
 
-/// Open connections by address.
+/// Connections to owners by address.
 #[derive(Default)]
 pub(crate) struct OwnerLinks {
     open: RefCell<FastMap<SocketAddr, Rc<OwnerLink>>>,
@@ -41,8 +42,8 @@
         self.open.borrow().get(&address).cloned()
     }
 
-    /// Closes the connection to a node that is not heard any more.
-    pub(crate) fn lose(&self, node: &NodeId) {
+    /// Closes the connection to a node that has gone silent.
+    pub(crate) fn close(&self, node: &NodeId) {
         let mut open = self.open.borrow_mut();
         let lost: Vec<SocketAddr> = open
             .iter()
@@ -57,7 +58,7 @@
     }
 }
 
-/// Opens connections to owners that are alive and not connected, so that a job never waits for one.
+/// Opens connections to owners that are alive and not connected, so that a job never has to wait for a connection.
 pub(crate) fn connect_owners(state: &Rc<NodeState>) {
     let now = state.now();
     let keeper = state.keeper.borrow();
@@ -81,7 +82,7 @@
 
 async fn connect(state: Rc<NodeState>, node: NodeId, address: SocketAddr) {
     let lost = Rc::new(Notify::new());
-    let closed = {
+    let on_closed = {
         let (state, lost, node) = (state.clone(), lost.clone(), node.clone());
         move || {
             state.links.open.borrow_mut().remove(&address);
@@ -90,7 +91,7 @@
             state.log(EventKind::Kept, line);
         }
     };
-    let opened = connect_pool(address, state.traffic.clone(), closed).await;
+    let opened = connect_pool(address, state.traffic.clone(), on_closed).await;
     state.links.connecting.borrow_mut().remove(&address);
     match opened {
         Ok(link) => {
@@ -111,45 +112,45 @@
     }
 }
 
-/// Sends heartbeats, each as often as its receiver's distance asks.
-pub(crate) struct BeatSender {
+/// Sends heartbeats, at a pace that depends on the receiver's distance.
+pub(crate) struct HeartbeatSender {
     socket: Rc<UdpSocket>,
-    /// When those of each pace were last told.
-    told: Cell<[Option<Instant>; BeatPace::ALL.len()]>,
+    /// When heartbeats of each pace were last sent.
+    last_sent: Cell<[Option<Instant>; HeartbeatClass::ALL.len()]>,
 }
 
-impl BeatSender {
+impl HeartbeatSender {
     pub(crate) fn new(socket: Rc<UdpSocket>) -> Self {
         Self {
             socket,
-            told: Cell::default(),
+            last_sent: Cell::default(),
         }
     }
 
     pub(crate) fn tick(&self, state: &NodeState) {
         let now = state.now();
-        let mut told = self.told.get();
-        let mut due = [false; BeatPace::ALL.len()];
-        for pace in BeatPace::ALL {
-            let place = pace as usize;
-            let beat = state.keeper.borrow().beat(pace);
-            due[place] = told[place].is_none_or(|at| now >= at + beat);
-            if due[place] {
-                told[place] = Some(now);
+        let mut last_sent = self.last_sent.get();
+        let mut due = [false; HeartbeatClass::ALL.len()];
+        for pace in HeartbeatClass::ALL {
+            let index = pace as usize;
+            let interval = state.keeper.borrow().heartbeat_interval(pace);
+            due[index] = last_sent[index].is_none_or(|at| now >= at + interval);
+            if due[index] {
+                last_sent[index] = Some(now);
             }
         }
-        self.told.set(told);
+        self.last_sent.set(last_sent);
         if due.contains(&true) {
             self.send(state, due);
         }
     }
 
-    fn send(&self, state: &NodeState, due: [bool; BeatPace::ALL.len()]) {
+    fn send(&self, state: &NodeState, due: [bool; HeartbeatClass::ALL.len()]) {
         let bytes = encode_heartbeat(&heartbeat(state));
         let keeper = state.keeper.borrow();
         for (member, pace) in keeper.peers() {
             if due[pace as usize] {
-                // A heartbeat that cannot be sent is one that is lost; the next one follows.
+                // A heartbeat that cannot be sent counts as lost; the next one follows.
                 let _lost = self.socket.try_send_to(&bytes, member.address);
                 state.traffic.call(TrafficKind::Heartbeats);
                 state.traffic.send(TrafficKind::Heartbeats, bytes.len());
@@ -167,38 +168,38 @@
         fence: owned.pool.fence(),
         load: owned.pool.load(now),
         yielding: !owned.pool.is_accepting(),
-        held: if state.hands_over(id) {
+        held: if state.is_handing_over(id) {
             owned.pool.worker_lives()
         } else {
             Vec::new()
         },
     });
     Heartbeat {
-        node: keeper.me().node.clone(),
-        incarnation: keeper.me().incarnation,
-        data_centre: keeper.me().data_centre.clone(),
-        cores: keeper.me().cores,
-        link: keeper.me().link,
+        node: keeper.own_row().node.clone(),
+        incarnation: keeper.own_row().incarnation,
+        data_centre: keeper.own_row().data_centre.clone(),
+        cores: keeper.own_row().cores,
+        link: keeper.own_row().link,
         leaving: state.leaving.get(),
-        reading: state.directory.borrow().reading(now),
+        reading: state.directory.borrow().recent_read(now),
         hears: keeper.heard_owners(now),
         pools: news.collect(),
     }
 }
 
-/// Takes heartbeats for as long as the process runs.
-pub(crate) async fn hear(state: Rc<NodeState>, socket: Rc<UdpSocket>) {
-    let mut buffer = vec![0; LARGEST_BEAT];
+/// Receives heartbeats for as long as the process runs.
+pub(crate) async fn receive_heartbeats(state: Rc<NodeState>, socket: Rc<UdpSocket>) {
+    let mut buffer = vec![0; MAX_HEARTBEAT_BYTES];
     loop {
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
-            actix_rt::time::sleep(SOCKET_PAUSE).await;
+            actix_rt::time::sleep(SOCKET_ERROR_BACKOFF).await;
             continue;
         };
         state.traffic.receive(TrafficKind::Heartbeats, length);
         match decode_heartbeat(&buffer[..length]) {
-            Ok(beat) => {
+            Ok(heartbeat) => {
                 let now = state.now();
-                state.keeper.borrow_mut().on_heartbeat(now, beat, from);
+                state.keeper.borrow_mut().on_heartbeat(now, heartbeat, from);
             }
             Err(error) => {
                 let line = EventLine::new("heartbeat_unreadable").text("error", error);
--- a/crates/node/src/workers.rs
+++ b/crates/node/src/workers.rs
@@ -1,10 +1,11 @@
-//! Entries of the workers' directory, and which of them name a worker to use.
+//! Decides which entries of the workers' directory name a usable worker.
 //!
-//! Other writers may put anything into the directory: entries that lack fields or hold other types, that name a state or
-//! a service that nobody knows, or an address of the system itself. A call to what such an entry names may reach
-//! whatever listens there, and a run would start where no queue sends it. So only an entry that is whole and names a
-//! service of the configuration names a worker; a known worker whose entry becomes another gets nothing new until its
-//! own next heartbeat mends it. The others are not touched.
+//! Other writers may put anything into the directory: entries that lack fields or have fields of the wrong type,
+//! and entries that name an unknown state, an unknown service or an address of the system itself. A call to such an
+//! address could reach any server that listens there, and a run would start where no queue sends it. An entry
+//! therefore names a usable worker only if it is complete and its service is in the configuration. A known worker
+//! whose entry becomes unusable gets nothing new until its own next heartbeat corrects the entry. Unusable entries
+//! are not changed in the store, and other workers are not affected.
 
 use std::rc::Rc;
 
@@ -14,21 +15,21 @@
 use telemetry::{EventKind, EventLine};
 use thiserror::Error;
 
-use crate::{directory::UnusedEntry, groups, owner, state::NodeState};
+use crate::{directory::UnusableEntry, groups, owner, state::NodeState};
 
-/// Why an entry names no worker to use.
+/// Why an entry does not name a usable worker.
 #[derive(Debug, Error)]
 enum EntryFault {
-    #[error("not a whole entry: {0}")]
+    #[error("incomplete or malformed entry: {0}")]
     Unreadable(String),
-    #[error("no such service in the configuration: {0}")]
+    #[error("service {0} is not in the configuration")]
     UnknownService(ServiceId),
-    #[error("an address of the system itself")]
+    #[error("the address belongs to the system itself")]
     SystemAddress,
 }
 
-/// Takes what the directory says.
-pub(crate) fn take_page(state: &Rc<NodeState>, page: FeedPage, whole: bool) {
+/// Applies changes of the workers' directory.
+pub(crate) fn apply_page(state: &Rc<NodeState>, page: FeedPage, is_snapshot: bool) {
     let mut seen: FastSet<LifeId> = FastSet::default();
     let mut removed = Vec::new();
     for change in page.changes {
@@ -36,114 +37,116 @@
         match change {
             RowChange::Put(row) => {
                 seen.insert(life.clone());
-                take_entry(state, life, &row);
+                apply_entry(state, life, &row);
             }
             RowChange::Unreadable { reason, .. } => {
                 seen.insert(life.clone());
-                set_aside(state, life, None, &EntryFault::Unreadable(reason));
+                reject_entry(state, life, None, &EntryFault::Unreadable(reason));
             }
             RowChange::Removed { .. } => removed.push(life),
         }
     }
-    if whole {
+    if is_snapshot {
         removed.extend(state.directory.borrow().missing_from(&seen));
-        forget_expected(state);
+        clear_assumed_workers(state);
     }
     for life in removed {
         let gone = state.directory.borrow_mut().remove(state.now(), &life);
         if let Some(record) = gone {
-            drop_worker(state, &record);
+            remove_worker(state, &record);
         }
     }
 }
 
-/// Pools that were taken to have workers before any were known have none if none are listed.
-fn forget_expected(state: &Rc<NodeState>) {
+/// Clears the assumption that pools have workers for those pools that have none listed. The assumption holds only
+/// until the directory is read.
+fn clear_assumed_workers(state: &Rc<NodeState>) {
     let pools = state.keeper.borrow().pools();
     for pool in pools {
-        let any = state.directory.borrow().has_pool(&pool);
-        state.keeper.borrow_mut().on_workers(&pool, any);
+        let has_workers = state.directory.borrow().pool_has_workers(&pool);
+        state.keeper.borrow_mut().on_workers(&pool, has_workers);
     }
 }
 
-/// Looks again at which entries name a worker, after the configuration has changed.
-pub(crate) fn sort_again(state: &Rc<NodeState>) {
-    let unused = state.directory.borrow().unused_records();
+/// Classifies entries again after the configuration has changed.
+pub(crate) fn reclassify_entries(state: &Rc<NodeState>) {
+    let unused = state.directory.borrow().unusable_records();
     for record in unused {
-        sort(state, record);
+        classify_entry(state, record);
     }
     let used = state.directory.borrow().records();
     for record in used {
         if find_fault(state, &record).is_some() {
-            sort(state, record);
+            classify_entry(state, record);
         }
     }
 }
 
-/// Tells that a worker is gone for good.
-pub(crate) fn drop_worker(state: &Rc<NodeState>, record: &WorkerRecord) {
+/// Removes a worker that is gone for good from its pool.
+pub(crate) fn remove_worker(state: &Rc<NodeState>, record: &WorkerRecord) {
     let Some(pool) = state.directory.borrow().pool_of(record) else {
         return;
     };
-    let any = state.directory.borrow().has_pool(&pool);
-    state.keeper.borrow_mut().on_workers(&pool, any);
-    owner::drop_worker(state, &pool, &record.life);
+    let has_workers = state.directory.borrow().pool_has_workers(&pool);
+    state.keeper.borrow_mut().on_workers(&pool, has_workers);
+    owner::remove_worker(state, &pool, &record.life);
 }
 
-fn take_entry(state: &Rc<NodeState>, life: LifeId, row: &StoredRow) {
+fn apply_entry(state: &Rc<NodeState>, life: LifeId, row: &StoredRow) {
     match decode_worker(&row.key, &row.value) {
-        Ok(record) => sort(state, record),
+        Ok(record) => classify_entry(state, record),
         Err(error) => {
             let fault = EntryFault::Unreadable(error.to_string());
-            set_aside(state, life, None, &fault);
+            reject_entry(state, life, None, &fault);
         }
     }
 }
 
-fn sort(state: &Rc<NodeState>, record: WorkerRecord) {
+fn classify_entry(state: &Rc<NodeState>, record: WorkerRecord) {
     if let Some(fault) = find_fault(state, &record) {
-        set_aside(state, record.life.clone(), Some(record), &fault);
+        reject_entry(state, record.life.clone(), Some(record), &fault);
         return;
     }
-    state.directory.borrow_mut().put(record.clone());
-    groups::place_worker(state, record);
+    state.directory.borrow_mut().upsert(record.clone());
+    groups::assign_worker(state, record);
 }
 
 fn find_fault(state: &NodeState, record: &WorkerRecord) -> Option<EntryFault> {
     if state.system_addresses.contains(&record.address) {
         return Some(EntryFault::SystemAddress);
     }
-    let table = state.table.borrow();
+    let table = state.route_table.borrow();
     let known = table
         .as_ref()
-        .map(|table| table.names_service(&record.service));
-    // Before there is a configuration no entry names a worker, and none is wrong.
+        .map(|table| table.references_service(&record.service));
+    // Without a configuration no entry names a usable worker, and none is reported as faulty.
     (known != Some(true)).then(|| EntryFault::UnknownService(record.service.clone()))
 }
 
-/// Keeps an entry for later. `record` is what it holds, if it may name a worker under another configuration.
-fn set_aside(
+/// Marks an entry as unusable and logs why. `record` is the entry's content, if it may name a usable worker under
+/// another configuration.
+fn reject_entry(
     state: &Rc<NodeState>,
     life: LifeId,
     record: Option<WorkerRecord>,
     fault: &EntryFault,
 ) {
-    let early = state.table.borrow().is_none();
-    let unused = UnusedEntry {
+    let unconfigured = state.route_table.borrow().is_none();
+    let entry = UnusableEntry {
         record,
-        noted: !early,
+        logged: !unconfigured,
     };
     let mut directory = state.directory.borrow_mut();
-    let noted = directory.is_noted(&life);
-    let former = directory.set_aside(life.clone(), unused);
+    let logged = directory.is_logged(&life);
+    let former = directory.mark_unusable(life.clone(), entry);
     drop(directory);
-    if !noted && !early {
+    if !logged && !unconfigured {
         let line = EventLine::new("worker_unusable")
             .text("worker", &life)
             .text("why", fault);
         state.log(EventKind::Kept, line);
     }
     if let Some(former) = former {
-        drop_worker(state, &former);
+        remove_worker(state, &former);
     }
 }
--- a/crates/node/tests/metrics_page.rs
+++ b/crates/node/tests/metrics_page.rs
@@ -1,11 +1,11 @@
-//! The page of a node's metrics and the code say the same.
+//! The documentation of a node's metrics matches the code.
 
 use std::fmt::Write as _;
 
-use node::{counter_families, TIMES};
+use node::{counter_families, TIME_FAMILIES};
 
 #[test]
-fn page_and_code_say_the_same() {
+fn metrics_page_matches_code() {
     let page = include_str!("../../../docs/METRICS-NODE.md");
     let mut counters = String::new();
     for family in counter_families() {
@@ -14,7 +14,7 @@
         writeln!(counters, "| `{name}` | {label} | {values} | {meaning} |").unwrap();
     }
     let mut times = String::new();
-    for family in TIMES {
+    for family in TIME_FAMILIES {
         writeln!(times, "| `{}` | {} |", family.name, family.meaning).unwrap();
     }
     assert!(page.contains(&counters), "the page should have\n{counters}");
--- a/crates/pool/benches/admission.rs
+++ b/crates/pool/benches/admission.rs
@@ -1,4 +1,4 @@
-//! What it costs an owner to say what it could take of a job, by the number of jobs that wait.
+//! The cost of computing an offer, which is how much of a job a pool could take, by the number of waiting jobs.
 
 use std::{
     hint::black_box,
@@ -11,7 +11,7 @@
     CpuMillis, FenceToken, JobId, JobRequest, JobTerms, LifeId, MemoryMegabytes, ResourceDemand,
     ServiceId, StepSpec, WorkerClock, WorkerListing, WorkerRecord, WorkerState,
 };
-use pool::{PoolAction, PoolSettings, PoolStart, WaiterId, WorkerPool};
+use pool::{PoolAction, PoolInit, PoolSettings, WaiterId, WorkerPool};
 
 const WORKERS: usize = 60;
 const WAITING: [u64; 3] = [0, 20, 60];
@@ -56,7 +56,7 @@
     }
 }
 
-/// `firm` jobs are taken although they are late, so that they wait.
+/// `firm` jobs are admitted even if they will be late, so that they wait.
 fn terms(firm: bool) -> JobTerms {
     JobTerms {
         service: ServiceId::from(SERVICE),
@@ -71,10 +71,10 @@
     }
 }
 
-/// A pool with all places taken and so many jobs that wait.
+/// A pool whose room is all taken, with `waiting` jobs waiting.
 fn busy_pool(now: Instant, waiting: u64) -> WorkerPool {
-    let start = PoolStart {
-        home: Arc::from("east/0"),
+    let start = PoolInit {
+        name: Arc::from("east/0"),
         fence: FenceToken(1),
         platform_millis: 1,
         far_factor: 2.0,
@@ -83,19 +83,19 @@
     };
     let mut pool = WorkerPool::new(start, now);
     for number in 0..WORKERS {
-        pool.put_worker(now, record(number));
+        pool.upsert_worker(now, record(number));
     }
     for action in pool.take_actions() {
-        if let PoolAction::Look(order) = action {
+        if let PoolAction::Poll(order) = action {
             let listing = WorkerListing {
                 clock: WorkerClock(1_000),
                 ..WorkerListing::default()
             };
-            pool.on_look_answer(now, now, &order, Ok(listing));
+            pool.on_poll_answer(now, now, &order, Ok(listing));
         }
     }
-    let places = 20 + waiting;
-    for id in 0..places {
+    let job_count = 20 + waiting;
+    for id in 0..job_count {
         let request = Arc::new(job(id, 8, 300));
         pool.submit(now, WaiterId(id), request, terms(true));
     }
--- a/crates/pool/src/placement.rs
+++ b/crates/pool/src/placement.rs
@@ -1,133 +1,141 @@
-//! On which worker a task runs.
+//! Chooses the worker on which a task runs.
 //!
-//! Load it is made for: workers of unequal speed and size, some of which have turned slow, at loads at which most
-//! places are taken. Harm prevented: a short task on a worker that is several times slower is late for certain, and
-//! since a job ends with its last task, one such worker among sixteen makes most wide jobs late.
+//! It is made for workers of unequal speed and size, some of which have turned slow, at loads that take up most of the room. A
+//! short task on a worker that is several times slower is certain to be late. Since a job ends with its last task, one such
+//! worker among sixteen makes most wide jobs late.
 
 use std::time::{Duration, Instant};
 
 use jobs::{JobId, LifeId, StepSpec};
 
-use crate::worker::WorkerLedger;
+use crate::worker::TrackedWorker;
 
-/// From this many times the median slowness of its pool on a worker is used only by one run at a time, to see whether it
-/// has recovered. Sound workers differ by 1.6 from slowest to fastest; estimates add as much again for single jobs, which
-/// the mean evens out. Against the pool, since estimates that are far too low make all workers look slow at once.
-const SLUGGISH: f64 = 2.2;
+/// A worker above this multiple of its pool's median slowness gets only one run at a time, to see whether it has recovered.
+/// Healthy workers differ by a factor of 1.6 from slowest to fastest. Estimates add as much again for single jobs, which the
+/// mean evens out. The bound is relative to the pool because estimates that are far too low make all workers look slow at once.
+const SLUGGISH_FACTOR: f64 = 2.2;
 
-/// How long a sluggish worker is left alone between two such runs.
-const SLUGGISH_PAUSE: Duration = Duration::from_millis(700);
+/// The pause between two such runs on a sluggish worker.
+const SLUGGISH_TRIAL_PAUSE: Duration = Duration::from_millis(700);
 
-/// What is to be placed.
-pub(crate) struct PlacementAsk<'a> {
+/// A task to place.
+pub(crate) struct PlacementRequest<'a> {
     pub(crate) job: JobId,
     pub(crate) step: u32,
     pub(crate) spec: &'a StepSpec,
     pub(crate) service: &'a jobs::ServiceId,
-    /// Workers on which it failed before.
+    /// The workers on which the task failed before.
     pub(crate) failed_on: &'a [LifeId],
-    /// How many times as long it takes away from its data.
+    /// The factor by which the task takes longer outside the rack of its data.
     pub(crate) far_factor: f64,
     /// The median slowness of the pool's workers.
     pub(crate) median_slowness: f64,
-    /// Whether nothing may run beside it: workers died under it.
-    pub(crate) alone: bool,
-    /// Workers that are being emptied for such tasks.
-    pub(crate) cleared: &'a [LifeId],
+    /// Whether no other run may share the worker, because workers died under the task.
+    pub(crate) exclusive: bool,
+    /// Workers that are being emptied for exclusive tasks.
+    pub(crate) reserved: &'a [LifeId],
 }
 
-/// Whether a worker can ever hold the task.
-pub(crate) fn can_hold(worker: &WorkerLedger, ask: &PlacementAsk<'_>) -> bool {
-    let label = ask.spec.required_label.as_ref();
-    worker.record.service == *ask.service
-        && worker.record.room.holds(&ask.spec.demand)
+/// Whether a worker can ever hold the task, whatever runs on it now.
+pub(crate) fn can_hold(worker: &TrackedWorker, request: &PlacementRequest<'_>) -> bool {
+    let label = request.spec.required_label.as_ref();
+    worker.record.service == *request.service
+        && worker.record.room.holds(&request.spec.demand)
         && label.is_none_or(|label| worker.record.labels.contains(label))
 }
 
-/// The best worker for a task, if one is free.
+/// The best worker for a task. None if no worker may take it now.
 pub(crate) fn choose_worker<'a>(
-    workers: impl Iterator<Item = &'a WorkerLedger>,
-    ask: &PlacementAsk<'_>,
+    workers: impl Iterator<Item = &'a TrackedWorker>,
+    request: &PlacementRequest<'_>,
     now: Instant,
-) -> Option<&'a WorkerLedger> {
-    let mut best: Option<(PlacementScore, &WorkerLedger)> = None;
+) -> Option<&'a TrackedWorker> {
+    let mut best: Option<(PlacementScore, &TrackedWorker)> = None;
     for worker in workers {
-        if !may_place(worker, ask, now) {
+        if !may_place(worker, request, now) {
             continue;
         }
-        let score = PlacementScore::of(worker, ask);
-        if best.as_ref().is_none_or(|(best, _)| score.is_below(best)) {
+        let score = PlacementScore::of(worker, request);
+        if best
+            .as_ref()
+            .is_none_or(|(best, _)| score.is_better_than(best))
+        {
             best = Some((score, worker));
         }
     }
     best.map(|(_, worker)| worker)
 }
 
-/// Whether a worker is so slow that nothing is expected of it.
-pub(crate) fn is_sluggish(worker: &WorkerLedger, median: f64) -> bool {
-    worker.slowness > SLUGGISH * median
+/// Whether a worker is too slow to count as usable.
+pub(crate) fn is_sluggish(worker: &TrackedWorker, median: f64) -> bool {
+    worker.slowness > SLUGGISH_FACTOR * median
 }
 
-fn may_place(worker: &WorkerLedger, ask: &PlacementAsk<'_>, now: Instant) -> bool {
-    if !can_hold(worker, ask) || !worker.is_open() {
+fn may_place(worker: &TrackedWorker, request: &PlacementRequest<'_>, now: Instant) -> bool {
+    if !can_hold(worker, request) || !worker.accepts_runs() {
         return false;
     }
-    if !worker.health.allows(now, worker.runs.len()) {
+    if !worker.health.allows_run(now, worker.runs.len()) {
         return false;
     }
-    if is_sluggish(worker, ask.median_slowness)
-        && (!worker.runs.is_empty() || now < worker.last_end + SLUGGISH_PAUSE)
+    if is_sluggish(worker, request.median_slowness)
+        && (!worker.runs.is_empty() || now < worker.last_end_time + SLUGGISH_TRIAL_PAUSE)
     {
         return false;
     }
-    if !worker.free_room().holds(&ask.spec.demand) {
+    if !worker.free_room().holds(&request.spec.demand) {
         return false;
     }
-    let shares = match ask.alone {
+    let fits_beside = match request.exclusive {
         true => worker.runs.is_empty(),
         false => {
-            !ask.cleared.contains(&worker.record.life) && !worker.runs.iter().any(|run| run.alone)
+            !request.reserved.contains(&worker.record.life)
+                && !worker.runs.iter().any(|run| run.exclusive)
         }
     };
-    if !shares {
+    if !fits_beside {
         return false;
     }
     let beside = worker.runs.iter();
-    let beside = beside.filter(|run| run.task.job == ask.job && run.task.step == ask.step);
+    let beside = beside.filter(|run| run.task.job == request.job && run.task.step == request.step);
     let beside = u32::try_from(beside.count()).unwrap_or(u32::MAX);
-    ask.spec.most_per_worker.is_none_or(|most| beside < most)
+    request
+        .spec
+        .most_per_worker
+        .is_none_or(|most| beside < most)
 }
 
-/// Lower is better.
+/// Ranks workers for a task. Lower is better.
 struct PlacementScore {
     failed_there: bool,
     slowness: f64,
-    left_over: u64,
+    leftover_cpu: u64,
 }
 
-/// Speeds this near count as equal, so that the fit decides: a place that is left too small serves nobody.
-const EQUAL_SPEED: f64 = 0.08;
+/// Slowness values this close count as equal, so that the tighter fit decides: leftover room that is too small for any task is
+/// wasted.
+const EQUAL_SLOWNESS_MARGIN: f64 = 0.08;
 
 impl PlacementScore {
-    fn of(worker: &WorkerLedger, ask: &PlacementAsk<'_>) -> Self {
-        let far = match &ask.spec.data_rack {
-            Some(rack) if !worker.record.labels.contains(rack) => ask.far_factor,
+    fn of(worker: &TrackedWorker, request: &PlacementRequest<'_>) -> Self {
+        let far = match &request.spec.data_rack {
+            Some(rack) if !worker.record.labels.contains(rack) => request.far_factor,
             _ => 1.0,
         };
         Self {
-            failed_there: ask.failed_on.contains(&worker.record.life),
+            failed_there: request.failed_on.contains(&worker.record.life),
             slowness: worker.slowness * far,
-            left_over: worker.free_room().minus(&ask.spec.demand).cpu.0,
+            leftover_cpu: worker.free_room().minus(&request.spec.demand).cpu.0,
         }
     }
 
-    fn is_below(&self, other: &Self) -> bool {
+    fn is_better_than(&self, other: &Self) -> bool {
         if self.failed_there != other.failed_there {
             return other.failed_there;
         }
-        if (self.slowness - other.slowness).abs() > EQUAL_SPEED {
+        if (self.slowness - other.slowness).abs() > EQUAL_SLOWNESS_MARGIN {
             return self.slowness < other.slowness;
         }
-        self.left_over < other.left_over
+        self.leftover_cpu < other.leftover_cpu
     }
 }
--- a/crates/pool/src/pool/answers.rs
+++ b/crates/pool/src/pool/answers.rs
@@ -1,4 +1,4 @@
-//! What workers answer to starts and stops.
+//! Handling of workers' answers to starts and stops.
 
 use std::time::{Duration, Instant};
 
@@ -11,169 +11,179 @@
         CallFailure, PoolNote, RunLoss, StartAnswer, StartOrder, StopAnswer, StopOrder,
         SuspensionCause,
     },
-    worker::{RunPhase, WaitingOrder, WorkerLedger},
+    worker::{QueuedOrder, RunPhase, TrackedWorker},
 };
 
 impl WorkerPool {
-    /// Takes the answer to a start.
+    /// Handles the answer to a start.
     pub fn on_start_answer(&mut self, now: Instant, order: &StartOrder, answer: StartAnswer) {
         let StartOrder {
             life, task, run, ..
         } = order;
-        let owner_millis = self.millis(now);
+        let owner_millis = self.owner_millis(now);
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
-        // An answer to an order that was sent before the worker was found to be reborn may be its former life's.
-        let of_this_life = order.sent >= worker.life_since;
-        if let Some(clock) = answer_clock(answer).filter(|_| of_this_life) {
-            worker.read_clock(owner_millis, clock);
+        // If the order was sent before the worker's restart was noticed, the answer may come from
+        // its former life.
+        let from_current_life = order.sent >= worker.life_since;
+        if let Some(clock) = answer_clock(answer).filter(|_| from_current_life) {
+            worker.update_clock(owner_millis, clock);
         }
-        let fenced_anew = order.fence < worker.fence;
+        let fence_raised = order.fence < worker.fence;
         let (mut tries, mut under_way) = (0, 0);
         if let Some(run) = worker.run_mut(*task, *run) {
-            run.answered += u32::from(answer != StartAnswer::Failed(CallFailure::NoAnswer));
-            run.under_way = run.under_way.saturating_sub(1);
-            (tries, under_way) = (run.tries, run.under_way);
+            run.answered_starts += u32::from(answer != StartAnswer::Failed(CallFailure::NoAnswer));
+            run.starts_in_flight = run.starts_in_flight.saturating_sub(1);
+            (tries, under_way) = (run.starts_sent, run.starts_in_flight);
         }
-        let late = now >= order.sent + order.overdue;
-        worker.end_order(late);
+        let late = now >= order.sent + order.overdue_after;
+        worker.finish_order(late);
         if !matches!(answer, StartAnswer::Started(_)) {
-            self.notes.push(PoolNote::StartTrouble {
+            self.notes.push(PoolNote::StartFailed {
                 task: *task,
                 run: *run,
                 life: life.clone(),
                 answer,
-                tries,
+                starts_sent: tries,
             });
         }
         match answer {
-            // A run that was outrun was carried out by an earlier copy of this start and has ended; its end is listed.
-            StartAnswer::Started(_) | StartAnswer::Outrun(_) if !of_this_life => (),
-            StartAnswer::Started(_) | StartAnswer::Outrun(_) => {
-                confirm(worker, *task, *run, now);
-                self.learn_answer_time(now, now.saturating_duration_since(order.sent));
+            // For `Outrun`, an earlier copy of this start was carried out and its run has ended;
+            // its end is listed.
+            StartAnswer::Started(_) | StartAnswer::Superseded(_) if !from_current_life => (),
+            StartAnswer::Started(_) | StartAnswer::Superseded(_) => {
+                confirm_run(worker, *task, *run, now);
+                self.record_answer_time(now, now.saturating_duration_since(order.sent));
             }
-            StartAnswer::Late(_) => self.try_again(now, life, *task, *run),
+            StartAnswer::LeaseExpired(_) => self.retry_start(now, life, *task, *run),
             StartAnswer::NoRoom(_) | StartAnswer::NotAllowed(_) => {
-                self.turn_away(now, life, *task, *run);
+                self.handle_rejected_start(now, life, *task, *run);
             }
             StartAnswer::Failed(CallFailure::Unhealthy | CallFailure::Malformed) => {
-                self.turn_away(now, life, *task, *run);
+                self.handle_rejected_start(now, life, *task, *run);
             }
-            // Another copy may still be answered.
+            // Another copy of the start may still be answered.
             StartAnswer::Failed(CallFailure::NoAnswer) if under_way > 0 => (),
-            StartAnswer::Failed(CallFailure::NoAnswer) => self.try_again(now, life, *task, *run),
+            StartAnswer::Failed(CallFailure::NoAnswer) => self.retry_start(now, life, *task, *run),
             StartAnswer::Failed(CallFailure::NewLife) => self.forget_life(now, life),
-            StartAnswer::Failed(CallFailure::FencedOut) if fenced_anew => {
-                self.try_again(now, life, *task, *run);
+            StartAnswer::Failed(CallFailure::FencedOut) if fence_raised => {
+                self.retry_start(now, life, *task, *run);
             }
             StartAnswer::Failed(CallFailure::FencedOut) => self.lose_worker(now, life),
         }
         self.schedule(now);
-        self.keep_watch(now);
+        self.send_polls_and_orders(now);
     }
 
-    /// A start has had no answer for as long as answers take now. It may have been lost, so it is sent again beside the
-    /// first, whose answer still counts. Where many are late at once the owner's own path is full, and copies would only
-    /// fill it further.
+    /// Handles a start that has gone unanswered for as long as answers take at present. It may have
+    /// been lost, so it is sent again; the answer to the first copy still counts. If many starts
+    /// are late at once, the owner's own path is congested and copies would only add to it, so
+    /// resends are limited.
     pub fn on_start_overdue(&mut self, now: Instant, order: &StartOrder) {
         let Some(worker) = self.workers.get_mut(&order.life) else {
             return;
         };
-        worker.set_overdue();
+        worker.mark_order_overdue();
         let Some(run) = worker.run_mut(order.task, order.run) else {
             return;
         };
-        if run.phase != RunPhase::Ordered || self.repeats < 1.0 {
+        if run.phase != RunPhase::Ordered || self.resend_budget < 1.0 {
             self.send_orders(now);
             return;
         }
-        let tries = run.tries;
-        self.repeats -= 1.0;
-        self.answers.miss();
-        self.notes.push(PoolNote::StartTrouble {
+        let tries = run.starts_sent;
+        self.resend_budget -= 1.0;
+        self.answer_times.record_timeout();
+        self.notes.push(PoolNote::StartFailed {
             task: order.task,
             run: order.run,
             life: order.life.clone(),
             answer: StartAnswer::Failed(CallFailure::NoAnswer),
-            tries,
+            starts_sent: tries,
         });
-        self.try_again(now, &order.life, order.task, order.run);
+        self.retry_start(now, &order.life, order.task, order.run);
         self.schedule(now);
     }
 
     /// How long a start or stop may go unanswered before it is sent again.
-    pub(super) fn order_limit(&self) -> Duration {
+    pub(super) fn resend_timeout(&self) -> Duration {
         let settings = &self.settings;
-        if !self.has(Mechanism::AnswerLimits) {
-            return settings.order_timeout;
+        if !self.is_enabled(Mechanism::AnswerLimits) {
+            return settings.start_resend_delay;
         }
-        self.answers
-            .limit(settings.order_timeout, settings.longest_order_timeout)
+        self.answer_times
+            .timeout(settings.start_resend_delay, settings.max_start_resend_delay)
     }
 
-    /// Whether the path to the workers is full.
+    /// Whether the path to the workers is congested.
     pub(super) fn is_strained(&self) -> bool {
-        self.has(Mechanism::AnswerLimits) && self.answers.is_strained()
+        self.is_enabled(Mechanism::AnswerLimits) && self.answer_times.is_congested()
     }
 
-    fn learn_answer_time(&mut self, now: Instant, took: Duration) {
-        let was = self.is_strained();
-        self.answers.take(took);
-        let (strained, under_way) = (self.is_strained(), self.starts_under_way());
-        self.window
-            .take(now, strained, self.answers.smoothed(), under_way);
-        if strained != was {
-            self.notes.push(PoolNote::Strained {
-                strained,
-                smoothed: self.answers.smoothed(),
-                least: self.answers.least(),
-                window: self.window.size(),
+    fn record_answer_time(&mut self, now: Instant, took: Duration) {
+        let was_strained = self.is_strained();
+        self.answer_times.record(took);
+        let (strained, under_way) = (self.is_strained(), self.starts_in_flight());
+        self.start_window
+            .on_answer(now, strained, self.answer_times.smoothed(), under_way);
+        if strained != was_strained {
+            self.notes.push(PoolNote::Congestion {
+                congested: strained,
+                smoothed: self.answer_times.smoothed(),
+                minimum: self.answer_times.minimum(),
+                window: self.start_window.size(),
             });
         }
     }
 
-    /// Takes the answer to a stop.
+    /// Handles the answer to a stop.
     pub fn on_stop_answer(&mut self, now: Instant, order: &StopOrder, answer: StopAnswer) {
         let StopOrder {
             life, task, run, ..
         } = order;
-        let owner_millis = self.millis(now);
+        let owner_millis = self.owner_millis(now);
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
-        worker.end_order(false);
-        let of_this_life = order.sent >= worker.life_since;
-        let fenced_anew = order.fence < worker.fence;
+        worker.finish_order(false);
+        let from_current_life = order.sent >= worker.life_since;
+        let fence_raised = order.fence < worker.fence;
         match answer {
-            // It may be the former life's: the new one has to be told.
-            StopAnswer::Stopped(_) if !of_this_life => {
-                worker.orders.push_back(WaitingOrder::Stop(*task, *run));
+            // The answer may come from the former life, so the stop is sent again to the new one.
+            StopAnswer::Stopped(_) if !from_current_life => {
+                worker
+                    .queued_orders
+                    .push_back(QueuedOrder::Stop(*task, *run));
             }
             StopAnswer::Stopped(clock) => {
-                worker.read_clock(owner_millis, clock);
+                worker.update_clock(owner_millis, clock);
                 if let Some(run) = worker.run_mut(*task, *run) {
-                    run.stop_acked = Some(now);
+                    run.stop_acked_at = Some(now);
                 }
             }
             StopAnswer::Failed(CallFailure::NewLife) => self.forget_life(now, life),
-            StopAnswer::Failed(CallFailure::FencedOut) if fenced_anew => {
-                worker.orders.push_back(WaitingOrder::Stop(*task, *run));
+            StopAnswer::Failed(CallFailure::FencedOut) if fence_raised => {
+                worker
+                    .queued_orders
+                    .push_back(QueuedOrder::Stop(*task, *run));
             }
             StopAnswer::Failed(CallFailure::FencedOut) => self.lose_worker(now, life),
             StopAnswer::Failed(
                 CallFailure::NoAnswer | CallFailure::Unhealthy | CallFailure::Malformed,
             ) => {
-                worker.orders.push_back(WaitingOrder::Stop(*task, *run));
-                worker.order_pause = Some(now + self.settings.retry_pause);
+                worker
+                    .queued_orders
+                    .push_back(QueuedOrder::Stop(*task, *run));
+                worker.orders_paused_until = Some(now + self.settings.retry_delay);
             }
         }
         self.send_orders(now);
     }
 
-    /// Sends an unanswered start again. After a few tries the run is stopped and the worker left alone for a while.
-    fn try_again(&mut self, now: Instant, life: &LifeId, task: TaskId, number: RunNumber) {
+    /// Sends an unanswered start again. After a few tries the run is stopped and the worker
+    /// suspended.
+    fn retry_start(&mut self, now: Instant, life: &LifeId, task: TaskId, number: RunNumber) {
         let strained = self.is_strained();
         let Some(worker) = self.workers.get_mut(life) else {
             return;
@@ -184,15 +194,18 @@
         if run.phase != RunPhase::Ordered {
             return;
         }
-        if run.tries < self.settings.start_tries {
-            // One that is lost is sent again at once: a pause would only add to what its job waits.
-            let pause = (run.tries > 1).then(|| now + self.settings.retry_pause);
-            worker.orders.push_front(WaitingOrder::Start(task, number));
-            worker.order_pause = pause;
+        if run.starts_sent < self.settings.max_unanswered_starts {
+            // The first resend follows at once, since a pause would only delay the job.
+            let pause = (run.starts_sent > 1).then(|| now + self.settings.retry_delay);
+            worker
+                .queued_orders
+                .push_front(QueuedOrder::Start(task, number));
+            worker.orders_paused_until = pause;
             return;
         }
-        // On a path that is full all workers answer late: this one is not to blame, and its answer may still come.
-        if strained && run.under_way > 0 {
+        // On a congested path all workers answer late, so this one is not to blame, and its answer
+        // may still arrive.
+        if strained && run.starts_in_flight > 0 {
             return;
         }
         stop_run(worker, task, number);
@@ -201,33 +214,40 @@
         }
     }
 
-    /// The worker did nothing for this call. If that was the only try, the run can never begin.
-    fn turn_away(&mut self, now: Instant, life: &LifeId, task: TaskId, number: RunNumber) {
+    /// Handles a start that the worker rejected without any effect, and suspends the worker. If
+    /// that was the only try, the run can never begin and its task is requeued.
+    fn handle_rejected_start(
+        &mut self,
+        now: Instant,
+        life: &LifeId,
+        task: TaskId,
+        number: RunNumber,
+    ) {
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
         let only_try = worker
             .run_mut(task, number)
-            .is_some_and(|run| run.tries == 1);
+            .is_some_and(|run| run.starts_sent == 1);
         let lost = if only_try {
-            worker.take_run(task, number)
+            worker.remove_run(task, number)
         } else {
             stop_run(worker, task, number);
             None
         };
         self.suspend(now, life, SuspensionCause::Unhealthy);
         if let Some(run) = lost {
-            self.note_lost(&run, life, RunLoss::TurnedAway);
+            self.note_lost_run(&run, life, RunLoss::Rejected);
             self.requeue(now, run);
         }
     }
 }
 
-fn confirm(worker: &mut WorkerLedger, task: TaskId, number: RunNumber, now: Instant) {
+fn confirm_run(worker: &mut TrackedWorker, task: TaskId, number: RunNumber, now: Instant) {
     let Some(run) = worker.run_mut(task, number) else {
         return;
     };
-    run.confirmed = Some(now);
+    run.confirmed_at = Some(now);
     if run.phase == RunPhase::Ordered {
         run.phase = RunPhase::Running;
     }
@@ -236,8 +256,8 @@
 fn answer_clock(answer: StartAnswer) -> Option<WorkerClock> {
     match answer {
         StartAnswer::Started(clock)
-        | StartAnswer::Outrun(clock)
-        | StartAnswer::Late(clock)
+        | StartAnswer::Superseded(clock)
+        | StartAnswer::LeaseExpired(clock)
         | StartAnswer::NoRoom(clock)
         | StartAnswer::NotAllowed(clock) => Some(clock),
         StartAnswer::Failed(_) => None,
--- a/crates/pool/src/pool/crashing.rs
+++ b/crates/pool/src/pool/crash_blame.rs
@@ -1,7 +1,8 @@
-//! Workers that die under their runs: what the pool tells the book of crashes, and what follows for tasks and workers.
+//! Crash blame: records losses of workers, and handles the tasks that are suspected of causing
+//! them.
 //!
-//! Such a worker is not sick: it gets runs again as soon as it answers. What speaks against a task of a kept job is stored
-//! with the job, so that it outlives the owner.
+//! A worker that was lost is not unhealthy: it gets runs again as soon as it answers. The deaths
+//! under a task of a kept job are stored with the job, so that they survive a change of owner.
 
 use std::time::Instant;
 
@@ -14,17 +15,18 @@
 use super::{schedule::task_id, WorkerPool};
 use crate::{
     action::PoolNote,
-    crash::{LostTask, PoolShape, TaskCaution, WorkerLoss},
-    worker::WorkerLedger,
+    crash::{LostTask, TaskRestriction, WorkerCounts, WorkerLoss},
+    worker::TrackedWorker,
 };
 
-/// The share of a pool's workers that are emptied for suspects at the most.
-const CLEARED_SHARE: usize = 8;
+/// At most one in this many open workers is emptied for crash suspects, but at least one.
+const MAX_RESERVED_DIVISOR: usize = 8;
 
 impl WorkerPool {
-    /// Notes that a worker was lost with tasks that may have begun, of one of which it may have died. Gives the tasks that are
-    /// named now; the caller gives their jobs up once it has put the runs away.
-    pub(super) fn note_crash(
+    /// Records the loss of a worker with tasks that may have begun, one of which may have killed
+    /// it. Returns the tasks that this identifies as culprits; the caller ends their jobs once it
+    /// has removed the runs.
+    pub(super) fn note_worker_loss(
         &mut self,
         now: Instant,
         life: &LifeId,
@@ -34,9 +36,9 @@
         let Some(worker) = self.workers.get(life) else {
             return Vec::new();
         };
-        // One that leaves ends with all that runs there, as it has said.
-        let leaves = worker.record.state == WorkerState::Draining;
-        if leaves || !self.has(Mechanism::CrashBlame) {
+        // A draining worker ends with all its runs, as it has announced, so no task is to blame.
+        let is_leaving = worker.record.state == WorkerState::Draining;
+        if is_leaving || !self.is_enabled(Mechanism::CrashBlame) {
             return Vec::new();
         }
         let tasks: Vec<LostTask> = begun.filter_map(|task| self.lost_task(task)).collect();
@@ -48,53 +50,54 @@
             born: worker.born,
             address: Some(worker.record.address),
             labels: worker.record.labels.clone(),
-            alone: tasks.len() == 1,
+            was_alone: tasks.len() == 1,
             tasks,
             at: now,
             died,
         };
         let suspects = loss.tasks.len();
-        let verdict = self.crashes.note_loss(loss, &self.shape());
+        let loss_result = self.crashes.record_loss(loss, &self.pool_shape());
         self.notes.push(PoolNote::CrashSuspected {
             life: life.clone(),
             died,
-            common: verdict.common,
+            common: loss_result.common,
             suspects,
         });
-        self.record_deaths();
-        verdict.culprits
+        self.store_deaths();
+        loss_result.culprits
     }
 
-    /// A worker that was lost is known to have died.
+    /// Records that a lost worker is known to have died.
     pub(super) fn confirm_crash(&mut self, now: Instant, life: &LifeId) {
-        let culprits = self.crashes.confirm(now, life);
-        self.record_deaths();
-        self.give_up_culprits(now, culprits);
+        let culprits = self.crashes.confirm_death(now, life);
+        self.store_deaths();
+        self.fail_culprit_jobs(now, culprits);
     }
 
-    /// A worker answers in the life in which it was lost.
+    /// Clears the loss of a worker that answers in the life in which it was lost.
     pub(super) fn clear_crash(&mut self, life: &LifeId, born: Option<BirthTime>) {
-        if self.crashes.acquit(life, born) {
+        if self.crashes.discard_loss(life, born) {
             self.notes
                 .push(PoolNote::CrashCleared { life: life.clone() });
         }
     }
 
-    /// Takes a worker that the directory has anew: one that was lost may have come back as it.
-    pub(super) fn note_listed(&mut self, now: Instant, record: &WorkerRecord) {
+    /// Handles a worker that is new in the directory. It may be a lost worker that has come back,
+    /// which shows that the lost one died.
+    pub(super) fn note_new_worker(&mut self, now: Instant, record: &WorkerRecord) {
         if self.crashes.is_empty() {
             return;
         }
-        let culprits = self
-            .crashes
-            .note_listed(now, &record.life, record.born, record.address);
-        self.record_deaths();
-        self.give_up_culprits(now, culprits);
+        let culprits =
+            self.crashes
+                .apply_directory_entry(now, &record.life, record.born, record.address);
+        self.store_deaths();
+        self.fail_culprit_jobs(now, culprits);
     }
 
-    /// Takes the deaths that a kept job's row tells of.
-    pub(super) fn take_recorded_deaths(&mut self, now: Instant, id: JobId, steps: &[StepRecord]) {
-        if !self.has(Mechanism::CrashBlame) {
+    /// Loads the deaths that are recorded in a kept job's row.
+    pub(super) fn load_recorded_deaths(&mut self, now: Instant, id: JobId, steps: &[StepRecord]) {
+        if !self.is_enabled(Mechanism::CrashBlame) {
             return;
         }
         let mut culprits = Vec::new();
@@ -107,18 +110,18 @@
                     address: None,
                     labels: Vec::new(),
                     tasks: self.lost_task(task).into_iter().collect(),
-                    alone: false,
+                    was_alone: false,
                     at: now,
                     died: true,
                 };
-                culprits.extend(self.crashes.note_recorded(loss));
+                culprits.extend(self.crashes.restore_death(loss));
             }
         }
-        self.give_up_culprits(now, culprits);
+        self.fail_culprit_jobs(now, culprits);
     }
 
-    /// Ends the jobs of tasks that are named: a further try would only cost a further worker.
-    pub(super) fn give_up_culprits(&mut self, now: Instant, culprits: Vec<TaskId>) {
+    /// Fails the jobs of culprit tasks: another attempt would only cost another worker.
+    pub(super) fn fail_culprit_jobs(&mut self, now: Instant, culprits: Vec<TaskId>) {
         for task in culprits {
             self.notes.push(PoolNote::CrashCulprit { task });
             match self.is_kept(task.job) {
@@ -128,48 +131,49 @@
         }
     }
 
-    pub(super) fn forget_crashes(&mut self, now: Instant) {
+    pub(super) fn prune_crashes(&mut self, now: Instant) {
         if !self.crashes.is_empty() {
             let jobs = &self.jobs;
-            self.crashes.forget(now, |job| jobs.contains_key(&job));
+            self.crashes.prune(now, |job| jobs.contains_key(&job));
         }
     }
 
-    /// Empties some workers for suspects that find none empty: on a full pool they would never run.
-    pub(super) fn clear_for_suspects(&mut self, now: Instant) {
+    /// Has some workers emptied for crash suspects that find no empty one: on a full pool they
+    /// would never run.
+    pub(super) fn reserve_workers_for_suspects(&mut self, now: Instant) {
         if self.crashes.is_empty() {
-            self.cleared.clear();
+            self.reserved_for_suspects.clear();
             return;
         }
         let waiting = self.crashes.suspects().filter(|task| {
             let job = self.jobs.get(&task.job);
-            let waits = job.is_some_and(|job| job.waits(task.step as usize, task.index));
-            waits && self.crashes.caution(now, *task) == TaskCaution::Alone
+            let waits = job.is_some_and(|job| job.is_placeable(task.step as usize, task.index));
+            waits && self.crashes.restriction(now, *task) == TaskRestriction::Alone
         });
         let waiting = waiting.count();
-        let former = std::mem::take(&mut self.cleared);
+        let former = std::mem::take(&mut self.reserved_for_suspects);
         if waiting == 0 {
             return;
         }
         let open = self
             .workers
             .values()
-            .filter(|worker| worker.is_open() && !worker.runs.iter().any(|run| run.alone));
-        let mut open: Vec<&WorkerLedger> = open.collect();
-        let most = (open.len() / CLEARED_SHARE).max(1);
+            .filter(|worker| worker.accepts_runs() && !worker.runs.iter().any(|run| run.exclusive));
+        let mut open: Vec<&TrackedWorker> = open.collect();
+        let max_reserved = (open.len() / MAX_RESERVED_DIVISOR).max(1);
         open.sort_by_key(|worker| {
-            let begun = former.contains(&worker.record.life);
-            (worker.runs.len(), !begun)
+            let was_reserved = former.contains(&worker.record.life);
+            (worker.runs.len(), !was_reserved)
         });
-        let cleared = open.iter().take(waiting.min(most));
-        self.cleared = cleared.map(|worker| worker.record.life.clone()).collect();
+        let reserved = open.iter().take(waiting.min(max_reserved));
+        self.reserved_for_suspects = reserved.map(|worker| worker.record.life.clone()).collect();
     }
 
     pub(super) fn is_kept(&self, id: JobId) -> bool {
         self.jobs.get(&id).is_some_and(|job| job.kept.is_some())
     }
 
-    /// None for a task of a job that is not here any more.
+    /// Returns `None` if the task's job is no longer in the pool.
     fn lost_task(&self, task: TaskId) -> Option<LostTask> {
         let job = self.jobs.get(&task.job)?;
         Some(LostTask {
@@ -178,10 +182,10 @@
         })
     }
 
-    fn shape(&self) -> PoolShape {
-        let mut shape = PoolShape {
+    fn pool_shape(&self) -> WorkerCounts {
+        let mut shape = WorkerCounts {
             workers: self.workers.len(),
-            ..PoolShape::default()
+            ..WorkerCounts::default()
         };
         for worker in self.workers.values() {
             for label in &worker.record.labels {
@@ -191,14 +195,14 @@
         shape
     }
 
-    /// Has the deaths stored that stand against tasks of kept jobs.
-    fn record_deaths(&mut self) {
+    /// Stores the deaths that are attributed to tasks of kept jobs.
+    fn store_deaths(&mut self) {
         let suspects = self.crashes.suspects().map(|task| task.job);
         let kept: FastSet<JobId> = suspects.filter(|id| self.is_kept(*id)).collect();
         for id in kept {
             let deaths = self.crashes.deaths_of(id);
             let kept = self.jobs.get_mut(&id).and_then(|job| job.kept.as_mut());
-            let Some(kept) = kept.filter(|kept| kept.end.is_none()) else {
+            let Some(kept) = kept.filter(|kept| kept.final_state.is_none()) else {
                 continue;
             };
             let mut changed = false;
@@ -207,7 +211,7 @@
                     continue;
                 };
                 let task = task.index;
-                changed |= record.note_death(TaskDeath { task, life, born });
+                changed |= record.record_death(TaskDeath { task, life, born });
             }
             if changed {
                 kept.revision += 1;
--- a/crates/pool/src/pool/keeping.rs
+++ b/crates/pool/src/pool/kept_jobs.rs
@@ -1,4 +1,4 @@
-//! Kept jobs in the pool: accepting them, and having stored what becomes of them.
+//! Kept jobs: storing new ones, and storing their progress and ends.
 
 use std::{
     sync::Arc,
@@ -10,26 +10,26 @@
     RefusalKind, StepRecord, TaskId,
 };
 
-use super::{WorkerPool, SHORTEST_RETRY};
+use super::{WorkerPool, MIN_RETRY_AFTER};
 use crate::{
     action::{PoolAction, PoolNote, WaiterId},
-    kept::{HeldEnd, KeepAnswer, KeepOrder, KeptLedger},
+    kept::{KeptJobState, KeptWrite, KeptWriteResult, UnstoredEnd},
 };
 
-/// The deadline of a job for whose end nobody waits: far beyond the life of a process.
+/// The deadline of a job whose end nobody waits for: far beyond the lifetime of a process.
 pub(super) const NO_DEADLINE: Duration = Duration::from_secs(365 * 24 * 3_600);
 
 impl WorkerPool {
-    /// Whether it has any kept job.
+    /// Whether the pool has any kept job.
     pub fn has_kept(&self) -> bool {
         self.jobs.values().any(|job| job.kept.is_some())
     }
 
-    /// How many kept jobs of each route have not begun.
+    /// The number of stored kept jobs of each route that have not begun.
     pub fn pending_jobs(&self) -> Vec<(Arc<str>, u64)> {
         let mut counts: Vec<(Arc<str>, u64)> = Vec::new();
         for job in self.jobs.values() {
-            let waits = job.is_stored() && !job.ordered;
+            let waits = job.is_stored() && !job.start_ordered;
             if !waits {
                 continue;
             }
@@ -43,8 +43,8 @@
         counts
     }
 
-    /// Has a new job stored; it runs once it is.
-    pub(super) fn keep_new(
+    /// Stores a new job, which runs only once it is stored.
+    pub(super) fn store_new_job(
         &mut self,
         now: Instant,
         waiter: WaiterId,
@@ -52,37 +52,37 @@
         terms: JobTerms,
     ) {
         let id = request.id;
-        let mut job = self.open_job(now, Some(waiter), request, terms);
+        let mut job = self.build_job(now, Some(waiter), request, terms);
         job.deadline = now + NO_DEADLINE;
         let records = job.request.steps.iter().map(|_| StepRecord::default());
-        job.kept = Some(KeptLedger {
+        job.kept = Some(KeptJobState {
             progress: records.collect(),
-            revision: self.next_run(now).0,
-            ..KeptLedger::default()
+            revision: self.next_run_number(now).0,
+            ..KeptJobState::default()
         });
         self.jobs.insert(id, job);
         self.store_changes(id);
     }
 
-    /// Takes a job out without storing anything.
-    pub(super) fn drop_kept(&mut self, now: Instant, id: JobId, outcome: JobOutcome) {
+    /// Removes a job from the pool and stops its runs, without storing anything.
+    pub(super) fn remove_kept(&mut self, now: Instant, id: JobId, outcome: JobOutcome) {
         let Some(job) = self.jobs.remove(&id) else {
             return;
         };
         self.queue.remove(id);
         if outcome == JobOutcome::Accepted {
-            self.ended_kept.insert(id, now);
+            self.recently_ended_kept.insert(id, now);
         }
         for waiter in job.waiters {
             self.answer(waiter, outcome);
         }
         if let Some(kept) = job.kept {
-            self.release_ends(&kept.ends, u64::MAX);
+            self.release_ends(&kept.unstored_ends, u64::MAX);
         }
-        self.stop_runs_of(now, id);
+        self.stop_job_runs(now, id);
     }
 
-    /// The job was cancelled in the store: what runs of it is stopped.
+    /// Removes a job that was cancelled in the store and stops its runs.
     pub fn cancel_kept(&mut self, now: Instant, id: JobId) {
         if self.jobs.get(&id).is_none_or(|job| job.kept.is_none()) {
             return;
@@ -91,28 +91,29 @@
             job: id,
             state: KeptState::Cancelled,
         });
-        self.drop_kept(now, id, JobOutcome::Accepted);
+        self.remove_kept(now, id, JobOutcome::Accepted);
     }
 
-    /// Notes how a kept job ended and has it stored. It stays until it is.
+    /// Records and stores how a kept job ended. The job stays in the pool until that is stored.
     pub(super) fn end_kept(&mut self, now: Instant, id: JobId, state: KeptState) {
         let Some(kept) = self.jobs.get_mut(&id).and_then(|job| job.kept.as_mut()) else {
             return;
         };
-        kept.end = Some(state);
+        kept.final_state = Some(state);
         kept.revision += 1;
         self.queue.remove(id);
-        self.stop_runs_of(now, id);
+        self.stop_job_runs(now, id);
         self.store_changes(id);
     }
 
-    /// Notes a task's end in its job's record, and that the worker's end must not be acknowledged before that is
-    /// stored. Gives how often the task has failed.
+    /// Records a run's end in its job, and that the worker's end must not be acknowledged before
+    /// the record is stored. Returns how often the task has failed if this run failed, and 0
+    /// otherwise.
     pub(super) fn record_end(&mut self, task: TaskId, life: &LifeId, end: &EndedRun) -> u32 {
         let job = self.jobs.get_mut(&task.job);
         let kept = job.and_then(|job| job.kept.as_mut());
-        // Once the job has ended its row says all there is to know.
-        let Some(kept) = kept.filter(|kept| kept.end.is_none()) else {
+        // Once the job has ended, its row needs no further records.
+        let Some(kept) = kept.filter(|kept| kept.final_state.is_none()) else {
             return 0;
         };
         let step = task.step as usize;
@@ -124,24 +125,25 @@
                     record.done.push(task.index);
                 }
             }
-            EndCause::Failed => failures = kept.count_failure(step, task.index, end.run),
+            EndCause::Failed => failures = kept.record_failure(step, task.index, end.run),
             EndCause::Stopped | EndCause::Lapsed | EndCause::Gang => return 0,
         }
         kept.revision += 1;
-        kept.ends.push(HeldEnd {
+        kept.unstored_ends.push(UnstoredEnd {
             life: life.clone(),
             number: end.number,
             revision: kept.revision,
         });
         if let Some(worker) = self.workers.get_mut(life) {
-            worker.unstored.insert(end.number);
+            worker.unstored_ends.insert(end.number);
         }
         failures
     }
 
-    /// Has what changed about a kept job stored, unless a write is under way: its answer brings the next.
+    /// Writes the changes of a kept job to the store, unless a write is in flight: its answer
+    /// triggers the next one.
     pub(super) fn store_changes(&mut self, id: JobId) {
-        let home: Arc<str> = self.home.clone();
+        let home: Arc<str> = self.name.clone();
         let fence = self.fence.0;
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -149,15 +151,15 @@
         let Some(kept) = job.kept.as_mut() else {
             return;
         };
-        if kept.writing.is_some() || kept.stored >= kept.revision {
+        if kept.writing_revision.is_some() || kept.stored_revision >= kept.revision {
             return;
         }
-        kept.writing = Some(kept.revision);
+        kept.writing_revision = Some(kept.revision);
         let row = KeptRow {
             home,
             writer: fence,
             revision: kept.revision,
-            state: kept.state(job.ordered),
+            state: kept.state(job.start_ordered),
             text: job.request.text.clone(),
             steps: job.request.steps.clone(),
             progress: kept.progress.clone(),
@@ -168,59 +170,62 @@
             stretch: job.terms.stretch,
             goal: job.terms.goal,
         };
-        self.actions.push(PoolAction::Keep(KeepOrder {
+        self.actions.push(PoolAction::WriteKeptJob(KeptWrite {
             job: id,
             row,
-            replaces: kept.version,
+            expected_version: kept.version,
         }));
     }
 
-    /// Takes what became of a write.
-    pub fn on_kept(&mut self, now: Instant, order: &KeepOrder, answer: KeepAnswer) {
+    /// Handles the result of a write.
+    pub fn on_store_answer(&mut self, now: Instant, order: &KeptWrite, answer: KeptWriteResult) {
         let id = order.job;
         let Some(kept) = self.jobs.get_mut(&id).and_then(|job| job.kept.as_mut()) else {
             return;
         };
-        // A write from before the job was let go of and found again says nothing about a later one: taken for its answer,
-        // ends would be acknowledged that no row has. If it took effect, the later one finds the row changed.
-        if kept.writing != Some(order.row.revision) {
+        // A write from before the job was released and loaded again says nothing about a later one.
+        // If its answer were taken for the later write's, ends would be acknowledged that no row
+        // contains. If it took effect, the later write finds the row changed.
+        if kept.writing_revision != Some(order.row.revision) {
             return;
         }
-        kept.writing = None;
+        kept.writing_revision = None;
         let written = order.row.revision;
         match answer {
-            KeepAnswer::Stored(version) => self.take_stored(now, id, version, written),
-            KeepAnswer::TurnedAway => {
+            KeptWriteResult::Stored(version) => self.apply_stored(now, id, version, written),
+            KeptWriteResult::Rejected => {
                 let refused = JobOutcome::Refused {
                     kind: RefusalKind::NotServing,
-                    retry_after: SHORTEST_RETRY,
+                    retry_after: MIN_RETRY_AFTER,
                     fits: 0,
                 };
-                self.drop_kept(now, id, refused);
+                self.remove_kept(now, id, refused);
             }
-            // Whoever has it runs it; if that is this pool, the next reading of the store finds it.
-            KeepAnswer::Known => {
-                self.drop_kept(now, id, JobOutcome::Accepted);
-                self.ended_kept.remove(&id);
+            // The owner that has the job runs it. If that is this pool, the next read of the store
+            // finds it.
+            KeptWriteResult::AlreadyExists => {
+                self.remove_kept(now, id, JobOutcome::Accepted);
+                self.recently_ended_kept.remove(&id);
             }
-            KeepAnswer::Gone => self.drop_kept(now, id, JobOutcome::Accepted),
-            KeepAnswer::Changed(row, version) => {
-                // A former owner's last write. What it knew counts, too, and this owner's is written over it.
+            KeptWriteResult::Gone => self.remove_kept(now, id, JobOutcome::Accepted),
+            KeptWriteResult::Conflict(row, version) => {
+                // The row holds a former owner's last write. Its progress is merged into this
+                // owner's, which then overwrites the row.
                 kept.version = Some(version);
                 kept.revision += 1;
                 for (step, record) in row.progress.iter().enumerate() {
                     self.merge_record(id, step, record);
                 }
-                self.take_recorded_deaths(now, id, &row.progress);
-                self.after_done(now, id);
+                self.load_recorded_deaths(now, id, &row.progress);
+                self.advance_job(now, id);
                 self.store_changes(id);
             }
         }
         self.schedule(now);
-        self.keep_watch(now);
+        self.send_polls_and_orders(now);
     }
 
-    fn take_stored(&mut self, now: Instant, id: JobId, version: u64, written: u64) {
+    fn apply_stored(&mut self, now: Instant, id: JobId, version: u64, written: u64) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -230,19 +235,21 @@
         };
         let first = kept.version.is_none();
         kept.version = Some(version);
-        kept.stored = written;
-        let (stored, later): (Vec<_>, Vec<_>) = std::mem::take(&mut kept.ends)
+        kept.stored_revision = written;
+        let (stored, later): (Vec<_>, Vec<_>) = std::mem::take(&mut kept.unstored_ends)
             .into_iter()
             .partition(|end| end.revision <= written);
-        kept.ends = later;
-        let over = kept.end.filter(|_| kept.stored >= kept.revision);
+        kept.unstored_ends = later;
+        let final_state = kept
+            .final_state
+            .filter(|_| kept.stored_revision >= kept.revision);
         self.release_ends(&stored, written);
         for waiter in waiters {
             self.answer(waiter, JobOutcome::Accepted);
         }
-        if let Some(state) = over {
+        if let Some(state) = final_state {
             self.jobs.remove(&id);
-            self.ended_kept.insert(id, now);
+            self.recently_ended_kept.insert(id, now);
             self.notes.push(PoolNote::KeptEnded { job: id, state });
             return;
         }
@@ -253,10 +260,10 @@
         self.store_changes(id);
     }
 
-    fn release_ends(&mut self, ends: &[HeldEnd], up_to: u64) {
+    fn release_ends(&mut self, ends: &[UnstoredEnd], up_to: u64) {
         for end in ends.iter().filter(|end| end.revision <= up_to) {
             if let Some(worker) = self.workers.get_mut(&end.life) {
-                worker.unstored.remove(&end.number);
+                worker.unstored_ends.remove(&end.number);
             }
         }
     }
@@ -265,7 +272,7 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        job.take_record(step, record);
+        job.apply_record(step, record);
         let own = job
             .kept
             .as_mut()
@@ -279,7 +286,7 @@
             }
         }
         for death in &record.deaths {
-            own.note_death(death.clone());
+            own.record_death(death.clone());
         }
         for failed in &record.failed {
             if !own.failed.contains(failed) {
--- /dev/null
+++ b/crates/pool/src/pool/polls.rs
@@ -0,0 +1,588 @@
+//! Polling of workers: when polls are sent, and how listings and missed polls are handled.
+
+use std::time::{Duration, Instant};
+
+use jobs::{
+    EndCause, EndedRun, JobId, JobOutcome, KeptState, LifeId, RunNumber, TaskId, WorkerClock,
+    WorkerListing,
+};
+
+use model::Mechanism;
+
+use super::{stop_run, WorkerPool};
+use crate::{
+    action::{
+        CallFailure, PollAnswer, PollOrder, PoolAction, PoolNote, RunLoss, SuspensionCause,
+        WorkerChange,
+    },
+    crash::TaskRestriction,
+    job::WaitingTask,
+    kept::STORING_POLL_PAUSE,
+    worker::{QueuedOrder, RunPhase, TrackedRun, TrackedWorker},
+};
+
+/// The delay after which the ends of an idle worker are acknowledged, which costs one poll. Short
+/// enough to keep the worker's list of ends short.
+const IDLE_ACK_DELAY: Duration = Duration::from_millis(1_000);
+
+/// The pause after a poll that a silent worker did not answer.
+const SILENT_POLL_PAUSE: Duration = Duration::from_millis(150);
+
+/// The minimum wait of a poll, so that a run that is checked for a stall does not cause poll after
+/// poll.
+const MIN_POLL_WAIT: Duration = Duration::from_millis(30);
+
+/// The wait of a poll while runs of a former owner are being stopped, which takes 50 ms at most.
+const FOREIGN_POLL_WAIT: Duration = Duration::from_millis(20);
+
+/// An overdue run that has not advanced by one percent in this time counts as stalled. At a tenth
+/// of its speed, a run of 900 ms takes 90 ms per percent.
+const STALL_TIME: Duration = Duration::from_millis(110);
+
+/// The minimum number of failures of one task before its job fails, even if its route allows fewer
+/// attempts: one or two failures may be the fault of workers that fail every run.
+const MIN_JOB_FAILURES: u32 = 3;
+
+/// The minimum progress at which a run's speed is judged. Below it, most of the time is the travel
+/// time of the start and the listing, which made sound workers seem several times too slow for the
+/// next job.
+const MIN_PROGRESS_PERCENT: u8 = 10;
+
+/// A run whose projected time exceeds this multiple of its predicted time shows that its worker is
+/// slow.
+const SLOW_RUN_FACTOR: f64 = 2.0;
+
+impl WorkerPool {
+    /// Sends the polls that are due and the orders whose pause is over.
+    pub(super) fn send_polls_and_orders(&mut self, now: Instant) {
+        let owner_millis = self.owner_millis(now);
+        let wants_ends = self.has_kept_on_hold();
+        let hedge = self.poll_hedge_delay(now);
+        let margin = self.poll_margin();
+        for worker in self.workers.values_mut() {
+            if !worker.needs_poll(now, IDLE_ACK_DELAY, wants_ends, hedge) {
+                continue;
+            }
+            let order = poll_order(worker, now, owner_millis, &self.settings, margin);
+            worker.polls_in_flight += 1;
+            worker.last_poll_sent = now;
+            worker.polls_paused_until = None;
+            self.actions.push(PoolAction::Poll(order));
+        }
+        self.send_orders(now);
+    }
+
+    /// Handles the answer to a poll that was sent at `sent`.
+    pub fn on_poll_answer(
+        &mut self,
+        now: Instant,
+        sent: Instant,
+        order: &PollOrder,
+        answer: PollAnswer,
+    ) {
+        let life = &order.life;
+        let Some(worker) = self.workers.get_mut(life) else {
+            return;
+        };
+        worker.polls_in_flight = worker.polls_in_flight.saturating_sub(1);
+        match answer {
+            Ok(listing) => self.apply_listing(now, sent, order, listing),
+            // This owner has raised the worker's fence since the poll was sent.
+            Err(CallFailure::FencedOut) if order.fence < worker.fence => (),
+            Err(CallFailure::FencedOut) => self.lose_worker(now, life),
+            Err(CallFailure::NewLife) => self.forget_life(now, life),
+            Err(CallFailure::NoAnswer | CallFailure::Unhealthy | CallFailure::Malformed) => {
+                self.record_missed_poll(now, sent, life);
+            }
+        }
+        self.schedule(now);
+        self.send_polls_and_orders(now);
+    }
+
+    /// The delay after which an unanswered poll is hedged by a second one, or `None` if no answers
+    /// were lost recently.
+    fn poll_hedge_delay(&self, now: Instant) -> Option<Duration> {
+        let lost = self
+            .last_missed_answer
+            .filter(|_| self.is_enabled(Mechanism::HedgedLooks))?;
+        // Answers that are late because the path is congested arrive in the end, and hedged polls
+        // would only add to the congestion.
+        let lossy = now < lost + self.settings.lost_answer_memory && !self.is_strained();
+        lossy.then_some(self.settings.poll_hedge_delay)
+    }
+
+    /// How much longer than its wait a poll may take, based on current answer times.
+    fn poll_margin(&self) -> Duration {
+        let settings = &self.settings;
+        if !self.is_enabled(Mechanism::AnswerLimits) {
+            return settings.poll_margin;
+        }
+        let limit = self
+            .answer_times
+            .timeout(Duration::ZERO, settings.order_answer_timeout);
+        settings
+            .poll_margin
+            .max(limit * 2)
+            .min(settings.max_poll_margin)
+    }
+
+    fn record_missed_poll(&mut self, now: Instant, sent: Instant, life: &LifeId) {
+        self.last_missed_answer = Some(now);
+        let Some(worker) = self.workers.get_mut(life) else {
+            return;
+        };
+        // A later poll was answered, so only this poll was lost and its worker is alive.
+        if worker.answered_poll_sent.is_some_and(|later| later > sent) {
+            return;
+        }
+        worker.missed_polls += 1;
+        if !worker.is_silent() {
+            return;
+        }
+        worker.polls_paused_until = Some(now + SILENT_POLL_PAUSE);
+        let runs = worker.runs.len();
+        let first = worker.missed_polls == crate::worker::MISSED_POLLS_TO_SILENCE;
+        if first {
+            self.notes.push(PoolNote::WorkerSilent {
+                life: life.clone(),
+                runs,
+            });
+        }
+    }
+
+    fn apply_listing(
+        &mut self,
+        now: Instant,
+        sent: Instant,
+        order: &PollOrder,
+        listing: WorkerListing,
+    ) {
+        if !self.check_life(now, sent, order, &listing) {
+            return;
+        }
+        let owner_millis = self.owner_millis(now);
+        let life = &order.life;
+        let Some(worker) = self.workers.get_mut(life) else {
+            return;
+        };
+        worker.record_listing(now, order.fence);
+        let had_misses = worker.missed_polls > 0;
+        let newly_answering = worker.clock.is_none() || had_misses;
+        worker.missed_polls = 0;
+        worker.answered_poll_sent = worker.answered_poll_sent.max(Some(sent));
+        // Answers to two polls may overtake each other. Ends are numbered; everything else is valid
+        // only in the newest listing.
+        let newest = listing.clock > worker.listed_clock;
+        worker.listed_clock = worker.listed_clock.max(listing.clock);
+        worker.ends_listed |= self.kept_loaded;
+        worker.update_clock(owner_millis, listing.clock);
+        worker.acknowledged_end = worker.acknowledged_end.max(order.acknowledged_end);
+        let clock_offset = worker.clock.map_or(0, |clock| clock.offset);
+        let born = worker.born;
+        if newly_answering {
+            self.notes.push(PoolNote::WorkerAnswers {
+                life: life.clone(),
+                clock_offset,
+            });
+        }
+        if had_misses {
+            self.clear_crash(life, born);
+        }
+        for end in &listing.ended {
+            self.apply_end(now, life, end);
+        }
+        self.pause_polls(now, life, &listing);
+        if newest {
+            self.stop_foreign_runs(life, &listing);
+            self.update_progress(now, life, &listing);
+        }
+        self.drop_missing_runs(now, sent, life, &listing);
+    }
+
+    fn apply_end(&mut self, now: Instant, life: &LifeId, end: &EndedRun) {
+        let Some(worker) = self.workers.get_mut(life) else {
+            return;
+        };
+        if end.number <= worker.last_seen_end {
+            return;
+        }
+        if self.kept_loaded {
+            worker.last_seen_end = end.number;
+        }
+        let Some(task) = end.task else {
+            return;
+        };
+        let Some(run) = worker.remove_run(task, end.run) else {
+            self.apply_found_end(now, life, end);
+            return;
+        };
+        worker.last_end_time = now;
+        let took = now.saturating_duration_since(run.placed_at);
+        self.notes.push(PoolNote::RunEnded {
+            task,
+            run: run.run,
+            life: life.clone(),
+            cause: end.cause,
+            took,
+        });
+        let failures = self.record_end(task, life, end);
+        match end.cause {
+            EndCause::Done => self.complete_task(now, life, &run, took),
+            EndCause::Failed => self.fail_task(now, life, run, failures),
+            EndCause::Stopped | EndCause::Lapsed | EndCause::Gang => self.requeue(now, run),
+        }
+        self.store_changes(task.job);
+    }
+
+    /// Pauses polls of a worker while its ends must not be acknowledged, since it lists them again
+    /// and again until they are.
+    fn pause_polls(&mut self, now: Instant, life: &LifeId, listing: &WorkerListing) {
+        let Some(worker) = self.workers.get_mut(life) else {
+            return;
+        };
+        let unread = !self.kept_loaded && !listing.ended.is_empty();
+        if unread || !worker.unstored_ends.is_empty() {
+            worker.polls_paused_until = Some(now + STORING_POLL_PAUSE);
+        }
+    }
+
+    fn complete_task(&mut self, now: Instant, life: &LifeId, run: &TrackedRun, took: Duration) {
+        let learning_enabled = self.is_enabled(Mechanism::Speeds);
+        if let Some(worker) = self.workers.get_mut(life) {
+            worker.health.record_success();
+            if learning_enabled {
+                worker.update_slowness(now, run.predicted, took);
+            }
+        }
+        let id = run.task.job;
+        self.crashes.clear_task(run.task);
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
+        self.estimates
+            .record_run(&job.terms.route, run.estimate, took);
+        if let Some(step) = job.steps.get_mut(run.task.step as usize) {
+            step.done += 1;
+        }
+        self.advance_job(now, id);
+    }
+
+    /// Opens the steps that can begin now, or ends the job if none is left.
+    pub(super) fn advance_job(&mut self, now: Instant, id: JobId) {
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
+        job.recount_done();
+        job.update_ready_steps();
+        let (complete, kept) = (job.is_complete(), job.kept.is_some());
+        match (complete, kept) {
+            (true, true) => self.end_kept(now, id, KeptState::Completed),
+            (true, false) => self.finish(now, id, JobOutcome::Completed),
+            (false, _) => self.enqueue(now, id),
+        }
+    }
+
+    /// Handles a failed run. `counted` is the number of the task's failures in the record of a kept
+    /// job.
+    fn fail_task(&mut self, now: Instant, life: &LifeId, mut run: TrackedRun, counted: u32) {
+        let id = run.task.job;
+        let mut blame = true;
+        if let Some(worker) = self.workers.get_mut(life) {
+            // A failure on a worker that fails everything says nothing about the task.
+            blame = worker.health.is_healthy();
+            if worker.health.record_failure(id) {
+                self.suspend(now, life, SuspensionCause::Failing);
+            }
+        }
+        run.failures += u32::from(blame);
+        run.failed_on.push(life.clone());
+        let Some(job) = self.jobs.get(&id) else {
+            return;
+        };
+        if job.kept.is_some() {
+            // For a kept job every failure counts as an attempt, even if the worker is to blame.
+            if counted >= job.terms.attempts {
+                self.end_kept(now, id, KeptState::Failed);
+            } else {
+                self.requeue(now, run);
+            }
+            return;
+        }
+        if run.failures >= job.terms.attempts.max(MIN_JOB_FAILURES) {
+            self.finish(now, id, JobOutcome::Failed);
+            return;
+        }
+        self.requeue(now, run);
+    }
+
+    /// Requeues a task whose run is certainly over.
+    pub(super) fn requeue(&mut self, now: Instant, run: TrackedRun) {
+        let id = run.task.job;
+        let Some(job) = self.jobs.get_mut(&id).filter(|job| !job.has_ended()) else {
+            return;
+        };
+        let step_index = run.task.step as usize;
+        // If a kept job was released and loaded again, the task may already be waiting or done.
+        if job.kept.is_some() && !job.is_unaccounted(step_index, run.task.index) {
+            return;
+        }
+        let Some(step) = job.steps.get_mut(step_index) else {
+            return;
+        };
+        let task = WaitingTask {
+            index: run.task.index,
+            failures: run.failures,
+            failed_on: run.failed_on,
+        };
+        // The last task in the list is placed first. A crash suspect goes to the front, since it
+        // may have to wait longer than the other tasks of its step.
+        match self.crashes.restriction(now, run.task) {
+            TaskRestriction::None => step.waiting.push(task),
+            TaskRestriction::Alone | TaskRestriction::Hold => step.waiting.insert(0, task),
+        }
+        self.enqueue(now, id);
+    }
+
+    /// Stops runs that a former owner left behind. Their demands are not known, so nothing is placed beside them.
+    fn stop_foreign_runs(&mut self, life: &LifeId, listing: &WorkerListing) {
+        let Some(worker) = self.workers.get_mut(life) else {
+            return;
+        };
+        let mut foreign: Vec<(TaskId, RunNumber)> = Vec::new();
+        for running in &listing.running {
+            let Some(task) = running.task else {
+                continue;
+            };
+            let run = running.run;
+            if worker.run_mut(task, run).is_some() {
+                continue;
+            }
+            // An end in the listing, new or repeated, takes precedence over its older view of what
+            // runs.
+            let ended = listing
+                .ended
+                .iter()
+                .any(|end| end.task == Some(task) && end.run == run);
+            if ended {
+                continue;
+            }
+            foreign.push((task, run));
+        }
+        for known in &foreign {
+            if worker.foreign_runs.contains(known) {
+                continue;
+            }
+            worker
+                .queued_orders
+                .push_back(QueuedOrder::Stop(known.0, known.1));
+            self.notes.push(PoolNote::ForeignRun {
+                task: Some(known.0),
+                run: known.1,
+                life: life.clone(),
+            });
+        }
+        worker.foreign_runs = foreign;
+    }
+
+    fn update_progress(&mut self, now: Instant, life: &LifeId, listing: &WorkerListing) {
+        let learning_enabled = self.is_enabled(Mechanism::Speeds);
+        let Some(worker) = self.workers.get_mut(life) else {
+            return;
+        };
+        let mut stalled = Vec::new();
+        let mut slowest: Option<(Duration, Duration)> = None;
+        for running in &listing.running {
+            let Some(run) = running
+                .task
+                .and_then(|task| worker.run_mut(task, running.run))
+            else {
+                continue;
+            };
+            if run.phase == RunPhase::Ordered {
+                run.phase = RunPhase::Running;
+            }
+            if running.percent > run.percent {
+                run.percent = running.percent;
+                run.progressed_at = now;
+            }
+            let took = now.saturating_duration_since(run.placed_at);
+            let stalled_for = now.saturating_duration_since(run.progressed_at);
+            let overdue =
+                run.predicted.mul_f64(self.settings.stall_factor) + self.settings.stall_margin;
+            if run.phase == RunPhase::Running && took >= overdue && stalled_for >= STALL_TIME {
+                stalled.push((run.task, run.run, took, run.percent));
+            } else if run.percent >= MIN_PROGRESS_PERCENT {
+                let worked = now.saturating_duration_since(run.confirmed_at.unwrap_or(now));
+                let projected = worked.mul_f64(100.0 / f64::from(run.percent));
+                if projected > run.predicted.mul_f64(SLOW_RUN_FACTOR) {
+                    slowest = Some((run.predicted, projected));
+                }
+            }
+        }
+        if let Some((predicted, projected)) = slowest.filter(|_| learning_enabled) {
+            worker.update_slowness(now, predicted, projected);
+        }
+        if stalled.is_empty() || !self.is_enabled(Mechanism::StallStop) {
+            return;
+        }
+        let Some(worker) = self.workers.get_mut(life) else {
+            return;
+        };
+        for (task, run, took, percent) in stalled {
+            stop_run(worker, task, run);
+            self.notes.push(PoolNote::RunStalled {
+                task,
+                run,
+                life: life.clone(),
+                took,
+                percent,
+            });
+        }
+        // Runs that stall together are one fault of their worker and cost one suspension.
+        self.suspend(now, life, SuspensionCause::Stalled);
+    }
+
+    /// Removes the runs that the listing proves to be over or never to begin, and requeues their
+    /// tasks.
+    fn drop_missing_runs(
+        &mut self,
+        now: Instant,
+        sent: Instant,
+        life: &LifeId,
+        listing: &WorkerListing,
+    ) {
+        let Some(worker) = self.workers.get_mut(life) else {
+            return;
+        };
+        let mut missing = Vec::new();
+        for run in &worker.runs {
+            let listed = listing.running.iter();
+            let mut listed = listed.filter(|r| r.task == Some(run.task) && r.run == run.run);
+            if listed.next().is_none() && is_over(run, sent, listing.clock) {
+                missing.push((run.task, run.run));
+            }
+        }
+        let mut lost = Vec::new();
+        for (task, run) in missing {
+            lost.extend(worker.remove_run(task, run));
+        }
+        for run in lost {
+            self.note_lost_run(&run, life, RunLoss::NotListed);
+            self.requeue(now, run);
+        }
+    }
+
+    /// Treats all runs of a worker as over and requeues their tasks.
+    pub(super) fn lose_all_runs(&mut self, now: Instant, life: &LifeId, loss: RunLoss) {
+        let Some(worker) = self.workers.get_mut(life) else {
+            return;
+        };
+        let runs = std::mem::take(&mut worker.runs);
+        worker.foreign_runs.clear();
+        worker.queued_orders.clear();
+        let died = loss == RunLoss::NewLife;
+        let begun = runs.iter().filter(|run| run.starts_sent > 0);
+        let culprits = self.note_worker_loss(now, life, begun.map(|run| run.task), died);
+        for run in runs {
+            self.note_lost_run(&run, life, loss);
+            self.requeue(now, run);
+        }
+        self.fail_culprit_jobs(now, culprits);
+    }
+
+    /// Removes a worker that now has another life: the runs of this one are over.
+    pub(super) fn forget_life(&mut self, now: Instant, life: &LifeId) {
+        self.lose_all_runs(now, life, RunLoss::NewLife);
+        self.confirm_crash(now, life);
+        if self.workers.remove(life).is_some() {
+            self.note_worker_change(life.clone(), WorkerChange::Forgotten);
+        }
+    }
+
+    /// Handles the takeover of a worker by another owner. That owner stops the runs there, but
+    /// possibly only after this owner could have started the same tasks elsewhere. So the jobs with
+    /// runs on the worker are given up, and the other workers and jobs continue.
+    pub(super) fn lose_worker(&mut self, now: Instant, life: &LifeId) {
+        let Some(worker) = self.workers.remove(life) else {
+            return;
+        };
+        self.note_worker_change(life.clone(), WorkerChange::TakenOver);
+        let is_of_kept_job = |run: &TrackedRun| {
+            let job = self.jobs.get(&run.task.job);
+            job.is_some_and(|job| job.kept.is_some())
+        };
+        if worker.runs.iter().any(is_of_kept_job) {
+            self.release_all_kept(now);
+        }
+        for run in &worker.runs {
+            self.finish(now, run.task.job, JobOutcome::GivenUp);
+        }
+        if self.workers.is_empty() {
+            self.actions.push(PoolAction::ReleasePool);
+        }
+    }
+
+    pub(super) fn note_lost_run(&mut self, run: &TrackedRun, life: &LifeId, loss: RunLoss) {
+        self.notes.push(PoolNote::RunLost {
+            task: run.task,
+            run: run.run,
+            life: life.clone(),
+            loss,
+        });
+    }
+}
+
+/// Whether a run that is missing from a listing is over or can never begin.
+///
+/// If its start was answered before the poll was sent, the run existed and must have ended. If its
+/// stop was answered before the poll was sent, it has ended or never begins. If its start went
+/// unanswered, it may still begin until the lease end of its last start has passed on the worker's
+/// clock.
+fn is_over(run: &TrackedRun, sent: Instant, clock: WorkerClock) -> bool {
+    let was_there = run.confirmed_at.is_some_and(|confirmed| confirmed < sent);
+    let was_stopped = run.stop_acked_at.is_some_and(|acked| acked < sent);
+    let never_begins = run.starts_sent > 0 && run.start_expires < clock;
+    was_there || was_stopped || never_begins
+}
+
+fn poll_order(
+    worker: &mut TrackedWorker,
+    now: Instant,
+    owner_millis: u64,
+    settings: &crate::PoolSettings,
+    margin: Duration,
+) -> PollOrder {
+    // The lease is renewed neither for runs of a former owner nor for a worker that does not
+    // answer: the lease end that the worker was last told must stay the one it uses.
+    let renew =
+        !worker.runs.is_empty() && worker.foreign_runs.is_empty() && worker.missed_polls == 0;
+    let clock = worker.min_clock_now(owner_millis).filter(|_| renew);
+    let lease_end = clock.map(|clock| clock.plus(settings.lease));
+    worker.lease_end = worker.lease_end.max(lease_end.unwrap_or_default());
+    let wait = poll_wait(worker, now, settings);
+    PollOrder {
+        life: worker.record.life.clone(),
+        address: worker.record.address,
+        fence: worker.fence,
+        lease_end,
+        acknowledged_end: worker.ends_to_acknowledge(now),
+        wait,
+        timeout: wait + margin,
+    }
+}
+
+fn poll_wait(worker: &TrackedWorker, now: Instant, settings: &crate::PoolSettings) -> Duration {
+    if !worker.foreign_runs.is_empty() {
+        return FOREIGN_POLL_WAIT;
+    }
+    if !worker.accepts_runs() || worker.runs.is_empty() {
+        return Duration::ZERO;
+    }
+    let mut wait = settings.poll_wait;
+    for run in &worker.runs {
+        let overdue = run.predicted.mul_f64(settings.stall_factor) + settings.stall_margin;
+        let left = (run.placed_at + overdue).saturating_duration_since(now);
+        wait = wait.min(left.max(MIN_POLL_WAIT));
+    }
+    wait
+}
--- /dev/null
+++ b/crates/pool/src/pool/restart.rs
@@ -0,0 +1,161 @@
+//! Workers that restart under the same id.
+//!
+//! A restarted worker has no memory of its former life, and its counts begin anew. If it were taken
+//! for the same life, its first ends would be acknowledged by the former life's numbers and never
+//! be listed, its clock would be read wrongly, runs that died with it would count as running, and a
+//! start of the former life that is still in flight would run beside its replacement.
+//!
+//! Only a worker's own listing tells which life it is in. Its directory entry may be older or
+//! newer, so if the entry names another life, the worker is polled and gets no starts until it has
+//! answered. A listing of another life that answers a poll sent before the current life was noticed
+//! is from a former life.
+
+use std::time::Instant;
+
+use jobs::{JobOutcome, LifeId, RunNumber, TaskId, WorkerListing};
+
+use super::WorkerPool;
+use crate::{
+    action::{PollOrder, PoolNote, RunLoss},
+    worker::{ListingLife, TrackedRun},
+};
+
+/// What has become of a run that was known before its worker's restart was noticed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum FormerRunFate {
+    /// The new life lists the run: its start arrived after the restart.
+    Listed,
+    /// Its start was never sent.
+    Unsent,
+    /// A copy of its start has no answer and may still be carried out by the new life. An answered
+    /// stop rules that out.
+    Unanswered,
+    /// The run died with its worker.
+    Dead,
+    /// The run died with its worker, or the new life has ended it and has forgotten that end,
+    /// because the poll acknowledged that many ends of the former life.
+    Unknown,
+}
+
+impl WorkerPool {
+    /// Whether a listing is from the worker's current life. A life that was not known becomes the
+    /// current one.
+    pub(super) fn check_life(
+        &mut self,
+        now: Instant,
+        sent: Instant,
+        order: &PollOrder,
+        listing: &WorkerListing,
+    ) -> bool {
+        let Some(worker) = self.workers.get_mut(&order.life) else {
+            return false;
+        };
+        match worker.classify_listing(listing.born, sent) {
+            ListingLife::Known => true,
+            ListingLife::Former => false,
+            ListingLife::New => {
+                self.begin_life(now, order, listing);
+                true
+            }
+        }
+    }
+
+    /// Records that no other claim of the pool was made up to this version of the store, so that
+    /// the fence of every later owner is higher.
+    pub fn note_no_later_claim(&mut self, version: u64) {
+        self.no_later_claim_until = self.no_later_claim_until.max(version);
+    }
+
+    fn begin_life(&mut self, now: Instant, order: &PollOrder, listing: &WorkerListing) {
+        let life = &order.life;
+        let Some(worker) = self.workers.get_mut(life) else {
+            return;
+        };
+        let last_listed = worker.answered_poll_sent;
+        let fates: Vec<(TaskId, RunNumber, FormerRunFate)> = worker
+            .runs
+            .iter()
+            .map(|run| {
+                let fate = classify_former_run(run, order, listing, last_listed);
+                (run.task, run.run, fate)
+            })
+            .collect();
+        let begun = fates
+            .iter()
+            .filter(|(_, _, fate)| !matches!(fate, FormerRunFate::Listed | FormerRunFate::Unsent));
+        let culprits = self.note_worker_loss(now, life, begun.map(|(task, _, _)| *task), true);
+        if let Some(worker) = self.workers.get_mut(life) {
+            worker.begin_life(now, listing.born, self.no_later_claim_until);
+        }
+        for job in self.jobs.values_mut() {
+            if let Some(kept) = &mut job.kept {
+                // The former life's ends need no acknowledgement any more.
+                kept.unstored_ends.retain(|end| end.life != *life);
+            }
+        }
+        self.notes.push(PoolNote::WorkerRestarted {
+            life: life.clone(),
+            born: listing.born,
+            runs: fates.len(),
+        });
+        for (task, run, fate) in fates {
+            self.resolve_former_run(now, life, task, run, fate);
+        }
+        self.confirm_crash(now, life);
+        self.fail_culprit_jobs(now, culprits);
+    }
+
+    fn resolve_former_run(
+        &mut self,
+        now: Instant,
+        life: &LifeId,
+        task: TaskId,
+        number: RunNumber,
+        fate: FormerRunFate,
+    ) {
+        let Some(worker) = self.workers.get_mut(life) else {
+            return;
+        };
+        match fate {
+            FormerRunFate::Listed => (),
+            FormerRunFate::Unanswered => worker.stop_stray_run(task, number),
+            FormerRunFate::Unsent => {
+                self.withdraw_starts(now, vec![(life.clone(), task, number)]);
+            }
+            FormerRunFate::Dead | FormerRunFate::Unknown => {
+                let Some(run) = worker.remove_run(task, number) else {
+                    return;
+                };
+                self.note_lost_run(&run, life, RunLoss::NewLife);
+                if fate == FormerRunFate::Unknown && !self.is_kept(task.job) {
+                    self.finish(now, task.job, JobOutcome::GivenUp);
+                } else {
+                    self.requeue(now, run);
+                }
+            }
+        }
+    }
+}
+
+fn classify_former_run(
+    run: &TrackedRun,
+    order: &PollOrder,
+    listing: &WorkerListing,
+    last_listed: Option<Instant>,
+) -> FormerRunFate {
+    let runs = listing.running.iter();
+    let mut running = runs.filter(|r| r.task == Some(run.task) && r.run == run.run);
+    let ends = listing.ended.iter();
+    let mut ended = ends.filter(|end| end.task == Some(run.task) && end.run == run.run);
+    if running.next().is_some() || ended.next().is_some() {
+        FormerRunFate::Listed
+    } else if run.starts_sent == 0 {
+        FormerRunFate::Unsent
+    } else if run.starts_sent > run.answered_starts {
+        FormerRunFate::Unanswered
+    } else if order.acknowledged_end > 0 && run.confirmed_at > last_listed {
+        FormerRunFate::Unknown
+    } else {
+        FormerRunFate::Dead
+    }
+}
--- a/crates/pool/src/pool/schedule.rs
+++ b/crates/pool/src/pool/schedule.rs
@@ -1,94 +1,99 @@
-//! Giving free places to waiting tasks, and what time alone changes.
+//! Scheduling: places waiting tasks on workers with free capacity, sends orders and handles
+//! timeouts.
 
 use std::time::{Duration, Instant};
 
 use jobs::{CpuMillis, JobId, JobOutcome, LifeId, RefusalKind, TaskId};
 use model::Mechanism;
 
-use super::{WorkerPool, REPEATS_AT_ONCE, SHORTEST_RETRY};
+use super::{WorkerPool, MIN_RETRY_AFTER, RESEND_BURST};
 use crate::{
     action::{PoolAction, PoolNote, StartOrder, StopOrder},
-    crash::TaskCaution,
+    crash::TaskRestriction,
     job::WaitingTask,
-    placement::{choose_worker, PlacementAsk},
-    worker::{RunLedger, RunPhase, WaitingOrder, WorkerLedger},
+    placement::{choose_worker, PlacementRequest},
+    worker::{QueuedOrder, RunPhase, TrackedRun, TrackedWorker},
 };
 
-/// An answer that takes longer than this is worth a connection more: a tenth of what the shortest class has beside its work.
-const SLOW_ANSWER: Duration = Duration::from_millis(8);
+/// The smoothed answer time above which a worker may have several orders in flight, each on its own
+/// connection: a tenth of the time that jobs of the shortest class have in addition to their run
+/// time.
+const SLOW_ANSWER_TIME: Duration = Duration::from_millis(8);
 
-/// Orders in flight at a worker whose answers are slow: as many as it has places for wide tasks.
-const SLOW_ORDERS: usize = 3;
+/// The maximum number of orders in flight to one worker while answers are slow: as many as a worker
+/// has places for wide tasks.
+const MAX_SLOW_ORDERS_IN_FLIGHT: usize = 3;
 
 impl WorkerPool {
-    /// Does what is due: deadlines, lapsed leases, looks, orders, places.
+    /// Runs all time-driven work: deadlines, expired leases, placement, polls and orders.
     pub fn tick(&mut self, now: Instant) {
-        self.end_overdue(now);
+        self.end_overdue_jobs(now);
         self.tick_kept(now);
-        self.leave_evacuated(now);
-        self.expire_silent(now);
-        self.forget_unlisted(now);
-        self.find_median(now);
-        self.forget_crashes(now);
-        self.clear_for_suspects(now);
+        self.end_evacuated_jobs(now);
+        self.expire_silent_leases(now);
+        self.remove_unlisted_workers(now);
+        self.update_median_slowness(now);
+        self.prune_crashes(now);
+        self.reserve_workers_for_suspects(now);
         self.schedule(now);
-        self.keep_watch(now);
+        self.send_polls_and_orders(now);
     }
 
-    /// Places waiting tasks in the queue's order for as long as places are free.
+    /// Places waiting tasks in queue order while workers have free capacity, and sends the orders.
     pub(super) fn schedule(&mut self, now: Instant) {
         if self.evacuated {
             self.send_orders(now);
             return;
         }
-        self.queue.move_late(now);
+        self.queue.reclassify(now);
         let order: Vec<JobId> = self.queue.jobs().collect();
-        let mut most_free = self.most_free();
+        let mut max_free_cpu = self.max_free_cpu();
         for job in order {
-            if self.is_window_full() {
+            if self.is_start_window_full() {
                 break;
             }
-            // With hundreds of waiting jobs and no place free, trying each on each worker is most of an owner's work.
-            if self.jobs[&job].least_demand() > most_free {
+            // Skips jobs that fit on no worker: with hundreds of waiting jobs and no free capacity,
+            // trying each job on each worker would take most of the owner's time.
+            if self.jobs[&job].min_placeable_cpu() > max_free_cpu {
                 continue;
             }
-            if self.place_tasks(now, job) {
-                most_free = self.most_free();
+            if self.place_job_tasks(now, job) {
+                max_free_cpu = self.max_free_cpu();
             }
         }
         self.send_orders(now);
     }
 
-    /// The most processor room that is free on any worker that may get runs.
-    fn most_free(&self) -> CpuMillis {
-        let open = self.workers.values().filter(|worker| worker.is_open());
+    /// The largest free processor capacity of any worker that may get runs.
+    fn max_free_cpu(&self) -> CpuMillis {
+        let open = self.workers.values().filter(|worker| worker.accepts_runs());
         let free = open.map(|worker| worker.free_room().cpu);
         free.max().unwrap_or_default()
     }
 
-    /// Places what finds a place. Says whether anything did.
-    fn place_tasks(&mut self, now: Instant, id: JobId) -> bool {
+    /// Places as many tasks of a job as find a worker. Returns whether any was placed.
+    fn place_job_tasks(&mut self, now: Instant, id: JobId) -> bool {
         if !self.may_run(now, &self.jobs[&id]) {
             return false;
         }
         let steps: Vec<usize> = self.jobs[&id]
-            .open_waiting()
+            .placeable_steps()
             .map(|(step, _)| step)
             .collect();
         let mut placed = false;
         for step in steps {
             while let Some(task) = self.jobs[&id].steps[step].waiting.last().cloned() {
-                if self.is_window_full() {
+                if self.is_start_window_full() {
                     break;
                 }
-                let Some(life) = self.find_place(now, id, step, &task) else {
+                let Some(life) = self.find_worker(now, id, step, &task) else {
                     break;
                 };
                 if let Some(job) = self.jobs.get_mut(&id) {
                     job.steps[step].waiting.pop();
-                    job.ordered = true;
+                    job.start_ordered = true;
                 }
-                self.place(now, id, step, task, &life);
+                self.place_task(now, id, step, task, &life);
                 placed = true;
             }
         }
@@ -98,7 +103,7 @@
         placed
     }
 
-    fn find_place(
+    fn find_worker(
         &self,
         now: Instant,
         id: JobId,
@@ -107,13 +112,13 @@
     ) -> Option<LifeId> {
         let job = &self.jobs[&id];
         let step_number = u32::try_from(step).unwrap_or(u32::MAX);
-        let alone = match self.crashes.caution(now, task_id(id, step, task.index)) {
-            TaskCaution::None => false,
-            TaskCaution::Alone => true,
-            TaskCaution::Wait => return None,
+        let alone = match self.crashes.restriction(now, task_id(id, step, task.index)) {
+            TaskRestriction::None => false,
+            TaskRestriction::Alone => true,
+            TaskRestriction::Hold => return None,
         };
         let spec = &job.request.steps[step];
-        let ask = PlacementAsk {
+        let ask = PlacementRequest {
             job: id,
             step: step_number,
             spec,
@@ -121,39 +126,46 @@
             failed_on: &task.failed_on,
             far_factor: self.far_factor,
             median_slowness: self.median_slowness,
-            alone,
-            cleared: &self.cleared,
+            exclusive: alone,
+            reserved: &self.reserved_for_suspects,
         };
         choose_worker(self.workers.values(), &ask, now).map(|worker| worker.record.life.clone())
     }
 
-    fn place(&mut self, now: Instant, id: JobId, step: usize, task: WaitingTask, life: &LifeId) {
-        let run = self.next_run(now);
+    fn place_task(
+        &mut self,
+        now: Instant,
+        id: JobId,
+        step: usize,
+        task: WaitingTask,
+        life: &LifeId,
+    ) {
+        let run = self.next_run_number(now);
         let job = &self.jobs[&id];
         let spec = &job.request.steps[step];
         let task_id = task_id(id, step, task.index);
-        let ledger = RunLedger {
+        let ledger = TrackedRun {
             task: task_id,
             run,
             demand: spec.demand,
             text: job.request.text.clone(),
             phase: RunPhase::Ordered,
-            placed: now,
-            confirmed: None,
-            stop_acked: None,
-            start_until: jobs::WorkerClock(0),
-            tries: 0,
-            answered: 0,
-            under_way: 0,
-            predicted: self.predict(&job.terms, spec),
+            placed_at: now,
+            confirmed_at: None,
+            stop_acked_at: None,
+            start_expires: jobs::WorkerClock(0),
+            starts_sent: 0,
+            answered_starts: 0,
+            starts_in_flight: 0,
+            predicted: self.predict_run_time(&job.terms, spec),
             estimate: spec.estimate,
             percent: 0,
-            progressed: now,
+            progressed_at: now,
             failures: task.failures,
-            alone: self.crashes.caution(now, task_id) != TaskCaution::None,
+            exclusive: self.crashes.restriction(now, task_id) != TaskRestriction::None,
             failed_on: task.failed_on,
         };
-        self.notes.push(PoolNote::Placed {
+        self.notes.push(PoolNote::RunPlaced {
             task: task_id,
             run,
             life: life.clone(),
@@ -163,82 +175,89 @@
             return;
         };
         worker.runs.push(ledger);
-        worker.orders.push_back(WaitingOrder::Start(task_id, run));
+        worker
+            .queued_orders
+            .push_back(QueuedOrder::Start(task_id, run));
     }
 
-    fn is_window_full(&self) -> bool {
-        self.has(Mechanism::StartWindow) && self.starts_under_way() >= self.window.size()
+    fn is_start_window_full(&self) -> bool {
+        self.is_enabled(Mechanism::StartWindow)
+            && self.starts_in_flight() >= self.start_window.size()
     }
 
-    /// Starts that are sent or about to be, and not known to have been carried out.
-    pub(super) fn starts_under_way(&self) -> usize {
+    /// The number of starts that are sent or about to be and not known to have been carried out.
+    /// Silent workers are not counted.
+    pub(super) fn starts_in_flight(&self) -> usize {
         let workers = self.workers.values().filter(|worker| !worker.is_silent());
         let runs = workers.flat_map(|worker| &worker.runs);
         runs.filter(|run| run.phase == RunPhase::Ordered).count()
     }
 
-    /// Tasks that wait for a place and may be placed now.
-    pub(super) fn waiting_tasks(&self) -> usize {
+    /// The number of waiting tasks that may be placed now.
+    pub(super) fn waiting_task_count(&self) -> usize {
         let jobs = self.queue.jobs();
-        jobs.map(|job| self.jobs[&job].waiting_count()).sum()
+        jobs.map(|job| self.jobs[&job].placeable_count()).sum()
     }
 
-    /// How long the tasks of a new job take to be started beside those under way, at the pace at which answers come now.
+    /// How long it takes to start the tasks of a new job after the starts in flight and the waiting
+    /// tasks, at the current answer time. Zero unless the path to the workers is congested.
     pub(super) fn start_lag(&self, tasks: usize) -> Duration {
         if !self.is_strained() {
             return Duration::ZERO;
         }
-        let ahead = self.starts_under_way() + self.waiting_tasks() + tasks;
-        let rounds = ahead as f64 / self.window.size().max(1) as f64;
-        self.answers.smoothed().mul_f64(rounds)
+        let ahead = self.starts_in_flight() + self.waiting_task_count() + tasks;
+        let rounds = ahead as f64 / self.start_window.size().max(1) as f64;
+        self.answer_times.smoothed().mul_f64(rounds)
     }
 
-    /// How many orders may be in flight at one worker, each on a connection of its own beside that for looks. Where an
-    /// answer takes long, the second task of a job on a worker would wait for the first one's. Where answers are quick one
-    /// order is better, since what has not been sent can be taken back.
-    fn most_orders(&self) -> usize {
-        match self.answers.smoothed() > SLOW_ANSWER {
-            true => SLOW_ORDERS,
+    /// The maximum number of orders in flight to one worker, each on its own connection beside the
+    /// one for polls. While answers are slow, several orders keep the second task of a job on a
+    /// worker from waiting for the answer to the first. While answers are quick, a single order is
+    /// better, since an order that has not been sent can be withdrawn.
+    fn max_orders_in_flight(&self) -> usize {
+        match self.answer_times.smoothed() > SLOW_ANSWER_TIME {
+            true => MAX_SLOW_ORDERS_IN_FLIGHT,
             false => 1,
         }
     }
 
-    /// Sends each worker its next orders.
+    /// Sends each worker its next orders. Starts are withdrawn instead if the data centre is
+    /// evacuated or the worker is over its room.
     pub(super) fn send_orders(&mut self, now: Instant) {
-        let overdue = self.order_limit();
-        let most_orders = self.most_orders();
-        let frame = OrderFrame {
+        let overdue = self.resend_timeout();
+        let max_orders_in_flight = self.max_orders_in_flight();
+        let context = OrderContext {
             now,
-            owner_millis: self.millis(now),
+            owner_millis: self.owner_millis(now),
             lease: self.settings.lease,
             overdue,
-            limit: match self.has(Mechanism::AnswerLimits) {
-                true => self.settings.order_give_up,
+            limit: match self.is_enabled(Mechanism::AnswerLimits) {
+                true => self.settings.order_answer_timeout,
                 false => overdue,
             },
         };
         let mut withdrawn = Vec::new();
         for worker in self.workers.values_mut() {
-            if worker.order_pause.is_some_and(|pause| now < pause) {
+            if worker.orders_paused_until.is_some_and(|pause| now < pause) {
                 continue;
             }
-            worker.order_pause = None;
-            while worker.orders_in_flight < most_orders {
-                let Some(order) = worker.orders.pop_front() else {
+            worker.orders_paused_until = None;
+            while worker.orders_in_flight < max_orders_in_flight {
+                let Some(order) = worker.queued_orders.pop_front() else {
                     break;
                 };
                 let action = match order {
-                    WaitingOrder::Start(task, run) if self.evacuated || worker.is_over_room() => {
+                    QueuedOrder::Start(task, run) if self.evacuated || worker.is_over_room() => {
                         withdrawn.push((worker.record.life.clone(), task, run));
                         continue;
                     }
-                    WaitingOrder::Start(task, run) => start_action(worker, task, run, &frame),
-                    WaitingOrder::Stop(task, run) => stop_action(worker, task, run, &frame),
+                    QueuedOrder::Start(task, run) => start_action(worker, task, run, &context),
+                    QueuedOrder::Stop(task, run) => stop_action(worker, task, run, &context),
                 };
                 if let Some(action) = action {
                     worker.orders_in_flight += 1;
-                    let repeats = self.repeats + self.settings.repeat_share;
-                    self.repeats = repeats.min(REPEATS_AT_ONCE);
+                    let resend_budget = self.resend_budget + self.settings.max_resend_share;
+                    self.resend_budget = resend_budget.min(RESEND_BURST);
                     self.actions.push(action);
                 }
             }
@@ -249,19 +268,20 @@
         }
     }
 
-    /// Ends jobs whose time is over.
-    fn end_overdue(&mut self, now: Instant) {
+    /// Refuses jobs that have not started by their deadline or by the time at which their answer
+    /// becomes useless, and gives up started jobs at their deadline. Kept jobs are exempt.
+    fn end_overdue_jobs(&mut self, now: Instant) {
         let mut ends = Vec::new();
         let unkept = self.jobs.iter().filter(|(_, job)| job.kept.is_none());
         for (id, job) in unkept {
-            let useless = job.arrived + job.objective.mul_f64(self.settings.useless_beyond);
-            if !job.ordered && (now >= useless || now >= job.deadline) {
+            let useless = job.arrived + job.objective.mul_f64(self.settings.useless_factor);
+            if !job.start_ordered && (now >= useless || now >= job.deadline) {
                 let kind = RefusalKind::TooLate;
                 ends.push((
                     *id,
                     JobOutcome::Refused {
                         kind,
-                        retry_after: SHORTEST_RETRY,
+                        retry_after: MIN_RETRY_AFTER,
                         fits: 0,
                     },
                 ));
@@ -274,23 +294,23 @@
         }
     }
 
-    /// Frees what silent workers held once their leases surely are over.
-    fn expire_silent(&mut self, now: Instant) {
-        let owner_millis = self.millis(now);
+    /// Requeues the runs of silent workers once their leases have certainly expired.
+    fn expire_silent_leases(&mut self, now: Instant) {
+        let owner_millis = self.owner_millis(now);
         let mut lapsed = Vec::new();
         for (life, worker) in &self.workers {
             if worker.runs.is_empty() || !worker.is_silent() {
                 continue;
             }
-            let Some(clock) = worker.clock_now(owner_millis) else {
+            let Some(clock) = worker.min_clock_now(owner_millis) else {
                 continue;
             };
-            if clock >= worker.lease_end.plus(self.settings.lapse_margin) {
+            if clock >= worker.lease_end.plus(self.settings.lease_expiry_margin) {
                 lapsed.push(life.clone());
             }
         }
         for life in lapsed {
-            self.lose_all_runs(now, &life, crate::action::RunLoss::LeaseOver);
+            self.lose_all_runs(now, &life, crate::action::RunLoss::LeaseExpired);
         }
     }
 }
@@ -304,8 +324,8 @@
     }
 }
 
-/// What all orders have that are sent at one time.
-struct OrderFrame {
+/// Values shared by all orders that are sent in one pass.
+struct OrderContext {
     now: Instant,
     owner_millis: u64,
     lease: Duration,
@@ -314,18 +334,18 @@
 }
 
 fn start_action(
-    worker: &mut WorkerLedger,
+    worker: &mut TrackedWorker,
     task: jobs::TaskId,
     number: jobs::RunNumber,
-    frame: &OrderFrame,
+    context: &OrderContext,
 ) -> Option<PoolAction> {
-    let clock = worker.clock_now(frame.owner_millis)?;
-    let lease_end = clock.plus(frame.lease);
+    let clock = worker.min_clock_now(context.owner_millis)?;
+    let lease_end = clock.plus(context.lease);
     let (life, address) = (worker.record.life.clone(), worker.record.address);
     let run = worker.run_mut(task, number)?;
-    run.tries += 1;
-    run.under_way += 1;
-    run.start_until = lease_end;
+    run.starts_sent += 1;
+    run.starts_in_flight += 1;
+    run.start_expires = lease_end;
     let text = run.text.clone();
     worker.lease_end = worker.lease_end.max(lease_end);
     Some(PoolAction::Start(StartOrder {
@@ -336,20 +356,20 @@
         run: number,
         text,
         lease_end,
-        sent: frame.now,
-        overdue: frame.overdue,
-        limit: frame.limit,
+        sent: context.now,
+        overdue_after: context.overdue,
+        timeout: context.limit,
     }))
 }
 
 fn stop_action(
-    worker: &WorkerLedger,
+    worker: &TrackedWorker,
     task: jobs::TaskId,
     run: jobs::RunNumber,
-    frame: &OrderFrame,
+    context: &OrderContext,
 ) -> Option<PoolAction> {
     let known = worker.runs.iter().any(|r| r.task == task && r.run == run);
-    if !known && !worker.foreign.contains(&(task, run)) {
+    if !known && !worker.foreign_runs.contains(&(task, run)) {
         return None;
     }
     Some(PoolAction::Stop(StopOrder {
@@ -358,8 +378,9 @@
         fence: worker.fence,
         task,
         run,
-        sent: frame.now,
-        // Stopping twice is idempotent, and a place waits for it.
-        limit: frame.overdue,
+        sent: context.now,
+        // A repeated stop is idempotent and the run occupies its capacity until it has stopped, so
+        // stops use the shorter limit.
+        timeout: context.overdue,
     }))
 }
--- a/crates/pool/src/pool/takeover.rs
+++ b/crates/pool/src/pool/takeover.rs
@@ -1,9 +1,11 @@
-//! Kept jobs of a former owner, and what an owner does that may have been replaced itself.
+//! Takeover of a former owner's kept jobs, and precautions of an owner that may itself have been
+//! replaced.
 //!
-//! Failure prevented: two owners run the same task. A successor cannot ask a predecessor that it does not hear, and the
-//! store does not know what runs. So a successor holds back what it finds until the workers have said what runs and
-//! ended, or until all that the predecessor may have ordered is surely over; and an owner without a sign of the store
-//! stops its kept jobs in time for that.
+//! Two owners must not run the same task. A successor cannot ask a predecessor that it cannot
+//! reach, and the store does not record what runs. So a successor holds back the kept jobs that it
+//! finds until the workers have reported what runs and what ended, or until everything that the
+//! predecessor may have ordered is certainly over. An owner without contact to the store stops its
+//! kept jobs in time for that.
 
 use std::{
     sync::Arc,
@@ -12,157 +14,167 @@
 
 use jobs::{EndCause, EndedRun, JobId, JobOutcome, KeptState, LifeId};
 
-use super::{keeping::NO_DEADLINE, stop_run, WorkerPool};
+use super::{kept_jobs::NO_DEADLINE, stop_run, WorkerPool};
 use crate::{
     action::PoolNote,
-    job::JobLedger,
-    kept::{FoundJob, KeptLedger, CONTACT_LIMIT, SETTLE_LIMIT},
-    worker::{RunPhase, WorkerLedger},
+    job::TrackedJob,
+    kept::{FoundJob, KeptJobState, STORE_CONTACT_LIMIT, TAKEOVER_HOLD_TIME},
+    worker::{RunPhase, TrackedWorker},
 };
 
-/// How long ended jobs are remembered, so that an older view of their rows does not bring them back: the longest time that
-/// a read of the store takes, and much more.
-const ENDED_MEMORY: Duration = Duration::from_secs(10);
+/// How long ended jobs are remembered, so that an outdated read of their rows does not bring them
+/// back: much longer than the longest time that a read of the store takes.
+const ENDED_KEPT_MEMORY: Duration = Duration::from_secs(10);
 
 impl WorkerPool {
-    /// The store has shown that this owner's claim stands, by a call that was sent at `sent`.
-    pub fn note_contact(&mut self, sent: Instant) {
-        self.store_contact = self.store_contact.max(Some(sent));
+    /// Records that the store has confirmed this owner's claim, by a call that was sent at `sent`.
+    pub fn note_store_contact(&mut self, sent: Instant) {
+        self.last_store_contact = self.last_store_contact.max(Some(sent));
     }
 
-    /// Whether kept jobs wait until no run of a former owner can be left.
-    pub(super) fn has_held_back(&self) -> bool {
+    /// Whether any kept job is held back until no run of a former owner can be left.
+    pub(super) fn has_kept_on_hold(&self) -> bool {
         let mut kept = self.jobs.values().filter_map(|job| job.kept.as_ref());
-        kept.any(|kept| kept.held_back)
+        kept.any(|kept| kept.may_have_runs)
     }
 
-    /// Says whether a former owner still finishes jobs of the pool, and whether all workers that it may have used are
-    /// known: entries of the directory may be missing for a while after the store was away.
-    pub fn set_surroundings(&mut self, now: Instant, awaiting: bool, listed: bool) {
-        self.all_listed = listed;
-        if awaiting {
-            self.alone_since = now;
-            // The former owner goes on writing rows.
-            self.unload_kept();
+    /// Sets whether a former owner is still finishing jobs of the pool, and whether all workers
+    /// that it may have used are known: directory entries may be missing for a while after the
+    /// store was unavailable.
+    pub fn set_takeover_state(
+        &mut self,
+        now: Instant,
+        predecessor_active: bool,
+        all_workers_known: bool,
+    ) {
+        self.all_workers_known = all_workers_known;
+        if predecessor_active {
+            self.sole_owner_since = now;
+            // The former owner goes on writing rows, so they have to be read again later.
+            self.request_kept_reload();
         }
-        self.awaiting = awaiting;
+        self.predecessor_active = predecessor_active;
     }
 
-    /// Whether its kept jobs have been read: before that it cannot say how many there are.
-    pub fn knows_kept(&self) -> bool {
+    /// Whether the kept jobs have been loaded. Before that their number is unknown.
+    pub fn has_loaded_kept(&self) -> bool {
         self.kept_loaded
     }
 
-    /// Whether its kept jobs have to be read from the store: not yet read, and nobody else goes on with them.
-    pub fn wants_kept(&self) -> bool {
-        !self.kept_loaded && !self.awaiting
+    /// Whether the kept jobs have to be loaded from the store: they are not loaded, and no former
+    /// owner is still finishing them.
+    pub fn needs_kept_load(&self) -> bool {
+        !self.kept_loaded && !self.predecessor_active
     }
 
-    /// Takes the kept jobs that the store has of this pool.
+    /// Loads the kept jobs that the store has of this pool.
     pub fn load_kept(&mut self, now: Instant, found: Vec<FoundJob>) {
-        if self.awaiting {
+        if self.predecessor_active {
             return;
         }
         self.kept_loaded = true;
-        self.ended_kept
-            .retain(|_, ended| now < *ended + ENDED_MEMORY);
+        self.recently_ended_kept
+            .retain(|_, ended| now < *ended + ENDED_KEPT_MEMORY);
         for job in found {
             // A row may have been read just before its job ended here.
-            let ended = self.ended_kept.contains_key(&job.job);
+            let ended = self.recently_ended_kept.contains_key(&job.job);
             if !ended && !self.jobs.contains_key(&job.job) {
-                self.adopt(now, job);
+                self.adopt_job(now, job);
             }
         }
     }
 
-    fn adopt(&mut self, now: Instant, found: FoundJob) {
+    fn adopt_job(&mut self, now: Instant, found: FoundJob) {
         let FoundJob {
             job: id,
             row,
             version,
         } = found;
         let (request, terms) = (Arc::new(row.request(id)), row.terms());
-        let mut job = self.open_job(now, None, request, terms);
+        let mut job = self.build_job(now, None, request, terms);
         job.deadline = now + NO_DEADLINE;
         for (step, record) in row.progress.iter().enumerate() {
-            job.take_record(step, record);
+            job.apply_record(step, record);
         }
-        // Runs that this owner ordered before it let go of the job: when they end, their tasks wait again.
+        // This owner may have ordered runs of the job before it released it. Their tasks do not
+        // wait until those runs have ended.
         for worker in self.workers.values() {
             for run in worker.runs.iter().filter(|run| run.task.job == id) {
-                job.leave_out(run.task.step as usize, run.task.index);
+                job.remove_waiting(run.task.step as usize, run.task.index);
             }
         }
-        job.open_steps();
-        let revision = self.next_run(now).0;
-        job.kept = Some(KeptLedger {
+        job.update_ready_steps();
+        let revision = self.next_run_number(now).0;
+        job.kept = Some(KeptJobState {
             version: Some(version),
             revision,
-            stored: revision,
+            stored_revision: revision,
             progress: row.progress,
-            held_back: true,
-            ..KeptLedger::default()
+            may_have_runs: true,
+            ..KeptJobState::default()
         });
         let complete = job.is_complete();
         let progress = job.kept.as_ref().map(|kept| kept.progress.clone());
         self.jobs.insert(id, job);
         self.notes.push(PoolNote::KeptFound { job: id, version });
         if complete {
-            // Its last end was stored, and its owner was gone before it could store that it is complete.
+            // The job's last end was stored, but its owner was gone before it could store the
+            // completion.
             self.end_kept(now, id, KeptState::Completed);
         } else {
             self.enqueue(now, id);
-            self.take_recorded_deaths(now, id, &progress.unwrap_or_default());
+            self.load_recorded_deaths(now, id, &progress.unwrap_or_default());
         }
     }
 
-    /// Whether the tasks of a job may be placed, if room is free.
-    pub(super) fn may_run(&self, now: Instant, job: &JobLedger) -> bool {
+    /// Whether the tasks of a job may be placed if a worker has room.
+    pub(super) fn may_run(&self, now: Instant, job: &TrackedJob) -> bool {
         let Some(kept) = &job.kept else {
             return true;
         };
-        let stored = kept.version.is_some() && kept.end.is_none();
-        stored && !kept.held_back && self.accepting && self.is_sure(now)
+        let stored = kept.version.is_some() && kept.final_state.is_none();
+        stored && !kept.may_have_runs && self.accepting && self.has_recent_store_contact(now)
     }
 
-    /// Whether this owner surely has not been replaced without knowing it.
-    fn is_sure(&self, now: Instant) -> bool {
-        self.store_contact
-            .is_some_and(|sent| now < sent + CONTACT_LIMIT)
+    /// Whether the last contact with the store is so recent that this owner cannot have been
+    /// replaced without knowing it.
+    fn has_recent_store_contact(&self, now: Instant) -> bool {
+        self.last_store_contact
+            .is_some_and(|sent| now < sent + STORE_CONTACT_LIMIT)
     }
 
-    /// Does what time alone changes for kept jobs.
+    /// Runs the time-driven work for kept jobs.
     pub(super) fn tick_kept(&mut self, now: Instant) {
         if !self.has_kept() {
             return;
         }
-        if self.awaiting {
-            self.alone_since = now;
+        if self.predecessor_active {
+            self.sole_owner_since = now;
         }
-        if !self.is_sure(now) {
+        if !self.has_recent_store_contact(now) {
             self.stop_kept_runs(now);
         }
-        if self.is_settled(now) {
+        if self.is_takeover_settled(now) {
             for job in self.jobs.values_mut() {
                 if let Some(kept) = &mut job.kept {
-                    kept.held_back = false;
+                    kept.may_have_runs = false;
                 }
             }
         }
         if !self.accepting {
-            self.leave_kept();
+            self.release_idle_kept();
         }
     }
 
-    /// Whether no run of a former owner can be left: every worker has said under this fence what it runs, or all that
-    /// a former owner may have ordered is over.
-    fn is_settled(&self, now: Instant) -> bool {
-        let clear = |worker: &WorkerLedger| {
-            worker.ends_read && worker.foreign.is_empty() && worker.unlisted.is_none()
+    /// Whether no run of a former owner can be left: every worker has listed its runs under this
+    /// fence, or everything that a former owner may have ordered is over.
+    fn is_takeover_settled(&self, now: Instant) -> bool {
+        let is_clear = |worker: &TrackedWorker| {
+            worker.ends_listed && worker.foreign_runs.is_empty() && worker.unlisted_since.is_none()
         };
-        let known = self.kept_loaded && self.all_listed && !self.awaiting;
-        let seen = known && self.workers.values().all(clear);
-        seen || now >= self.alone_since + SETTLE_LIMIT
+        let view_complete = self.kept_loaded && self.all_workers_known && !self.predecessor_active;
+        let all_reported = view_complete && self.workers.values().all(is_clear);
+        all_reported || now >= self.sole_owner_since + TAKEOVER_HOLD_TIME
     }
 
     fn stop_kept_runs(&mut self, now: Instant) {
@@ -172,7 +184,9 @@
             let kept = |id: &JobId| self.jobs.get(id).is_some_and(|job| job.kept.is_some());
             let running = worker.runs.iter().filter(|run| kept(&run.task.job));
             let running = running.filter(|run| run.phase != RunPhase::Stopping);
-            let running: Vec<_> = running.map(|run| (run.task, run.run, run.tries)).collect();
+            let running: Vec<_> = running
+                .map(|run| (run.task, run.run, run.starts_sent))
+                .collect();
             for (task, run, tries) in running {
                 stopped = true;
                 if tries == 0 {
@@ -182,7 +196,7 @@
             }
         }
         for run in unsent {
-            // It never begins, so no end of it comes that would let its task wait again.
+            // The run never begins, so there will be no end that requeues its task.
             self.requeue(now, run);
         }
         if stopped {
@@ -191,15 +205,15 @@
         }
     }
 
-    /// Lets go of stored jobs of which nothing runs: the next owner finds them in the store.
-    fn leave_kept(&mut self) {
+    /// Releases stored jobs of which nothing runs. The next owner finds them in the store.
+    fn release_idle_kept(&mut self) {
         let idle = self.jobs.iter().filter(|(id, job)| {
-            let stored = job.kept.as_ref().is_some_and(KeptLedger::is_all_stored);
+            let stored = job.kept.as_ref().is_some_and(KeptJobState::is_fully_stored);
             stored
                 && self
                     .workers
                     .values()
-                    .all(|worker| worker.runs_of(**id) == 0)
+                    .all(|worker| worker.run_count_of(**id) == 0)
         });
         let idle: Vec<JobId> = idle.map(|(id, _)| *id).collect();
         for id in idle {
@@ -208,35 +222,35 @@
         }
     }
 
-    /// Lets go of all kept jobs, since another owner may have them. They are read anew.
-    pub(super) fn forget_kept(&mut self, now: Instant) {
+    /// Releases all kept jobs, since another owner may have them. They are loaded again later.
+    pub(super) fn release_all_kept(&mut self, now: Instant) {
         let kept = self.jobs.iter().filter(|(_, job)| job.kept.is_some());
         let kept: Vec<JobId> = kept.map(|(id, _)| *id).collect();
         if kept.is_empty() {
             return;
         }
         for id in kept {
-            self.drop_kept(now, id, JobOutcome::GivenUp);
+            self.remove_kept(now, id, JobOutcome::GivenUp);
         }
-        // What was not acknowledged is listed again, and counts then.
+        // Ends that were not acknowledged are listed again, and count then.
         for worker in self.workers.values_mut() {
-            worker.unstored.clear();
-            worker.seen = worker.acknowledged;
+            worker.unstored_ends.clear();
+            worker.last_seen_end = worker.acknowledged_end;
         }
-        self.unload_kept();
-        self.alone_since = now;
+        self.request_kept_reload();
+        self.sole_owner_since = now;
     }
 
-    /// Has the kept jobs read anew, and with them the ends that workers list.
-    pub(super) fn unload_kept(&mut self) {
+    /// Has the kept jobs loaded again, and with them the ends that workers list.
+    pub(super) fn request_kept_reload(&mut self) {
         self.kept_loaded = false;
         for worker in self.workers.values_mut() {
-            worker.ends_read = false;
+            worker.ends_listed = false;
         }
     }
 
-    /// An end of a run that a former owner ordered.
-    pub(super) fn take_found_end(&mut self, now: Instant, life: &LifeId, end: &EndedRun) {
+    /// Handles the end of a run that a former owner ordered.
+    pub(super) fn apply_found_end(&mut self, now: Instant, life: &LifeId, end: &EndedRun) {
         let Some(task) = end.task else {
             return;
         };
@@ -253,17 +267,17 @@
             return;
         };
         let waits = progress.waiting.iter().position(|w| w.index == task.index);
-        let Some(place) = waits else {
+        let Some(waiting_index) = waits else {
             return;
         };
         match end.cause {
             EndCause::Done => {
-                progress.waiting.swap_remove(place);
+                progress.waiting.swap_remove(waiting_index);
                 self.record_end(task, life, end);
-                self.after_done(now, task.job);
+                self.advance_job(now, task.job);
             }
             EndCause::Failed => {
-                progress.waiting[place].failures += 1;
+                progress.waiting[waiting_index].failures += 1;
                 let attempts = job.terms.attempts;
                 if self.record_end(task, life, end) >= attempts {
                     self.end_kept(now, task.job, KeptState::Failed);
