--- a/crates/pool/tests/kept.rs
+++ b/crates/pool/tests/kept.rs
@@ -1,5 +1,6 @@
-//! Kept jobs: what is stored when, and what an owner may do with jobs of a former one. The world checks at each
-//! millisecond that no task runs twice at the same time and no worker holds more than its room.
+//! Kept jobs: what is stored when, and what an owner may do with jobs of a former one. At each
+//! millisecond the simulation checks that no task runs twice at the same time and that no worker
+//! exceeds its room.
 
 mod support;
 
@@ -10,12 +11,12 @@
 
 fn world(workers: usize) -> World {
     let mut world = World::new(1, workers);
-    world.keeps = true;
+    world.submits_kept = true;
     world.run_for(300);
     world
 }
 
-/// The runs of all workers that ended as done, for each task.
+/// The number of runs that ended as done, for each task, over all workers.
 fn done_runs(world: &World) -> Vec<usize> {
     let mut counts = std::collections::BTreeMap::new();
     for worker in world.workers.values() {
@@ -30,8 +31,8 @@
     world.rows.get(&JOB).map(|(row, _)| row.state)
 }
 
-/// The customer is told that its job is accepted once it is stored, and no task starts before: an owner that dies in
-/// between leaves either nothing behind or a job that its successor finds.
+/// The customer is told that its job is accepted once it is stored, and no task starts before. An
+/// owner that dies in between leaves either nothing behind or a job that its successor finds.
 #[test]
 fn nothing_starts_before_the_job_is_stored() {
     let mut world = world(2);
@@ -39,7 +40,7 @@
     world.submit_sized(1, JOB, vec![100.0; 3], 100.0, 6_800);
     world.run_for(400);
     assert_eq!((world.results.len(), world.running()), (0, 0));
-    world.open_store();
+    world.restore_store();
     world.run_for(100);
     assert_eq!(world.results[0].outcome, JobOutcome::Accepted);
     assert!(world.running() > 0);
@@ -48,10 +49,11 @@
     assert_eq!(done_runs(&world), [1, 1, 1]);
 }
 
-/// The owner dies while a job runs. Its successor reads the job, stops what runs, counts the ends that the workers still
-/// list, and starts only what is not done: the customer sees its job completed, and no task is done twice.
+/// The owner dies while a job runs. Its successor loads the job, stops what runs, counts the ends
+/// that the workers still list, and starts only what is not done. The job completes, and no task is
+/// done twice.
 #[test]
-fn a_new_owner_goes_on_with_what_it_finds() {
+fn a_new_owner_resumes_found_jobs() {
     for death in [5, 40, 80, 120, 160, 200, 260] {
         let mut world = world(2);
         world.submit_steps(1, JOB, vec![vec![60.0; 3], vec![90.0; 2]], 80.0, 6_800);
@@ -72,14 +74,14 @@
     }
 }
 
-/// A worker cannot be reached by the new owner, while the former one may still renew what runs there. The job waits until
-/// that surely is over and then runs elsewhere.
+/// The new owner cannot reach a worker whose runs the former owner may still renew. The job waits
+/// until those runs are certainly over, and then runs elsewhere.
 #[test]
 fn a_new_owner_waits_for_a_worker_that_it_cannot_reach() {
     let mut world = world(2);
     world.submit_sized(1, JOB, vec![900.0; 2], 900.0, 6_800);
     world.run_for(100);
-    let life = world.life_of(JOB);
+    let life = world.worker_running(JOB);
     world.workers.get_mut(&life).unwrap().fault = WorkerFault {
         silent: true,
         ..WorkerFault::default()
@@ -95,10 +97,10 @@
     assert_eq!(state(&world), Some(KeptState::Completed));
 }
 
-/// The process stands still, lets go of its jobs and finds them again in the store. Runs that it had ordered are being
-/// stopped meanwhile: their tasks wait once and not twice.
+/// The process stalls, releases its jobs and loads them again from the store, while the runs that
+/// it had ordered are being stopped. The tasks of those runs must wait once and not twice.
 #[test]
-fn a_job_that_is_let_go_of_and_found_again_runs_once() {
+fn a_released_and_reloaded_job_runs_once() {
     for pause in [20, 60, 100, 150] {
         let mut world = world(2);
         world.submit_sized(1, JOB, vec![120.0; 4], 120.0, 6_800);
@@ -119,10 +121,10 @@
     }
 }
 
-/// The store is away for longer than an owner may go on without it: it may have been replaced. Its kept jobs stop, and go
-/// on when the store is back.
+/// The store is unavailable for longer than an owner may continue without it, since it may have
+/// been replaced. Its kept jobs stop, and resume when the store is back.
 #[test]
-fn without_the_store_kept_jobs_stop_and_go_on_later() {
+fn kept_jobs_stop_without_the_store_and_resume_later() {
     let mut world = world(2);
     world.submit_sized(1, JOB, vec![3_000.0; 2], 3_000.0, 6_800);
     world.run_for(200);
@@ -130,19 +132,20 @@
     world.store_up = false;
     world.run_for(1_500);
     assert_eq!(world.running(), 0);
-    world.open_store();
+    world.restore_store();
     world.run_for(8_000);
     assert_eq!(state(&world), Some(KeptState::Completed));
 }
 
-/// A task fails on its first run. The failure is stored before it is acknowledged, and an owner that finds it in both the
-/// row and the worker's list counts it once: the job fails after as many runs as its route allows, not sooner.
+/// A task fails on its first run. The failure is stored before it is acknowledged, and an owner
+/// that finds it both in the row and in the worker's list counts it once, so the job does not fail
+/// before its route's attempts are used up.
 #[test]
 fn a_failed_run_counts_once_over_owners() {
     let mut world = world(1);
     let life = world.workers.keys().next().unwrap().clone();
     world.workers.get_mut(&life).unwrap().fault = WorkerFault {
-        fails: true,
+        fails_runs: true,
         ..WorkerFault::default()
     };
     world.submit_sized(1, JOB, vec![60.0], 60.0, 6_800);
@@ -158,7 +161,7 @@
     assert_eq!(state(&world), Some(KeptState::Completed));
 }
 
-/// A customer cancels its job: what runs is stopped and nothing of it starts again.
+/// A customer cancels its job: its runs are stopped, and none of its tasks starts again.
 #[test]
 fn a_cancelled_job_stops() {
     let mut world = world(2);
@@ -172,10 +175,11 @@
     assert_eq!(done_runs(&world), [0; 0]);
 }
 
-/// Hundreds of kept jobs wait, more than the pool can do for long. A new job is refused without trying out all of them,
-/// which would take the owner's processor for so long that others count it as silent.
+/// Hundreds of kept jobs wait, more than the pool can finish in a long time. A new job must be
+/// refused without simulating all of them, which would occupy the owner's processor for so long
+/// that others count it as silent.
 #[test]
-fn a_long_queue_is_not_tried_out() {
+fn a_long_queue_is_not_simulated() {
     let mut world = world(4);
     world.traffic(8_000, [4.0, 4.0, 4.0]);
     let before = std::time::Instant::now();
@@ -186,11 +190,12 @@
     assert!(each.as_millis() < 10, "{each:?} for an admission");
 }
 
-/// The process stands still while a write of a job is under way, and lets the job go. The answer to that write comes after
-/// the job was found again and ends of it are being stored: it must not be taken for theirs, or the worker forgets ends
-/// that no row has, and an owner that comes then runs their tasks again.
+/// The process stalls while a write of a job is in flight, and releases the job. The write's answer
+/// comes after the job was loaded again and while ends of it are being stored. If it were taken for
+/// the answer to that later write, the worker would forget ends that no row has, and the next owner
+/// would run their tasks again.
 #[test]
-fn an_answer_to_a_write_from_before_counts_for_nothing() {
+fn an_answer_to_a_stale_write_is_ignored() {
     let mut world = world(2);
     world.submit_sized(1, JOB, vec![60.0, 160.0], 100.0, 6_800);
     world.run_for(50);
@@ -205,13 +210,13 @@
     let after = world.waiting_writes();
     assert_eq!(after.len(), 2, "its end was found again");
     world.run_for(200);
-    world.store_one(&before[0]);
+    world.complete_write(&before[0]);
     world.run_for(20);
-    world.store_one(&after[1]);
+    world.complete_write(&after[1]);
     world.run_for(1_300);
     // The owner is gone before it can store the second task's end.
     world.replace_owner();
-    world.open_store();
+    world.restore_store();
     world.run_for(20);
     world.read_rows();
     world.run_for(3_000);
@@ -219,14 +224,14 @@
     assert_eq!(done_runs(&world), [1, 1]);
 }
 
-/// Kept jobs are stopped, since the store has not shown for too long that the claim stands, while an order to start a task
-/// has not been sent yet. The task waits again with the others; forgotten, its job would never end.
+/// The store has not confirmed the claim for too long, so kept jobs are stopped while a start is
+/// queued but not sent. Its task must be requeued with the others; otherwise the job never ends.
 #[test]
-fn a_start_that_was_not_sent_is_not_forgotten() {
+fn a_task_whose_start_was_not_sent_is_requeued() {
     for late in [880, 900, 920, 940, 960, 980] {
         let mut world = world(1);
         let life = world.workers.keys().next().unwrap().clone();
-        world.contact_up = false;
+        world.claim_confirmable = false;
         world.run_for(late);
         world.workers.get_mut(&life).unwrap().fault = WorkerFault {
             silent: true,
@@ -235,7 +240,7 @@
         world.submit_sized(1, JOB, vec![100.0; 2], 100.0, 6_800);
         world.run_for(300);
         world.workers.get_mut(&life).unwrap().fault = WorkerFault::default();
-        world.contact_up = true;
+        world.claim_confirmable = true;
         world.run_for(4_000);
         assert_eq!(state(&world), Some(KeptState::Completed), "after {late} ms");
     }
--- a/crates/pool/tests/room.rs
+++ b/crates/pool/tests/room.rs
@@ -1,5 +1,6 @@
-//! Workers whose room shrinks and grows while they run. Checked at each start: what runs on the worker, what is being stopped
-//! included, fits with it into the room that its owner was told of.
+//! Workers whose room shrinks and grows while they have runs. At each start the simulation checks
+//! that the worker's runs, including those being stopped, fit with the new one into the room that
+//! its owner was told of.
 
 mod support;
 
@@ -18,13 +19,13 @@
     result.map(|result| result.outcome)
 }
 
-fn is_refused(outcome: Option<JobOutcome>, wanted: RefusalKind) -> bool {
-    matches!(outcome, Some(JobOutcome::Refused { kind, .. }) if kind == wanted)
+fn is_refused(outcome: Option<JobOutcome>, expected: RefusalKind) -> bool {
+    matches!(outcome, Some(JobOutcome::Refused { kind, .. }) if kind == expected)
 }
 
-/// Guards against starts that were placed before a worker shrank and leave afterwards.
+/// Guards against starts that were placed before a worker shrank and are sent afterwards.
 #[test]
-fn starts_that_wait_are_taken_back() {
+fn unsent_starts_are_withdrawn_from_a_shrunk_worker() {
     let mut world = World::new(1, 1);
     let (job, life) = (JobId(1), first_life(&world));
     world.submit_sized(1, job, vec![300.0; 4], 300.0, QUARTER_WORKER);
@@ -36,9 +37,10 @@
     assert_eq!(outcome(&world, job), Some(JobOutcome::Completed));
 }
 
-/// Guards against a start without an answer that is sent again to a worker which has shrunk meanwhile.
+/// Guards against an unanswered start that is sent again to a worker that has shrunk in the
+/// meantime.
 #[test]
-fn lost_starts_are_not_repeated_beyond_the_room() {
+fn lost_starts_are_not_resent_beyond_the_room() {
     let mut world = World::new(2, 1);
     let (first, second) = (JobId(1), JobId(2));
     let life = first_life(&world);
@@ -53,7 +55,8 @@
     assert_eq!(outcome(&world, first), Some(JobOutcome::Completed));
 }
 
-/// Guards against a job that waits until its deadline for a place which no worker has any more: its caller is told at once.
+/// Guards against a job that waits until its deadline for room that no worker has any more. Its
+/// caller is told at once.
 #[test]
 fn a_job_that_no_worker_can_hold_any_more_is_refused() {
     let mut world = World::new(3, 1);
@@ -73,9 +76,10 @@
     assert_eq!(outcome(&world, small), Some(JobOutcome::Completed));
 }
 
-/// Guards against a job that is admitted for room which comes free on a worker that is over its room: it would be late.
+/// Guards against admitting a job because of runs that end on a worker that is still over its room.
+/// The job would be late.
 #[test]
-fn room_that_is_owed_is_not_promised() {
+fn room_of_an_overcommitted_worker_is_not_promised() {
     let mut world = World::new(4, 1);
     let life = first_life(&world);
     world.submit_sized(1, JobId(1), vec![60.0], 60.0, 8_000);
@@ -86,9 +90,10 @@
     assert!(is_refused(outcome(&world, JobId(3)), RefusalKind::TooLate));
 }
 
-/// Guards against a worker without room, or with more than any worker has, that costs more than its own places.
+/// Guards against a worker with no room, or with more room than any real worker, that affects more
+/// than its own runs.
 #[test]
-fn any_room_is_borne() {
+fn any_room_size_is_handled() {
     for cpu in [0, 1, WHOLE_WORKER, 1 << 50, u64::MAX] {
         let mut world = World::new(5, 3);
         let life = first_life(&world);
@@ -105,9 +110,10 @@
     }
 }
 
-/// Guards against any order of changes, faults and owners in which a start goes beyond a room.
+/// Guards against any sequence of room changes, faults and owners in which a start exceeds a
+/// worker's room.
 #[test]
-fn no_start_goes_beyond_a_room_that_flaps() {
+fn no_start_exceeds_a_changing_room() {
     for seed in 0..60 {
         let mut world = World::new(seed, 6);
         for _ in 0..12 {
@@ -120,7 +126,7 @@
                 let fault = WorkerFault {
                     silent: world.rng.u32(0..8) == 0,
                     answers_lost: if world.rng.bool() { 0.3 } else { 0.0 },
-                    late: if world.rng.u32(0..4) == 0 { 0.3 } else { 0.0 },
+                    late_starts: if world.rng.u32(0..4) == 0 { 0.3 } else { 0.0 },
                     stops_lost: world.rng.u32(0..8) == 0,
                     ..WorkerFault::default()
                 };
--- a/crates/pool/tests/support/mod.rs
+++ b/crates/pool/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A pool among simulated workers, in simulated time: messages travel, runs take time, faults happen, and the promises
-//! are checked at every step.
+//! A pool with simulated workers in simulated time. Messages take time to arrive, runs take time and faults happen; the
+//! invariants are checked at every millisecond.
 
 #![allow(dead_code, reason = "not every test file uses all of it")]
 
@@ -21,42 +21,42 @@
     WorkerRecord, WorkerState,
 };
 use pool::{
-    CallFailure, FoundJob, KeepAnswer, KeepOrder, LookAnswer, LookOrder, PoolAction, PoolNote,
-    PoolSettings, PoolStart, StartAnswer, StartOrder, StopAnswer, StopOrder, WaiterId, WorkerPool,
+    CallFailure, FoundJob, KeptWrite, KeptWriteResult, PollAnswer, PollOrder, PoolAction, PoolInit,
+    PoolNote, PoolSettings, StartAnswer, StartOrder, StopAnswer, StopOrder, WaiterId, WorkerPool,
 };
 
 use crashing::CrashPlan;
-use link::{WorldLink, ANSWER_BYTES, LISTING_BYTES, LOOK_BYTES, START_BYTES, STOP_BYTES};
+use link::{SimulatedLink, ANSWER_BYTES, LISTING_BYTES, POLL_BYTES, START_BYTES, STOP_BYTES};
 use results::JobResult;
-use worker::WorldRun;
-pub(crate) use worker::{WorkerFault, WorldWorker};
+use worker::SimulatedRun;
+pub(crate) use worker::{SimulatedWorker, WorkerFault};
 
 /// The longest lease that a worker grants, in milliseconds.
-const LONGEST_LEASE: u64 = 1_000;
+const MAX_LEASE_MS: u64 = 1_000;
 
-/// One way between the owner and a worker, in milliseconds.
-const ONE_WAY: u64 = 1;
+/// The one-way latency between the owner and a worker, in milliseconds.
+const ONE_WAY_MS: u64 = 1;
 
 pub(crate) const SERVICE: &str = "svc";
 
 /// How long the store takes for a transaction, in milliseconds.
-const STORE_TIME: u64 = 12;
+const STORE_TIME_MS: u64 = 12;
 
-/// The time between two signs of the store, in milliseconds.
-const CONTACT_BEAT: u64 = 300;
+/// The time between two contacts with the store, in milliseconds.
+const CONTACT_INTERVAL_MS: u64 = 300;
 
-/// Identifies a call: at most one answer to it counts.
+/// Identifies a call. At most one answer to a call counts.
 type CallNumber = u64;
 
 enum Event {
     Start(CallNumber, StartOrder),
     Stop(CallNumber, StopOrder),
-    Look(CallNumber, LookOrder, u64),
+    Poll(CallNumber, PollOrder, u64),
     StartOverdue(CallNumber, StartOrder),
     StartAnswer(CallNumber, StartOrder, StartAnswer),
     StopAnswer(CallNumber, StopOrder, StopAnswer),
-    LookAnswer(CallNumber, LookOrder, u64, LookAnswer),
-    Keep(KeepOrder),
+    PollAnswer(CallNumber, PollOrder, u64, PollAnswer),
+    WriteRow(KeptWrite),
 }
 
 struct Message {
@@ -84,57 +84,57 @@
 
 struct OpenJob {
     kind: usize,
-    came: u64,
+    arrived: u64,
     objective: f64,
     steps: Vec<Vec<f64>>,
     cpu: u64,
 }
 
-/// The pool and its workers.
+/// A pool and its simulated workers.
 pub(crate) struct World {
     pub(crate) pool: WorkerPool,
-    pub(crate) workers: BTreeMap<LifeId, WorldWorker>,
+    pub(crate) workers: BTreeMap<LifeId, SimulatedWorker>,
     pub(crate) rng: Rng,
     pub(crate) now: u64,
     pub(crate) results: Vec<JobResult>,
     open: BTreeMap<JobId, OpenJob>,
-    /// Work of every job ever handed in: a late start needs it after its job has ended.
+    /// The work of every job ever submitted. A delayed start needs it after its job has ended.
     known: BTreeMap<JobId, (Vec<Vec<f64>>, u64)>,
     origin: Instant,
     messages: BinaryHeap<Message>,
     serial: u64,
     fence: u64,
-    /// How many steps each job of the traffic has.
+    /// The number of steps in each job of the traffic.
     pub(crate) steps: usize,
-    /// The rows of kept jobs and their versions, as a store has them.
+    /// The rows of kept jobs and their versions in the simulated store.
     pub(crate) rows: BTreeMap<JobId, (KeptRow, u64)>,
     /// Whether the store answers.
     pub(crate) store_up: bool,
-    /// Whether the store shows that the claim stands.
-    pub(crate) contact_up: bool,
-    /// Whether jobs that are handed in are kept.
-    pub(crate) keeps: bool,
-    waiting_rows: Vec<KeepOrder>,
-    /// The owner's link.
-    out: WorldLink,
-    into: WorldLink,
-    /// Calls that have no answer yet.
+    /// Whether the store confirms the owner's claim.
+    pub(crate) claim_confirmable: bool,
+    /// Whether submitted jobs are kept jobs.
+    pub(crate) submits_kept: bool,
+    waiting_rows: Vec<KeptWrite>,
+    /// The owner's link, in the direction of the workers.
+    uplink: SimulatedLink,
+    downlink: SimulatedLink,
+    /// Calls without an answer, and the fencing token under which they were sent.
     open_calls: BTreeMap<CallNumber, FenceToken>,
-    /// Tasks of which an end as done was acknowledged.
-    noted: BTreeSet<TaskId>,
-    /// Whether no start of them may follow, as for kept jobs while no lease lapses.
-    pub(crate) ends_stand: bool,
-    /// Starts that were sent.
+    /// Tasks of which a completed run was acknowledged.
+    acknowledged_done: BTreeSet<TaskId>,
+    /// Whether a task must not start again after that, which holds for kept jobs while no lease expires.
+    pub(crate) done_is_final: bool,
+    /// The number of starts that were sent.
     pub(crate) starts_sent: u64,
-    /// How long jobs that are handed in have been under way, in milliseconds.
+    /// The age of jobs when they are submitted, in milliseconds.
     pub(crate) waited: u64,
     evacuated: bool,
-    pub(crate) let_go: bool,
+    pub(crate) released: bool,
     pub(crate) crashes: CrashPlan,
-    /// Whether a worker's room has changed just now, and starts may be on their way.
-    telling: bool,
-    /// How long a worker takes to start again, in milliseconds.
-    pub(crate) rebirth_time: u64,
+    /// Whether a worker's room has just changed, so that starts in transit may exceed it.
+    resize_in_flight: bool,
+    /// How long a worker takes to restart, in milliseconds.
+    pub(crate) restart_time: u64,
 }
 
 /// A kind of job.
@@ -147,7 +147,7 @@
     pub(crate) priority: u32,
 }
 
-/// The three kinds of the Trust, for a third of its traffic.
+/// The Trust's three kinds of jobs, with a third of its traffic.
 pub(crate) const KINDS: [JobKind; 3] = [
     JobKind {
         name: "lessonhold",
@@ -190,15 +190,15 @@
 }
 
 impl World {
-    /// A pool of workers as the Trust has in one data centre.
+    /// A pool of workers like the Trust's in one data centre.
     pub(crate) fn new(seed: u64, workers: usize) -> Self {
         Self::with_settings(seed, workers, PoolSettings::default())
     }
 
-    /// The same with other settings.
+    /// As [`Self::new`], with other settings.
     pub(crate) fn with_settings(seed: u64, workers: usize, settings: PoolSettings) -> Self {
         let origin = Instant::now();
-        let start = PoolStart {
+        let start = PoolInit {
             settings,
             ..pool_start(1)
         };
@@ -217,21 +217,21 @@
             steps: 1,
             rows: BTreeMap::new(),
             store_up: true,
-            contact_up: true,
-            keeps: false,
+            claim_confirmable: true,
+            submits_kept: false,
             waiting_rows: Vec::new(),
-            out: WorldLink::default(),
-            into: WorldLink::default(),
+            uplink: SimulatedLink::default(),
+            downlink: SimulatedLink::default(),
             open_calls: BTreeMap::new(),
-            noted: BTreeSet::new(),
-            ends_stand: false,
+            acknowledged_done: BTreeSet::new(),
+            done_is_final: false,
             starts_sent: 0,
             waited: 4,
             evacuated: false,
-            let_go: false,
+            released: false,
             crashes: CrashPlan::default(),
-            telling: false,
-            rebirth_time: 0,
+            resize_in_flight: false,
+            restart_time: 0,
         };
         world.pool.load_kept(origin, Vec::new());
         for number in 0..workers {
@@ -245,9 +245,9 @@
 
     pub(crate) fn add_worker(&mut self, record: WorkerRecord, speed: f64) {
         let at = self.instant();
-        self.pool.put_worker(at, record.clone());
+        self.pool.upsert_worker(at, record.clone());
         let clock_offset = self.rng.u64(1_000..500_000);
-        let worker = WorldWorker {
+        let worker = SimulatedWorker {
             record: record.clone(),
             fault: WorkerFault::default(),
             speed,
@@ -260,36 +260,36 @@
             lease_end: 0,
             runs: Vec::new(),
             ends: Vec::new(),
-            forgotten: 0,
-            waiting: Vec::new(),
+            acknowledged_end: 0,
+            waiting_polls: Vec::new(),
         };
         self.workers.insert(record.life, worker);
-        self.carry_out();
+        self.execute_actions();
     }
 
-    /// Gives the owner's link a rate each way, in bytes a second.
-    pub(crate) fn narrow_link(&mut self, rate: f64) {
-        self.out.rate = Some(rate / 1_000.0);
-        self.into.rate = Some(rate / 1_000.0);
+    /// Limits the rate of the owner's link in each direction, in bytes per second.
+    pub(crate) fn limit_link_rate(&mut self, rate: f64) {
+        self.uplink.bytes_per_ms = Some(rate / 1_000.0);
+        self.downlink.bytes_per_ms = Some(rate / 1_000.0);
     }
 
     pub(crate) fn instant(&self) -> Instant {
         self.origin + Duration::from_millis(self.now)
     }
 
-    /// Another owner takes the pool under a higher fence and knows nothing of its jobs; the old one is gone.
+    /// Replaces the owner with a new one under a higher fencing token, which knows none of the pool's jobs.
     pub(crate) fn change_owner(&mut self) {
         self.replace_owner();
         let at = self.instant();
         self.pool.load_kept(at, Vec::new());
-        self.carry_out();
+        self.execute_actions();
     }
 
     /// As [`Self::change_owner`], but kept jobs have yet to be read.
     pub(crate) fn replace_owner(&mut self) {
         self.fence += 1;
         let at = self.instant();
-        let start = PoolStart {
+        let start = PoolInit {
             evacuated: self.evacuated,
             ..pool_start(self.fence)
         };
@@ -297,12 +297,12 @@
         self.open.clear();
         let records: Vec<_> = self.workers.values().map(|w| w.record.clone()).collect();
         for record in records {
-            self.pool.put_worker(at, record);
+            self.pool.upsert_worker(at, record);
         }
-        self.carry_out();
+        self.execute_actions();
     }
 
-    /// Hands a job in.
+    /// Submits a random job of a kind.
     pub(crate) fn submit(&mut self, kind: usize, id: JobId) {
         let plan = KINDS[kind];
         let steps = self.steps;
@@ -332,7 +332,7 @@
         self.submit_steps(kind, id, vec![works], estimate, cpu);
     }
 
-    /// How many of so many tasks of one job the pool offers to take now.
+    /// The number of tasks, out of `count` in one job, that the pool offers to take now.
     pub(crate) fn offer(&mut self, count: u32, work_ms: u64, cpu: u64) -> u32 {
         let step = StepSpec {
             count,
@@ -366,7 +366,7 @@
         self.pool.offer(at, &request, &terms)
     }
 
-    /// Hands in a job whose steps come one after another.
+    /// Submits a job whose steps run one after another.
     pub(crate) fn submit_steps(
         &mut self,
         kind: usize,
@@ -394,7 +394,7 @@
             id,
             text: Arc::from("text"),
             steps: specs.collect(),
-            kept: self.keeps,
+            kept: self.submits_kept,
             unsupported: None,
         };
         let longest = |works: &Vec<f64>| works.iter().copied().fold(0.0, f64::max);
@@ -411,15 +411,15 @@
             waited: Duration::from_millis(self.waited),
             firm: false,
         };
-        let came = self.now;
-        // A customer that hands a job in again has it run again.
-        self.noted.retain(|task| task.job != id);
+        let arrived = self.now;
+        // A job that its customer submits again runs again.
+        self.acknowledged_done.retain(|task| task.job != id);
         self.known.insert(id, (steps.clone(), cpu));
         self.open.insert(
             id,
             OpenJob {
                 kind,
-                came,
+                arrived,
                 objective,
                 steps,
                 cpu,
@@ -428,31 +428,31 @@
         let at = self.instant();
         self.pool
             .submit(at, WaiterId(id.0), Arc::new(request), terms);
-        self.carry_out();
+        self.execute_actions();
     }
 
-    /// Lets time pass.
+    /// Advances the simulated time.
     pub(crate) fn run_for(&mut self, millis: u64) {
         for _ in 0..millis {
             self.now += 1;
             self.step_workers();
             self.step_crashes();
             self.deliver();
-            let in_contact = self.store_up && self.contact_up;
-            if in_contact && self.now.is_multiple_of(CONTACT_BEAT) {
+            let in_contact = self.store_up && self.claim_confirmable;
+            if in_contact && self.now.is_multiple_of(CONTACT_INTERVAL_MS) {
                 let at = self.instant();
-                self.pool.note_contact(at);
+                self.pool.note_store_contact(at);
             }
             if self.now.is_multiple_of(20) {
                 let at = self.instant();
                 self.pool.tick(at);
             }
-            self.carry_out();
-            self.check();
+            self.execute_actions();
+            self.check_invariants();
         }
     }
 
-    /// Traffic of the three kinds, `factor` times the usual.
+    /// Generates traffic of the three kinds, each at `factor` times its usual rate.
     pub(crate) fn traffic(&mut self, millis: u64, factor: [f64; 3]) {
         for _ in 0..millis {
             for (kind, plan) in KINDS.iter().enumerate() {
@@ -465,87 +465,87 @@
         }
     }
 
-    /// A worker on which the job runs.
-    pub(crate) fn life_of(&self, job: JobId) -> LifeId {
+    /// A worker on which a task of the job runs.
+    pub(crate) fn worker_running(&self, job: JobId) -> LifeId {
         let mut workers = self.workers.iter();
         let found = workers.find(|(_, worker)| worker.runs.iter().any(|run| run.task.job == job));
         found.map(|(life, _)| life.clone()).unwrap()
     }
 
-    /// A worker says of itself that it has another room, and the directory tells it.
+    /// Changes a worker's room, and publishes it in the directory.
     pub(crate) fn resize(&mut self, life: &LifeId, cpu: u64) {
         let worker = self.workers.get_mut(life).unwrap();
         worker.record.room.cpu = CpuMillis(cpu);
         worker.resized = true;
         let record = worker.record.clone();
-        self.tell_records(vec![record]);
-        self.telling = true;
-        self.run_for(ONE_WAY);
-        self.telling = false;
+        self.put_records(vec![record]);
+        self.resize_in_flight = true;
+        self.run_for(ONE_WAY_MS);
+        self.resize_in_flight = false;
     }
 
-    /// All workers say of themselves when their lives began.
-    pub(crate) fn name_births(&mut self) {
+    /// Makes all workers publish when their lives began.
+    pub(crate) fn publish_births(&mut self) {
         let mut named = Vec::new();
         for worker in self.workers.values_mut() {
             worker.born = Some(BirthTime(1_000_000));
             worker.record.born = worker.born;
             named.push(worker.record.clone());
         }
-        self.tell_records(named);
+        self.put_records(named);
     }
 
-    /// A worker dies and starts again under its id. Its clock may be ahead of the former one or behind. Looks that wait there
-    /// break; the directory does not tell yet.
-    pub(crate) fn rebirth(&mut self, life: &LifeId) {
+    /// Restarts a worker under the same id. Its clock may be ahead of the former one or behind. Polls that wait there fail, and
+    /// the directory does not show the new life yet.
+    pub(crate) fn restart_worker(&mut self, life: &LifeId) {
         let (born, clock_offset) = (self.rng.u64(1_000..9_000_000), self.rng.u64(0..900_000));
         let worker = self.workers.get_mut(life).unwrap();
-        let broken = std::mem::take(&mut worker.waiting);
-        worker.start_again(born, clock_offset);
+        let broken = std::mem::take(&mut worker.waiting_polls);
+        worker.restart(born, clock_offset);
         worker.first_call = self.serial + 1;
-        worker.starting_until = self.now + self.rebirth_time;
+        worker.starting_until = self.now + self.restart_time;
         for (call, order, sent, _) in broken {
             let none = Err(CallFailure::NoAnswer);
-            self.post(ONE_WAY, Event::LookAnswer(call, order, sent, none));
+            self.post(ONE_WAY_MS, Event::PollAnswer(call, order, sent, none));
         }
     }
 
-    /// The directory tells what workers say of themselves.
-    pub(crate) fn tell_all(&mut self) {
+    /// Publishes the present records of all workers in the directory.
+    pub(crate) fn publish_records(&mut self) {
         let records = self.workers.values().map(|worker| worker.record.clone());
         let records = records.collect();
-        self.tell_records(records);
+        self.put_records(records);
     }
 
-    fn tell_records(&mut self, records: Vec<WorkerRecord>) {
+    fn put_records(&mut self, records: Vec<WorkerRecord>) {
         let at = self.instant();
         for record in records {
-            self.pool.put_worker(at, record);
+            self.pool.upsert_worker(at, record);
         }
-        self.carry_out();
+        self.execute_actions();
     }
 
-    /// Another owner takes one worker under a higher fence, and stops what runs there.
+    /// Another owner takes one worker under a higher fencing token and stops its runs.
     pub(crate) fn take_worker(&mut self, life: &LifeId) {
         let worker = self.workers.get_mut(life).unwrap();
         worker.fence += 1;
         worker.runs.clear();
     }
 
-    /// A customer's connection breaks: nobody waits for its job any more.
-    pub(crate) fn leave(&mut self, id: JobId) {
+    /// Breaks a customer's connection, so that no call waits for its job any more.
+    pub(crate) fn disconnect_customer(&mut self, id: JobId) {
         let at = self.instant();
         self.pool.cancel(at, id, WaiterId(id.0));
         self.open.remove(&id);
-        self.carry_out();
+        self.execute_actions();
     }
 
-    /// The pool's data centre is evacuated, or taken back.
+    /// Begins or ends the evacuation of the pool's data centre.
     pub(crate) fn set_evacuated(&mut self, evacuated: bool) {
         let at = self.instant();
         self.evacuated = evacuated;
         self.pool.set_evacuated(at, evacuated);
-        self.carry_out();
+        self.execute_actions();
     }
 
     /// The jobs that wait for an answer.
@@ -553,27 +553,28 @@
         self.open.keys().copied().collect()
     }
 
-    /// The store is back: it takes what waits.
-    pub(crate) fn open_store(&mut self) {
+    /// Makes the store available again, which then handles the waiting writes.
+    pub(crate) fn restore_store(&mut self) {
         self.store_up = true;
         for order in std::mem::take(&mut self.waiting_rows) {
-            self.post(STORE_TIME, Event::Keep(order));
+            self.post(STORE_TIME_MS, Event::WriteRow(order));
         }
     }
 
-    /// The writes that wait while the store is away.
-    pub(crate) fn waiting_writes(&self) -> Vec<KeepOrder> {
+    /// The writes that wait while the store is unavailable.
+    pub(crate) fn waiting_writes(&self) -> Vec<KeptWrite> {
         self.waiting_rows.clone()
     }
 
-    /// One write takes effect and is answered.
-    pub(crate) fn store_one(&mut self, order: &KeepOrder) {
+    /// Lets one write take effect, and answers it.
+    pub(crate) fn complete_write(&mut self, order: &KeptWrite) {
         self.serial += 1;
         self.rows
             .insert(order.job, (order.row.clone(), self.serial));
         let (at, version) = (self.instant(), self.serial);
-        self.pool.on_kept(at, order, KeepAnswer::Stored(version));
-        self.carry_out();
+        self.pool
+            .on_store_answer(at, order, KeptWriteResult::Stored(version));
+        self.execute_actions();
     }
 
     /// The pool reads the rows of its kept jobs.
@@ -588,36 +589,40 @@
             version: *version,
         });
         let (at, found) = (self.instant(), found.collect());
-        self.pool.set_surroundings(at, false, true);
+        self.pool.set_takeover_state(at, false, true);
         self.pool.load_kept(at, found);
-        self.carry_out();
+        self.execute_actions();
     }
 
-    fn store_row(&mut self, order: KeepOrder) {
+    fn store_row(&mut self, order: KeptWrite) {
         if !self.store_up {
             self.waiting_rows.push(order);
             return;
         }
-        let KeepOrder { job, row, replaces } = order.clone();
+        let KeptWrite {
+            job,
+            row,
+            expected_version,
+        } = order.clone();
         let known = self.rows.get(&job).map(|(_, version)| *version);
-        let answer = if known == replaces {
+        let answer = if known == expected_version {
             self.serial += 1;
             self.rows.insert(job, (row, self.serial));
-            KeepAnswer::Stored(self.serial)
+            KeptWriteResult::Stored(self.serial)
         } else {
             match self.rows.get(&job) {
-                Some((row, version)) if replaces.is_some() && !row.state.is_final() => {
-                    KeepAnswer::Changed(row.clone(), *version)
+                Some((row, version)) if expected_version.is_some() && !row.state.is_final() => {
+                    KeptWriteResult::Conflict(row.clone(), *version)
                 }
-                _ if replaces.is_none() => KeepAnswer::Known,
-                _ => KeepAnswer::Gone,
+                _ if expected_version.is_none() => KeptWriteResult::AlreadyExists,
+                _ => KeptWriteResult::Gone,
             }
         };
         let at = self.instant();
-        self.pool.on_kept(at, &order, answer);
+        self.pool.on_store_answer(at, &order, answer);
     }
 
-    /// Hands a job in again, as its customer does that got no answer.
+    /// Submits a job again, as a customer does that got no answer.
     pub(crate) fn submit_again(&mut self, id: JobId) {
         let (steps, cpu) = self.known[&id].clone();
         self.submit_steps(2, id, steps, 200.0, cpu);
@@ -631,7 +636,7 @@
         self.workers.values().map(|worker| worker.runs.len()).sum()
     }
 
-    fn carry_out(&mut self) {
+    fn execute_actions(&mut self) {
         for note in self.pool.take_notes() {
             let of_crash = matches!(
                 note,
@@ -647,10 +652,10 @@
             match action {
                 PoolAction::Start(order) => self.send_start(order),
                 PoolAction::Stop(order) => self.send_stop(order),
-                PoolAction::Look(order) => self.send_look(order),
+                PoolAction::Poll(order) => self.send_poll(order),
                 PoolAction::Answer { waiter, outcome } => self.end_job(JobId(waiter.0), outcome),
-                PoolAction::Keep(order) => self.post(STORE_TIME, Event::Keep(order)),
-                PoolAction::LetGo => self.let_go = true,
+                PoolAction::WriteKeptJob(order) => self.post(STORE_TIME_MS, Event::WriteRow(order)),
+                PoolAction::ReleasePool => self.released = true,
             }
         }
     }
@@ -664,9 +669,9 @@
     fn send_start(&mut self, order: StartOrder) {
         self.starts_sent += 1;
         let call = self.open_call();
-        let delay = self.out.take(self.now, START_BYTES) + ONE_WAY;
+        let delay = self.uplink.send(self.now, START_BYTES) + ONE_WAY_MS;
         let none = StartAnswer::Failed(CallFailure::NoAnswer);
-        let (overdue, limit) = (millis(order.overdue), millis(order.limit));
+        let (overdue, limit) = (millis(order.overdue_after), millis(order.timeout));
         self.post(delay, Event::Start(call, order.clone()));
         self.post(overdue, Event::StartOverdue(call, order.clone()));
         self.post(limit, Event::StartAnswer(call, order, none));
@@ -674,25 +679,25 @@
 
     fn send_stop(&mut self, order: StopOrder) {
         let call = self.open_call();
-        let delay = self.out.take(self.now, STOP_BYTES) + ONE_WAY;
+        let delay = self.uplink.send(self.now, STOP_BYTES) + ONE_WAY_MS;
         let none = StopAnswer::Failed(CallFailure::NoAnswer);
-        let limit = millis(order.limit);
+        let limit = millis(order.timeout);
         self.post(delay, Event::Stop(call, order.clone()));
         self.post(limit, Event::StopAnswer(call, order, none));
     }
 
-    fn send_look(&mut self, order: LookOrder) {
+    fn send_poll(&mut self, order: PollOrder) {
         let call = self.open_call();
-        let delay = self.out.take(self.now, LOOK_BYTES) + ONE_WAY;
+        let delay = self.uplink.send(self.now, POLL_BYTES) + ONE_WAY_MS;
         let none = Err(CallFailure::NoAnswer);
-        let (sent, limit) = (self.now, millis(order.limit));
-        self.post(delay, Event::Look(call, order.clone(), sent));
-        self.post(limit, Event::LookAnswer(call, order, sent, none));
+        let (sent, limit) = (self.now, millis(order.timeout));
+        self.post(delay, Event::Poll(call, order.clone(), sent));
+        self.post(limit, Event::PollAnswer(call, order, sent, none));
     }
 
-    /// Sends an answer of a worker on its way.
-    fn answer(&mut self, bytes: u64, event: Event) {
-        let delay = self.into.take(self.now, bytes) + ONE_WAY;
+    /// Sends a worker's answer over the link.
+    fn send_answer(&mut self, bytes: u64, event: Event) {
+        let delay = self.downlink.send(self.now, bytes) + ONE_WAY_MS;
         self.post(delay, event);
     }
 
@@ -702,7 +707,7 @@
         };
         let OpenJob {
             kind,
-            came,
+            arrived,
             objective,
             ..
         } = job;
@@ -710,7 +715,7 @@
         self.results.push(JobResult {
             id,
             kind,
-            came,
+            arrived,
             ended,
             outcome,
             objective,
@@ -731,17 +736,17 @@
         {
             let message = self.messages.pop().unwrap();
             match message.event {
-                Event::Start(call, order) => self.take_start(call, order),
-                Event::Stop(call, order) => self.take_stop(call, order),
-                Event::Look(call, order, sent) => self.take_look(call, order, sent),
-                Event::Keep(order) => self.store_row(order),
-                event => self.take_answer(event),
+                Event::Start(call, order) => self.handle_start(call, order),
+                Event::Stop(call, order) => self.handle_stop(call, order),
+                Event::Poll(call, order, sent) => self.handle_poll(call, order, sent),
+                Event::WriteRow(order) => self.store_row(order),
+                event => self.handle_answer(event),
             }
-            self.carry_out();
+            self.execute_actions();
         }
     }
 
-    fn take_answer(&mut self, event: Event) {
+    fn handle_answer(&mut self, event: Event) {
         let at = self.instant();
         let fence = self.pool.fence();
         let call = match &event {
@@ -753,7 +758,7 @@
             }
             Event::StartAnswer(call, ..)
             | Event::StopAnswer(call, ..)
-            | Event::LookAnswer(call, ..) => *call,
+            | Event::PollAnswer(call, ..) => *call,
             _ => return,
         };
         if self.open_calls.remove(&call) != Some(fence) {
@@ -766,41 +771,44 @@
             Event::StopAnswer(_, order, answer) => {
                 self.pool.on_stop_answer(at, &order, answer);
             }
-            Event::LookAnswer(_, order, sent, answer) => {
+            Event::PollAnswer(_, order, sent, answer) => {
                 let sent = self.origin + Duration::from_millis(sent);
-                self.pool.on_look_answer(at, sent, &order, answer);
+                self.pool.on_poll_answer(at, sent, &order, answer);
             }
             _ => (),
         }
     }
 
-    /// Whether an answer gets lost, and after how long the caller gives up then.
-    fn lost(&mut self, life: &LifeId) -> bool {
+    /// Whether the next answer of a worker is lost.
+    fn loses_answer(&mut self, life: &LifeId) -> bool {
         let Some(worker) = self.workers.get(life) else {
             return true;
         };
         worker.fault.silent || self.rng.f64() < worker.fault.answers_lost
     }
 
-    fn take_start(&mut self, call: CallNumber, order: StartOrder) {
+    fn handle_start(&mut self, call: CallNumber, order: StartOrder) {
         let life = order.life.clone();
         let Some(fault) = self.workers.get(&life).map(|worker| worker.fault) else {
             return;
         };
         let late = &*order.text == "late";
-        if fault.silent || self.is_starting(&life) || !late && self.is_lost_call(&life, call) {
+        if fault.silent
+            || self.is_starting(&life)
+            || !late && self.was_sent_to_former_life(&life, call)
+        {
             return;
         }
-        if self.rng.f64() < fault.late {
-            // A copy that is carried out late answers nobody: its answer is that to a call of nobody.
+        if self.rng.f64() < fault.late_starts {
+            // The delayed start is marked by its text, so that its answer is not sent.
             let late = self.rng.u64(2_000..12_000);
             let text = Arc::from("late");
             self.post(late, Event::Start(call, StartOrder { text, ..order }));
             return;
         }
         let answer = self.start_run(&order);
-        if &*order.text != "late" && !self.lost(&life) {
-            self.answer(ANSWER_BYTES, Event::StartAnswer(call, order, answer));
+        if &*order.text != "late" && !self.loses_answer(&life) {
+            self.send_answer(ANSWER_BYTES, Event::StartAnswer(call, order, answer));
         }
     }
 
@@ -808,7 +816,7 @@
         self.now < self.workers[life].starting_until
     }
 
-    fn is_lost_call(&self, life: &LifeId, call: CallNumber) -> bool {
+    fn was_sent_to_former_life(&self, life: &LifeId, call: CallNumber) -> bool {
         self.workers[life].first_call > call
     }
 
@@ -821,40 +829,40 @@
             return StartAnswer::Failed(CallFailure::FencedOut);
         }
         worker.fence = order.fence.0;
-        let there = |run: &WorldRun| run.task == order.task && run.run == order.run;
+        let there = |run: &SimulatedRun| run.task == order.task && run.run == order.run;
         if worker.runs.iter().any(there) {
             return StartAnswer::Started(clock);
         }
-        let outrun = worker
+        let superseded = worker
             .ends
             .iter()
             .any(|e| e.task == Some(order.task) && e.run >= order.run);
-        if outrun {
-            return StartAnswer::Outrun(clock);
+        if superseded {
+            return StartAnswer::Superseded(clock);
         }
         if order.lease_end <= clock {
-            return StartAnswer::Late(clock);
+            return StartAnswer::LeaseExpired(clock);
         }
         worker.lease_end = worker
             .lease_end
-            .max(order.lease_end.0.min(clock.0 + LONGEST_LEASE));
+            .max(order.lease_end.0.min(clock.0 + MAX_LEASE_MS));
         assert!(
-            !self.ends_stand || !self.noted.contains(&order.task),
+            !self.done_is_final || !self.acknowledged_done.contains(&order.task),
             "{} starts after its end",
             order.task
         );
         let work = steps[order.task.step as usize][order.task.index as usize];
-        self.count_start(order.task);
+        self.check_starts_after_crashes(order.task);
         let worker = self.workers.get_mut(&order.life).unwrap();
         let used: u64 = worker.runs.iter().map(|run| run.cpu).sum();
         let is_late = &*order.text == "late";
         assert!(
-            is_late || self.telling || used + cpu <= worker.record.room.cpu.0,
-            "{} goes beyond the room of {} at {now} ms",
+            is_late || self.resize_in_flight || used + cpu <= worker.record.room.cpu.0,
+            "{} exceeds the room of {} at {now} ms",
             order.task,
             order.life
         );
-        worker.runs.push(WorldRun {
+        worker.runs.push(SimulatedRun {
             task: order.task,
             run: order.run,
             cpu,
@@ -864,7 +872,7 @@
         StartAnswer::Started(clock)
     }
 
-    fn take_stop(&mut self, call: CallNumber, order: StopOrder) {
+    fn handle_stop(&mut self, call: CallNumber, order: StopOrder) {
         let life = order.life.clone();
         let now = self.now;
         let Some(worker) = self
@@ -878,21 +886,21 @@
         let clock = WorkerClock(now + worker.clock_offset);
         if order.fence.0 < worker.fence {
             let fenced = StopAnswer::Failed(CallFailure::FencedOut);
-            return self.answer(ANSWER_BYTES, Event::StopAnswer(call, order, fenced));
+            return self.send_answer(ANSWER_BYTES, Event::StopAnswer(call, order, fenced));
         }
         worker.fence = order.fence.0;
-        let there = |run: &WorldRun| run.task == order.task && run.run == order.run;
+        let there = |run: &SimulatedRun| run.task == order.task && run.run == order.run;
         if let Some(place) = worker.runs.iter().position(there) {
             worker.runs.remove(place);
         }
-        worker.end(order.task, order.run, EndCause::Stopped);
-        if !self.lost(&life) {
+        worker.record_end(order.task, order.run, EndCause::Stopped);
+        if !self.loses_answer(&life) {
             let stopped = StopAnswer::Stopped(clock);
-            self.answer(ANSWER_BYTES, Event::StopAnswer(call, order, stopped));
+            self.send_answer(ANSWER_BYTES, Event::StopAnswer(call, order, stopped));
         }
     }
 
-    fn take_look(&mut self, call: CallNumber, order: LookOrder, sent: u64) {
+    fn handle_poll(&mut self, call: CallNumber, order: PollOrder, sent: u64) {
         let now = self.now;
         let wait = millis(order.wait);
         let Some(worker) = self
@@ -904,20 +912,21 @@
         };
         if order.fence.0 < worker.fence {
             let fenced = Err(CallFailure::FencedOut);
-            return self.answer(ANSWER_BYTES, Event::LookAnswer(call, order, sent, fenced));
+            return self.send_answer(ANSWER_BYTES, Event::PollAnswer(call, order, sent, fenced));
         }
         worker.fence = order.fence.0;
-        worker.forgotten = worker.forgotten.max(order.last_seen);
-        let noted = worker
+        worker.acknowledged_end = worker.acknowledged_end.max(order.acknowledged_end);
+        let done_ends = worker
             .ends
             .iter()
-            .filter(|end| end.number <= order.last_seen && end.cause == EndCause::Done);
-        self.noted.extend(noted.filter_map(|end| end.task));
+            .filter(|end| end.number <= order.acknowledged_end && end.cause == EndCause::Done);
+        self.acknowledged_done
+            .extend(done_ends.filter_map(|end| end.task));
         let clock = now + worker.clock_offset;
         if let Some(lease_end) = order.lease_end {
-            worker.lease_end = worker.lease_end.max(lease_end.0.min(clock + LONGEST_LEASE));
+            worker.lease_end = worker.lease_end.max(lease_end.0.min(clock + MAX_LEASE_MS));
         }
-        worker.waiting.push((call, order, sent, now + wait));
+        worker.waiting_polls.push((call, order, sent, now + wait));
     }
 
     fn step_workers(&mut self) {
@@ -925,34 +934,34 @@
         let lives: Vec<LifeId> = self.workers.keys().cloned().collect();
         for life in lives {
             let worker = self.workers.get_mut(&life).unwrap();
-            worker.work(now);
-            for look in std::mem::take(&mut worker.waiting) {
-                self.answer_look(&life, look);
+            worker.advance_runs(now);
+            for poll in std::mem::take(&mut worker.waiting_polls) {
+                self.answer_poll(&life, poll);
             }
         }
     }
 
-    fn answer_look(&mut self, life: &LifeId, look: (CallNumber, LookOrder, u64, u64)) {
-        let (call, order, sent, until) = look;
+    fn answer_poll(&mut self, life: &LifeId, poll: (CallNumber, PollOrder, u64, u64)) {
+        let (call, order, sent, until) = poll;
         let now = self.now;
         let worker = self.workers.get_mut(life).unwrap();
-        let seen = order.last_seen.max(worker.forgotten);
-        let news = worker.ends.iter().any(|end| end.number > seen);
-        if !news && now < until {
-            worker.waiting.push((call, order, sent, until));
+        let seen = order.acknowledged_end.max(worker.acknowledged_end);
+        let has_new_ends = worker.ends.iter().any(|end| end.number > seen);
+        if !has_new_ends && now < until {
+            worker.waiting_polls.push((call, order, sent, until));
             return;
         }
-        let listing = worker.listing(now, order.last_seen);
-        if !self.lost(life) {
-            self.answer(
+        let listing = worker.listing(now, order.acknowledged_end);
+        if !self.loses_answer(life) {
+            self.send_answer(
                 LISTING_BYTES,
-                Event::LookAnswer(call, order, sent, Ok(listing)),
+                Event::PollAnswer(call, order, sent, Ok(listing)),
             );
         }
     }
 
-    /// What must hold at every moment: no worker over its room, no task twice at the same time.
-    fn check(&self) {
+    /// Checks the invariants: no worker's runs exceed its room, and no task runs twice at the same time.
+    fn check_invariants(&self) {
         let mut tasks = BTreeMap::new();
         for (life, worker) in &self.workers {
             let used: u64 = worker.runs.iter().map(|run| run.cpu).sum();
@@ -978,9 +987,9 @@
     u64::try_from(time.as_millis()).unwrap()
 }
 
-fn pool_start(fence: u64) -> PoolStart {
-    PoolStart {
-        home: Arc::from("east/0"),
+fn pool_start(fence: u64) -> PoolInit {
+    PoolInit {
+        name: Arc::from("east/0"),
         fence: FenceToken(fence),
         platform_millis: fence * 1_000_000,
         far_factor: 3.0,
