--- a/crates/authority/src/authority/admitting.rs
+++ b/crates/authority/src/authority/admitting.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use decisions::{
-    AdmissionQuery, AdmissionVerdict, EstimateSource, RunTimeEstimate, Saturation, WaitPicture,
+    AdmissionDecision, AdmissionQuery, EstimateSource, RunTimeEstimate, Saturation, WaitEstimator,
     WorkClass,
 };
 use model::{
@@ -68,8 +68,8 @@
         }
         let work = self.expected_work(now, body);
         match self.decide(now, body, contract, &work) {
-            AdmissionVerdict::Admit => Ok((contract, version, work)),
-            AdmissionVerdict::Refuse {
+            AdmissionDecision::Admit => Ok((contract, version, work)),
+            AdmissionDecision::Refuse {
                 reason,
                 retry_after,
             } => Err(SubmissionRefusal {
@@ -98,7 +98,7 @@
         body: &SubmissionBody,
         contract: &Contract,
         work: &ExpectedWork,
-    ) -> AdmissionVerdict {
+    ) -> AdmissionDecision {
         let load = self.load.get(&body.customer);
         let slots = self.places.slots(now);
         // Slots that went out of reach a moment ago are on their way to another owner; how many is not known, so
@@ -106,11 +106,11 @@
         let (predicted_wait, saturation) = match slots {
             0 => (Duration::ZERO, Saturation::default()),
             _ => {
-                let picture = WaitPicture {
-                    own_work: load.waiting,
+                let picture = WaitEstimator {
+                    pending_work: load.waiting,
                     share: contract.share,
-                    all_shares: self.load.shares_with(now, &body.customer, contract.share),
-                    drain: load.drain,
+                    active_shares: self.load.shares_with(now, &body.customer, contract.share),
+                    drain_rate: load.drain,
                     slots: slots as f64 / f64::from(self.entries),
                 };
                 // The mean outlives a moment in which slots are few, and the moment alone refuses ordinary bursts; an
@@ -124,12 +124,12 @@
             contract,
             class: WorkClass::from(&body.kind),
             tasks: u32::try_from(body.tasks.len()).unwrap_or(u32::MAX),
-            largest: work.largest,
-            slowest: work.slowest,
+            longest_estimate: work.largest,
+            tail_run_time: work.slowest,
             expected_work: work.total,
             deadline: body.deadline.unwrap_or_else(|| contract.answer_within()),
-            running: load.tasks,
-            running_work: load.work,
+            open_tasks: load.tasks,
+            open_work: load.work,
             // Not the limit of this moment: a grant comes a round trip after the first submission and grows with what
             // waits, so by it the first job of an idle customer would be refused.
             granted: self.waiting.reach(&body.customer),
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -16,8 +16,8 @@
 
 pub use crate::{
     admission::{
-        AdmissionPolicy, AdmissionQuery, AdmissionSettings, AdmissionVerdict, Saturation,
-        WaitPicture, WorkClass,
+        AdmissionDecision, AdmissionPolicy, AdmissionQuery, AdmissionSettings, Saturation,
+        WaitEstimator, WorkClass,
     },
     drain_rate::DrainRate,
     health::{EndKind, EndReport, EndpointHealth, FleetLatency, HealthSettings, HealthState},
--- a/crates/decisions/tests/admission.rs
+++ b/crates/decisions/tests/admission.rs
@@ -3,8 +3,8 @@
 use std::time::{Duration, Instant};
 
 use decisions::{
-    AdmissionPolicy, AdmissionQuery, AdmissionVerdict, DrainRate, EstimateSource, RunTimeEstimate,
-    Saturation, WaitPicture, WorkClass,
+    AdmissionDecision, AdmissionPolicy, AdmissionQuery, DrainRate, EstimateSource, RunTimeEstimate,
+    Saturation, WaitEstimator, WorkClass,
 };
 use model::{
     Contract, ContractState, CustomerShare, RefusableWork,
@@ -29,15 +29,15 @@
         contract,
         class: WorkClass::Job,
         tasks: 40,
-        largest: RunTimeEstimate {
+        longest_estimate: RunTimeEstimate {
             run_time: MS * 250,
             source: EstimateSource::Measured,
         },
-        slowest: MS * 250,
+        tail_run_time: MS * 250,
         expected_work: MS * 10_000,
         deadline: MS * 2000,
-        running: 0,
-        running_work: Duration::ZERO,
+        open_tasks: 0,
+        open_work: Duration::ZERO,
         granted: 40,
         predicted_wait: Duration::ZERO,
         saturation: Saturation(0.5),
@@ -56,11 +56,11 @@
 fn check(query: AdmissionQuery<'_>, expect: Option<(RefusalReason, Option<u32>)>) {
     let policy = AdmissionPolicy::default();
     for seed in 0..20 {
-        let verdict = policy.decide(&query, &mut fastrand::Rng::with_seed(seed));
-        match (verdict, expect) {
-            (AdmissionVerdict::Admit, None) => {}
+        let decision = policy.decide(&query, &mut fastrand::Rng::with_seed(seed));
+        match (decision, expect) {
+            (AdmissionDecision::Admit, None) => {}
             (
-                AdmissionVerdict::Refuse {
+                AdmissionDecision::Refuse {
                     reason,
                     retry_after,
                 },
@@ -74,15 +74,15 @@
                     "{after:?} {query:?}"
                 );
             }
-            _ => panic!("{verdict:?}, not {expect:?}: {query:?}"),
+            _ => panic!("{decision:?}, not {expect:?}: {query:?}"),
         }
     }
 }
 
 #[test]
-fn what_the_contract_does_not_cover_never_runs() {
-    let usual = Contract::default();
-    check(job(&usual), None);
+fn submissions_outside_the_contract_are_refused_for_good() {
+    let default_contract = Contract::default();
+    check(job(&default_contract), None);
     let retired = Contract {
         state: ContractState::Retired,
         ..Contract::default()
@@ -91,84 +91,84 @@
     check(
         AdmissionQuery {
             tasks: 370,
-            ..job(&usual)
+            ..job(&default_contract)
         },
         None,
     );
     check(
         AdmissionQuery {
             tasks: 371,
-            ..job(&usual)
+            ..job(&default_contract)
         },
         Some((TooManyTasks, None)),
     );
     check(
         AdmissionQuery {
             deadline: MS * 10_000,
-            ..job(&usual)
+            ..job(&default_contract)
         },
         None,
     );
     check(
         AdmissionQuery {
             deadline: MS * 10_001,
-            ..job(&usual)
+            ..job(&default_contract)
         },
         Some((WrongDeadline, None)),
     );
     check(
         AdmissionQuery {
             deadline: Duration::ZERO,
-            ..job(&usual)
+            ..job(&default_contract)
         },
         Some((WrongDeadline, None)),
     );
 }
 
 #[test]
-fn what_cannot_be_in_time_alone_never_runs() {
+fn work_too_long_for_its_deadline_is_refused_for_good() {
     use EstimateSource::{Declared, Measured, Stale};
-    let usual = Contract::default();
-    let largest = |ms, source| AdmissionQuery {
-        largest: estimate(ms, source),
-        ..job(&usual)
+    let default_contract = Contract::default();
+    let longest = |ms, source| AdmissionQuery {
+        longest_estimate: estimate(ms, source),
+        ..job(&default_contract)
     };
-    check(largest(2000, Measured), None);
-    check(largest(2001, Measured), Some((CanNeverRun, None)));
+    check(longest(2000, Measured), None);
+    check(longest(2001, Measured), Some((CanNeverRun, None)));
     // Declared times may be off by a hundredfold, old ones may have changed.
-    check(largest(200_000, Declared), None);
-    check(largest(200_000, Stale), None);
-    check(largest(200_001, Declared), Some((CanNeverRun, None)));
+    check(longest(200_000, Declared), None);
+    check(longest(200_000, Stale), None);
+    check(longest(200_001, Declared), Some((CanNeverRun, None)));
     check(
         AdmissionQuery {
             expected_work: MS * 80_001,
-            ..job(&usual)
+            ..job(&default_contract)
         },
         Some((CanNeverRun, None)),
     );
 }
 
 #[test]
-fn a_customer_at_its_limit_is_told_so() {
-    let usual = Contract::default();
-    let running = |work, granted| AdmissionQuery {
-        running: 400,
-        running_work: MS * work,
+fn a_customer_over_its_concurrency_limit_is_refused() {
+    let default_contract = Contract::default();
+    let busy = |work, granted| AdmissionQuery {
+        open_tasks: 400,
+        open_work: MS * work,
         granted,
-        ..job(&usual)
+        ..job(&default_contract)
     };
-    check(running(56_000, 40), None);
-    check(running(66_000, 40), Some((OverConcurrency, Some(250))));
-    check(running(0, 4), Some((OverConcurrency, Some(850))));
-    check(running(0, 0), Some((OverConcurrency, Some(200))));
+    check(busy(56_000, 40), None);
+    check(busy(66_000, 40), Some((OverConcurrency, Some(250))));
+    check(busy(0, 4), Some((OverConcurrency, Some(850))));
+    check(busy(0, 0), Some((OverConcurrency, Some(200))));
 }
 
 #[test]
-fn hopeless_work_is_refused_with_when_to_come_back() {
-    let usual = contract(RefusableWork::Nothing);
+fn predicted_late_work_is_refused_with_retry_after() {
+    let default_contract = contract(RefusableWork::Nothing);
     let waiting = |ms| AdmissionQuery {
         predicted_wait: MS * ms,
-        ..job(&usual)
+        ..job(&default_contract)
     };
     check(waiting(1400), None);
     check(waiting(1401), Some((PredictedLate, Some(200))));
@@ -178,14 +178,14 @@
     check(
         AdmissionQuery {
             saturation,
-            ..job(&usual)
+            ..job(&default_contract)
         },
         Some((NoCapacity, Some(200))),
     );
 }
 
 #[test]
-fn under_overload_the_contract_says_what_goes_first() {
+fn overload_refuses_only_what_the_contract_allows() {
     use RefusableWork::{Everything, Jobs, Nothing};
     use WorkClass::{Job, Request};
     // What may be refused, job or request, tasks running of 40 granted, from which saturation it is refused.
@@ -198,12 +198,12 @@
         (Everything, Job, 11, Some(2.0)),
         (Everything, Request, 40, Some(6.0)),
     ];
-    for (may_refuse, class, running, from) in cases {
+    for (may_refuse, class, open_tasks, from) in cases {
         let contract = contract(may_refuse);
         for saturation in [0.5, 1.9, 2.0, 3.9, 4.0, 5.9, 6.0, 100.0] {
             let query = AdmissionQuery {
                 class,
-                running,
+                open_tasks,
                 predicted_wait: MS * 600,
                 saturation: Saturation(saturation),
                 ..job(&contract)
@@ -215,17 +215,17 @@
 }
 
 #[test]
-fn refused_callers_do_not_come_back_together() {
-    let usual = Contract::default();
+fn retry_after_is_jittered() {
+    let default_contract = Contract::default();
     let query = AdmissionQuery {
         predicted_wait: MS * 4000,
-        ..job(&usual)
+        ..job(&default_contract)
     };
     let policy = AdmissionPolicy::default();
     let mut rng = fastrand::Rng::with_seed(7);
     let mut tenths = [0; 10];
     for _ in 0..1000 {
-        let AdmissionVerdict::Refuse {
+        let AdmissionDecision::Refuse {
             retry_after: Some(after),
             ..
         } = policy.decide(&query, &mut rng)
@@ -239,51 +239,51 @@
 }
 
 #[test]
-fn time_is_kept_for_a_rare_long_task() {
-    let usual = Contract::default();
-    let slowest = |ms, wait| AdmissionQuery {
-        slowest: MS * ms,
+fn the_tail_run_time_is_reserved() {
+    let default_contract = Contract::default();
+    let tail_run_time = |ms, wait| AdmissionQuery {
+        tail_run_time: MS * ms,
         predicted_wait: MS * wait,
-        ..job(&usual)
+        ..job(&default_contract)
     };
-    check(slowest(1750, 200), None);
-    check(slowest(1750, 201), Some((PredictedLate, Some(200))));
+    check(tail_run_time(1750, 200), None);
+    check(tail_run_time(1750, 201), Some((PredictedLate, Some(200))));
     // One that does not fit at all does not close the kind.
-    check(slowest(2000, 1400), None);
+    check(tail_run_time(2000, 1400), None);
 }
 
 #[test]
-fn the_wait_follows_the_share_and_what_was_had_lately() {
-    let picture = |share, all_shares, slots, drain| WaitPicture {
-        own_work: MS * 10_000,
+fn predicted_wait_follows_the_share_and_the_drain_rate() {
+    let estimator = |share, active_shares, slots, drain_rate| WaitEstimator {
+        pending_work: MS * 10_000,
         share: CustomerShare(share),
-        all_shares,
-        drain,
+        active_shares,
+        drain_rate,
         slots,
     };
     let none = DrainRate::default();
     let cases = [
-        (picture(1, 4, 20.0, none), 2000),
-        (picture(2, 4, 20.0, none), 1000),
-        (picture(1, 0, 20.0, none), 500),
-        (picture(1, 4, 20.0, drained(8, true)), 1250),
-        (picture(1, 4, 20.0, drained(8, false)), 2000),
-        (picture(1, 4, 20.0, drained(2, true)), 2000),
-        (picture(1, 4, 20.0, drained(100, true)), 500),
-        (picture(1, 4, 0.0, none), 1_000_000),
+        (estimator(1, 4, 20.0, none), 2000),
+        (estimator(2, 4, 20.0, none), 1000),
+        (estimator(1, 0, 20.0, none), 500),
+        (estimator(1, 4, 20.0, drain_rate_after(8, true)), 1250),
+        (estimator(1, 4, 20.0, drain_rate_after(8, false)), 2000),
+        (estimator(1, 4, 20.0, drain_rate_after(2, true)), 2000),
+        (estimator(1, 4, 20.0, drain_rate_after(100, true)), 500),
+        (estimator(1, 4, 0.0, none), 1_000_000),
     ];
-    for (picture, expect) in cases {
-        let wait = picture.predicted_wait();
+    for (estimator, expect) in cases {
+        let wait = estimator.predicted_wait();
         let off = wait.abs_diff(MS * expect);
         assert!(
             off < MS * expect / 100,
-            "{wait:?}, not {expect}: {picture:?}"
+            "{wait:?}, not {expect}: {estimator:?}"
         );
     }
 }
 
 /// The rate after a minute in which this many slots' worth started, with or without backlog.
-fn drained(slots: u32, backlog: bool) -> DrainRate {
+fn drain_rate_after(slots: u32, backlog: bool) -> DrainRate {
     let start = Instant::now();
     let mut drain = DrainRate::default();
     for n in 0..6000 {
--- a/crates/decisions/tests/outcomes/model.rs
+++ b/crates/decisions/tests/outcomes/model.rs
@@ -7,10 +7,10 @@
 };
 
 use decisions::{
-    AdmissionPolicy, AdmissionQuery, AdmissionVerdict, DispatcherKey, DrainRate, EndKind,
+    AdmissionDecision, AdmissionPolicy, AdmissionQuery, DispatcherKey, DrainRate, EndKind,
     EndReport, EndpointHealth, FairQueue, FleetLatency, HealthSettings, PlacementQuery,
     PlacementRule, PlacementSettings, PlacementTable, QueueEntry, QueueSettings, RunTimeEstimate,
-    RunTimeSettings, RunTimeTable, SlotsHint, WaitPicture, WorkClass,
+    RunTimeSettings, RunTimeTable, SlotsHint, WaitEstimator, WorkClass,
 };
 use model::{
     AttemptId, Contract, CustomerId, CustomerShare, IncarnationId, RefusableWork, SubmissionId,
@@ -354,47 +354,47 @@
             ..Contract::default()
         };
         let mut work = Duration::ZERO;
-        let mut largest = None;
+        let mut longest = None;
         for run in &job.runs {
             let declared = Some(run.mul_f64(load.declared));
             let estimate = self.expect(now, job.load, declared);
             work += estimate.run_time;
-            largest = largest.max(Some((estimate.run_time, estimate.source)));
+            longest = longest.max(Some((estimate.run_time, estimate.source)));
         }
-        let (run_time, source) = largest.unwrap();
+        let (run_time, source) = longest.unwrap();
         let share = 1.0 - 0.1 / job.runs.len() as f64;
         let name = &self.names[job.load];
-        let slowest = self
+        let tail_run_time = self
             .times
             .quantile(now, name, &self.kind, Some(run_time), share)
             .run_time;
         let entries = self.entries.len();
         let lately = now - ACTIVE_FOR;
         let active = entry.active_at.iter().filter(|at| **at > Some(lately));
-        let picture = WaitPicture {
-            own_work: entry.waiting[job.load],
+        let estimator = WaitEstimator {
+            pending_work: entry.waiting[job.load],
             share: CustomerShare(1),
-            all_shares: active.count() as u64,
-            drain: entry.drain[job.load],
+            active_shares: active.count() as u64,
+            drain_rate: entry.drain[job.load],
             slots: entry.table.slots(now) as f64 / entries as f64,
         };
         let query = AdmissionQuery {
             contract: &contract,
             class: WorkClass::Job,
             tasks: job.runs.len() as u32,
-            largest: RunTimeEstimate { run_time, source },
-            slowest,
+            longest_estimate: RunTimeEstimate { run_time, source },
+            tail_run_time,
             expected_work: work,
             deadline: job.due - now,
-            running: entry.placed[job.load] + entry.held[job.load].len() as u32,
-            running_work: entry.work[job.load],
+            open_tasks: entry.placed[job.load] + entry.held[job.load].len() as u32,
+            open_work: entry.work[job.load],
             granted: (load.concurrency / entries as u32).max(1),
-            predicted_wait: picture.predicted_wait(),
+            predicted_wait: estimator.predicted_wait(),
             saturation: entry.table.saturation(now),
         };
         // Before the first hint nothing is known of the slots.
-        let verdict = AdmissionPolicy::default().decide(&query, &mut self.rng);
-        entry.table.slots(now) == 0 || verdict == AdmissionVerdict::Admit
+        let decision = AdmissionPolicy::default().decide(&query, &mut self.rng);
+        entry.table.slots(now) == 0 || decision == AdmissionDecision::Admit
     }
 
     /// Places what the customer's limit lets through.
