--- a/crates/authority/src/authority.rs
+++ b/crates/authority/src/authority.rs
@@ -12,7 +12,7 @@
     time::{Duration, Instant},
 };
 
-use decisions::{AdmissionPolicy, LastingSaturation, PlacementTable, RetryBudget, RunTimeTable};
+use decisions::{AdmissionPolicy, PlacementTable, RetryBudget, RunTimeTable, SmoothedSaturation};
 use model::{
     AttemptId, Contract, ContractVersion, CustomerId, DataCentreId, FastMap, IncarnationId,
     RefusalReason, SubmissionBody, SubmissionId, SubmissionKind, SubmissionOutcome, TaskIndex,
@@ -78,7 +78,7 @@
     times: RunTimeTable,
     admission: AdmissionPolicy,
     load: LoadTable,
-    saturation: LastingSaturation,
+    saturation: SmoothedSaturation,
     entries: u32,
     last_capacity: Option<Instant>,
     rng: fastrand::Rng,
@@ -114,7 +114,7 @@
             times: RunTimeTable::new(settings.run_times.clone()),
             admission: AdmissionPolicy::new(settings.admission.clone()),
             load: LoadTable::default(),
-            saturation: LastingSaturation::default(),
+            saturation: SmoothedSaturation::default(),
             entries: 1,
             last_capacity: None,
             rng,
--- a/crates/authority/src/authority/giving_up.rs
+++ b/crates/authority/src/authority/giving_up.rs
@@ -46,7 +46,7 @@
             self.waiting.push(&customer, waiting);
         }
         self.forget_old(now);
-        self.saturation.see(now, self.places.saturation(now));
+        self.saturation.record(now, self.places.saturation(now));
         self.had_capacity(now);
         self.place(now);
     }
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -7,11 +7,11 @@
 mod bounded;
 pub mod drain_rate;
 pub mod health;
-pub mod lasting_saturation;
 pub mod placement;
 pub mod queue;
 pub mod retry;
 pub mod run_time;
+pub mod smoothed_saturation;
 mod weight_tree;
 
 pub use crate::{
@@ -21,11 +21,11 @@
     },
     drain_rate::DrainRate,
     health::{EndKind, EndReport, EndpointHealth, FleetLatency, HealthSettings, HealthState},
-    lasting_saturation::LastingSaturation,
     placement::{
         DispatcherKey, PlacementQuery, PlacementRule, PlacementSettings, PlacementTable, SlotsHint,
     },
     queue::{FairQueue, PushError, QueueEntry, QueueSettings},
     retry::{RetryBudget, RetrySettings},
     run_time::{EstimateSource, FailureShare, RunTimeEstimate, RunTimeSettings, RunTimeTable},
+    smoothed_saturation::SmoothedSaturation,
 };
