--- a/crates/authority/src/authority/admitting.rs
+++ b/crates/authority/src/authority/admitting.rs
@@ -179,7 +179,9 @@
     ) -> KindEstimate {
         let declared = task.declared_run_time;
         KindEstimate {
-            expected: self.times.expect(now, customer, &task.kind, declared),
+            expected: self
+                .times
+                .expected_run_time(now, customer, &task.kind, declared),
             slowest: self
                 .times
                 .quantile(now, customer, &task.kind, declared, share)
--- a/crates/authority/src/authority/hopeless.rs
+++ b/crates/authority/src/authority/hopeless.rs
@@ -116,7 +116,7 @@
     ) -> Option<Duration> {
         let task = record.tasks.get(usize::try_from(index).ok()?)?;
         let (customer, kind) = (&record.customer, &task.body.kind);
-        let mean = self.times.expect(now, customer, kind, None);
+        let mean = self.times.expected_run_time(now, customer, kind, None);
         if mean.source != EstimateSource::Measured {
             return None;
         }
--- a/crates/authority/src/authority/placing.rs
+++ b/crates/authority/src/authority/placing.rs
@@ -139,9 +139,9 @@
         self.note(AuthorityEvent::Offered(attempt, dispatcher));
         // Load: run times declared a hundred times too long or too short. Harm: by such a word the dispatcher's fair
         // queue bills the customer wrongly and keeps a slot's worth of work back for nothing.
-        let expected = self
-            .times
-            .expect(now, &customer, &body.kind, body.declared_run_time);
+        let expected =
+            self.times
+                .expected_run_time(now, &customer, &body.kind, body.declared_run_time);
         Some(TaskOffer {
             attempt,
             customer,
--- a/crates/decisions/benches/decisions.rs
+++ b/crates/decisions/benches/decisions.rs
@@ -8,7 +8,7 @@
 use criterion::{BenchmarkId, Criterion};
 use decisions::{
     AdmissionPolicy, AdmissionQuery, DispatcherKey, EndKind, EndReport, EndpointHealth,
-    EstimateSource, FailureShare, FairQueue, HealthSettings, PlacementQuery, PlacementSettings,
+    EstimateSource, FailureRate, FairQueue, HealthSettings, PlacementQuery, PlacementSettings,
     PlacementTable, QueueEntry, QueueSettings, RetryBudget, RetrySettings, RunTimeEstimate,
     RunTimeSettings, RunTimeTable, Saturation, SlotsHint, WorkClass,
 };
@@ -122,7 +122,7 @@
             b.iter(|| {
                 let name = next(&names);
                 times.record(now, &name, &kind, RUN_TIME);
-                black_box(times.expect(now, &name, &kind, None));
+                black_box(times.expected_run_time(now, &name, &kind, None));
                 black_box(times.quantile(now, &name, &kind, None, 0.99))
             });
         });
@@ -210,7 +210,7 @@
         kind: EndKind::Done,
         ran: RUN_TIME,
         expected: RUN_TIME,
-        failure_share: FailureShare(0.0),
+        failure_rate: FailureRate(0.0),
     };
     group.bench_function("health", |b| {
         b.iter(|| {
--- a/crates/decisions/src/health.rs
+++ b/crates/decisions/src/health.rs
@@ -4,7 +4,7 @@
 
 use model::{AttemptEnd, RetryReason};
 
-use crate::run_time::FailureShare;
+use crate::run_time::FailureRate;
 
 /// The weight of one end in the latency of an endpoint: after five the older ones count for a third.
 const LATENCY_WEIGHT: f64 = 0.2;
@@ -111,7 +111,7 @@
     /// [`FleetLatency::scale`].
     pub expected: Duration,
     /// How many such tasks fail over all endpoints, as [`crate::RunTimeTable`] has seen it.
-    pub failure_share: FailureShare,
+    pub failure_rate: FailureRate,
 }
 
 /// The state of an endpoint.
@@ -202,7 +202,7 @@
                 // A task of a kind that fails everywhere says little about this endpoint. Without this a customer
                 // with broken tasks, or with deadlines too short for them, would have all endpoints quarantined
                 // for everyone.
-                let weight = 1.0 - report.failure_share.0.clamp(0.0, 1.0);
+                let weight = 1.0 - report.failure_rate.0.clamp(0.0, 1.0);
                 self.on_failure(now, weight);
             }
             EndKind::Unreachable => self.on_failure(now, self.settings.unreachable_weight),
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -26,6 +26,6 @@
     },
     queue::{FairQueue, PushError, QueueEntry, QueueSettings},
     retry::{RetryBudget, RetrySettings},
-    run_time::{EstimateSource, FailureShare, RunTimeEstimate, RunTimeSettings, RunTimeTable},
+    run_time::{EstimateSource, FailureRate, RunTimeEstimate, RunTimeSettings, RunTimeTable},
     smoothed_saturation::SmoothedSaturation,
 };
--- a/crates/decisions/src/run_time.rs
+++ b/crates/decisions/src/run_time.rs
@@ -13,9 +13,9 @@
 
 /// Buckets double every second one, so a quantile is at most 42% too long. From 1 ms they reach past 600 s, the
 /// longest time within which a contract may promise an answer.
-const BUCKETS: usize = 40;
+const BUCKET_COUNT: usize = 40;
 const BUCKETS_PER_DOUBLING: f64 = 2.0;
-const FIRST_BUCKET: Duration = Duration::from_millis(1);
+const FIRST_BUCKET_START: Duration = Duration::from_millis(1);
 
 /// The limits of a [`RunTimeTable`].
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -31,7 +31,7 @@
     ///
     /// Load: run times declared a hundred times too long or too short. Harm: queueing and refusing by them is wrong
     /// for as long as they are believed. Reason: three measured times cannot all be flukes of 3% long tasks.
-    pub few_samples: u32,
+    pub min_samples: u32,
     /// Measured run times after which the older ones count half.
     ///
     /// Load: a kind whose run time changes during the day. Harm: a whole morning's history would hide it. Reason:
@@ -51,7 +51,7 @@
         Self {
             max_customers: 4096,
             max_kinds: 64,
-            few_samples: 3,
+            min_samples: 3,
             window: 256,
             stale_after: Duration::from_secs(60),
             assumed: Duration::from_millis(300),
@@ -83,15 +83,15 @@
 
 /// The share of tasks that fail, from 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
-pub struct FailureShare(pub f32);
+pub struct FailureRate(pub f32);
 
-impl fmt::Display for FailureShare {
+impl fmt::Display for FailureRate {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.0)
     }
 }
 
-impl FromStr for FailureShare {
+impl FromStr for FailureRate {
     type Err = ParseFloatError;
 
     fn from_str(s: &str) -> Result<Self, Self::Err> {
@@ -120,9 +120,9 @@
     pub fn record(&mut self, now: Instant, customer: &CustomerId, kind: &TaskKind, ran: Duration) {
         let window = self.settings.window;
         let history = self.history_mut(now, customer, kind);
-        history.times.add(ran, window);
+        history.histogram.add(ran, window);
         history.measured_at = now;
-        history.ends.add(false, window);
+        history.failures.add(false, window);
     }
 
     /// Notes a task that failed or whose answer did not come. Its run time is not noted: a task that fails at once says nothing of how long
@@ -130,38 +130,40 @@
     pub fn record_failure(&mut self, now: Instant, customer: &CustomerId, kind: &TaskKind) {
         let window = self.settings.window;
         let history = self.history_mut(now, customer, kind);
-        history.ends.add(true, window);
+        history.failures.add(true, window);
     }
 
     /// The mean run time to expect: measured after a few samples, before that declared. The mean, because the time
     /// to drain a queue is a sum.
-    pub fn expect(
+    pub fn expected_run_time(
         &self,
         now: Instant,
         customer: &CustomerId,
         kind: &TaskKind,
         declared: Option<Duration>,
     ) -> RunTimeEstimate {
-        self.estimate(now, customer, kind, declared, RunTimes::mean)
+        self.estimate(now, customer, kind, declared, RunTimeHistogram::mean)
     }
 
-    /// A quantile of the run time, `share` from 0 to 1, otherwise like [`Self::expect`].
+    /// A quantile of the run time, `fraction` from 0 to 1, otherwise like [`Self::expected_run_time`].
     pub fn quantile(
         &self,
         now: Instant,
         customer: &CustomerId,
         kind: &TaskKind,
         declared: Option<Duration>,
-        share: f64,
+        fraction: f64,
     ) -> RunTimeEstimate {
-        self.estimate(now, customer, kind, declared, |times| times.quantile(share))
+        self.estimate(now, customer, kind, declared, |histogram| {
+            histogram.quantile(fraction)
+        })
     }
 
     /// The share of tasks of this customer and kind that failed lately. It tells a customer whose tasks fail
     /// everywhere from an endpoint that fails everyone's.
-    pub fn failure_share(&self, customer: &CustomerId, kind: &TaskKind) -> FailureShare {
+    pub fn failure_rate(&self, customer: &CustomerId, kind: &TaskKind) -> FailureRate {
         self.history(customer, kind)
-            .map(|history| history.ends.failure_share())
+            .map(|history| history.failures.failure_rate())
             .unwrap_or_default()
     }
 
@@ -176,16 +178,16 @@
         customer: &CustomerId,
         kind: &TaskKind,
         declared: Option<Duration>,
-        of: impl FnOnce(&RunTimes) -> Duration,
+        statistic: impl FnOnce(&RunTimeHistogram) -> Duration,
     ) -> RunTimeEstimate {
         if let Some(history) = self.history(customer, kind) {
-            if history.times.total >= self.settings.few_samples {
+            if history.histogram.total >= self.settings.min_samples {
                 let age = now.saturating_duration_since(history.measured_at);
                 let source = match age > self.settings.stale_after {
                     true => EstimateSource::Stale,
                     false => EstimateSource::Measured,
                 };
-                let run_time = of(&history.times);
+                let run_time = statistic(&history.histogram);
                 return RunTimeEstimate { run_time, source };
             }
         }
@@ -220,16 +222,16 @@
 
 #[derive(Debug)]
 struct KindHistory {
-    times: RunTimes,
-    ends: RunEnds,
+    histogram: RunTimeHistogram,
+    failures: FailureCounter,
     measured_at: Instant,
 }
 
 impl KindHistory {
     fn new(now: Instant) -> Self {
         Self {
-            times: RunTimes::default(),
-            ends: RunEnds::default(),
+            histogram: RunTimeHistogram::default(),
+            failures: FailureCounter::default(),
             measured_at: now,
         }
     }
@@ -237,28 +239,28 @@
 
 /// A histogram with buckets of equal width in the logarithm.
 #[derive(Debug)]
-struct RunTimes {
-    counts: [u16; BUCKETS],
+struct RunTimeHistogram {
+    counts: [u16; BUCKET_COUNT],
     total: u32,
     sum: Duration,
 }
 
-impl Default for RunTimes {
+impl Default for RunTimeHistogram {
     fn default() -> Self {
         Self {
-            counts: [0; BUCKETS],
+            counts: [0; BUCKET_COUNT],
             total: 0,
             sum: Duration::ZERO,
         }
     }
 }
 
-impl RunTimes {
+impl RunTimeHistogram {
     fn add(&mut self, ran: Duration, window: u32) {
         if self.total >= window.min(u32::from(u16::MAX)) {
             self.halve();
         }
-        self.counts[bucket(ran)] += 1;
+        self.counts[bucket_index(ran)] += 1;
         self.total += 1;
         self.sum = self.sum.saturating_add(ran);
     }
@@ -267,18 +269,18 @@
         self.sum / self.total.max(1)
     }
 
-    fn quantile(&self, share: f64) -> Duration {
-        let rank = (share.clamp(0.0, 1.0) * f64::from(self.total))
+    fn quantile(&self, fraction: f64) -> Duration {
+        let rank = (fraction.clamp(0.0, 1.0) * f64::from(self.total))
             .ceil()
             .max(1.0);
-        let mut seen = 0;
+        let mut count_so_far = 0;
         for (n, count) in self.counts.iter().enumerate() {
-            seen += u32::from(*count);
-            if f64::from(seen) >= rank {
-                return bucket_end(n);
+            count_so_far += u32::from(*count);
+            if f64::from(count_so_far) >= rank {
+                return bucket_upper_bound(n);
             }
         }
-        bucket_end(BUCKETS - 1)
+        bucket_upper_bound(BUCKET_COUNT - 1)
     }
 
     /// Halves all counts. Rounding down lets single outliers go.
@@ -295,15 +297,15 @@
 
 /// Counts of ends, halved like the run times.
 #[derive(Debug, Default)]
-struct RunEnds {
+struct FailureCounter {
     failed: u32,
     total: u32,
 }
 
-impl RunEnds {
+impl FailureCounter {
     /// Ends without failure that every kind starts with, so that the first failed task of a kind does not count as
     /// proof that the kind always fails.
-    const PRIOR: f32 = 2.0;
+    const PRIOR_SUCCESSES: f32 = 2.0;
 
     fn add(&mut self, failed: bool, window: u32) {
         if self.total >= window {
@@ -314,20 +316,20 @@
         self.total += 1;
     }
 
-    fn failure_share(&self) -> FailureShare {
-        FailureShare(self.failed as f32 / (self.total as f32 + Self::PRIOR))
+    fn failure_rate(&self) -> FailureRate {
+        FailureRate(self.failed as f32 / (self.total as f32 + Self::PRIOR_SUCCESSES))
     }
 }
 
-fn bucket(ran: Duration) -> usize {
-    let doublings = (ran.as_secs_f64() / FIRST_BUCKET.as_secs_f64())
+fn bucket_index(ran: Duration) -> usize {
+    let doublings = (ran.as_secs_f64() / FIRST_BUCKET_START.as_secs_f64())
         .max(1.0)
         .log2();
     let n = (doublings * BUCKETS_PER_DOUBLING) as usize;
-    n.min(BUCKETS - 1)
+    n.min(BUCKET_COUNT - 1)
 }
 
 /// The longest run time of a bucket: an estimate that is too short admits work that then comes late.
-fn bucket_end(n: usize) -> Duration {
-    FIRST_BUCKET.mul_f64(((n + 1) as f64 / BUCKETS_PER_DOUBLING).exp2())
+fn bucket_upper_bound(n: usize) -> Duration {
+    FIRST_BUCKET_START.mul_f64(((n + 1) as f64 / BUCKETS_PER_DOUBLING).exp2())
 }
--- a/crates/decisions/tests/health.rs
+++ b/crates/decisions/tests/health.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use decisions::{EndKind, EndReport, EndpointHealth, FailureShare, FleetLatency, HealthSettings};
+use decisions::{EndKind, EndReport, EndpointHealth, FailureRate, FleetLatency, HealthSettings};
 
 const EXPECTED: Duration = Duration::from_millis(200);
 
@@ -11,7 +11,7 @@
         kind,
         ran: EXPECTED * times,
         expected: EXPECTED,
-        failure_share: FailureShare(failing as f32 / 100.0),
+        failure_rate: FailureRate(failing as f32 / 100.0),
     }
 }
 
--- a/crates/decisions/tests/outcomes/model.rs
+++ b/crates/decisions/tests/outcomes/model.rs
@@ -429,7 +429,7 @@
         let customer = self.names[job.load].clone();
         let expected = self
             .times
-            .expect(now, &customer, &self.kind, Some(declared))
+            .expected_run_time(now, &customer, &self.kind, Some(declared))
             .run_time;
         let entry = QueueEntry {
             attempt,
@@ -510,7 +510,7 @@
             kind: [EndKind::Done, EndKind::Failed][usize::from(failed)],
             ran,
             expected: dispatcher.fleet.scale(expected),
-            failure_share: self.times.failure_share(&self.names[l], &self.kind),
+            failure_rate: self.times.failure_rate(&self.names[l], &self.kind),
         };
         health.on_end(now, report);
         self.entries[e].table.on_end(DispatcherKey(d as u64));
@@ -540,7 +540,8 @@
 
     fn expect(&self, now: Instant, load: usize, declared: Option<Duration>) -> RunTimeEstimate {
         let name = &self.names[load];
-        self.times.expect(now, name, &self.kind, declared)
+        self.times
+            .expected_run_time(now, name, &self.kind, declared)
     }
 
     fn move_task(&mut self, now: Instant, attempt: AttemptId, stage: Stage) {
--- a/crates/decisions/tests/run_time.rs
+++ b/crates/decisions/tests/run_time.rs
@@ -18,7 +18,7 @@
         table.record(start, &customer, &kind, Duration::from_millis(*ran));
     }
     let declared = declared.map(|n| MS * n);
-    let estimate = table.expect(start + MS * later, &customer, &kind, declared);
+    let estimate = table.expected_run_time(start + MS * later, &customer, &kind, declared);
     let expect = RunTimeEstimate {
         run_time: MS * expect.0,
         source: expect.1,
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn measured_wins_after_a_few() {
+fn measured_run_times_replace_declared_ones() {
     check(&[], None, 0, (300, Assumed));
     check(&[], Some(20_000), 0, (20_000, Declared));
     check(&[200, 200], Some(20_000), 0, (20_000, Declared));
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_changed_run_time_is_learned() {
+fn older_samples_lose_half_their_weight_per_window() {
     // Old ones count half after 256: after 128 of 100 ms, twice 128 of 300 ms rule the mean.
     let old = [100; 256];
     let new = [300; 384];
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn quantiles_are_at_most_a_bucket_too_long() {
+fn quantiles_overestimate_by_at_most_one_bucket() {
     let start = Instant::now();
     let mut table = RunTimeTable::new(RunTimeSettings::default());
     let (customer, kind) = ("trust".parse().unwrap(), "hold".parse().unwrap());
@@ -56,7 +56,7 @@
         let ran = if n > 97 { 5000 } else { 100 };
         table.record(start, &customer, &kind, Duration::from_millis(ran));
     }
-    for (share, exact) in [
+    for (fraction, exact) in [
         (0.0, 100),
         (0.5, 100),
         (0.97, 100),
@@ -64,35 +64,37 @@
         (1.0, 5000),
     ] {
         let quantile = table
-            .quantile(start, &customer, &kind, None, share)
+            .quantile(start, &customer, &kind, None, fraction)
             .run_time;
         let exact = Duration::from_millis(exact);
         assert!(
             quantile >= exact && quantile <= exact.mul_f64(1.415),
-            "{share} {quantile:?}"
+            "{fraction} {quantile:?}"
         );
     }
 }
 
 #[test]
-fn failures_are_counted_and_not_timed() {
+fn failures_count_but_add_no_run_time() {
     let start = Instant::now();
     let mut table = RunTimeTable::new(RunTimeSettings::default());
     let (customer, kind) = ("trust".parse().unwrap(), "hold".parse().unwrap());
-    assert_eq!(table.failure_share(&customer, &kind).0, 0.0);
+    assert_eq!(table.failure_rate(&customer, &kind).0, 0.0);
     for _ in 0..3 {
         table.record(start, &customer, &kind, MS * 200);
         table.record_failure(start, &customer, &kind);
     }
-    assert_eq!(table.failure_share(&customer, &kind).0, 3.0 / 8.0);
+    assert_eq!(table.failure_rate(&customer, &kind).0, 3.0 / 8.0);
     assert_eq!(
-        table.expect(start, &customer, &kind, None).run_time,
+        table
+            .expected_run_time(start, &customer, &kind, None)
+            .run_time,
         MS * 200
     );
 }
 
 #[test]
-fn names_that_never_come_again_are_forgotten() {
+fn least_recently_used_customers_and_kinds_are_evicted() {
     let start = Instant::now();
     let mut table = RunTimeTable::new(RunTimeSettings {
         max_customers: 2,
@@ -121,7 +123,10 @@
     }
     let known = |customer: &str, kind: &str| {
         let (customer, kind) = (customer.parse().unwrap(), kind.parse().unwrap());
-        table.expect(start, &customer, &kind, None).source == Measured
+        table
+            .expected_run_time(start, &customer, &kind, None)
+            .source
+            == Measured
     };
     assert_eq!(table.customers(), 2);
     assert!(known("a", "k1") && known("a", "k3") && known("c", "k1"));
--- a/crates/ledger/src/ledger/queueing.rs
+++ b/crates/ledger/src/ledger/queueing.rs
@@ -135,7 +135,7 @@
         let declared = Some(offer.expected_run_time);
         let expected = self
             .run_times
-            .expect(now, &offer.customer, &offer.kind, declared)
+            .expected_run_time(now, &offer.customer, &offer.kind, declared)
             .run_time;
         let offer = TaskOffer {
             expected_run_time: expected,
--- a/crates/ledger/src/ledger/running.rs
+++ b/crates/ledger/src/ledger/running.rs
@@ -172,13 +172,13 @@
     fn learn(&mut self, now: Instant, task: &RunningTask, end: &AttemptEnd, ran: Duration) {
         let expected = self
             .run_times
-            .expect(now, &task.customer, &task.kind, None)
+            .expected_run_time(now, &task.customer, &task.kind, None)
             .run_time;
         let report = EndReport {
             kind: EndKind::from(end),
             ran,
             expected: self.fleet.scale(expected),
-            failure_share: self.run_times.failure_share(&task.customer, &task.kind),
+            failure_rate: self.run_times.failure_rate(&task.customer, &task.kind),
         };
         match report.kind {
             EndKind::Done => {
