--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -4,9 +4,9 @@
 //! decision can be tested under load in virtual time.
 
 pub mod admission;
-mod bounded;
 pub mod drain_rate;
 pub mod health;
+mod lru_map;
 pub mod placement;
 pub mod queue;
 pub mod retry;
--- a/crates/decisions/src/bounded.rs
+++ b/crates/decisions/src/lru_map.rs
@@ -11,20 +11,20 @@
 ///
 /// Each operation costs O(log n).
 #[derive(Debug)]
-pub(crate) struct BoundedMap<K, V> {
-    limit: usize,
+pub(crate) struct LruMap<K, V> {
+    capacity: usize,
     values: FastMap<K, (u64, V)>,
-    uses: BTreeMap<u64, K>,
+    recency: BTreeMap<u64, K>,
     next_use: u64,
 }
 
-impl<K: Clone + Eq + Hash, V> BoundedMap<K, V> {
-    /// An empty map of at most `limit` keys, at least one.
-    pub(crate) fn new(limit: usize) -> Self {
+impl<K: Clone + Eq + Hash, V> LruMap<K, V> {
+    /// An empty map of at most `capacity` keys, at least one.
+    pub(crate) fn new(capacity: usize) -> Self {
         Self {
-            limit: limit.max(1),
+            capacity: capacity.max(1),
             values: FastMap::default(),
-            uses: BTreeMap::new(),
+            recency: BTreeMap::new(),
             next_use: 0,
         }
     }
@@ -38,9 +38,9 @@
     }
 
     /// The value, made by `make` where absent, and the note that it was used now.
-    pub(crate) fn use_or_insert(&mut self, key: &K, make: impl FnOnce() -> V) -> &mut V {
-        if !self.values.contains_key(key) && self.values.len() >= self.limit {
-            self.forget_oldest();
+    pub(crate) fn touch_or_insert(&mut self, key: &K, make: impl FnOnce() -> V) -> &mut V {
+        if !self.values.contains_key(key) && self.values.len() >= self.capacity {
+            self.evict_least_recent();
         }
         let this_use = self.next_use;
         self.next_use += 1;
@@ -48,8 +48,8 @@
             .values
             .entry(key.clone())
             .or_insert_with(|| (this_use, make()));
-        self.uses.remove(last_use);
-        self.uses.insert(this_use, key.clone());
+        self.recency.remove(last_use);
+        self.recency.insert(this_use, key.clone());
         *last_use = this_use;
         value
     }
@@ -59,8 +59,8 @@
         self.values.len()
     }
 
-    fn forget_oldest(&mut self) {
-        if let Some((_, key)) = self.uses.pop_first() {
+    fn evict_least_recent(&mut self) {
+        if let Some((_, key)) = self.recency.pop_first() {
             self.values.remove(&key);
         }
     }
--- a/crates/decisions/src/retry.rs
+++ b/crates/decisions/src/retry.rs
@@ -4,7 +4,7 @@
 
 use model::CustomerId;
 
-use crate::bounded::BoundedMap;
+use crate::lru_map::LruMap;
 
 /// The limits of a [`RetryBudget`].
 #[derive(Clone, Debug, PartialEq)]
@@ -49,14 +49,14 @@
 #[derive(Debug)]
 pub struct RetryBudget {
     settings: RetrySettings,
-    customers: BoundedMap<CustomerId, TokenBucket>,
+    customers: LruMap<CustomerId, TokenBucket>,
 }
 
 impl RetryBudget {
     /// A budget in which no customer has saved anything.
     pub fn new(settings: RetrySettings) -> Self {
         Self {
-            customers: BoundedMap::new(settings.max_customers),
+            customers: LruMap::new(settings.max_customers),
             settings,
         }
     }
@@ -96,7 +96,7 @@
         // A retry takes a whole token, so a smaller rate saves up for longer than a second.
         let floor = per_second.max(1.0);
         let first = self.settings.first_saved.max(floor);
-        let bucket = self.customers.use_or_insert(customer, || TokenBucket {
+        let bucket = self.customers.touch_or_insert(customer, || TokenBucket {
             tokens: first,
             filled_at: now,
         });
--- a/crates/decisions/src/run_time.rs
+++ b/crates/decisions/src/run_time.rs
@@ -9,7 +9,7 @@
 
 use model::{CustomerId, TaskKind};
 
-use crate::bounded::BoundedMap;
+use crate::lru_map::LruMap;
 
 /// Buckets double every second one, so a quantile is at most 42% too long. From 1 ms they reach past 600 s, the
 /// longest time within which a contract may promise an answer.
@@ -103,14 +103,14 @@
 #[derive(Debug)]
 pub struct RunTimeTable {
     settings: RunTimeSettings,
-    customers: BoundedMap<CustomerId, BoundedMap<TaskKind, KindHistory>>,
+    customers: LruMap<CustomerId, LruMap<TaskKind, KindHistory>>,
 }
 
 impl RunTimeTable {
     /// An empty table.
     pub fn new(settings: RunTimeSettings) -> Self {
         Self {
-            customers: BoundedMap::new(settings.max_customers),
+            customers: LruMap::new(settings.max_customers),
             settings,
         }
     }
@@ -215,8 +215,8 @@
     ) -> &mut KindHistory {
         let max_kinds = self.settings.max_kinds;
         self.customers
-            .use_or_insert(customer, || BoundedMap::new(max_kinds))
-            .use_or_insert(kind, || KindHistory::new(now))
+            .touch_or_insert(customer, || LruMap::new(max_kinds))
+            .touch_or_insert(kind, || KindHistory::new(now))
     }
 }
 
