--- a/crates/decisions/src/health.rs
+++ b/crates/decisions/src/health.rs
@@ -18,7 +18,7 @@
     /// Load: an endpoint that fails everything at once has free slots all the time, so it draws the tasks of all
     /// the others. Harm: most jobs fail through one endpoint. Reason: 4 in a row happen by chance in one of a
     /// million rows when one task in thirty fails, and cost less than one filling of the slots.
-    pub failures_allowed: f32,
+    pub quarantine_failures: f32,
     /// Weight of a connection that did not come about. Reason: no task is lost by it, but each costs a connect
     /// timeout, so two are enough.
     pub unreachable_weight: f32,
@@ -26,43 +26,43 @@
     ///
     /// Load: one endpoint on a throttled VM. Harm: a job answers with its last task, so one slow slot in seventeen
     /// makes most jobs late. Reason: a factor of 2 is within what a mix of short and long tasks shows by chance.
-    pub slow_from: f64,
+    pub throttle_slowdown: f64,
     /// The slowdown from which an endpoint is quarantined. Reason: at 8 times a usual task takes as long as the
     /// rare long ones, and the whole endpoint is worth one slot.
-    pub lagging_from: f64,
+    pub quarantine_slowdown: f64,
     /// Ends seen before latency counts. Reason: one long task among fewer than five is not told from a slow
     /// endpoint.
-    pub few_ends: u32,
+    pub min_samples: u32,
     /// The first quarantine. Reason: long enough for a process to restart, and a probe every second costs nothing.
-    pub first_quarantine: Duration,
+    pub initial_quarantine: Duration,
     /// The longest quarantine; each failed probe doubles it. Reason: a probe is a real task that a caller waits
     /// for, so a dead endpoint may cost at most two a minute.
-    pub longest_quarantine: Duration,
-    /// The pause after a busy answer while nothing of ours runs there; doubles up to `longest_pause`.
+    pub max_quarantine: Duration,
+    /// The pause after a busy answer while nothing of ours runs there; doubles up to `max_busy_backoff`.
     ///
     /// Load: the slots are held by another owner for a moment. Harm: without a pause the same task goes back and
     /// forth as fast as the network can. Reason: 20 ms is less than the shortest task.
-    pub first_pause: Duration,
+    pub initial_busy_backoff: Duration,
     /// The longest pause. Reason: a usual task has ended by then.
-    pub longest_pause: Duration,
+    pub max_busy_backoff: Duration,
     /// The time between raises of a limit that a busy answer lowered. Reason: a tenth of a second for each slot
     /// gives eight slots back within a second, with at most ten wasted messages in it.
-    pub raise_every: Duration,
+    pub limit_raise_interval: Duration,
 }
 
 impl Default for HealthSettings {
     fn default() -> Self {
         Self {
-            failures_allowed: 4.0,
+            quarantine_failures: 4.0,
             unreachable_weight: 2.0,
-            slow_from: 2.0,
-            lagging_from: 8.0,
-            few_ends: 5,
-            first_quarantine: Duration::from_secs(1),
-            longest_quarantine: Duration::from_secs(30),
-            first_pause: Duration::from_millis(20),
-            longest_pause: Duration::from_millis(640),
-            raise_every: Duration::from_millis(100),
+            throttle_slowdown: 2.0,
+            quarantine_slowdown: 8.0,
+            min_samples: 5,
+            initial_quarantine: Duration::from_secs(1),
+            max_quarantine: Duration::from_secs(30),
+            initial_busy_backoff: Duration::from_millis(20),
+            max_busy_backoff: Duration::from_millis(640),
+            limit_raise_interval: Duration::from_millis(100),
         }
     }
 }
@@ -118,7 +118,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthState {
     /// It gets tasks up to its limit.
-    Open,
+    Active,
     /// It gets nothing until then, and after that one task to show what it does.
     Quarantined {
         /// When the probe may start.
@@ -140,13 +140,13 @@
     settings: HealthSettings,
     state: HealthState,
     running: u32,
-    failures: f32,
-    quarantine: Duration,
+    failure_weight: f32,
+    next_quarantine: Duration,
     /// The limit that busy answers and probes leave; `None` while nothing limits.
     limit: Option<u32>,
-    raised_at: Option<Instant>,
-    pause: Duration,
-    paused_until: Option<Instant>,
+    limit_changed_at: Option<Instant>,
+    busy_backoff: Duration,
+    backoff_until: Option<Instant>,
     latency: LatencyRatio,
 }
 
@@ -154,15 +154,15 @@
     /// An endpoint of which nothing bad is known.
     pub fn new(settings: HealthSettings) -> Self {
         Self {
-            quarantine: settings.first_quarantine,
-            pause: settings.first_pause,
+            next_quarantine: settings.initial_quarantine,
+            busy_backoff: settings.initial_busy_backoff,
             settings,
-            state: HealthState::Open,
+            state: HealthState::Active,
             running: 0,
-            failures: 0.0,
+            failure_weight: 0.0,
             limit: None,
-            raised_at: None,
-            paused_until: None,
+            limit_changed_at: None,
+            backoff_until: None,
             latency: LatencyRatio::default(),
         }
     }
@@ -171,10 +171,10 @@
     pub fn capacity(&self, now: Instant, slots: u32) -> u32 {
         match self.state {
             HealthState::Leaving => 0,
-            _ if self.paused_until.is_some_and(|until| now < until) => 0,
+            _ if self.backoff_until.is_some_and(|until| now < until) => 0,
             HealthState::Quarantined { until } if now < until => 0,
             HealthState::Quarantined { .. } | HealthState::Probing => slots.min(1),
-            HealthState::Open => self
+            HealthState::Active => self
                 .limit
                 .unwrap_or(slots)
                 .min(self.latency_limit(slots))
@@ -226,7 +226,7 @@
     /// How many times longer than elsewhere its tasks take; 1 while too few are known. Of the endpoints with a free
     /// slot the dispatcher takes the one with the lowest.
     pub fn slowdown(&self) -> f64 {
-        match self.latency.ends < self.settings.few_ends {
+        match self.latency.samples < self.settings.min_samples {
             true => 1.0,
             false => self.latency.ratio(),
         }
@@ -234,7 +234,7 @@
 
     fn latency_limit(&self, slots: u32) -> u32 {
         let slowdown = self.slowdown();
-        if slowdown < self.settings.slow_from {
+        if slowdown < self.settings.throttle_slowdown {
             return slots;
         }
         // In proportion, so that the endpoint holds as much work as a healthy one with that many slots less.
@@ -242,16 +242,16 @@
     }
 
     fn on_done(&mut self, now: Instant, report: EndReport) {
-        self.failures = 0.0;
-        self.pause = self.settings.first_pause;
+        self.failure_weight = 0.0;
+        self.busy_backoff = self.settings.initial_busy_backoff;
         self.latency
             .add(report.ran, report.expected, LATENCY_WEIGHT);
         match self.state {
-            HealthState::Open if self.slowdown() >= self.settings.lagging_from => {
+            HealthState::Active if self.slowdown() >= self.settings.quarantine_slowdown => {
                 self.enter_quarantine(now);
             }
-            HealthState::Open => self.raise_limit(now),
-            HealthState::Probing if self.probe_lags(&report) => self.enter_quarantine(now),
+            HealthState::Active => self.raise_limit(now),
+            HealthState::Probing if self.probe_is_slow(&report) => self.enter_quarantine(now),
             HealthState::Probing => self.reopen(now),
             // An old task that ends during quarantine proves nothing about new ones.
             HealthState::Quarantined { .. } | HealthState::Leaving => {}
@@ -259,22 +259,22 @@
     }
 
     fn on_failure(&mut self, now: Instant, weight: f32) {
-        self.failures += weight;
+        self.failure_weight += weight;
         match self.state {
-            HealthState::Open if self.failures >= self.settings.failures_allowed => {
+            HealthState::Active if self.failure_weight >= self.settings.quarantine_failures => {
                 self.enter_quarantine(now);
             }
             HealthState::Probing => self.enter_quarantine(now),
-            HealthState::Open | HealthState::Quarantined { .. } | HealthState::Leaving => {}
+            HealthState::Active | HealthState::Quarantined { .. } | HealthState::Leaving => {}
         }
     }
 
     fn on_busy(&mut self, now: Instant) {
         self.limit = Some(self.running.max(1));
-        self.raised_at = Some(now);
+        self.limit_changed_at = Some(now);
         if self.running == 0 {
-            self.paused_until = Some(now + self.pause);
-            self.pause = (self.pause * 2).min(self.settings.longest_pause);
+            self.backoff_until = Some(now + self.busy_backoff);
+            self.busy_backoff = (self.busy_backoff * 2).min(self.settings.max_busy_backoff);
         }
     }
 
@@ -283,34 +283,34 @@
             return;
         };
         let due = self
-            .raised_at
-            .is_none_or(|at| now >= at + self.settings.raise_every);
+            .limit_changed_at
+            .is_none_or(|at| now >= at + self.settings.limit_raise_interval);
         if due {
             self.limit = Some(limit.saturating_add(1));
-            self.raised_at = Some(now);
+            self.limit_changed_at = Some(now);
         }
     }
 
-    fn probe_lags(&self, report: &EndReport) -> bool {
-        let ratio = LatencyRatio::of(report.ran, report.expected).exp();
+    fn probe_is_slow(&self, report: &EndReport) -> bool {
+        let ratio = LatencyRatio::log_ratio(report.ran, report.expected).exp();
         // A short task on a lagging endpoint takes as long as a usual one elsewhere, so one probe has to show more than
         // that it does not lag.
-        ratio >= self.settings.slow_from
+        ratio >= self.settings.throttle_slowdown
     }
 
     fn enter_quarantine(&mut self, now: Instant) {
-        let until = now + self.quarantine;
+        let until = now + self.next_quarantine;
         self.state = HealthState::Quarantined { until };
-        self.quarantine = (self.quarantine * 2).min(self.settings.longest_quarantine);
-        self.failures = 0.0;
+        self.next_quarantine = (self.next_quarantine * 2).min(self.settings.max_quarantine);
+        self.failure_weight = 0.0;
     }
 
     /// Opens with one slot: an endpoint that ran one task well may still fail under eight.
     fn reopen(&mut self, now: Instant) {
-        self.state = HealthState::Open;
-        self.quarantine = self.settings.first_quarantine;
+        self.state = HealthState::Active;
+        self.next_quarantine = self.settings.initial_quarantine;
         self.limit = Some(1);
-        self.raised_at = Some(now);
+        self.limit_changed_at = Some(now);
         self.latency = LatencyRatio::default();
     }
 }
@@ -344,23 +344,23 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct LatencyRatio {
     log_mean: f64,
-    ends: u32,
+    samples: u32,
 }
 
 impl LatencyRatio {
     /// One task counts for at most this much in the logarithm, a factor of 20.
     const MAX_LOG: f64 = 3.0;
 
-    fn of(ran: Duration, expected: Duration) -> f64 {
+    fn log_ratio(ran: Duration, expected: Duration) -> f64 {
         let floor = Duration::from_millis(1);
         let ratio = ran.max(floor).as_secs_f64() / expected.max(floor).as_secs_f64();
         ratio.ln().clamp(-Self::MAX_LOG, Self::MAX_LOG)
     }
 
     fn add(&mut self, ran: Duration, expected: Duration, weight: f64) {
-        self.ends = self.ends.saturating_add(1);
-        let weight = weight.max(1.0 / f64::from(self.ends));
-        self.log_mean += weight * (Self::of(ran, expected) - self.log_mean);
+        self.samples = self.samples.saturating_add(1);
+        let weight = weight.max(1.0 / f64::from(self.samples));
+        self.log_mean += weight * (Self::log_ratio(ran, expected) - self.log_mean);
     }
 
     fn ratio(&self) -> f64 {
--- a/crates/decisions/tests/health.rs
+++ b/crates/decisions/tests/health.rs
@@ -55,12 +55,12 @@
 }
 
 #[test]
-fn a_healthy_endpoint_gets_all_its_slots() {
+fn a_healthy_endpoint_may_use_all_its_slots() {
     check("= 8 start 8 ok 8 = 8 start 9 not_started 9 = 8");
 }
 
 #[test]
-fn failing_everything_brings_quarantine_within_a_few() {
+fn consecutive_failures_quarantine_an_endpoint() {
     check("start 8 failed 3 = 8 failed 1 = 0");
     check("start 8 unknown 3 = 8 unknown 1 = 0");
     check("start 8 unreachable 1 = 8 unreachable 1 = 0");
@@ -68,14 +68,14 @@
 }
 
 #[test]
-fn a_customer_whose_tasks_fail_everywhere_closes_no_endpoint() {
+fn tasks_that_fail_everywhere_quarantine_no_endpoint() {
     check("start 40 common95 40 = 8");
     check("start 40 lost95 40 = 8");
     check("start 10 common50 10 = 0");
 }
 
 #[test]
-fn probes_go_one_at_a_time_and_farther_apart() {
+fn probes_run_one_at_a_time_and_failed_ones_back_off() {
     check(
         "start 8 failed 4 t999 = 0 ok 4 = 0 t1000 = 1 start 1 = 1 failed 1 = 0 t2999 = 0 t3000 = 1",
     );
@@ -90,19 +90,19 @@
 }
 
 #[test]
-fn a_recovered_endpoint_gets_its_slots_back_one_by_one() {
+fn a_recovered_endpoint_regains_slots_one_by_one() {
     check("start 4 failed 4 t1000 start 1 ok 1 = 1 t1099 start 1 ok 1 = 1 t1100 start 1 ok 1 = 2 start 2 ok 2 = 2");
 }
 
 #[test]
-fn a_busy_answer_lowers_the_limit_to_what_runs() {
+fn a_busy_answer_lowers_the_limit_to_the_running_tasks() {
     check("start 6 busy 1 = 5 t99 ok 1 = 5 t100 ok 1 = 6");
     // With nothing of ours there the pause doubles each time, and an answer makes it short again.
     check("start 1 busy 1 = 0 t20 = 1 start 1 busy 1 t59 = 0 t60 = 1 start 1 ok 1 start 1 busy 1 t79 = 0 t80 = 1");
 }
 
 #[test]
-fn a_slow_endpoint_gets_fewer_and_a_lagging_one_none() {
+fn slow_endpoints_are_throttled_and_very_slow_ones_quarantined() {
     check("start 8 slow4 4 = 8 slow4 1 = 2");
     check("start 20 slow4 8 = 2 ok 10 = 8");
     check("start 8 slow10 5 = 0 t1000 start 1 slow10 1 = 0 t2999 = 0 t3000 = 1 start 1 ok 1 = 1 t3100 start 1 ok 1 = 2",
@@ -114,12 +114,12 @@
 }
 
 #[test]
-fn a_leaving_endpoint_gets_nothing_again() {
+fn a_leaving_endpoint_gets_no_more_tasks() {
     check("start 2 leaving 1 = 0 ok 1 = 0 t600000 = 0");
 }
 
 #[test]
-fn all_slow_together_is_no_slow_endpoint() {
+fn a_slowdown_of_all_endpoints_throttles_none() {
     let now = Instant::now();
     let mut fleet = FleetLatency::default();
     let mut endpoints = vec![EndpointHealth::new(HealthSettings::default()); 17];
