--- a/crates/authority/src/authority/placing.rs
+++ b/crates/authority/src/authority/placing.rs
@@ -208,7 +208,7 @@
             mean_run_time: self.mean_run_time,
         };
         match avoided {
-            Some(avoided) => self.places.choose_other(now, query, avoided),
+            Some(avoided) => self.places.choose_avoiding(now, query, avoided),
             None => self.places.choose(now, query),
         }
     }
--- a/crates/authority/src/authority/replies.rs
+++ b/crates/authority/src/authority/replies.rs
@@ -202,7 +202,7 @@
         let tries = attempt.attempt - record.first_attempt;
         record.move_queued
             && tries < MAX_MOVES
-            && self.places.free_beside(flight.dispatcher) > moved as u64
+            && self.places.free_slots_elsewhere(flight.dispatcher) > moved as u64
     }
 
     fn on_taken(&mut self, now: Instant, attempt: AttemptId, phase: FlightPhase) {
--- a/crates/decisions/src/placement.rs
+++ b/crates/decisions/src/placement.rs
@@ -56,12 +56,12 @@
     ///
     /// Load: a frozen process whose last hint showed free slots. Harm: it would draw tasks until its connection is
     /// given up. Reason: it answers an offer at once, and 250 ms are a hundred round trips between data centres.
-    pub silent_after: Duration,
+    pub response_timeout: Duration,
     /// How long the spare slots of another data centre count as known. Reason: within that time a burst may have
     /// taken them, and a task that queues there has paid the way for nothing.
-    pub spare_known_for: Duration,
+    pub spare_max_age: Duration,
     /// How many round trips a shift must gain. Reason: the offer, the claim and the answer each cross the border.
-    pub gain_round_trips: u32,
+    pub min_gain_round_trips: u32,
     /// The percentage of another data centre's slots that must stay free for its own callers.
     ///
     /// Load: one data centre overloaded, several entries that shift at once. Harm: the overload moves to the next
@@ -75,9 +75,9 @@
         Self {
             rule: PlacementRule::default(),
             draws: 2,
-            silent_after: Duration::from_millis(250),
-            spare_known_for: Duration::from_secs(2),
-            gain_round_trips: 2,
+            response_timeout: Duration::from_millis(250),
+            spare_max_age: Duration::from_secs(2),
+            min_gain_round_trips: 2,
             reserve_percent: 20,
         }
     }
@@ -111,7 +111,7 @@
     settings: PlacementSettings,
     /// The data centre of this entry comes first.
     sites: Vec<DataCentreSite>,
-    places: FastMap<DispatcherKey, (usize, usize)>,
+    locations: FastMap<DispatcherKey, (usize, usize)>,
     rng: fastrand::Rng,
 }
 
@@ -121,7 +121,7 @@
         Self {
             settings,
             sites: vec![DataCentreSite::new(local, Duration::ZERO)],
-            places: FastMap::default(),
+            locations: FastMap::default(),
             rng,
         }
     }
@@ -140,41 +140,41 @@
 
     /// Adds a dispatcher. It is not chosen before its first hint.
     pub fn add_dispatcher(&mut self, key: DispatcherKey, data_centre: &DataCentreId) {
-        if self.places.contains_key(&key) {
+        if self.locations.contains_key(&key) {
             return;
         }
         let site = self.site_index(data_centre);
-        self.sites[site].places.push(DispatcherPlace::new(key));
+        self.sites[site].dispatchers.push(DispatcherState::new(key));
         self.reindex(site);
     }
 
     /// Removes a dispatcher that stops or is gone.
     pub fn remove_dispatcher(&mut self, key: DispatcherKey) {
-        let Some((site, index)) = self.places.remove(&key) else {
+        let Some((site, index)) = self.locations.remove(&key) else {
             return;
         };
-        self.sites[site].places.swap_remove(index);
+        self.sites[site].dispatchers.swap_remove(index);
         self.reindex(site);
     }
 
     /// Notes what a dispatcher said of itself. `unanswered` are the offers of this entry that it has not answered
     /// yet: those it cannot have counted.
     pub fn on_hint(&mut self, now: Instant, key: DispatcherKey, hint: SlotsHint, unanswered: u32) {
-        let Some((site, index)) = self.places.get(&key).copied() else {
+        let Some((site, index)) = self.locations.get(&key).copied() else {
             return;
         };
         let site = &mut self.sites[site];
-        site.heard_at = Some(now);
-        site.change(index, |place| place.hear(now, hint, unanswered));
+        site.last_hint_at = Some(now);
+        site.update(index, |state| state.apply_hint(now, hint, unanswered));
     }
 
     /// Notes that a chosen task ended, or was not sent after all.
     pub fn on_end(&mut self, key: DispatcherKey) {
-        let Some((site, index)) = self.places.get(&key).copied() else {
+        let Some((site, index)) = self.locations.get(&key).copied() else {
             return;
         };
-        let place = &mut self.sites[site].places[index];
-        place.outstanding = place.outstanding.saturating_sub(1);
+        let dispatcher = &mut self.sites[site].dispatchers[index];
+        dispatcher.outstanding = dispatcher.outstanding.saturating_sub(1);
     }
 
     /// The slots that tasks of this entry compete for: those of the local data centre, or while it has none those
@@ -182,7 +182,7 @@
     /// could do.
     pub fn slots(&self, now: Instant) -> u64 {
         let site = self.site_to_queue_at(now);
-        site.map_or(0, |n| self.sites[n].limits.total())
+        site.map_or(0, |n| self.sites[n].slot_limits.total())
     }
 
     /// How full those slots are.
@@ -192,35 +192,35 @@
     }
 
     /// The free slots of the local data centre's other dispatchers, as far as is known.
-    pub fn free_beside(&self, key: DispatcherKey) -> u64 {
+    pub fn free_slots_elsewhere(&self, key: DispatcherKey) -> u64 {
         let site = &self.sites[0];
-        let own = match self.places.get(&key) {
-            Some((0, index)) => site.places[*index].free(),
+        let own = match self.locations.get(&key) {
+            Some((0, index)) => site.dispatchers[*index].free_slots(),
             _ => 0,
         };
-        site.free.total().saturating_sub(own)
+        site.free_slots.total().saturating_sub(own)
     }
 
     /// Chooses a dispatcher and counts the task as sent there. `None` when no reachable dispatcher has a slot.
     pub fn choose(&mut self, now: Instant, query: PlacementQuery) -> Option<DispatcherKey> {
         for site in &mut self.sites {
-            site.suspect_silent(now, self.settings.silent_after);
+            site.suspect_unresponsive(now, self.settings.response_timeout);
         }
         let (site, index) = match self.settings.rule {
-            PlacementRule::FreeSlots => self.by_free_slots(now, query)?,
+            PlacementRule::FreeSlots => self.choose_by_free_slots(now, query)?,
             PlacementRule::RandomOwner => (0, self.sites[0].any(&mut self.rng)?),
-            PlacementRule::TwoChoices => (0, self.less_outstanding()?),
+            PlacementRule::TwoChoices => (0, self.choose_of_two()?),
         };
         let site = &mut self.sites[site];
-        site.change(index, |place| place.send(now));
-        Some(site.places[index].key)
+        site.update(index, |state| state.record_sent(now));
+        Some(site.dispatchers[index].key)
     }
 
     /// Chooses like [`Self::choose`], but not `avoided` while there is any other.
     ///
     /// Load: a dispatcher that has just turned the task away. Harm: it looks as free as before until its next hint,
     /// and draws the task again. Reason for not more than one: its hint comes within a heartbeat.
-    pub fn choose_other(
+    pub fn choose_avoiding(
         &mut self,
         now: Instant,
         query: PlacementQuery,
@@ -234,26 +234,30 @@
 
     /// Notes that a dispatcher answered an offer that it had not answered at its last hint.
     pub fn on_answer(&mut self, key: DispatcherKey) {
-        let Some((site, index)) = self.places.get(&key).copied() else {
+        let Some((site, index)) = self.locations.get(&key).copied() else {
             return;
         };
-        self.sites[site].change(index, DispatcherPlace::answer);
+        self.sites[site].update(index, DispatcherState::record_answer);
     }
 
     fn set_avoided(&mut self, key: DispatcherKey, avoided: bool) {
-        let Some((site, index)) = self.places.get(&key).copied() else {
+        let Some((site, index)) = self.locations.get(&key).copied() else {
             return;
         };
-        self.sites[site].change(index, |place| place.avoided = avoided);
+        self.sites[site].update(index, |state| state.avoided = avoided);
     }
 
     /// The local data centre while it has a free slot, then another where that gains time, then the local queue.
-    fn by_free_slots(&mut self, now: Instant, query: PlacementQuery) -> Option<(usize, usize)> {
+    fn choose_by_free_slots(
+        &mut self,
+        now: Instant,
+        query: PlacementQuery,
+    ) -> Option<(usize, usize)> {
         let draws = self.settings.draws;
         if let Some(index) = self.sites[0].freest(draws, &mut self.rng) {
             return Some((0, index));
         }
-        let local_wait = self.sites[0].wait(query.mean_run_time);
+        let local_wait = self.sites[0].predicted_wait(query.mean_run_time);
         if let Some(site) = self.site_to_shift_to(now, local_wait) {
             let index = self.sites[site].freest(draws, &mut self.rng)?;
             return Some((site, index));
@@ -269,13 +273,13 @@
         let mut best = None;
         let mut most = 0;
         for (n, site) in self.sites.iter().enumerate().skip(1) {
-            if !site.reachable || !site.known(now, self.settings.spare_known_for) {
+            if !site.reachable || !site.is_fresh(now, self.settings.spare_max_age) {
                 continue;
             }
-            if local_wait <= site.round_trip * self.settings.gain_round_trips {
+            if local_wait <= site.round_trip * self.settings.min_gain_round_trips {
                 continue;
             }
-            let spare = site.spare(self.settings.reserve_percent);
+            let spare = site.spare_slots(self.settings.reserve_percent);
             if spare > most {
                 most = spare;
                 best = Some(n);
@@ -286,13 +290,13 @@
 
     /// The local data centre if it has any slot, otherwise the least full one that can be reached.
     fn site_to_queue_at(&self, now: Instant) -> Option<usize> {
-        if self.sites[0].limits.total() > 0 {
+        if self.sites[0].slot_limits.total() > 0 {
             return Some(0);
         }
         let mut best = None;
         let mut least = Saturation(f64::INFINITY);
         for (n, site) in self.sites.iter().enumerate().skip(1) {
-            if !site.reachable || !site.known(now, self.settings.spare_known_for) {
+            if !site.reachable || !site.is_fresh(now, self.settings.spare_max_age) {
                 continue;
             }
             if site.saturation() < least {
@@ -303,10 +307,10 @@
         best
     }
 
-    fn less_outstanding(&mut self) -> Option<usize> {
+    fn choose_of_two(&mut self) -> Option<usize> {
         let site = &self.sites[0];
         let (first, second) = (site.any(&mut self.rng)?, site.any(&mut self.rng)?);
-        let outstanding = |index: usize| site.places[index].outstanding;
+        let outstanding = |index: usize| site.dispatchers[index].outstanding;
         match outstanding(second) < outstanding(first) {
             true => Some(second),
             false => Some(first),
@@ -327,9 +331,9 @@
     }
 
     fn reindex(&mut self, site: usize) {
-        self.sites[site].rebuild();
-        for (index, place) in self.sites[site].places.iter().enumerate() {
-            self.places.insert(place.key, (site, index));
+        self.sites[site].rebuild_totals();
+        for (index, dispatcher) in self.sites[site].dispatchers.iter().enumerate() {
+            self.locations.insert(dispatcher.key, (site, index));
         }
     }
 }
@@ -340,13 +344,13 @@
     data_centre: DataCentreId,
     round_trip: Duration,
     reachable: bool,
-    heard_at: Option<Instant>,
-    places: Vec<DispatcherPlace>,
-    free: WeightTree,
-    limits: WeightTree,
+    last_hint_at: Option<Instant>,
+    dispatchers: Vec<DispatcherState>,
+    free_slots: WeightTree,
+    slot_limits: WeightTree,
     backlog: u64,
     /// Dispatchers with a task sent and no word since, by when it was sent.
-    unanswered: BTreeSet<(Instant, usize)>,
+    awaiting_answer: BTreeSet<(Instant, usize)>,
 }
 
 impl DataCentreSite {
@@ -355,60 +359,60 @@
             data_centre,
             round_trip,
             reachable: true,
-            heard_at: None,
-            places: Vec::new(),
-            free: WeightTree::default(),
-            limits: WeightTree::default(),
+            last_hint_at: None,
+            dispatchers: Vec::new(),
+            free_slots: WeightTree::default(),
+            slot_limits: WeightTree::default(),
             backlog: 0,
-            unanswered: BTreeSet::new(),
+            awaiting_answer: BTreeSet::new(),
         }
     }
 
-    fn change(&mut self, index: usize, change: impl FnOnce(&mut DispatcherPlace)) {
-        let place = &mut self.places[index];
-        self.backlog -= place.backlog();
-        if let Some(sent_at) = place.sent_at {
-            self.unanswered.remove(&(sent_at, index));
+    fn update(&mut self, index: usize, update: impl FnOnce(&mut DispatcherState)) {
+        let dispatcher = &mut self.dispatchers[index];
+        self.backlog -= dispatcher.backlog();
+        if let Some(waiting_since) = dispatcher.waiting_since {
+            self.awaiting_answer.remove(&(waiting_since, index));
         }
-        change(place);
-        self.index(index);
+        update(dispatcher);
+        self.add_to_totals(index);
     }
 
-    fn index(&mut self, index: usize) {
-        let place = &self.places[index];
-        self.backlog += place.backlog();
-        self.free.set(index, place.free());
-        self.limits.set(index, place.usable_limit());
-        if let Some(sent_at) = place.sent_at {
-            self.unanswered.insert((sent_at, index));
+    fn add_to_totals(&mut self, index: usize) {
+        let dispatcher = &self.dispatchers[index];
+        self.backlog += dispatcher.backlog();
+        self.free_slots.set(index, dispatcher.free_slots());
+        self.slot_limits.set(index, dispatcher.usable_limit());
+        if let Some(waiting_since) = dispatcher.waiting_since {
+            self.awaiting_answer.insert((waiting_since, index));
         }
     }
 
-    fn rebuild(&mut self) {
-        self.free = WeightTree::new(self.places.len());
-        self.limits = WeightTree::new(self.places.len());
+    fn rebuild_totals(&mut self) {
+        self.free_slots = WeightTree::new(self.dispatchers.len());
+        self.slot_limits = WeightTree::new(self.dispatchers.len());
         self.backlog = 0;
-        self.unanswered.clear();
-        for index in 0..self.places.len() {
-            self.index(index);
+        self.awaiting_answer.clear();
+        for index in 0..self.dispatchers.len() {
+            self.add_to_totals(index);
         }
     }
 
-    fn suspect_silent(&mut self, now: Instant, silent_after: Duration) {
-        while let Some((sent_at, index)) = self.unanswered.first().copied() {
-            if now.saturating_duration_since(sent_at) < silent_after {
+    fn suspect_unresponsive(&mut self, now: Instant, response_timeout: Duration) {
+        while let Some((waiting_since, index)) = self.awaiting_answer.first().copied() {
+            if now.saturating_duration_since(waiting_since) < response_timeout {
                 break;
             }
-            self.change(index, DispatcherPlace::suspect);
+            self.update(index, DispatcherState::mark_suspect);
         }
     }
 
     /// The one with the most free slots of a few drawn by their free slots.
     fn freest(&self, draws: u32, rng: &mut fastrand::Rng) -> Option<usize> {
-        let mut best = self.free.draw(rng)?;
+        let mut best = self.free_slots.draw(rng)?;
         for _ in 1..draws {
-            let other = self.free.draw(rng)?;
-            if self.places[other].free() > self.places[best].free() {
+            let other = self.free_slots.draw(rng)?;
+            if self.dispatchers[other].free_slots() > self.dispatchers[best].free_slots() {
                 best = other;
             }
         }
@@ -417,10 +421,10 @@
 
     /// The one with the shortest queue for its slots of a few drawn by their slots.
     fn least_queued(&self, draws: u32, rng: &mut fastrand::Rng) -> Option<usize> {
-        let mut best = self.limits.draw(rng)?;
+        let mut best = self.slot_limits.draw(rng)?;
         for _ in 1..draws {
-            let other = self.limits.draw(rng)?;
-            let (a, b) = (&self.places[other], &self.places[best]);
+            let other = self.slot_limits.draw(rng)?;
+            let (a, b) = (&self.dispatchers[other], &self.dispatchers[best]);
             // a.backlog / a.limit < b.backlog / b.limit, without a division.
             if a.backlog() * u64::from(b.hint.limit) < b.backlog() * u64::from(a.hint.limit) {
                 best = other;
@@ -430,93 +434,95 @@
     }
 
     fn any(&self, rng: &mut fastrand::Rng) -> Option<usize> {
-        match self.places.len() {
+        match self.dispatchers.len() {
             0 => None,
             len => Some(rng.usize(..len)),
         }
     }
 
     /// How long one more task would wait here.
-    fn wait(&self, mean_run_time: Duration) -> Duration {
-        match self.limits.total() {
+    fn predicted_wait(&self, mean_run_time: Duration) -> Duration {
+        match self.slot_limits.total() {
             0 => Duration::MAX,
             limit => mean_run_time.mul_f64((self.backlog + 1) as f64 / limit as f64),
         }
     }
 
     fn saturation(&self) -> Saturation {
-        let used = self.limits.total() - self.free.total();
-        Saturation::new(used + self.backlog, self.limits.total())
+        let used = self.slot_limits.total() - self.free_slots.total();
+        Saturation::new(used + self.backlog, self.slot_limits.total())
     }
 
-    fn known(&self, now: Instant, known_for: Duration) -> bool {
-        self.heard_at
-            .is_some_and(|at| now.saturating_duration_since(at) <= known_for)
+    fn is_fresh(&self, now: Instant, max_age: Duration) -> bool {
+        self.last_hint_at
+            .is_some_and(|at| now.saturating_duration_since(at) <= max_age)
     }
 
-    fn spare(&self, reserve_percent: u32) -> u64 {
-        let reserve = self.limits.total() * u64::from(reserve_percent) / 100;
-        self.free.total().saturating_sub(reserve)
+    fn spare_slots(&self, reserve_percent: u32) -> u64 {
+        let reserve = self.slot_limits.total() * u64::from(reserve_percent) / 100;
+        self.free_slots.total().saturating_sub(reserve)
     }
 }
 
 #[derive(Debug)]
-struct DispatcherPlace {
+struct DispatcherState {
     key: DispatcherKey,
     hint: SlotsHint,
     /// Sent and not counted in the hint.
-    sent: u32,
+    unanswered_offers: u32,
     /// When the first of those was sent.
-    sent_at: Option<Instant>,
+    waiting_since: Option<Instant>,
     /// Sent and not ended.
     outstanding: u32,
     suspect: bool,
     avoided: bool,
 }
 
-impl DispatcherPlace {
+impl DispatcherState {
     fn new(key: DispatcherKey) -> Self {
         Self {
             key,
             hint: SlotsHint::default(),
-            sent: 0,
-            sent_at: None,
+            unanswered_offers: 0,
+            waiting_since: None,
             outstanding: 0,
             suspect: false,
             avoided: false,
         }
     }
 
-    fn hear(&mut self, now: Instant, hint: SlotsHint, unanswered: u32) {
+    fn apply_hint(&mut self, now: Instant, hint: SlotsHint, unanswered: u32) {
         self.hint = hint;
-        self.sent = unanswered;
-        self.sent_at = (unanswered > 0).then_some(now);
+        self.unanswered_offers = unanswered;
+        self.waiting_since = (unanswered > 0).then_some(now);
         self.suspect = false;
     }
 
-    fn send(&mut self, now: Instant) {
-        self.sent += 1;
+    fn record_sent(&mut self, now: Instant) {
+        self.unanswered_offers += 1;
         self.outstanding += 1;
-        self.sent_at = self.sent_at.or(Some(now));
+        self.waiting_since = self.waiting_since.or(Some(now));
     }
 
-    fn answer(&mut self) {
-        self.sent = self.sent.saturating_sub(1);
-        if self.sent == 0 {
-            self.sent_at = None;
+    fn record_answer(&mut self) {
+        self.unanswered_offers = self.unanswered_offers.saturating_sub(1);
+        if self.unanswered_offers == 0 {
+            self.waiting_since = None;
         }
     }
 
-    fn suspect(&mut self) {
+    fn mark_suspect(&mut self) {
         self.suspect = true;
-        self.sent_at = None;
+        self.waiting_since = None;
     }
 
     fn load(&self) -> u64 {
-        u64::from(self.hint.running) + u64::from(self.hint.queued) + u64::from(self.sent)
+        u64::from(self.hint.running)
+            + u64::from(self.hint.queued)
+            + u64::from(self.unanswered_offers)
     }
 
-    fn free(&self) -> u64 {
+    fn free_slots(&self) -> u64 {
         self.usable_limit().saturating_sub(self.load())
     }
 
--- a/crates/decisions/tests/placement.rs
+++ b/crates/decisions/tests/placement.rs
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn what_was_just_sent_counts() {
+fn unanswered_offers_count_as_load() {
     check(&[
         Hint(1, 8, 0, 0, 0),
         Choose(8, 200, &[(1, 8)]),
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn equal_dispatchers_get_alike() {
+fn equal_dispatchers_get_equal_load() {
     check_even(2, 100, 0, 25);
     check_even(8, 100, 0, 21);
     check_even(2, 8, 8, 25);
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn nobody_is_chosen_before_it_spoke_or_after_it_left() {
+fn dispatchers_without_a_hint_or_removed_are_not_chosen() {
     check(&[
         Choose(1, 200, &[(0, 1)]),
         Hint(1, 8, 0, 0, 0),
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn a_frozen_dispatcher_draws_no_more_tasks() {
+fn a_dispatcher_that_does_not_answer_gets_no_more_tasks() {
     check(&[
         Hint(1, 80, 0, 0, 0),
         Choose(2, 200, &[(1, 2)]),
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn a_shift_needs_gain_and_spare() {
+fn a_shift_needs_a_gain_in_time_and_spare_slots() {
     let full = [
         Hint(1, 8, 8, 0, 0),
         Hint(11, 8, 0, 0, 0),
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn without_local_slots_the_reachable_ones_are_used() {
+fn without_local_slots_tasks_queue_at_a_reachable_data_centre() {
     check(&[
         Hint(11, 8, 8, 9, 0),
         Hint(21, 8, 8, 0, 0),
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn the_picture_is_of_where_tasks_would_go() {
+fn slots_and_saturation_are_of_the_data_centre_that_queues() {
     let now = Instant::now();
     let mut table = table(PlacementSettings::default(), 1);
     let mut check = |key, running, queued, slots, saturation| {
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn the_rules_to_measure_against_stay_local() {
+fn baseline_rules_stay_local() {
     for (rule, most) in [
         (PlacementRule::RandomOwner, 400),
         (PlacementRule::TwoChoices, 255),
@@ -273,7 +273,7 @@
 
 /// Dispatcher 1 has most of the free slots, and 2 or nobody besides.
 #[test]
-fn the_avoided_one_is_taken_only_without_another() {
+fn an_avoided_dispatcher_is_chosen_only_without_another() {
     let query = PlacementQuery {
         mean_run_time: Duration::from_millis(200),
     };
@@ -292,11 +292,11 @@
         let mut table = table(PlacementSettings::default(), seed);
         table.add_dispatcher(avoided, &centre(1));
         table.on_hint(now, avoided, empty, 0);
-        assert_eq!(table.choose_other(now, query, avoided), Some(avoided));
+        assert_eq!(table.choose_avoiding(now, query, avoided), Some(avoided));
         let other = DispatcherKey(2);
         table.add_dispatcher(other, &centre(2));
         table.on_hint(now, other, full, 0);
-        assert_eq!(table.choose_other(now, query, avoided), Some(other));
+        assert_eq!(table.choose_avoiding(now, query, avoided), Some(other));
         assert_eq!(table.choose(now, query), Some(avoided));
     }
 }
