--- a/crates/decisions/src/run_time.rs
+++ b/crates/decisions/src/run_time.rs
@@ -154,9 +154,7 @@
         declared: Option<Duration>,
         fraction: f64,
     ) -> RunTimeEstimate {
-        self.estimate(now, customer, kind, declared, |histogram| {
-            histogram.quantile(fraction)
-        })
+        self.estimate(now, customer, kind, declared, |h| h.quantile(fraction))
     }
 
     /// The share of tasks of this customer and kind that failed lately. It tells a customer whose tasks fail
