--- a/crates/decisions/benches/decisions.rs
+++ b/crates/decisions/benches/decisions.rs
@@ -78,7 +78,7 @@
                     let Some(entry) = queue.pop(now) else {
                         return;
                     };
-                    queue.charge(&entry.customer, RUN_TIME * 2, RUN_TIME);
+                    queue.correct_charge(&entry.customer, RUN_TIME * 2, RUN_TIME);
                     let _ = queue.push(now, entry);
                 });
             });
--- a/crates/decisions/src/queue.rs
+++ b/crates/decisions/src/queue.rs
@@ -100,12 +100,12 @@
     waiting: BTreeMap<CustomerRank, CustomerId>,
     /// Customers without waiting tasks that are still ahead of their share.
     idle: BTreeMap<CustomerRank, CustomerId>,
-    dues: BTreeSet<(Instant, AttemptId)>,
+    due_times: BTreeSet<(Instant, AttemptId)>,
     /// Entries that came due and were not collected yet. They stay removable, so that none is lost in between.
     overdue: BTreeMap<AttemptId, QueueEntry>,
     virtual_now: VirtualTime,
-    next_turn: u64,
-    queued_time: Duration,
+    next_sequence: u64,
+    queued_work: Duration,
     waiting_share: u64,
 }
 
@@ -121,12 +121,12 @@
             customers: FastMap::default(),
             waiting: BTreeMap::new(),
             idle: BTreeMap::new(),
-            dues: BTreeSet::new(),
+            due_times: BTreeSet::new(),
             overdue: BTreeMap::new(),
             virtual_now,
             // The rank of a new customer has turn 0, so no placed customer may have it.
-            next_turn: 1,
-            queued_time: Duration::ZERO,
+            next_sequence: 1,
+            queued_work: Duration::ZERO,
             waiting_share: 0,
         }
     }
@@ -138,9 +138,9 @@
     /// Gives the entry back when the queue is full, the answer is due already, the attempt waits already or the
     /// submission is another customer's.
     pub fn push(&mut self, now: Instant, entry: QueueEntry) -> Result<(), PushError> {
-        let known =
+        let is_duplicate =
             self.entries.contains_key(&entry.attempt) || self.overdue.contains_key(&entry.attempt);
-        if known {
+        if is_duplicate {
             return Err(PushError::Duplicate(entry));
         }
         if entry.due <= now {
@@ -154,10 +154,10 @@
         if self.entries.len() >= self.settings.max_entries {
             return Err(PushError::Full(entry));
         }
-        self.admit_customer(&entry);
+        self.add_to_customer(&entry);
         self.add_to_job(&entry);
-        self.queued_time = self.queued_time.saturating_add(entry.expected);
-        self.dues.insert((entry.due, entry.attempt));
+        self.queued_work = self.queued_work.saturating_add(entry.expected);
+        self.due_times.insert((entry.due, entry.attempt));
         self.entries.insert(entry.attempt, entry);
         Ok(())
     }
@@ -165,7 +165,7 @@
     /// Takes the entry whose turn it is and bills its expected run time to the customer. An entry that came due
     /// while it waited is never given out: a slot spent on it would only delay answers that can still be in time.
     pub fn pop(&mut self, now: Instant) -> Option<QueueEntry> {
-        self.collect_overdue(now);
+        self.move_overdue(now);
         let (rank, customer) = self.waiting.first_key_value()?;
         self.virtual_now = self.virtual_now.max(rank.0);
         let queued = self.customers.get(customer)?;
@@ -175,15 +175,15 @@
         let entry = self.take(&attempt)?;
         // The expected time may be off by a hundredfold, so one task is billed no more than the debt limit.
         let cost = entry.expected.min(self.settings.max_debt);
-        self.move_customer(&entry.customer, cost, Duration::ZERO);
-        self.forget_idle();
+        self.adjust_virtual_time(&entry.customer, cost, Duration::ZERO);
+        self.remove_idle_customers();
         Some(entry)
     }
 
     /// Withdraws one entry. `None` means that it does not wait here: it was popped, collected or never queued.
     pub fn remove(&mut self, attempt: &AttemptId) -> Option<QueueEntry> {
         let entry = self.take(attempt).or_else(|| self.overdue.remove(attempt));
-        self.forget_idle();
+        self.remove_idle_customers();
         entry
     }
 
@@ -206,15 +206,15 @@
     }
 
     /// Collects the entries whose answers are due, each once.
-    pub fn drop_overdue(&mut self, now: Instant) -> Vec<QueueEntry> {
-        self.collect_overdue(now);
+    pub fn take_overdue(&mut self, now: Instant) -> Vec<QueueEntry> {
+        self.move_overdue(now);
         std::mem::take(&mut self.overdue).into_values().collect()
     }
 
     /// Corrects the bill of a popped task by its measured run time; `ran` is zero for one that did not start.
-    pub fn charge(&mut self, customer: &CustomerId, ran: Duration, expected: Duration) {
-        let billed = expected.min(self.settings.max_debt);
-        self.move_customer(customer, ran, billed);
+    pub fn correct_charge(&mut self, customer: &CustomerId, ran: Duration, expected: Duration) {
+        let charged = expected.min(self.settings.max_debt);
+        self.adjust_virtual_time(customer, ran, charged);
     }
 
     /// The number of entries that wait.
@@ -238,7 +238,7 @@
         if slots == 0 {
             return Duration::MAX;
         }
-        self.queued_time / slots
+        self.queued_work / slots
     }
 
     /// The time until a task that the customer queues now has its turn: its own waiting work, and what it is ahead
@@ -264,23 +264,23 @@
         let factor = (own + others) as f64 / own as f64 / f64::from(slots);
         let ahead = queued.rank.0.saturating_sub(self.virtual_now) * u128::from(queued.share);
         let ahead = Duration::from_nanos(u64::try_from(ahead).unwrap_or(u64::MAX));
-        drain.min(queued.queued_time.saturating_add(ahead).mul_f64(factor))
+        drain.min(queued.queued_work.saturating_add(ahead).mul_f64(factor))
     }
 
-    fn admit_customer(&mut self, entry: &QueueEntry) {
+    fn add_to_customer(&mut self, entry: &QueueEntry) {
         let queued = self.customers.entry(entry.customer.clone()).or_default();
         self.waiting_share -= queued.waiting_share();
         if queued.tasks == 0 {
             self.idle.remove(&queued.rank);
             // A customer that was idle starts at the present: slots that it left unused are gone, and credit for
             // them would let it hold every slot when it comes back.
-            queued.rank = (queued.rank.0.max(self.virtual_now), self.next_turn);
-            self.next_turn += 1;
+            queued.rank = (queued.rank.0.max(self.virtual_now), self.next_sequence);
+            self.next_sequence += 1;
             self.waiting.insert(queued.rank, entry.customer.clone());
         }
         queued.share = entry.share.0.max(1);
         queued.tasks += 1;
-        queued.queued_time = queued.queued_time.saturating_add(entry.expected);
+        queued.queued_work = queued.queued_work.saturating_add(entry.expected);
         self.waiting_share += queued.waiting_share();
     }
 
@@ -307,8 +307,8 @@
     /// Takes an entry out of everything but the virtual times.
     fn take(&mut self, attempt: &AttemptId) -> Option<QueueEntry> {
         let entry = self.entries.remove(attempt)?;
-        self.dues.remove(&(entry.due, entry.attempt));
-        self.queued_time = self.queued_time.saturating_sub(entry.expected);
+        self.due_times.remove(&(entry.due, entry.attempt));
+        self.queued_work = self.queued_work.saturating_sub(entry.expected);
         let queued = self.customers.get_mut(&entry.customer)?;
         let submission = attempt.submission;
         if let Some(job) = self.jobs.get_mut(&submission) {
@@ -318,7 +318,7 @@
                 self.jobs.remove(&submission);
             }
         }
-        queued.queued_time = queued.queued_time.saturating_sub(entry.expected);
+        queued.queued_work = queued.queued_work.saturating_sub(entry.expected);
         queued.tasks -= 1;
         if queued.tasks == 0 {
             self.waiting_share -= u64::from(queued.share);
@@ -328,14 +328,19 @@
         Some(entry)
     }
 
-    /// Moves a customer's virtual time up by `more` and down by `less` slot time, within the limits.
-    fn move_customer(&mut self, customer: &CustomerId, more: Duration, less: Duration) {
+    /// Moves a customer's virtual time up by `charged` and down by `refunded` slot time, within the limits.
+    fn adjust_virtual_time(
+        &mut self,
+        customer: &CustomerId,
+        charged: Duration,
+        refunded: Duration,
+    ) {
         let Some(queued) = self.customers.get_mut(customer) else {
             return;
         };
         let share = u128::from(queued.share);
-        let time =
-            (queued.rank.0 + more.as_nanos() / share).saturating_sub(less.as_nanos() / share);
+        let time = (queued.rank.0 + charged.as_nanos() / share)
+            .saturating_sub(refunded.as_nanos() / share);
         let highest = self.virtual_now + self.settings.max_debt.as_nanos() / share;
         let lowest = self
             .virtual_now
@@ -345,15 +350,15 @@
             _ => &mut self.waiting,
         };
         ranks.remove(&queued.rank);
-        queued.rank = (time.clamp(lowest, highest), self.next_turn);
-        self.next_turn += 1;
+        queued.rank = (time.clamp(lowest, highest), self.next_sequence);
+        self.next_sequence += 1;
         ranks.insert(queued.rank, customer.clone());
     }
 
     /// Forgets idle customers that are no longer ahead of their share: they would start at the present anyway.
     /// Without this the table would grow with every customer ever seen. What stays is at most
     /// [`QueueSettings::max_debt`] ahead.
-    fn forget_idle(&mut self) {
+    fn remove_idle_customers(&mut self) {
         while let Some(first) = self.idle.first_entry() {
             if first.key().0 > self.virtual_now {
                 break;
@@ -362,17 +367,17 @@
         }
     }
 
-    fn collect_overdue(&mut self, now: Instant) {
-        while let Some((due, attempt)) = self.dues.first().copied() {
+    fn move_overdue(&mut self, now: Instant) {
+        while let Some((due, attempt)) = self.due_times.first().copied() {
             if due > now {
                 break;
             }
-            self.dues.pop_first();
+            self.due_times.pop_first();
             if let Some(entry) = self.take(&attempt) {
                 self.overdue.insert(attempt, entry);
             }
         }
-        self.forget_idle();
+        self.remove_idle_customers();
     }
 }
 
@@ -388,7 +393,7 @@
     rank: CustomerRank,
     share: u32,
     tasks: usize,
-    queued_time: Duration,
+    queued_work: Duration,
     jobs: BTreeSet<(Instant, SubmissionId)>,
 }
 
--- a/crates/decisions/tests/outcomes/model.rs
+++ b/crates/decisions/tests/outcomes/model.rs
@@ -307,7 +307,7 @@
     /// Hints to all entries, overdue work out, starts that waited for a pause to end.
     fn tick(&mut self, now: Instant) {
         for d in 0..self.dispatchers.len() {
-            for entry in self.dispatchers[d].queue.drop_overdue(now) {
+            for entry in self.dispatchers[d].queue.take_overdue(now) {
                 self.close(now, entry.attempt, |outcome| &mut outcome.late);
                 self.placed_ended(now, entry.attempt);
             }
@@ -487,7 +487,7 @@
         n: usize,
         attempt: AttemptId,
         failed: bool,
-        billed: Duration,
+        charged: Duration,
     ) {
         let job = &self.jobs[attempt.submission.serial as usize];
         let (l, e) = (job.load, job.entry);
@@ -498,7 +498,9 @@
             true => Duration::from_millis(1),
             false => job.runs[attempt.task as usize] * self.plant.endpoints[*endpoint].0,
         };
-        dispatcher.queue.charge(&self.names[l], ran, billed);
+        dispatcher
+            .queue
+            .correct_charge(&self.names[l], ran, charged);
         match failed {
             true => self.times.record_failure(now, &self.names[l], &self.kind),
             false => {
--- a/crates/decisions/tests/queue.rs
+++ b/crates/decisions/tests/queue.rs
@@ -58,14 +58,14 @@
     for word in script.split_whitespace() {
         let mut out = Vec::new();
         if let Some(word) = word.strip_prefix('+') {
-            events.push(push(&mut queue, now, parsed(start, word)));
+            events.push(push(&mut queue, now, parse_entry(start, word)));
         } else if let Some(times) = word.strip_prefix("pop") {
             out.extend((0..times.parse().unwrap_or(1)).filter_map(|_| queue.pop(now)));
             assert!(out.iter().all(|entry| entry.due > now), "{script}");
-        } else if let Some((customer, bill)) = word.split_once(':') {
-            let (ran, expected) = bill.split_once('/').unwrap();
+        } else if let Some((customer, charge)) = word.split_once(':') {
+            let (ran, expected) = charge.split_once('/').unwrap();
             let (ran, expected) = (ran.parse().unwrap(), expected.parse().unwrap());
-            queue.charge(&customer.parse().unwrap(), ms(ran), ms(expected));
+            queue.correct_charge(&customer.parse().unwrap(), ms(ran), ms(expected));
         } else if let Some((job, task)) = word.strip_prefix('-').and_then(|id| id.split_once('.')) {
             out.extend(queue.remove(&attempt(job.parse().unwrap(), task.parse().unwrap())));
         } else if let Some(job) = word.strip_prefix('-') {
@@ -74,17 +74,17 @@
             now = start + ms(at.parse().unwrap());
         } else {
             assert_eq!(word, "drop");
-            out = queue.drop_overdue(now);
+            out = queue.take_overdue(now);
         }
-        events.extend(out.iter().map(name));
+        events.extend(out.iter().map(label));
     }
     events
 }
 
 fn push(queue: &mut FairQueue, now: Instant, entry: QueueEntry) -> String {
-    let name = name(&entry);
+    let label = label(&entry);
     match queue.push(now, entry) {
-        Ok(()) => format!("+{name}"),
+        Ok(()) => format!("+{label}"),
         Err(PushError::Full(_)) => "full".into(),
         Err(PushError::Overdue(_)) => "due".into(),
         Err(PushError::Duplicate(_)) => "twice".into(),
@@ -92,14 +92,14 @@
     }
 }
 
-fn name(entry: &QueueEntry) -> String {
+fn label(entry: &QueueEntry) -> String {
     let attempt = entry.attempt;
     let (job, task) = (attempt.submission.serial, attempt.task);
     format!("{}{job}.{task}", entry.customer)
 }
 
 /// Reads `a1.0`, then the settings in any number, each led by its mark.
-fn parsed(start: Instant, word: &str) -> QueueEntry {
+fn parse_entry(start: Instant, word: &str) -> QueueEntry {
     let end = word.find(['/', '@', '*']).unwrap_or(word.len());
     let (id, settings) = word.split_at(end);
     let (job, task) = id[1..].split_once('.').unwrap();
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn within_a_customer_whole_jobs_go_by_deadline() {
+fn a_customers_jobs_run_whole_and_by_deadline() {
     check(
         "+a1.0@8000 +a2.0@7000 +a1.1@8000 +a2.1@7001 pop4",
         "a2.0 a2.1 a1.0 a1.1",
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn bills_follow_the_measured_run_time_within_limits() {
+fn charges_follow_the_measured_run_time_within_limits() {
     check(
         "+a1.0/10 +a1.1/10 +b2.0 +b2.1 +b2.2 pop a:250/10 pop4",
         "a1.0 b2.0 b2.1 b2.2 a1.1",
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn cancelled_work_goes_out_once() {
+fn cancelled_work_is_returned_once() {
     check(
         "+a1.0 +a1.1 +a1.2 +a2.0 -1.1 -1.1 -1 -1 pop2",
         "a1.1 a1.0 a1.2 a2.0",
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn overdue_work_gets_no_slot_and_goes_out_once() {
+fn overdue_work_gets_no_slot_and_is_returned_once() {
     check(
         "+a1.0@500 +a2.0@500 +a3.0 t499 drop t500 drop pop2 +a4.0@500",
         "a1.0 a2.0 a3.0 due",
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn a_full_queue_and_a_second_push_give_the_entry_back() {
+fn rejected_pushes_return_the_entry() {
     check(
         "+a1.0 +a1.0 +a1.1 +a1.2 +a1.3 +a1.4 +a1.5 +a1.6 +a1.7 +a1.8 +a1.9 +a1.10 +a1.11 +a1.12",
         "twice full",
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn predictions_follow_what_waits() {
+fn predicted_waits_follow_the_queued_work() {
     let start = Instant::now();
     let mut queue = FairQueue::new(QueueSettings::default());
     for task in 0..40 {
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn customers_that_left_are_forgotten() {
+fn idle_customers_are_removed() {
     let start = Instant::now();
     let mut queue = FairQueue::new(QueueSettings::default());
     for customer in 0..100 {
@@ -264,13 +264,13 @@
 proptest! {
     // Whatever the order of operations, every entry that was taken in goes out exactly once.
     #[test]
-    fn every_entry_goes_out_exactly_once(
+    fn every_entry_is_returned_exactly_once(
         words in prop::collection::vec(random_word(), 1..200),
     ) {
         let mut inside = FastSet::default();
         for event in run(&format!("{} pop20 drop", words.join(" "))) {
-            if let Some(name) = event.strip_prefix('+') {
-                prop_assert!(inside.insert(name.to_owned()));
+            if let Some(label) = event.strip_prefix('+') {
+                prop_assert!(inside.insert(label.to_owned()));
             } else if event.contains('.') {
                 prop_assert!(inside.remove(&event));
             }
@@ -283,13 +283,13 @@
     #[test]
     fn no_customer_starves(
         runs in prop::collection::vec(50..5000_u64, 1..8),
-        bills in prop::collection::vec(50..200_u64, 1..8),
+        run_times in prop::collection::vec(50..200_u64, 1..8),
     ) {
         let start = Instant::now();
         let mut queue = FairQueue::new(QueueSettings::default());
         queue.push(start, entry(start, "small", 0, 0, 100, 500_000)).unwrap();
         queue.pop(start).unwrap();
-        queue.charge(&"small".parse().unwrap(), ms(100_000), ms(100));
+        queue.correct_charge(&"small".parse().unwrap(), ms(100_000), ms(100));
         queue.push(start, entry(start, "small", 0, 1, 100, 500_000)).unwrap();
         let mut turns = 0;
         for task in 0.. {
@@ -304,8 +304,8 @@
                 break;
             }
             turns += 1;
-            let ran = bills[turns % bills.len()];
-            queue.charge(&popped.customer, ms(ran), popped.expected);
+            let ran = run_times[turns % run_times.len()];
+            queue.correct_charge(&popped.customer, ms(ran), popped.expected);
             // Each turn costs at least 50 ms. The small one is at most 5 s behind and each of the others gets at
             // most 1 s back, so each has at most 120 turns before it.
             prop_assert!(turns <= 7 * 120, "starved");
--- a/crates/ledger/src/ledger/queueing.rs
+++ b/crates/ledger/src/ledger/queueing.rs
@@ -264,7 +264,7 @@
     /// Drops reservations whose answers are due. The entry gave them up by its own clock before, which started
     /// earlier, so nothing has to be told.
     pub(super) fn drop_overdue(&mut self, now: Instant) {
-        for entry in self.queue.drop_overdue(now) {
+        for entry in self.queue.take_overdue(now) {
             self.reservations.remove(&entry.attempt);
         }
     }
@@ -289,7 +289,7 @@
 
     /// The customer was billed for a slot that it did not use.
     fn refund(&mut self, reservation: &Reservation) {
-        self.queue.charge(
+        self.queue.correct_charge(
             &reservation.offer.customer,
             Duration::ZERO,
             reservation.offer.expected_run_time,
--- a/crates/ledger/src/ledger/running.rs
+++ b/crates/ledger/src/ledger/running.rs
@@ -28,7 +28,8 @@
         } else {
             ran
         };
-        self.queue.charge(&task.customer, billed, task.expected);
+        self.queue
+            .correct_charge(&task.customer, billed, task.expected);
         if matches!(end, AttemptEnd::NotRun(RetryReason::EndpointLeaving)) {
             // The endpoint knows better than the VM list, which lags.
             self.set_leaving(&task.endpoint);
