--- a/crates/authority/src/settings.rs
+++ b/crates/authority/src/settings.rs
@@ -68,7 +68,7 @@
             },
             run_times: RunTimeSettings::default(),
             retries: RetrySettings {
-                first_saved: FIRST_RETRIES,
+                initial_tokens: FIRST_RETRIES,
                 ..RetrySettings::default()
             },
             retry_pause: Duration::from_millis(5),
--- a/crates/decisions/src/retry.rs
+++ b/crates/decisions/src/retry.rs
@@ -19,13 +19,13 @@
     /// Load: hours without trouble, then an endpoint with many tasks dies. Harm: savings without a limit are a
     /// storm of retries when everything is short. Reason: 40 are the tasks that one customer has running by
     /// default, so each of them may be placed once more.
-    pub max_saved: f64,
+    pub max_tokens: f64,
     /// Retries that a customer starts with; the floor where that is more.
     ///
     /// Load: a process that has just started, and then a dispatcher dies. Harm: a customer with much work elsewhere
     /// has saved up nothing here, and its tasks are refused while the endpoints change hands. Reason for none by
     /// default: whoever forgets customers often gives these retries often.
-    pub first_saved: f64,
+    pub initial_tokens: f64,
     /// Customers remembered. One that was forgotten starts anew.
     pub max_customers: usize,
 }
@@ -34,8 +34,8 @@
     fn default() -> Self {
         Self {
             floor_per_second: 1.0,
-            max_saved: 40.0,
-            first_saved: 0.0,
+            max_tokens: 40.0,
+            initial_tokens: 0.0,
             max_customers: 4096,
         }
     }
@@ -70,15 +70,15 @@
         retry_percent: u32,
     ) {
         let earned = f64::from(placements) * f64::from(retry_percent) / 100.0;
-        let max_saved = self.settings.max_saved;
-        let bucket = self.refilled(now, customer);
-        bucket.tokens = (bucket.tokens + earned).min(max_saved);
+        let max_tokens = self.settings.max_tokens;
+        let bucket = self.refilled_bucket(now, customer);
+        bucket.tokens = (bucket.tokens + earned).min(max_tokens);
     }
 
     /// Takes one retry out of the budget. `false` means that the budget is spent and the task must not be placed
     /// again.
     pub fn try_retry(&mut self, now: Instant, customer: &CustomerId) -> bool {
-        let bucket = self.refilled(now, customer);
+        let bucket = self.refilled_bucket(now, customer);
         if bucket.tokens < 1.0 {
             return false;
         }
@@ -91,19 +91,19 @@
         self.customers.len()
     }
 
-    fn refilled(&mut self, now: Instant, customer: &CustomerId) -> &mut TokenBucket {
+    fn refilled_bucket(&mut self, now: Instant, customer: &CustomerId) -> &mut TokenBucket {
         let per_second = self.settings.floor_per_second;
         // A retry takes a whole token, so a smaller rate saves up for longer than a second.
         let floor = per_second.max(1.0);
-        let first = self.settings.first_saved.max(floor);
+        let initial = self.settings.initial_tokens.max(floor);
         let bucket = self.customers.touch_or_insert(customer, || TokenBucket {
-            tokens: first,
-            filled_at: now,
+            tokens: initial,
+            refilled_at: now,
         });
-        let since: Duration = now.saturating_duration_since(bucket.filled_at);
-        bucket.filled_at = bucket.filled_at.max(now);
+        let elapsed: Duration = now.saturating_duration_since(bucket.refilled_at);
+        bucket.refilled_at = bucket.refilled_at.max(now);
         // Time alone saves up no more than the floor, or an idle customer would come back with the whole bucket.
-        let refill = since.as_secs_f64() * per_second;
+        let refill = elapsed.as_secs_f64() * per_second;
         if bucket.tokens < floor {
             bucket.tokens = (bucket.tokens + refill).min(floor);
         }
@@ -114,5 +114,5 @@
 #[derive(Debug)]
 struct TokenBucket {
     tokens: f64,
-    filled_at: Instant,
+    refilled_at: Instant,
 }
--- a/crates/decisions/tests/retry.rs
+++ b/crates/decisions/tests/retry.rs
@@ -22,12 +22,12 @@
 }
 
 #[test]
-fn retries_follow_first_placements() {
+fn the_budget_grows_with_first_placements() {
     check(20, &[(0, 100, 100, 21), (0, 4, 100, 0), (0, 1, 100, 1)]);
 }
 
 #[test]
-fn a_rare_caller_has_the_floor() {
+fn every_customer_has_the_floor_rate() {
     check(
         20,
         &[
@@ -41,12 +41,12 @@
 }
 
 #[test]
-fn savings_are_limited() {
+fn saved_tokens_are_limited() {
     check(20, &[(0, 100_000, 1000, 40), (60_000, 0, 1000, 1)]);
 }
 
 #[test]
-fn customers_have_budgets_of_their_own_in_bounded_memory() {
+fn budgets_are_per_customer_and_bounded_in_number() {
     let now = Instant::now();
     let mut budget = RetryBudget::new(RetrySettings {
         max_customers: 2,
@@ -61,11 +61,11 @@
 }
 
 #[test]
-fn first_savings_are_granted_once() {
+fn initial_tokens_are_granted_once() {
     let start = Instant::now();
     let customer: CustomerId = "trust".parse().unwrap();
     let mut budget = RetryBudget::new(RetrySettings {
-        first_saved: 10.0,
+        initial_tokens: 10.0,
         ..RetrySettings::default()
     });
     for (at, granted) in [(0, 10), (0, 0), (60_000, 1)] {
