--- a/crates/decisions/tests/outcomes/main.rs
+++ b/crates/decisions/tests/outcomes/main.rs
@@ -7,38 +7,38 @@
 use ::model::RefusableWork;
 use decisions::PlacementRule;
 
-use crate::model::{Load, Outcome, Plant, SlotModel};
+use crate::model::{Cluster, Outcome, SlotModel, Workload};
 
 /// What the callers of one customer must see: at least this percentage answered in time, at most this percentage
 /// failed, at most this 99% quantile of response over the longest task. Late answers are at most one in a hundred
 /// always: what cannot be in time is to be refused at once.
-struct Expect(&'static str, f64, f64, f64);
+struct Expectation(&'static str, f64, f64, f64);
 
-fn check(title: &str, plant: Plant, loads: Vec<Load>, expect: &[Expect]) {
+fn check(title: &str, cluster: Cluster, loads: Vec<Workload>, expect: &[Expectation]) {
     for seed in [1, 2] {
-        let outcomes = SlotModel::run(plant.clone(), loads.clone(), seed);
-        for Expect(name, in_time, failed, ratio) in expect {
+        let outcomes = SlotModel::run(cluster.clone(), loads.clone(), seed);
+        for Expectation(name, in_time, failed, ratio) in expect {
             let outcome = &outcomes[name];
-            let told = tell(outcome);
-            println!("{title}, {name}: {told}");
+            let summary = summary(outcome);
+            println!("{title}, {name}: {summary}");
             assert!(
                 outcome.percent(outcome.in_time) >= *in_time,
-                "{title}, {name}: {told}"
+                "{title}, {name}: {summary}"
             );
             assert!(
                 outcome.percent(outcome.failed) <= *failed,
-                "{title}, {name}: {told}"
+                "{title}, {name}: {summary}"
             );
             assert!(
                 outcome.percent(outcome.late) <= 1.0,
-                "{title}, {name}: {told}"
+                "{title}, {name}: {summary}"
             );
-            assert!(outcome.ratio(0.99) <= *ratio, "{title}, {name}: {told}");
+            assert!(outcome.ratio(0.99) <= *ratio, "{title}, {name}: {summary}");
         }
     }
 }
 
-fn tell(outcome: &Outcome) -> String {
+fn summary(outcome: &Outcome) -> String {
     format!(
         "{} jobs, in time {:.1}%, refused {:.1}%, failed {:.1}%, late {:.1}%, ratio p50 {:.2} p99 {:.2}",
         outcome.submitted,
@@ -51,39 +51,39 @@
     )
 }
 
-fn load(name: &'static str, rate: f64) -> Load {
-    Load {
+fn load(name: &'static str, rate: f64) -> Workload {
+    Workload {
         name,
         rate,
-        ..Load::default()
+        ..Workload::default()
     }
 }
 
-fn five(rate: f64) -> Vec<Load> {
+fn five_customers(rate: f64) -> Vec<Workload> {
     ["a", "b", "c", "d", "e"]
         .map(|name| load(name, rate))
         .into()
 }
 
-const ANY: f64 = f64::INFINITY;
+const UNBOUNDED: f64 = f64::INFINITY;
 
 // Ten times the usual submissions of all come from one customer within two seconds, half more than its share can do
 // before they are due. The steady customer goes on within its share and notices little; of the burst as much as
 // fits is answered in time and the rest is told at once.
 #[test]
-fn a_burst_of_one_customer_is_not_the_others_matter() {
-    let burst = Load {
+fn a_burst_of_one_customer_leaves_the_others_in_time() {
+    let burst = Workload {
         from: 10.0,
         until: 12.0,
         ..load("burst", 300.0)
     };
     let expect = [
-        Expect("steady", 100.0, 0.0, 5.0),
-        Expect("burst", 55.0, 0.0, ANY),
+        Expectation("steady", 100.0, 0.0, 5.0),
+        Expectation("burst", 55.0, 0.0, UNBOUNDED),
     ];
     check(
         "burst",
-        Plant::default(),
+        Cluster::default(),
         vec![load("steady", 30.0), burst],
         &expect,
     );
@@ -92,26 +92,26 @@
 // One customer asks for more than twice what all slots can do, the others for a part of their shares. They are all
 // in time with answers as if the big one were not there; it gets what they leave.
 #[test]
-fn skewed_demand_starves_nobody() {
+fn skewed_demand_starves_no_customer() {
     for may_refuse in [RefusableWork::Nothing, RefusableWork::Jobs] {
-        let big = Load {
+        let big = Workload {
             may_refuse,
             ..load("big", 150.0)
         };
         let mut expect: Vec<_> = ["a", "b", "c", "d", "e"]
-            .map(|name| Expect(name, 100.0, 0.0, 2.0))
+            .map(|name| Expectation(name, 100.0, 0.0, 2.0))
             .into();
         // What it asks is let wait up to its deadline only if the contract says that it must not be refused.
         let ratio = if may_refuse == RefusableWork::Jobs {
             6.0
         } else {
-            ANY
+            UNBOUNDED
         };
-        expect.push(Expect("big", 25.0, 0.0, ratio));
+        expect.push(Expectation("big", 25.0, 0.0, ratio));
         check(
             "skew",
-            Plant::default(),
-            [five(5.0), vec![big]].concat(),
+            Cluster::default(),
+            [five_customers(5.0), vec![big]].concat(),
             &expect,
         );
     }
@@ -121,17 +121,17 @@
 // started is started again; after them it gets only probes.
 #[test]
 fn one_slow_endpoint_makes_few_jobs_late() {
-    let mut plant = Plant::default();
-    plant.endpoints[3].0 = 10;
-    let loads = vec![Load {
+    let mut cluster = Cluster::default();
+    cluster.endpoints[3].0 = 10;
+    let loads = vec![Workload {
         until: 100.0,
         ..load("usual", 35.0)
     }];
     check(
         "slow endpoint",
-        plant,
+        cluster,
         loads,
-        &[Expect("usual", 100.0, 0.0, 1.5)],
+        &[Expectation("usual", 100.0, 0.0, 1.5)],
     );
 }
 
@@ -139,44 +139,44 @@
 // with each probe.
 #[test]
 fn an_endpoint_that_fails_everything_fails_few_jobs() {
-    let mut plant = Plant::default();
-    plant.endpoints[3].1 = true;
+    let mut cluster = Cluster::default();
+    cluster.endpoints[3].1 = true;
     check(
         "failing endpoint",
-        plant,
+        cluster,
         vec![load("usual", 35.0)],
-        &[Expect("usual", 98.5, 1.5, 2.0)],
+        &[Expectation("usual", 98.5, 1.5, 2.0)],
     );
 }
 
 // Tasks of seconds hold most slots while short ones come. The short ones wait for a slot to get free, not for the
 // long queue.
 #[test]
-fn long_tasks_do_not_keep_short_ones_out() {
-    let long = Load {
+fn long_tasks_do_not_starve_short_ones() {
+    let long = Workload {
         run_ms: (2000, 5000),
         deadline_ms: 30_000,
         most_tasks: 10,
         ..load("long", 2.0)
     };
     let expect = [
-        Expect("short", 100.0, 0.0, 2.0),
-        Expect("long", 100.0, 0.0, 1.5),
+        Expectation("short", 100.0, 0.0, 2.0),
+        Expectation("long", 100.0, 0.0, 1.5),
     ];
     check(
         "mix",
-        Plant::default(),
+        Cluster::default(),
         vec![load("short", 20.0), long.clone()],
         &expect,
     );
-    let long = Load { rate: 20.0, ..long };
+    let long = Workload { rate: 20.0, ..long };
     let expect = [
-        Expect("short", 100.0, 0.0, 12.0),
-        Expect("long", 35.0, 0.0, ANY),
+        Expectation("short", 100.0, 0.0, 12.0),
+        Expectation("long", 35.0, 0.0, UNBOUNDED),
     ];
     check(
         "mix, long over",
-        Plant::default(),
+        Cluster::default(),
         vec![load("short", 20.0), long],
         &expect,
     );
@@ -185,27 +185,27 @@
 // All customers ask for twice what the slots can do and none may be refused for the others' sake. Half of the work
 // is all that can be in time, with what still waits at the end; it is in time, and the rest is told at once.
 #[test]
-fn full_saturation_is_used_for_work_in_time() {
+fn overloaded_slots_run_work_that_is_in_time() {
     let expect: Vec<_> = ["a", "b", "c", "d", "e"]
-        .map(|name| Expect(name, 55.0, 0.0, ANY))
+        .map(|name| Expectation(name, 55.0, 0.0, UNBOUNDED))
         .into();
-    check("full", Plant::default(), five(26.0), &expect);
+    check("full", Cluster::default(), five_customers(26.0), &expect);
 }
 
 // One customer submits more than ten times what its own limit lets through while slots are free.
 #[test]
-fn a_customer_far_over_its_limit_hurts_itself_only() {
-    let big = Load {
+fn a_customer_over_its_limit_delays_only_itself() {
+    let big = Workload {
         concurrency: 24,
         ..load("big", 100.0)
     };
     let expect = [
-        Expect("usual", 100.0, 0.0, 1.2),
-        Expect("big", 10.0, 0.0, ANY),
+        Expectation("usual", 100.0, 0.0, 1.2),
+        Expectation("big", 10.0, 0.0, UNBOUNDED),
     ];
     check(
         "over limit",
-        Plant::default(),
+        Cluster::default(),
         vec![load("usual", 20.0), big],
         &expect,
     );
@@ -214,44 +214,44 @@
 // One customer declares a hundred times too long, the other a hundred times too short. The answers are as with true
 // declarations, since measured times count after the first few.
 #[test]
-fn wrong_declared_times_change_nothing() {
+fn wrong_declared_run_times_change_no_outcome() {
     for off in [1.0, 100.0] {
-        let high = Load {
+        let high = Workload {
             declared: off,
             ..load("high", 27.0)
         };
-        let low = Load {
+        let low = Workload {
             declared: 1.0 / off,
             ..load("low", 27.0)
         };
         let expect = [
-            Expect("high", 100.0, 0.0, 2.5),
-            Expect("low", 100.0, 0.0, 2.5),
+            Expectation("high", 100.0, 0.0, 2.5),
+            Expectation("low", 100.0, 0.0, 2.5),
         ];
-        check("declared", Plant::default(), vec![high, low], &expect);
+        check("declared", Cluster::default(), vec![high, low], &expect);
     }
 }
 
 // Jobs of up to 40 tasks, three in a hundred of them long. The rules to compare with leave tasks waiting at one
 // dispatcher while another has a free slot.
 #[test]
-fn free_slots_beat_the_other_rules() {
+fn the_free_slots_rule_beats_the_baselines() {
     use PlacementRule::{FreeSlots, RandomOwner, TwoChoices};
     for (percent, rate) in [(60, 14.0), (80, 18.7), (90, 21.0)] {
         let mut ratios = Vec::new();
         for rule in [FreeSlots, TwoChoices, RandomOwner] {
             let mut sum = 0.0;
             for seed in 1..=5 {
-                let plant = Plant {
+                let cluster = Cluster {
                     rule,
-                    ..Plant::default()
+                    ..Cluster::default()
                 };
-                let load = Load {
+                let load = Workload {
                     most_tasks: 40,
                     long: (3, 3000),
                     ..load("usual", rate)
                 };
-                let outcomes = SlotModel::run(plant, vec![load], seed);
+                let outcomes = SlotModel::run(cluster, vec![load], seed);
                 sum += outcomes["usual"].ratio(0.99);
             }
             ratios.push(sum / 5.0);
--- a/crates/decisions/tests/outcomes/model.rs
+++ b/crates/decisions/tests/outcomes/model.rs
@@ -17,15 +17,15 @@
     TaskKind,
 };
 
-const MESSAGE: Duration = Duration::from_micros(500);
-const TICK: Duration = Duration::from_millis(20);
-const SLOTS: u32 = 8;
+const MESSAGE_DELAY: Duration = Duration::from_micros(500);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+const SLOTS_PER_ENDPOINT: u32 = 8;
 /// How long a customer without work counts as one that competes for slots.
 const ACTIVE_FOR: Duration = Duration::from_secs(2);
 
 /// What one customer submits.
 #[derive(Clone)]
-pub(crate) struct Load {
+pub(crate) struct Workload {
     pub(crate) name: &'static str,
     pub(crate) may_refuse: RefusableWork,
     pub(crate) concurrency: u32,
@@ -42,7 +42,7 @@
     pub(crate) declared: f64,
 }
 
-impl Default for Load {
+impl Default for Workload {
     fn default() -> Self {
         Self {
             name: "usual",
@@ -62,14 +62,14 @@
 
 /// The endpoints: how many times slower than usual each is, and whether it fails everything.
 #[derive(Clone)]
-pub(crate) struct Plant {
+pub(crate) struct Cluster {
     pub(crate) dispatchers: usize,
     pub(crate) entries: usize,
     pub(crate) rule: PlacementRule,
     pub(crate) endpoints: Vec<(u32, bool)>,
 }
 
-impl Default for Plant {
+impl Default for Cluster {
     fn default() -> Self {
         Self {
             dispatchers: 3,
@@ -139,10 +139,10 @@
     /// Per load: tasks that wait for the customer's own limit, tasks on their way, accepted work that has not
     /// ended and the part of it that has not started, how fast it starts, when a
     /// task of it last moved.
-    held: Vec<VecDeque<AttemptId>>,
-    placed: Vec<u32>,
-    work: Vec<Duration>,
-    waiting: Vec<Duration>,
+    queued_at_entry: Vec<VecDeque<AttemptId>>,
+    in_flight: Vec<u32>,
+    open_work: Vec<Duration>,
+    unstarted_work: Vec<Duration>,
     drain: Vec<DrainRate>,
     active_at: Vec<Option<Instant>>,
 }
@@ -156,9 +156,9 @@
 }
 
 pub(crate) struct SlotModel {
-    plant: Plant,
-    loads: Vec<Load>,
-    names: Vec<CustomerId>,
+    cluster: Cluster,
+    loads: Vec<Workload>,
+    customers: Vec<CustomerId>,
     kind: TaskKind,
     jobs: Vec<Job>,
     entries: Vec<Entry>,
@@ -173,31 +173,31 @@
 impl SlotModel {
     /// Runs the loads on the plant and tells the outcome of each.
     pub(crate) fn run(
-        plant: Plant,
-        loads: Vec<Load>,
+        cluster: Cluster,
+        loads: Vec<Workload>,
         seed: u64,
     ) -> BTreeMap<&'static str, Outcome> {
         let start = Instant::now();
-        let mut model = Self::new(plant, loads, seed);
+        let mut model = Self::new(cluster, loads, seed);
         model.submit(start);
-        model.at(start, Event::Tick);
+        model.schedule(start, Event::Tick);
         while let Some(((now, _), event)) = model.events.pop_first() {
-            model.step(now, event);
+            model.handle(now, event);
         }
         let names = model.loads.iter().map(|load| load.name);
         names.zip(model.outcomes).collect()
     }
 
-    fn new(plant: Plant, loads: Vec<Load>, seed: u64) -> Self {
+    fn new(cluster: Cluster, loads: Vec<Workload>, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let settings = PlacementSettings {
-            rule: plant.rule,
+            rule: cluster.rule,
             ..PlacementSettings::default()
         };
         let mut dispatchers = Vec::new();
-        for d in 0..plant.dispatchers {
+        for d in 0..cluster.dispatchers {
             let mut endpoints = Vec::new();
-            for n in (d..plant.endpoints.len()).step_by(plant.dispatchers) {
+            for n in (d..cluster.endpoints.len()).step_by(cluster.dispatchers) {
                 endpoints.push((n, EndpointHealth::new(HealthSettings::default())));
             }
             dispatchers.push(Dispatcher {
@@ -208,29 +208,29 @@
         }
         let local: model::DataCentreId = "local".parse().unwrap();
         let mut entries = Vec::new();
-        for _ in 0..plant.entries {
+        for _ in 0..cluster.entries {
             let mut table = PlacementTable::new(settings.clone(), local.clone(), rng.fork());
-            for d in 0..plant.dispatchers {
+            for d in 0..cluster.dispatchers {
                 table.add_dispatcher(DispatcherKey(d as u64), &local);
             }
             entries.push(Entry {
                 table,
-                unanswered: vec![0; plant.dispatchers],
-                held: vec![VecDeque::new(); loads.len()],
-                placed: vec![0; loads.len()],
-                work: vec![Duration::ZERO; loads.len()],
-                waiting: vec![Duration::ZERO; loads.len()],
+                unanswered: vec![0; cluster.dispatchers],
+                queued_at_entry: vec![VecDeque::new(); loads.len()],
+                in_flight: vec![0; loads.len()],
+                open_work: vec![Duration::ZERO; loads.len()],
+                unstarted_work: vec![Duration::ZERO; loads.len()],
                 drain: vec![DrainRate::default(); loads.len()],
                 active_at: vec![None; loads.len()],
             });
         }
         Self {
-            names: loads
+            customers: loads
                 .iter()
                 .map(|load| load.name.parse().unwrap())
                 .collect(),
             outcomes: loads.iter().map(|_| Outcome::default()).collect(),
-            plant,
+            cluster,
             loads,
             kind: "kind".parse().unwrap(),
             jobs: Vec::new(),
@@ -262,7 +262,7 @@
                 }
                 self.jobs.push(Job {
                     load: n,
-                    entry: self.rng.usize(..self.plant.entries),
+                    entry: self.rng.usize(..self.cluster.entries),
                     arrived,
                     due: arrived + Duration::from_millis(load.deadline_ms),
                     left: runs.len(),
@@ -271,22 +271,22 @@
                     runs,
                     ended: false,
                 });
-                self.at(arrived, Event::Arrive(self.jobs.len() - 1));
+                self.schedule(arrived, Event::Arrive(self.jobs.len() - 1));
             }
         }
     }
 
-    fn at(&mut self, at: Instant, event: Event) {
+    fn schedule(&mut self, at: Instant, event: Event) {
         self.events.insert((at, self.next_event), event);
         self.next_event += 1;
     }
 
-    fn step(&mut self, now: Instant, event: Event) {
+    fn handle(&mut self, now: Instant, event: Event) {
         match event {
             Event::Arrive(job) => self.arrive(now, job),
             Event::Offer(d, attempt) => {
                 self.offer(now, d, attempt);
-                self.tell(now, d, attempt, true);
+                self.send_hint(now, d, attempt, true);
                 self.start(now, d);
             }
             Event::Hint(entry, d, hint, reply) => {
@@ -297,7 +297,7 @@
             }
             Event::End(d, n, attempt, failed, ran) => {
                 self.end(now, d, n, attempt, failed, ran);
-                self.tell(now, d, attempt, false);
+                self.send_hint(now, d, attempt, false);
                 self.start(now, d);
             }
             Event::Tick => self.tick(now),
@@ -308,17 +308,17 @@
     fn tick(&mut self, now: Instant) {
         for d in 0..self.dispatchers.len() {
             for entry in self.dispatchers[d].queue.take_overdue(now) {
-                self.close(now, entry.attempt, |outcome| &mut outcome.late);
-                self.placed_ended(now, entry.attempt);
+                self.end_job(now, entry.attempt, |outcome| &mut outcome.late);
+                self.release_in_flight(now, entry.attempt);
             }
             self.start(now, d);
             for entry in 0..self.entries.len() {
                 let hint = self.hint(now, d);
-                self.at(now + MESSAGE, Event::Hint(entry, d, hint, false));
+                self.schedule(now + MESSAGE_DELAY, Event::Hint(entry, d, hint, false));
             }
         }
         if self.jobs.iter().any(|job| !job.ended) {
-            self.at(now + TICK, Event::Tick);
+            self.schedule(now + TICK_INTERVAL, Event::Tick);
         }
     }
 
@@ -334,11 +334,11 @@
             let declared = Some(run.mul_f64(self.loads[l].declared));
             let expected = self.expect(now, l, declared).run_time;
             self.jobs[n].expected.push(expected);
-            self.entries[e].work[l] += expected;
-            self.entries[e].waiting[l] += expected;
+            self.entries[e].open_work[l] += expected;
+            self.entries[e].unstarted_work[l] += expected;
         }
         for task in 0..self.jobs[n].runs.len() {
-            self.entries[e].held[l].push_back(attempt(n, task));
+            self.entries[e].queued_at_entry[l].push_back(attempt(n, task));
         }
         self.place(now, e, l);
     }
@@ -363,16 +363,19 @@
         }
         let (run_time, source) = longest.unwrap();
         let share = 1.0 - 0.1 / job.runs.len() as f64;
-        let name = &self.names[job.load];
+        let name = &self.customers[job.load];
         let tail_run_time = self
             .times
             .quantile(now, name, &self.kind, Some(run_time), share)
             .run_time;
         let entries = self.entries.len();
-        let lately = now - ACTIVE_FOR;
-        let active = entry.active_at.iter().filter(|at| **at > Some(lately));
+        let active_since = now - ACTIVE_FOR;
+        let active = entry
+            .active_at
+            .iter()
+            .filter(|at| **at > Some(active_since));
         let estimator = WaitEstimator {
-            pending_work: entry.waiting[job.load],
+            pending_work: entry.unstarted_work[job.load],
             share: CustomerShare(1),
             active_shares: active.count() as u64,
             drain_rate: entry.drain[job.load],
@@ -386,8 +389,8 @@
             tail_run_time,
             expected_work: work,
             deadline: job.due - now,
-            open_tasks: entry.placed[job.load] + entry.held[job.load].len() as u32,
-            open_work: entry.work[job.load],
+            open_tasks: entry.in_flight[job.load] + entry.queued_at_entry[job.load].len() as u32,
+            open_work: entry.open_work[job.load],
             granted: (load.concurrency / entries as u32).max(1),
             predicted_wait: estimator.predicted_wait(),
             saturation: entry.table.saturation(now),
@@ -403,9 +406,9 @@
         let query = PlacementQuery {
             mean_run_time: self.expect(now, l, None).run_time,
         };
-        while self.entries[e].placed[l] < granted {
+        while self.entries[e].in_flight[l] < granted {
             let entry = &mut self.entries[e];
-            let Some(attempt) = entry.held[l].pop_front() else {
+            let Some(attempt) = entry.queued_at_entry[l].pop_front() else {
                 return;
             };
             if self.jobs[attempt.submission.serial as usize].ended {
@@ -413,12 +416,12 @@
             }
             let chosen = entry.table.choose(now, query);
             let d = chosen.map_or_else(
-                || self.rng.usize(..self.plant.dispatchers),
+                || self.rng.usize(..self.cluster.dispatchers),
                 |key| key.0 as usize,
             );
             entry.unanswered[d] += 1;
-            entry.placed[l] += 1;
-            self.at(now + MESSAGE, Event::Offer(d, attempt));
+            entry.in_flight[l] += 1;
+            self.schedule(now + MESSAGE_DELAY, Event::Offer(d, attempt));
         }
     }
 
@@ -426,7 +429,7 @@
         let job = &self.jobs[attempt.submission.serial as usize];
         let load = &self.loads[job.load];
         let declared = job.runs[attempt.task as usize].mul_f64(load.declared);
-        let customer = self.names[job.load].clone();
+        let customer = self.customers[job.load].clone();
         let expected = self
             .times
             .expected_run_time(now, &customer, &self.kind, Some(declared))
@@ -439,8 +442,8 @@
             due: job.due,
         };
         if job.ended || self.dispatchers[d].queue.push(now, entry).is_err() {
-            self.close(now, attempt, |outcome| &mut outcome.late);
-            self.placed_ended(now, attempt);
+            self.end_job(now, attempt, |outcome| &mut outcome.late);
+            self.release_in_flight(now, attempt);
         }
     }
 
@@ -449,7 +452,7 @@
             let dispatcher = &mut self.dispatchers[d];
             let mut best: Option<usize> = None;
             for (n, (_, health)) in dispatcher.endpoints.iter().enumerate() {
-                if health.running() >= health.capacity(now, SLOTS) {
+                if health.running() >= health.capacity(now, SLOTS_PER_ENDPOINT) {
                     continue;
                 }
                 if best.is_none_or(|b| health.slowdown() < dispatcher.endpoints[b].1.slowdown()) {
@@ -464,16 +467,16 @@
             };
             let (endpoint, health) = &mut dispatcher.endpoints[n];
             health.on_start(now);
-            let (slower, fails) = self.plant.endpoints[*endpoint];
+            let (slowdown, fails) = self.cluster.endpoints[*endpoint];
             let job = &self.jobs[entry.attempt.submission.serial as usize];
             let ran = match fails {
                 true => Duration::from_millis(1),
-                false => job.runs[entry.attempt.task as usize] * slower,
+                false => job.runs[entry.attempt.task as usize] * slowdown,
             };
             if job.stages[entry.attempt.task as usize] == Stage::Waiting {
-                self.move_task(now, entry.attempt, Stage::Running);
+                self.set_stage(now, entry.attempt, Stage::Running);
             }
-            self.at(
+            self.schedule(
                 now + ran,
                 Event::End(d, n, entry.attempt, fails, entry.expected),
             );
@@ -496,15 +499,17 @@
         let (endpoint, health) = &mut dispatcher.endpoints[n];
         let ran = match failed {
             true => Duration::from_millis(1),
-            false => job.runs[attempt.task as usize] * self.plant.endpoints[*endpoint].0,
+            false => job.runs[attempt.task as usize] * self.cluster.endpoints[*endpoint].0,
         };
         dispatcher
             .queue
-            .correct_charge(&self.names[l], ran, charged);
+            .correct_charge(&self.customers[l], ran, charged);
         match failed {
-            true => self.times.record_failure(now, &self.names[l], &self.kind),
+            true => self
+                .times
+                .record_failure(now, &self.customers[l], &self.kind),
             false => {
-                self.times.record(now, &self.names[l], &self.kind, ran);
+                self.times.record(now, &self.customers[l], &self.kind, ran);
                 dispatcher.fleet.on_done(ran, expected);
             }
         }
@@ -512,17 +517,17 @@
             kind: [EndKind::Done, EndKind::Failed][usize::from(failed)],
             ran,
             expected: dispatcher.fleet.scale(expected),
-            failure_rate: self.times.failure_rate(&self.names[l], &self.kind),
+            failure_rate: self.times.failure_rate(&self.customers[l], &self.kind),
         };
         health.on_end(now, report);
         self.entries[e].table.on_end(DispatcherKey(d as u64));
-        self.move_task(now, attempt, Stage::Ended);
-        self.placed_ended(now, attempt);
+        self.set_stage(now, attempt, Stage::Ended);
+        self.release_in_flight(now, attempt);
         if failed {
-            self.close(now, attempt, |outcome| &mut outcome.failed);
+            self.end_job(now, attempt, |outcome| &mut outcome.failed);
             for dispatcher in &mut self.dispatchers {
                 let removed = dispatcher.queue.remove_submission(attempt.submission);
-                self.entries[e].placed[l] -= removed.len() as u32;
+                self.entries[e].in_flight[l] -= removed.len() as u32;
             }
             return;
         }
@@ -535,37 +540,37 @@
         let (took, in_time) = (now - job.arrived, now <= job.due);
         self.outcomes[l].ratios.push(took.as_secs_f64() / longest);
         match in_time {
-            true => self.close(now, attempt, |outcome| &mut outcome.in_time),
-            false => self.close(now, attempt, |outcome| &mut outcome.late),
+            true => self.end_job(now, attempt, |outcome| &mut outcome.in_time),
+            false => self.end_job(now, attempt, |outcome| &mut outcome.late),
         }
     }
 
     fn expect(&self, now: Instant, load: usize, declared: Option<Duration>) -> RunTimeEstimate {
-        let name = &self.names[load];
+        let name = &self.customers[load];
         self.times
             .expected_run_time(now, name, &self.kind, declared)
     }
 
-    fn move_task(&mut self, now: Instant, attempt: AttemptId, stage: Stage) {
+    fn set_stage(&mut self, now: Instant, attempt: AttemptId, stage: Stage) {
         let job = &mut self.jobs[attempt.submission.serial as usize];
         let task = attempt.task as usize;
         self.entries[job.entry].active_at[job.load] = Some(now);
         let before = std::mem::replace(&mut job.stages[task], stage);
         let entry = &mut self.entries[job.entry];
         if before == Stage::Waiting && stage != Stage::Waiting {
-            entry.waiting[job.load] -= job.expected[task];
+            entry.unstarted_work[job.load] -= job.expected[task];
         }
         if stage == Stage::Running {
-            let backlog = !entry.waiting[job.load].is_zero();
+            let backlog = !entry.unstarted_work[job.load].is_zero();
             entry.drain[job.load].on_start(now, job.expected[task], backlog);
         }
         if before != Stage::Ended && stage == Stage::Ended {
-            entry.work[job.load] -= job.expected[task];
+            entry.open_work[job.load] -= job.expected[task];
         }
     }
 
     /// Ends a job once.
-    fn close(
+    fn end_job(
         &mut self,
         now: Instant,
         attempt: AttemptId,
@@ -578,14 +583,14 @@
         job.ended = true;
         *count(&mut self.outcomes[job.load]) += 1;
         for task in 0..job.runs.len() as u32 {
-            self.move_task(now, AttemptId { task, ..attempt }, Stage::Ended);
+            self.set_stage(now, AttemptId { task, ..attempt }, Stage::Ended);
         }
     }
 
-    fn placed_ended(&mut self, now: Instant, attempt: AttemptId) {
+    fn release_in_flight(&mut self, now: Instant, attempt: AttemptId) {
         let job = &self.jobs[attempt.submission.serial as usize];
         let (e, l) = (job.entry, job.load);
-        self.entries[e].placed[l] -= 1;
+        self.entries[e].in_flight[l] -= 1;
         self.place(now, e, l);
     }
 
@@ -596,16 +601,16 @@
             ..SlotsHint::default()
         };
         for (_, health) in &dispatcher.endpoints {
-            hint.limit += health.capacity(now, SLOTS);
+            hint.limit += health.capacity(now, SLOTS_PER_ENDPOINT);
             hint.running += health.running();
         }
         hint
     }
 
-    fn tell(&mut self, now: Instant, d: usize, attempt: AttemptId, reply: bool) {
+    fn send_hint(&mut self, now: Instant, d: usize, attempt: AttemptId, reply: bool) {
         let entry = self.jobs[attempt.submission.serial as usize].entry;
         let hint = self.hint(now, d);
-        self.at(now + MESSAGE, Event::Hint(entry, d, hint, reply));
+        self.schedule(now + MESSAGE_DELAY, Event::Hint(entry, d, hint, reply));
     }
 }
 
