--- a/crates/decisions/src/admission.rs
+++ b/crates/decisions/src/admission.rs
@@ -27,15 +27,15 @@
     ///
     /// Load: more work than slots for longer than a burst. Harm: everything that is accepted comes late. Reason: at
     /// two tasks a slot a new task waits one usual run time, which is twice its ideal answer.
-    pub heavy_job_threshold: Saturation,
+    pub heavy_job_overload: Saturation,
     /// The saturation from which a job of a customer with little running may be refused.
     ///
     /// Load: the overload of one customer. Harm: the others' work is refused for it. Reason: the fair queue serves
     /// a customer with little running early, so its jobs are still in time at twice the saturation.
-    pub light_job_threshold: Saturation,
+    pub light_job_overload: Saturation,
     /// The saturation from which a request may be refused. Reason: a caller waits for it at the roadside or at the
     /// school's door, so jobs go first.
-    pub request_threshold: Saturation,
+    pub request_overload: Saturation,
     /// Up to this percentage of its granted concurrency a customer has little running.
     pub light_usage_percent: u32,
     /// The shortest time to come back in. Reason: sooner than a usual task ends nothing has changed.
@@ -54,9 +54,9 @@
         Self {
             max_wait_percent: 80,
             unmeasured_discount: 100,
-            heavy_job_threshold: Saturation(2.0),
-            light_job_threshold: Saturation(4.0),
-            request_threshold: Saturation(6.0),
+            heavy_job_overload: Saturation(2.0),
+            light_job_overload: Saturation(4.0),
+            request_overload: Saturation(6.0),
             light_usage_percent: 25,
             min_retry_after: Duration::from_millis(200),
             max_retry_after: Duration::from_secs(30),
@@ -299,11 +299,9 @@
         match (query.contract.may_refuse, query.class) {
             (RefusableWork::Nothing, _) => None,
             (RefusableWork::Jobs, WorkClass::Request) => None,
-            (RefusableWork::Everything, WorkClass::Request) => {
-                Some(self.settings.request_threshold)
-            }
-            (_, WorkClass::Job) if is_light => Some(self.settings.light_job_threshold),
-            (_, WorkClass::Job) => Some(self.settings.heavy_job_threshold),
+            (RefusableWork::Everything, WorkClass::Request) => Some(self.settings.request_overload),
+            (_, WorkClass::Job) if is_light => Some(self.settings.light_job_overload),
+            (_, WorkClass::Job) => Some(self.settings.heavy_job_overload),
         }
     }
 
