--- a/crates/decisions/src/admission.rs
+++ b/crates/decisions/src/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a submission is taken on.
+//! Admission control: decides whether a submission is accepted.
 
 use std::{fmt, num::ParseFloatError, str::FromStr, time::Duration};
 
@@ -12,40 +12,40 @@
 /// The limits of an [`AdmissionPolicy`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionSettings {
-    /// The part of the time left that waiting may be predicted to take, as a percentage.
+    /// The largest percentage of the remaining time that the predicted wait may take.
     ///
-    /// Load: an overload that lasts. Harm: admission lets the wait grow to where an answer is only just in time, and
-    /// half of the predictions are too short, so half of the answers come late. Reason: with a fifth kept back the
-    /// unevenness between dispatchers and entries is covered.
+    /// During a lasting overload, admission lets the wait grow until answers are only just in time, and half of the
+    /// predictions are too short, so without a margin half of the answers would be late. Keeping a fifth in reserve
+    /// covers the unevenness between dispatchers and entries.
     pub max_wait_percent: u32,
-    /// How far off a run time that was not measured lately may be before it is believed.
+    /// The divisor applied to a run time that was not measured recently before a submission is refused because of it.
     ///
-    /// Load: run times declared a hundred times too long. Harm: refused by the declared time, such work would never
-    /// run and never be measured. Reason: a hundredfold is what callers are known to be off by.
+    /// Callers are known to declare run times that are up to a hundred times too long. Refused by its declared time,
+    /// such work would never run and so never be measured.
     pub unmeasured_discount: u32,
-    /// The saturation from which a job of a customer with much running may be refused.
+    /// The saturation from which a job of a customer with many open tasks may be refused.
     ///
-    /// Load: more work than slots for longer than a burst. Harm: everything that is accepted comes late. Reason: at
-    /// two tasks a slot a new task waits one usual run time, which is twice its ideal answer.
+    /// When there is more work than slots for longer than a burst, everything that is accepted comes late. At two tasks
+    /// a slot a new task waits one usual run time, which doubles its ideal response time.
     pub heavy_job_overload: Saturation,
-    /// The saturation from which a job of a customer with little running may be refused.
+    /// The saturation from which a job of a customer with few open tasks may be refused.
     ///
-    /// Load: the overload of one customer. Harm: the others' work is refused for it. Reason: the fair queue serves
-    /// a customer with little running early, so its jobs are still in time at twice the saturation.
+    /// Other customers must not be refused for the overload that one customer causes. The fair queue serves a customer
+    /// with few open tasks early, so its jobs are still in time at twice the saturation.
     pub light_job_overload: Saturation,
-    /// The saturation from which a request may be refused. Reason: a caller waits for it at the roadside or at the
-    /// school's door, so jobs go first.
+    /// The saturation from which a request may be refused. Jobs are refused earlier, because a person waits for the
+    /// answer to a request, at the roadside or at a school's door.
     pub request_overload: Saturation,
-    /// Up to this percentage of its granted concurrency a customer has little running.
+    /// The largest percentage of its granted concurrency at which a customer counts as having few open tasks.
     pub light_usage_percent: u32,
-    /// The shortest time to come back in. Reason: sooner than a usual task ends nothing has changed.
+    /// The shortest retry-after time. Until a usual task has ended nothing has changed.
     pub min_retry_after: Duration,
-    /// The longest time to come back in. Reason: predictions beyond the longest usual answer are guesses.
+    /// The longest retry-after time. Predictions beyond the longest usual response time are guesses.
     pub max_retry_after: Duration,
-    /// The percentage by which the time to come back in is drawn out at random.
+    /// The largest random addition to the retry-after time, as a percentage of it.
     ///
-    /// Load: a burst of which a part was refused at one moment. Harm: it would come back as one burst. Reason: half
-    /// the time spreads it over the time in which the slots get free.
+    /// Submissions of one burst that are refused at the same moment would otherwise come back as one burst. Half of the
+    /// time spreads them over the period in which slots become free.
     pub retry_jitter_percent: u32,
 }
 
@@ -65,12 +65,12 @@
     }
 }
 
-/// Tasks that run or wait for each slot. At 1 every slot is in use.
+/// The number of running and waiting tasks per slot. At 1 every slot is in use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
 pub struct Saturation(pub f64);
 
 impl Saturation {
-    /// The saturation of `slots` slots with `tasks` running or waiting.
+    /// The saturation of `slots` slots with `tasks` tasks running or waiting; infinite without slots.
     pub fn new(tasks: u64, slots: u64) -> Self {
         match slots {
             0 => Self(f64::INFINITY),
@@ -93,49 +93,51 @@
     }
 }
 
-/// What an entry knows of the competition for slots when a customer asks.
+/// Predicts how long a customer's tasks wait for slots at one entry.
 ///
-/// Load: one customer far over its share. Harm: by the whole backlog the others would be told that they are late and
-/// be refused, though the fair queues serve them next; by its own backlog over all slots the big one would be told
-/// that it is in time, though the others have their part of the slots. Reason for the entry's own sums: what a
-/// customer's limit holds back waits at the entry, and no dispatcher's queue shows it.
+/// When one customer is far over its share, neither a total backlog nor a total of slots predicts the wait. By the
+/// whole backlog the other customers would be refused as late, though the fair queues serve them next; by its own
+/// backlog over all slots the large customer would be admitted, though the others get their share of the slots. The
+/// sums are kept by the entry because work held back by a customer's concurrency limit waits at the entry and appears
+/// in no dispatcher's queue.
 #[derive(Clone, Copy, Debug)]
 pub struct WaitEstimator {
-    /// The customer's work that this entry accepted and that has not started.
+    /// The expected run time of the customer's work that this entry has accepted and that has not started.
     pub pending_work: Duration,
-    /// The customer's share.
+    /// The customer's fair-queueing weight.
     pub share: CustomerShare,
-    /// The shares of all customers with work in the last seconds, this one included. By those of this moment alone,
-    /// a moment without the others would let a customer in for far more than its share.
+    /// The sum of the shares of all customers with work in the last seconds, including this one. Counting only the
+    /// customers with work at this moment would admit far more than a customer's share whenever the others pause.
     pub active_shares: u64,
-    /// What the customer's backlog got lately.
+    /// The rate at which the customer's backlog was started recently.
     pub drain_rate: DrainRate,
-    /// The slots that this entry's work competes for: those reachable, divided by the entries that place on them.
+    /// The number of slots that this entry can expect to use: the reachable ones divided by the number of entries that
+    /// place tasks on them.
     pub slots: f64,
 }
 
 impl WaitEstimator {
-    /// The time until the customer's own work has started: on its share of the slots, or on more if it got more
-    /// lately.
+    /// The time until the customer's pending work has started, on its share of the slots or on more if it recently got
+    /// more.
     pub fn predicted_wait(&self) -> Duration {
         let share = f64::from(self.share.0.max(1));
         let active_shares = (self.active_shares as f64).max(share);
         let fair_slots = self.slots * share / active_shares;
-        // The queues serve a customer's jobs by their deadlines, whichever entry they are from, so an entry may for
-        // a while get far more than its part. Admitting by that would be late when the others' turn comes.
+        // The queues serve a customer's jobs by deadline regardless of the entry, so an entry may temporarily get far
+        // more than its part. Admitting by that rate would be late once the other entries' turn comes.
         let recent_slots = self.drain_rate.slots().min(self.slots);
         let slots = fair_slots.max(recent_slots).max(MIN_SLOTS);
         self.pending_work.div_f64(slots)
     }
 }
 
-/// The slots that a customer is taken to have at the least, so that a prediction stays finite.
+/// A lower bound on the number of slots of a customer, so that the predicted wait stays finite.
 const MIN_SLOTS: f64 = 0.01;
 
-/// What kind of submission asks.
+/// The class of a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum WorkClass {
-    /// Parallel tasks with one answer.
+    /// Parallel tasks with one combined answer.
     Job,
     /// One non-idempotent task.
     Request,
@@ -150,68 +152,68 @@
     }
 }
 
-/// A submission and the picture at its arrival.
+/// A submission and the load at its arrival.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionQuery<'a> {
     /// The customer's contract.
     pub contract: &'a Contract,
-    /// Job or request.
+    /// Whether it is a job or a request.
     pub class: WorkClass,
     /// The number of tasks.
     pub tasks: u32,
-    /// The largest run time expected of any of them.
+    /// The longest expected run time of its tasks.
     pub longest_estimate: RunTimeEstimate,
-    /// The run time that one of the tasks may well take: a quantile that suits their number.
+    /// A quantile of the run time that grows with the number of tasks, so that one of them may well take that long.
     pub tail_run_time: Duration,
-    /// The sum of the expected run times.
+    /// The sum of the expected run times of its tasks.
     pub expected_work: Duration,
-    /// The time within which the answer is due.
+    /// The time from now within which the answer is due.
     pub deadline: Duration,
-    /// The customer's tasks that were accepted and have not ended.
+    /// The number of the customer's tasks that were accepted and have not ended.
     pub open_tasks: u32,
-    /// The sum of their expected run times.
+    /// The sum of the expected run times of the open tasks.
     pub open_work: Duration,
-    /// How many tasks of the customer may run at once, as granted to this entry.
+    /// The number of tasks that the customer may run at once through this entry.
     pub granted: u32,
-    /// The time that a task of this customer would wait for a slot.
+    /// The predicted time that a task of this customer waits for a slot.
     pub predicted_wait: Duration,
-    /// How full the reachable slots are.
+    /// The saturation of the reachable slots.
     pub saturation: Saturation,
 }
 
-/// The decision.
+/// The result of [`AdmissionPolicy::decide`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// The submission is taken on.
+    /// The submission is accepted.
     Admit,
-    /// Nothing of it is run.
+    /// The submission is refused and none of its tasks run.
     Refuse {
-        /// Why.
+        /// Why it is refused.
         reason: RefusalReason,
-        /// When it is worth coming back. `None` where coming back does not help.
+        /// The time after which a retry may succeed, with jitter. `None` if no retry can succeed.
         retry_after: Option<Duration>,
     },
 }
 
-/// Decides on each submission before anything of it is placed.
+/// Decides on each submission before any of its tasks is placed.
 ///
-/// Load: more work than the slots can do in time. Harm: work that is accepted and comes late takes its slots from
-/// work that could have been in time, and the caller learns of it only at the deadline. What cannot be answered in
-/// time is refused at once; under overload, what the contract lets be refused goes first.
+/// When there is more work than the slots can finish in time, accepted work that comes late takes slots from work that
+/// could have been in time, and its caller learns of it only at the deadline. Work that cannot be answered in time is
+/// therefore refused at once. Under overload, the work that its contract allows to be refused goes first.
 ///
-/// What was admitted and comes due in the queue is dropped there.
+/// Admitted work that becomes overdue while it waits is dropped by the queue.
 #[derive(Clone, Debug, Default)]
 pub struct AdmissionPolicy {
     settings: AdmissionSettings,
 }
 
 impl AdmissionPolicy {
-    /// A policy with these limits.
+    /// Creates a policy with the given limits.
     pub fn new(settings: AdmissionSettings) -> Self {
         Self { settings }
     }
 
-    /// Decides on one submission.
+    /// Decides on one submission. Draws from `rng` only for the jitter of a retry-after time.
     pub fn decide(&self, query: &AdmissionQuery<'_>, rng: &mut fastrand::Rng) -> AdmissionDecision {
         if let Some(reason) = self.permanent_refusal(query) {
             return AdmissionDecision::Refuse {
@@ -228,7 +230,7 @@
         }
     }
 
-    /// Why the submission would be refused at any time.
+    /// Returns why the submission would be refused at any time, whatever the load.
     fn permanent_refusal(&self, query: &AdmissionQuery<'_>) -> Option<RefusalReason> {
         let contract = query.contract;
         if contract.state == ContractState::Retired {
@@ -240,8 +242,8 @@
         if query.deadline.is_zero() || query.deadline > contract.answer_within() {
             return Some(RefusalReason::WrongDeadline);
         }
-        // With all that the contract allows to itself. A submission that fails this would fail after using slots
-        // for as long as its caller waits.
+        // Assumes that the customer uses all of its concurrency for this submission alone. A submission that is too
+        // long even so would use slots for as long as its caller waits and then fail.
         let shortest = self.makespan(query, Duration::ZERO, contract.concurrency);
         if shortest > query.deadline {
             return Some(RefusalReason::CanNeverRun);
@@ -249,12 +251,13 @@
         None
     }
 
-    /// Why the submission is refused at this time, and when that may have changed.
+    /// Returns why the submission is refused now, and the retry-after time without jitter.
     fn temporary_refusal(&self, query: &AdmissionQuery<'_>) -> Option<(RefusalReason, Duration)> {
         if query.saturation.0.is_infinite() {
             return Some((RefusalReason::NoCapacity, self.settings.min_retry_after));
         }
-        // The customer's own limit. The work of others has no part in it, so it is told apart from an overload.
+        // The customer's own limit. Other customers' work does not matter here, so the reason differs from that of an
+        // overload.
         if query.granted == 0 {
             return Some((
                 RefusalReason::OverConcurrency,
@@ -275,15 +278,15 @@
         None
     }
 
-    /// By how much a wait is longer than its part of the time left.
+    /// Returns by how much `wait` exceeds the permitted part of the remaining time.
     fn excess_wait(&self, wait: Duration, query: &AdmissionQuery<'_>) -> Option<Duration> {
         let left = query.deadline.saturating_sub(self.reserved_run_time(query));
         let excess = wait.saturating_sub(left * self.settings.max_wait_percent / 100);
         (!excess.is_zero()).then_some(excess)
     }
 
-    /// The time to keep for the last task to run. A rare run time that does not fit the deadline at all is left out:
-    /// no wait is short enough for it, and by it every submission of the kind would be refused.
+    /// The time reserved for the last task to run. A tail run time that exceeds the whole deadline is ignored: no wait
+    /// would be short enough for it, so every submission of that kind would be refused.
     fn reserved_run_time(&self, query: &AdmissionQuery<'_>) -> Duration {
         let longest = self.longest_run_time(query);
         match query.tail_run_time < query.deadline {
@@ -292,7 +295,8 @@
         }
     }
 
-    /// The saturation from which the contract's word on refusable work is used; `None` where it allows none.
+    /// The saturation from which the submission may be refused under its contract; `None` if the contract does not
+    /// allow it.
     fn overload_threshold(&self, query: &AdmissionQuery<'_>) -> Option<Saturation> {
         let granted = u64::from(query.granted) * u64::from(self.settings.light_usage_percent);
         let is_light = u64::from(query.open_tasks) * 100 <= granted;
@@ -305,7 +309,7 @@
         }
     }
 
-    /// The shortest time in which `concurrency` tasks at once get through the work before and the submission's own.
+    /// The shortest time in which `concurrency` parallel tasks finish `earlier_work` and the work of the submission.
     fn makespan(
         &self,
         query: &AdmissionQuery<'_>,
@@ -322,7 +326,8 @@
         self.discounted(query, query.longest_estimate.run_time)
     }
 
-    /// The part of an expected time that is certain enough to refuse by.
+    /// Returns the part of an expected run time that is certain enough to refuse by: a run time that was not measured
+    /// recently is divided by the discount.
     fn discounted(&self, query: &AdmissionQuery<'_>, expected: Duration) -> Duration {
         match query.longest_estimate.source {
             EstimateSource::Measured => expected,
--- a/crates/decisions/src/drain_rate.rs
+++ b/crates/decisions/src/drain_rate.rs
@@ -1,19 +1,19 @@
-//! How fast a customer's backlog gets started.
+//! Measures how fast a customer's backlog is started.
 
 use std::time::{Duration, Instant};
 
-/// Starts are summed for this long before they change the rate: long enough for several at any usual share.
+/// The length of one sample. It has to hold several task starts at any usual share.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The rate follows a change of the service within about this time. Half a usual deadline: what is admitted now is
-/// started that much later, and a rate that follows faster than its own effect comes back swings.
+/// The time constant of the moving average, half a usual deadline. Work that is admitted now starts that much later,
+/// and a rate that adapts faster than its own effects appear would oscillate.
 const TIME_CONSTANT: Duration = Duration::from_secs(5);
 
 /// The measured number of slots that work on one customer's backlog at one entry.
 ///
-/// Load: one customer over its share, others now and then. Harm: predicted by its share the customer is refused work
-/// that fits in what the others leave; predicted by all slots it is admitted work that comes late. What it got in the
-/// last seconds says both.
+/// It predicts the wait of a customer that is over its share while others submit only now and then. By its share alone
+/// it would be refused work that fits into the slots that the others leave free; by all slots it would be admitted work
+/// that comes late.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DrainRate {
     slots: f64,
@@ -22,8 +22,8 @@
 }
 
 impl DrainRate {
-    /// Notes that a task started which is expected to take this long, and whether more of the customer's work waits.
-    /// Without backlog the starts tell what was asked for, not what the slots could do, and do not count.
+    /// Records that a task with the given expected run time started, and whether more of the customer's work waits.
+    /// Starts without a backlog are ignored: they reflect the demand, not the capacity of the slots.
     pub fn on_start(&mut self, now: Instant, expected: Duration, has_backlog: bool) {
         let Some(interval_start) = self.interval_start.filter(|_| has_backlog) else {
             self.interval_start = has_backlog.then_some(now);
@@ -42,7 +42,8 @@
         self.started_work = Duration::ZERO;
     }
 
-    /// Slots' worth of work started each second; 0 while there was no backlog yet.
+    /// The smoothed amount of expected run time started per second, which is a number of slots; 0 until there was a
+    /// backlog.
     pub fn slots(&self) -> f64 {
         self.slots
     }
--- a/crates/decisions/src/health.rs
+++ b/crates/decisions/src/health.rs
@@ -1,4 +1,4 @@
-//! What one endpoint shows of its health, and how much it is given to do.
+//! Tracks the health of one endpoint from the outcomes of its tasks and limits how many tasks it runs at once.
 
 use std::time::{Duration, Instant};
 
@@ -6,47 +6,50 @@
 
 use crate::run_time::FailureRate;
 
-/// The weight of one end in the latency of an endpoint: after five the older ones count for a third.
+/// The weight of one task in the moving average of the latency of an endpoint: after five newer tasks the older ones
+/// count for a third.
 const LATENCY_WEIGHT: f64 = 0.2;
 
 /// The limits of an [`EndpointHealth`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct HealthSettings {
-    /// Weight of failures in a row, without an answer between them, that brings quarantine. An ordinary failure
-    /// weighs up to 1.
+    /// The total weight of consecutive failures, without an answer between them, that leads to quarantine. An ordinary
+    /// failure weighs at most 1.
     ///
-    /// Load: an endpoint that fails everything at once has free slots all the time, so it draws the tasks of all
-    /// the others. Harm: most jobs fail through one endpoint. Reason: 4 in a row happen by chance in one of a
-    /// million rows when one task in thirty fails, and cost less than one filling of the slots.
+    /// An endpoint that fails every task at once always has free slots, so it attracts the tasks of the other endpoints
+    /// and most jobs fail because of it. With one task in thirty failing, 4 consecutive failures happen by chance in
+    /// one of a million sequences, and they cost less than filling the slots of the endpoint once.
     pub quarantine_failures: f32,
-    /// Weight of a connection that did not come about. Reason: no task is lost by it, but each costs a connect
-    /// timeout, so two are enough.
+    /// The weight of a failed connection attempt. It loses no task, but each one costs a connect timeout, so two are
+    /// enough for quarantine.
     pub unreachable_weight: f32,
-    /// The slowdown from which an endpoint gets fewer tasks at once.
+    /// The slowdown from which an endpoint is throttled to fewer tasks at once.
     ///
-    /// Load: one endpoint on a throttled VM. Harm: a job answers with its last task, so one slow slot in seventeen
-    /// makes most jobs late. Reason: a factor of 2 is within what a mix of short and long tasks shows by chance.
+    /// A job answers with its last task, so one slow slot in seventeen, such as an endpoint on a throttled VM, makes
+    /// most jobs late. A factor of up to 2 occurs by chance in a mix of short and long tasks.
     pub throttle_slowdown: f64,
-    /// The slowdown from which an endpoint is quarantined. Reason: at 8 times a usual task takes as long as the
-    /// rare long ones, and the whole endpoint is worth one slot.
+    /// The slowdown from which an endpoint is quarantined. At 8 a usual task takes as long as the rare long ones, and
+    /// the whole endpoint is worth one slot.
     pub quarantine_slowdown: f64,
-    /// Ends seen before latency counts. Reason: one long task among fewer than five is not told from a slow
-    /// endpoint.
+    /// The number of answered tasks before latency is taken into account. Among fewer than five, one long task cannot
+    /// be told from a slow endpoint.
     pub min_samples: u32,
-    /// The first quarantine. Reason: long enough for a process to restart, and a probe every second costs nothing.
+    /// The length of the first quarantine. It leaves a process time to restart, and one probe a second costs almost
+    /// nothing.
     pub initial_quarantine: Duration,
-    /// The longest quarantine; each failed probe doubles it. Reason: a probe is a real task that a caller waits
-    /// for, so a dead endpoint may cost at most two a minute.
+    /// The longest quarantine; each failed probe doubles its length. A probe is a real task that a caller waits for, so
+    /// a dead endpoint may cost at most two tasks a minute.
     pub max_quarantine: Duration,
-    /// The pause after a busy answer while nothing of ours runs there; doubles up to `max_busy_backoff`.
+    /// The first backoff after a busy answer while none of this dispatcher's tasks run there. It doubles up to
+    /// `max_busy_backoff`.
     ///
-    /// Load: the slots are held by another owner for a moment. Harm: without a pause the same task goes back and
-    /// forth as fast as the network can. Reason: 20 ms is less than the shortest task.
+    /// Another owner may hold the slots for a moment. Without a backoff the same task would go back and forth as fast
+    /// as the network allows. 20 ms is less than the shortest task.
     pub initial_busy_backoff: Duration,
-    /// The longest pause. Reason: a usual task has ended by then.
+    /// The longest backoff after busy answers. A usual task has ended by then.
     pub max_busy_backoff: Duration,
-    /// The time between raises of a limit that a busy answer lowered. Reason: a tenth of a second for each slot
-    /// gives eight slots back within a second, with at most ten wasted messages in it.
+    /// The interval between increments of a limit that a busy answer or a probe lowered. A tenth of a second per slot
+    /// restores eight slots within a second, at the cost of at most ten wasted messages.
     pub limit_raise_interval: Duration,
 }
 
@@ -67,22 +70,22 @@
     }
 }
 
-/// How a task ended, as far as it says something about the endpoint.
+/// How a task ended, as far as it says something about the health of the endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndKind {
-    /// It gave an answer.
+    /// The endpoint returned an answer.
     Done,
-    /// It said that the task failed.
+    /// The endpoint reported that the task failed.
     Failed,
-    /// It said that it has no free slot.
+    /// The endpoint reported that it has no free slot.
     Busy,
-    /// It said that it is leaving.
+    /// The endpoint reported that it is leaving.
     Leaving,
-    /// No connection came about.
+    /// The connection could not be established.
     Unreachable,
-    /// The connection broke, the answer was broken or did not come.
+    /// The connection broke, or the answer was malformed or missing.
     Unknown,
-    /// The task did not start for a reason that is not the endpoint's.
+    /// The task did not start, for a reason unrelated to the endpoint.
     NotStarted,
 }
 
@@ -100,41 +103,42 @@
     }
 }
 
-/// What an ended task says about its endpoint.
+/// The end of a task, as input to the health of its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndReport {
-    /// How it ended.
+    /// How the task ended.
     pub kind: EndKind,
-    /// How long it ran.
+    /// How long the task ran.
     pub ran: Duration,
-    /// How long such tasks run on the other endpoints: what [`crate::RunTimeTable`] expects, scaled by
+    /// How long such tasks run on other endpoints at present: the expectation of [`crate::RunTimeTable`], scaled by
     /// [`FleetLatency::scale`].
     pub expected: Duration,
-    /// How many such tasks fail over all endpoints, as [`crate::RunTimeTable`] has seen it.
+    /// The failure rate of such tasks over all endpoints, from [`crate::RunTimeTable`].
     pub failure_rate: FailureRate,
 }
 
-/// The state of an endpoint.
+/// The health state of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthState {
-    /// It gets tasks up to its limit.
+    /// The endpoint gets tasks up to its limit.
     Active,
-    /// It gets nothing until then, and after that one task to show what it does.
+    /// The endpoint gets no tasks until the given time, and then a single task as a probe.
     Quarantined {
         /// When the probe may start.
         until: Instant,
     },
-    /// The one task runs.
+    /// The probe is running.
     Probing,
-    /// It said that it is leaving and gets nothing again. The platform's list lags, so its word counts for more.
+    /// The endpoint reported that it is leaving and gets no more tasks. Its report overrides the platform's list, which
+    /// lags behind.
     Leaving,
 }
 
-/// How many tasks one endpoint may have at once, by what its tasks show.
+/// Limits how many tasks one endpoint may run at once, depending on the outcomes of its tasks.
 ///
-/// The dispatcher starts a task where fewer run than [`Self::capacity`]. A limit comes down at once by a busy
-/// answer, in proportion by latency against the other endpoints, and to nothing by failures in a row; it comes back
-/// slot by slot. Each call is O(1).
+/// The dispatcher starts a task only where fewer tasks run than [`Self::capacity`]. A busy answer lowers the limit at
+/// once, latency above that of the other endpoints lowers it in proportion, and consecutive failures lower it to zero.
+/// It recovers slot by slot. Each call is O(1).
 #[derive(Clone, Debug)]
 pub struct EndpointHealth {
     settings: HealthSettings,
@@ -142,7 +146,7 @@
     running: u32,
     failure_weight: f32,
     next_quarantine: Duration,
-    /// The limit that busy answers and probes leave; `None` while nothing limits.
+    /// The limit set by busy answers and probes; `None` while there is none.
     limit: Option<u32>,
     limit_changed_at: Option<Instant>,
     busy_backoff: Duration,
@@ -151,7 +155,7 @@
 }
 
 impl EndpointHealth {
-    /// An endpoint of which nothing bad is known.
+    /// Creates the state of an endpoint without any known problem.
     pub fn new(settings: HealthSettings) -> Self {
         Self {
             next_quarantine: settings.initial_quarantine,
@@ -167,7 +171,7 @@
         }
     }
 
-    /// How many tasks may run there at once, of the `slots` that it has.
+    /// Returns how many of the `slots` slots of the endpoint may be used at once.
     pub fn capacity(&self, now: Instant, slots: u32) -> u32 {
         match self.state {
             HealthState::Leaving => 0,
@@ -182,7 +186,7 @@
         }
     }
 
-    /// Notes that a task was sent there.
+    /// Records that a task was sent to the endpoint.
     pub fn on_start(&mut self, now: Instant) {
         self.running += 1;
         match self.state {
@@ -193,14 +197,14 @@
         }
     }
 
-    /// Notes the end of a task that was sent there.
+    /// Records the end of a task that was sent to the endpoint.
     pub fn on_end(&mut self, now: Instant, report: EndReport) {
         self.running = self.running.saturating_sub(1);
         match report.kind {
             EndKind::Done => self.on_done(now, report),
             EndKind::Failed | EndKind::Unknown => {
-                // A task of a kind that fails everywhere says little about this endpoint. Without this a customer
-                // with broken tasks, or with deadlines too short for them, would have all endpoints quarantined
+                // A task of a kind that fails everywhere says little about this endpoint. Without this weight, a
+                // customer with broken tasks, or with deadlines too short for them, would get all endpoints quarantined
                 // for everyone.
                 let weight = 1.0 - report.failure_rate.0.clamp(0.0, 1.0);
                 self.on_failure(now, weight);
@@ -208,23 +212,23 @@
             EndKind::Unreachable => self.on_failure(now, self.settings.unreachable_weight),
             EndKind::Busy => self.on_busy(now),
             EndKind::Leaving => self.state = HealthState::Leaving,
-            // Nothing was shown. While probing, the next task is the probe.
+            // This says nothing about the endpoint. While probing, the next task is the probe.
             EndKind::NotStarted => {}
         }
     }
 
-    /// The state.
+    /// The health state.
     pub fn state(&self) -> HealthState {
         self.state
     }
 
-    /// Tasks sent there that have not ended.
+    /// The number of tasks sent to the endpoint that have not ended.
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// How many times longer than elsewhere its tasks take; 1 while too few are known. Of the endpoints with a free
-    /// slot the dispatcher takes the one with the lowest.
+    /// How many times longer tasks take here than on other endpoints; 1 while there are too few samples. Of the
+    /// endpoints with a free slot the dispatcher chooses the one with the lowest slowdown.
     pub fn slowdown(&self) -> f64 {
         match self.latency.samples < self.settings.min_samples {
             true => 1.0,
@@ -237,7 +241,7 @@
         if slowdown < self.settings.throttle_slowdown {
             return slots;
         }
-        // In proportion, so that the endpoint holds as much work as a healthy one with that many slots less.
+        // In proportion to the slowdown, so that the endpoint holds as much work as a healthy one with fewer slots.
         ((f64::from(slots) / slowdown) as u32).max(1)
     }
 
@@ -253,7 +257,7 @@
             HealthState::Active => self.raise_limit(now),
             HealthState::Probing if self.probe_is_slow(&report) => self.enter_quarantine(now),
             HealthState::Probing => self.reopen(now),
-            // An old task that ends during quarantine proves nothing about new ones.
+            // A task that started before the quarantine says nothing about new ones.
             HealthState::Quarantined { .. } | HealthState::Leaving => {}
         }
     }
@@ -293,8 +297,8 @@
 
     fn probe_is_slow(&self, report: &EndReport) -> bool {
         let ratio = LatencyRatio::log_ratio(report.ran, report.expected).exp();
-        // A short task on a lagging endpoint takes as long as a usual one elsewhere, so one probe has to show more than
-        // that it does not lag.
+        // A short task on an endpoint slow enough for quarantine takes as long as a usual task elsewhere, so the probe
+        // has to meet the stricter throttling limit.
         ratio >= self.settings.throttle_slowdown
     }
 
@@ -305,7 +309,8 @@
         self.failure_weight = 0.0;
     }
 
-    /// Opens with one slot: an endpoint that ran one task well may still fail under eight.
+    /// Leaves quarantine with a limit of one slot: an endpoint that completed one task may still fail under eight at
+    /// once.
     fn reopen(&mut self, now: Instant) {
         self.state = HealthState::Active;
         self.next_quarantine = self.settings.initial_quarantine;
@@ -315,32 +320,32 @@
     }
 }
 
-/// How the run times of all endpoints of one dispatcher stand to the expected ones just now.
+/// The ratio of present to expected run times over all endpoints of one dispatcher.
 ///
-/// Load: a rush that slows down all endpoints alike, by a table or a network that they share. Harm: each looks slow
-/// against the run times learned before, all limits come down together and the rush meets half the slots. Scaled
-/// by this, an endpoint is slow only where it is slower than the others.
+/// A load peak may slow down all endpoints alike, through a table or a network that they share. Measured against the
+/// run times learned before, each endpoint would look slow, all limits would fall together, and the peak would meet
+/// half the slots. With expectations scaled by this ratio, an endpoint is slow only if it is slower than the others.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FleetLatency(LatencyRatio);
 
 impl FleetLatency {
-    /// One end counts for a thirtieth, so that two ends from each of 17 endpoints are enough and one slow endpoint
-    /// among them is not.
+    /// One task counts for about a thirtieth, so that two tasks from each of 17 endpoints shift the average and one
+    /// slow endpoint among them does not.
     const WEIGHT: f64 = 1.0 / 32.0;
 
-    /// Notes a task that ran on any endpoint.
+    /// Records a completed task of any endpoint.
     pub fn on_done(&mut self, ran: Duration, expected: Duration) {
         self.0.add(ran, expected, Self::WEIGHT);
     }
 
-    /// An expected run time as it would be over all endpoints just now.
+    /// Scales an expected run time to the present latency of all endpoints.
     pub fn scale(&self, expected: Duration) -> Duration {
         expected.mul_f64(self.0.ratio())
     }
 }
 
-/// A moving geometric mean of run time over expected run time. Geometric, because a rare long task among short ones
-/// would rule an arithmetic mean.
+/// A moving geometric mean of the ratio of run time to expected run time. An arithmetic mean would be dominated by a
+/// rare long task among short ones.
 #[derive(Clone, Copy, Debug, Default)]
 struct LatencyRatio {
     log_mean: f64,
@@ -348,7 +353,7 @@
 }
 
 impl LatencyRatio {
-    /// One task counts for at most this much in the logarithm, a factor of 20.
+    /// The limit of one task's contribution to the logarithm, a factor of 20.
     const MAX_LOG: f64 = 3.0;
 
     fn log_ratio(ran: Duration, expected: Duration) -> f64 {
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,6 +1,6 @@
-//! Policy without I/O: admit, queue, refuse, place, shift, retry.
+//! Scheduling policies without I/O: admission, queueing, placement, shifting load between data centres, and retries.
 //!
-//! Nothing here reads a clock or a socket: the time comes in as `now`, randomness from a seeded generator, so every
+//! Nothing here reads a clock or a socket: callers pass the time as `now` and a seeded random generator, so every
 //! decision can be tested under load in virtual time.
 
 pub mod admission;
--- a/crates/decisions/src/lru_map.rs
+++ b/crates/decisions/src/lru_map.rs
@@ -1,13 +1,13 @@
-//! A map of limited size that forgets what was used longest ago.
+//! A map of limited size that evicts the least recently used entry.
 
 use std::{borrow::Borrow, collections::BTreeMap, hash::Hash};
 
 use model::FastMap;
 
-/// State per customer or kind with a limit on the number of keys.
+/// Holds a value per customer or per task kind, for a limited number of keys.
 ///
-/// Load: names that come from callers and never come again. Harm: without a limit the process grows until it is
-/// killed, and every request in it is cut. Reason: what was used longest ago is the cheapest to learn again.
+/// Keys come from callers and may never come again. Without a limit the process would grow until it is killed, which
+/// cuts every request in it. The least recently used value is the cheapest one to learn again.
 ///
 /// Each operation costs O(log n).
 #[derive(Debug)]
@@ -19,7 +19,7 @@
 }
 
 impl<K: Clone + Eq + Hash, V> LruMap<K, V> {
-    /// An empty map of at most `capacity` keys, at least one.
+    /// Creates an empty map of at most `capacity` keys, but at least one.
     pub(crate) fn new(capacity: usize) -> Self {
         Self {
             capacity: capacity.max(1),
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The value without a note that it was used.
+    /// Returns the value without marking it as used.
     pub(crate) fn get<Q: Eq + Hash + ?Sized>(&self, key: &Q) -> Option<&V>
     where
         K: Borrow<Q>,
@@ -37,7 +37,7 @@
         self.values.get(key).map(|(_, value)| value)
     }
 
-    /// The value, made by `make` where absent, and the note that it was used now.
+    /// Returns the value, inserting the result of `make` if the key is absent, and marks it as the most recently used.
     pub(crate) fn touch_or_insert(&mut self, key: &K, make: impl FnOnce() -> V) -> &mut V {
         if !self.values.contains_key(key) && self.values.len() >= self.capacity {
             self.evict_least_recent();
--- a/crates/decisions/src/placement.rs
+++ b/crates/decisions/src/placement.rs
@@ -1,4 +1,4 @@
-//! The choice of a dispatcher for each task of an entry.
+//! Chooses a dispatcher for each task of an entry.
 
 use std::{
     collections::BTreeSet,
@@ -12,7 +12,7 @@
 
 use crate::{admission::Saturation, weight_tree::WeightTree};
 
-/// A dispatcher as its entry numbers it.
+/// The number by which an entry identifies a dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct DispatcherKey(pub u64);
 
@@ -30,43 +30,45 @@
     }
 }
 
-/// How a dispatcher is chosen. All but the first are there to be measured against.
+/// How a dispatcher is chosen. All rules but the first are baselines for comparison.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PlacementRule {
-    /// By the free slots last heard of, less what was sent since.
+    /// By the free slots of the last hint, minus the tasks sent since.
     #[default]
     FreeSlots,
-    /// Any dispatcher of the data centre.
+    /// A uniformly random dispatcher of the local data centre.
     RandomOwner,
-    /// Of two at random the one with less outstanding from this entry.
+    /// Of two random dispatchers of the local data centre, the one with fewer outstanding tasks of this entry.
     TwoChoices,
 }
 
 /// The limits of a [`PlacementTable`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlacementSettings {
-    /// The rule.
+    /// The rule by which a dispatcher is chosen.
     pub rule: PlacementRule,
-    /// How many dispatchers are drawn, by their free slots, to take the best of them.
+    /// How many dispatchers are drawn, weighted by their free slots; the best one drawn is chosen.
     ///
-    /// Load: many entries that have heard the same. Harm: if each took the best of all, they would all take the
-    /// same one and fill its queue until the next hint. Reason: two draws spread them and still avoid a full one.
+    /// Many entries receive the same hints. If each chose the best of all dispatchers, all would choose the same one
+    /// and fill its queue until the next hint. Two draws spread the tasks and still avoid a full dispatcher.
     pub draws: u32,
-    /// How long a dispatcher may leave a sent task without any word until it gets no more.
+    /// How long an offer may stay unanswered, without a hint from the dispatcher, before the dispatcher gets no more
+    /// tasks.
     ///
-    /// Load: a frozen process whose last hint showed free slots. Harm: it would draw tasks until its connection is
-    /// given up. Reason: it answers an offer at once, and 250 ms are a hundred round trips between data centres.
+    /// A frozen process whose last hint showed free slots would attract tasks until its connection is given up. A
+    /// dispatcher answers an offer at once, and 250 ms are a hundred round trips between data centres.
     pub response_timeout: Duration,
-    /// How long the spare slots of another data centre count as known. Reason: within that time a burst may have
-    /// taken them, and a task that queues there has paid the way for nothing.
+    /// The age up to which hints of another data centre are used. After a longer time a burst may have taken the spare
+    /// slots, and a task that queues there has paid for the round trip in vain.
     pub spare_max_age: Duration,
-    /// How many round trips a shift must gain. Reason: the offer, the claim and the answer each cross the border.
+    /// How many round trips the local wait must exceed before a task is shifted to another data centre. The offer, the
+    /// claim and the answer each cross between the data centres.
     pub min_gain_round_trips: u32,
     /// The percentage of another data centre's slots that must stay free for its own callers.
     ///
-    /// Load: one data centre overloaded, several entries that shift at once. Harm: the overload moves to the next
-    /// data centre and both shift back and forth. Reason: a fifth covers what all entries together send before
-    /// they hear of each other's tasks.
+    /// When several entries of an overloaded data centre shift tasks at once, the overload could move to the next data
+    /// centre and both would then shift tasks back and forth. A fifth of the slots covers what all entries together
+    /// send before they learn of each other's tasks.
     pub reserve_percent: u32,
 }
 
@@ -83,40 +85,40 @@
     }
 }
 
-/// What a dispatcher last said of itself.
+/// A dispatcher's last report of its load. It may be outdated when it is used.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SlotsHint {
-    /// Tasks that it may run at once.
+    /// The number of tasks that the dispatcher may run at once.
     pub limit: u32,
-    /// Tasks that run.
+    /// The number of running tasks.
     pub running: u32,
-    /// Tasks that wait there.
+    /// The number of tasks queued at the dispatcher.
     pub queued: u32,
 }
 
-/// What a choice needs to know of the task.
+/// The properties of a task that placement depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlacementQuery {
-    /// The mean run time of tasks lately, by which queued tasks are turned into a wait.
+    /// The recent mean run time of tasks, which converts queued tasks into a wait.
     pub mean_run_time: Duration,
 }
 
-/// The dispatchers that an entry may choose from.
+/// The dispatchers that an entry may place tasks on.
 ///
-/// Load: bursts of jobs from several entries onto the same slots. Harm: a task that queues at one dispatcher while
-/// another has a free slot makes its whole job late. A choice costs O(log n) in the dispatchers of a data centre
-/// and one step for each data centre; adding and removing a dispatcher costs O(n).
+/// Several entries send bursts of jobs to the same slots. A task that queues at one dispatcher while another one has a
+/// free slot makes its whole job late. A choice costs O(log n) in the dispatchers of a data centre and one step per
+/// data centre; adding or removing a dispatcher costs O(n).
 #[derive(Debug)]
 pub struct PlacementTable {
     settings: PlacementSettings,
-    /// The data centre of this entry comes first.
+    /// The local data centre of this entry comes first.
     sites: Vec<DataCentreSite>,
     locations: FastMap<DispatcherKey, (usize, usize)>,
     rng: fastrand::Rng,
 }
 
 impl PlacementTable {
-    /// A table without dispatchers for an entry in the data centre `local`.
+    /// Creates a table without dispatchers for an entry in the data centre `local`.
     pub fn new(settings: PlacementSettings, local: DataCentreId, rng: fastrand::Rng) -> Self {
         Self {
             settings,
@@ -126,19 +128,19 @@
         }
     }
 
-    /// Makes another data centre known and how long a message to it and back takes.
+    /// Adds another data centre, or updates the round-trip time to it.
     pub fn set_data_centre(&mut self, data_centre: &DataCentreId, round_trip: Duration) {
         let site = self.site_index(data_centre);
         self.sites[site].round_trip = round_trip;
     }
 
-    /// Says whether a data centre can be reached. Into one that is cut off nothing is placed.
+    /// Sets whether a data centre can be reached. Nothing is placed in an unreachable one.
     pub fn set_reachable(&mut self, data_centre: &DataCentreId, reachable: bool) {
         let site = self.site_index(data_centre);
         self.sites[site].reachable = reachable;
     }
 
-    /// Adds a dispatcher. It is not chosen before its first hint.
+    /// Adds a dispatcher. The rule [`PlacementRule::FreeSlots`] does not choose it before its first hint.
     pub fn add_dispatcher(&mut self, key: DispatcherKey, data_centre: &DataCentreId) {
         if self.locations.contains_key(&key) {
             return;
@@ -148,7 +150,7 @@
         self.reindex(site);
     }
 
-    /// Removes a dispatcher that stops or is gone.
+    /// Removes a dispatcher that is stopping or gone.
     pub fn remove_dispatcher(&mut self, key: DispatcherKey) {
         let Some((site, index)) = self.locations.remove(&key) else {
             return;
@@ -157,8 +159,8 @@
         self.reindex(site);
     }
 
-    /// Notes what a dispatcher said of itself. `unanswered` are the offers of this entry that it has not answered
-    /// yet: those it cannot have counted.
+    /// Applies the reported load of a dispatcher. `unanswered` is the number of offers of this entry that the
+    /// dispatcher has not answered yet and so cannot have counted.
     pub fn on_hint(&mut self, now: Instant, key: DispatcherKey, hint: SlotsHint, unanswered: u32) {
         let Some((site, index)) = self.locations.get(&key).copied() else {
             return;
@@ -168,7 +170,7 @@
         site.update(index, |state| state.apply_hint(now, hint, unanswered));
     }
 
-    /// Notes that a chosen task ended, or was not sent after all.
+    /// Records that a placed task ended, or was not sent after all.
     pub fn on_end(&mut self, key: DispatcherKey) {
         let Some((site, index)) = self.locations.get(&key).copied() else {
             return;
@@ -177,21 +179,21 @@
         dispatcher.outstanding = dispatcher.outstanding.saturating_sub(1);
     }
 
-    /// The slots that tasks of this entry compete for: those of the local data centre, or while it has none those
-    /// of the one that they would queue in. Without it an entry that lost its endpoints would refuse work that others
-    /// could do.
+    /// The number of slots that tasks of this entry compete for: those of the local data centre, or if it has none,
+    /// those of the data centre where the tasks would queue. Otherwise an entry that lost its local endpoints would
+    /// refuse work that other data centres could do.
     pub fn slots(&self, now: Instant) -> u64 {
         let site = self.site_to_queue_at(now);
         site.map_or(0, |n| self.sites[n].slot_limits.total())
     }
 
-    /// How full those slots are.
+    /// The saturation of the slots counted by [`Self::slots`].
     pub fn saturation(&self, now: Instant) -> Saturation {
         let site = self.site_to_queue_at(now);
         site.map_or(Saturation::new(0, 0), |n| self.sites[n].saturation())
     }
 
-    /// The free slots of the local data centre's other dispatchers, as far as is known.
+    /// The number of free slots of the local data centre's other dispatchers, according to their hints.
     pub fn free_slots_elsewhere(&self, key: DispatcherKey) -> u64 {
         let site = &self.sites[0];
         let own = match self.locations.get(&key) {
@@ -201,7 +203,7 @@
         site.free_slots.total().saturating_sub(own)
     }
 
-    /// Chooses a dispatcher and counts the task as sent there. `None` when no reachable dispatcher has a slot.
+    /// Chooses a dispatcher and counts the task as sent to it. `None` if no reachable dispatcher has a slot.
     pub fn choose(&mut self, now: Instant, query: PlacementQuery) -> Option<DispatcherKey> {
         for site in &mut self.sites {
             site.suspect_unresponsive(now, self.settings.response_timeout);
@@ -216,10 +218,10 @@
         Some(site.dispatchers[index].key)
     }
 
-    /// Chooses like [`Self::choose`], but not `avoided` while there is any other.
+    /// Chooses like [`Self::choose`], but takes `avoided` only if there is no other dispatcher.
     ///
-    /// Load: a dispatcher that has just turned the task away. Harm: it looks as free as before until its next hint,
-    /// and draws the task again. Reason for not more than one: its hint comes within a heartbeat.
+    /// A dispatcher that has just rejected a task looks as free as before until its next hint, so it would attract the
+    /// same task again. Avoiding one dispatcher is enough, since its hint arrives within a heartbeat.
     pub fn choose_avoiding(
         &mut self,
         now: Instant,
@@ -232,7 +234,7 @@
         other.or_else(|| self.choose(now, query))
     }
 
-    /// Notes that a dispatcher answered an offer that it had not answered at its last hint.
+    /// Records that a dispatcher answered an offer that was unanswered at its last hint or was sent since.
     pub fn on_answer(&mut self, key: DispatcherKey) {
         let Some((site, index)) = self.locations.get(&key).copied() else {
             return;
@@ -247,7 +249,8 @@
         self.sites[site].update(index, |state| state.avoided = avoided);
     }
 
-    /// The local data centre while it has a free slot, then another where that gains time, then the local queue.
+    /// Prefers a free slot in the local data centre, then one in another data centre if the shift saves time, then a
+    /// queue.
     fn choose_by_free_slots(
         &mut self,
         now: Instant,
@@ -267,8 +270,8 @@
         Some((site, index))
     }
 
-    /// The data centre with the most spare slots of those where a shift gains more than its way costs. Without any
-    /// local dispatcher the local wait has no end and any gain is enough.
+    /// The data centre with the most spare slots of those where a shift saves more than the round trips cost. Without
+    /// any local dispatcher the local wait is unbounded, so any saving is enough.
     fn site_to_shift_to(&self, now: Instant, local_wait: Duration) -> Option<usize> {
         let mut best = None;
         let mut most = 0;
@@ -288,7 +291,7 @@
         best
     }
 
-    /// The local data centre if it has any slot, otherwise the least full one that can be reached.
+    /// The local data centre if it has any slot, otherwise the least saturated reachable one.
     fn site_to_queue_at(&self, now: Instant) -> Option<usize> {
         if self.sites[0].slot_limits.total() > 0 {
             return Some(0);
@@ -323,7 +326,8 @@
                 return n;
             }
         }
-        // Of one whose way is not known the first message may take as long as clients' do.
+        // An assumption for a data centre whose round-trip time is not known yet: a message may take as long as one
+        // from a client.
         let round_trip = Duration::from_millis(10);
         self.sites
             .push(DataCentreSite::new(data_centre.clone(), round_trip));
@@ -338,7 +342,7 @@
     }
 }
 
-/// The dispatchers of one data centre.
+/// The dispatchers of one data centre, with totals over them.
 #[derive(Debug)]
 struct DataCentreSite {
     data_centre: DataCentreId,
@@ -349,7 +353,7 @@
     free_slots: WeightTree,
     slot_limits: WeightTree,
     backlog: u64,
-    /// Dispatchers with a task sent and no word since, by when it was sent.
+    /// The dispatchers with an unanswered offer and no hint since, by the time from which they are awaited.
     awaiting_answer: BTreeSet<(Instant, usize)>,
 }
 
@@ -407,7 +411,7 @@
         }
     }
 
-    /// The one with the most free slots of a few drawn by their free slots.
+    /// Draws dispatchers weighted by free slots and returns the one with the most free slots.
     fn freest(&self, draws: u32, rng: &mut fastrand::Rng) -> Option<usize> {
         let mut best = self.free_slots.draw(rng)?;
         for _ in 1..draws {
@@ -419,13 +423,13 @@
         Some(best)
     }
 
-    /// The one with the shortest queue for its slots of a few drawn by their slots.
+    /// Draws dispatchers weighted by slots and returns the one with the shortest queue per slot.
     fn least_queued(&self, draws: u32, rng: &mut fastrand::Rng) -> Option<usize> {
         let mut best = self.slot_limits.draw(rng)?;
         for _ in 1..draws {
             let other = self.slot_limits.draw(rng)?;
             let (a, b) = (&self.dispatchers[other], &self.dispatchers[best]);
-            // a.backlog / a.limit < b.backlog / b.limit, without a division.
+            // a.backlog / a.limit < b.backlog / b.limit, without division.
             if a.backlog() * u64::from(b.hint.limit) < b.backlog() * u64::from(a.hint.limit) {
                 best = other;
             }
@@ -440,7 +444,7 @@
         }
     }
 
-    /// How long one more task would wait here.
+    /// The predicted time that one more task waits in this data centre.
     fn predicted_wait(&self, mean_run_time: Duration) -> Duration {
         match self.slot_limits.total() {
             0 => Duration::MAX,
@@ -468,11 +472,12 @@
 struct DispatcherState {
     key: DispatcherKey,
     hint: SlotsHint,
-    /// Sent and not counted in the hint.
+    /// The number of offers that were sent to it and are not counted in the hint.
     unanswered_offers: u32,
-    /// When the first of those was sent.
+    /// When the first unanswered offer was sent, or when the last hint arrived if that was later. `None` while the
+    /// dispatcher is suspect.
     waiting_since: Option<Instant>,
-    /// Sent and not ended.
+    /// The number of tasks that were sent to it and have not ended.
     outstanding: u32,
     suspect: bool,
     avoided: bool,
--- a/crates/decisions/src/queue.rs
+++ b/crates/decisions/src/queue.rs
@@ -1,4 +1,4 @@
-//! The queue of one dispatcher: fair between customers, earliest deadline first within one.
+//! The task queue of one dispatcher: fair between customers, earliest deadline first within a customer.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -8,33 +8,33 @@
 use model::{AttemptId, CustomerId, CustomerShare, FastMap, SubmissionId};
 use thiserror::Error;
 
-/// Slot time divided by the customer's share, in nanoseconds. It is as wide as `u128` because it is the sum over all
-/// slots for the whole life of the process.
+/// Slot time divided by the customer's share, in nanoseconds. It is a `u128` because it sums up over all slots for the
+/// whole life of the process.
 type VirtualTime = u128;
 
-/// The order among customers: virtual time first, then who came to its place first. Without the second part equal
-/// customers would always be served in the order of their names.
+/// The order between customers: virtual time first, then a sequence number. Without the second part, customers with
+/// equal virtual times would always be served in the order of their names.
 type CustomerRank = (VirtualTime, u64);
 
 /// The limits of a [`FairQueue`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QueueSettings {
-    /// The most entries that wait at once.
+    /// The maximum number of waiting entries.
     ///
-    /// Load: a burst far over what the slots can do. Harm: memory grows without bound and everything that waits is
-    /// late. Reason: 20,000 tasks of 50 ms keep 136 slots busy for 7 s, about as long as an answer may take.
+    /// During a burst far above the capacity of the slots, memory would otherwise grow without bound and every waiting
+    /// task would be late. 20,000 tasks of 50 ms keep 136 slots busy for 7 s, about as long as an answer may take.
     pub max_entries: usize,
-    /// The most slot time by which one customer can be ahead of its share, before the division by the share.
+    /// The maximum slot time by which a customer can be ahead of its share, before the division by the share.
     ///
-    /// Load: run times expected a hundred times too short, so that the bill comes after the burst. Harm: with the
-    /// whole bill kept, the customer would get nothing for minutes. Reason: 5 s is the run time of a long task, so
-    /// no customer pays for more than one of them at once.
+    /// If run times are expected a hundred times too short, the customer is charged only after the burst. Charged in
+    /// full, it would get no slots for minutes. 5 s is the run time of a long task, so no customer pays for more than
+    /// one of them at once.
     pub max_debt: Duration,
-    /// The most slot time that a waiting customer can get back when its tasks ran shorter than expected.
+    /// The maximum slot time that a waiting customer can be credited when its tasks ran shorter than expected.
     ///
-    /// Load: run times expected a hundred times too long. Harm: without it the customer loses its share for good;
-    /// without a limit it takes all slots at once when the bill is put right. Reason: 1 s is a slot or two for each
-    /// other customer, which delays their tasks by no more than a usual task.
+    /// If run times are expected a hundred times too long, a customer without credit would lose its share for good;
+    /// with unlimited credit it would take all slots at once when the charge is corrected. 1 s is a slot or two for
+    /// each other customer, which delays their tasks by no more than a usual task.
     pub max_credit: Duration,
 }
 
@@ -51,43 +51,43 @@
 /// A task that waits for a slot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QueueEntry {
-    /// The attempt. All attempts of one submission belong to one customer.
+    /// The attempt to run the task. All attempts of one submission belong to one customer.
     pub attempt: AttemptId,
-    /// Whose task.
+    /// The customer that submitted the task.
     pub customer: CustomerId,
-    /// The customer's weight. The newest one pushed counts for all that the customer has waiting.
+    /// The customer's weight. The share of the newest entry applies to all waiting tasks of the customer.
     pub share: CustomerShare,
     /// The expected run time.
     pub expected: Duration,
-    /// When the answer is due.
+    /// The time at which the answer is due.
     pub due: Instant,
 }
 
-/// Why an entry was not queued. The entry comes back unchanged.
+/// Why an entry was not queued. Each variant returns the entry unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PushError {
-    /// The queue holds [`QueueSettings::max_entries`].
+    /// The queue already holds [`QueueSettings::max_entries`].
     #[error("the queue is full")]
     Full(QueueEntry),
-    /// The answer is due already.
-    #[error("the answer is due already")]
+    /// The answer was due at or before the time of the push.
+    #[error("the answer is already due")]
     Overdue(QueueEntry),
-    /// The attempt waits here already.
-    #[error("the attempt waits already")]
+    /// The attempt is already queued.
+    #[error("the attempt is already queued")]
     Duplicate(QueueEntry),
-    /// Other tasks of the submission wait for another customer.
-    #[error("the submission is another customer's")]
+    /// Tasks of the same submission are queued for another customer.
+    #[error("the submission belongs to another customer")]
     OtherCustomer(QueueEntry),
 }
 
-/// Start-time fair queue over customers.
+/// A start-time fair queue over customers.
 ///
-/// Load: one customer submits far more than its share while others submit little. Harm: first come, first served
-/// lets the big one hold every slot and the small ones miss their deadlines. Each customer has a virtual time that
-/// goes up by slot time over share with each of its tasks; the customer with the lowest one is served next.
+/// First come, first served would let a customer that submits far more than its share hold every slot, and customers
+/// that submit little would miss their deadlines. Each customer therefore has a virtual time that advances, with each
+/// of its tasks, by slot time divided by share; the customer with the lowest virtual time is served next.
 ///
-/// Within a customer the job whose answer is due first goes first, and its tasks go one after another, since a job
-/// answers with its last task: two jobs served in turns would both answer as late as the later one.
+/// Within a customer, the job with the earliest deadline goes first, and its tasks run one after another. A job answers
+/// with its last task, so two jobs served alternately would both answer as late as the later one.
 ///
 /// Each operation costs O(log n) in waiting tasks and customers for each entry that it touches.
 #[derive(Debug)]
@@ -96,12 +96,13 @@
     entries: BTreeMap<AttemptId, QueueEntry>,
     jobs: FastMap<SubmissionId, QueuedJob>,
     customers: FastMap<CustomerId, QueuedCustomer>,
-    /// Customers with waiting tasks, by whose turn it is.
+    /// Customers with waiting tasks, in the order in which they are served.
     waiting: BTreeMap<CustomerRank, CustomerId>,
     /// Customers without waiting tasks that are still ahead of their share.
     idle: BTreeMap<CustomerRank, CustomerId>,
     due_times: BTreeSet<(Instant, AttemptId)>,
-    /// Entries that came due and were not collected yet. They stay removable, so that none is lost in between.
+    /// Entries that became overdue and were not yet returned by [`Self::take_overdue`]. They can still be removed, so
+    /// none is lost in between.
     overdue: BTreeMap<AttemptId, QueueEntry>,
     virtual_now: VirtualTime,
     next_sequence: u64,
@@ -112,7 +113,7 @@
 impl FairQueue {
     /// An empty queue.
     pub fn new(settings: QueueSettings) -> Self {
-        // Far above zero, so that credit can be given from the start.
+        // Far above zero, so that credit can lower a virtual time from the start.
         let virtual_now = VirtualTime::from(u64::MAX);
         Self {
             settings,
@@ -124,7 +125,7 @@
             due_times: BTreeSet::new(),
             overdue: BTreeMap::new(),
             virtual_now,
-            // The rank of a new customer has turn 0, so no placed customer may have it.
+            // The rank of a new customer has sequence number 0, so no queued customer may have it.
             next_sequence: 1,
             queued_work: Duration::ZERO,
             waiting_share: 0,
@@ -135,8 +136,8 @@
     ///
     /// # Errors
     ///
-    /// Gives the entry back when the queue is full, the answer is due already, the attempt waits already or the
-    /// submission is another customer's.
+    /// Returns the entry if the queue is full, the answer is already due, the attempt is already queued, or the
+    /// submission belongs to another customer.
     pub fn push(&mut self, now: Instant, entry: QueueEntry) -> Result<(), PushError> {
         let is_duplicate =
             self.entries.contains_key(&entry.attempt) || self.overdue.contains_key(&entry.attempt);
@@ -146,7 +147,8 @@
         if entry.due <= now {
             return Err(PushError::Overdue(entry));
         }
-        // A job in the order of two customers would leave one of them an empty place, at which the queue stops.
+        // A job in the order of two customers would leave one of them with a place that has no tasks, and the queue
+        // would stop there.
         let job = self.jobs.get(&entry.attempt.submission);
         if job.is_some_and(|job| job.customer != entry.customer) {
             return Err(PushError::OtherCustomer(entry));
@@ -162,8 +164,8 @@
         Ok(())
     }
 
-    /// Takes the entry whose turn it is and bills its expected run time to the customer. An entry that came due
-    /// while it waited is never given out: a slot spent on it would only delay answers that can still be in time.
+    /// Takes the next entry and charges its expected run time to the customer. An entry that became overdue while it
+    /// waited is never returned here: a slot spent on it would only delay answers that can still be in time.
     pub fn pop(&mut self, now: Instant) -> Option<QueueEntry> {
         self.move_overdue(now);
         let (rank, customer) = self.waiting.first_key_value()?;
@@ -173,22 +175,23 @@
         let (first, last) = attempt_range(submission);
         let attempt = *self.entries.range(first..=last).next()?.0;
         let entry = self.take(&attempt)?;
-        // The expected time may be off by a hundredfold, so one task is billed no more than the debt limit.
+        // The expected run time may be off by a factor of a hundred, so one task is charged no more than the debt
+        // limit.
         let cost = entry.expected.min(self.settings.max_debt);
         self.adjust_virtual_time(&entry.customer, cost, Duration::ZERO);
         self.remove_idle_customers();
         Some(entry)
     }
 
-    /// Withdraws one entry. `None` means that it does not wait here: it was popped, collected or never queued.
+    /// Removes one entry. `None` means that it is not here: it was popped, taken as overdue, or never queued.
     pub fn remove(&mut self, attempt: &AttemptId) -> Option<QueueEntry> {
         let entry = self.take(attempt).or_else(|| self.overdue.remove(attempt));
         self.remove_idle_customers();
         entry
     }
 
-    /// Withdraws what waits of a submission. The cost follows the number withdrawn, not the length of the queue,
-    /// so a wave of cancellations does not hold up the slots.
+    /// Removes the waiting entries of a submission. The cost depends on the number of removed entries, not on the
+    /// length of the queue, so a wave of cancellations does not stall the slots.
     pub fn remove_submission(&mut self, submission: SubmissionId) -> Vec<QueueEntry> {
         let (first, last) = attempt_range(submission);
         let mut attempts = Vec::new();
@@ -205,34 +208,34 @@
         removed
     }
 
-    /// Collects the entries whose answers are due, each once.
+    /// Takes the entries whose answers are due. Each one is returned once.
     pub fn take_overdue(&mut self, now: Instant) -> Vec<QueueEntry> {
         self.move_overdue(now);
         std::mem::take(&mut self.overdue).into_values().collect()
     }
 
-    /// Corrects the bill of a popped task by its measured run time; `ran` is zero for one that did not start.
+    /// Replaces the charge of a popped task by its measured run time; `ran` is zero for a task that did not start.
     pub fn correct_charge(&mut self, customer: &CustomerId, ran: Duration, expected: Duration) {
         let charged = expected.min(self.settings.max_debt);
         self.adjust_virtual_time(customer, ran, charged);
     }
 
-    /// The number of entries that wait.
+    /// The number of waiting entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether no entry waits.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// The number of customers that the queue holds state of.
+    /// The number of customers that the queue holds state for.
     pub fn customers(&self) -> usize {
         self.customers.len()
     }
 
-    /// The time until `slots` slots have run everything that waits, by the expected run times. With no slot it is
+    /// The time until `slots` slots have run all waiting entries, by their expected run times. Without slots it is
     /// [`Duration::MAX`].
     pub fn predicted_drain(&self, slots: u32) -> Duration {
         if slots == 0 {
@@ -241,11 +244,11 @@
         self.queued_work / slots
     }
 
-    /// The time until a task that the customer queues now has its turn: its own waiting work, and what it is ahead
-    /// of its share, at its share of the slots; at most the time to run everything that waits.
+    /// The time until a task that the customer queues now is served: the customer's waiting work, and the work by which
+    /// it is ahead of its share, on its share of the slots; at most the time to run everything that waits.
     ///
-    /// Load: one customer with a long backlog. Harm: by the whole backlog alone, a customer with nothing waiting
-    /// would be told that it is late and refused, though it is next in turn.
+    /// By the whole backlog alone, one customer with a long backlog would cause another one with nothing waiting to be
+    /// refused as late, though that one is served next.
     pub fn predicted_wait(
         &self,
         customer: &CustomerId,
@@ -272,8 +275,8 @@
         self.waiting_share -= queued.waiting_share();
         if queued.tasks == 0 {
             self.idle.remove(&queued.rank);
-            // A customer that was idle starts at the present: slots that it left unused are gone, and credit for
-            // them would let it hold every slot when it comes back.
+            // A customer that was idle starts at the present virtual time. The slots that it left unused are gone, and
+            // credit for them would let it hold every slot when it returns.
             queued.rank = (queued.rank.0.max(self.virtual_now), self.next_sequence);
             self.next_sequence += 1;
             self.waiting.insert(queued.rank, entry.customer.clone());
@@ -295,8 +298,8 @@
             tasks: 0,
         });
         job.tasks += 1;
-        // The tasks of a job arrive a little apart and their due times differ by as much. The earliest counts for
-        // all, so the job keeps one place.
+        // The tasks of a job arrive slightly apart, so their due times differ as much. The earliest one applies to the
+        // whole job, which keeps a single place in the order.
         if entry.due < job.due {
             queued.jobs.remove(&(job.due, submission));
             job.due = entry.due;
@@ -304,7 +307,7 @@
         queued.jobs.insert((job.due, submission));
     }
 
-    /// Takes an entry out of everything but the virtual times.
+    /// Removes an entry from everything but the virtual times.
     fn take(&mut self, attempt: &AttemptId) -> Option<QueueEntry> {
         let entry = self.entries.remove(attempt)?;
         self.due_times.remove(&(entry.due, entry.attempt));
@@ -328,7 +331,8 @@
         Some(entry)
     }
 
-    /// Moves a customer's virtual time up by `charged` and down by `refunded` slot time, within the limits.
+    /// Adds `charged` to a customer's virtual time and subtracts `refunded`, both in slot time, within the debt and
+    /// credit limits.
     fn adjust_virtual_time(
         &mut self,
         customer: &CustomerId,
@@ -355,8 +359,8 @@
         ranks.insert(queued.rank, customer.clone());
     }
 
-    /// Forgets idle customers that are no longer ahead of their share: they would start at the present anyway.
-    /// Without this the table would grow with every customer ever seen. What stays is at most
+    /// Removes idle customers that are no longer ahead of their share: they would start at the present virtual time
+    /// anyway. Otherwise the table would grow with every customer ever seen. The remaining ones are at most
     /// [`QueueSettings::max_debt`] ahead.
     fn remove_idle_customers(&mut self) {
         while let Some(first) = self.idle.first_entry() {
@@ -406,7 +410,7 @@
     }
 }
 
-/// The first and the last attempt that a submission can have.
+/// The first and the last possible attempt of a submission, in the order of attempts.
 fn attempt_range(submission: SubmissionId) -> (AttemptId, AttemptId) {
     let attempt = |n| AttemptId {
         submission,
--- a/crates/decisions/src/retry.rs
+++ b/crates/decisions/src/retry.rs
@@ -1,4 +1,4 @@
-//! The budget of each customer for placing tasks again.
+//! The retry budget of each customer.
 
 use std::time::{Duration, Instant};
 
@@ -9,24 +9,24 @@
 /// The limits of a [`RetryBudget`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetrySettings {
-    /// Retries a second that each customer has whatever it submits.
+    /// The retries per second that every customer gets, however little it submits.
     ///
-    /// Load: a customer with a request now and then. Harm: a percentage of so few placements is no retry at all,
-    /// and one busy endpoint fails the request. Reason: one a second and customer is noise beside the traffic.
+    /// For a customer that only submits a request now and then, a percentage of its placements is no retry at all, and
+    /// one busy endpoint would fail the request. One retry per second and customer is negligible beside the traffic.
     pub floor_per_second: f64,
-    /// The most retries saved up.
+    /// The maximum number of saved retries.
     ///
-    /// Load: hours without trouble, then an endpoint with many tasks dies. Harm: savings without a limit are a
-    /// storm of retries when everything is short. Reason: 40 are the tasks that one customer has running by
-    /// default, so each of them may be placed once more.
+    /// Without a limit, hours without failures followed by the loss of an endpoint with many tasks would release a
+    /// storm of retries just when capacity is short. One customer has 40 tasks running by default, so each of them may
+    /// be placed once more.
     pub max_tokens: f64,
-    /// Retries that a customer starts with; the floor where that is more.
+    /// The retries that a customer starts with, but at least the floor.
     ///
-    /// Load: a process that has just started, and then a dispatcher dies. Harm: a customer with much work elsewhere
-    /// has saved up nothing here, and its tasks are refused while the endpoints change hands. Reason for none by
-    /// default: whoever forgets customers often gives these retries often.
+    /// If a dispatcher dies shortly after this process started, a customer with much work elsewhere has saved no
+    /// retries here, and its tasks are refused while the endpoints change owners. The default is none, because a
+    /// process that evicts customers often would also grant these retries often.
     pub initial_tokens: f64,
-    /// Customers remembered. One that was forgotten starts anew.
+    /// The maximum number of customers in memory. An evicted customer starts anew.
     pub max_customers: usize,
 }
 
@@ -41,11 +41,12 @@
     }
 }
 
-/// Token buckets: first placements fill them by the contract's percentage, each retry takes one token.
+/// A token bucket per customer: first placements add a percentage given by the contract, and each retry takes one
+/// token.
 ///
-/// Load: endpoints that are full or gone answer "not run" to everything. Harm: each such answer causes another
-/// placement, so the fewer slots are left the more messages ask for them, and the overload feeds itself. With the
-/// budget, placements are at most the first ones plus the contract's percentage and a small floor.
+/// Endpoints that are full or gone answer "not run" to every task. Each such answer causes another placement, so the
+/// fewer slots are left, the more messages ask for them, and the overload feeds itself. The budget limits placements to
+/// the first ones plus the percentage in the contract and a small floor.
 #[derive(Debug)]
 pub struct RetryBudget {
     settings: RetrySettings,
@@ -53,7 +54,7 @@
 }
 
 impl RetryBudget {
-    /// A budget in which no customer has saved anything.
+    /// Creates a budget in which no customer has saved any retries.
     pub fn new(settings: RetrySettings) -> Self {
         Self {
             customers: LruMap::new(settings.max_customers),
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Notes `placements` first placements under a contract that allows `retry_percent`.
+    /// Records `placements` first placements under a contract that allows `retry_percent` retries per hundred of them.
     pub fn on_placed(
         &mut self,
         now: Instant,
@@ -75,8 +76,7 @@
         bucket.tokens = (bucket.tokens + earned).min(max_tokens);
     }
 
-    /// Takes one retry out of the budget. `false` means that the budget is spent and the task must not be placed
-    /// again.
+    /// Takes one retry from the budget. `false` means that the budget is spent and the task must not be placed again.
     pub fn try_retry(&mut self, now: Instant, customer: &CustomerId) -> bool {
         let bucket = self.refilled_bucket(now, customer);
         if bucket.tokens < 1.0 {
@@ -86,14 +86,14 @@
         true
     }
 
-    /// The number of customers remembered.
+    /// The number of customers in memory.
     pub fn customers(&self) -> usize {
         self.customers.len()
     }
 
     fn refilled_bucket(&mut self, now: Instant, customer: &CustomerId) -> &mut TokenBucket {
         let per_second = self.settings.floor_per_second;
-        // A retry takes a whole token, so a smaller rate saves up for longer than a second.
+        // A retry takes a whole token, so a rate below one per second has to accumulate for more than a second.
         let floor = per_second.max(1.0);
         let initial = self.settings.initial_tokens.max(floor);
         let bucket = self.customers.touch_or_insert(customer, || TokenBucket {
@@ -102,7 +102,7 @@
         });
         let elapsed: Duration = now.saturating_duration_since(bucket.refilled_at);
         bucket.refilled_at = bucket.refilled_at.max(now);
-        // Time alone saves up no more than the floor, or an idle customer would come back with the whole bucket.
+        // Time alone refills no more than the floor; otherwise an idle customer would return with a full bucket.
         let refill = elapsed.as_secs_f64() * per_second;
         if bucket.tokens < floor {
             bucket.tokens = (bucket.tokens + refill).min(floor);
--- a/crates/decisions/src/run_time.rs
+++ b/crates/decisions/src/run_time.rs
@@ -1,4 +1,4 @@
-//! Run times by customer and kind, learned from what ran.
+//! Run times of tasks by customer and task kind, learned from completed tasks.
 
 use std::{
     fmt,
@@ -11,8 +11,8 @@
 
 use crate::lru_map::LruMap;
 
-/// Buckets double every second one, so a quantile is at most 42% too long. From 1 ms they reach past 600 s, the
-/// longest time within which a contract may promise an answer.
+/// Bucket bounds double every second bucket, so a quantile is at most 42% too long. From 1 ms the buckets reach beyond
+/// 600 s, the longest answer time that a contract may promise.
 const BUCKET_COUNT: usize = 40;
 const BUCKETS_PER_DOUBLING: f64 = 2.0;
 const FIRST_BUCKET_START: Duration = Duration::from_millis(1);
@@ -20,29 +20,31 @@
 /// The limits of a [`RunTimeTable`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunTimeSettings {
-    /// Customers remembered. Reason: three times the contracts of the target, so none is forgotten in use.
+    /// The maximum number of customers in memory: three times the contracts of the target, so that none in use is
+    /// evicted.
     pub max_customers: usize,
-    /// Kinds remembered of one customer.
+    /// The maximum number of task kinds in memory per customer.
     ///
-    /// Load: a customer that puts a new name on each task. Harm: it would push out what is known of everyone.
-    /// Reason: at about 250 bytes a kind the table stays near 64 MB even if all customers did so.
+    /// A customer that gives each task a new kind would otherwise evict what is known of everyone. At about 250 bytes
+    /// per kind, the table stays near 64 MB even if all customers do so.
     pub max_kinds: usize,
-    /// Measured run times after which the declared one no longer counts.
+    /// The number of measured run times from which the declared one is ignored.
     ///
-    /// Load: run times declared a hundred times too long or too short. Harm: queueing and refusing by them is wrong
-    /// for as long as they are believed. Reason: three measured times cannot all be flukes of 3% long tasks.
+    /// Declared run times may be a hundred times too long or too short, and queueing and refusals that rely on them are
+    /// wrong for as long as they are used. With 3% long tasks, three measurements are not all outliers.
     pub min_samples: u32,
-    /// Measured run times after which the older ones count half.
+    /// The number of measured run times after which the weight of the older ones is halved.
     ///
-    /// Load: a kind whose run time changes during the day. Harm: a whole morning's history would hide it. Reason:
-    /// 128 to 256 samples still tell a 95% quantile from six tasks above it, and a busy kind renews them in seconds.
+    /// If the run time of a kind changes during the day, the full history of a morning would hide it. 128 to 256
+    /// samples still distinguish a 95% quantile by the six tasks above it, and a busy kind replaces them within
+    /// seconds.
     pub window: u32,
-    /// The age from which measured run times are no longer proof that a task cannot run in time.
+    /// The age from which measured run times no longer prove that a task cannot run in time.
     ///
-    /// Load: a kind that was slow for a while, with all its submissions refused since. Harm: nothing runs, so
-    /// nothing new is measured, and the refusals never end. Reason: one late job a minute is the price of trying.
+    /// If a kind was slow for a while and all its submissions are refused since, nothing runs, so nothing new is
+    /// measured and the refusals would never end. The price of trying is one late job a minute.
     pub stale_after: Duration,
-    /// What is expected of a kind without measured or declared run time: a usual task.
+    /// The expected run time of a kind that was neither measured nor declared: that of a usual task.
     pub assumed: Duration,
 }
 
@@ -59,29 +61,29 @@
     }
 }
 
-/// Where an expected run time comes from.
+/// The source of an expected run time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum EstimateSource {
-    /// Nothing is known; it is the usual task.
+    /// Nothing is known; the run time of a usual task is assumed.
     Assumed,
-    /// The caller's word, which may be off by a hundredfold.
+    /// Declared by the caller, and possibly off by a factor of a hundred.
     Declared,
-    /// Measured, but not lately.
+    /// Measured, but not recently.
     Stale,
-    /// Measured lately.
+    /// Measured recently.
     Measured,
 }
 
 /// An expected run time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunTimeEstimate {
-    /// How long the task is expected to hold its slot.
+    /// How long the task is expected to occupy its slot.
     pub run_time: Duration,
-    /// What it rests on.
+    /// What the expectation is based on.
     pub source: EstimateSource,
 }
 
-/// The share of tasks that fail, from 0 to 1.
+/// The rate of failed tasks, from 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
 pub struct FailureRate(pub f32);
 
@@ -99,7 +101,7 @@
     }
 }
 
-/// What the tasks of each customer and kind did lately, over all endpoints.
+/// The recent run times and failures of each customer and task kind, over all endpoints.
 #[derive(Debug)]
 pub struct RunTimeTable {
     settings: RunTimeSettings,
@@ -107,7 +109,7 @@
 }
 
 impl RunTimeTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(settings: RunTimeSettings) -> Self {
         Self {
             customers: LruMap::new(settings.max_customers),
@@ -115,8 +117,8 @@
         }
     }
 
-    /// Notes a task that ran for `ran` and gave its answer. A task that was given up at its deadline is noted too,
-    /// with the time until then: leaving it out would make a kind look fast because its slow tasks never end.
+    /// Records a task that ran for `ran` and returned an answer. Tasks that were abandoned at their deadline are
+    /// recorded too, with the time until then: without them a kind would look fast because its slow tasks never end.
     pub fn record(&mut self, now: Instant, customer: &CustomerId, kind: &TaskKind, ran: Duration) {
         let window = self.settings.window;
         let history = self.history_mut(now, customer, kind);
@@ -125,16 +127,16 @@
         history.failures.add(false, window);
     }
 
-    /// Notes a task that failed or whose answer did not come. Its run time is not noted: a task that fails at once says nothing of how long
-    /// those take that succeed.
+    /// Records a task that failed or whose answer is missing, without its run time: a task that fails at once says
+    /// nothing about the run time of successful ones.
     pub fn record_failure(&mut self, now: Instant, customer: &CustomerId, kind: &TaskKind) {
         let window = self.settings.window;
         let history = self.history_mut(now, customer, kind);
         history.failures.add(true, window);
     }
 
-    /// The mean run time to expect: measured after a few samples, before that declared. The mean, because the time
-    /// to drain a queue is a sum.
+    /// The expected run time: the measured mean if there are enough samples, otherwise the declared time. The mean is
+    /// used because the time to drain a queue is a sum of run times.
     pub fn expected_run_time(
         &self,
         now: Instant,
@@ -145,7 +147,7 @@
         self.estimate(now, customer, kind, declared, RunTimeHistogram::mean)
     }
 
-    /// A quantile of the run time, `fraction` from 0 to 1, otherwise like [`Self::expected_run_time`].
+    /// Like [`Self::expected_run_time`], but with a quantile of the measured run times; `fraction` ranges from 0 to 1.
     pub fn quantile(
         &self,
         now: Instant,
@@ -157,15 +159,15 @@
         self.estimate(now, customer, kind, declared, |h| h.quantile(fraction))
     }
 
-    /// The share of tasks of this customer and kind that failed lately. It tells a customer whose tasks fail
-    /// everywhere from an endpoint that fails everyone's.
+    /// The recent failure rate of tasks of this customer and kind. It distinguishes a customer whose tasks fail
+    /// everywhere from an endpoint that fails the tasks of all customers.
     pub fn failure_rate(&self, customer: &CustomerId, kind: &TaskKind) -> FailureRate {
         self.history(customer, kind)
             .map(|history| history.failures.failure_rate())
             .unwrap_or_default()
     }
 
-    /// The number of customers remembered.
+    /// The number of customers in memory.
     pub fn customers(&self) -> usize {
         self.customers.len()
     }
@@ -235,7 +237,7 @@
     }
 }
 
-/// A histogram with buckets of equal width in the logarithm.
+/// A histogram with buckets of equal width on a logarithmic scale.
 #[derive(Debug)]
 struct RunTimeHistogram {
     counts: [u16; BUCKET_COUNT],
@@ -281,7 +283,7 @@
         bucket_upper_bound(BUCKET_COUNT - 1)
     }
 
-    /// Halves all counts. Rounding down lets single outliers go.
+    /// Halves all counts, rounding down, which removes single outliers.
     fn halve(&mut self) {
         let mean = self.mean();
         self.total = 0;
@@ -293,7 +295,7 @@
     }
 }
 
-/// Counts of ends, halved like the run times.
+/// Counts of failed and of all tasks, halved like those of the run times.
 #[derive(Debug, Default)]
 struct FailureCounter {
     failed: u32,
@@ -301,8 +303,8 @@
 }
 
 impl FailureCounter {
-    /// Ends without failure that every kind starts with, so that the first failed task of a kind does not count as
-    /// proof that the kind always fails.
+    /// The number of successful tasks that every kind starts with, so that a first failed task does not count as proof
+    /// that the kind always fails.
     const PRIOR_SUCCESSES: f32 = 2.0;
 
     fn add(&mut self, failed: bool, window: u32) {
@@ -327,7 +329,7 @@
     n.min(BUCKET_COUNT - 1)
 }
 
-/// The longest run time of a bucket: an estimate that is too short admits work that then comes late.
+/// The longest run time of a bucket. A quantile that is too short would admit work that then comes late.
 fn bucket_upper_bound(n: usize) -> Duration {
     FIRST_BUCKET_START.mul_f64(((n + 1) as f64 / BUCKETS_PER_DOUBLING).exp2())
 }
--- a/crates/decisions/src/smoothed_saturation.rs
+++ b/crates/decisions/src/smoothed_saturation.rs
@@ -1,18 +1,17 @@
-//! How full the slots were over the last seconds.
+//! The saturation of the slots, averaged over the last seconds.
 
 use std::time::{Duration, Instant};
 
 use crate::admission::Saturation;
 
-/// The time over which the mean is taken.
+/// The time constant of the moving average, half a usual deadline.
 ///
-/// Load: a burst of jobs onto a few free slots, or slots that are busy for a moment while their owner changes. Harm: by
-/// the saturation of the moment the rest is refused as overload, though all of it would be done within a second or two.
-/// Reason: half a usual deadline. A backlog that is gone by then makes nobody late, and what would be late before is
-/// refused by its predicted wait.
+/// A burst of jobs onto a few free slots, or slots that are busy briefly while their owner changes, would be refused as
+/// overload by the saturation of that moment, though all of it would be done within a second or two. A backlog that is
+/// gone within this time makes no answer late, and work that would be late sooner is refused by its predicted wait.
 const TIME_CONSTANT: Duration = Duration::from_secs(5);
 
-/// The mean saturation of the last seconds, by which lasting overload is told from a burst.
+/// The exponentially weighted moving average of the saturation. It tells a lasting overload from a burst.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SmoothedSaturation {
     mean: f64,
@@ -20,9 +19,9 @@
 }
 
 impl SmoothedSaturation {
-    /// Notes how full the slots are now. To be called several times in a second.
+    /// Records the present saturation. Call it several times a second.
     pub fn record(&mut self, now: Instant, saturation: Saturation) {
-        // Without slots there is no saturation, and another refusal speaks for it.
+        // Without slots the saturation is infinite, and submissions are refused for the missing capacity instead.
         if saturation.0.is_infinite() {
             return;
         }
@@ -34,7 +33,7 @@
         self.mean += weight * (saturation.0 - self.mean);
     }
 
-    /// The mean.
+    /// The average so far; 0 before the first sample takes effect.
     pub fn mean(&self) -> Saturation {
         Saturation(self.mean)
     }
--- a/crates/decisions/src/weight_tree.rs
+++ b/crates/decisions/src/weight_tree.rs
@@ -1,16 +1,16 @@
-//! A Fenwick tree of weights: draws an index with a chance in proportion to its weight in O(log n).
+//! A Fenwick tree of weights that draws a random index, with a probability proportional to its weight, in O(log n).
 
-/// Weights by index, with their total.
+/// Weights by index, and their total.
 #[derive(Debug, Default)]
 pub(crate) struct WeightTree {
     weights: Vec<u64>,
-    /// Sums over ranges, from index 1.
+    /// Partial sums of the Fenwick tree, indexed from 1.
     sums: Vec<u64>,
     total: u64,
 }
 
 impl WeightTree {
-    /// A tree of `len` zero weights.
+    /// Creates a tree of `len` zero weights.
     pub(crate) fn new(len: usize) -> Self {
         Self {
             weights: vec![0; len],
@@ -24,7 +24,7 @@
         self.total
     }
 
-    /// Sets one weight.
+    /// Sets the weight at `index`.
     pub(crate) fn set(&mut self, index: usize, weight: u64) {
         let old = std::mem::replace(&mut self.weights[index], weight);
         self.total = self.total - old + weight;
@@ -35,7 +35,7 @@
         }
     }
 
-    /// An index by its weight; `None` when all weights are zero.
+    /// Draws an index with a probability proportional to its weight; `None` if all weights are zero.
     pub(crate) fn draw(&self, rng: &mut fastrand::Rng) -> Option<usize> {
         if self.total == 0 {
             return None;
