--- a/crates/decisions/benches/decisions.rs
+++ b/crates/decisions/benches/decisions.rs
@@ -1,4 +1,4 @@
-//! The cost of each decision by the number of waiting jobs, customers, dispatchers.
+//! The cost of each decision by the number of waiting jobs, customers and dispatchers.
 
 use std::{
     hint::black_box,
@@ -63,8 +63,8 @@
     queue
 }
 
-/// Queue operations that leave the length as it was: a turn pops a task, bills it and pushes it again; a
-/// cancellation removes a whole job and pushes it again.
+/// Queue operations that keep the length: a turn pops a task, corrects its charge and pushes it again; a cancellation
+/// removes a whole job and pushes it again.
 fn queue(c: &mut Criterion) {
     let now = Instant::now();
     let mut group = c.benchmark_group("queue");
--- a/crates/decisions/src/run_time.rs
+++ b/crates/decisions/src/run_time.rs
@@ -36,8 +36,7 @@
     /// The number of measured run times after which the weight of the older ones is halved.
     ///
     /// If the run time of a kind changes during the day, the full history of a morning would hide it. 128 to 256
-    /// samples still distinguish a 95% quantile by the six tasks above it, and a busy kind replaces them within
-    /// seconds.
+    /// samples still determine a 95% quantile, with six tasks above it, and a busy kind replaces them within seconds.
     pub window: u32,
     /// The age from which measured run times no longer prove that a task cannot run in time.
     ///
@@ -83,7 +82,7 @@
     pub source: EstimateSource,
 }
 
-/// The rate of failed tasks, from 0 to 1.
+/// The fraction of tasks that fail, from 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
 pub struct FailureRate(pub f32);
 
--- a/crates/decisions/tests/admission.rs
+++ b/crates/decisions/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: a table of submissions, the picture at their arrival and the verdict.
+//! Admission decisions for a table of submissions and loads.
 
 use std::time::{Duration, Instant};
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// A job of 40 tasks of 250 ms each, which can be answered in 250 ms by 40 slots.
+/// A job of 40 tasks of 250 ms each, which 40 slots can answer in 250 ms.
 fn job(contract: &Contract) -> AdmissionQuery<'_> {
     AdmissionQuery {
         contract,
@@ -51,8 +51,8 @@
     }
 }
 
-/// Compares the verdict: `None` for admission, otherwise the reason and the earliest time to come back in, in
-/// milliseconds, of which up to half is added at random.
+/// Checks the decision: `None` expects admission, otherwise the reason and the shortest retry-after time in
+/// milliseconds, to which up to half is added at random.
 fn check(query: AdmissionQuery<'_>, expect: Option<(RefusalReason, Option<u32>)>) {
     let policy = AdmissionPolicy::default();
     for seed in 0..20 {
@@ -135,7 +135,7 @@
     };
     check(longest(2000, Measured), None);
     check(longest(2001, Measured), Some((CanNeverRun, None)));
-    // Declared times may be off by a hundredfold, old ones may have changed.
+    // Declared run times may be off by a factor of a hundred, and stale ones may have changed.
     check(longest(200_000, Declared), None);
     check(longest(200_000, Stale), None);
     check(longest(200_001, Declared), Some((CanNeverRun, None)));
@@ -188,7 +188,8 @@
 fn overload_refuses_only_what_the_contract_allows() {
     use RefusableWork::{Everything, Jobs, Nothing};
     use WorkClass::{Job, Request};
-    // What may be refused, job or request, tasks running of 40 granted, from which saturation it is refused.
+    // The work that may be refused, the class, the open tasks of 40 granted, and the saturation from which it is
+    // refused.
     let cases = [
         (Nothing, Job, 40, None),
         (Nothing, Request, 40, None),
@@ -248,7 +249,7 @@
     };
     check(tail_run_time(1750, 200), None);
     check(tail_run_time(1750, 201), Some((PredictedLate, Some(200))));
-    // One that does not fit at all does not close the kind.
+    // A tail run time that exceeds the whole deadline does not lead to the refusal of every submission of the kind.
     check(tail_run_time(2000, 1400), None);
 }
 
@@ -282,7 +283,7 @@
     }
 }
 
-/// The rate after a minute in which this many slots' worth started, with or without backlog.
+/// The drain rate after a minute in which work for this many slots started, with or without a backlog.
 fn drain_rate_after(slots: u32, backlog: bool) -> DrainRate {
     let start = Instant::now();
     let mut drain = DrainRate::default();
--- a/crates/decisions/tests/health.rs
+++ b/crates/decisions/tests/health.rs
@@ -1,4 +1,4 @@
-//! The health of an endpoint: what its tasks show and how many it then gets.
+//! Endpoint health: how the outcomes of tasks change the capacity of an endpoint.
 
 use std::time::{Duration, Instant};
 
@@ -15,9 +15,10 @@
     }
 }
 
-/// Runs a script. `t500` sets the time in milliseconds, `start 8` starts eight tasks, `ok 8` ends eight well; the
-/// other ends are named like their kind. `slow4 5` ends five that ran four times longer than elsewhere, `common95 5`
-/// fails five of a kind of which 95% fail everywhere, `lost95 5` leaves five of it without answer. `= 8` is the capacity expected of eight slots.
+/// Runs a script. `t500` sets the time in milliseconds, `start 8` starts eight tasks, and `ok 8` ends eight
+/// successfully; the other ends are named like their kind. `slow4 5` ends five tasks that ran four times longer than
+/// elsewhere, `common95 5` fails five tasks of a kind of which 95% fail everywhere, and `lost95 5` leaves five of that
+/// kind without an answer. `= 8` is the expected capacity of eight slots.
 fn check(script: &str) {
     let start = Instant::now();
     let mut now = start;
@@ -97,7 +98,8 @@
 #[test]
 fn a_busy_answer_lowers_the_limit_to_the_running_tasks() {
     check("start 6 busy 1 = 5 t99 ok 1 = 5 t100 ok 1 = 6");
-    // With nothing of ours there the pause doubles each time, and an answer makes it short again.
+    // While none of this dispatcher's tasks run there, the backoff doubles with each busy answer, and an answer resets
+    // it.
     check("start 1 busy 1 = 0 t20 = 1 start 1 busy 1 t59 = 0 t60 = 1 start 1 ok 1 start 1 busy 1 t79 = 0 t80 = 1");
 }
 
@@ -107,9 +109,9 @@
     check("start 20 slow4 8 = 2 ok 10 = 8");
     check("start 8 slow10 5 = 0 t1000 start 1 slow10 1 = 0 t2999 = 0 t3000 = 1 start 1 ok 1 = 1 t3100 start 1 ok 1 = 2",
     );
-    // A short task there takes as long as a usual one elsewhere and lets nothing through.
+    // A short task on such a slow endpoint takes as long as a usual one elsewhere, so it must not end the quarantine.
     check("start 8 slow10 5 t1000 start 1 slow3 1 = 0 t2999 = 0");
-    // A long task among short ones is no slow endpoint.
+    // One long task among short ones does not make an endpoint slow.
     check("start 20 ok 8 slow25 1 = 8 ok 10 slow25 1 = 8");
 }
 
--- a/crates/decisions/tests/outcomes/main.rs
+++ b/crates/decisions/tests/outcomes/main.rs
@@ -1,6 +1,6 @@
-//! What callers see of the decisions together, in a slot model without sockets: 17 endpoints of 8 slots, three
-//! dispatchers and three entries. Where nothing else is said jobs have 1 to 20 tasks of 50 to 350 ms, so that the
-//! slots can do 64 jobs a second.
+//! What callers see of all scheduling policies together, in a slot model without sockets: 17 endpoints of 8 slots,
+//! three dispatchers and three entries. Unless stated otherwise, jobs have 1 to 20 tasks of 50 to 350 ms, so that the
+//! slots can run 64 jobs a second.
 
 mod model;
 
@@ -9,9 +9,9 @@
 
 use crate::model::{Cluster, Outcome, SlotModel, Workload};
 
-/// What the callers of one customer must see: at least this percentage answered in time, at most this percentage
-/// failed, at most this 99% quantile of response over the longest task. Late answers are at most one in a hundred
-/// always: what cannot be in time is to be refused at once.
+/// The limits on one customer's outcome: the lowest percentage of jobs answered in time, the highest percentage failed,
+/// and the highest 99% quantile of response time over the longest task. At most one percent of the jobs may be late in
+/// every test, because work that cannot be in time has to be refused at once.
 struct Expectation(&'static str, f64, f64, f64);
 
 fn check(title: &str, cluster: Cluster, loads: Vec<Workload>, expect: &[Expectation]) {
@@ -67,9 +67,9 @@
 
 const UNBOUNDED: f64 = f64::INFINITY;
 
-// Ten times the usual submissions of all come from one customer within two seconds, half more than its share can do
-// before they are due. The steady customer goes on within its share and notices little; of the burst as much as
-// fits is answered in time and the rest is told at once.
+// For two seconds one customer submits at ten times the usual rate of all customers, half more than its share can
+// finish before the deadlines. The steady customer stays within its share and is hardly affected; of the burst, as much
+// as fits is answered in time and the rest is refused at once.
 #[test]
 fn a_burst_of_one_customer_leaves_the_others_in_time() {
     let burst = Workload {
@@ -89,8 +89,8 @@
     );
 }
 
-// One customer asks for more than twice what all slots can do, the others for a part of their shares. They are all
-// in time with answers as if the big one were not there; it gets what they leave.
+// One customer asks for more than twice the capacity of all slots, the others for a part of their shares. The others
+// are in time as if the big one did not exist; it gets the slots that they leave free.
 #[test]
 fn skewed_demand_starves_no_customer() {
     for may_refuse in [RefusableWork::Nothing, RefusableWork::Jobs] {
@@ -101,7 +101,7 @@
         let mut expect: Vec<_> = ["a", "b", "c", "d", "e"]
             .map(|name| Expectation(name, 100.0, 0.0, 2.0))
             .into();
-        // What it asks is let wait up to its deadline only if the contract says that it must not be refused.
+        // Its work waits up to the deadline only if the contract forbids refusing it.
         let ratio = if may_refuse == RefusableWork::Jobs {
             6.0
         } else {
@@ -117,8 +117,8 @@
     }
 }
 
-// One endpoint takes ten times as long as the others. Its first tasks cannot be had back, since nothing that may have
-// started is started again; after them it gets only probes.
+// One endpoint takes ten times as long as the others. Its first tasks are not restarted elsewhere, since a task that
+// may have started is never started again; after them it only gets probes.
 #[test]
 fn one_slow_endpoint_makes_few_jobs_late() {
     let mut cluster = Cluster::default();
@@ -135,8 +135,8 @@
     );
 }
 
-// One endpoint fails each task at once and so always has free slots. It fails a few jobs until it is known and one
-// with each probe.
+// One endpoint fails each task at once and so always has free slots. It fails a few jobs until it is quarantined, and
+// then one with each probe.
 #[test]
 fn an_endpoint_that_fails_everything_fails_few_jobs() {
     let mut cluster = Cluster::default();
@@ -149,8 +149,8 @@
     );
 }
 
-// Tasks of seconds hold most slots while short ones come. The short ones wait for a slot to get free, not for the
-// long queue.
+// Tasks of several seconds hold most slots when short ones arrive. The short ones have to wait for a free slot, but not
+// for the long queue.
 #[test]
 fn long_tasks_do_not_starve_short_ones() {
     let long = Workload {
@@ -182,8 +182,8 @@
     );
 }
 
-// All customers ask for twice what the slots can do and none may be refused for the others' sake. Half of the work
-// is all that can be in time, with what still waits at the end; it is in time, and the rest is told at once.
+// All customers together ask for twice the capacity of the slots, and no contract allows refusals under overload. Half
+// of the work, plus what still waits at the end, can be in time; it is in time, and the rest is refused at once.
 #[test]
 fn overloaded_slots_run_work_that_is_in_time() {
     let expect: Vec<_> = ["a", "b", "c", "d", "e"]
@@ -192,7 +192,7 @@
     check("full", Cluster::default(), five_customers(26.0), &expect);
 }
 
-// One customer submits more than ten times what its own limit lets through while slots are free.
+// One customer submits more than ten times what its concurrency limit lets through while slots are free.
 #[test]
 fn a_customer_over_its_limit_delays_only_itself() {
     let big = Workload {
@@ -211,8 +211,8 @@
     );
 }
 
-// One customer declares a hundred times too long, the other a hundred times too short. The answers are as with true
-// declarations, since measured times count after the first few.
+// One customer declares run times a hundred times too long, the other a hundred times too short. The outcomes are the
+// same as with true declarations, since measured run times replace them after the first few tasks.
 #[test]
 fn wrong_declared_run_times_change_no_outcome() {
     for off in [1.0, 100.0] {
@@ -232,8 +232,8 @@
     }
 }
 
-// Jobs of up to 40 tasks, three in a hundred of them long. The rules to compare with leave tasks waiting at one
-// dispatcher while another has a free slot.
+// Jobs of up to 40 tasks, three percent of them long. The baseline rules leave tasks waiting at one dispatcher while
+// another one has a free slot.
 #[test]
 fn the_free_slots_rule_beats_the_baselines() {
     use PlacementRule::{FreeSlots, RandomOwner, TwoChoices};
--- a/crates/decisions/tests/outcomes/model.rs
+++ b/crates/decisions/tests/outcomes/model.rs
@@ -1,5 +1,5 @@
-//! A slot model: entries, dispatchers and endpoints in virtual time, with the decisions of the crate between them.
-//! Messages take half a millisecond and none is lost.
+//! A discrete-event model of entries, dispatchers and endpoints in virtual time, which uses the policies of this crate.
+//! Messages take half a millisecond, and none is lost.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -20,25 +20,26 @@
 const MESSAGE_DELAY: Duration = Duration::from_micros(500);
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 const SLOTS_PER_ENDPOINT: u32 = 8;
-/// How long a customer without work counts as one that competes for slots.
+/// How long a customer without work still counts as competing for slots.
 const ACTIVE_FOR: Duration = Duration::from_secs(2);
 
-/// What one customer submits.
+/// The workload of one customer.
 #[derive(Clone)]
 pub(crate) struct Workload {
     pub(crate) name: &'static str,
     pub(crate) may_refuse: RefusableWork,
     pub(crate) concurrency: u32,
     pub(crate) deadline_ms: u64,
-    /// Seconds from and until which it submits, and jobs a second.
+    /// The time in seconds from which and until which it submits, and the number of jobs per second.
     pub(crate) from: f64,
     pub(crate) until: f64,
     pub(crate) rate: f64,
     pub(crate) most_tasks: u32,
-    /// Shortest and longest usual run time, percentage of long tasks and their run time, in milliseconds.
+    /// The shortest and the longest usual run time in milliseconds, and the percentage of long tasks with their run
+    /// time in milliseconds.
     pub(crate) run_ms: (u64, u64),
     pub(crate) long: (u32, u64),
-    /// Declared over true run time.
+    /// The ratio of declared to true run time.
     pub(crate) declared: f64,
 }
 
@@ -60,7 +61,7 @@
     }
 }
 
-/// The endpoints: how many times slower than usual each is, and whether it fails everything.
+/// The processes of the model. An endpoint has a slowdown factor and a flag for failing every task.
 #[derive(Clone)]
 pub(crate) struct Cluster {
     pub(crate) dispatchers: usize,
@@ -80,7 +81,7 @@
     }
 }
 
-/// What became of the jobs of one load.
+/// The numbers of jobs of one workload by their outcome.
 #[derive(Debug, Default)]
 pub(crate) struct Outcome {
     pub(crate) submitted: u32,
@@ -88,7 +89,7 @@
     pub(crate) refused: u32,
     pub(crate) failed: u32,
     pub(crate) late: u32,
-    /// Response time over the longest task, of the jobs that were answered.
+    /// The response time over the run time of the longest task, for each answered job.
     pub(crate) ratios: Vec<f64>,
 }
 
@@ -136,9 +137,8 @@
 struct Entry {
     table: PlacementTable,
     unanswered: Vec<u32>,
-    /// Per load: tasks that wait for the customer's own limit, tasks on their way, accepted work that has not
-    /// ended and the part of it that has not started, how fast it starts, when a
-    /// task of it last moved.
+    /// By workload: tasks held back by the customer's concurrency limit, tasks in flight, accepted work that has not
+    /// ended, the part of it that has not started, its drain rate, and the time of the last stage change of a task.
     queued_at_entry: Vec<VecDeque<AttemptId>>,
     in_flight: Vec<u32>,
     open_work: Vec<Duration>,
@@ -171,7 +171,7 @@
 }
 
 impl SlotModel {
-    /// Runs the loads on the plant and tells the outcome of each.
+    /// Runs the workloads on the cluster and returns the outcome of each.
     pub(crate) fn run(
         cluster: Cluster,
         loads: Vec<Workload>,
@@ -304,7 +304,7 @@
         }
     }
 
-    /// Hints to all entries, overdue work out, starts that waited for a pause to end.
+    /// Sends hints to all entries, drops overdue work, and starts tasks that waited for a backoff or quarantine to end.
     fn tick(&mut self, now: Instant) {
         for d in 0..self.dispatchers.len() {
             for entry in self.dispatchers[d].queue.take_overdue(now) {
@@ -395,12 +395,12 @@
             predicted_wait: estimator.predicted_wait(),
             saturation: entry.table.saturation(now),
         };
-        // Before the first hint nothing is known of the slots.
+        // Before the first hint the number of slots is unknown, so everything is admitted.
         let decision = AdmissionPolicy::default().decide(&query, &mut self.rng);
         entry.table.slots(now) == 0 || decision == AdmissionDecision::Admit
     }
 
-    /// Places what the customer's limit lets through.
+    /// Places the tasks that the customer's concurrency limit lets through.
     fn place(&mut self, now: Instant, e: usize, l: usize) {
         let granted = (self.loads[l].concurrency / self.entries.len() as u32).max(1);
         let query = PlacementQuery {
@@ -569,7 +569,7 @@
         }
     }
 
-    /// Ends a job once.
+    /// Ends a job and counts its outcome, unless it has already ended.
     fn end_job(
         &mut self,
         now: Instant,
--- a/crates/decisions/tests/placement.rs
+++ b/crates/decisions/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: where each of a run of tasks goes.
+//! Placement: which dispatchers a sequence of tasks goes to.
 
 use std::{
     collections::BTreeMap,
@@ -10,16 +10,17 @@
 };
 use model::DataCentreId;
 
-/// One step. Dispatchers 1 to 9 are local, 11 to 19 are in `b` and 21 to 29 in `c`, each 2 ms away and back.
+/// One step of a test. Dispatchers 1 to 9 are local, 11 to 19 are in `b`, and 21 to 29 are in `c`; the round trip to
+/// `b` and to `c` takes 2 ms.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// Of a dispatcher: limit, running, queued, offers not answered.
+    /// A hint of a dispatcher: its key, limit, running tasks, queued tasks and unanswered offers.
     Hint(u64, u32, u32, u32, u32),
     Cut(&'static str, bool),
     Gone(u64),
-    /// Milliseconds since the start.
+    /// Sets the time, in milliseconds since the start.
     At(u64),
-    /// Choices of tasks with this mean run time in milliseconds, and how many go to which dispatcher.
+    /// The number of choices, the mean run time in milliseconds, and how many tasks go to which dispatcher.
     Choose(u32, u64, &'static [(u64, u32)]),
 }
 
@@ -43,7 +44,7 @@
     table.choose(now, PlacementQuery { mean_run_time })
 }
 
-/// Runs the steps with several seeds; key 0 stands for no choice.
+/// Runs the steps with several seeds. In the expected choices, key 0 means that no dispatcher was chosen.
 fn check(steps: &[Step]) {
     for seed in 0..20 {
         let start = Instant::now();
@@ -93,7 +94,7 @@
         Hint(1, 8, 0, 0, 0),
         Choose(8, 200, &[(1, 8)]),
         Hint(2, 8, 7, 0, 0),
-        // The hint was given before five of the eight had come there.
+        // The hint was sent before five of the eight tasks arrived there.
         Hint(1, 8, 3, 0, 5),
         Choose(1, 200, &[(2, 1)]),
         Hint(1, 8, 7, 0, 0),
@@ -101,7 +102,7 @@
     ]);
 }
 
-/// Sends 100 tasks to five dispatchers with this much running of `limit`; none may get more than `most`.
+/// Sends 100 tasks to five dispatchers that each have `running` of `limit` slots in use; none may get more than `most`.
 fn check_even(draws: u32, limit: u32, running: u32, most: u32) {
     let settings = PlacementSettings {
         draws,
@@ -173,7 +174,7 @@
         Hint(21, 8, 4, 0, 0),
     ];
     let with = |steps: &[Step]| check(&[&full, steps].concat());
-    // One of eight slots, a fifth rounded down, stays free. Seven are spare in `b` and three in `c`.
+    // One of eight slots, a fifth rounded down, stays free. `b` has seven spare slots and `c` has three.
     with(&[
         Choose(4, 200, &[(11, 4)]),
         Choose(6, 200, &[(11, 3), (21, 3)]),
@@ -183,7 +184,7 @@
         Choose(5, 200, &[(1, 5)]),
     ]);
     with(&[Choose(1, 200, &[(11, 1)])]);
-    // Waiting for one of eight slots of 32 ms takes 4 ms, which two round trips take too.
+    // Waiting for one of eight slots with tasks of 32 ms takes 4 ms, as long as two round trips.
     with(&[Choose(1, 32, &[(1, 1)]), Choose(1, 32, &[(11, 1)])]);
     with(&[Cut("b", true), Choose(1, 200, &[(21, 1)])]);
     with(&[Cut("b", true), Cut("c", true), Choose(9, 200, &[(1, 9)])]);
@@ -260,7 +261,7 @@
             "{rule:?}"
         );
         assert!(chosen.values().all(|n| *n <= most), "{rule:?} {chosen:?}");
-        // Ends make room: the one whose tasks ended is chosen next.
+        // Ended tasks reduce the outstanding ones, so the dispatcher whose tasks ended is chosen next.
         if rule == PlacementRule::TwoChoices {
             (0..200).for_each(|_| table.on_end(DispatcherKey(3)));
             let threes = (0..100)
@@ -271,7 +272,7 @@
     }
 }
 
-/// Dispatcher 1 has most of the free slots, and 2 or nobody besides.
+/// Dispatcher 1 has most of the free slots; there is no other one, or only dispatcher 2.
 #[test]
 fn an_avoided_dispatcher_is_chosen_only_without_another() {
     let query = PlacementQuery {
@@ -301,7 +302,7 @@
     }
 }
 
-/// A hint that came with the answers counts the tasks already.
+/// A hint that arrived together with the answers already counts the tasks.
 #[test]
 fn answered_offers_do_not_count_twice() {
     let now = Instant::now();
--- a/crates/decisions/tests/queue.rs
+++ b/crates/decisions/tests/queue.rs
@@ -1,4 +1,4 @@
-//! The queue: order, limits and the invariants of every sequence of operations.
+//! The fair queue: order, limits, and invariants over random sequences of operations.
 
 use std::time::{Duration, Instant};
 
@@ -35,18 +35,20 @@
     }
 }
 
-/// Runs a script and compares what came out.
+/// Runs a script and checks which entries were returned or rejected.
 fn check(script: &str, expect: &str) {
     let mut out = run(script);
     out.retain(|event| !event.starts_with('+'));
     assert_eq!(out.join(" "), expect, "{script}");
 }
 
-/// Runs a script on a queue of twelve places and tells what went in, led by `+`, and what came out.
+/// Runs a script on a queue with room for twelve entries. Returns the queued entries, prefixed with `+`, and the
+/// returned or rejected ones.
 ///
 /// `+a1.0` pushes task 0 of job 1 of customer `a`, which takes 100 ms and is due after 99 s; `/300` sets the run time,
-/// `@500` the due time and `*2` the share. `pop3` pops three times. `a:250/10` bills `a` 250 ms for the 10 ms it was
-/// charged. `-1.0` removes a task, `-1` a submission. `t500` sets the time, `drop` collects what is overdue.
+/// `@500` the due time and `*2` the share. `pop3` pops three times. `a:250/10` replaces the charge of 10 ms for a task
+/// of `a` by 250 ms. `-1.0` removes a task, `-1` a submission. `t500` sets the time, and `drop` takes the overdue
+/// entries.
 fn run(script: &str) -> Vec<String> {
     let start = Instant::now();
     let mut queue = FairQueue::new(QueueSettings {
@@ -98,7 +100,7 @@
     format!("{}{job}.{task}", entry.customer)
 }
 
-/// Reads `a1.0`, then the settings in any number, each led by its mark.
+/// Parses `a1.0`, followed by any number of settings, each prefixed with its mark.
 fn parse_entry(start: Instant, word: &str) -> QueueEntry {
     let end = word.find(['/', '@', '*']).unwrap_or(word.len());
     let (id, settings) = word.split_at(end);
@@ -241,7 +243,7 @@
     assert_eq!(queue.customers(), 0);
 }
 
-/// One word of a script. Each job belongs to one of four customers.
+/// A random word of a script. Each job belongs to one of four customers.
 fn random_word() -> impl Strategy<Value = String> {
     let push = (0..6_usize, 0..5, 1..5000, 1..20_000).prop_map(|(job, task, run, due)| {
         let customer = ["a", "b", "c", "d"][job % 4];
@@ -262,7 +264,7 @@
 }
 
 proptest! {
-    // Whatever the order of operations, every entry that was taken in goes out exactly once.
+    // Whatever the order of operations, every queued entry is returned exactly once.
     #[test]
     fn every_entry_is_returned_exactly_once(
         words in prop::collection::vec(random_word(), 1..200),
@@ -278,8 +280,8 @@
         prop_assert!(inside.is_empty(), "{inside:?} never went out");
     }
 
-    // However the others' run times and bills look, a customer that waits is served after a bounded number of
-    // turns: nobody can be more than the debt limit behind, and each turn of another moves that one on.
+    // Whatever the run times and charges of the others, a waiting customer is served after a bounded number of turns:
+    // it can be behind by no more than the debt limit, and each turn of another customer advances that customer.
     #[test]
     fn no_customer_starves(
         runs in prop::collection::vec(50..5000_u64, 1..8),
@@ -306,8 +308,8 @@
             turns += 1;
             let ran = run_times[turns % run_times.len()];
             queue.correct_charge(&popped.customer, ms(ran), popped.expected);
-            // Each turn costs at least 50 ms. The small one is at most 5 s behind and each of the others gets at
-            // most 1 s back, so each has at most 120 turns before it.
+            // Each turn costs at least 50 ms. The small customer is at most 5 s behind and each of the others is
+            // credited at most 1 s, so each of them gets at most 120 turns before it.
             prop_assert!(turns <= 7 * 120, "starved");
         }
     }
--- a/crates/decisions/tests/retry.rs
+++ b/crates/decisions/tests/retry.rs
@@ -1,11 +1,11 @@
-//! The retry budget: what is granted after which placements.
+//! The retry budget: how many retries are granted after which placements.
 
 use std::time::{Duration, Instant};
 
 use decisions::{RetryBudget, RetrySettings};
 use model::CustomerId;
 
-/// Per step: placements made at the time in milliseconds, then retries asked for and granted.
+/// Each step has a time in milliseconds, the placements made then, the requested retries and the granted ones.
 fn check(percent: u32, steps: &[(u64, u32, u32, u32)]) {
     let start = Instant::now();
     let customer: CustomerId = "trust".parse().unwrap();
--- a/crates/decisions/tests/run_time.rs
+++ b/crates/decisions/tests/run_time.rs
@@ -1,4 +1,4 @@
-//! Expected run times: whom they believe, and what they forget.
+//! Expected run times: their sources, quantiles and eviction.
 
 use std::time::{Duration, Instant};
 
@@ -9,7 +9,8 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// Notes the run times in milliseconds and compares the mean expected `later` against a declared time.
+/// Records the run times in milliseconds and checks the expected run time, given the declared one, `later` milliseconds
+/// later.
 fn check(ran: &[u64], declared: Option<u32>, later: u32, expect: (u32, EstimateSource)) {
     let start = Instant::now();
     let mut table = RunTimeTable::new(RunTimeSettings::default());
@@ -40,7 +41,8 @@
 
 #[test]
 fn older_samples_lose_half_their_weight_per_window() {
-    // Old ones count half after 256: after 128 of 100 ms, twice 128 of 300 ms rule the mean.
+    // Whenever 256 samples are recorded their weight is halved, so after 384 samples of 300 ms the older ones of 100 ms
+    // make up an eighth of the mean.
     let old = [100; 256];
     let new = [300; 384];
     let mixed: Vec<u64> = old.iter().chain(&new).copied().collect();
