--- a/crates/decisions/benches/decisions.rs
+++ b/crates/decisions/benches/decisions.rs
@@ -198,7 +198,7 @@
         deadline: Duration::from_secs(10),
         open_tasks: 20,
         open_work: RUN_TIME * 20,
-        granted: 40,
+        granted_concurrency: 40,
         predicted_wait: Duration::from_millis(500),
         saturation: Saturation(1.5),
     };
--- a/crates/decisions/src/admission.rs
+++ b/crates/decisions/src/admission.rs
@@ -174,7 +174,7 @@
     /// The sum of the expected run times of the open tasks.
     pub open_work: Duration,
     /// The number of tasks that the customer may run at once through this entry.
-    pub granted: u32,
+    pub granted_concurrency: u32,
     /// The predicted time that a task of this customer waits for a slot.
     pub predicted_wait: Duration,
     /// The saturation of the reachable slots.
@@ -258,13 +258,13 @@
         }
         // The customer's own limit. Other customers' work does not matter here, so the reason differs from that of an
         // overload.
-        if query.granted == 0 {
+        if query.granted_concurrency == 0 {
             return Some((
                 RefusalReason::OverConcurrency,
                 self.settings.min_retry_after,
             ));
         }
-        let own_makespan = self.makespan(query, query.open_work, query.granted);
+        let own_makespan = self.makespan(query, query.open_work, query.granted_concurrency);
         let own_wait = own_makespan.saturating_sub(self.longest_run_time(query));
         if let Some(excess) = self.excess_wait(own_wait, query) {
             return Some((RefusalReason::OverConcurrency, excess));
@@ -298,8 +298,9 @@
     /// The saturation from which the submission may be refused under its contract; `None` if the contract does not
     /// allow it.
     fn overload_threshold(&self, query: &AdmissionQuery<'_>) -> Option<Saturation> {
-        let granted = u64::from(query.granted) * u64::from(self.settings.light_usage_percent);
-        let is_light = u64::from(query.open_tasks) * 100 <= granted;
+        let light_limit =
+            u64::from(query.granted_concurrency) * u64::from(self.settings.light_usage_percent);
+        let is_light = u64::from(query.open_tasks) * 100 <= light_limit;
         match (query.contract.may_refuse, query.class) {
             (RefusableWork::Nothing, _) => None,
             (RefusableWork::Jobs, WorkClass::Request) => None,
--- a/crates/decisions/tests/admission.rs
+++ b/crates/decisions/tests/admission.rs
@@ -38,7 +38,7 @@
         deadline: MS * 2000,
         open_tasks: 0,
         open_work: Duration::ZERO,
-        granted: 40,
+        granted_concurrency: 40,
         predicted_wait: Duration::ZERO,
         saturation: Saturation(0.5),
     }
@@ -151,10 +151,10 @@
 #[test]
 fn a_customer_over_its_concurrency_limit_is_refused() {
     let default_contract = Contract::default();
-    let busy = |work, granted| AdmissionQuery {
+    let busy = |work, granted_concurrency| AdmissionQuery {
         open_tasks: 400,
         open_work: MS * work,
-        granted,
+        granted_concurrency,
         ..job(&default_contract)
     };
     check(busy(56_000, 40), None);
--- a/crates/decisions/tests/outcomes/model.rs
+++ b/crates/decisions/tests/outcomes/model.rs
@@ -101,9 +101,9 @@
     pub(crate) fn ratio(&self, share: f64) -> f64 {
         let mut ratios = self.ratios.clone();
         ratios.sort_by(f64::total_cmp);
-        let n = (ratios.len() as f64 * share) as usize;
+        let rank = (ratios.len() as f64 * share) as usize;
         ratios
-            .get(n.min(ratios.len().saturating_sub(1)))
+            .get(rank.min(ratios.len().saturating_sub(1)))
             .copied()
             .unwrap_or(f64::INFINITY)
     }
@@ -195,10 +195,15 @@
             ..PlacementSettings::default()
         };
         let mut dispatchers = Vec::new();
-        for d in 0..cluster.dispatchers {
+        for dispatcher_index in 0..cluster.dispatchers {
             let mut endpoints = Vec::new();
-            for n in (d..cluster.endpoints.len()).step_by(cluster.dispatchers) {
-                endpoints.push((n, EndpointHealth::new(HealthSettings::default())));
+            for endpoint_index in
+                (dispatcher_index..cluster.endpoints.len()).step_by(cluster.dispatchers)
+            {
+                endpoints.push((
+                    endpoint_index,
+                    EndpointHealth::new(HealthSettings::default()),
+                ));
             }
             dispatchers.push(Dispatcher {
                 queue: FairQueue::new(QueueSettings::default()),
@@ -210,8 +215,8 @@
         let mut entries = Vec::new();
         for _ in 0..cluster.entries {
             let mut table = PlacementTable::new(settings.clone(), local.clone(), rng.fork());
-            for d in 0..cluster.dispatchers {
-                table.add_dispatcher(DispatcherKey(d as u64), &local);
+            for dispatcher_index in 0..cluster.dispatchers {
+                table.add_dispatcher(DispatcherKey(dispatcher_index as u64), &local);
             }
             entries.push(Entry {
                 table,
@@ -244,7 +249,7 @@
     }
 
     fn submit(&mut self, start: Instant) {
-        for (n, load) in self.loads.clone().iter().enumerate() {
+        for (load_index, load) in self.loads.clone().iter().enumerate() {
             let mut at = load.from;
             loop {
                 at -= (1.0 - self.rng.f64()).ln() / load.rate;
@@ -261,7 +266,7 @@
                     runs.push(Duration::from_millis(ms));
                 }
                 self.jobs.push(Job {
-                    load: n,
+                    load: load_index,
                     entry: self.rng.usize(..self.cluster.entries),
                     arrived,
                     due: arrived + Duration::from_millis(load.deadline_ms),
@@ -284,21 +289,30 @@
     fn handle(&mut self, now: Instant, event: Event) {
         match event {
             Event::Arrive(job) => self.arrive(now, job),
-            Event::Offer(d, attempt) => {
-                self.offer(now, d, attempt);
-                self.send_hint(now, d, attempt, true);
-                self.start(now, d);
+            Event::Offer(dispatcher_index, attempt) => {
+                self.offer(now, dispatcher_index, attempt);
+                self.send_hint(now, dispatcher_index, attempt, true);
+                self.start(now, dispatcher_index);
             }
-            Event::Hint(entry, d, hint, reply) => {
+            Event::Hint(entry, dispatcher_index, hint, reply) => {
                 let entry = &mut self.entries[entry];
-                entry.unanswered[d] -= u32::from(reply);
-                let key = DispatcherKey(d as u64);
-                entry.table.on_hint(now, key, hint, entry.unanswered[d]);
+                entry.unanswered[dispatcher_index] -= u32::from(reply);
+                let key = DispatcherKey(dispatcher_index as u64);
+                entry
+                    .table
+                    .on_hint(now, key, hint, entry.unanswered[dispatcher_index]);
             }
-            Event::End(d, n, attempt, failed, ran) => {
-                self.end(now, d, n, attempt, failed, ran);
-                self.send_hint(now, d, attempt, false);
-                self.start(now, d);
+            Event::End(dispatcher_index, endpoint_index, attempt, failed, charged) => {
+                self.end(
+                    now,
+                    dispatcher_index,
+                    endpoint_index,
+                    attempt,
+                    failed,
+                    charged,
+                );
+                self.send_hint(now, dispatcher_index, attempt, false);
+                self.start(now, dispatcher_index);
             }
             Event::Tick => self.tick(now),
         }
@@ -306,15 +320,18 @@
 
     /// Sends hints to all entries, drops overdue work, and starts tasks that waited for a backoff or quarantine to end.
     fn tick(&mut self, now: Instant) {
-        for d in 0..self.dispatchers.len() {
-            for entry in self.dispatchers[d].queue.take_overdue(now) {
+        for dispatcher_index in 0..self.dispatchers.len() {
+            for entry in self.dispatchers[dispatcher_index].queue.take_overdue(now) {
                 self.end_job(now, entry.attempt, |outcome| &mut outcome.late);
                 self.release_in_flight(now, entry.attempt);
             }
-            self.start(now, d);
+            self.start(now, dispatcher_index);
             for entry in 0..self.entries.len() {
-                let hint = self.hint(now, d);
-                self.schedule(now + MESSAGE_DELAY, Event::Hint(entry, d, hint, false));
+                let hint = self.hint(now, dispatcher_index);
+                self.schedule(
+                    now + MESSAGE_DELAY,
+                    Event::Hint(entry, dispatcher_index, hint, false),
+                );
             }
         }
         if self.jobs.iter().any(|job| !job.ended) {
@@ -322,29 +339,30 @@
         }
     }
 
-    fn arrive(&mut self, now: Instant, n: usize) {
-        let (l, e) = (self.jobs[n].load, self.jobs[n].entry);
-        self.outcomes[l].submitted += 1;
-        if !self.admits(now, n) {
-            self.jobs[n].ended = true;
-            self.outcomes[l].refused += 1;
+    fn arrive(&mut self, now: Instant, job_index: usize) {
+        let (load_index, entry_index) = (self.jobs[job_index].load, self.jobs[job_index].entry);
+        self.outcomes[load_index].submitted += 1;
+        if !self.admits(now, job_index) {
+            self.jobs[job_index].ended = true;
+            self.outcomes[load_index].refused += 1;
             return;
         }
-        for run in self.jobs[n].runs.clone() {
-            let declared = Some(run.mul_f64(self.loads[l].declared));
-            let expected = self.expect(now, l, declared).run_time;
-            self.jobs[n].expected.push(expected);
-            self.entries[e].open_work[l] += expected;
-            self.entries[e].unstarted_work[l] += expected;
+        for run in self.jobs[job_index].runs.clone() {
+            let declared = Some(run.mul_f64(self.loads[load_index].declared));
+            let expected = self.expect(now, load_index, declared).run_time;
+            self.jobs[job_index].expected.push(expected);
+            self.entries[entry_index].open_work[load_index] += expected;
+            self.entries[entry_index].unstarted_work[load_index] += expected;
         }
-        for task in 0..self.jobs[n].runs.len() {
-            self.entries[e].queued_at_entry[l].push_back(attempt(n, task));
+        for task in 0..self.jobs[job_index].runs.len() {
+            self.entries[entry_index].queued_at_entry[load_index]
+                .push_back(attempt(job_index, task));
         }
-        self.place(now, e, l);
+        self.place(now, entry_index, load_index);
     }
 
-    fn admits(&mut self, now: Instant, n: usize) -> bool {
-        let job = &self.jobs[n];
+    fn admits(&mut self, now: Instant, job_index: usize) -> bool {
+        let job = &self.jobs[job_index];
         let load = &self.loads[job.load];
         let entry = &self.entries[job.entry];
         let contract = Contract {
@@ -391,7 +409,7 @@
             deadline: job.due - now,
             open_tasks: entry.in_flight[job.load] + entry.queued_at_entry[job.load].len() as u32,
             open_work: entry.open_work[job.load],
-            granted: (load.concurrency / entries as u32).max(1),
+            granted_concurrency: (load.concurrency / entries as u32).max(1),
             predicted_wait: estimator.predicted_wait(),
             saturation: entry.table.saturation(now),
         };
@@ -401,31 +419,32 @@
     }
 
     /// Places the tasks that the customer's concurrency limit lets through.
-    fn place(&mut self, now: Instant, e: usize, l: usize) {
-        let granted = (self.loads[l].concurrency / self.entries.len() as u32).max(1);
+    fn place(&mut self, now: Instant, entry_index: usize, load_index: usize) {
+        let granted_concurrency =
+            (self.loads[load_index].concurrency / self.entries.len() as u32).max(1);
         let query = PlacementQuery {
-            mean_run_time: self.expect(now, l, None).run_time,
+            mean_run_time: self.expect(now, load_index, None).run_time,
         };
-        while self.entries[e].in_flight[l] < granted {
-            let entry = &mut self.entries[e];
-            let Some(attempt) = entry.queued_at_entry[l].pop_front() else {
+        while self.entries[entry_index].in_flight[load_index] < granted_concurrency {
+            let entry = &mut self.entries[entry_index];
+            let Some(attempt) = entry.queued_at_entry[load_index].pop_front() else {
                 return;
             };
             if self.jobs[attempt.submission.serial as usize].ended {
                 continue;
             }
             let chosen = entry.table.choose(now, query);
-            let d = chosen.map_or_else(
+            let dispatcher_index = chosen.map_or_else(
                 || self.rng.usize(..self.cluster.dispatchers),
                 |key| key.0 as usize,
             );
-            entry.unanswered[d] += 1;
-            entry.in_flight[l] += 1;
-            self.schedule(now + MESSAGE_DELAY, Event::Offer(d, attempt));
+            entry.unanswered[dispatcher_index] += 1;
+            entry.in_flight[load_index] += 1;
+            self.schedule(now + MESSAGE_DELAY, Event::Offer(dispatcher_index, attempt));
         }
     }
 
-    fn offer(&mut self, now: Instant, d: usize, attempt: AttemptId) {
+    fn offer(&mut self, now: Instant, dispatcher_index: usize, attempt: AttemptId) {
         let job = &self.jobs[attempt.submission.serial as usize];
         let load = &self.loads[job.load];
         let declared = job.runs[attempt.task as usize].mul_f64(load.declared);
@@ -441,31 +460,36 @@
             expected,
             due: job.due,
         };
-        if job.ended || self.dispatchers[d].queue.push(now, entry).is_err() {
+        if job.ended
+            || self.dispatchers[dispatcher_index]
+                .queue
+                .push(now, entry)
+                .is_err()
+        {
             self.end_job(now, attempt, |outcome| &mut outcome.late);
             self.release_in_flight(now, attempt);
         }
     }
 
-    fn start(&mut self, now: Instant, d: usize) {
+    fn start(&mut self, now: Instant, dispatcher_index: usize) {
         loop {
-            let dispatcher = &mut self.dispatchers[d];
+            let dispatcher = &mut self.dispatchers[dispatcher_index];
             let mut best: Option<usize> = None;
-            for (n, (_, health)) in dispatcher.endpoints.iter().enumerate() {
+            for (endpoint_index, (_, health)) in dispatcher.endpoints.iter().enumerate() {
                 if health.running() >= health.capacity(now, SLOTS_PER_ENDPOINT) {
                     continue;
                 }
                 if best.is_none_or(|b| health.slowdown() < dispatcher.endpoints[b].1.slowdown()) {
-                    best = Some(n);
+                    best = Some(endpoint_index);
                 }
             }
-            let Some(n) = best else {
+            let Some(endpoint_index) = best else {
                 return;
             };
             let Some(entry) = dispatcher.queue.pop(now) else {
                 return;
             };
-            let (endpoint, health) = &mut dispatcher.endpoints[n];
+            let (endpoint, health) = &mut dispatcher.endpoints[endpoint_index];
             health.on_start(now);
             let (slowdown, fails) = self.cluster.endpoints[*endpoint];
             let job = &self.jobs[entry.attempt.submission.serial as usize];
@@ -478,7 +502,13 @@
             }
             self.schedule(
                 now + ran,
-                Event::End(d, n, entry.attempt, fails, entry.expected),
+                Event::End(
+                    dispatcher_index,
+                    endpoint_index,
+                    entry.attempt,
+                    fails,
+                    entry.expected,
+                ),
             );
         }
     }
@@ -486,30 +516,31 @@
     fn end(
         &mut self,
         now: Instant,
-        d: usize,
-        n: usize,
+        dispatcher_index: usize,
+        endpoint_index: usize,
         attempt: AttemptId,
         failed: bool,
         charged: Duration,
     ) {
         let job = &self.jobs[attempt.submission.serial as usize];
-        let (l, e) = (job.load, job.entry);
-        let expected = self.expect(now, l, None).run_time;
-        let dispatcher = &mut self.dispatchers[d];
-        let (endpoint, health) = &mut dispatcher.endpoints[n];
+        let (load_index, entry_index) = (job.load, job.entry);
+        let expected = self.expect(now, load_index, None).run_time;
+        let dispatcher = &mut self.dispatchers[dispatcher_index];
+        let (endpoint, health) = &mut dispatcher.endpoints[endpoint_index];
         let ran = match failed {
             true => Duration::from_millis(1),
             false => job.runs[attempt.task as usize] * self.cluster.endpoints[*endpoint].0,
         };
         dispatcher
             .queue
-            .correct_charge(&self.customers[l], ran, charged);
+            .correct_charge(&self.customers[load_index], ran, charged);
         match failed {
             true => self
                 .times
-                .record_failure(now, &self.customers[l], &self.kind),
+                .record_failure(now, &self.customers[load_index], &self.kind),
             false => {
-                self.times.record(now, &self.customers[l], &self.kind, ran);
+                self.times
+                    .record(now, &self.customers[load_index], &self.kind, ran);
                 dispatcher.fleet.on_done(ran, expected);
             }
         }
@@ -517,17 +548,21 @@
             kind: [EndKind::Done, EndKind::Failed][usize::from(failed)],
             ran,
             expected: dispatcher.fleet.scale(expected),
-            failure_rate: self.times.failure_rate(&self.customers[l], &self.kind),
+            failure_rate: self
+                .times
+                .failure_rate(&self.customers[load_index], &self.kind),
         };
         health.on_end(now, report);
-        self.entries[e].table.on_end(DispatcherKey(d as u64));
+        self.entries[entry_index]
+            .table
+            .on_end(DispatcherKey(dispatcher_index as u64));
         self.set_stage(now, attempt, Stage::Ended);
         self.release_in_flight(now, attempt);
         if failed {
             self.end_job(now, attempt, |outcome| &mut outcome.failed);
             for dispatcher in &mut self.dispatchers {
                 let removed = dispatcher.queue.remove_submission(attempt.submission);
-                self.entries[e].in_flight[l] -= removed.len() as u32;
+                self.entries[entry_index].in_flight[load_index] -= removed.len() as u32;
             }
             return;
         }
@@ -538,7 +573,9 @@
         }
         let longest = job.runs.iter().max().unwrap().as_secs_f64();
         let (took, in_time) = (now - job.arrived, now <= job.due);
-        self.outcomes[l].ratios.push(took.as_secs_f64() / longest);
+        self.outcomes[load_index]
+            .ratios
+            .push(took.as_secs_f64() / longest);
         match in_time {
             true => self.end_job(now, attempt, |outcome| &mut outcome.in_time),
             false => self.end_job(now, attempt, |outcome| &mut outcome.late),
@@ -589,13 +626,13 @@
 
     fn release_in_flight(&mut self, now: Instant, attempt: AttemptId) {
         let job = &self.jobs[attempt.submission.serial as usize];
-        let (e, l) = (job.entry, job.load);
-        self.entries[e].in_flight[l] -= 1;
-        self.place(now, e, l);
+        let (entry_index, load_index) = (job.entry, job.load);
+        self.entries[entry_index].in_flight[load_index] -= 1;
+        self.place(now, entry_index, load_index);
     }
 
-    fn hint(&self, now: Instant, d: usize) -> SlotsHint {
-        let dispatcher = &self.dispatchers[d];
+    fn hint(&self, now: Instant, dispatcher_index: usize) -> SlotsHint {
+        let dispatcher = &self.dispatchers[dispatcher_index];
         let mut hint = SlotsHint {
             queued: dispatcher.queue.len() as u32,
             ..SlotsHint::default()
@@ -607,10 +644,19 @@
         hint
     }
 
-    fn send_hint(&mut self, now: Instant, d: usize, attempt: AttemptId, reply: bool) {
+    fn send_hint(
+        &mut self,
+        now: Instant,
+        dispatcher_index: usize,
+        attempt: AttemptId,
+        reply: bool,
+    ) {
         let entry = self.jobs[attempt.submission.serial as usize].entry;
-        let hint = self.hint(now, d);
-        self.schedule(now + MESSAGE_DELAY, Event::Hint(entry, d, hint, reply));
+        let hint = self.hint(now, dispatcher_index);
+        self.schedule(
+            now + MESSAGE_DELAY,
+            Event::Hint(entry, dispatcher_index, hint, reply),
+        );
     }
 }
 
