--- a/crates/decisions/benches/decisions.rs
+++ b/crates/decisions/benches/decisions.rs
@@ -1,4 +1,4 @@
-//! The cost of each decision by the number of waiting jobs, customers, dispatchers.
+//! The cost of each decision by the number of waiting jobs, customers and dispatchers.
 
 use std::{
     hint::black_box,
@@ -8,7 +8,7 @@
 use criterion::{BenchmarkId, Criterion};
 use decisions::{
     AdmissionPolicy, AdmissionQuery, DispatcherKey, EndKind, EndReport, EndpointHealth,
-    EstimateSource, FailureShare, FairQueue, HealthSettings, PlacementQuery, PlacementSettings,
+    EstimateSource, FailureRate, FairQueue, HealthSettings, PlacementQuery, PlacementSettings,
     PlacementTable, QueueEntry, QueueSettings, RetryBudget, RetrySettings, RunTimeEstimate,
     RunTimeSettings, RunTimeTable, Saturation, SlotsHint, WorkClass,
 };
@@ -63,8 +63,8 @@
     queue
 }
 
-/// Queue operations that leave the length as it was: a turn pops a task, bills it and pushes it again; a
-/// cancellation removes a whole job and pushes it again.
+/// Queue operations that keep the length: a turn pops a task, corrects its charge and pushes it again; a cancellation
+/// removes a whole job and pushes it again.
 fn queue(c: &mut Criterion) {
     let now = Instant::now();
     let mut group = c.benchmark_group("queue");
@@ -78,7 +78,7 @@
                     let Some(entry) = queue.pop(now) else {
                         return;
                     };
-                    queue.charge(&entry.customer, RUN_TIME * 2, RUN_TIME);
+                    queue.correct_charge(&entry.customer, RUN_TIME * 2, RUN_TIME);
                     let _ = queue.push(now, entry);
                 });
             });
@@ -122,7 +122,7 @@
             b.iter(|| {
                 let name = next(&names);
                 times.record(now, &name, &kind, RUN_TIME);
-                black_box(times.expect(now, &name, &kind, None));
+                black_box(times.expected_run_time(now, &name, &kind, None));
                 black_box(times.quantile(now, &name, &kind, None, 0.99))
             });
         });
@@ -189,16 +189,16 @@
         contract: &contract,
         class: WorkClass::Job,
         tasks: 40,
-        largest: RunTimeEstimate {
+        longest_estimate: RunTimeEstimate {
             run_time: RUN_TIME,
             source: EstimateSource::Measured,
         },
-        slowest: RUN_TIME * 5,
+        tail_run_time: RUN_TIME * 5,
         expected_work: RUN_TIME * 40,
         deadline: Duration::from_secs(10),
-        running: 20,
-        running_work: RUN_TIME * 20,
-        granted: 40,
+        open_tasks: 20,
+        open_work: RUN_TIME * 20,
+        granted_concurrency: 40,
         predicted_wait: Duration::from_millis(500),
         saturation: Saturation(1.5),
     };
@@ -210,7 +210,7 @@
         kind: EndKind::Done,
         ran: RUN_TIME,
         expected: RUN_TIME,
-        failure_share: FailureShare(0.0),
+        failure_rate: FailureRate(0.0),
     };
     group.bench_function("health", |b| {
         b.iter(|| {
--- a/crates/decisions/src/retry.rs
+++ b/crates/decisions/src/retry.rs
@@ -1,32 +1,32 @@
-//! The budget of each customer for placing tasks again.
+//! The retry budget of each customer.
 
 use std::time::{Duration, Instant};
 
 use model::CustomerId;
 
-use crate::bounded::BoundedMap;
+use crate::lru_map::LruMap;
 
 /// The limits of a [`RetryBudget`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetrySettings {
-    /// Retries a second that each customer has whatever it submits.
+    /// The retries per second that every customer gets, however little it submits.
     ///
-    /// Load: a customer with a request now and then. Harm: a percentage of so few placements is no retry at all,
-    /// and one busy endpoint fails the request. Reason: one a second and customer is noise beside the traffic.
+    /// For a customer that only submits a request now and then, a percentage of its placements is no retry at all, and
+    /// one busy endpoint would fail the request. One retry per second and customer is negligible beside the traffic.
     pub floor_per_second: f64,
-    /// The most retries saved up.
+    /// The maximum number of saved retries.
     ///
-    /// Load: hours without trouble, then an endpoint with many tasks dies. Harm: savings without a limit are a
-    /// storm of retries when everything is short. Reason: 40 are the tasks that one customer has running by
-    /// default, so each of them may be placed once more.
-    pub max_saved: f64,
-    /// Retries that a customer starts with; the floor where that is more.
+    /// Without a limit, hours without failures followed by the loss of an endpoint with many tasks would release a
+    /// storm of retries just when capacity is short. One customer has 40 tasks running by default, so each of them may
+    /// be placed once more.
+    pub max_tokens: f64,
+    /// The retries that a customer starts with, but at least the floor.
     ///
-    /// Load: a process that has just started, and then a dispatcher dies. Harm: a customer with much work elsewhere
-    /// has saved up nothing here, and its tasks are refused while the endpoints change hands. Reason for none by
-    /// default: whoever forgets customers often gives these retries often.
-    pub first_saved: f64,
-    /// Customers remembered. One that was forgotten starts anew.
+    /// If a dispatcher dies shortly after this process started, a customer with much work elsewhere has saved no
+    /// retries here, and its tasks are refused while the endpoints change owners. The default is none, because a
+    /// process that evicts customers often would also grant these retries often.
+    pub initial_tokens: f64,
+    /// The maximum number of customers in memory. An evicted customer starts anew.
     pub max_customers: usize,
 }
 
@@ -34,34 +34,35 @@
     fn default() -> Self {
         Self {
             floor_per_second: 1.0,
-            max_saved: 40.0,
-            first_saved: 0.0,
+            max_tokens: 40.0,
+            initial_tokens: 0.0,
             max_customers: 4096,
         }
     }
 }
 
-/// Token buckets: first placements fill them by the contract's percentage, each retry takes one token.
+/// A token bucket per customer: first placements add a percentage given by the contract, and each retry takes one
+/// token.
 ///
-/// Load: endpoints that are full or gone answer "not run" to everything. Harm: each such answer causes another
-/// placement, so the fewer slots are left the more messages ask for them, and the overload feeds itself. With the
-/// budget, placements are at most the first ones plus the contract's percentage and a small floor.
+/// Endpoints that are full or gone answer "not run" to every task. Each such answer causes another placement, so the
+/// fewer slots are left, the more messages ask for them, and the overload feeds itself. The budget limits placements to
+/// the first ones plus the percentage in the contract and a small floor.
 #[derive(Debug)]
 pub struct RetryBudget {
     settings: RetrySettings,
-    customers: BoundedMap<CustomerId, TokenBucket>,
+    customers: LruMap<CustomerId, TokenBucket>,
 }
 
 impl RetryBudget {
-    /// A budget in which no customer has saved anything.
+    /// Creates a budget in which no customer has saved any retries.
     pub fn new(settings: RetrySettings) -> Self {
         Self {
-            customers: BoundedMap::new(settings.max_customers),
+            customers: LruMap::new(settings.max_customers),
             settings,
         }
     }
 
-    /// Notes `placements` first placements under a contract that allows `retry_percent`.
+    /// Records `placements` first placements under a contract that allows `retry_percent` retries per hundred of them.
     pub fn on_placed(
         &mut self,
         now: Instant,
@@ -70,15 +71,14 @@
         retry_percent: u32,
     ) {
         let earned = f64::from(placements) * f64::from(retry_percent) / 100.0;
-        let max_saved = self.settings.max_saved;
-        let bucket = self.refilled(now, customer);
-        bucket.tokens = (bucket.tokens + earned).min(max_saved);
+        let max_tokens = self.settings.max_tokens;
+        let bucket = self.refilled_bucket(now, customer);
+        bucket.tokens = (bucket.tokens + earned).min(max_tokens);
     }
 
-    /// Takes one retry out of the budget. `false` means that the budget is spent and the task must not be placed
-    /// again.
+    /// Takes one retry from the budget. `false` means that the budget is spent and the task must not be placed again.
     pub fn try_retry(&mut self, now: Instant, customer: &CustomerId) -> bool {
-        let bucket = self.refilled(now, customer);
+        let bucket = self.refilled_bucket(now, customer);
         if bucket.tokens < 1.0 {
             return false;
         }
@@ -86,24 +86,24 @@
         true
     }
 
-    /// The number of customers remembered.
+    /// The number of customers in memory.
     pub fn customers(&self) -> usize {
         self.customers.len()
     }
 
-    fn refilled(&mut self, now: Instant, customer: &CustomerId) -> &mut TokenBucket {
+    fn refilled_bucket(&mut self, now: Instant, customer: &CustomerId) -> &mut TokenBucket {
         let per_second = self.settings.floor_per_second;
-        // A retry takes a whole token, so a smaller rate saves up for longer than a second.
+        // A retry takes a whole token, so a rate below one per second has to accumulate for more than a second.
         let floor = per_second.max(1.0);
-        let first = self.settings.first_saved.max(floor);
-        let bucket = self.customers.use_or_insert(customer, || TokenBucket {
-            tokens: first,
-            filled_at: now,
+        let initial = self.settings.initial_tokens.max(floor);
+        let bucket = self.customers.touch_or_insert(customer, || TokenBucket {
+            tokens: initial,
+            refilled_at: now,
         });
-        let since: Duration = now.saturating_duration_since(bucket.filled_at);
-        bucket.filled_at = bucket.filled_at.max(now);
-        // Time alone saves up no more than the floor, or an idle customer would come back with the whole bucket.
-        let refill = since.as_secs_f64() * per_second;
+        let elapsed: Duration = now.saturating_duration_since(bucket.refilled_at);
+        bucket.refilled_at = bucket.refilled_at.max(now);
+        // Time alone refills no more than the floor; otherwise an idle customer would return with a full bucket.
+        let refill = elapsed.as_secs_f64() * per_second;
         if bucket.tokens < floor {
             bucket.tokens = (bucket.tokens + refill).min(floor);
         }
@@ -114,5 +114,5 @@
 #[derive(Debug)]
 struct TokenBucket {
     tokens: f64,
-    filled_at: Instant,
+    refilled_at: Instant,
 }
--- a/crates/decisions/tests/outcomes/model.rs
+++ b/crates/decisions/tests/outcomes/model.rs
@@ -1,5 +1,5 @@
-//! A slot model: entries, dispatchers and endpoints in virtual time, with the decisions of the crate between them.
-//! Messages take half a millisecond and none is lost.
+//! A discrete-event model of entries, dispatchers and endpoints in virtual time, which uses the policies of this crate.
+//! Messages take half a millisecond, and none is lost.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -7,42 +7,43 @@
 };
 
 use decisions::{
-    AdmissionPolicy, AdmissionQuery, AdmissionVerdict, DispatcherKey, DrainRate, EndKind,
+    AdmissionDecision, AdmissionPolicy, AdmissionQuery, DispatcherKey, DrainRate, EndKind,
     EndReport, EndpointHealth, FairQueue, FleetLatency, HealthSettings, PlacementQuery,
     PlacementRule, PlacementSettings, PlacementTable, QueueEntry, QueueSettings, RunTimeEstimate,
-    RunTimeSettings, RunTimeTable, SlotsHint, WaitPicture, WorkClass,
+    RunTimeSettings, RunTimeTable, SlotsHint, WaitEstimator, WorkClass,
 };
 use model::{
     AttemptId, Contract, CustomerId, CustomerShare, IncarnationId, RefusableWork, SubmissionId,
     TaskKind,
 };
 
-const MESSAGE: Duration = Duration::from_micros(500);
-const TICK: Duration = Duration::from_millis(20);
-const SLOTS: u32 = 8;
-/// How long a customer without work counts as one that competes for slots.
+const MESSAGE_DELAY: Duration = Duration::from_micros(500);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+const SLOTS_PER_ENDPOINT: u32 = 8;
+/// How long a customer without work still counts as competing for slots.
 const ACTIVE_FOR: Duration = Duration::from_secs(2);
 
-/// What one customer submits.
+/// The workload of one customer.
 #[derive(Clone)]
-pub(crate) struct Load {
+pub(crate) struct Workload {
     pub(crate) name: &'static str,
     pub(crate) may_refuse: RefusableWork,
     pub(crate) concurrency: u32,
     pub(crate) deadline_ms: u64,
-    /// Seconds from and until which it submits, and jobs a second.
+    /// The time in seconds from which and until which it submits, and the number of jobs per second.
     pub(crate) from: f64,
     pub(crate) until: f64,
     pub(crate) rate: f64,
     pub(crate) most_tasks: u32,
-    /// Shortest and longest usual run time, percentage of long tasks and their run time, in milliseconds.
+    /// The shortest and the longest usual run time in milliseconds, and the percentage of long tasks with their run
+    /// time in milliseconds.
     pub(crate) run_ms: (u64, u64),
     pub(crate) long: (u32, u64),
-    /// Declared over true run time.
+    /// The ratio of declared to true run time.
     pub(crate) declared: f64,
 }
 
-impl Default for Load {
+impl Default for Workload {
     fn default() -> Self {
         Self {
             name: "usual",
@@ -60,16 +61,16 @@
     }
 }
 
-/// The endpoints: how many times slower than usual each is, and whether it fails everything.
+/// The processes of the model. An endpoint has a slowdown factor and a flag for failing every task.
 #[derive(Clone)]
-pub(crate) struct Plant {
+pub(crate) struct Cluster {
     pub(crate) dispatchers: usize,
     pub(crate) entries: usize,
     pub(crate) rule: PlacementRule,
     pub(crate) endpoints: Vec<(u32, bool)>,
 }
 
-impl Default for Plant {
+impl Default for Cluster {
     fn default() -> Self {
         Self {
             dispatchers: 3,
@@ -80,7 +81,7 @@
     }
 }
 
-/// What became of the jobs of one load.
+/// The numbers of jobs of one workload by their outcome.
 #[derive(Debug, Default)]
 pub(crate) struct Outcome {
     pub(crate) submitted: u32,
@@ -88,7 +89,7 @@
     pub(crate) refused: u32,
     pub(crate) failed: u32,
     pub(crate) late: u32,
-    /// Response time over the longest task, of the jobs that were answered.
+    /// The response time over the run time of the longest task, for each answered job.
     pub(crate) ratios: Vec<f64>,
 }
 
@@ -100,9 +101,9 @@
     pub(crate) fn ratio(&self, share: f64) -> f64 {
         let mut ratios = self.ratios.clone();
         ratios.sort_by(f64::total_cmp);
-        let n = (ratios.len() as f64 * share) as usize;
+        let rank = (ratios.len() as f64 * share) as usize;
         ratios
-            .get(n.min(ratios.len().saturating_sub(1)))
+            .get(rank.min(ratios.len().saturating_sub(1)))
             .copied()
             .unwrap_or(f64::INFINITY)
     }
@@ -136,13 +137,12 @@
 struct Entry {
     table: PlacementTable,
     unanswered: Vec<u32>,
-    /// Per load: tasks that wait for the customer's own limit, tasks on their way, accepted work that has not
-    /// ended and the part of it that has not started, how fast it starts, when a
-    /// task of it last moved.
-    held: Vec<VecDeque<AttemptId>>,
-    placed: Vec<u32>,
-    work: Vec<Duration>,
-    waiting: Vec<Duration>,
+    /// By workload: tasks held back by the customer's concurrency limit, tasks in flight, accepted work that has not
+    /// ended, the part of it that has not started, its drain rate, and the time of the last stage change of a task.
+    queued_at_entry: Vec<VecDeque<AttemptId>>,
+    in_flight: Vec<u32>,
+    open_work: Vec<Duration>,
+    unstarted_work: Vec<Duration>,
     drain: Vec<DrainRate>,
     active_at: Vec<Option<Instant>>,
 }
@@ -156,9 +156,9 @@
 }
 
 pub(crate) struct SlotModel {
-    plant: Plant,
-    loads: Vec<Load>,
-    names: Vec<CustomerId>,
+    cluster: Cluster,
+    loads: Vec<Workload>,
+    customers: Vec<CustomerId>,
     kind: TaskKind,
     jobs: Vec<Job>,
     entries: Vec<Entry>,
@@ -171,34 +171,39 @@
 }
 
 impl SlotModel {
-    /// Runs the loads on the plant and tells the outcome of each.
+    /// Runs the workloads on the cluster and returns the outcome of each.
     pub(crate) fn run(
-        plant: Plant,
-        loads: Vec<Load>,
+        cluster: Cluster,
+        loads: Vec<Workload>,
         seed: u64,
     ) -> BTreeMap<&'static str, Outcome> {
         let start = Instant::now();
-        let mut model = Self::new(plant, loads, seed);
+        let mut model = Self::new(cluster, loads, seed);
         model.submit(start);
-        model.at(start, Event::Tick);
+        model.schedule(start, Event::Tick);
         while let Some(((now, _), event)) = model.events.pop_first() {
-            model.step(now, event);
+            model.handle(now, event);
         }
         let names = model.loads.iter().map(|load| load.name);
         names.zip(model.outcomes).collect()
     }
 
-    fn new(plant: Plant, loads: Vec<Load>, seed: u64) -> Self {
+    fn new(cluster: Cluster, loads: Vec<Workload>, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let settings = PlacementSettings {
-            rule: plant.rule,
+            rule: cluster.rule,
             ..PlacementSettings::default()
         };
         let mut dispatchers = Vec::new();
-        for d in 0..plant.dispatchers {
+        for dispatcher_index in 0..cluster.dispatchers {
             let mut endpoints = Vec::new();
-            for n in (d..plant.endpoints.len()).step_by(plant.dispatchers) {
-                endpoints.push((n, EndpointHealth::new(HealthSettings::default())));
+            for endpoint_index in
+                (dispatcher_index..cluster.endpoints.len()).step_by(cluster.dispatchers)
+            {
+                endpoints.push((
+                    endpoint_index,
+                    EndpointHealth::new(HealthSettings::default()),
+                ));
             }
             dispatchers.push(Dispatcher {
                 queue: FairQueue::new(QueueSettings::default()),
@@ -208,29 +213,29 @@
         }
         let local: model::DataCentreId = "local".parse().unwrap();
         let mut entries = Vec::new();
-        for _ in 0..plant.entries {
+        for _ in 0..cluster.entries {
             let mut table = PlacementTable::new(settings.clone(), local.clone(), rng.fork());
-            for d in 0..plant.dispatchers {
-                table.add_dispatcher(DispatcherKey(d as u64), &local);
+            for dispatcher_index in 0..cluster.dispatchers {
+                table.add_dispatcher(DispatcherKey(dispatcher_index as u64), &local);
             }
             entries.push(Entry {
                 table,
-                unanswered: vec![0; plant.dispatchers],
-                held: vec![VecDeque::new(); loads.len()],
-                placed: vec![0; loads.len()],
-                work: vec![Duration::ZERO; loads.len()],
-                waiting: vec![Duration::ZERO; loads.len()],
+                unanswered: vec![0; cluster.dispatchers],
+                queued_at_entry: vec![VecDeque::new(); loads.len()],
+                in_flight: vec![0; loads.len()],
+                open_work: vec![Duration::ZERO; loads.len()],
+                unstarted_work: vec![Duration::ZERO; loads.len()],
                 drain: vec![DrainRate::default(); loads.len()],
                 active_at: vec![None; loads.len()],
             });
         }
         Self {
-            names: loads
+            customers: loads
                 .iter()
                 .map(|load| load.name.parse().unwrap())
                 .collect(),
             outcomes: loads.iter().map(|_| Outcome::default()).collect(),
-            plant,
+            cluster,
             loads,
             kind: "kind".parse().unwrap(),
             jobs: Vec::new(),
@@ -244,7 +249,7 @@
     }
 
     fn submit(&mut self, start: Instant) {
-        for (n, load) in self.loads.clone().iter().enumerate() {
+        for (load_index, load) in self.loads.clone().iter().enumerate() {
             let mut at = load.from;
             loop {
                 at -= (1.0 - self.rng.f64()).ln() / load.rate;
@@ -261,8 +266,8 @@
                     runs.push(Duration::from_millis(ms));
                 }
                 self.jobs.push(Job {
-                    load: n,
-                    entry: self.rng.usize(..self.plant.entries),
+                    load: load_index,
+                    entry: self.rng.usize(..self.cluster.entries),
                     arrived,
                     due: arrived + Duration::from_millis(load.deadline_ms),
                     left: runs.len(),
@@ -271,80 +276,93 @@
                     runs,
                     ended: false,
                 });
-                self.at(arrived, Event::Arrive(self.jobs.len() - 1));
+                self.schedule(arrived, Event::Arrive(self.jobs.len() - 1));
             }
         }
     }
 
-    fn at(&mut self, at: Instant, event: Event) {
+    fn schedule(&mut self, at: Instant, event: Event) {
         self.events.insert((at, self.next_event), event);
         self.next_event += 1;
     }
 
-    fn step(&mut self, now: Instant, event: Event) {
+    fn handle(&mut self, now: Instant, event: Event) {
         match event {
             Event::Arrive(job) => self.arrive(now, job),
-            Event::Offer(d, attempt) => {
-                self.offer(now, d, attempt);
-                self.tell(now, d, attempt, true);
-                self.start(now, d);
+            Event::Offer(dispatcher_index, attempt) => {
+                self.offer(now, dispatcher_index, attempt);
+                self.send_hint(now, dispatcher_index, attempt, true);
+                self.start(now, dispatcher_index);
             }
-            Event::Hint(entry, d, hint, reply) => {
+            Event::Hint(entry, dispatcher_index, hint, reply) => {
                 let entry = &mut self.entries[entry];
-                entry.unanswered[d] -= u32::from(reply);
-                let key = DispatcherKey(d as u64);
-                entry.table.on_hint(now, key, hint, entry.unanswered[d]);
+                entry.unanswered[dispatcher_index] -= u32::from(reply);
+                let key = DispatcherKey(dispatcher_index as u64);
+                entry
+                    .table
+                    .on_hint(now, key, hint, entry.unanswered[dispatcher_index]);
             }
-            Event::End(d, n, attempt, failed, ran) => {
-                self.end(now, d, n, attempt, failed, ran);
-                self.tell(now, d, attempt, false);
-                self.start(now, d);
+            Event::End(dispatcher_index, endpoint_index, attempt, failed, charged) => {
+                self.end(
+                    now,
+                    dispatcher_index,
+                    endpoint_index,
+                    attempt,
+                    failed,
+                    charged,
+                );
+                self.send_hint(now, dispatcher_index, attempt, false);
+                self.start(now, dispatcher_index);
             }
             Event::Tick => self.tick(now),
         }
     }
 
-    /// Hints to all entries, overdue work out, starts that waited for a pause to end.
+    /// Sends hints to all entries, drops overdue work, and starts tasks that waited for a backoff or quarantine to end.
     fn tick(&mut self, now: Instant) {
-        for d in 0..self.dispatchers.len() {
-            for entry in self.dispatchers[d].queue.drop_overdue(now) {
-                self.close(now, entry.attempt, |outcome| &mut outcome.late);
-                self.placed_ended(now, entry.attempt);
+        for dispatcher_index in 0..self.dispatchers.len() {
+            for entry in self.dispatchers[dispatcher_index].queue.take_overdue(now) {
+                self.end_job(now, entry.attempt, |outcome| &mut outcome.late);
+                self.release_in_flight(now, entry.attempt);
             }
-            self.start(now, d);
+            self.start(now, dispatcher_index);
             for entry in 0..self.entries.len() {
-                let hint = self.hint(now, d);
-                self.at(now + MESSAGE, Event::Hint(entry, d, hint, false));
+                let hint = self.hint(now, dispatcher_index);
+                self.schedule(
+                    now + MESSAGE_DELAY,
+                    Event::Hint(entry, dispatcher_index, hint, false),
+                );
             }
         }
         if self.jobs.iter().any(|job| !job.ended) {
-            self.at(now + TICK, Event::Tick);
+            self.schedule(now + TICK_INTERVAL, Event::Tick);
         }
     }
 
-    fn arrive(&mut self, now: Instant, n: usize) {
-        let (l, e) = (self.jobs[n].load, self.jobs[n].entry);
-        self.outcomes[l].submitted += 1;
-        if !self.admits(now, n) {
-            self.jobs[n].ended = true;
-            self.outcomes[l].refused += 1;
+    fn arrive(&mut self, now: Instant, job_index: usize) {
+        let (load_index, entry_index) = (self.jobs[job_index].load, self.jobs[job_index].entry);
+        self.outcomes[load_index].submitted += 1;
+        if !self.admits(now, job_index) {
+            self.jobs[job_index].ended = true;
+            self.outcomes[load_index].refused += 1;
             return;
         }
-        for run in self.jobs[n].runs.clone() {
-            let declared = Some(run.mul_f64(self.loads[l].declared));
-            let expected = self.expect(now, l, declared).run_time;
-            self.jobs[n].expected.push(expected);
-            self.entries[e].work[l] += expected;
-            self.entries[e].waiting[l] += expected;
+        for run in self.jobs[job_index].runs.clone() {
+            let declared = Some(run.mul_f64(self.loads[load_index].declared));
+            let expected = self.expect(now, load_index, declared).run_time;
+            self.jobs[job_index].expected.push(expected);
+            self.entries[entry_index].open_work[load_index] += expected;
+            self.entries[entry_index].unstarted_work[load_index] += expected;
         }
-        for task in 0..self.jobs[n].runs.len() {
-            self.entries[e].held[l].push_back(attempt(n, task));
+        for task in 0..self.jobs[job_index].runs.len() {
+            self.entries[entry_index].queued_at_entry[load_index]
+                .push_back(attempt(job_index, task));
         }
-        self.place(now, e, l);
+        self.place(now, entry_index, load_index);
     }
 
-    fn admits(&mut self, now: Instant, n: usize) -> bool {
-        let job = &self.jobs[n];
+    fn admits(&mut self, now: Instant, job_index: usize) -> bool {
+        let job = &self.jobs[job_index];
         let load = &self.loads[job.load];
         let entry = &self.entries[job.entry];
         let contract = Contract {
@@ -354,82 +372,86 @@
             ..Contract::default()
         };
         let mut work = Duration::ZERO;
-        let mut largest = None;
+        let mut longest = None;
         for run in &job.runs {
             let declared = Some(run.mul_f64(load.declared));
             let estimate = self.expect(now, job.load, declared);
             work += estimate.run_time;
-            largest = largest.max(Some((estimate.run_time, estimate.source)));
+            longest = longest.max(Some((estimate.run_time, estimate.source)));
         }
-        let (run_time, source) = largest.unwrap();
+        let (run_time, source) = longest.unwrap();
         let share = 1.0 - 0.1 / job.runs.len() as f64;
-        let name = &self.names[job.load];
-        let slowest = self
+        let name = &self.customers[job.load];
+        let tail_run_time = self
             .times
             .quantile(now, name, &self.kind, Some(run_time), share)
             .run_time;
         let entries = self.entries.len();
-        let lately = now - ACTIVE_FOR;
-        let active = entry.active_at.iter().filter(|at| **at > Some(lately));
-        let picture = WaitPicture {
-            own_work: entry.waiting[job.load],
+        let active_since = now - ACTIVE_FOR;
+        let active = entry
+            .active_at
+            .iter()
+            .filter(|at| **at > Some(active_since));
+        let estimator = WaitEstimator {
+            pending_work: entry.unstarted_work[job.load],
             share: CustomerShare(1),
-            all_shares: active.count() as u64,
-            drain: entry.drain[job.load],
+            active_shares: active.count() as u64,
+            drain_rate: entry.drain[job.load],
             slots: entry.table.slots(now) as f64 / entries as f64,
         };
         let query = AdmissionQuery {
             contract: &contract,
             class: WorkClass::Job,
             tasks: job.runs.len() as u32,
-            largest: RunTimeEstimate { run_time, source },
-            slowest,
+            longest_estimate: RunTimeEstimate { run_time, source },
+            tail_run_time,
             expected_work: work,
             deadline: job.due - now,
-            running: entry.placed[job.load] + entry.held[job.load].len() as u32,
-            running_work: entry.work[job.load],
-            granted: (load.concurrency / entries as u32).max(1),
-            predicted_wait: picture.predicted_wait(),
+            open_tasks: entry.in_flight[job.load] + entry.queued_at_entry[job.load].len() as u32,
+            open_work: entry.open_work[job.load],
+            granted_concurrency: (load.concurrency / entries as u32).max(1),
+            predicted_wait: estimator.predicted_wait(),
             saturation: entry.table.saturation(now),
         };
-        // Before the first hint nothing is known of the slots.
-        let verdict = AdmissionPolicy::default().decide(&query, &mut self.rng);
-        entry.table.slots(now) == 0 || verdict == AdmissionVerdict::Admit
+        // Before the first hint the number of slots is unknown, so everything is admitted.
+        let decision = AdmissionPolicy::default().decide(&query, &mut self.rng);
+        entry.table.slots(now) == 0 || decision == AdmissionDecision::Admit
     }
 
-    /// Places what the customer's limit lets through.
-    fn place(&mut self, now: Instant, e: usize, l: usize) {
-        let granted = (self.loads[l].concurrency / self.entries.len() as u32).max(1);
+    /// Places the tasks that the customer's concurrency limit lets through.
+    fn place(&mut self, now: Instant, entry_index: usize, load_index: usize) {
+        let granted_concurrency =
+            (self.loads[load_index].concurrency / self.entries.len() as u32).max(1);
         let query = PlacementQuery {
-            mean_run_time: self.expect(now, l, None).run_time,
+            mean_run_time: self.expect(now, load_index, None).run_time,
         };
-        while self.entries[e].placed[l] < granted {
-            let entry = &mut self.entries[e];
-            let Some(attempt) = entry.held[l].pop_front() else {
+        while self.entries[entry_index].in_flight[load_index] < granted_concurrency {
+            let entry = &mut self.entries[entry_index];
+            let Some(attempt) = entry.queued_at_entry[load_index].pop_front() else {
                 return;
             };
             if self.jobs[attempt.submission.serial as usize].ended {
                 continue;
             }
             let chosen = entry.table.choose(now, query);
-            let d = chosen.map_or_else(
-                || self.rng.usize(..self.plant.dispatchers),
+            let dispatcher_index = chosen.map_or_else(
+                || self.rng.usize(..self.cluster.dispatchers),
                 |key| key.0 as usize,
             );
-            entry.unanswered[d] += 1;
-            entry.placed[l] += 1;
-            self.at(now + MESSAGE, Event::Offer(d, attempt));
+            entry.unanswered[dispatcher_index] += 1;
+            entry.in_flight[load_index] += 1;
+            self.schedule(now + MESSAGE_DELAY, Event::Offer(dispatcher_index, attempt));
         }
     }
 
-    fn offer(&mut self, now: Instant, d: usize, attempt: AttemptId) {
+    fn offer(&mut self, now: Instant, dispatcher_index: usize, attempt: AttemptId) {
         let job = &self.jobs[attempt.submission.serial as usize];
         let load = &self.loads[job.load];
         let declared = job.runs[attempt.task as usize].mul_f64(load.declared);
-        let customer = self.names[job.load].clone();
+        let customer = self.customers[job.load].clone();
         let expected = self
             .times
-            .expect(now, &customer, &self.kind, Some(declared))
+            .expected_run_time(now, &customer, &self.kind, Some(declared))
             .run_time;
         let entry = QueueEntry {
             attempt,
@@ -438,44 +460,55 @@
             expected,
             due: job.due,
         };
-        if job.ended || self.dispatchers[d].queue.push(now, entry).is_err() {
-            self.close(now, attempt, |outcome| &mut outcome.late);
-            self.placed_ended(now, attempt);
+        if job.ended
+            || self.dispatchers[dispatcher_index]
+                .queue
+                .push(now, entry)
+                .is_err()
+        {
+            self.end_job(now, attempt, |outcome| &mut outcome.late);
+            self.release_in_flight(now, attempt);
         }
     }
 
-    fn start(&mut self, now: Instant, d: usize) {
+    fn start(&mut self, now: Instant, dispatcher_index: usize) {
         loop {
-            let dispatcher = &mut self.dispatchers[d];
+            let dispatcher = &mut self.dispatchers[dispatcher_index];
             let mut best: Option<usize> = None;
-            for (n, (_, health)) in dispatcher.endpoints.iter().enumerate() {
-                if health.running() >= health.capacity(now, SLOTS) {
+            for (endpoint_index, (_, health)) in dispatcher.endpoints.iter().enumerate() {
+                if health.running() >= health.capacity(now, SLOTS_PER_ENDPOINT) {
                     continue;
                 }
                 if best.is_none_or(|b| health.slowdown() < dispatcher.endpoints[b].1.slowdown()) {
-                    best = Some(n);
+                    best = Some(endpoint_index);
                 }
             }
-            let Some(n) = best else {
+            let Some(endpoint_index) = best else {
                 return;
             };
             let Some(entry) = dispatcher.queue.pop(now) else {
                 return;
             };
-            let (endpoint, health) = &mut dispatcher.endpoints[n];
+            let (endpoint, health) = &mut dispatcher.endpoints[endpoint_index];
             health.on_start(now);
-            let (slower, fails) = self.plant.endpoints[*endpoint];
+            let (slowdown, fails) = self.cluster.endpoints[*endpoint];
             let job = &self.jobs[entry.attempt.submission.serial as usize];
             let ran = match fails {
                 true => Duration::from_millis(1),
-                false => job.runs[entry.attempt.task as usize] * slower,
+                false => job.runs[entry.attempt.task as usize] * slowdown,
             };
             if job.stages[entry.attempt.task as usize] == Stage::Waiting {
-                self.move_task(now, entry.attempt, Stage::Running);
+                self.set_stage(now, entry.attempt, Stage::Running);
             }
-            self.at(
+            self.schedule(
                 now + ran,
-                Event::End(d, n, entry.attempt, fails, entry.expected),
+                Event::End(
+                    dispatcher_index,
+                    endpoint_index,
+                    entry.attempt,
+                    fails,
+                    entry.expected,
+                ),
             );
         }
     }
@@ -483,26 +516,31 @@
     fn end(
         &mut self,
         now: Instant,
-        d: usize,
-        n: usize,
+        dispatcher_index: usize,
+        endpoint_index: usize,
         attempt: AttemptId,
         failed: bool,
-        billed: Duration,
+        charged: Duration,
     ) {
         let job = &self.jobs[attempt.submission.serial as usize];
-        let (l, e) = (job.load, job.entry);
-        let expected = self.expect(now, l, None).run_time;
-        let dispatcher = &mut self.dispatchers[d];
-        let (endpoint, health) = &mut dispatcher.endpoints[n];
+        let (load_index, entry_index) = (job.load, job.entry);
+        let expected = self.expect(now, load_index, None).run_time;
+        let dispatcher = &mut self.dispatchers[dispatcher_index];
+        let (endpoint, health) = &mut dispatcher.endpoints[endpoint_index];
         let ran = match failed {
             true => Duration::from_millis(1),
-            false => job.runs[attempt.task as usize] * self.plant.endpoints[*endpoint].0,
+            false => job.runs[attempt.task as usize] * self.cluster.endpoints[*endpoint].0,
         };
-        dispatcher.queue.charge(&self.names[l], ran, billed);
+        dispatcher
+            .queue
+            .correct_charge(&self.customers[load_index], ran, charged);
         match failed {
-            true => self.times.record_failure(now, &self.names[l], &self.kind),
+            true => self
+                .times
+                .record_failure(now, &self.customers[load_index], &self.kind),
             false => {
-                self.times.record(now, &self.names[l], &self.kind, ran);
+                self.times
+                    .record(now, &self.customers[load_index], &self.kind, ran);
                 dispatcher.fleet.on_done(ran, expected);
             }
         }
@@ -510,17 +548,21 @@
             kind: [EndKind::Done, EndKind::Failed][usize::from(failed)],
             ran,
             expected: dispatcher.fleet.scale(expected),
-            failure_share: self.times.failure_share(&self.names[l], &self.kind),
+            failure_rate: self
+                .times
+                .failure_rate(&self.customers[load_index], &self.kind),
         };
         health.on_end(now, report);
-        self.entries[e].table.on_end(DispatcherKey(d as u64));
-        self.move_task(now, attempt, Stage::Ended);
-        self.placed_ended(now, attempt);
+        self.entries[entry_index]
+            .table
+            .on_end(DispatcherKey(dispatcher_index as u64));
+        self.set_stage(now, attempt, Stage::Ended);
+        self.release_in_flight(now, attempt);
         if failed {
-            self.close(now, attempt, |outcome| &mut outcome.failed);
+            self.end_job(now, attempt, |outcome| &mut outcome.failed);
             for dispatcher in &mut self.dispatchers {
                 let removed = dispatcher.queue.remove_submission(attempt.submission);
-                self.entries[e].placed[l] -= removed.len() as u32;
+                self.entries[entry_index].in_flight[load_index] -= removed.len() as u32;
             }
             return;
         }
@@ -531,38 +573,41 @@
         }
         let longest = job.runs.iter().max().unwrap().as_secs_f64();
         let (took, in_time) = (now - job.arrived, now <= job.due);
-        self.outcomes[l].ratios.push(took.as_secs_f64() / longest);
+        self.outcomes[load_index]
+            .ratios
+            .push(took.as_secs_f64() / longest);
         match in_time {
-            true => self.close(now, attempt, |outcome| &mut outcome.in_time),
-            false => self.close(now, attempt, |outcome| &mut outcome.late),
+            true => self.end_job(now, attempt, |outcome| &mut outcome.in_time),
+            false => self.end_job(now, attempt, |outcome| &mut outcome.late),
         }
     }
 
     fn expect(&self, now: Instant, load: usize, declared: Option<Duration>) -> RunTimeEstimate {
-        let name = &self.names[load];
-        self.times.expect(now, name, &self.kind, declared)
+        let name = &self.customers[load];
+        self.times
+            .expected_run_time(now, name, &self.kind, declared)
     }
 
-    fn move_task(&mut self, now: Instant, attempt: AttemptId, stage: Stage) {
+    fn set_stage(&mut self, now: Instant, attempt: AttemptId, stage: Stage) {
         let job = &mut self.jobs[attempt.submission.serial as usize];
         let task = attempt.task as usize;
         self.entries[job.entry].active_at[job.load] = Some(now);
         let before = std::mem::replace(&mut job.stages[task], stage);
         let entry = &mut self.entries[job.entry];
         if before == Stage::Waiting && stage != Stage::Waiting {
-            entry.waiting[job.load] -= job.expected[task];
+            entry.unstarted_work[job.load] -= job.expected[task];
         }
         if stage == Stage::Running {
-            let backlog = !entry.waiting[job.load].is_zero();
+            let backlog = !entry.unstarted_work[job.load].is_zero();
             entry.drain[job.load].on_start(now, job.expected[task], backlog);
         }
         if before != Stage::Ended && stage == Stage::Ended {
-            entry.work[job.load] -= job.expected[task];
+            entry.open_work[job.load] -= job.expected[task];
         }
     }
 
-    /// Ends a job once.
-    fn close(
+    /// Ends a job and counts its outcome, unless it has already ended.
+    fn end_job(
         &mut self,
         now: Instant,
         attempt: AttemptId,
@@ -575,34 +620,43 @@
         job.ended = true;
         *count(&mut self.outcomes[job.load]) += 1;
         for task in 0..job.runs.len() as u32 {
-            self.move_task(now, AttemptId { task, ..attempt }, Stage::Ended);
+            self.set_stage(now, AttemptId { task, ..attempt }, Stage::Ended);
         }
     }
 
-    fn placed_ended(&mut self, now: Instant, attempt: AttemptId) {
+    fn release_in_flight(&mut self, now: Instant, attempt: AttemptId) {
         let job = &self.jobs[attempt.submission.serial as usize];
-        let (e, l) = (job.entry, job.load);
-        self.entries[e].placed[l] -= 1;
-        self.place(now, e, l);
+        let (entry_index, load_index) = (job.entry, job.load);
+        self.entries[entry_index].in_flight[load_index] -= 1;
+        self.place(now, entry_index, load_index);
     }
 
-    fn hint(&self, now: Instant, d: usize) -> SlotsHint {
-        let dispatcher = &self.dispatchers[d];
+    fn hint(&self, now: Instant, dispatcher_index: usize) -> SlotsHint {
+        let dispatcher = &self.dispatchers[dispatcher_index];
         let mut hint = SlotsHint {
             queued: dispatcher.queue.len() as u32,
             ..SlotsHint::default()
         };
         for (_, health) in &dispatcher.endpoints {
-            hint.limit += health.capacity(now, SLOTS);
+            hint.limit += health.capacity(now, SLOTS_PER_ENDPOINT);
             hint.running += health.running();
         }
         hint
     }
 
-    fn tell(&mut self, now: Instant, d: usize, attempt: AttemptId, reply: bool) {
+    fn send_hint(
+        &mut self,
+        now: Instant,
+        dispatcher_index: usize,
+        attempt: AttemptId,
+        reply: bool,
+    ) {
         let entry = self.jobs[attempt.submission.serial as usize].entry;
-        let hint = self.hint(now, d);
-        self.at(now + MESSAGE, Event::Hint(entry, d, hint, reply));
+        let hint = self.hint(now, dispatcher_index);
+        self.schedule(
+            now + MESSAGE_DELAY,
+            Event::Hint(entry, dispatcher_index, hint, reply),
+        );
     }
 }
 
--- a/crates/decisions/tests/placement.rs
+++ b/crates/decisions/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: where each of a run of tasks goes.
+//! Placement: which dispatchers a sequence of tasks goes to.
 
 use std::{
     collections::BTreeMap,
@@ -10,16 +10,17 @@
 };
 use model::DataCentreId;
 
-/// One step. Dispatchers 1 to 9 are local, 11 to 19 are in `b` and 21 to 29 in `c`, each 2 ms away and back.
+/// One step of a test. Dispatchers 1 to 9 are local, 11 to 19 are in `b`, and 21 to 29 are in `c`; the round trip to
+/// `b` and to `c` takes 2 ms.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// Of a dispatcher: limit, running, queued, offers not answered.
+    /// A hint of a dispatcher: its key, limit, running tasks, queued tasks and unanswered offers.
     Hint(u64, u32, u32, u32, u32),
     Cut(&'static str, bool),
     Gone(u64),
-    /// Milliseconds since the start.
+    /// Sets the time, in milliseconds since the start.
     At(u64),
-    /// Choices of tasks with this mean run time in milliseconds, and how many go to which dispatcher.
+    /// The number of choices, the mean run time in milliseconds, and how many tasks go to which dispatcher.
     Choose(u32, u64, &'static [(u64, u32)]),
 }
 
@@ -43,7 +44,7 @@
     table.choose(now, PlacementQuery { mean_run_time })
 }
 
-/// Runs the steps with several seeds; key 0 stands for no choice.
+/// Runs the steps with several seeds. In the expected choices, key 0 means that no dispatcher was chosen.
 fn check(steps: &[Step]) {
     for seed in 0..20 {
         let start = Instant::now();
@@ -88,12 +89,12 @@
 }
 
 #[test]
-fn what_was_just_sent_counts() {
+fn unanswered_offers_count_as_load() {
     check(&[
         Hint(1, 8, 0, 0, 0),
         Choose(8, 200, &[(1, 8)]),
         Hint(2, 8, 7, 0, 0),
-        // The hint was given before five of the eight had come there.
+        // The hint was sent before five of the eight tasks arrived there.
         Hint(1, 8, 3, 0, 5),
         Choose(1, 200, &[(2, 1)]),
         Hint(1, 8, 7, 0, 0),
@@ -101,7 +102,7 @@
     ]);
 }
 
-/// Sends 100 tasks to five dispatchers with this much running of `limit`; none may get more than `most`.
+/// Sends 100 tasks to five dispatchers that each have `running` of `limit` slots in use; none may get more than `most`.
 fn check_even(draws: u32, limit: u32, running: u32, most: u32) {
     let settings = PlacementSettings {
         draws,
@@ -127,7 +128,7 @@
 }
 
 #[test]
-fn equal_dispatchers_get_alike() {
+fn equal_dispatchers_get_equal_load() {
     check_even(2, 100, 0, 25);
     check_even(8, 100, 0, 21);
     check_even(2, 8, 8, 25);
@@ -135,7 +136,7 @@
 }
 
 #[test]
-fn nobody_is_chosen_before_it_spoke_or_after_it_left() {
+fn dispatchers_without_a_hint_or_removed_are_not_chosen() {
     check(&[
         Choose(1, 200, &[(0, 1)]),
         Hint(1, 8, 0, 0, 0),
@@ -151,7 +152,7 @@
 }
 
 #[test]
-fn a_frozen_dispatcher_draws_no_more_tasks() {
+fn a_dispatcher_that_does_not_answer_gets_no_more_tasks() {
     check(&[
         Hint(1, 80, 0, 0, 0),
         Choose(2, 200, &[(1, 2)]),
@@ -166,14 +167,14 @@
 }
 
 #[test]
-fn a_shift_needs_gain_and_spare() {
+fn a_shift_needs_a_gain_in_time_and_spare_slots() {
     let full = [
         Hint(1, 8, 8, 0, 0),
         Hint(11, 8, 0, 0, 0),
         Hint(21, 8, 4, 0, 0),
     ];
     let with = |steps: &[Step]| check(&[&full, steps].concat());
-    // One of eight slots, a fifth rounded down, stays free. Seven are spare in `b` and three in `c`.
+    // One of eight slots, a fifth rounded down, stays free. `b` has seven spare slots and `c` has three.
     with(&[
         Choose(4, 200, &[(11, 4)]),
         Choose(6, 200, &[(11, 3), (21, 3)]),
@@ -183,7 +184,7 @@
         Choose(5, 200, &[(1, 5)]),
     ]);
     with(&[Choose(1, 200, &[(11, 1)])]);
-    // Waiting for one of eight slots of 32 ms takes 4 ms, which two round trips take too.
+    // Waiting for one of eight slots with tasks of 32 ms takes 4 ms, as long as two round trips.
     with(&[Choose(1, 32, &[(1, 1)]), Choose(1, 32, &[(11, 1)])]);
     with(&[Cut("b", true), Choose(1, 200, &[(21, 1)])]);
     with(&[Cut("b", true), Cut("c", true), Choose(9, 200, &[(1, 9)])]);
@@ -194,7 +195,7 @@
 }
 
 #[test]
-fn without_local_slots_the_reachable_ones_are_used() {
+fn without_local_slots_tasks_queue_at_a_reachable_data_centre() {
     check(&[
         Hint(11, 8, 8, 9, 0),
         Hint(21, 8, 8, 0, 0),
@@ -208,7 +209,7 @@
 }
 
 #[test]
-fn the_picture_is_of_where_tasks_would_go() {
+fn slots_and_saturation_are_of_the_data_centre_that_queues() {
     let now = Instant::now();
     let mut table = table(PlacementSettings::default(), 1);
     let mut check = |key, running, queued, slots, saturation| {
@@ -234,7 +235,7 @@
 }
 
 #[test]
-fn the_rules_to_measure_against_stay_local() {
+fn baseline_rules_stay_local() {
     for (rule, most) in [
         (PlacementRule::RandomOwner, 400),
         (PlacementRule::TwoChoices, 255),
@@ -260,7 +261,7 @@
             "{rule:?}"
         );
         assert!(chosen.values().all(|n| *n <= most), "{rule:?} {chosen:?}");
-        // Ends make room: the one whose tasks ended is chosen next.
+        // Ended tasks reduce the outstanding ones, so the dispatcher whose tasks ended is chosen next.
         if rule == PlacementRule::TwoChoices {
             (0..200).for_each(|_| table.on_end(DispatcherKey(3)));
             let threes = (0..100)
@@ -271,9 +272,9 @@
     }
 }
 
-/// Dispatcher 1 has most of the free slots, and 2 or nobody besides.
+/// Dispatcher 1 has most of the free slots; there is no other one, or only dispatcher 2.
 #[test]
-fn the_avoided_one_is_taken_only_without_another() {
+fn an_avoided_dispatcher_is_chosen_only_without_another() {
     let query = PlacementQuery {
         mean_run_time: Duration::from_millis(200),
     };
@@ -292,16 +293,16 @@
         let mut table = table(PlacementSettings::default(), seed);
         table.add_dispatcher(avoided, &centre(1));
         table.on_hint(now, avoided, empty, 0);
-        assert_eq!(table.choose_other(now, query, avoided), Some(avoided));
+        assert_eq!(table.choose_avoiding(now, query, avoided), Some(avoided));
         let other = DispatcherKey(2);
         table.add_dispatcher(other, &centre(2));
         table.on_hint(now, other, full, 0);
-        assert_eq!(table.choose_other(now, query, avoided), Some(other));
+        assert_eq!(table.choose_avoiding(now, query, avoided), Some(other));
         assert_eq!(table.choose(now, query), Some(avoided));
     }
 }
 
-/// A hint that came with the answers counts the tasks already.
+/// A hint that arrived together with the answers already counts the tasks.
 #[test]
 fn answered_offers_do_not_count_twice() {
     let now = Instant::now();
--- a/crates/ledger/src/ledger/running.rs
+++ b/crates/ledger/src/ledger/running.rs
@@ -28,7 +28,8 @@
         } else {
             ran
         };
-        self.queue.charge(&task.customer, billed, task.expected);
+        self.queue
+            .correct_charge(&task.customer, billed, task.expected);
         if matches!(end, AttemptEnd::NotRun(RetryReason::EndpointLeaving)) {
             // The endpoint knows better than the VM list, which lags.
             self.set_leaving(&task.endpoint);
@@ -172,13 +173,13 @@
     fn learn(&mut self, now: Instant, task: &RunningTask, end: &AttemptEnd, ran: Duration) {
         let expected = self
             .run_times
-            .expect(now, &task.customer, &task.kind, None)
+            .expected_run_time(now, &task.customer, &task.kind, None)
             .run_time;
         let report = EndReport {
             kind: EndKind::from(end),
             ran,
             expected: self.fleet.scale(expected),
-            failure_share: self.run_times.failure_share(&task.customer, &task.kind),
+            failure_rate: self.run_times.failure_rate(&task.customer, &task.kind),
         };
         match report.kind {
             EndKind::Done => {
