--- a/crates/authority/src/flight.rs
+++ b/crates/authority/src/attempt.rs
@@ -6,7 +6,7 @@
 
 /// How far an attempt has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FlightPhase {
+pub enum AttemptPhase {
     /// The body was sent with the offer: it may have started.
     Offered,
     /// The dispatcher keeps a reservation without the body: it has certainly not started.
@@ -17,7 +17,7 @@
     Running,
 }
 
-impl FlightPhase {
+impl AttemptPhase {
     /// Whether the body may have reached an endpoint.
     pub fn may_have_started(self) -> bool {
         match self {
@@ -28,50 +28,50 @@
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct FlightRecord {
+pub(crate) struct InFlightAttempt {
     pub(crate) customer: CustomerId,
     /// Kept here because the task may have lost its submission by the time its run time is known.
     pub(crate) kind: TaskKind,
     pub(crate) dispatcher: DispatcherKey,
     pub(crate) session: SessionId,
-    pub(crate) phase: FlightPhase,
+    pub(crate) phase: AttemptPhase,
 }
 
 /// Attempts by id and by dispatcher. An attempt stays here until it is known to have ended, also when its
 /// submission has its answer, because until then it holds a part of the customer's concurrency.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct FlightTable {
-    flights: FastMap<AttemptId, FlightRecord>,
+pub(crate) struct AttemptTable {
+    by_id: FastMap<AttemptId, InFlightAttempt>,
     by_dispatcher: FastMap<DispatcherKey, FastSet<AttemptId>>,
 }
 
-impl FlightTable {
-    pub(crate) fn insert(&mut self, attempt: AttemptId, flight: FlightRecord) {
+impl AttemptTable {
+    pub(crate) fn insert(&mut self, attempt: AttemptId, in_flight: InFlightAttempt) {
         self.by_dispatcher
-            .entry(flight.dispatcher)
+            .entry(in_flight.dispatcher)
             .or_default()
             .insert(attempt);
-        self.flights.insert(attempt, flight);
+        self.by_id.insert(attempt, in_flight);
     }
 
-    pub(crate) fn get(&self, attempt: &AttemptId) -> Option<&FlightRecord> {
-        self.flights.get(attempt)
+    pub(crate) fn get(&self, attempt: &AttemptId) -> Option<&InFlightAttempt> {
+        self.by_id.get(attempt)
     }
 
-    pub(crate) fn get_mut(&mut self, attempt: &AttemptId) -> Option<&mut FlightRecord> {
-        self.flights.get_mut(attempt)
+    pub(crate) fn get_mut(&mut self, attempt: &AttemptId) -> Option<&mut InFlightAttempt> {
+        self.by_id.get_mut(attempt)
     }
 
-    pub(crate) fn remove(&mut self, attempt: &AttemptId) -> Option<FlightRecord> {
-        let flight = self.flights.remove(attempt)?;
-        if let Some(attempts) = self.by_dispatcher.get_mut(&flight.dispatcher) {
+    pub(crate) fn remove(&mut self, attempt: &AttemptId) -> Option<InFlightAttempt> {
+        let in_flight = self.by_id.remove(attempt)?;
+        if let Some(attempts) = self.by_dispatcher.get_mut(&in_flight.dispatcher) {
             attempts.remove(attempt);
         }
-        Some(flight)
+        Some(in_flight)
     }
 
     /// The attempts at one dispatcher, in a fixed order so that a run can be repeated.
-    pub(crate) fn at(&self, dispatcher: DispatcherKey) -> Vec<AttemptId> {
+    pub(crate) fn ids_at(&self, dispatcher: DispatcherKey) -> Vec<AttemptId> {
         let mut attempts: Vec<_> = self
             .by_dispatcher
             .get(&dispatcher)
@@ -83,16 +83,16 @@
         attempts
     }
 
-    pub(crate) fn list(&self) -> Vec<(AttemptId, DispatcherKey, FlightPhase)> {
-        let mut list = Vec::with_capacity(self.flights.len());
-        for (attempt, flight) in &self.flights {
-            list.push((*attempt, flight.dispatcher, flight.phase));
+    pub(crate) fn list(&self) -> Vec<(AttemptId, DispatcherKey, AttemptPhase)> {
+        let mut list = Vec::with_capacity(self.by_id.len());
+        for (attempt, in_flight) in &self.by_id {
+            list.push((*attempt, in_flight.dispatcher, in_flight.phase));
         }
         list.sort_unstable_by_key(|(attempt, ..)| *attempt);
         list
     }
 
     pub(crate) fn len(&self) -> usize {
-        self.flights.len()
+        self.by_id.len()
     }
 }
--- a/crates/authority/src/authority.rs
+++ b/crates/authority/src/authority.rs
@@ -21,9 +21,9 @@
 
 use crate::{
     action::{AuthorityAction, AuthorityEvent},
+    attempt::{AttemptPhase, AttemptTable},
     authority::admitting::ExpectedWork,
     customer_load::LoadTable,
-    flight::{FlightPhase, FlightTable},
     held::HeldBytes,
     record::{RecordState, SubmissionRecord, SubmissionShape, TaskPhase, TaskRecord},
     refusal::SubmissionRefusal,
@@ -66,7 +66,7 @@
     looks: BTreeSet<(Instant, u64)>,
     kept: VecDeque<(Instant, u64)>,
     tickets: TicketTable,
-    flights: FlightTable,
+    attempts: AttemptTable,
     waiting: WaitingTable,
     sessions: SessionTable,
     places: PlacementTable,
@@ -104,7 +104,7 @@
             looks: BTreeSet::new(),
             kept: VecDeque::new(),
             tickets: TicketTable::default(),
-            flights: FlightTable::default(),
+            attempts: AttemptTable::default(),
             waiting: WaitingTable::default(),
             sessions: SessionTable::default(),
             places: PlacementTable::new(settings.placement.clone(), data_centre, rng.fork()),
@@ -341,12 +341,12 @@
 
     /// Attempts that dispatchers may hold, with those of answered submissions.
     pub fn attempts_in_flight(&self) -> usize {
-        self.flights.len()
+        self.attempts.len()
     }
 
     /// The attempts that dispatchers may hold, each with its dispatcher and how far it has come, in order.
-    pub fn attempts(&self) -> Vec<(AttemptId, DispatcherKey, FlightPhase)> {
-        self.flights.list()
+    pub fn attempts(&self) -> Vec<(AttemptId, DispatcherKey, AttemptPhase)> {
+        self.attempts.list()
     }
 
     /// When [`Self::tick`] has something to do next.
--- a/crates/authority/src/authority/giving_up.rs
+++ b/crates/authority/src/authority/giving_up.rs
@@ -13,8 +13,8 @@
 
 use crate::{
     action::{AuthorityAction, AuthorityEvent},
+    attempt::AttemptPhase,
     authority::{waiting_task, CancelReply, TaskAuthority},
-    flight::FlightPhase,
     record::{RecordState, SubmissionShape, TaskPhase},
     session::{DispatcherKey, DispatcherSession, SessionState},
 };
@@ -83,7 +83,7 @@
             self.give_up_dispatcher(now, dispatcher, UnknownReason::DispatcherGone);
         }
         let state = SessionState::Open { session, batch: 0 };
-        let attempts = self.flights.at(dispatcher);
+        let attempts = self.attempts.ids_at(dispatcher);
         let opened = DispatcherSession {
             incarnation,
             state,
@@ -96,8 +96,8 @@
         self.places.add_dispatcher(dispatcher, &data_centre);
         self.hint(now, dispatcher);
         for attempt in &attempts {
-            if let Some(flight) = self.flights.get_mut(attempt) {
-                flight.session = session;
+            if let Some(in_flight) = self.attempts.get_mut(attempt) {
+                in_flight.session = session;
             }
         }
         self.send_withdraw(dispatcher, session, 0, attempts);
@@ -116,11 +116,11 @@
         }
         lost.state = SessionState::Lost { until };
         self.places.remove_dispatcher(dispatcher);
-        for attempt in self.flights.at(dispatcher) {
+        for attempt in self.attempts.ids_at(dispatcher) {
             let queued = self
-                .flights
+                .attempts
                 .get(&attempt)
-                .is_some_and(|flight| !flight.phase.may_have_started());
+                .is_some_and(|in_flight| !in_flight.phase.may_have_started());
             if !queued {
                 continue;
             }
@@ -156,8 +156,10 @@
     fn count_offered(&self, attempts: &[AttemptId]) -> u32 {
         let mut offered = 0;
         for attempt in attempts {
-            let flight = self.flights.get(attempt);
-            offered += u32::from(flight.is_some_and(|flight| flight.phase == FlightPhase::Offered));
+            let in_flight = self.attempts.get(attempt);
+            offered += u32::from(
+                in_flight.is_some_and(|in_flight| in_flight.phase == AttemptPhase::Offered),
+            );
         }
         offered
     }
@@ -172,7 +174,7 @@
                 TaskPhase::Waiting => false,
                 TaskPhase::Done(_) => true,
                 TaskPhase::InFlight => {
-                    self.flight_may_have_started(serial, index as u32, task.attempts)
+                    self.attempt_may_have_started(serial, index as u32, task.attempts)
                 }
             };
             if started {
@@ -182,15 +184,15 @@
         false
     }
 
-    fn flight_may_have_started(&self, serial: u64, task: u32, attempts: u32) -> bool {
+    fn attempt_may_have_started(&self, serial: u64, task: u32, attempts: u32) -> bool {
         let attempt = AttemptId {
             submission: self.id(serial),
             task,
             attempt: attempts.saturating_sub(1),
         };
-        self.flights
+        self.attempts
             .get(&attempt)
-            .is_none_or(|flight| flight.phase.may_have_started())
+            .is_none_or(|in_flight| in_flight.phase.may_have_started())
     }
 
     fn give_up(&mut self, now: Instant, serial: u64, cause: GiveUpCause) {
@@ -255,13 +257,13 @@
         if open {
             return;
         }
-        let Some(flight) = self.flights.get(&attempt) else {
+        let Some(in_flight) = self.attempts.get(&attempt) else {
             return;
         };
-        if flight.phase != FlightPhase::Queued {
+        if in_flight.phase != AttemptPhase::Queued {
             return;
         }
-        let dispatcher = flight.dispatcher;
+        let dispatcher = in_flight.dispatcher;
         self.land(attempt);
         if let Some((session, batch)) = self
             .sessions
@@ -325,15 +327,15 @@
     /// Says where an attempt has to be withdrawn. One that has certainly not started gives its concurrency back at
     /// once, since its ask will be turned away; one that may run keeps it until the dispatcher has said more.
     fn take_back_attempt(&mut self, attempt: AttemptId) -> Option<DispatcherKey> {
-        let flight = self.flights.get(&attempt)?;
-        let (dispatcher, phase) = (flight.dispatcher, flight.phase);
+        let in_flight = self.attempts.get(&attempt)?;
+        let (dispatcher, phase) = (in_flight.dispatcher, in_flight.phase);
         match phase {
-            FlightPhase::Running => None,
-            FlightPhase::Queued => {
+            AttemptPhase::Running => None,
+            AttemptPhase::Queued => {
                 self.land(attempt);
                 Some(dispatcher)
             }
-            FlightPhase::Offered | FlightPhase::Claimed => Some(dispatcher),
+            AttemptPhase::Offered | AttemptPhase::Claimed => Some(dispatcher),
         }
     }
 
@@ -389,11 +391,11 @@
         dispatcher: DispatcherKey,
         reason: UnknownReason,
     ) {
-        for attempt in self.flights.at(dispatcher) {
+        for attempt in self.attempts.ids_at(dispatcher) {
             let started = self
-                .flights
+                .attempts
                 .get(&attempt)
-                .is_some_and(|flight| flight.phase.may_have_started());
+                .is_some_and(|in_flight| in_flight.phase.may_have_started());
             if started {
                 self.give_up_attempt(now, attempt, reason);
                 continue;
--- a/crates/authority/src/authority/placing.rs
+++ b/crates/authority/src/authority/placing.rs
@@ -7,8 +7,8 @@
 
 use crate::{
     action::{AuthorityAction, AuthorityEvent},
+    attempt::{AttemptPhase, InFlightAttempt},
     authority::TaskAuthority,
-    flight::{FlightPhase, FlightRecord},
     record::TaskPhase,
     session::DispatcherKey,
     waiting::WaitingTask,
@@ -125,14 +125,14 @@
         let session = self.sessions.get_mut(&dispatcher)?;
         session.unanswered += 1;
         let (session, _) = session.open()?;
-        let flight = FlightRecord {
+        let in_flight = InFlightAttempt {
             customer: customer.clone(),
             kind: body.kind.clone(),
             dispatcher,
             session,
-            phase: FlightPhase::Offered,
+            phase: AttemptPhase::Offered,
         };
-        self.flights.insert(attempt, flight);
+        self.attempts.insert(attempt, in_flight);
         if attempt.attempt == first_attempt {
             self.budget.on_placed(now, &customer, 1, retry_percent);
         }
--- a/crates/authority/src/authority/replies.rs
+++ b/crates/authority/src/authority/replies.rs
@@ -9,8 +9,8 @@
 
 use crate::{
     action::AuthorityEvent,
+    attempt::{AttemptPhase, InFlightAttempt},
     authority::{waiting_task, TaskAuthority},
-    flight::{FlightPhase, FlightRecord},
     record::{SubmissionShape, TaskPhase},
     session::DispatcherKey,
 };
@@ -37,18 +37,22 @@
         for (attempt, verdict) in verdicts {
             match verdict {
                 TaskVerdict::Queued if self.may_move(*attempt, moved.len()) => {
-                    if let Some(flight) = self.land(*attempt) {
+                    if let Some(in_flight) = self.land(*attempt) {
                         self.set_waiting(*attempt);
                         moved.push(*attempt);
-                        turned_away.push((*attempt, RetryReason::SlotElsewhere, flight.dispatcher));
+                        turned_away.push((
+                            *attempt,
+                            RetryReason::SlotElsewhere,
+                            in_flight.dispatcher,
+                        ));
                     }
                 }
-                TaskVerdict::Started => self.on_taken(now, *attempt, FlightPhase::Running),
-                TaskVerdict::Queued => self.on_taken(now, *attempt, FlightPhase::Queued),
+                TaskVerdict::Started => self.on_taken(now, *attempt, AttemptPhase::Running),
+                TaskVerdict::Queued => self.on_taken(now, *attempt, AttemptPhase::Queued),
                 TaskVerdict::NotRun(reason) => {
-                    if let Some(flight) = self.land(*attempt) {
+                    if let Some(in_flight) = self.land(*attempt) {
                         self.set_waiting(*attempt);
-                        turned_away.push((*attempt, *reason, flight.dispatcher));
+                        turned_away.push((*attempt, *reason, in_flight.dispatcher));
                     }
                 }
             }
@@ -70,12 +74,12 @@
         session: SessionId,
         attempt: AttemptId,
     ) -> Option<Payload> {
-        let flight = self.flights.get(&attempt)?;
+        let in_flight = self.attempts.get(&attempt)?;
         // An ask of an older session comes from a reservation that was given up when that session was lost, and the
         // body goes out once only. In any other phase the ask is good, whatever was heard before: it may overtake the
         // verdict, or follow a withdrawal that the dispatcher could not confirm, and only a dispatcher that keeps no
         // body asks.
-        if flight.session != session || flight.phase == FlightPhase::Claimed {
+        if in_flight.session != session || in_flight.phase == AttemptPhase::Claimed {
             return None;
         }
         let record = self
@@ -89,7 +93,7 @@
             return None;
         };
         let payload = task.body.payload.clone();
-        self.set_phase(attempt, FlightPhase::Claimed);
+        self.set_phase(attempt, AttemptPhase::Claimed);
         self.mark_started(now, attempt);
         self.note(AuthorityEvent::Claimed(attempt));
         Some(payload)
@@ -97,16 +101,18 @@
 
     /// An attempt has ended after `ran`.
     pub fn on_ended(&mut self, now: Instant, attempt: AttemptId, end: AttemptEnd, ran: Duration) {
-        let Some(flight) = self.land(attempt) else {
+        let Some(in_flight) = self.land(attempt) else {
             // Nobody waits for it: the attempt was given up as unknown before, and stays so.
             return;
         };
         self.note(AuthorityEvent::Ended(attempt, end.clone()));
-        self.learn(now, &flight, &end, ran);
+        self.learn(now, &in_flight, &end, ran);
         match end {
             AttemptEnd::Done(result) => self.on_done(now, attempt, result),
             AttemptEnd::Failed => self.finish_failed(now, attempt, FailureReason::TaskFailed),
-            AttemptEnd::NotRun(reason) => self.on_not_run(now, attempt, reason, flight.dispatcher),
+            AttemptEnd::NotRun(reason) => {
+                self.on_not_run(now, attempt, reason, in_flight.dispatcher)
+            }
             AttemptEnd::Unknown(reason) => self.on_unknown(now, attempt, reason),
         }
         self.place(now);
@@ -117,8 +123,13 @@
         for (attempt, reply) in replies {
             match reply {
                 WithdrawalVerdict::NotRun => {
-                    if let Some(flight) = self.land(*attempt) {
-                        self.on_not_run(now, *attempt, RetryReason::Withdrawn, flight.dispatcher);
+                    if let Some(in_flight) = self.land(*attempt) {
+                        self.on_not_run(
+                            now,
+                            *attempt,
+                            RetryReason::Withdrawn,
+                            in_flight.dispatcher,
+                        );
                     }
                 }
                 // It may only mean that the offer is still on its way there. Taken for a start, it would hide the
@@ -145,13 +156,13 @@
     }
 
     /// Notes how far an attempt has come; `false` when it is gone.
-    fn set_phase(&mut self, attempt: AttemptId, phase: FlightPhase) -> bool {
-        let Some(flight) = self.flights.get_mut(&attempt) else {
+    fn set_phase(&mut self, attempt: AttemptId, phase: AttemptPhase) -> bool {
+        let Some(in_flight) = self.attempts.get_mut(&attempt) else {
             return false;
         };
-        let before = std::mem::replace(&mut flight.phase, phase);
-        let dispatcher = flight.dispatcher;
-        if before == FlightPhase::Offered {
+        let before = std::mem::replace(&mut in_flight.phase, phase);
+        let dispatcher = in_flight.dispatcher;
+        if before == AttemptPhase::Offered {
             self.on_answered(dispatcher);
         }
         true
@@ -159,8 +170,14 @@
 
     /// Takes the run time of what ran, also of a task whose submission has its answer: those that come after the
     /// deadline are the slow ones, and without them their kind would look fast.
-    fn learn(&mut self, now: Instant, flight: &FlightRecord, end: &AttemptEnd, ran: Duration) {
-        let (customer, kind) = (&flight.customer, &flight.kind);
+    fn learn(
+        &mut self,
+        now: Instant,
+        in_flight: &InFlightAttempt,
+        end: &AttemptEnd,
+        ran: Duration,
+    ) {
+        let (customer, kind) = (&in_flight.customer, &in_flight.kind);
         match end {
             AttemptEnd::Done(_) => {
                 self.times.record(now, customer, kind, ran);
@@ -185,10 +202,10 @@
     /// free slots, and each task twice at most, since what is known of other dispatchers may be as old as their last
     /// word; with every slot in use nothing moves.
     fn may_move(&self, attempt: AttemptId, moved: usize) -> bool {
-        let Some(flight) = self
-            .flights
+        let Some(in_flight) = self
+            .attempts
             .get(&attempt)
-            .filter(|flight| flight.phase == FlightPhase::Offered)
+            .filter(|in_flight| in_flight.phase == AttemptPhase::Offered)
         else {
             return false;
         };
@@ -202,20 +219,20 @@
         let tries = attempt.attempt - record.first_attempt;
         record.move_queued
             && tries < MAX_MOVES
-            && self.places.free_beside(flight.dispatcher) > moved as u64
+            && self.places.free_beside(in_flight.dispatcher) > moved as u64
     }
 
-    fn on_taken(&mut self, now: Instant, attempt: AttemptId, phase: FlightPhase) {
-        let Some(flight) = self.flights.get(&attempt) else {
+    fn on_taken(&mut self, now: Instant, attempt: AttemptId, phase: AttemptPhase) {
+        let Some(in_flight) = self.attempts.get(&attempt) else {
             return;
         };
         // A verdict that was overtaken by the ask or the end says nothing new.
-        if flight.phase != FlightPhase::Offered {
+        if in_flight.phase != AttemptPhase::Offered {
             return;
         }
         self.set_phase(attempt, phase);
         match phase {
-            FlightPhase::Queued => self.note(AuthorityEvent::Queued(attempt)),
+            AttemptPhase::Queued => self.note(AuthorityEvent::Queued(attempt)),
             _ => {
                 self.mark_started(now, attempt);
                 self.note(AuthorityEvent::Started(attempt));
@@ -225,14 +242,14 @@
     }
 
     /// Takes an attempt out of the air and gives its part of the concurrency back.
-    pub(super) fn land(&mut self, attempt: AttemptId) -> Option<FlightRecord> {
-        let flight = self.flights.remove(&attempt)?;
-        self.waiting.release(&flight.customer);
-        if flight.phase == FlightPhase::Offered {
-            self.on_answered(flight.dispatcher);
+    pub(super) fn land(&mut self, attempt: AttemptId) -> Option<InFlightAttempt> {
+        let in_flight = self.attempts.remove(&attempt)?;
+        self.waiting.release(&in_flight.customer);
+        if in_flight.phase == AttemptPhase::Offered {
+            self.on_answered(in_flight.dispatcher);
         }
-        self.places.on_end(flight.dispatcher);
-        Some(flight)
+        self.places.on_end(in_flight.dispatcher);
+        Some(in_flight)
     }
 
     fn on_done(&mut self, now: Instant, attempt: AttemptId, result: TaskResult) {
--- a/crates/authority/src/lib.rs
+++ b/crates/authority/src/lib.rs
@@ -7,9 +7,9 @@
 //! The rule that everything here serves: a task whose body may have reached an endpoint is never offered again.
 
 mod action;
+mod attempt;
 mod authority;
 mod customer_load;
-mod flight;
 mod held;
 mod record;
 mod refusal;
@@ -20,8 +20,8 @@
 
 pub use crate::{
     action::{AuthorityAction, AuthorityEvent},
+    attempt::AttemptPhase,
     authority::{AdmittedSubmission, CancelReply, TaskAuthority},
-    flight::FlightPhase,
     refusal::SubmissionRefusal,
     session::DispatcherKey,
     settings::AuthoritySettings,
