--- a/crates/authority/src/authority.rs
+++ b/crates/authority/src/authority.rs
@@ -385,7 +385,7 @@
             body,
             expected: Duration::ZERO,
             started: false,
-            attempts: first_attempt,
+            attempt_count: first_attempt,
             phase: TaskPhase::Waiting,
         });
     }
--- a/crates/authority/src/authority/giving_up.rs
+++ b/crates/authority/src/authority/giving_up.rs
@@ -124,7 +124,7 @@
             if !queued {
                 continue;
             }
-            self.land(attempt);
+            self.remove_attempt(attempt);
             self.on_not_run(now, attempt, RetryReason::DispatcherLost, dispatcher);
         }
         self.place(now);
@@ -174,7 +174,7 @@
                 TaskPhase::Waiting => false,
                 TaskPhase::Done(_) => true,
                 TaskPhase::InFlight => {
-                    self.attempt_may_have_started(serial, index as u32, task.attempts)
+                    self.attempt_may_have_started(serial, index as u32, task.attempt_count)
                 }
             };
             if started {
@@ -184,11 +184,11 @@
         false
     }
 
-    fn attempt_may_have_started(&self, serial: u64, task: u32, attempts: u32) -> bool {
+    fn attempt_may_have_started(&self, serial: u64, task: u32, attempt_count: u32) -> bool {
         let attempt = AttemptId {
             submission: self.id(serial),
             task,
-            attempt: attempts.saturating_sub(1),
+            attempt: attempt_count.saturating_sub(1),
         };
         self.attempts
             .get(&attempt)
@@ -264,7 +264,7 @@
             return;
         }
         let dispatcher = in_flight.dispatcher;
-        self.land(attempt);
+        self.remove_attempt(attempt);
         if let Some((session, batch)) = self
             .sessions
             .get(&dispatcher)
@@ -282,7 +282,7 @@
             return;
         };
         let tasks = std::mem::take(&mut record.tasks);
-        let used = tasks.iter().map(|task| task.attempts).max();
+        let used = tasks.iter().map(|task| task.attempt_count).max();
         record.next_attempt = used.unwrap_or_default();
         let (customer, due) = (record.customer.clone(), record.due);
         let mut withdrawals: BTreeMap<DispatcherKey, Vec<AttemptId>> = BTreeMap::new();
@@ -304,7 +304,7 @@
                     let attempt = AttemptId {
                         submission: id,
                         task: index,
-                        attempt: task.attempts.saturating_sub(1),
+                        attempt: task.attempt_count.saturating_sub(1),
                     };
                     if let Some(dispatcher) = self.take_back_attempt(attempt) {
                         withdrawals.entry(dispatcher).or_default().push(attempt);
@@ -332,7 +332,7 @@
         match phase {
             AttemptPhase::Running => None,
             AttemptPhase::Queued => {
-                self.land(attempt);
+                self.remove_attempt(attempt);
                 Some(dispatcher)
             }
             AttemptPhase::Offered | AttemptPhase::Claimed => Some(dispatcher),
@@ -400,7 +400,7 @@
                 self.give_up_attempt(now, attempt, reason);
                 continue;
             }
-            if self.land(attempt).is_some() {
+            if self.remove_attempt(attempt).is_some() {
                 self.on_not_run(now, attempt, RetryReason::DispatcherLost, dispatcher);
             }
         }
--- a/crates/authority/src/authority/placing.rs
+++ b/crates/authority/src/authority/placing.rs
@@ -91,7 +91,7 @@
             self.waiting.push(customer, task);
             return false;
         };
-        match self.take_off(now, task, dispatcher) {
+        match self.create_offer(now, task, dispatcher) {
             Some(offer) => batches.entry(dispatcher).or_default().push(offer),
             None => self.waiting.release(customer),
         }
@@ -99,7 +99,7 @@
     }
 
     /// Marks a task as in flight to a dispatcher and makes its offer.
-    fn take_off(
+    fn create_offer(
         &mut self,
         now: Instant,
         task: WaitingTask,
@@ -113,15 +113,15 @@
         let (customer, share) = (record.customer.clone(), record.share);
         let (first_attempt, retry_percent) = (record.first_attempt, record.retry_percent);
         let time_left = record.due.saturating_duration_since(now);
-        let entry = record.task_mut(task.task)?;
+        let task_record = record.task_mut(task.task)?;
         let attempt = AttemptId {
             submission,
             task: task.task,
-            attempt: entry.attempts,
+            attempt: task_record.attempt_count,
         };
-        entry.attempts += 1;
-        entry.phase = TaskPhase::InFlight;
-        let body = entry.body.clone();
+        task_record.attempt_count += 1;
+        task_record.phase = TaskPhase::InFlight;
+        let body = task_record.body.clone();
         let session = self.sessions.get_mut(&dispatcher)?;
         session.unanswered += 1;
         let (session, _) = session.open()?;
--- a/crates/authority/src/authority/replies.rs
+++ b/crates/authority/src/authority/replies.rs
@@ -37,7 +37,7 @@
         for (attempt, verdict) in verdicts {
             match verdict {
                 TaskVerdict::Queued if self.may_move(*attempt, moved.len()) => {
-                    if let Some(in_flight) = self.land(*attempt) {
+                    if let Some(in_flight) = self.remove_attempt(*attempt) {
                         self.set_waiting(*attempt);
                         moved.push(*attempt);
                         turned_away.push((
@@ -50,7 +50,7 @@
                 TaskVerdict::Started => self.on_taken(now, *attempt, AttemptPhase::Running),
                 TaskVerdict::Queued => self.on_taken(now, *attempt, AttemptPhase::Queued),
                 TaskVerdict::NotRun(reason) => {
-                    if let Some(in_flight) = self.land(*attempt) {
+                    if let Some(in_flight) = self.remove_attempt(*attempt) {
                         self.set_waiting(*attempt);
                         turned_away.push((*attempt, *reason, in_flight.dispatcher));
                     }
@@ -89,7 +89,7 @@
         let Some(task) = record.and_then(|record| record.task_mut(attempt.task)) else {
             // Its submission has its answer. The dispatcher forgets the attempt on hearing so, and its part of the
             // concurrency is free.
-            self.land(attempt);
+            self.remove_attempt(attempt);
             return None;
         };
         let payload = task.body.payload.clone();
@@ -101,7 +101,7 @@
 
     /// An attempt has ended after `ran`.
     pub fn on_ended(&mut self, now: Instant, attempt: AttemptId, end: AttemptEnd, ran: Duration) {
-        let Some(in_flight) = self.land(attempt) else {
+        let Some(in_flight) = self.remove_attempt(attempt) else {
             // Nobody waits for it: the attempt was given up as unknown before, and stays so.
             return;
         };
@@ -123,7 +123,7 @@
         for (attempt, reply) in replies {
             match reply {
                 WithdrawalVerdict::NotRun => {
-                    if let Some(in_flight) = self.land(*attempt) {
+                    if let Some(in_flight) = self.remove_attempt(*attempt) {
                         self.on_not_run(
                             now,
                             *attempt,
@@ -242,7 +242,7 @@
     }
 
     /// Takes an attempt out of the air and gives its part of the concurrency back.
-    pub(super) fn land(&mut self, attempt: AttemptId) -> Option<InFlightAttempt> {
+    pub(super) fn remove_attempt(&mut self, attempt: AttemptId) -> Option<InFlightAttempt> {
         let in_flight = self.attempts.remove(&attempt)?;
         self.waiting.release(&in_flight.customer);
         if in_flight.phase == AttemptPhase::Offered {
@@ -303,7 +303,7 @@
         if std::mem::take(&mut task.started) {
             self.load.put_back(&customer, task.expected);
         }
-        let attempts = task.attempts - first_attempt;
+        let attempts = task.attempt_count - first_attempt;
         self.note(AuthorityEvent::Retried(attempt, reason));
         self.waiting.avoid(serial, attempt.task, dispatcher);
         if !tells_of_load(reason) {
@@ -339,7 +339,7 @@
         attempt: AttemptId,
         reason: UnknownReason,
     ) {
-        if self.land(attempt).is_some() {
+        if self.remove_attempt(attempt).is_some() {
             self.on_unknown(now, attempt, reason);
         }
     }
--- a/crates/authority/src/record.rs
+++ b/crates/authority/src/record.rs
@@ -27,7 +27,7 @@
     /// Whether it counts as started there.
     pub(crate) started: bool,
     /// Attempts made so far.
-    pub(crate) attempts: u32,
+    pub(crate) attempt_count: u32,
     pub(crate) phase: TaskPhase,
 }
 
