--- a/crates/authority/src/authority.rs
+++ b/crates/authority/src/authority.rs
@@ -2,8 +2,8 @@
 
 mod admitting;
 mod giving_up;
-mod hopeless;
 mod placing;
+mod predicted_late;
 mod replies;
 
 use std::{
@@ -63,7 +63,7 @@
     held: HeldBytes,
     due: BTreeSet<(Instant, u64)>,
     /// When a submission of which tasks wait is looked at next.
-    looks: BTreeSet<(Instant, u64)>,
+    deadline_checks: BTreeSet<(Instant, u64)>,
     kept: VecDeque<(Instant, u64)>,
     tickets: TicketTable,
     attempts: AttemptTable,
@@ -101,7 +101,7 @@
             open: 0,
             held: HeldBytes::default(),
             due: BTreeSet::new(),
-            looks: BTreeSet::new(),
+            deadline_checks: BTreeSet::new(),
             kept: VecDeque::new(),
             tickets: TicketTable::default(),
             attempts: AttemptTable::default(),
@@ -186,7 +186,7 @@
         self.open += 1;
         self.due.insert((due, serial));
         self.place(now);
-        self.look_later(now, serial);
+        self.schedule_deadline_check(now, serial);
         Ok(AdmittedSubmission { id, due })
     }
 
@@ -353,8 +353,8 @@
     pub fn next_tick(&self) -> Option<Instant> {
         let due = self.due.first().map(|(due, _)| *due);
         let wake = self.waiting.next_wake();
-        let look = self.looks.first().map(|(look_at, _)| *look_at);
-        due.into_iter().chain(wake).chain(look).min()
+        let check = self.deadline_checks.first().map(|(check_at, _)| *check_at);
+        due.into_iter().chain(wake).chain(check).min()
     }
 
     fn id(&self, serial: u64) -> SubmissionId {
@@ -398,7 +398,7 @@
         move_queued: false,
         digest,
         due,
-        look_at: None,
+        check_at: None,
         tasks,
         done: 0,
         first_attempt,
--- a/crates/authority/src/authority/giving_up.rs
+++ b/crates/authority/src/authority/giving_up.rs
@@ -32,7 +32,7 @@
             self.give_up(now, serial, GiveUpCause::Deadline);
         }
         self.give_up_lost(now);
-        self.look_at_waiting(now);
+        self.run_deadline_checks(now);
         for (customer, serial, task) in self.waiting.wake(now) {
             let Some(record) = self.records.get(&serial).filter(|record| record.is_open()) else {
                 continue;
@@ -238,8 +238,8 @@
             at: now,
         };
         self.due.remove(&(record.due, serial));
-        if let Some(look_at) = record.look_at.take() {
-            self.looks.remove(&(look_at, serial));
+        if let Some(check_at) = record.check_at.take() {
+            self.deadline_checks.remove(&(check_at, serial));
         }
         self.open -= 1;
         self.kept.push_back((now, serial));
--- a/crates/authority/src/authority/placing.rs
+++ b/crates/authority/src/authority/placing.rs
@@ -81,9 +81,9 @@
             self.waiting.release(customer);
             return true;
         }
-        if self.is_hopeless(now, task.serial, task.task) {
+        if self.is_predicted_late(now, task.serial, task.task) {
             self.waiting.release(customer);
-            self.refuse_hopeless(now, task.serial);
+            self.refuse_predicted_late(now, task.serial);
             return true;
         }
         let Some(dispatcher) = self.choose(now, avoided) else {
--- a/crates/authority/src/record.rs
+++ b/crates/authority/src/record.rs
@@ -57,7 +57,7 @@
     pub(crate) digest: u64,
     pub(crate) due: Instant,
     /// Its place in the order of looks at what waits.
-    pub(crate) look_at: Option<Instant>,
+    pub(crate) check_at: Option<Instant>,
     pub(crate) tasks: Vec<TaskRecord>,
     pub(crate) done: u32,
     /// The first attempt number of this run.
