--- a/crates/authority/src/authority/admitting.rs
+++ b/crates/authority/src/authority/admitting.rs
@@ -15,7 +15,7 @@
 
 /// When to come back after a refusal for want of room or slots: long enough for answers to leave, or for the endpoints
 /// of a dead VM to have another owner.
-const COME_BACK: Duration = Duration::from_secs(1);
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// The share of single tasks that run no longer than the slowest that is reckoned with.
 const SLOWEST_SHARE: f64 = 0.9;
@@ -60,11 +60,11 @@
         let large = self.held.open.0 + bytes > self.settings.max_open_bytes.0;
         if large || self.open >= self.settings.max_open {
             let reason = RefusalReason::Overloaded;
-            return Err(SubmissionRefusal::not_now(reason, COME_BACK));
+            return Err(SubmissionRefusal::not_now(reason, RETRY_AFTER));
         }
         if !self.had_capacity(now) {
             let reason = RefusalReason::NoCapacity;
-            return Err(SubmissionRefusal::not_now(reason, COME_BACK));
+            return Err(SubmissionRefusal::not_now(reason, RETRY_AFTER));
         }
         let work = self.expected_work(now, body);
         match self.decide(now, body, contract, &work) {
--- a/crates/authority/src/authority/giving_up.rs
+++ b/crates/authority/src/authority/giving_up.rs
@@ -20,7 +20,7 @@
 };
 
 /// When to come back after the deadline passed in a queue: long enough for a queue of usual tasks to move.
-const COME_BACK: Duration = Duration::from_secs(1);
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl TaskAuthority {
     /// Answers what is due, wakes paused tasks, gives up dispatchers that stayed away, forgets old answers.
@@ -215,7 +215,7 @@
         } else {
             SubmissionOutcome::Refused {
                 reason,
-                retry_after: Some(COME_BACK),
+                retry_after: Some(RETRY_AFTER),
             }
         };
         self.finish(now, serial, outcome);
@@ -440,7 +440,7 @@
 impl GiveUpCause {
     fn refusal(self) -> SubmissionOutcome {
         let (reason, retry_after) = match self {
-            Self::Deadline => (RefusalReason::DeadlinePassed, Some(COME_BACK)),
+            Self::Deadline => (RefusalReason::DeadlinePassed, Some(RETRY_AFTER)),
             Self::Cancelled => (RefusalReason::Cancelled, None),
             // Another VM takes it at once.
             Self::Stopped => (RefusalReason::Stopping, Some(Duration::ZERO)),
--- a/crates/authority/src/authority/predicted_late.rs
+++ b/crates/authority/src/authority/predicted_late.rs
@@ -14,10 +14,10 @@
 const MIN_TIME_TO_CHECK: Duration = Duration::from_millis(20);
 
 /// When to come back, before it is drawn out at random: by then the slots that were missing have moved on.
-const COME_BACK: Duration = Duration::from_secs(1);
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Up to this part more, so that what became hopeless together does not come back together.
-const COME_BACK_SPREAD: f64 = 0.5;
+const RETRY_AFTER_JITTER: f64 = 0.5;
 
 /// The share of runs that are shorter than what is taken for a task's run time, where the mean is not shorter yet.
 const MEDIAN_QUANTILE: f64 = 0.5;
@@ -83,10 +83,10 @@
 
     /// Answers a submission of which nothing has started.
     pub(super) fn refuse_predicted_late(&mut self, now: Instant, serial: u64) {
-        let spread = 1.0 + self.rng.f64() * COME_BACK_SPREAD;
+        let jitter = 1.0 + self.rng.f64() * RETRY_AFTER_JITTER;
         let outcome = SubmissionOutcome::Refused {
             reason: RefusalReason::PredictedLate,
-            retry_after: Some(COME_BACK.mul_f64(spread)),
+            retry_after: Some(RETRY_AFTER.mul_f64(jitter)),
         };
         self.finish(now, serial, outcome);
     }
