--- a/crates/authority/src/authority.rs
+++ b/crates/authority/src/authority.rs
@@ -1,10 +1,10 @@
 //! The authority: submissions in, offers and answers out.
 
 mod admitting;
-mod giving_up;
 mod placing;
 mod predicted_late;
 mod replies;
+mod termination;
 
 use std::{
     collections::{BTreeSet, VecDeque},
--- a/crates/authority/src/authority/replies.rs
+++ b/crates/authority/src/authority/replies.rs
@@ -58,7 +58,7 @@
             }
         }
         if let Some((_, _, dispatcher)) = turned_away.first().filter(|_| !moved.is_empty()) {
-            self.take_back_reservations(*dispatcher, moved);
+            self.withdraw_reservations(*dispatcher, moved);
         }
         for (attempt, reason, dispatcher) in turned_away {
             self.on_not_run(now, attempt, reason, dispatcher);
@@ -333,7 +333,7 @@
         self.finish(now, serial, outcome);
     }
 
-    pub(super) fn give_up_attempt(
+    pub(super) fn abandon_attempt(
         &mut self,
         now: Instant,
         attempt: AttemptId,
--- a/crates/authority/src/authority/giving_up.rs
+++ b/crates/authority/src/authority/termination.rs
@@ -29,9 +29,9 @@
             if due > now {
                 break;
             }
-            self.give_up(now, serial, GiveUpCause::Deadline);
+            self.terminate(now, serial, TerminationCause::Deadline);
         }
-        self.give_up_lost(now);
+        self.remove_lost_dispatchers(now);
         self.run_deadline_checks(now);
         for (customer, serial, task) in self.waiting.wake(now) {
             let Some(record) = self.records.get(&serial).filter(|record| record.is_open()) else {
@@ -45,7 +45,7 @@
             let waiting = waiting_task(record, serial, task);
             self.waiting.push(&customer, waiting);
         }
-        self.forget_old(now);
+        self.evict_kept_answers(now);
         self.saturation.see(now, self.places.saturation(now));
         self.had_capacity(now);
         self.place(now);
@@ -59,7 +59,7 @@
         if record.shape == SubmissionShape::Request && self.may_have_started(serial) {
             return CancelReply::TooLate;
         }
-        self.give_up(now, serial, GiveUpCause::Cancelled);
+        self.terminate(now, serial, TerminationCause::Cancelled);
         self.place(now);
         CancelReply::Cancelled
     }
@@ -80,7 +80,7 @@
             .map(|session| session.incarnation);
         if before.is_some_and(|before| before != incarnation) {
             // The process that may have started them is gone, and its memory with it.
-            self.give_up_dispatcher(now, dispatcher, UnknownReason::DispatcherGone);
+            self.abandon_attempts_at(now, dispatcher, UnknownReason::DispatcherGone);
         }
         let state = SessionState::Open { session, batch: 0 };
         let attempts = self.attempts.ids_at(dispatcher);
@@ -132,7 +132,7 @@
 
     /// A dispatcher's process is known to be gone.
     pub fn on_dispatcher_gone(&mut self, now: Instant, dispatcher: DispatcherKey) {
-        self.give_up_dispatcher(now, dispatcher, UnknownReason::DispatcherGone);
+        self.abandon_attempts_at(now, dispatcher, UnknownReason::DispatcherGone);
         self.sessions.remove(&dispatcher);
         self.places.remove_dispatcher(dispatcher);
         self.place(now);
@@ -149,7 +149,7 @@
     /// This process ends now: everything open is answered as it stands.
     pub fn stop(&mut self, now: Instant) {
         while let Some((_, serial)) = self.due.first().copied() {
-            self.give_up(now, serial, GiveUpCause::Stopped);
+            self.terminate(now, serial, TerminationCause::Stopped);
         }
     }
 
@@ -195,7 +195,7 @@
             .is_none_or(|in_flight| in_flight.phase.may_have_started())
     }
 
-    fn give_up(&mut self, now: Instant, serial: u64, cause: GiveUpCause) {
+    fn terminate(&mut self, now: Instant, serial: u64, cause: TerminationCause) {
         let started = self.may_have_started(serial);
         let Some(record) = self.records.get(&serial) else {
             return;
@@ -245,7 +245,7 @@
         self.kept.push_back((now, serial));
         self.actions.push(AuthorityAction::Answer { id, outcome });
         self.note(AuthorityEvent::Answered(id));
-        self.take_back(now, serial);
+        self.withdraw_tasks(now, serial);
     }
 
     /// An attempt whose submission was answered before the verdict came.
@@ -276,7 +276,7 @@
 
     /// Load: cancellation waves and jobs that fail early. Harm: reservations of the dead hold up the living. Each
     /// dispatcher gets one message with all of a submission's attempts, so the cost is what is taken back.
-    fn take_back(&mut self, now: Instant, serial: u64) {
+    fn withdraw_tasks(&mut self, now: Instant, serial: u64) {
         let id = self.id(serial);
         let Some(record) = self.records.get_mut(&serial) else {
             return;
@@ -306,7 +306,7 @@
                         task: index,
                         attempt: task.attempt_count.saturating_sub(1),
                     };
-                    if let Some(dispatcher) = self.take_back_attempt(attempt) {
+                    if let Some(dispatcher) = self.withdraw_attempt(attempt) {
                         withdrawals.entry(dispatcher).or_default().push(attempt);
                     }
                 }
@@ -326,7 +326,7 @@
 
     /// Says where an attempt has to be withdrawn. One that has certainly not started gives its concurrency back at
     /// once, since its ask will be turned away; one that may run keeps it until the dispatcher has said more.
-    fn take_back_attempt(&mut self, attempt: AttemptId) -> Option<DispatcherKey> {
+    fn withdraw_attempt(&mut self, attempt: AttemptId) -> Option<DispatcherKey> {
         let in_flight = self.attempts.get(&attempt)?;
         let (dispatcher, phase) = (in_flight.dispatcher, in_flight.phase);
         match phase {
@@ -340,7 +340,7 @@
     }
 
     /// Tells a dispatcher to forget reservations that were given up here.
-    pub(super) fn take_back_reservations(
+    pub(super) fn withdraw_reservations(
         &mut self,
         dispatcher: DispatcherKey,
         attempts: Vec<AttemptId>,
@@ -371,7 +371,7 @@
         }
     }
 
-    fn give_up_lost(&mut self, now: Instant) {
+    fn remove_lost_dispatchers(&mut self, now: Instant) {
         let mut gone = Vec::new();
         for (key, session) in &self.sessions {
             match session.state {
@@ -385,7 +385,7 @@
         }
     }
 
-    fn give_up_dispatcher(
+    fn abandon_attempts_at(
         &mut self,
         now: Instant,
         dispatcher: DispatcherKey,
@@ -397,7 +397,7 @@
                 .get(&attempt)
                 .is_some_and(|in_flight| in_flight.phase.may_have_started());
             if started {
-                self.give_up_attempt(now, attempt, reason);
+                self.abandon_attempt(now, attempt, reason);
                 continue;
             }
             if self.remove_attempt(attempt).is_some() {
@@ -406,7 +406,7 @@
         }
     }
 
-    fn forget_old(&mut self, now: Instant) {
+    fn evict_kept_answers(&mut self, now: Instant) {
         while let Some((at, serial)) = self.kept.front().copied() {
             let old = at + self.settings.keep_outcome <= now;
             let large = self.held.kept > self.settings.max_kept_bytes;
@@ -431,13 +431,13 @@
 
 /// Why a submission is given up.
 #[derive(Clone, Copy, Debug)]
-enum GiveUpCause {
+enum TerminationCause {
     Deadline,
     Cancelled,
     Stopped,
 }
 
-impl GiveUpCause {
+impl TerminationCause {
     fn refusal(self) -> SubmissionOutcome {
         let (reason, retry_after) = match self {
             Self::Deadline => (RefusalReason::DeadlinePassed, Some(RETRY_AFTER)),
