--- a/crates/authority/src/authority.rs
+++ b/crates/authority/src/authority.rs
@@ -352,9 +352,9 @@
     /// When [`Self::tick`] has something to do next.
     pub fn next_tick(&self) -> Option<Instant> {
         let due = self.due.first().map(|(due, _)| *due);
-        let wake = self.waiting.next_wake();
+        let resume = self.waiting.next_resume();
         let check = self.deadline_checks.first().map(|(check_at, _)| *check_at);
-        due.into_iter().chain(wake).chain(check).min()
+        due.into_iter().chain(resume).chain(check).min()
     }
 
     fn id(&self, serial: u64) -> SubmissionId {
--- a/crates/authority/src/authority/replies.rs
+++ b/crates/authority/src/authority/replies.rs
@@ -317,8 +317,8 @@
             self.finish_not_placed(now, serial, RefusalReason::RetryBudgetSpent);
             return;
         }
-        let pause = self.pause(attempts);
-        self.waiting.pause(&customer, now + pause, waiting);
+        let backoff = self.backoff(attempts);
+        self.waiting.back_off(&customer, now + backoff, waiting);
     }
 
     fn on_unknown(&mut self, now: Instant, attempt: AttemptId, reason: UnknownReason) {
@@ -356,9 +356,9 @@
     }
 
     /// Doubles with each attempt, with a random part so that tasks refused together do not come back together.
-    fn pause(&mut self, attempts: u32) -> Duration {
-        let doubled = self.settings.retry_pause * 2u32.saturating_pow(attempts.min(10));
-        let longest = doubled.min(self.settings.max_retry_pause);
+    fn backoff(&mut self, attempts: u32) -> Duration {
+        let doubled = self.settings.retry_backoff * 2u32.saturating_pow(attempts.min(10));
+        let longest = doubled.min(self.settings.max_retry_backoff);
         longest.mul_f64(0.5 + self.rng.f64() / 2.0)
     }
 }
--- a/crates/authority/src/authority/termination.rs
+++ b/crates/authority/src/authority/termination.rs
@@ -33,7 +33,7 @@
         }
         self.remove_lost_dispatchers(now);
         self.run_deadline_checks(now);
-        for (customer, serial, task) in self.waiting.wake(now) {
+        for (customer, serial, task) in self.waiting.take_resumed(now) {
             let Some(record) = self.records.get(&serial).filter(|record| record.is_open()) else {
                 continue;
             };
--- a/crates/authority/src/settings.rs
+++ b/crates/authority/src/settings.rs
@@ -41,9 +41,9 @@
     /// The budget of retries after refusals that tell of load.
     pub retries: RetrySettings,
     /// The first pause before a task is placed again after a refusal that tells of load.
-    pub retry_pause: Duration,
+    pub retry_backoff: Duration,
     /// The longest such pause.
-    pub max_retry_pause: Duration,
+    pub max_retry_backoff: Duration,
     /// How long submissions are still accepted after the last slot went out of reach. Endpoints of a dead dispatcher
     /// have another owner within its suspect time; refusing meanwhile would turn away work that can be done in time.
     pub capacity_grace: Duration,
@@ -71,8 +71,8 @@
                 first_saved: FIRST_RETRIES,
                 ..RetrySettings::default()
             },
-            retry_pause: Duration::from_millis(5),
-            max_retry_pause: Duration::from_millis(200),
+            retry_backoff: Duration::from_millis(5),
+            max_retry_backoff: Duration::from_millis(200),
             capacity_grace: Duration::from_secs(3),
             reconnect_wait: Duration::from_secs(5),
         }
--- a/crates/authority/src/waiting.rs
+++ b/crates/authority/src/waiting.rs
@@ -35,7 +35,7 @@
 pub(crate) struct WaitingTable {
     customers: FastMap<CustomerId, CustomerQueue>,
     changed: FastSet<CustomerId>,
-    paused: BTreeMap<WaitingTask, CustomerId>,
+    backing_off: BTreeMap<WaitingTask, CustomerId>,
     avoid: FastMap<(u64, TaskIndex), DispatcherKey>,
 }
 
@@ -64,26 +64,26 @@
     }
 
     /// Puts a task aside until `until`; the pause is keyed by time so that waking costs what wakes.
-    pub(crate) fn pause(&mut self, customer: &CustomerId, until: Instant, task: WaitingTask) {
+    pub(crate) fn back_off(&mut self, customer: &CustomerId, until: Instant, task: WaitingTask) {
         let key = WaitingTask { due: until, ..task };
-        self.paused.insert(key, customer.clone());
+        self.backing_off.insert(key, customer.clone());
     }
 
     /// Takes the tasks whose pause is over, as (customer, serial, task).
-    pub(crate) fn wake(&mut self, now: Instant) -> Vec<(CustomerId, u64, TaskIndex)> {
-        let mut woken = Vec::new();
-        while let Some(first) = self.paused.first_entry() {
+    pub(crate) fn take_resumed(&mut self, now: Instant) -> Vec<(CustomerId, u64, TaskIndex)> {
+        let mut resumed = Vec::new();
+        while let Some(first) = self.backing_off.first_entry() {
             if first.key().due > now {
                 break;
             }
             let (task, customer) = first.remove_entry();
-            woken.push((customer, task.serial, task.task));
+            resumed.push((customer, task.serial, task.task));
         }
-        woken
+        resumed
     }
 
-    pub(crate) fn next_wake(&self) -> Option<Instant> {
-        self.paused.first_key_value().map(|(task, _)| task.due)
+    pub(crate) fn next_resume(&self) -> Option<Instant> {
+        self.backing_off.first_key_value().map(|(task, _)| task.due)
     }
 
     pub(crate) fn remove(&mut self, customer: &CustomerId, task: WaitingTask) {
