--- a/crates/authority/src/authority.rs
+++ b/crates/authority/src/authority.rs
@@ -297,8 +297,8 @@
     }
 
     /// Sets the most that a customer's limit can grow to. Admission reckons with it, placement with the limit.
-    pub fn set_share(&mut self, customer: &CustomerId, share: u32) {
-        self.waiting.set_share(customer, share);
+    pub fn set_max_limit(&mut self, customer: &CustomerId, max_limit: u32) {
+        self.waiting.set_max_limit(customer, max_limit);
     }
 
     /// Like [`Self::set_limit`], for a limit that lapses: from `until` on nothing of the customer is placed.
--- a/crates/authority/src/authority/admitting.rs
+++ b/crates/authority/src/authority/admitting.rs
@@ -132,7 +132,7 @@
             running_work: load.work,
             // Not the limit of this moment: a grant comes a round trip after the first submission and grows with what
             // waits, so by it the first job of an idle customer would be refused.
-            granted: self.waiting.reach(&body.customer),
+            granted: self.waiting.max_limit(&body.customer),
             predicted_wait,
             saturation,
         };
--- a/crates/authority/src/authority/replies.rs
+++ b/crates/authority/src/authority/replies.rs
@@ -150,7 +150,7 @@
         self.hint(now, dispatcher);
         if gained || (self.unplaced && slots.limit > 0) {
             self.unplaced = false;
-            self.waiting.mark_all();
+            self.waiting.mark_all_changed();
             self.place(now);
         }
     }
--- a/crates/authority/src/authority/termination.rs
+++ b/crates/authority/src/authority/termination.rs
@@ -101,7 +101,7 @@
             }
         }
         self.send_withdraw(dispatcher, session, 0, attempts);
-        self.waiting.mark_all();
+        self.waiting.mark_all_changed();
         self.place(now);
     }
 
--- a/crates/authority/src/waiting.rs
+++ b/crates/authority/src/waiting.rs
@@ -23,9 +23,9 @@
     tasks: BTreeSet<WaitingTask>,
     limit: u32,
     /// The most that the limit can grow to, where that is known.
-    share: Option<u32>,
+    max_limit: Option<u32>,
     /// When the limit lapses; then nothing may be placed.
-    until: Option<Instant>,
+    limit_expires_at: Option<Instant>,
     in_flight: u32,
 }
 
@@ -43,18 +43,21 @@
     pub(crate) fn set_limit(&mut self, customer: &CustomerId, limit: u32, until: Option<Instant>) {
         let queue = self.customers.entry(customer.clone()).or_default();
         queue.limit = limit;
-        queue.until = until;
+        queue.limit_expires_at = until;
         self.changed.insert(customer.clone());
     }
 
-    pub(crate) fn set_share(&mut self, customer: &CustomerId, share: u32) {
-        self.customers.entry(customer.clone()).or_default().share = Some(share);
+    pub(crate) fn set_max_limit(&mut self, customer: &CustomerId, max_limit: u32) {
+        self.customers
+            .entry(customer.clone())
+            .or_default()
+            .max_limit = Some(max_limit);
     }
 
     /// The most that a customer can have at dispatchers at once: its share, or its limit where no share is known.
-    pub(crate) fn reach(&self, customer: &CustomerId) -> u32 {
+    pub(crate) fn max_limit(&self, customer: &CustomerId) -> u32 {
         let queue = self.customers.get(customer);
-        queue.map_or(0, |queue| queue.share.unwrap_or(queue.limit))
+        queue.map_or(0, |queue| queue.max_limit.unwrap_or(queue.limit))
     }
 
     pub(crate) fn push(&mut self, customer: &CustomerId, task: WaitingTask) {
@@ -104,7 +107,7 @@
     /// Takes the next task of a customer that has room.
     pub(crate) fn pop(&mut self, now: Instant, customer: &CustomerId) -> Option<WaitingTask> {
         let queue = self.customers.get_mut(customer)?;
-        let lapsed = queue.until.is_some_and(|until| until <= now);
+        let lapsed = queue.limit_expires_at.is_some_and(|until| until <= now);
         if lapsed || queue.in_flight >= queue.limit {
             return None;
         }
@@ -121,7 +124,7 @@
         }
     }
 
-    pub(crate) fn mark_all(&mut self) {
+    pub(crate) fn mark_all_changed(&mut self) {
         for (customer, queue) in &self.customers {
             if !queue.tasks.is_empty() {
                 self.changed.insert(customer.clone());
--- a/crates/entry/src/control/grants.rs
+++ b/crates/entry/src/control/grants.rs
@@ -112,7 +112,7 @@
             .share_of(&self.settings.data_centre, concurrency);
         self.grants.set_share(customer, share);
         if self.centre.revision != 0 {
-            self.authority.set_share(customer, share);
+            self.authority.set_max_limit(customer, share);
         }
         self.use_grant(self.clock.now(), customer);
     }
