--- a/crates/authority/src/authority/admitting.rs
+++ b/crates/authority/src/authority/admitting.rs
@@ -107,10 +107,12 @@
             0 => (Duration::ZERO, Saturation::default()),
             _ => {
                 let picture = WaitPicture {
-                    own_work: load.waiting,
+                    own_work: load.waiting_work,
                     share: contract.share,
-                    all_shares: self.load.shares_with(now, &body.customer, contract.share),
-                    drain: load.drain,
+                    all_shares: self
+                        .load
+                        .active_shares_with(now, &body.customer, contract.share),
+                    drain: load.drain_rate,
                     slots: slots as f64 / f64::from(self.entries),
                 };
                 // The mean outlives a moment in which slots are few, and the moment alone refuses ordinary bursts; an
@@ -129,7 +131,7 @@
             expected_work: work.total,
             deadline: body.deadline.unwrap_or_else(|| contract.answer_within()),
             running: load.tasks,
-            running_work: load.work,
+            running_work: load.expected_work,
             // Not the limit of this moment: a grant comes a round trip after the first submission and grows with what
             // waits, so by it the first job of an idle customer would be refused.
             granted: self.waiting.max_limit(&body.customer),
--- a/crates/authority/src/authority/replies.rs
+++ b/crates/authority/src/authority/replies.rs
@@ -301,7 +301,7 @@
         };
         task.phase = TaskPhase::Waiting;
         if std::mem::take(&mut task.started) {
-            self.load.put_back(&customer, task.expected);
+            self.load.mark_not_started(&customer, task.expected);
         }
         let attempts = task.attempt_count - first_attempt;
         self.note(AuthorityEvent::Retried(attempt, reason));
--- a/crates/authority/src/customer_load.rs
+++ b/crates/authority/src/customer_load.rs
@@ -10,10 +10,10 @@
 
 /// How long a customer whose tasks do not move counts as one that competes for slots. By those of one moment alone, a
 /// moment without the others would let a customer in for far more than its share.
-const ACTIVE_FOR: Duration = Duration::from_secs(2);
+const ACTIVE_WINDOW: Duration = Duration::from_secs(2);
 
 /// Moves this close together are noted once: the index by time then costs one change for many tasks.
-const MOVE_GRAIN: Duration = Duration::from_millis(100);
+const ACTIVITY_RESOLUTION: Duration = Duration::from_millis(100);
 
 /// The accepted work of one customer.
 #[derive(Clone, Debug, Default)]
@@ -21,14 +21,14 @@
     /// Tasks that were accepted and have not ended.
     pub(crate) tasks: u32,
     /// The sum of their expected run times.
-    pub(crate) work: Duration,
+    pub(crate) expected_work: Duration,
     /// The part of it that has not started.
-    pub(crate) waiting: Duration,
+    pub(crate) waiting_work: Duration,
     /// What its backlog got lately.
-    pub(crate) drain: DrainRate,
+    pub(crate) drain_rate: DrainRate,
     share: CustomerShare,
     /// Its place in the index by time, while it counts as active.
-    listed_at: Option<Instant>,
+    indexed_at: Option<Instant>,
 }
 
 /// The accepted work by customer.
@@ -55,13 +55,13 @@
     ) {
         let load = self.customers.entry(customer.clone()).or_default();
         load.tasks += tasks;
-        load.work = load.work.saturating_add(work);
-        load.waiting = load.waiting.saturating_add(work);
-        if load.listed_at.is_some() {
+        load.expected_work = load.expected_work.saturating_add(work);
+        load.waiting_work = load.waiting_work.saturating_add(work);
+        if load.indexed_at.is_some() {
             self.active_shares = self.active_shares - u64::from(load.share.0) + u64::from(share.0);
         }
         load.share = share;
-        self.note_move(now, customer);
+        self.record_activity(now, customer);
     }
 
     /// A task has started.
@@ -69,16 +69,16 @@
         let Some(load) = self.customers.get_mut(customer) else {
             return;
         };
-        load.waiting = load.waiting.saturating_sub(expected);
-        let backlog = !load.waiting.is_zero();
-        load.drain.on_start(now, expected, backlog);
-        self.note_move(now, customer);
+        load.waiting_work = load.waiting_work.saturating_sub(expected);
+        let backlog = !load.waiting_work.is_zero();
+        load.drain_rate.on_start(now, expected, backlog);
+        self.record_activity(now, customer);
     }
 
     /// A task that was taken to have started certainly has not.
-    pub(crate) fn put_back(&mut self, customer: &CustomerId, expected: Duration) {
+    pub(crate) fn mark_not_started(&mut self, customer: &CustomerId, expected: Duration) {
         if let Some(load) = self.customers.get_mut(customer) {
-            load.waiting = load.waiting.saturating_add(expected);
+            load.waiting_work = load.waiting_work.saturating_add(expected);
         }
     }
 
@@ -94,11 +94,11 @@
             return;
         };
         load.tasks = load.tasks.saturating_sub(1);
-        load.work = load.work.saturating_sub(expected);
+        load.expected_work = load.expected_work.saturating_sub(expected);
         if !started {
-            load.waiting = load.waiting.saturating_sub(expected);
+            load.waiting_work = load.waiting_work.saturating_sub(expected);
         }
-        self.note_move(now, customer);
+        self.record_activity(now, customer);
     }
 
     /// The load of a customer.
@@ -107,39 +107,39 @@
     }
 
     /// The shares of all active customers, this one included, which may come with a new share.
-    pub(crate) fn shares_with(
+    pub(crate) fn active_shares_with(
         &mut self,
         now: Instant,
         customer: &CustomerId,
         share: CustomerShare,
     ) -> u64 {
         self.expire(now);
-        let listed = self
+        let indexed = self
             .customers
             .get(customer)
-            .filter(|load| load.listed_at.is_some());
-        let own = listed.map_or(0, |load| u64::from(load.share.0));
+            .filter(|load| load.indexed_at.is_some());
+        let own = indexed.map_or(0, |load| u64::from(load.share.0));
         self.active_shares - own + u64::from(share.0)
     }
 
-    fn note_move(&mut self, now: Instant, customer: &CustomerId) {
+    fn record_activity(&mut self, now: Instant, customer: &CustomerId) {
         let Some(load) = self.customers.get_mut(customer) else {
             return;
         };
-        match load.listed_at {
-            Some(at) if now.saturating_duration_since(at) < MOVE_GRAIN => return,
+        match load.indexed_at {
+            Some(at) if now.saturating_duration_since(at) < ACTIVITY_RESOLUTION => return,
             Some(at) => {
                 self.active.remove(&(at, customer.clone()));
             }
             None => self.active_shares += u64::from(load.share.0),
         }
-        load.listed_at = Some(now);
+        load.indexed_at = Some(now);
         self.active.insert((now, customer.clone()));
     }
 
     fn expire(&mut self, now: Instant) {
         while let Some((at, _)) = self.active.first() {
-            if now.saturating_duration_since(*at) <= ACTIVE_FOR {
+            if now.saturating_duration_since(*at) <= ACTIVE_WINDOW {
                 return;
             }
             let Some((_, customer)) = self.active.pop_first() else {
@@ -148,7 +148,7 @@
             let Some(load) = self.customers.get_mut(&customer) else {
                 continue;
             };
-            load.listed_at = None;
+            load.indexed_at = None;
             self.active_shares -= u64::from(load.share.0);
             if load.tasks == 0 {
                 self.customers.remove(&customer);
