--- a/crates/authority/src/authority.rs
+++ b/crates/authority/src/authority.rs
@@ -24,7 +24,7 @@
     attempt::{AttemptPhase, AttemptTable},
     authority::admitting::ExpectedWork,
     customer_load::LoadTable,
-    held::HeldBytes,
+    memory_usage::MemoryUsage,
     record::{RecordState, SubmissionRecord, SubmissionShape, TaskPhase, TaskRecord},
     refusal::SubmissionRefusal,
     session::{DispatcherKey, SessionTable},
@@ -60,7 +60,7 @@
     next_serial: u64,
     records: FastMap<u64, SubmissionRecord>,
     open: usize,
-    held: HeldBytes,
+    memory: MemoryUsage,
     due: BTreeSet<(Instant, u64)>,
     /// When a submission of which tasks wait is looked at next.
     deadline_checks: BTreeSet<(Instant, u64)>,
@@ -99,7 +99,7 @@
             next_serial: 1,
             records: FastMap::default(),
             open: 0,
-            held: HeldBytes::default(),
+            memory: MemoryUsage::default(),
             due: BTreeSet::new(),
             deadline_checks: BTreeSet::new(),
             kept: VecDeque::new(),
@@ -181,7 +181,7 @@
             self.waiting
                 .push(&customer, WaitingTask { due, serial, task });
         }
-        self.held.add_open(&record);
+        self.memory.add_open(&record);
         self.records.insert(serial, record);
         self.open += 1;
         self.due.insert((due, serial));
--- a/crates/authority/src/authority/admitting.rs
+++ b/crates/authority/src/authority/admitting.rs
@@ -57,7 +57,7 @@
         // Each open submission costs memory until its answer, so a flood has to end somewhere; refusing is cheap
         // and honest, and the callers know when to come back.
         let bytes: u64 = body.tasks.iter().map(|task| task.payload.size().0).sum();
-        let large = self.held.open.0 + bytes > self.settings.max_open_bytes.0;
+        let large = self.memory.open_payloads.0 + bytes > self.settings.max_open_bytes.0;
         if large || self.open >= self.settings.max_open {
             let reason = RefusalReason::Overloaded;
             return Err(SubmissionRefusal::not_now(reason, RETRY_AFTER));
--- a/crates/authority/src/authority/termination.rs
+++ b/crates/authority/src/authority/termination.rs
@@ -231,7 +231,7 @@
         else {
             return;
         };
-        self.held.close(record, &outcome);
+        self.memory.close(record, &outcome);
         let outcome = Arc::new(outcome);
         record.state = RecordState::Answered {
             outcome: outcome.clone(),
@@ -409,7 +409,7 @@
     fn evict_kept_answers(&mut self, now: Instant) {
         while let Some((at, serial)) = self.kept.front().copied() {
             let old = at + self.settings.keep_outcome <= now;
-            let large = self.held.kept > self.settings.max_kept_bytes;
+            let large = self.memory.kept_results > self.settings.max_kept_bytes;
             if !old && !large && self.kept.len() <= self.settings.max_kept {
                 break;
             }
@@ -422,7 +422,7 @@
                 continue;
             }
             if let RecordState::Answered { outcome, .. } = &record.state {
-                self.held.drop_kept(outcome);
+                self.memory.remove_kept(outcome);
             }
             self.records.remove(&serial);
         }
--- a/crates/authority/src/lib.rs
+++ b/crates/authority/src/lib.rs
@@ -10,7 +10,7 @@
 mod attempt;
 mod authority;
 mod customer_load;
-mod held;
+mod memory_usage;
 mod record;
 mod refusal;
 mod session;
--- a/crates/authority/src/held.rs
+++ b/crates/authority/src/memory_usage.rs
@@ -11,25 +11,25 @@
 /// open submissions, since what else a submission holds is small, and counting results for answered ones, since their
 /// payloads are dropped.
 #[derive(Debug, Default)]
-pub(crate) struct HeldBytes {
-    pub(crate) open: ByteSize,
-    pub(crate) kept: ByteSize,
+pub(crate) struct MemoryUsage {
+    pub(crate) open_payloads: ByteSize,
+    pub(crate) kept_results: ByteSize,
 }
 
-impl HeldBytes {
+impl MemoryUsage {
     pub(crate) fn add_open(&mut self, record: &SubmissionRecord) {
-        self.open.0 += payload_bytes(record);
+        self.open_payloads.0 += payload_bytes(record);
     }
 
     /// The submission has its answer. To be called while its tasks are still there.
     pub(crate) fn close(&mut self, record: &SubmissionRecord, outcome: &SubmissionOutcome) {
-        self.open.0 = self.open.0.saturating_sub(payload_bytes(record));
-        self.kept.0 += result_bytes(outcome);
+        self.open_payloads.0 = self.open_payloads.0.saturating_sub(payload_bytes(record));
+        self.kept_results.0 += result_bytes(outcome);
     }
 
     /// The answer is forgotten.
-    pub(crate) fn drop_kept(&mut self, outcome: &SubmissionOutcome) {
-        self.kept.0 = self.kept.0.saturating_sub(result_bytes(outcome));
+    pub(crate) fn remove_kept(&mut self, outcome: &SubmissionOutcome) {
+        self.kept_results.0 = self.kept_results.0.saturating_sub(result_bytes(outcome));
     }
 }
 
