--- a/crates/authority/src/authority/placing.rs
+++ b/crates/authority/src/authority/placing.rs
@@ -19,7 +19,7 @@
     pub fn has_capacity(&self) -> bool {
         self.sessions
             .values()
-            .any(|session| session.open().is_some() && takes_work(session))
+            .any(|session| session.open_session().is_some() && takes_work(session))
     }
 
     /// Whether slots are in reach or were a moment ago.
@@ -123,8 +123,8 @@
         task_record.phase = TaskPhase::InFlight;
         let body = task_record.body.clone();
         let session = self.sessions.get_mut(&dispatcher)?;
-        session.unanswered += 1;
-        let (session, _) = session.open()?;
+        session.unanswered_offers += 1;
+        let (session, _) = session.open_session()?;
         let in_flight = InFlightAttempt {
             customer: customer.clone(),
             kind: body.kind.clone(),
@@ -189,13 +189,13 @@
             queued: session.slots.queued,
         };
         self.places
-            .on_hint(now, dispatcher, hint, session.unanswered);
+            .on_hint(now, dispatcher, hint, session.unanswered_offers);
     }
 
     /// A dispatcher has answered an offer, in one way or another.
-    pub(super) fn on_answered(&mut self, dispatcher: DispatcherKey) {
+    pub(super) fn on_offer_answered(&mut self, dispatcher: DispatcherKey) {
         if let Some(session) = self.sessions.get_mut(&dispatcher) {
-            session.unanswered = session.unanswered.saturating_sub(1);
+            session.unanswered_offers = session.unanswered_offers.saturating_sub(1);
         }
         self.places.on_answer(dispatcher);
     }
--- a/crates/authority/src/authority/replies.rs
+++ b/crates/authority/src/authority/replies.rs
@@ -163,7 +163,7 @@
         let before = std::mem::replace(&mut in_flight.phase, phase);
         let dispatcher = in_flight.dispatcher;
         if before == AttemptPhase::Offered {
-            self.on_answered(dispatcher);
+            self.on_offer_answered(dispatcher);
         }
         true
     }
@@ -246,7 +246,7 @@
         let in_flight = self.attempts.remove(&attempt)?;
         self.waiting.release(&in_flight.customer);
         if in_flight.phase == AttemptPhase::Offered {
-            self.on_answered(in_flight.dispatcher);
+            self.on_offer_answered(in_flight.dispatcher);
         }
         self.places.on_end(in_flight.dispatcher);
         Some(in_flight)
--- a/crates/authority/src/authority/termination.rs
+++ b/crates/authority/src/authority/termination.rs
@@ -89,7 +89,7 @@
             state,
             stopping: false,
             slots,
-            unanswered: self.count_offered(&attempts),
+            unanswered_offers: self.count_offered(&attempts),
         };
         self.sessions.insert(dispatcher, opened);
         self.places.remove_dispatcher(dispatcher);
@@ -107,14 +107,14 @@
 
     /// The connection of a session broke or stayed silent.
     pub fn on_session_lost(&mut self, now: Instant, dispatcher: DispatcherKey, session: SessionId) {
-        let until = now + self.settings.reconnect_wait;
+        let reconnect_by = now + self.settings.reconnect_wait;
         let Some(lost) = self.sessions.get_mut(&dispatcher) else {
             return;
         };
-        if lost.open().is_none_or(|(open, _)| open != session) {
+        if lost.open_session().is_none_or(|(open, _)| open != session) {
             return;
         }
-        lost.state = SessionState::Lost { until };
+        lost.state = SessionState::Lost { reconnect_by };
         self.places.remove_dispatcher(dispatcher);
         for attempt in self.attempts.ids_at(dispatcher) {
             let queued = self
@@ -268,7 +268,7 @@
         if let Some((session, batch)) = self
             .sessions
             .get(&dispatcher)
-            .and_then(|session| session.open())
+            .and_then(|session| session.open_session())
         {
             self.send_withdraw(dispatcher, session, batch, vec![attempt]);
         }
@@ -317,7 +317,7 @@
             if let Some((session, batch)) = self
                 .sessions
                 .get(&dispatcher)
-                .and_then(|session| session.open())
+                .and_then(|session| session.open_session())
             {
                 self.send_withdraw(dispatcher, session, batch, attempts);
             }
@@ -348,7 +348,7 @@
         if let Some((session, batch)) = self
             .sessions
             .get(&dispatcher)
-            .and_then(|session| session.open())
+            .and_then(|session| session.open_session())
         {
             self.send_withdraw(dispatcher, session, batch, attempts);
         }
@@ -375,7 +375,7 @@
         let mut gone = Vec::new();
         for (key, session) in &self.sessions {
             match session.state {
-                SessionState::Lost { until } if until <= now => gone.push(*key),
+                SessionState::Lost { reconnect_by } if reconnect_by <= now => gone.push(*key),
                 SessionState::Lost { .. } | SessionState::Open { .. } => {}
             }
         }
--- a/crates/authority/src/session.rs
+++ b/crates/authority/src/session.rs
@@ -14,7 +14,7 @@
     },
     /// What may have started there is not known until it comes back or is given up at `until`.
     Lost {
-        until: Instant,
+        reconnect_by: Instant,
     },
 }
 
@@ -25,12 +25,12 @@
     pub(crate) stopping: bool,
     pub(crate) slots: SlotCounts,
     /// Attempts there in the phase "offered": what `slots` cannot have counted.
-    pub(crate) unanswered: u32,
+    pub(crate) unanswered_offers: u32,
 }
 
 impl DispatcherSession {
     /// The open session and its last batch.
-    pub(crate) fn open(&self) -> Option<(SessionId, u64)> {
+    pub(crate) fn open_session(&self) -> Option<(SessionId, u64)> {
         match self.state {
             SessionState::Open { session, batch } => Some((session, batch)),
             SessionState::Lost { .. } => None,
