--- a/crates/authority/src/authority.rs
+++ b/crates/authority/src/authority.rs
@@ -29,7 +29,7 @@
     refusal::SubmissionRefusal,
     session::{DispatcherKey, SessionTable},
     settings::AuthoritySettings,
-    ticket::{TicketTable, TicketUse},
+    ticket::{TicketStatus, TicketTable},
     waiting::{WaitingTable, WaitingTask},
 };
 
@@ -240,20 +240,20 @@
     }
 
     /// Says what a ticket of this incarnation is good for now.
-    pub fn look_at_ticket(
+    pub fn check_ticket(
         &mut self,
         now: Instant,
         serial: u64,
         customer: &CustomerId,
-    ) -> TicketUse {
+    ) -> TicketStatus {
         if self.records.contains_key(&serial) {
-            return TicketUse::Used;
+            return TicketStatus::Used;
         }
         self.tickets.expire(now, self.settings.ticket_term);
         match self.tickets.customer(serial) {
-            Some(owner) if owner == customer => TicketUse::Fresh,
-            Some(_) => TicketUse::WrongCustomer,
-            None => TicketUse::Forgotten,
+            Some(owner) if owner == customer => TicketStatus::Unused,
+            Some(_) => TicketStatus::WrongCustomer,
+            None => TicketStatus::Unknown,
         }
     }
 
--- a/crates/authority/src/lib.rs
+++ b/crates/authority/src/lib.rs
@@ -25,5 +25,5 @@
     refusal::SubmissionRefusal,
     session::DispatcherKey,
     settings::AuthoritySettings,
-    ticket::TicketUse,
+    ticket::TicketStatus,
 };
--- a/crates/authority/src/ticket.rs
+++ b/crates/authority/src/ticket.rs
@@ -9,15 +9,15 @@
 
 /// What a ticket is good for when it is presented.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TicketUse {
+pub enum TicketStatus {
     /// It was not used: the request may run under it.
-    Fresh,
+    Unused,
     /// A request came with it before: the second arrival gets that one's answer.
     Used,
     /// It was issued to another customer.
     WrongCustomer,
     /// It is not known here: never issued, or forgotten. Whether a request ran under it cannot be said.
-    Forgotten,
+    Unknown,
 }
 
 /// Unused tickets by serial, oldest first for expiry.
--- a/crates/entry/src/control/callers.rs
+++ b/crates/entry/src/control/callers.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use actix::{Context, Handler, ResponseFuture};
-use authority::{CancelReply, SubmissionRefusal, TicketUse};
+use authority::{CancelReply, SubmissionRefusal, TicketStatus};
 use caller_api::{
     CallerAnswer, CancelCommand, CancelResult, OutcomeCommand, SubmissionAnswer, SubmitCommand,
     TicketCommand,
@@ -132,12 +132,12 @@
         let serial = ticket.0.serial;
         match self
             .authority
-            .look_at_ticket(self.clock.now(), serial, &body.customer)
+            .check_ticket(self.clock.now(), serial, &body.customer)
         {
-            TicketUse::Fresh => self.run(body, digest, Some(serial)),
-            TicketUse::Used => self.run_again(serial, body, digest),
-            TicketUse::WrongCustomer => ready(self.refuse(RefusalReason::KeyReused)),
-            TicketUse::Forgotten => ready(unknown(Some(ticket.0))),
+            TicketStatus::Unused => self.run(body, digest, Some(serial)),
+            TicketStatus::Used => self.run_again(serial, body, digest),
+            TicketStatus::WrongCustomer => ready(self.refuse(RefusalReason::KeyReused)),
+            TicketStatus::Unknown => ready(unknown(Some(ticket.0))),
         }
     }
 
