--- a/crates/authority/src/action.rs
+++ b/crates/authority/src/action.rs
@@ -42,7 +42,7 @@
         outcome: Arc<SubmissionOutcome>,
     },
     /// Something that counters, logs and the explain history want to know.
-    Note(AuthorityEvent),
+    Event(AuthorityEvent),
 }
 
 /// An event of a submission's life.
--- a/crates/authority/src/authority.rs
+++ b/crates/authority/src/authority.rs
@@ -152,7 +152,7 @@
             Ok(terms) => terms,
             Err(refusal) => {
                 let reason = refusal.reason;
-                self.note(AuthorityEvent::Refused { customer, reason });
+                self.emit_event(AuthorityEvent::Refused { customer, reason });
                 return Err(refusal);
             }
         };
@@ -171,7 +171,7 @@
         let total = take_work(&mut record, work);
         self.load
             .accept(now, &customer, contract.share, tasks, total);
-        self.note(AuthorityEvent::Admitted {
+        self.emit_event(AuthorityEvent::Admitted {
             id,
             customer: customer.clone(),
             version,
@@ -364,8 +364,8 @@
         }
     }
 
-    fn note(&mut self, event: AuthorityEvent) {
-        self.actions.push(AuthorityAction::Note(event));
+    fn emit_event(&mut self, event: AuthorityEvent) {
+        self.actions.push(AuthorityAction::Event(event));
     }
 }
 
--- a/crates/authority/src/authority/placing.rs
+++ b/crates/authority/src/authority/placing.rs
@@ -136,7 +136,7 @@
         if attempt.attempt == first_attempt {
             self.budget.on_placed(now, &customer, 1, retry_percent);
         }
-        self.note(AuthorityEvent::Offered(attempt, dispatcher));
+        self.emit_event(AuthorityEvent::Offered(attempt, dispatcher));
         // Load: run times declared a hundred times too long or too short. Harm: by such a word the dispatcher's fair
         // queue bills the customer wrongly and keeps a slot's worth of work back for nothing.
         let expected = self
--- a/crates/authority/src/authority/replies.rs
+++ b/crates/authority/src/authority/replies.rs
@@ -95,7 +95,7 @@
         let payload = task.body.payload.clone();
         self.set_phase(attempt, AttemptPhase::Claimed);
         self.mark_started(now, attempt);
-        self.note(AuthorityEvent::Claimed(attempt));
+        self.emit_event(AuthorityEvent::Claimed(attempt));
         Some(payload)
     }
 
@@ -105,7 +105,7 @@
             // Nobody waits for it: the attempt was given up as unknown before, and stays so.
             return;
         };
-        self.note(AuthorityEvent::Ended(attempt, end.clone()));
+        self.emit_event(AuthorityEvent::Ended(attempt, end.clone()));
         self.learn(now, &in_flight, &end, ran);
         match end {
             AttemptEnd::Done(result) => self.on_done(now, attempt, result),
@@ -232,10 +232,10 @@
         }
         self.set_phase(attempt, phase);
         match phase {
-            AttemptPhase::Queued => self.note(AuthorityEvent::Queued(attempt)),
+            AttemptPhase::Queued => self.emit_event(AuthorityEvent::Queued(attempt)),
             _ => {
                 self.mark_started(now, attempt);
-                self.note(AuthorityEvent::Started(attempt));
+                self.emit_event(AuthorityEvent::Started(attempt));
             }
         }
         self.withdraw_if_answered(attempt);
@@ -304,7 +304,7 @@
             self.load.mark_not_started(&customer, task.expected);
         }
         let attempts = task.attempt_count - first_attempt;
-        self.note(AuthorityEvent::Retried(attempt, reason));
+        self.emit_event(AuthorityEvent::Retried(attempt, reason));
         self.waiting.avoid(serial, attempt.task, dispatcher);
         if !tells_of_load(reason) {
             self.waiting.push(&customer, waiting);
--- a/crates/authority/src/authority/termination.rs
+++ b/crates/authority/src/authority/termination.rs
@@ -244,7 +244,7 @@
         self.open -= 1;
         self.kept.push_back((now, serial));
         self.actions.push(AuthorityAction::Answer { id, outcome });
-        self.note(AuthorityEvent::Answered(id));
+        self.emit_event(AuthorityEvent::Answered(id));
         self.withdraw_tasks(now, serial);
     }
 
--- a/crates/authority/tests/load/world.rs
+++ b/crates/authority/tests/load/world.rs
@@ -275,7 +275,7 @@
                 let before = self.answers.insert(id.serial, answer);
                 assert_eq!(before, None, "one answer each");
             }
-            AuthorityAction::Note(_) => {}
+            AuthorityAction::Event(_) => {}
         }
     }
 
--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -189,7 +189,7 @@
                     self.send_withdrawal(ctx, dispatcher, session, after_batch, attempts);
                 }
                 AuthorityAction::Answer { id, outcome } => self.answer(id, outcome),
-                AuthorityAction::Note(event) => self.take_note(event),
+                AuthorityAction::Event(event) => self.take_note(event),
             }
         }
     }
--- a/crates/ledger/tests/at_most_once/world.rs
+++ b/crates/ledger/tests/at_most_once/world.rs
@@ -384,7 +384,7 @@
                             .push(format!("submission {} was answered twice", id.serial));
                     }
                 }
-                AuthorityAction::Note(_) => {}
+                AuthorityAction::Event(_) => {}
             }
         }
         for number in 0..self.dispatchers.len() {
