--- a/crates/authority/benches/authority.rs
+++ b/crates/authority/benches/authority.rs
@@ -30,8 +30,8 @@
     fn new(home: &DataCentreId, kind: &TaskKind, customers: usize, open: usize) -> Self {
         let now = Instant::now();
         let settings = AuthoritySettings {
-            max_open: usize::MAX,
-            max_kept: 1_000,
+            max_open_submissions: usize::MAX,
+            max_kept_answers: 1_000,
             ..AuthoritySettings::default()
         };
         let mut authority = TaskAuthority::new(settings, home.clone(), IncarnationId(1), 7);
--- a/crates/authority/src/authority/admitting.rs
+++ b/crates/authority/src/authority/admitting.rs
@@ -58,7 +58,7 @@
         // and honest, and the callers know when to come back.
         let bytes: u64 = body.tasks.iter().map(|task| task.payload.size().0).sum();
         let large = self.memory.open_payloads.0 + bytes > self.settings.max_open_bytes.0;
-        if large || self.open >= self.settings.max_open {
+        if large || self.open >= self.settings.max_open_submissions {
             let reason = RefusalReason::Overloaded;
             return Err(SubmissionRefusal::not_now(reason, RETRY_AFTER));
         }
--- a/crates/authority/src/authority/termination.rs
+++ b/crates/authority/src/authority/termination.rs
@@ -408,9 +408,9 @@
 
     fn evict_kept_answers(&mut self, now: Instant) {
         while let Some((at, serial)) = self.kept.front().copied() {
-            let old = at + self.settings.keep_outcome <= now;
+            let old = at + self.settings.outcome_retention <= now;
             let large = self.memory.kept_results > self.settings.max_kept_bytes;
-            if !old && !large && self.kept.len() <= self.settings.max_kept {
+            if !old && !large && self.kept.len() <= self.settings.max_kept_answers {
                 break;
             }
             self.kept.pop_front();
--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -121,10 +121,10 @@
         };
         let authority_settings = AuthoritySettings {
             placement,
-            max_open: settings.max_submissions,
+            max_open_submissions: settings.max_submissions,
             max_open_bytes: settings.max_open_bytes,
             max_kept_bytes: settings.max_kept_bytes,
-            keep_outcome: settings.outcome_keep_ms.duration(),
+            outcome_retention: settings.outcome_keep_ms.duration(),
             ..AuthoritySettings::default()
         };
         let data_centre = settings.data_centre.clone();
