--- a/crates/authority/src/authority.rs
+++ b/crates/authority/src/authority.rs
@@ -61,26 +61,26 @@
     records: FastMap<u64, SubmissionRecord>,
     open: usize,
     memory: MemoryUsage,
-    due: BTreeSet<(Instant, u64)>,
+    deadlines: BTreeSet<(Instant, u64)>,
     /// When a submission of which tasks wait is looked at next.
     deadline_checks: BTreeSet<(Instant, u64)>,
-    kept: VecDeque<(Instant, u64)>,
+    kept_answers: VecDeque<(Instant, u64)>,
     tickets: TicketTable,
     attempts: AttemptTable,
     waiting: WaitingTable,
     sessions: SessionTable,
-    places: PlacementTable,
+    placement: PlacementTable,
     /// Whether tasks wait that no dispatcher could be chosen for.
     unplaced: bool,
     /// The mean run time of the tasks that ended lately, whosever they were.
     mean_run_time: Duration,
-    budget: RetryBudget,
-    times: RunTimeTable,
+    retry_budget: RetryBudget,
+    run_times: RunTimeTable,
     admission: AdmissionPolicy,
     load: LoadTable,
     saturation: LastingSaturation,
     entries: u32,
-    last_capacity: Option<Instant>,
+    last_capacity_at: Option<Instant>,
     rng: fastrand::Rng,
     actions: Vec<AuthorityAction>,
 }
@@ -100,23 +100,23 @@
             records: FastMap::default(),
             open: 0,
             memory: MemoryUsage::default(),
-            due: BTreeSet::new(),
+            deadlines: BTreeSet::new(),
             deadline_checks: BTreeSet::new(),
-            kept: VecDeque::new(),
+            kept_answers: VecDeque::new(),
             tickets: TicketTable::default(),
             attempts: AttemptTable::default(),
             waiting: WaitingTable::default(),
             sessions: SessionTable::default(),
-            places: PlacementTable::new(settings.placement.clone(), data_centre, rng.fork()),
+            placement: PlacementTable::new(settings.placement.clone(), data_centre, rng.fork()),
             unplaced: false,
             mean_run_time: settings.run_times.assumed,
-            budget: RetryBudget::new(settings.retries.clone()),
-            times: RunTimeTable::new(settings.run_times.clone()),
+            retry_budget: RetryBudget::new(settings.retries.clone()),
+            run_times: RunTimeTable::new(settings.run_times.clone()),
             admission: AdmissionPolicy::new(settings.admission.clone()),
             load: LoadTable::default(),
             saturation: LastingSaturation::default(),
             entries: 1,
-            last_capacity: None,
+            last_capacity_at: None,
             rng,
             actions: Vec::new(),
             settings,
@@ -163,7 +163,7 @@
             Some(_) => return Err(SubmissionRefusal::never(RefusalReason::KeyReused)),
         };
         self.tickets.take(serial);
-        let id = self.id(serial);
+        let id = self.submission_id(serial);
         let due = now + body.deadline.unwrap_or_else(|| contract.answer_within());
         let mut record = new_record(body, digest, due, first_attempt);
         record.take_terms(contract, version);
@@ -184,7 +184,7 @@
         self.memory.add_open(&record);
         self.records.insert(serial, record);
         self.open += 1;
-        self.due.insert((due, serial));
+        self.deadlines.insert((due, serial));
         self.place(now);
         self.schedule_deadline_check(now, serial);
         Ok(AdmittedSubmission { id, due })
@@ -217,7 +217,7 @@
             at: now,
         };
         self.records.insert(serial, record);
-        self.kept.push_back((now, serial));
+        self.kept_answers.push_back((now, serial));
     }
 
     /// Issues a ticket.
@@ -236,7 +236,7 @@
         }
         let serial = self.reserve_serial();
         self.tickets.issue(now, serial, customer.clone());
-        Ok(TicketId(self.id(serial)))
+        Ok(TicketId(self.submission_id(serial)))
     }
 
     /// Says what a ticket of this incarnation is good for now.
@@ -351,13 +351,13 @@
 
     /// When [`Self::tick`] has something to do next.
     pub fn next_tick(&self) -> Option<Instant> {
-        let due = self.due.first().map(|(due, _)| *due);
+        let due = self.deadlines.first().map(|(due, _)| *due);
         let resume = self.waiting.next_resume();
         let check = self.deadline_checks.first().map(|(check_at, _)| *check_at);
         due.into_iter().chain(resume).chain(check).min()
     }
 
-    fn id(&self, serial: u64) -> SubmissionId {
+    fn submission_id(&self, serial: u64) -> SubmissionId {
         SubmissionId {
             incarnation: self.incarnation,
             serial,
--- a/crates/authority/src/authority/admitting.rs
+++ b/crates/authority/src/authority/admitting.rs
@@ -100,7 +100,7 @@
         work: &ExpectedWork,
     ) -> AdmissionVerdict {
         let load = self.load.get(&body.customer);
-        let slots = self.places.slots(now);
+        let slots = self.placement.slots(now);
         // Slots that went out of reach a moment ago are on their way to another owner; how many is not known, so
         // only what the submission and its customer's limit tell by themselves counts.
         let (predicted_wait, saturation) = match slots {
@@ -117,7 +117,7 @@
                 };
                 // The mean outlives a moment in which slots are few, and the moment alone refuses ordinary bursts; an
                 // overload that lasts shows in both.
-                let (mean, present) = (self.saturation.mean(), self.places.saturation(now));
+                let (mean, present) = (self.saturation.mean(), self.placement.saturation(now));
                 let lasting = if present < mean { present } else { mean };
                 (picture.predicted_wait(), lasting)
             }
@@ -181,9 +181,9 @@
     ) -> KindEstimate {
         let declared = task.declared_run_time;
         KindEstimate {
-            expected: self.times.expect(now, customer, &task.kind, declared),
+            expected: self.run_times.expect(now, customer, &task.kind, declared),
             slowest: self
-                .times
+                .run_times
                 .quantile(now, customer, &task.kind, declared, share)
                 .run_time,
         }
--- a/crates/authority/src/authority/placing.rs
+++ b/crates/authority/src/authority/placing.rs
@@ -25,10 +25,10 @@
     /// Whether slots are in reach or were a moment ago.
     pub(super) fn had_capacity(&mut self, now: Instant) -> bool {
         if self.has_capacity() {
-            self.last_capacity = Some(now);
+            self.last_capacity_at = Some(now);
         }
         let grace = self.settings.capacity_grace;
-        self.last_capacity
+        self.last_capacity_at
             .is_some_and(|last| now.saturating_duration_since(last) <= grace)
     }
 
@@ -105,7 +105,7 @@
         task: WaitingTask,
         dispatcher: DispatcherKey,
     ) -> Option<TaskOffer> {
-        let submission = self.id(task.serial);
+        let submission = self.submission_id(task.serial);
         let record = self
             .records
             .get_mut(&task.serial)
@@ -134,13 +134,14 @@
         };
         self.attempts.insert(attempt, in_flight);
         if attempt.attempt == first_attempt {
-            self.budget.on_placed(now, &customer, 1, retry_percent);
+            self.retry_budget
+                .on_placed(now, &customer, 1, retry_percent);
         }
         self.emit_event(AuthorityEvent::Offered(attempt, dispatcher));
         // Load: run times declared a hundred times too long or too short. Harm: by such a word the dispatcher's fair
         // queue bills the customer wrongly and keeps a slot's worth of work back for nothing.
         let expected = self
-            .times
+            .run_times
             .expect(now, &customer, &body.kind, body.declared_run_time);
         Some(TaskOffer {
             attempt,
@@ -188,7 +189,7 @@
             running: session.slots.running,
             queued: session.slots.queued,
         };
-        self.places
+        self.placement
             .on_hint(now, dispatcher, hint, session.unanswered_offers);
     }
 
@@ -197,7 +198,7 @@
         if let Some(session) = self.sessions.get_mut(&dispatcher) {
             session.unanswered_offers = session.unanswered_offers.saturating_sub(1);
         }
-        self.places.on_answer(dispatcher);
+        self.placement.on_answer(dispatcher);
     }
 
     /// Load: bursts of jobs over dispatchers with unequal room. Harm: a task queued behind a full dispatcher while
@@ -208,8 +209,8 @@
             mean_run_time: self.mean_run_time,
         };
         match avoided {
-            Some(avoided) => self.places.choose_other(now, query, avoided),
-            None => self.places.choose(now, query),
+            Some(avoided) => self.placement.choose_other(now, query, avoided),
+            None => self.placement.choose(now, query),
         }
     }
 }
--- a/crates/authority/src/authority/predicted_late.rs
+++ b/crates/authority/src/authority/predicted_late.rs
@@ -116,7 +116,7 @@
     ) -> Option<Duration> {
         let task = record.tasks.get(usize::try_from(index).ok()?)?;
         let (customer, kind) = (&record.customer, &task.body.kind);
-        let mean = self.times.expect(now, customer, kind, None);
+        let mean = self.run_times.expect(now, customer, kind, None);
         if mean.source != EstimateSource::Measured {
             return None;
         }
@@ -125,7 +125,7 @@
             return Some(mean.run_time);
         }
         let median = self
-            .times
+            .run_times
             .quantile(now, customer, kind, None, MEDIAN_QUANTILE);
         Some(mean.run_time.min(median.run_time))
     }
--- a/crates/authority/src/authority/replies.rs
+++ b/crates/authority/src/authority/replies.rs
@@ -180,11 +180,11 @@
         let (customer, kind) = (&in_flight.customer, &in_flight.kind);
         match end {
             AttemptEnd::Done(_) => {
-                self.times.record(now, customer, kind, ran);
+                self.run_times.record(now, customer, kind, ran);
                 let others = self.mean_run_time * (MEAN_OVER - 1);
                 self.mean_run_time = (others + ran) / MEAN_OVER;
             }
-            AttemptEnd::Failed => self.times.record_failure(now, customer, kind),
+            AttemptEnd::Failed => self.run_times.record_failure(now, customer, kind),
             AttemptEnd::NotRun(_) | AttemptEnd::Unknown(_) => {}
         }
     }
@@ -219,7 +219,7 @@
         let tries = attempt.attempt - record.first_attempt;
         record.move_queued
             && tries < MAX_MOVES
-            && self.places.free_beside(in_flight.dispatcher) > moved as u64
+            && self.placement.free_beside(in_flight.dispatcher) > moved as u64
     }
 
     fn on_taken(&mut self, now: Instant, attempt: AttemptId, phase: AttemptPhase) {
@@ -248,7 +248,7 @@
         if in_flight.phase == AttemptPhase::Offered {
             self.on_offer_answered(in_flight.dispatcher);
         }
-        self.places.on_end(in_flight.dispatcher);
+        self.placement.on_end(in_flight.dispatcher);
         Some(in_flight)
     }
 
@@ -312,7 +312,7 @@
         }
         // Load: endpoints that turn everything away. Harm: each refusal causes another placement, and the overload
         // feeds itself. The budget bounds placements to the first ones plus the contract's percentage.
-        let granted = !costs_budget(reason) || self.budget.try_retry(now, &customer);
+        let granted = !costs_budget(reason) || self.retry_budget.try_retry(now, &customer);
         if attempts >= MAX_LOAD_RETRIES || !granted {
             self.finish_not_placed(now, serial, RefusalReason::RetryBudgetSpent);
             return;
--- a/crates/authority/src/authority/termination.rs
+++ b/crates/authority/src/authority/termination.rs
@@ -25,7 +25,7 @@
 impl TaskAuthority {
     /// Answers what is due, wakes paused tasks, gives up dispatchers that stayed away, forgets old answers.
     pub fn tick(&mut self, now: Instant) {
-        while let Some((due, serial)) = self.due.first().copied() {
+        while let Some((due, serial)) = self.deadlines.first().copied() {
             if due > now {
                 break;
             }
@@ -46,7 +46,7 @@
             self.waiting.push(&customer, waiting);
         }
         self.evict_kept_answers(now);
-        self.saturation.see(now, self.places.saturation(now));
+        self.saturation.see(now, self.placement.saturation(now));
         self.had_capacity(now);
         self.place(now);
     }
@@ -92,8 +92,8 @@
             unanswered_offers: self.count_offered(&attempts),
         };
         self.sessions.insert(dispatcher, opened);
-        self.places.remove_dispatcher(dispatcher);
-        self.places.add_dispatcher(dispatcher, &data_centre);
+        self.placement.remove_dispatcher(dispatcher);
+        self.placement.add_dispatcher(dispatcher, &data_centre);
         self.hint(now, dispatcher);
         for attempt in &attempts {
             if let Some(in_flight) = self.attempts.get_mut(attempt) {
@@ -115,7 +115,7 @@
             return;
         }
         lost.state = SessionState::Lost { reconnect_by };
-        self.places.remove_dispatcher(dispatcher);
+        self.placement.remove_dispatcher(dispatcher);
         for attempt in self.attempts.ids_at(dispatcher) {
             let queued = self
                 .attempts
@@ -134,7 +134,7 @@
     pub fn on_dispatcher_gone(&mut self, now: Instant, dispatcher: DispatcherKey) {
         self.abandon_attempts_at(now, dispatcher, UnknownReason::DispatcherGone);
         self.sessions.remove(&dispatcher);
-        self.places.remove_dispatcher(dispatcher);
+        self.placement.remove_dispatcher(dispatcher);
         self.place(now);
     }
 
@@ -143,12 +143,12 @@
         if let Some(session) = self.sessions.get_mut(&dispatcher) {
             session.stopping = true;
         }
-        self.places.remove_dispatcher(dispatcher);
+        self.placement.remove_dispatcher(dispatcher);
     }
 
     /// This process ends now: everything open is answered as it stands.
     pub fn stop(&mut self, now: Instant) {
-        while let Some((_, serial)) = self.due.first().copied() {
+        while let Some((_, serial)) = self.deadlines.first().copied() {
             self.terminate(now, serial, TerminationCause::Stopped);
         }
     }
@@ -186,7 +186,7 @@
 
     fn attempt_may_have_started(&self, serial: u64, task: u32, attempt_count: u32) -> bool {
         let attempt = AttemptId {
-            submission: self.id(serial),
+            submission: self.submission_id(serial),
             task,
             attempt: attempt_count.saturating_sub(1),
         };
@@ -223,7 +223,7 @@
 
     /// Gives a submission its one answer and takes back what has not started.
     pub(super) fn finish(&mut self, now: Instant, serial: u64, outcome: SubmissionOutcome) {
-        let id = self.id(serial);
+        let id = self.submission_id(serial);
         let Some(record) = self
             .records
             .get_mut(&serial)
@@ -237,12 +237,12 @@
             outcome: outcome.clone(),
             at: now,
         };
-        self.due.remove(&(record.due, serial));
+        self.deadlines.remove(&(record.due, serial));
         if let Some(check_at) = record.check_at.take() {
             self.deadline_checks.remove(&(check_at, serial));
         }
         self.open -= 1;
-        self.kept.push_back((now, serial));
+        self.kept_answers.push_back((now, serial));
         self.actions.push(AuthorityAction::Answer { id, outcome });
         self.emit_event(AuthorityEvent::Answered(id));
         self.withdraw_tasks(now, serial);
@@ -277,7 +277,7 @@
     /// Load: cancellation waves and jobs that fail early. Harm: reservations of the dead hold up the living. Each
     /// dispatcher gets one message with all of a submission's attempts, so the cost is what is taken back.
     fn withdraw_tasks(&mut self, now: Instant, serial: u64) {
-        let id = self.id(serial);
+        let id = self.submission_id(serial);
         let Some(record) = self.records.get_mut(&serial) else {
             return;
         };
@@ -407,13 +407,13 @@
     }
 
     fn evict_kept_answers(&mut self, now: Instant) {
-        while let Some((at, serial)) = self.kept.front().copied() {
+        while let Some((at, serial)) = self.kept_answers.front().copied() {
             let old = at + self.settings.outcome_retention <= now;
             let large = self.memory.kept_results > self.settings.max_kept_bytes;
-            if !old && !large && self.kept.len() <= self.settings.max_kept_answers {
+            if !old && !large && self.kept_answers.len() <= self.settings.max_kept_answers {
                 break;
             }
-            self.kept.pop_front();
+            self.kept_answers.pop_front();
             // A refused submission may have run again since, and has a later place in the line.
             let Some(record) = self.records.get(&serial) else {
                 continue;
