--- a/crates/authority/src/authority.rs
+++ b/crates/authority/src/authority.rs
@@ -1,7 +1,7 @@
 //! The authority: submissions in, offers and answers out.
 
-mod admitting;
-mod placing;
+mod admission;
+mod placement;
 mod predicted_late;
 mod replies;
 mod termination;
@@ -22,7 +22,7 @@
 use crate::{
     action::{AuthorityAction, AuthorityEvent},
     attempt::{AttemptPhase, AttemptTable},
-    authority::admitting::ExpectedWork,
+    authority::admission::ExpectedWork,
     customer_load::LoadTable,
     memory_usage::MemoryUsage,
     record::{RecordState, SubmissionRecord, SubmissionShape, TaskPhase, TaskRecord},
@@ -166,9 +166,9 @@
         let id = self.submission_id(serial);
         let due = now + body.deadline.unwrap_or_else(|| contract.answer_within());
         let mut record = new_record(body, digest, due, first_attempt);
-        record.take_terms(contract, version);
+        record.apply_terms(contract, version);
         let tasks = record.tasks.len() as u32;
-        let total = take_work(&mut record, work);
+        let total = assign_run_times(&mut record, work);
         self.load
             .accept(now, &customer, contract.share, tasks, total);
         self.emit_event(AuthorityEvent::Admitted {
@@ -383,7 +383,7 @@
     for body in body.tasks {
         tasks.push(TaskRecord {
             body,
-            expected: Duration::ZERO,
+            expected_run_time: Duration::ZERO,
             started: false,
             attempt_count: first_attempt,
             phase: TaskPhase::Waiting,
@@ -408,10 +408,10 @@
 }
 
 /// Gives the tasks their expected run times and returns the sum.
-fn take_work(record: &mut SubmissionRecord, work: ExpectedWork) -> Duration {
+fn assign_run_times(record: &mut SubmissionRecord, work: ExpectedWork) -> Duration {
     let mut total = Duration::ZERO;
     for (task, expected) in record.tasks.iter_mut().zip(work.run_times) {
-        task.expected = expected;
+        task.expected_run_time = expected;
         total = total.saturating_add(expected);
     }
     total
--- a/crates/authority/src/authority/admitting.rs
+++ b/crates/authority/src/authority/admission.rs
@@ -18,7 +18,7 @@
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// The share of single tasks that run no longer than the slowest that is reckoned with.
-const SLOWEST_SHARE: f64 = 0.9;
+const SLOW_RUN_QUANTILE: f64 = 0.9;
 
 /// What a submission's tasks are expected to take.
 pub(super) struct ExpectedWork {
@@ -62,7 +62,7 @@
             let reason = RefusalReason::Overloaded;
             return Err(SubmissionRefusal::not_now(reason, RETRY_AFTER));
         }
-        if !self.had_capacity(now) {
+        if !self.had_recent_capacity(now) {
             let reason = RefusalReason::NoCapacity;
             return Err(SubmissionRefusal::not_now(reason, RETRY_AFTER));
         }
@@ -89,7 +89,7 @@
             return;
         };
         task.started = true;
-        self.load.start(now, &customer, task.expected);
+        self.load.start(now, &customer, task.expected_run_time);
     }
 
     fn decide(
@@ -143,7 +143,7 @@
 
     fn expected_work(&self, now: Instant, body: &SubmissionBody) -> ExpectedWork {
         // The more tasks, the rarer a run time that one of them may well take.
-        let share = 1.0 - (1.0 - SLOWEST_SHARE) / body.tasks.len().max(1) as f64;
+        let quantile = 1.0 - (1.0 - SLOW_RUN_QUANTILE) / body.tasks.len().max(1) as f64;
         let mut work = ExpectedWork {
             run_times: Vec::with_capacity(body.tasks.len()),
             total: Duration::ZERO,
@@ -157,12 +157,12 @@
         for task in &body.tasks {
             // Tasks of a job are mostly alike, and a quantile costs a walk over its buckets.
             let estimate = match last {
-                Some((before, estimate)) if is_alike(before, task) => estimate,
-                _ => self.estimate(now, &body.customer, task, share),
+                Some((before, estimate)) if have_same_estimate(before, task) => estimate,
+                _ => self.estimate(now, &body.customer, task, quantile),
             };
             last = Some((task, estimate));
             let expected = estimate.expected;
-            work.run_times.push(self.reckoned(expected));
+            work.run_times.push(self.capped_run_time(expected));
             work.total = work.total.saturating_add(expected.run_time);
             if (expected.run_time, expected.source) > (work.largest.run_time, work.largest.source) {
                 work.largest = expected;
@@ -177,14 +177,14 @@
         now: Instant,
         customer: &CustomerId,
         task: &TaskBody,
-        share: f64,
+        quantile: f64,
     ) -> KindEstimate {
         let declared = task.declared_run_time;
         KindEstimate {
             expected: self.run_times.expect(now, customer, &task.kind, declared),
             slowest: self
                 .run_times
-                .quantile(now, customer, &task.kind, declared, share)
+                .quantile(now, customer, &task.kind, declared, quantile)
                 .run_time,
         }
     }
@@ -194,7 +194,7 @@
     /// Load: the first jobs of a kind, declared a hundred times too long. Harm: the second is refused and told to come
     /// back after half a minute, though the first is done within a second. Reason: until it is measured a task counts
     /// as a usual one at the most; a few ends correct that.
-    fn reckoned(&self, expected: RunTimeEstimate) -> Duration {
+    fn capped_run_time(&self, expected: RunTimeEstimate) -> Duration {
         match expected.source {
             EstimateSource::Measured | EstimateSource::Stale => expected.run_time,
             EstimateSource::Assumed | EstimateSource::Declared => {
@@ -204,6 +204,6 @@
     }
 }
 
-fn is_alike(one: &TaskBody, other: &TaskBody) -> bool {
+fn have_same_estimate(one: &TaskBody, other: &TaskBody) -> bool {
     one.kind == other.kind && one.declared_run_time == other.declared_run_time
 }
--- a/crates/authority/src/authority/placing.rs
+++ b/crates/authority/src/authority/placement.rs
@@ -23,7 +23,7 @@
     }
 
     /// Whether slots are in reach or were a moment ago.
-    pub(super) fn had_capacity(&mut self, now: Instant) -> bool {
+    pub(super) fn had_recent_capacity(&mut self, now: Instant) -> bool {
         if self.has_capacity() {
             self.last_capacity_at = Some(now);
         }
@@ -58,14 +58,14 @@
         batches: &mut BTreeMap<DispatcherKey, Vec<TaskOffer>>,
     ) -> bool {
         while let Some(task) = self.waiting.pop(now, customer) {
-            if !self.place_one(now, customer, task, batches) {
+            if !self.place_task(now, customer, task, batches) {
                 return false;
             }
         }
         true
     }
 
-    fn place_one(
+    fn place_task(
         &mut self,
         now: Instant,
         customer: &CustomerId,
@@ -73,11 +73,11 @@
         batches: &mut BTreeMap<DispatcherKey, Vec<TaskOffer>>,
     ) -> bool {
         let avoided = self.waiting.take_avoided(task);
-        let wanted = self
+        let is_placeable = self
             .records
             .get(&task.serial)
             .is_some_and(|record| record.is_open() && record.is_waiting(task.task));
-        if !wanted {
+        if !is_placeable {
             self.waiting.release(customer);
             return true;
         }
@@ -86,7 +86,7 @@
             self.refuse_predicted_late(now, task.serial);
             return true;
         }
-        let Some(dispatcher) = self.choose(now, avoided) else {
+        let Some(dispatcher) = self.choose_dispatcher(now, avoided) else {
             self.waiting.release(customer);
             self.waiting.push(customer, task);
             return false;
@@ -180,7 +180,7 @@
     }
 
     /// Takes what a dispatcher said of its slots into the choice. One that is stopping or lost is not in the table.
-    pub(super) fn hint(&mut self, now: Instant, dispatcher: DispatcherKey) {
+    pub(super) fn update_placement(&mut self, now: Instant, dispatcher: DispatcherKey) {
         let Some(session) = self.sessions.get(&dispatcher) else {
             return;
         };
@@ -204,7 +204,11 @@
     /// Load: bursts of jobs over dispatchers with unequal room. Harm: a task queued behind a full dispatcher while
     /// another has free slots answers late. Stopping dispatchers and those without an open session are not in the
     /// table; the one that has just turned the task away is passed over where there is another.
-    fn choose(&mut self, now: Instant, avoided: Option<DispatcherKey>) -> Option<DispatcherKey> {
+    fn choose_dispatcher(
+        &mut self,
+        now: Instant,
+        avoided: Option<DispatcherKey>,
+    ) -> Option<DispatcherKey> {
         let query = PlacementQuery {
             mean_run_time: self.mean_run_time,
         };
--- a/crates/authority/src/authority/replies.rs
+++ b/crates/authority/src/authority/replies.rs
@@ -22,7 +22,7 @@
 
 /// The tasks over which the mean run time is taken: about two usual jobs, so that it follows a change of the mix within
 /// a second and one long task does not send the next ones to another data centre.
-const MEAN_OVER: u32 = 64;
+const MEAN_RUN_TIME_TASKS: u32 = 64;
 
 /// The tries of a task among which it may leave a queue for a free slot elsewhere.
 const MAX_MOVES: u32 = 2;
@@ -32,7 +32,7 @@
     pub fn on_verdicts(&mut self, now: Instant, verdicts: &[(AttemptId, TaskVerdict)]) {
         // All that a refused batch turned away is noted before any of it is decided on: a job that is given up at its
         // first task would otherwise count the others as perhaps started, and be answered "failed" for "refused".
-        let mut turned_away = Vec::new();
+        let mut not_run = Vec::new();
         let mut moved = Vec::new();
         for (attempt, verdict) in verdicts {
             match verdict {
@@ -40,27 +40,23 @@
                     if let Some(in_flight) = self.remove_attempt(*attempt) {
                         self.set_waiting(*attempt);
                         moved.push(*attempt);
-                        turned_away.push((
-                            *attempt,
-                            RetryReason::SlotElsewhere,
-                            in_flight.dispatcher,
-                        ));
+                        not_run.push((*attempt, RetryReason::SlotElsewhere, in_flight.dispatcher));
                     }
                 }
-                TaskVerdict::Started => self.on_taken(now, *attempt, AttemptPhase::Running),
-                TaskVerdict::Queued => self.on_taken(now, *attempt, AttemptPhase::Queued),
+                TaskVerdict::Started => self.on_accepted(now, *attempt, AttemptPhase::Running),
+                TaskVerdict::Queued => self.on_accepted(now, *attempt, AttemptPhase::Queued),
                 TaskVerdict::NotRun(reason) => {
                     if let Some(in_flight) = self.remove_attempt(*attempt) {
                         self.set_waiting(*attempt);
-                        turned_away.push((*attempt, *reason, in_flight.dispatcher));
+                        not_run.push((*attempt, *reason, in_flight.dispatcher));
                     }
                 }
             }
         }
-        if let Some((_, _, dispatcher)) = turned_away.first().filter(|_| !moved.is_empty()) {
+        if let Some((_, _, dispatcher)) = not_run.first().filter(|_| !moved.is_empty()) {
             self.withdraw_reservations(*dispatcher, moved);
         }
-        for (attempt, reason, dispatcher) in turned_away {
+        for (attempt, reason, dispatcher) in not_run {
             self.on_not_run(now, attempt, reason, dispatcher);
         }
         self.place(now);
@@ -106,7 +102,7 @@
             return;
         };
         self.emit_event(AuthorityEvent::Ended(attempt, end.clone()));
-        self.learn(now, &in_flight, &end, ran);
+        self.record_run_time(now, &in_flight, &end, ran);
         match end {
             AttemptEnd::Done(result) => self.on_done(now, attempt, result),
             AttemptEnd::Failed => self.finish_failed(now, attempt, FailureReason::TaskFailed),
@@ -147,7 +143,7 @@
         };
         let gained = session.slots.limit == 0 && slots.limit > 0;
         session.slots = slots;
-        self.hint(now, dispatcher);
+        self.update_placement(now, dispatcher);
         if gained || (self.unplaced && slots.limit > 0) {
             self.unplaced = false;
             self.waiting.mark_all_changed();
@@ -170,7 +166,7 @@
 
     /// Takes the run time of what ran, also of a task whose submission has its answer: those that come after the
     /// deadline are the slow ones, and without them their kind would look fast.
-    fn learn(
+    fn record_run_time(
         &mut self,
         now: Instant,
         in_flight: &InFlightAttempt,
@@ -181,8 +177,8 @@
         match end {
             AttemptEnd::Done(_) => {
                 self.run_times.record(now, customer, kind, ran);
-                let others = self.mean_run_time * (MEAN_OVER - 1);
-                self.mean_run_time = (others + ran) / MEAN_OVER;
+                let others = self.mean_run_time * (MEAN_RUN_TIME_TASKS - 1);
+                self.mean_run_time = (others + ran) / MEAN_RUN_TIME_TASKS;
             }
             AttemptEnd::Failed => self.run_times.record_failure(now, customer, kind),
             AttemptEnd::NotRun(_) | AttemptEnd::Unknown(_) => {}
@@ -222,7 +218,7 @@
             && self.placement.free_beside(in_flight.dispatcher) > moved as u64
     }
 
-    fn on_taken(&mut self, now: Instant, attempt: AttemptId, phase: AttemptPhase) {
+    fn on_accepted(&mut self, now: Instant, attempt: AttemptId, phase: AttemptPhase) {
         let Some(in_flight) = self.attempts.get(&attempt) else {
             return;
         };
@@ -266,7 +262,7 @@
             return;
         };
         task.phase = TaskPhase::Done(result);
-        let expected = task.expected;
+        let expected = task.expected_run_time;
         record.done += 1;
         self.load.end(now, &record.customer, expected, true);
         if record.done as usize == record.tasks.len() {
@@ -301,18 +297,19 @@
         };
         task.phase = TaskPhase::Waiting;
         if std::mem::take(&mut task.started) {
-            self.load.mark_not_started(&customer, task.expected);
+            self.load
+                .mark_not_started(&customer, task.expected_run_time);
         }
         let attempts = task.attempt_count - first_attempt;
         self.emit_event(AuthorityEvent::Retried(attempt, reason));
         self.waiting.avoid(serial, attempt.task, dispatcher);
-        if !tells_of_load(reason) {
+        if !signals_overload(reason) {
             self.waiting.push(&customer, waiting);
             return;
         }
         // Load: endpoints that turn everything away. Harm: each refusal causes another placement, and the overload
         // feeds itself. The budget bounds placements to the first ones plus the contract's percentage.
-        let granted = !costs_budget(reason) || self.retry_budget.try_retry(now, &customer);
+        let granted = !consumes_retry_budget(reason) || self.retry_budget.try_retry(now, &customer);
         if attempts >= MAX_LOAD_RETRIES || !granted {
             self.finish_not_placed(now, serial, RefusalReason::RetryBudgetSpent);
             return;
@@ -366,13 +363,13 @@
 /// Whether another try is taken out of the customer's budget. A dispatcher hands back what waits for it when its last
 /// endpoint gets another owner: that tells of a change, and since it says so with its slots it gets no more offers.
 /// The task still pauses, or it would come back before the new owner is known.
-fn costs_budget(reason: RetryReason) -> bool {
-    tells_of_load(reason) && reason != RetryReason::NoEndpoint
+fn consumes_retry_budget(reason: RetryReason) -> bool {
+    signals_overload(reason) && reason != RetryReason::NoEndpoint
 }
 
 /// Whether a refusal comes from load, so that trying again adds to it. The others come from a change in the
 /// system, and the task goes elsewhere at once.
-fn tells_of_load(reason: RetryReason) -> bool {
+fn signals_overload(reason: RetryReason) -> bool {
     match reason {
         RetryReason::EndpointBusy
         | RetryReason::EndpointUnreachable
--- a/crates/authority/src/authority/termination.rs
+++ b/crates/authority/src/authority/termination.rs
@@ -47,7 +47,7 @@
         }
         self.evict_kept_answers(now);
         self.saturation.see(now, self.placement.saturation(now));
-        self.had_capacity(now);
+        self.had_recent_capacity(now);
         self.place(now);
     }
 
@@ -94,7 +94,7 @@
         self.sessions.insert(dispatcher, opened);
         self.placement.remove_dispatcher(dispatcher);
         self.placement.add_dispatcher(dispatcher, &data_centre);
-        self.hint(now, dispatcher);
+        self.update_placement(now, dispatcher);
         for attempt in &attempts {
             if let Some(in_flight) = self.attempts.get_mut(attempt) {
                 in_flight.session = session;
@@ -289,7 +289,8 @@
         for (index, task) in tasks.iter().enumerate() {
             let index = index as u32;
             if !matches!(task.phase, TaskPhase::Done(_)) {
-                self.load.end(now, &customer, task.expected, task.started);
+                self.load
+                    .end(now, &customer, task.expected_run_time, task.started);
             }
             match task.phase {
                 TaskPhase::Waiting => {
--- a/crates/authority/src/record.rs
+++ b/crates/authority/src/record.rs
@@ -23,7 +23,7 @@
 pub(crate) struct TaskRecord {
     pub(crate) body: TaskBody,
     /// The run time by which the task counts in its customer's load.
-    pub(crate) expected: Duration,
+    pub(crate) expected_run_time: Duration,
     /// Whether it counts as started there.
     pub(crate) started: bool,
     /// Attempts made so far.
@@ -115,7 +115,7 @@
 
     /// The terms of the contract that the submission runs under from acceptance to answer, also when the contract
     /// changes in between.
-    pub(crate) fn take_terms(&mut self, contract: &Contract, version: ContractVersion) {
+    pub(crate) fn apply_terms(&mut self, contract: &Contract, version: ContractVersion) {
         self.version = version;
         self.share = contract.share;
         self.retry_percent = contract.retry_percent;
