--- a/crates/authority/src/authority.rs
+++ b/crates/authority/src/authority.rs
@@ -25,7 +25,7 @@
     authority::admission::ExpectedWork,
     customer_load::LoadTable,
     memory_usage::MemoryUsage,
-    record::{RecordState, SubmissionRecord, SubmissionShape, TaskPhase, TaskRecord},
+    record::{RecordState, SubmissionClass, SubmissionRecord, TaskPhase, TaskRecord},
     refusal::SubmissionRefusal,
     session::{DispatcherKey, SessionTable},
     settings::AuthoritySettings,
@@ -269,7 +269,7 @@
     pub fn is_job(&self, serial: u64) -> bool {
         self.records
             .get(&serial)
-            .is_some_and(|record| record.shape == SubmissionShape::Job)
+            .is_some_and(|record| record.class == SubmissionClass::Job)
     }
 
     /// Whether a submission was refused: nothing of it ran, and it may be submitted again under the same serial.
@@ -375,9 +375,9 @@
     due: Instant,
     first_attempt: u32,
 ) -> SubmissionRecord {
-    let shape = match body.kind {
-        SubmissionKind::Job => SubmissionShape::Job,
-        SubmissionKind::Request(_) => SubmissionShape::Request,
+    let class = match body.kind {
+        SubmissionKind::Job => SubmissionClass::Job,
+        SubmissionKind::Request(_) => SubmissionClass::Request,
     };
     let mut tasks = Vec::with_capacity(body.tasks.len());
     for body in body.tasks {
@@ -391,7 +391,7 @@
     }
     SubmissionRecord {
         customer: body.customer,
-        shape,
+        class,
         version: ContractVersion::default(),
         share: model::CustomerShare::default(),
         retry_percent: 0,
--- a/crates/authority/src/authority/replies.rs
+++ b/crates/authority/src/authority/replies.rs
@@ -11,7 +11,7 @@
     action::AuthorityEvent,
     attempt::{AttemptPhase, InFlightAttempt},
     authority::{waiting_task, TaskAuthority},
-    record::{SubmissionShape, TaskPhase},
+    record::{SubmissionClass, TaskPhase},
     session::DispatcherKey,
 };
 
@@ -323,9 +323,9 @@
         let Some(record) = self.records.get(&serial).filter(|record| record.is_open()) else {
             return;
         };
-        let outcome = match record.shape {
-            SubmissionShape::Job => SubmissionOutcome::Failed(FailureReason::TaskUnknown),
-            SubmissionShape::Request => SubmissionOutcome::Unknown(reason),
+        let outcome = match record.class {
+            SubmissionClass::Job => SubmissionOutcome::Failed(FailureReason::TaskUnknown),
+            SubmissionClass::Request => SubmissionOutcome::Unknown(reason),
         };
         self.finish(now, serial, outcome);
     }
--- a/crates/authority/src/authority/termination.rs
+++ b/crates/authority/src/authority/termination.rs
@@ -15,7 +15,7 @@
     action::{AuthorityAction, AuthorityEvent},
     attempt::AttemptPhase,
     authority::{waiting_task, CancelReply, TaskAuthority},
-    record::{RecordState, SubmissionShape, TaskPhase},
+    record::{RecordState, SubmissionClass, TaskPhase},
     session::{DispatcherKey, DispatcherSession, SessionState},
 };
 
@@ -56,7 +56,7 @@
         let Some(record) = self.records.get(&serial).filter(|record| record.is_open()) else {
             return CancelReply::NotOpen;
         };
-        if record.shape == SubmissionShape::Request && self.may_have_started(serial) {
+        if record.class == SubmissionClass::Request && self.may_have_started(serial) {
             return CancelReply::TooLate;
         }
         self.terminate(now, serial, TerminationCause::Cancelled);
@@ -200,10 +200,10 @@
         let Some(record) = self.records.get(&serial) else {
             return;
         };
-        let outcome = match (started, record.shape) {
+        let outcome = match (started, record.class) {
             (false, _) => cause.refusal(),
-            (true, SubmissionShape::Job) => SubmissionOutcome::Failed(cause.failure()),
-            (true, SubmissionShape::Request) => SubmissionOutcome::Unknown(cause.unknown()),
+            (true, SubmissionClass::Job) => SubmissionOutcome::Failed(cause.failure()),
+            (true, SubmissionClass::Request) => SubmissionOutcome::Unknown(cause.unknown()),
         };
         self.finish(now, serial, outcome);
     }
--- a/crates/authority/src/record.rs
+++ b/crates/authority/src/record.rs
@@ -32,7 +32,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum SubmissionShape {
+pub(crate) enum SubmissionClass {
     Job,
     Request,
 }
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct SubmissionRecord {
     pub(crate) customer: CustomerId,
-    pub(crate) shape: SubmissionShape,
+    pub(crate) class: SubmissionClass,
     pub(crate) version: ContractVersion,
     pub(crate) share: CustomerShare,
     pub(crate) retry_percent: u32,
