--- a/crates/authority/benches/authority.rs
+++ b/crates/authority/benches/authority.rs
@@ -91,7 +91,7 @@
             .iter()
             .map(|attempt| (*attempt, TaskVerdict::Started))
             .collect();
-        self.authority.on_verdicts(self.now, &verdicts);
+        self.authority.on_offer_replies(self.now, &verdicts);
         attempts
     }
 
--- a/crates/authority/src/authority/replies.rs
+++ b/crates/authority/src/authority/replies.rs
@@ -29,13 +29,13 @@
 
 impl TaskAuthority {
     /// A dispatcher has answered an offer.
-    pub fn on_verdicts(&mut self, now: Instant, verdicts: &[(AttemptId, TaskVerdict)]) {
+    pub fn on_offer_replies(&mut self, now: Instant, replies: &[(AttemptId, TaskVerdict)]) {
         // All that a refused batch turned away is noted before any of it is decided on: a job that is given up at its
         // first task would otherwise count the others as perhaps started, and be answered "failed" for "refused".
         let mut not_run = Vec::new();
         let mut moved = Vec::new();
-        for (attempt, verdict) in verdicts {
-            match verdict {
+        for (attempt, reply) in replies {
+            match reply {
                 TaskVerdict::Queued if self.may_move(*attempt, moved.len()) => {
                     if let Some(in_flight) = self.remove_attempt(*attempt) {
                         self.set_waiting(*attempt);
--- a/crates/authority/tests/held_bytes.rs
+++ b/crates/authority/tests/held_bytes.rs
@@ -64,7 +64,7 @@
         attempt: 0,
     };
     let payload = Payload::from(vec![8; result]);
-    authority.on_verdicts(now, &[(attempt, TaskVerdict::Started)]);
+    authority.on_offer_replies(now, &[(attempt, TaskVerdict::Started)]);
     authority.on_ended(
         now,
         attempt,
--- a/crates/authority/tests/limits.rs
+++ b/crates/authority/tests/limits.rs
@@ -63,7 +63,7 @@
     assert_eq!(authority.usage(&customer()), (1, 0));
     // The dispatcher answers; one that leaves an offer without any word gets no more.
     let (attempt, ..) = authority.attempts()[0];
-    authority.on_verdicts(now, &[(attempt, TaskVerdict::Started)]);
+    authority.on_offer_replies(now, &[(attempt, TaskVerdict::Started)]);
     authority.on_slots(
         now,
         DispatcherKey(1),
--- a/crates/authority/tests/load/world.rs
+++ b/crates/authority/tests/load/world.rs
@@ -293,6 +293,6 @@
         }
         let counts = dispatcher.counts();
         self.authority.on_slots(self.now, key, counts);
-        self.authority.on_verdicts(self.now, &verdicts);
+        self.authority.on_offer_replies(self.now, &verdicts);
     }
 }
--- a/crates/authority/tests/moving.rs
+++ b/crates/authority/tests/moving.rs
@@ -68,7 +68,7 @@
         .iter()
         .map(|attempt| (*attempt, TaskVerdict::Queued))
         .collect();
-    authority.on_verdicts(now, &verdicts);
+    authority.on_offer_replies(now, &verdicts);
     assert_eq!(offers(&mut authority, second).len(), expect_moves);
 }
 
--- a/crates/authority/tests/withdrawal.rs
+++ b/crates/authority/tests/withdrawal.rs
@@ -48,7 +48,7 @@
     authority.cancel(now, serial);
     authority.on_withdrawn(now, &[(attempt, WithdrawalVerdict::Running)]);
     authority.take_actions();
-    authority.on_verdicts(now, &[(attempt, TaskVerdict::Queued)]);
+    authority.on_offer_replies(now, &[(attempt, TaskVerdict::Queued)]);
     assert_eq!(authority.attempts(), []);
     let actions = authority.take_actions();
     let withdrawn = actions
--- a/crates/entry/src/control/sessions.rs
+++ b/crates/entry/src/control/sessions.rs
@@ -183,7 +183,7 @@
                             .on_slots(control.clock.now(), dispatcher, slots);
                         control
                             .authority
-                            .on_verdicts(control.clock.now(), &verdicts);
+                            .on_offer_replies(control.clock.now(), &verdicts);
                         control.flush(ctx);
                     }
                     Err(error) => control.on_call_failed(ctx, dispatcher, session, &error),
--- a/crates/ledger/tests/at_most_once/world.rs
+++ b/crates/ledger/tests/at_most_once/world.rs
@@ -550,7 +550,7 @@
     fn handle_at_entry(&mut self, message: ToEntry) -> Option<ToDispatcher> {
         match message {
             ToEntry::Verdicts(verdicts) => {
-                self.authority.on_verdicts(self.now, &verdicts);
+                self.authority.on_offer_replies(self.now, &verdicts);
                 None
             }
             ToEntry::Withdrawn(verdicts) => {
