--- a/crates/authority/src/authority.rs
+++ b/crates/authority/src/authority.rs
@@ -160,7 +160,7 @@
         let first_attempt = match self.records.get(&serial) {
             None => 0,
             Some(earlier) if earlier.is_refused() => earlier.next_attempt,
-            Some(_) => return Err(SubmissionRefusal::never(RefusalReason::KeyReused)),
+            Some(_) => return Err(SubmissionRefusal::permanent(RefusalReason::KeyReused)),
         };
         self.tickets.take(serial);
         let id = self.submission_id(serial);
--- a/crates/authority/src/authority/admission.rs
+++ b/crates/authority/src/authority/admission.rs
@@ -45,13 +45,13 @@
         contract: Option<(&'a Contract, ContractVersion)>,
     ) -> Result<(&'a Contract, ContractVersion, ExpectedWork), SubmissionRefusal> {
         let (contract, version) =
-            contract.ok_or(SubmissionRefusal::never(RefusalReason::UnknownCustomer))?;
+            contract.ok_or(SubmissionRefusal::permanent(RefusalReason::UnknownCustomer))?;
         if contract.state == ContractState::Retired {
-            return Err(SubmissionRefusal::never(RefusalReason::RetiredCustomer));
+            return Err(SubmissionRefusal::permanent(RefusalReason::RetiredCustomer));
         }
         for task in &body.tasks {
             if task.payload.size() > contract.max_payload_bytes {
-                return Err(SubmissionRefusal::never(RefusalReason::PayloadTooLarge));
+                return Err(SubmissionRefusal::permanent(RefusalReason::PayloadTooLarge));
             }
         }
         // Each open submission costs memory until its answer, so a flood has to end somewhere; refusing is cheap
@@ -60,11 +60,11 @@
         let large = self.memory.open_payloads.0 + bytes > self.settings.max_open_bytes.0;
         if large || self.open >= self.settings.max_open_submissions {
             let reason = RefusalReason::Overloaded;
-            return Err(SubmissionRefusal::not_now(reason, RETRY_AFTER));
+            return Err(SubmissionRefusal::temporary(reason, RETRY_AFTER));
         }
         if !self.had_recent_capacity(now) {
             let reason = RefusalReason::NoCapacity;
-            return Err(SubmissionRefusal::not_now(reason, RETRY_AFTER));
+            return Err(SubmissionRefusal::temporary(reason, RETRY_AFTER));
         }
         let work = self.expected_work(now, body);
         match self.decide(now, body, contract, &work) {
--- a/crates/authority/src/refusal.rs
+++ b/crates/authority/src/refusal.rs
@@ -17,7 +17,7 @@
 
 impl SubmissionRefusal {
     /// A refusal that will be the same at any time.
-    pub fn never(reason: RefusalReason) -> Self {
+    pub fn permanent(reason: RefusalReason) -> Self {
         Self {
             reason,
             retry_after: None,
@@ -25,7 +25,7 @@
     }
 
     /// A refusal that may have changed by then.
-    pub fn not_now(reason: RefusalReason, retry_after: Duration) -> Self {
+    pub fn temporary(reason: RefusalReason, retry_after: Duration) -> Self {
         Self {
             reason,
             retry_after: Some(retry_after),
--- a/crates/entry/src/control/callers.rs
+++ b/crates/entry/src/control/callers.rs
@@ -64,7 +64,7 @@
     ) -> Result<SubmissionId, SubmissionRefusal> {
         if !self.contracts.is_ready() {
             let reason = RefusalReason::ConfigNotReady;
-            return Err(SubmissionRefusal::not_now(reason, COME_BACK));
+            return Err(SubmissionRefusal::temporary(reason, COME_BACK));
         }
         let contract = self
             .contracts
