--- a/crates/authority/tests/load/admission.rs
+++ b/crates/authority/tests/load/admission.rs
@@ -4,7 +4,7 @@
 
 use model::{Contract, RefusableWork, RefusalReason, SubmissionOutcome};
 
-use crate::world::{ms, Job, World, HOME};
+use crate::simulation::{ms, Job, Simulation, HOME};
 
 /// A contract under which nothing is refused for the sake of others.
 fn strict() -> Contract {
@@ -15,23 +15,23 @@
 }
 
 /// Lets the kind's run time be measured.
-fn warm_up(world: &mut World, customer: &'static str) {
+fn warm_up(simulation: &mut Simulation, customer: &'static str) {
     let job = Job {
         customer,
         tasks: 4,
         deadline: ms(9_000),
         ..Job::default()
     };
-    world.submit(&job).expect("admitted");
-    world.pass(ms(4_000));
-    world.authority.tick(world.now);
+    simulation.submit(&job).expect("admitted");
+    simulation.advance(ms(4_000));
+    simulation.authority.tick(simulation.now);
 }
 
-fn count_complete(world: &World, serials: &[u64], within: Duration) -> usize {
+fn count_complete(simulation: &Simulation, serials: &[u64], within: Duration) -> usize {
     let mut complete = 0;
     for serial in serials {
-        let (at, outcome) = &world.answers[serial];
-        let in_time = at.saturating_duration_since(world.start) <= within;
+        let (at, outcome) = &simulation.answers[serial];
+        let in_time = at.saturating_duration_since(simulation.start) <= within;
         complete += usize::from(in_time && matches!(outcome, SubmissionOutcome::Complete(_)));
     }
     complete
@@ -91,12 +91,12 @@
         },
     ];
     for case in cases {
-        let mut world = World::new(strict());
-        world.allow("school", case.limit);
-        world.add_dispatcher(8, HOME);
-        world.run_times.insert("hold", case.run_time);
-        warm_up(&mut world, "school");
-        world.start = world.now;
+        let mut simulation = Simulation::new(strict());
+        simulation.set_limit("school", case.limit);
+        simulation.add_dispatcher(8, HOME);
+        simulation.run_times.insert("hold", case.run_time);
+        warm_up(&mut simulation, "school");
+        simulation.start = simulation.now;
         let job = Job {
             tasks: 8,
             deadline: ms(2_000),
@@ -104,7 +104,7 @@
         };
         let (mut serials, mut refused) = (Vec::new(), 0);
         for _ in 0..case.jobs {
-            match world.submit(&job) {
+            match simulation.submit(&job) {
                 Ok(serial) => serials.push(serial),
                 Err(refusal) => {
                     refused += 1;
@@ -115,8 +115,8 @@
             }
         }
         assert!(case.refused.contains(&refused), "{}: {refused}", case.name);
-        world.pass(ms(4_000));
-        let complete = count_complete(&world, &serials, job.deadline);
+        simulation.advance(ms(4_000));
+        let complete = count_complete(&simulation, &serials, job.deadline);
         assert_eq!(complete, serials.len(), "{}", case.name);
     }
 }
@@ -125,12 +125,12 @@
 /// big one submits 60 jobs at once, all slots and the queue are its own, then the small one comes.
 #[test]
 fn a_customer_far_over_its_limit_leaves_the_other_in_time() {
-    let mut world = World::new(strict());
-    world.allow("big", 8);
-    world.allow("small", 8);
-    world.add_dispatcher(16, HOME);
-    warm_up(&mut world, "big");
-    world.start = world.now;
+    let mut simulation = Simulation::new(strict());
+    simulation.set_limit("big", 8);
+    simulation.set_limit("small", 8);
+    simulation.add_dispatcher(16, HOME);
+    warm_up(&mut simulation, "big");
+    simulation.start = simulation.now;
     let big = Job {
         customer: "big",
         tasks: 8,
@@ -139,7 +139,7 @@
     };
     let mut refused = 0;
     for _ in 0..60 {
-        let Err(refusal) = world.submit(&big) else {
+        let Err(refusal) = simulation.submit(&big) else {
             continue;
         };
         refused += 1;
@@ -152,19 +152,22 @@
     };
     let mut serials = Vec::new();
     for _ in 0..4 {
-        serials.push(world.submit(&small).expect("its own limit has room"));
+        serials.push(simulation.submit(&small).expect("its own limit has room"));
     }
-    world.pass(ms(4_000));
-    assert_eq!(count_complete(&world, &serials, ms(2_000)), serials.len());
+    simulation.advance(ms(4_000));
+    assert_eq!(
+        count_complete(&simulation, &serials, ms(2_000)),
+        serials.len()
+    );
 }
 
 /// What the callers see: while run times are not measured, wrong declarations refuse nothing that fits.
 #[test]
 fn declared_times_off_by_a_hundredfold_refuse_nothing() {
     for declared in [ms(2), ms(200), ms(20_000)] {
-        let mut world = World::new(strict());
-        world.allow("school", 40);
-        world.add_dispatcher(8, HOME);
+        let mut simulation = Simulation::new(strict());
+        simulation.set_limit("school", 40);
+        simulation.add_dispatcher(8, HOME);
         let job = Job {
             tasks: 8,
             declared: Some(declared),
@@ -172,14 +175,14 @@
         };
         let mut serials = Vec::new();
         for _ in 0..4 {
-            serials.push(world.submit(&job).expect("fits"));
+            serials.push(simulation.submit(&job).expect("fits"));
         }
-        world.pass(ms(1_000));
+        simulation.advance(ms(1_000));
         for _ in 0..4 {
-            serials.push(world.submit(&job).expect("fits"));
+            serials.push(simulation.submit(&job).expect("fits"));
         }
-        world.pass(ms(1_000));
-        assert_eq!(count_complete(&world, &serials, ms(5_000)), 8);
+        simulation.advance(ms(1_000));
+        assert_eq!(count_complete(&simulation, &serials, ms(5_000)), 8);
     }
 }
 
@@ -187,15 +190,17 @@
 /// over.
 #[test]
 fn without_slots_for_a_moment_work_is_still_accepted() {
-    let mut world = World::new(strict());
-    world.allow("school", 40);
-    let number = world.add_dispatcher(8, HOME);
-    warm_up(&mut world, "school");
-    world.dispatchers[number].slots = 0;
-    world.tell_slots();
-    world.submit(&Job::default()).expect("within the grace");
-    world.pass(ms(3_500));
-    let refusal = world.submit(&Job::default()).expect_err("over");
+    let mut simulation = Simulation::new(strict());
+    simulation.set_limit("school", 40);
+    let number = simulation.add_dispatcher(8, HOME);
+    warm_up(&mut simulation, "school");
+    simulation.dispatchers[number].slots = 0;
+    simulation.report_slots();
+    simulation
+        .submit(&Job::default())
+        .expect("within the grace");
+    simulation.advance(ms(3_500));
+    let refusal = simulation.submit(&Job::default()).expect_err("over");
     assert_eq!(refusal.reason, RefusalReason::NoCapacity);
     assert!(refusal.retry_after.is_some());
 }
@@ -203,10 +208,10 @@
 /// What the callers see: the sums come back to nothing, so an idle system takes a full burst again and again.
 #[test]
 fn ended_work_is_not_counted() {
-    let mut world = World::new(strict());
-    world.allow("school", 40);
-    world.add_dispatcher(8, HOME);
-    warm_up(&mut world, "school");
+    let mut simulation = Simulation::new(strict());
+    simulation.set_limit("school", 40);
+    simulation.add_dispatcher(8, HOME);
+    warm_up(&mut simulation, "school");
     let job = Job {
         tasks: 8,
         deadline: ms(2_000),
@@ -215,13 +220,13 @@
     for round in 0..20 {
         let mut cancelled = 0;
         for _ in 0..6 {
-            cancelled = world
+            cancelled = simulation
                 .submit(&job)
                 .unwrap_or_else(|refusal| panic!("round {round}: {refusal}"));
         }
-        world.pass(ms(100));
-        world.authority.cancel(world.now, cancelled);
-        world.pass(ms(2_500));
+        simulation.advance(ms(100));
+        simulation.authority.cancel(simulation.now, cancelled);
+        simulation.advance(ms(2_500));
     }
 }
 
@@ -229,26 +234,28 @@
 /// started is in its way.
 #[test]
 fn running_tasks_are_not_waited_for() {
-    let mut world = World::new(strict());
-    world.allow("school", 400);
-    world.add_dispatcher(16, HOME);
-    world.run_times.insert("report", ms(3_000));
-    warm_up(&mut world, "school");
+    let mut simulation = Simulation::new(strict());
+    simulation.set_limit("school", 400);
+    simulation.add_dispatcher(16, HOME);
+    simulation.run_times.insert("report", ms(3_000));
+    warm_up(&mut simulation, "school");
     let long = Job {
         kind: "report",
         tasks: 8,
         deadline: ms(9_000),
         ..Job::default()
     };
-    world.submit(&long).expect("fits");
-    world.pass(ms(4_000));
-    world.submit(&long).expect("fits");
+    simulation.submit(&long).expect("fits");
+    simulation.advance(ms(4_000));
+    simulation.submit(&long).expect("fits");
     let short = Job {
         tasks: 8,
         deadline: ms(2_000),
         ..Job::default()
     };
-    world.submit(&short).expect("half of the slots are free");
+    simulation
+        .submit(&short)
+        .expect("half of the slots are free");
 }
 
 /// What the callers see: a burst of short jobs is complete, though it is five times the slots; what comes on top of an
@@ -256,9 +263,9 @@
 /// come in again and again.
 #[test]
 fn a_burst_is_no_overload_and_a_lasting_one_is() {
-    let mut world = World::new(Contract::default());
-    world.allow("school", 400);
-    world.add_dispatcher(4, HOME);
+    let mut simulation = Simulation::new(Contract::default());
+    simulation.set_limit("school", 400);
+    simulation.add_dispatcher(4, HOME);
     let short = Job {
         tasks: 4,
         deadline: ms(8_000),
@@ -266,23 +273,23 @@
     };
     let mut serials = Vec::new();
     for _ in 0..5 {
-        serials.push(world.submit(&short).expect("a burst"));
-        world.pass(ms(5));
-        world.authority.tick(world.now);
+        serials.push(simulation.submit(&short).expect("a burst"));
+        simulation.advance(ms(5));
+        simulation.authority.tick(simulation.now);
     }
-    world.pass(ms(8_000));
-    assert_eq!(count_complete(&world, &serials, ms(8_000)), 5);
+    simulation.advance(ms(8_000));
+    assert_eq!(count_complete(&simulation, &serials, ms(8_000)), 5);
     let mut refused = 0;
     for _ in 0..600 {
-        match world.submit(&short) {
+        match simulation.submit(&short) {
             Ok(_) => {}
             Err(refusal) => {
                 refused += usize::from(refusal.reason == RefusalReason::Overloaded);
                 assert!(refusal.retry_after.is_some());
             }
         }
-        world.pass(ms(20));
-        world.authority.tick(world.now);
+        simulation.advance(ms(20));
+        simulation.authority.tick(simulation.now);
     }
     assert!(refused >= 100, "{refused}");
 }
--- a/crates/authority/tests/load/placing.rs
+++ b/crates/authority/tests/load/placement.rs
@@ -3,28 +3,28 @@
 use authority::DispatcherKey;
 use model::{Contract, RefusableWork, RetryReason, SubmissionOutcome};
 
-use crate::world::{ms, Job, World, HOME};
+use crate::simulation::{ms, Job, Simulation, HOME};
 
-const AWAY: &str = "far-hall";
+const REMOTE: &str = "far-hall";
 
-fn world() -> World {
-    let mut world = World::new(Contract {
+fn simulation() -> Simulation {
+    let mut simulation = Simulation::new(Contract {
         may_refuse: RefusableWork::Nothing,
         ..Contract::default()
     });
-    world.allow("school", 400);
-    world
+    simulation.set_limit("school", 400);
+    simulation
 }
 
-fn counts(world: &World) -> Vec<usize> {
-    world
+fn offer_counts(simulation: &Simulation) -> Vec<usize> {
+    simulation
         .dispatchers
         .iter()
         .map(|dispatcher| dispatcher.offers.len())
         .collect()
 }
 
-struct PlacingCase {
+struct PlacementCase {
     name: &'static str,
     /// Slots and data centre of each dispatcher.
     dispatchers: &'static [(usize, &'static str)],
@@ -38,31 +38,31 @@
 #[test]
 fn a_job_goes_to_free_slots_at_home_first() {
     let cases = [
-        PlacingCase {
+        PlacementCase {
             name: "unequal room",
             dispatchers: &[(4, HOME), (12, HOME)],
             tasks: 16,
             offers: &[4..=4, 12..=12],
         },
-        PlacingCase {
+        PlacementCase {
             name: "home has room",
-            dispatchers: &[(8, HOME), (100, AWAY)],
+            dispatchers: &[(8, HOME), (100, REMOTE)],
             tasks: 8,
             offers: &[8..=8, 0..=0],
         },
-        PlacingCase {
+        PlacementCase {
             name: "the rest goes away, but leaves a fifth there",
-            dispatchers: &[(8, HOME), (10, AWAY)],
+            dispatchers: &[(8, HOME), (10, REMOTE)],
             tasks: 30,
             offers: &[22..=22, 8..=8],
         },
-        PlacingCase {
+        PlacementCase {
             name: "no home",
-            dispatchers: &[(10, AWAY)],
+            dispatchers: &[(10, REMOTE)],
             tasks: 12,
             offers: &[12..=12],
         },
-        PlacingCase {
+        PlacementCase {
             name: "no slots at one",
             dispatchers: &[(0, HOME), (4, HOME)],
             tasks: 8,
@@ -70,21 +70,21 @@
         },
     ];
     for case in cases {
-        let mut world = world();
+        let mut simulation = simulation();
         for (slots, data_centre) in case.dispatchers {
-            world.add_dispatcher(*slots, data_centre);
+            simulation.add_dispatcher(*slots, data_centre);
         }
         let job = Job {
             tasks: case.tasks,
             ..Job::default()
         };
-        let serial = world.submit(&job).expect(case.name);
-        let offers = counts(&world);
+        let serial = simulation.submit(&job).expect(case.name);
+        let offers = offer_counts(&simulation);
         for (offers, expected) in offers.iter().zip(case.offers) {
             assert!(expected.contains(offers), "{}: {offers}", case.name);
         }
-        world.pass(ms(3_000));
-        let (_, outcome) = &world.answers[&serial];
+        simulation.advance(ms(3_000));
+        let (_, outcome) = &simulation.answers[&serial];
         assert!(
             matches!(outcome, SubmissionOutcome::Complete(_)),
             "{}: {outcome:?}",
@@ -97,20 +97,24 @@
 /// away; it looks as free as before and would draw the task again.
 #[test]
 fn the_one_that_refused_is_passed_over() {
-    let mut world = world();
-    let large = world.add_dispatcher(1_000, HOME);
-    world.add_dispatcher(1, HOME);
-    world.dispatchers[large].refuses = Some(RetryReason::EndpointBusy);
+    let mut simulation = simulation();
+    let large = simulation.add_dispatcher(1_000, HOME);
+    simulation.add_dispatcher(1, HOME);
+    simulation.dispatchers[large].refusal = Some(RetryReason::EndpointBusy);
     for _ in 0..10 {
-        let serial = world.submit(&Job::default()).expect("admitted");
-        world.pass(ms(300));
-        let (_, outcome) = &world.answers[&serial];
+        let serial = simulation.submit(&Job::default()).expect("admitted");
+        simulation.advance(ms(300));
+        let (_, outcome) = &simulation.answers[&serial];
         assert!(
             matches!(outcome, SubmissionOutcome::Complete(_)),
             "{outcome:?}"
         );
     }
-    assert!(world.offers() <= 20, "{}", world.offers());
+    assert!(
+        simulation.offer_count() <= 20,
+        "{}",
+        simulation.offer_count()
+    );
 }
 
 /// What the caller sees: a late start and not a refusal, while nobody can be chosen. What happens: the only dispatcher
@@ -118,24 +122,28 @@
 #[test]
 fn tasks_wait_while_there_is_no_choice() {
     for comes_with in [8, 0] {
-        let mut world = world();
-        let first = world.add_dispatcher(8, HOME);
-        world.authority.tick(world.now);
-        let key: DispatcherKey = world.dispatchers[first].key;
-        world.authority.on_dispatcher_stopping(key);
+        let mut simulation = simulation();
+        let first = simulation.add_dispatcher(8, HOME);
+        simulation.authority.tick(simulation.now);
+        let key: DispatcherKey = simulation.dispatchers[first].key;
+        simulation.authority.on_dispatcher_stopping(key);
         let job = Job {
             tasks: 8,
             ..Job::default()
         };
-        let serial = world.submit(&job).expect("within the grace");
-        world.pass(ms(500));
-        assert_eq!(world.offers(), 0, "a stopping dispatcher gets nothing");
-        let second = world.add_dispatcher(comes_with, HOME);
-        world.dispatchers[second].slots = 8;
-        world.tell_slots();
-        assert_eq!(counts(&world), [0, 8]);
-        world.pass(ms(1_000));
-        let (_, outcome) = &world.answers[&serial];
+        let serial = simulation.submit(&job).expect("within the grace");
+        simulation.advance(ms(500));
+        assert_eq!(
+            simulation.offer_count(),
+            0,
+            "a stopping dispatcher gets nothing"
+        );
+        let second = simulation.add_dispatcher(comes_with, HOME);
+        simulation.dispatchers[second].slots = 8;
+        simulation.report_slots();
+        assert_eq!(offer_counts(&simulation), [0, 8]);
+        simulation.advance(ms(1_000));
+        let (_, outcome) = &simulation.answers[&serial];
         assert!(
             matches!(outcome, SubmissionOutcome::Complete(_)),
             "{outcome:?}"
@@ -147,22 +155,22 @@
 /// nothing. Its slots look free until its session is given up, and would draw one burst after another.
 #[test]
 fn a_silent_dispatcher_gets_no_second_burst() {
-    let mut world = world();
-    let frozen = world.add_dispatcher(100, HOME);
-    world.add_dispatcher(8, HOME);
-    world.dispatchers[frozen].frozen = true;
+    let mut simulation = simulation();
+    let frozen = simulation.add_dispatcher(100, HOME);
+    simulation.add_dispatcher(8, HOME);
+    simulation.dispatchers[frozen].frozen = true;
     let job = Job {
         tasks: 8,
         ..Job::default()
     };
-    world.submit(&job).expect("admitted");
-    let before = world.dispatchers[frozen].offers.len();
+    simulation.submit(&job).expect("admitted");
+    let before = simulation.dispatchers[frozen].offers.len();
     assert!(before > 0);
-    world.pass(ms(300));
-    let serial = world.submit(&job).expect("admitted");
-    assert_eq!(world.dispatchers[frozen].offers.len(), before);
-    world.pass(ms(1_000));
-    let (_, outcome) = &world.answers[&serial];
+    simulation.advance(ms(300));
+    let serial = simulation.submit(&job).expect("admitted");
+    assert_eq!(simulation.dispatchers[frozen].offers.len(), before);
+    simulation.advance(ms(1_000));
+    let (_, outcome) = &simulation.answers[&serial];
     assert!(
         matches!(outcome, SubmissionOutcome::Complete(_)),
         "{outcome:?}"
@@ -173,22 +181,22 @@
 /// silent, so nobody can be chosen; then its next word comes, with the slots that it had before.
 #[test]
 fn tasks_that_wait_for_a_silent_dispatcher_go_on_its_next_word() {
-    let mut world = world();
-    world.add_dispatcher(20, HOME);
-    world.dispatchers[0].frozen = true;
+    let mut simulation = simulation();
+    simulation.add_dispatcher(20, HOME);
+    simulation.dispatchers[0].frozen = true;
     let job = Job {
         tasks: 8,
         ..Job::default()
     };
-    world.submit(&job).expect("admitted");
-    world.pass(ms(300));
-    let serial = world.submit(&job).expect("admitted");
-    assert_eq!(world.offers(), 8);
-    world.dispatchers[0].frozen = false;
-    world.tell_slots();
-    assert_eq!(world.offers(), 16);
-    world.pass(ms(1_000));
-    let (_, outcome) = &world.answers[&serial];
+    simulation.submit(&job).expect("admitted");
+    simulation.advance(ms(300));
+    let serial = simulation.submit(&job).expect("admitted");
+    assert_eq!(simulation.offer_count(), 8);
+    simulation.dispatchers[0].frozen = false;
+    simulation.report_slots();
+    assert_eq!(simulation.offer_count(), 16);
+    simulation.advance(ms(1_000));
+    let (_, outcome) = &simulation.answers[&serial];
     assert!(
         matches!(outcome, SubmissionOutcome::Complete(_)),
         "{outcome:?}"
@@ -199,21 +207,21 @@
 /// crosses with offers, which it cannot have counted, and makes it look empty.
 #[test]
 fn offers_on_their_way_count_on_top_of_a_hint() {
-    let mut world = world();
-    world.add_dispatcher(8, HOME);
-    world.add_dispatcher(8, HOME);
-    world.dispatchers[0].frozen = true;
+    let mut simulation = simulation();
+    simulation.add_dispatcher(8, HOME);
+    simulation.add_dispatcher(8, HOME);
+    simulation.dispatchers[0].frozen = true;
     let job = Job {
         tasks: 16,
         ..Job::default()
     };
-    world.submit(&job).expect("admitted");
-    assert_eq!(counts(&world), [8, 8]);
-    world.dispatchers[0].frozen = false;
-    world.tell_slots();
+    simulation.submit(&job).expect("admitted");
+    assert_eq!(offer_counts(&simulation), [8, 8]);
+    simulation.dispatchers[0].frozen = false;
+    simulation.report_slots();
     let more = Job { tasks: 8, ..job };
-    world.submit(&more).expect("admitted");
-    let offers = counts(&world);
+    simulation.submit(&more).expect("admitted");
+    let offers = offer_counts(&simulation);
     assert!(offers[0] < 15, "{offers:?}");
 }
 
@@ -221,15 +229,15 @@
 /// counts its tasks; counted as unanswered too, they would fill twice the slots.
 #[test]
 fn answered_offers_count_once() {
-    let mut world = world();
-    world.add_dispatcher(8, HOME);
-    world.add_dispatcher(100, AWAY);
+    let mut simulation = simulation();
+    simulation.add_dispatcher(8, HOME);
+    simulation.add_dispatcher(100, REMOTE);
     for _ in 0..2 {
         let job = Job {
             tasks: 4,
             ..Job::default()
         };
-        world.submit(&job).expect("admitted");
+        simulation.submit(&job).expect("admitted");
     }
-    assert_eq!(counts(&world), [8, 0]);
+    assert_eq!(offer_counts(&simulation), [8, 0]);
 }
--- a/crates/authority/tests/load/hopeless.rs
+++ b/crates/authority/tests/load/predicted_late.rs
@@ -4,21 +4,21 @@
 
 use model::{Contract, RefusableWork, RefusalReason, SubmissionOutcome};
 
-use crate::world::{ms, Job, World, HOME};
+use crate::simulation::{ms, Job, Simulation, HOME};
 
-fn world() -> World {
-    let mut world = World::new(Contract {
+fn simulation() -> Simulation {
+    let mut simulation = Simulation::new(Contract {
         may_refuse: RefusableWork::Nothing,
         ..Contract::default()
     });
-    world.allow("school", 3);
-    world.add_dispatcher(8, HOME);
-    world
+    simulation.set_limit("school", 3);
+    simulation.add_dispatcher(8, HOME);
+    simulation
 }
 
 /// When the submission was refused as late, after its arrival.
-fn refused_after(world: &World, serial: u64) -> Option<Duration> {
-    let (at, outcome) = &world.answers[&serial];
+fn refused_after(simulation: &Simulation, serial: u64) -> Option<Duration> {
+    let (at, outcome) = &simulation.answers[&serial];
     let SubmissionOutcome::Refused {
         reason: RefusalReason::PredictedLate,
         retry_after: Some(retry_after),
@@ -27,13 +27,13 @@
         return None;
     };
     assert!(*retry_after >= ms(1_000) && *retry_after <= ms(1_500));
-    Some(at.saturating_duration_since(world.start))
+    Some(at.saturating_duration_since(simulation.start))
 }
 
-struct HopelessCase {
+struct PredictedLateCase {
     name: &'static str,
     /// How long the three tasks run that hold all of the customer's concurrency.
-    ahead: Duration,
+    blocking_run_time: Duration,
     /// When the waiting submission is refused; `None` when it is complete.
     refused: Option<(Duration, Duration)>,
 }
@@ -44,46 +44,46 @@
 #[test]
 fn what_waits_too_long_is_refused_when_it_cannot_be_in_time_any_more() {
     let cases = [
-        HopelessCase {
+        PredictedLateCase {
             name: "in time after the usual wait",
-            ahead: ms(2_000),
+            blocking_run_time: ms(2_000),
             refused: None,
         },
-        HopelessCase {
+        PredictedLateCase {
             name: "just in time",
-            ahead: ms(2_900),
+            blocking_run_time: ms(2_900),
             refused: None,
         },
-        HopelessCase {
+        PredictedLateCase {
             name: "too late",
-            ahead: ms(8_000),
+            blocking_run_time: ms(8_000),
             refused: Some((ms(3_000), ms(3_010))),
         },
     ];
     for case in cases {
-        let mut world = world();
-        world.run_times.insert("hold", ms(2_000));
+        let mut simulation = simulation();
+        simulation.run_times.insert("hold", ms(2_000));
         let warm = Job {
             tasks: 3,
             deadline: ms(9_000),
             ..Job::default()
         };
-        world.submit(&warm).expect("admitted");
-        world.pass(ms(3_000));
-        world.start = world.now;
-        world.run_times.insert("hold", case.ahead);
-        world.submit(&warm).expect("admitted");
-        world.run_times.insert("hold", ms(2_000));
-        let serial = world.submit(&Job::default()).expect("admitted");
-        world.pass(ms(9_000));
-        let refused = refused_after(&world, serial);
+        simulation.submit(&warm).expect("admitted");
+        simulation.advance(ms(3_000));
+        simulation.start = simulation.now;
+        simulation.run_times.insert("hold", case.blocking_run_time);
+        simulation.submit(&warm).expect("admitted");
+        simulation.run_times.insert("hold", ms(2_000));
+        let serial = simulation.submit(&Job::default()).expect("admitted");
+        simulation.advance(ms(9_000));
+        let refused = refused_after(&simulation, serial);
         match case.refused {
             Some((from, to)) => {
                 let after = refused.expect(case.name);
                 assert!(from <= after && after <= to, "{}: {after:?}", case.name);
             }
             None => {
-                let (_, outcome) = &world.answers[&serial];
+                let (_, outcome) = &simulation.answers[&serial];
                 let complete = matches!(outcome, SubmissionOutcome::Complete(_));
                 assert!(complete, "{}: {outcome:?}", case.name);
             }
@@ -96,26 +96,26 @@
 /// are too few to go by and let two more start; from the third on nothing does.
 #[test]
 fn a_free_slot_does_not_go_to_what_would_end_too_late() {
-    let mut world = world();
-    world.run_times.insert("report", ms(3_000));
+    let mut simulation = simulation();
+    simulation.run_times.insert("report", ms(3_000));
     let job = Job {
         kind: "report",
         ..Job::default()
     };
     let mut serials = Vec::new();
     for _ in 0..7 {
-        serials.push(world.submit(&job).expect("admitted"));
+        serials.push(simulation.submit(&job).expect("admitted"));
     }
-    world.pass(ms(9_000));
+    simulation.advance(ms(9_000));
     for serial in &serials[..3] {
-        let (_, outcome) = &world.answers[serial];
+        let (_, outcome) = &simulation.answers[serial];
         assert!(
             matches!(outcome, SubmissionOutcome::Complete(_)),
             "{outcome:?}"
         );
     }
     for serial in &serials[5..] {
-        assert_eq!(refused_after(&world, *serial), Some(ms(3_000)));
+        assert_eq!(refused_after(&simulation, *serial), Some(ms(3_000)));
     }
-    assert_eq!(world.offers(), 5);
+    assert_eq!(simulation.offer_count(), 5);
 }
--- a/crates/authority/tests/load/retries.rs
+++ b/crates/authority/tests/load/retries.rs
@@ -2,12 +2,12 @@
 
 use model::{Contract, RefusalReason, RetryReason, SubmissionOutcome};
 
-use crate::world::{customer, ms, Job, World, HOME};
+use crate::simulation::{customer, ms, Job, Simulation, HOME};
 
 struct RetryCase {
     name: &'static str,
     retry_percent: u32,
-    refuses: RetryReason,
+    refusal: RetryReason,
     /// Offers for 200 single tasks within a tenth of a second.
     offers: std::ops::RangeInclusive<usize>,
 }
@@ -21,47 +21,47 @@
         RetryCase {
             name: "no retries but the floor",
             retry_percent: 0,
-            refuses: RetryReason::EndpointBusy,
+            refusal: RetryReason::EndpointBusy,
             offers: 240..=243,
         },
         RetryCase {
             name: "a fifth",
             retry_percent: 20,
-            refuses: RetryReason::EndpointBusy,
+            refusal: RetryReason::EndpointBusy,
             offers: 240..=283,
         },
         RetryCase {
             name: "a full queue tells of load too",
             retry_percent: 20,
-            refuses: RetryReason::QueueFull,
+            refusal: RetryReason::QueueFull,
             offers: 240..=283,
         },
         RetryCase {
             name: "an unreachable endpoint too",
             retry_percent: 20,
-            refuses: RetryReason::EndpointUnreachable,
+            refusal: RetryReason::EndpointUnreachable,
             offers: 240..=283,
         },
     ];
     for case in cases {
-        let mut world = World::new(Contract {
+        let mut simulation = Simulation::new(Contract {
             retry_percent: case.retry_percent,
             ..Contract::default()
         });
-        world.allow("school", 400);
+        simulation.set_limit("school", 400);
         for _ in 0..2 {
-            let number = world.add_dispatcher(8, HOME);
-            world.dispatchers[number].refuses = Some(case.refuses);
+            let number = simulation.add_dispatcher(8, HOME);
+            simulation.dispatchers[number].refusal = Some(case.refusal);
         }
         let mut serials = Vec::new();
         for _ in 0..200 {
-            serials.push(world.submit(&Job::default()).expect(case.name));
+            serials.push(simulation.submit(&Job::default()).expect(case.name));
         }
-        world.pass(ms(2_000));
-        let offers = world.offers();
+        simulation.advance(ms(2_000));
+        let offers = simulation.offer_count();
         assert!(case.offers.contains(&offers), "{}: {offers}", case.name);
         for serial in serials {
-            let (_, outcome) = &world.answers[&serial];
+            let (_, outcome) = &simulation.answers[&serial];
             let SubmissionOutcome::Refused {
                 reason: RefusalReason::RetryBudgetSpent,
                 retry_after: Some(_),
@@ -77,23 +77,23 @@
 /// and not of load, so it costs nothing of the budget: here there is none.
 #[test]
 fn a_stopping_dispatcher_costs_no_budget() {
-    let mut world = World::new(Contract {
+    let mut simulation = Simulation::new(Contract {
         retry_percent: 0,
         ..Contract::default()
     });
-    world.allow("school", 400);
-    let stopping = world.add_dispatcher(1_000, HOME);
-    world.add_dispatcher(8, HOME);
-    world.dispatchers[stopping].refuses = Some(RetryReason::DispatcherStopping);
+    simulation.set_limit("school", 400);
+    let stopping = simulation.add_dispatcher(1_000, HOME);
+    simulation.add_dispatcher(8, HOME);
+    simulation.dispatchers[stopping].refusal = Some(RetryReason::DispatcherStopping);
     let job = Job {
         tasks: 8,
         ..Job::default()
     };
-    let serial = world.submit(&job).expect("admitted");
-    let key = world.dispatchers[stopping].key;
-    world.authority.on_dispatcher_stopping(key);
-    world.pass(ms(1_000));
-    let (_, outcome) = &world.answers[&serial];
+    let serial = simulation.submit(&job).expect("admitted");
+    let key = simulation.dispatchers[stopping].key;
+    simulation.authority.on_dispatcher_stopping(key);
+    simulation.advance(ms(1_000));
+    let (_, outcome) = &simulation.answers[&serial];
     assert!(
         matches!(outcome, SubmissionOutcome::Complete(_)),
         "{outcome:?}"
@@ -104,36 +104,41 @@
 /// What happens: endpoints are busy for a moment, and the one with much work spends its budget; the other has its own.
 #[test]
 fn a_spent_budget_leaves_others_alone() {
-    let mut world = World::new(Contract {
+    let mut simulation = Simulation::new(Contract {
         retry_percent: 0,
         ..Contract::default()
     });
-    world.allow("noisy", 400);
-    world.allow("quiet", 400);
-    let number = world.add_dispatcher(8, HOME);
+    simulation.set_limit("noisy", 400);
+    simulation.set_limit("quiet", 400);
+    let number = simulation.add_dispatcher(8, HOME);
     let noisy = Job {
         customer: "noisy",
         tasks: 8,
         ..Job::default()
     };
-    let serial = world.submit(&noisy).expect("admitted");
-    world.dispatchers[number].refuses = Some(RetryReason::EndpointBusy);
+    let serial = simulation.submit(&noisy).expect("admitted");
+    simulation.dispatchers[number].refusal = Some(RetryReason::EndpointBusy);
     for _ in 0..20 {
-        world.submit(&noisy).expect("admitted");
+        simulation.submit(&noisy).expect("admitted");
     }
     let quiet = Job {
         customer: "quiet",
         ..Job::default()
     };
-    let served = world.submit(&quiet).expect("admitted");
-    world.dispatchers[number].refuses = None;
-    world.pass(ms(2_000));
-    let complete = |serial: u64| matches!(world.answers[&serial].1, SubmissionOutcome::Complete(_));
+    let served = simulation.submit(&quiet).expect("admitted");
+    simulation.dispatchers[number].refusal = None;
+    simulation.advance(ms(2_000));
+    let complete = |serial: u64| {
+        matches!(
+            simulation.answers[&serial].1,
+            SubmissionOutcome::Complete(_)
+        )
+    };
     assert!(complete(serial), "what had started runs to its end");
     assert!(complete(served), "everybody has a budget");
-    assert_eq!(world.authority.usage(&customer("noisy")), (0, 0));
+    assert_eq!(simulation.authority.usage(&customer("noisy")), (0, 0));
     let mut refused = 0;
-    for (_, outcome) in world.answers.values() {
+    for (_, outcome) in simulation.answers.values() {
         refused += usize::from(matches!(
             outcome,
             SubmissionOutcome::Refused {
--- a/crates/authority/tests/load/run_times.rs
+++ b/crates/authority/tests/load/run_times.rs
@@ -4,7 +4,7 @@
 
 use model::Contract;
 
-use crate::world::{ms, Job, World, HOME};
+use crate::simulation::{ms, Job, Simulation, HOME};
 
 struct RunTimeCase {
     name: &'static str,
@@ -34,21 +34,21 @@
         },
     ];
     for case in cases {
-        let mut world = World::new(Contract::default());
-        world.allow("school", 40);
-        world.add_dispatcher(8, HOME);
-        world.run_times.insert("hold", case.ran);
+        let mut simulation = Simulation::new(Contract::default());
+        simulation.set_limit("school", 40);
+        simulation.add_dispatcher(8, HOME);
+        simulation.run_times.insert("hold", case.ran);
         let job = Job {
             tasks: 4,
             declared: case.declared,
             ..Job::default()
         };
-        world.submit(&job).expect(case.name);
-        let first = world.dispatchers[0].offers[0].expected_run_time;
+        simulation.submit(&job).expect(case.name);
+        let first = simulation.dispatchers[0].offers[0].expected_run_time;
         assert_eq!(first, case.declared.unwrap_or(ms(300)), "{}", case.name);
-        world.pass(ms(1_000));
-        world.submit(&job).expect(case.name);
-        let later = world.dispatchers[0].offers[4].expected_run_time;
+        simulation.advance(ms(1_000));
+        simulation.submit(&job).expect(case.name);
+        let later = simulation.dispatchers[0].offers[4].expected_run_time;
         assert_eq!(later, case.ran, "{}", case.name);
     }
 }
@@ -57,22 +57,22 @@
 /// their submission has its answer when they end, and their run time counts all the same.
 #[test]
 fn tasks_that_outlive_their_submission_count() {
-    let mut world = World::new(Contract::default());
-    world.allow("school", 40);
-    world.add_dispatcher(8, HOME);
-    world.run_times.insert("hold", ms(3_000));
+    let mut simulation = Simulation::new(Contract::default());
+    simulation.set_limit("school", 40);
+    simulation.add_dispatcher(8, HOME);
+    simulation.run_times.insert("hold", ms(3_000));
     let job = Job {
         tasks: 4,
         deadline: ms(1_000),
         ..Job::default()
     };
-    world.submit(&job).expect("admitted");
-    world.pass(ms(4_000));
+    simulation.submit(&job).expect("admitted");
+    simulation.advance(ms(4_000));
     let longer = Job {
         deadline: ms(9_000),
         ..job
     };
-    world.submit(&longer).expect("admitted");
-    let later = world.dispatchers[0].offers[4].expected_run_time;
+    simulation.submit(&longer).expect("admitted");
+    let later = simulation.dispatchers[0].offers[4].expected_run_time;
     assert_eq!(later, ms(3_000));
 }
--- a/crates/authority/tests/load/world.rs
+++ b/crates/authority/tests/load/simulation.rs
@@ -68,17 +68,17 @@
     pub(crate) session: SessionId,
     pub(crate) slots: usize,
     /// Turns every offer away.
-    pub(crate) refuses: Option<RetryReason>,
+    pub(crate) refusal: Option<RetryReason>,
     /// Takes offers and says nothing.
     pub(crate) frozen: bool,
     pub(crate) offers: Vec<TaskOffer>,
     running: BTreeSet<(Instant, AttemptId, Duration)>,
     queued: VecDeque<AttemptId>,
-    ran: BTreeMap<AttemptId, Duration>,
+    attempt_run_times: BTreeMap<AttemptId, Duration>,
 }
 
 impl Dispatcher {
-    fn counts(&self) -> SlotCounts {
+    fn slot_counts(&self) -> SlotCounts {
         SlotCounts {
             limit: self.slots as u32,
             running: self.running.len() as u32,
@@ -87,10 +87,10 @@
     }
 
     fn take(&mut self, now: Instant, attempt: AttemptId, ran: Duration) -> TaskVerdict {
-        if let Some(reason) = self.refuses {
+        if let Some(reason) = self.refusal {
             return TaskVerdict::NotRun(reason);
         }
-        self.ran.insert(attempt, ran);
+        self.attempt_run_times.insert(attempt, ran);
         if self.running.len() < self.slots {
             self.running.insert((now + ran, attempt, ran));
             return TaskVerdict::Started;
@@ -100,7 +100,7 @@
     }
 }
 
-pub(crate) struct World {
+pub(crate) struct Simulation {
     pub(crate) now: Instant,
     /// From where answer times are counted.
     pub(crate) start: Instant,
@@ -113,7 +113,7 @@
     pub(crate) answers: BTreeMap<u64, (Instant, SubmissionOutcome)>,
 }
 
-impl World {
+impl Simulation {
     pub(crate) fn new(contract: Contract) -> Self {
         let home: DataCentreId = HOME.parse().expect("a data centre id");
         let now = Instant::now();
@@ -134,12 +134,12 @@
             key: DispatcherKey(number as u64),
             session: SessionId(number as u64 + 1),
             slots,
-            refuses: None,
+            refusal: None,
             frozen: false,
             offers: Vec::new(),
             running: BTreeSet::new(),
             queued: VecDeque::new(),
-            ran: BTreeMap::new(),
+            attempt_run_times: BTreeMap::new(),
         };
         self.authority.on_session_opened(
             self.now,
@@ -147,13 +147,13 @@
             data_centre.parse().expect("a data centre id"),
             IncarnationId(100 + number as u64),
             dispatcher.session,
-            dispatcher.counts(),
+            dispatcher.slot_counts(),
         );
         self.dispatchers.push(dispatcher);
         number
     }
 
-    pub(crate) fn allow(&mut self, name: &str, limit: u32) {
+    pub(crate) fn set_limit(&mut self, name: &str, limit: u32) {
         self.authority.set_limit(self.now, &customer(name), limit);
     }
 
@@ -167,7 +167,7 @@
         Ok(admitted.id.serial)
     }
 
-    pub(crate) fn offers(&self) -> usize {
+    pub(crate) fn offer_count(&self) -> usize {
         let mut offers = 0;
         for dispatcher in &self.dispatchers {
             offers += dispatcher.offers.len();
@@ -176,7 +176,7 @@
     }
 
     /// Lets the time pass, with all that happens in it.
-    pub(crate) fn pass(&mut self, time: Duration) {
+    pub(crate) fn advance(&mut self, time: Duration) {
         let until = self.now + time;
         self.flush();
         loop {
@@ -197,13 +197,13 @@
     }
 
     /// Each dispatcher tells how its slots stand, as pings do.
-    pub(crate) fn tell_slots(&mut self) {
+    pub(crate) fn report_slots(&mut self) {
         for dispatcher in &self.dispatchers {
             if dispatcher.frozen {
                 continue;
             }
             self.authority
-                .on_slots(self.now, dispatcher.key, dispatcher.counts());
+                .on_slots(self.now, dispatcher.key, dispatcher.slot_counts());
         }
         self.flush();
     }
@@ -218,7 +218,7 @@
                 self.start_queued(n);
                 let dispatcher = &self.dispatchers[n];
                 self.authority
-                    .on_slots(self.now, dispatcher.key, dispatcher.counts());
+                    .on_slots(self.now, dispatcher.key, dispatcher.slot_counts());
                 let payload = Payload::default();
                 let end = AttemptEnd::Done(TaskResult { payload });
                 self.authority.on_ended(self.now, first.1, end, first.2);
@@ -237,7 +237,7 @@
                 .authority
                 .on_claim(self.now, dispatcher.session, attempt);
             if body.is_some() {
-                let ran = dispatcher.ran[&attempt];
+                let ran = dispatcher.attempt_run_times[&attempt];
                 dispatcher.running.insert((self.now + ran, attempt, ran));
             }
         }
@@ -250,12 +250,12 @@
                 return;
             }
             for action in actions {
-                self.carry_out(action);
+                self.execute(action);
             }
         }
     }
 
-    fn carry_out(&mut self, action: AuthorityAction) {
+    fn execute(&mut self, action: AuthorityAction) {
         match action {
             AuthorityAction::Offer {
                 dispatcher, offers, ..
@@ -291,7 +291,7 @@
             verdicts.push((offer.attempt, dispatcher.take(self.now, offer.attempt, ran)));
             dispatcher.offers.push(offer);
         }
-        let counts = dispatcher.counts();
+        let counts = dispatcher.slot_counts();
         self.authority.on_slots(self.now, key, counts);
         self.authority.on_offer_replies(self.now, &verdicts);
     }
