--- a/crates/authority/benches/authority.rs
+++ b/crates/authority/benches/authority.rs
@@ -10,9 +10,9 @@
     TaskVerdict,
 };
 
-const OPEN: [usize; 3] = [10, 1_000, 10_000];
-const CUSTOMERS: [usize; 3] = [14, 140, 1_400];
-const TASKS: usize = 40;
+const OPEN_SUBMISSIONS: [usize; 3] = [10, 1_000, 10_000];
+const CUSTOMER_COUNTS: [usize; 3] = [14, 140, 1_400];
+const TASKS_PER_JOB: usize = 40;
 const RUN_TIME: Duration = Duration::from_millis(200);
 const DISPATCHERS: u64 = 3;
 
@@ -95,8 +95,8 @@
         attempts
     }
 
-    fn whole_job(&mut self) -> usize {
-        let attempts = self.submit(TASKS);
+    fn run_job(&mut self) -> usize {
+        let attempts = self.submit(TASKS_PER_JOB);
         for attempt in attempts {
             let payload = Payload::default();
             let end = AttemptEnd::Done(TaskResult { payload });
@@ -113,13 +113,13 @@
         return;
     };
     let mut group = criterion.benchmark_group("job_of_40");
-    for customers in CUSTOMERS {
-        for open in OPEN {
+    for customers in CUSTOMER_COUNTS {
+        for open in OPEN_SUBMISSIONS {
             let mut entry = LoadedEntry::new(&home, &kind, customers, open);
             let id = format!("{customers}-customers/{open}-open");
             group.bench_function(BenchmarkId::from_parameter(id), |b| {
                 // Time stands still, so the open submissions stay open.
-                b.iter(|| entry.whole_job());
+                b.iter(|| entry.run_job());
             });
         }
     }
