--- a/crates/authority/src/action.rs
+++ b/crates/authority/src/action.rs
@@ -1,4 +1,4 @@
-//! What comes out of the authority.
+//! Actions and events that the authority emits.
 
 use std::sync::Arc;
 
@@ -9,14 +9,14 @@
 
 use crate::DispatcherKey;
 
-/// Something for the process around the authority to do.
+/// An action that the process around the authority has to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AuthorityAction {
     /// Offer tasks to a dispatcher.
     Offer {
         /// The dispatcher.
         dispatcher: DispatcherKey,
-        /// The session to send it on. If that is no longer the open one, the offer is not sent at all.
+        /// The session to send the offer on. If it is no longer the open session, the offer is not sent.
         session: SessionId,
         /// The number of the batch within the session.
         batch: u64,
@@ -27,57 +27,57 @@
     Withdraw {
         /// The dispatcher.
         dispatcher: DispatcherKey,
-        /// The session to send it on.
+        /// The session to send the withdrawal on.
         session: SessionId,
-        /// The last batch offered before.
+        /// The number of the last batch offered on the session before the withdrawal.
         after_batch: u64,
         /// The attempts.
         attempts: Vec<AttemptId>,
     },
-    /// Tell the callers that wait for this submission.
+    /// Answer the callers that wait for the submission.
     Answer {
         /// The submission.
         id: SubmissionId,
-        /// Its one answer.
+        /// Its only answer.
         outcome: Arc<SubmissionOutcome>,
     },
-    /// Something that counters, logs and the explain history want to know.
+    /// Report an event to the counters, the logs and the explain history.
     Event(AuthorityEvent),
 }
 
-/// An event of a submission's life.
+/// An event in the life cycle of a submission.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AuthorityEvent {
-    /// Accepted; it will get an answer.
+    /// The submission was accepted and will get an answer.
     Admitted {
         /// The submission.
         id: SubmissionId,
-        /// Whose.
+        /// The customer that submitted it.
         customer: CustomerId,
         /// The contract version that it runs under.
         version: ContractVersion,
         /// Its number of tasks.
         tasks: u32,
     },
-    /// Refused before it was accepted.
+    /// The submission was refused before acceptance.
     Refused {
-        /// Whose.
+        /// The customer that submitted it.
         customer: CustomerId,
-        /// Why.
+        /// The reason of the refusal.
         reason: RefusalReason,
     },
     /// A task was offered to a dispatcher.
     Offered(AttemptId, DispatcherKey),
-    /// The dispatcher keeps a reservation for it.
+    /// The dispatcher queued the attempt: it keeps a reservation without the body.
     Queued(AttemptId),
-    /// The dispatcher asked for the body and got it.
+    /// The dispatcher claimed the body of a queued attempt and was sent it.
     Claimed(AttemptId),
-    /// The dispatcher started it.
+    /// The dispatcher started the attempt.
     Started(AttemptId),
-    /// It ended in any way that the dispatcher told.
+    /// The attempt ended as its dispatcher reported.
     Ended(AttemptId, AttemptEnd),
-    /// It certainly did not run and is placed again.
+    /// The attempt certainly did not run. Its task is placed again unless its retries are used up.
     Retried(AttemptId, RetryReason),
-    /// The submission has its answer.
+    /// The submission was answered.
     Answered(SubmissionId),
 }
--- a/crates/authority/src/attempt.rs
+++ b/crates/authority/src/attempt.rs
@@ -4,16 +4,16 @@
 
 use crate::DispatcherKey;
 
-/// How far an attempt has come.
+/// Progress of an attempt at its dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptPhase {
-    /// The body was sent with the offer: it may have started.
+    /// The body was sent with the offer: the task may have started.
     Offered,
-    /// The dispatcher keeps a reservation without the body: it has certainly not started.
+    /// The dispatcher keeps a reservation without the body: the task has certainly not started.
     Queued,
-    /// The body was sent on the dispatcher's ask: it may have started.
+    /// The body was sent when the dispatcher claimed it: the task may have started.
     Claimed,
-    /// The dispatcher said that it runs.
+    /// The dispatcher reported that the task runs.
     Running,
 }
 
@@ -30,15 +30,15 @@
 #[derive(Clone, Debug)]
 pub(crate) struct InFlightAttempt {
     pub(crate) customer: CustomerId,
-    /// Kept here because the task may have lost its submission by the time its run time is known.
+    /// Kept here because the submission's tasks may have been dropped by the time the run time is known.
     pub(crate) kind: TaskKind,
     pub(crate) dispatcher: DispatcherKey,
     pub(crate) session: SessionId,
     pub(crate) phase: AttemptPhase,
 }
 
-/// Attempts by id and by dispatcher. An attempt stays here until it is known to have ended, also when its
-/// submission has its answer, because until then it holds a part of the customer's concurrency.
+/// Attempts by id and by dispatcher. An attempt stays in the table until it is known to have ended, even after its
+/// submission was answered, because until then it uses a part of the customer's concurrency.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AttemptTable {
     by_id: FastMap<AttemptId, InFlightAttempt>,
@@ -70,7 +70,7 @@
         Some(in_flight)
     }
 
-    /// The attempts at one dispatcher, in a fixed order so that a run can be repeated.
+    /// The attempts at one dispatcher, sorted so that runs are deterministic.
     pub(crate) fn ids_at(&self, dispatcher: DispatcherKey) -> Vec<AttemptId> {
         let mut attempts: Vec<_> = self
             .by_dispatcher
--- a/crates/authority/src/authority.rs
+++ b/crates/authority/src/authority.rs
@@ -1,4 +1,4 @@
-//! The authority: submissions in, offers and answers out.
+//! The authority: takes submissions and emits offers and answers.
 
 mod admission;
 mod placement;
@@ -42,18 +42,18 @@
     pub due: Instant,
 }
 
-/// What a cancellation did.
+/// Result of a cancellation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelReply {
-    /// The submission has its answer: cancelled.
+    /// The submission was answered as cancelled.
     Cancelled,
-    /// A request that may have started runs on to its own answer.
+    /// The submission is a request that may have started. It runs on to its own answer.
     TooLate,
     /// There is no such open submission.
     NotOpen,
 }
 
-/// The authority over all submissions of one entry.
+/// The authority that decides on all submissions of one entry.
 pub struct TaskAuthority {
     settings: AuthoritySettings,
     incarnation: IncarnationId,
@@ -62,7 +62,7 @@
     open: usize,
     memory: MemoryUsage,
     deadlines: BTreeSet<(Instant, u64)>,
-    /// When a submission of which tasks wait is looked at next.
+    /// The next deadline check of each submission with waiting tasks, by time.
     deadline_checks: BTreeSet<(Instant, u64)>,
     kept_answers: VecDeque<(Instant, u64)>,
     tickets: TicketTable,
@@ -70,9 +70,9 @@
     waiting: WaitingTable,
     sessions: SessionTable,
     placement: PlacementTable,
-    /// Whether tasks wait that no dispatcher could be chosen for.
+    /// Whether tasks wait because no dispatcher could be chosen.
     unplaced: bool,
-    /// The mean run time of the tasks that ended lately, whosever they were.
+    /// Mean run time of the tasks completed lately, over all customers.
     mean_run_time: Duration,
     retry_budget: RetryBudget,
     run_times: RunTimeTable,
@@ -86,7 +86,7 @@
 }
 
 impl TaskAuthority {
-    /// An empty authority. The seed decides between equally good dispatchers.
+    /// Creates an empty authority. `seed` feeds the random choices, such as the one between equally good dispatchers.
     pub fn new(
         settings: AuthoritySettings,
         data_centre: DataCentreId,
@@ -128,17 +128,17 @@
         self.incarnation
     }
 
-    /// Takes what has to be done, in order.
+    /// Removes and returns the pending actions, in order.
     pub fn take_actions(&mut self) -> Vec<AuthorityAction> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Accepts a submission or refuses it. `digest` identifies its body; `serial` is that of a ticket or of a
-    /// recorded key, set aside before.
+    /// Accepts or refuses a submission. `digest` identifies its body. `serial` is the reserved serial of a ticket or of
+    /// a recorded key, if any.
     ///
     /// # Errors
     ///
-    /// The refusal, with when to come back, when nothing of the submission will run.
+    /// Returns the refusal, with a retry-after if another try can succeed. Nothing of the submission runs.
     pub fn submit(
         &mut self,
         now: Instant,
@@ -190,15 +190,15 @@
         Ok(AdmittedSubmission { id, due })
     }
 
-    /// Sets a serial aside, for a key that has to be recorded before its request may start.
+    /// Reserves a serial for a key that has to be recorded before its request may start.
     pub fn reserve_serial(&mut self) -> u64 {
         let serial = self.next_serial;
         self.next_serial += 1;
         serial
     }
 
-    /// Gives a serial that was set aside the answer "refused", and keeps it like any other: a second arrival, or a
-    /// key's row that reaches the store late, finds out here that nothing ran and nothing will.
+    /// Answers a reserved serial with `refusal` and keeps the answer like any other. A duplicate, or a key whose row
+    /// reaches the store late, then finds that nothing ran and nothing will run.
     pub fn refuse_reserved(
         &mut self,
         now: Instant,
@@ -224,7 +224,7 @@
     ///
     /// # Errors
     ///
-    /// Overloaded, when too many tickets are out.
+    /// [`RefusalReason::Overloaded`] if too many tickets are unused.
     pub fn issue_ticket(
         &mut self,
         now: Instant,
@@ -239,7 +239,7 @@
         Ok(TicketId(self.submission_id(serial)))
     }
 
-    /// Says what a ticket of this incarnation is good for now.
+    /// Returns the status of a ticket of this incarnation.
     pub fn check_ticket(
         &mut self,
         now: Instant,
@@ -257,7 +257,7 @@
         }
     }
 
-    /// The answer of a submission: `None` when it is not known here, `Some(None)` while it is open.
+    /// The answer of a submission: `None` if the submission is unknown here, `Some(None)` while it is open.
     pub fn outcome(&self, serial: u64) -> Option<Option<Arc<SubmissionOutcome>>> {
         match &self.records.get(&serial)?.state {
             RecordState::Open => Some(None),
@@ -279,12 +279,12 @@
             .is_some_and(|record| record.is_refused())
     }
 
-    /// The digest of a submission's body, to tell a second arrival from another request under the same name.
+    /// The digest of a submission's body, which tells a duplicate from another request under the same ticket or key.
     pub fn digest(&self, serial: u64) -> Option<u64> {
         self.records.get(&serial).map(|record| record.digest)
     }
 
-    /// The contract version under which a submission was accepted; none when it never was.
+    /// The contract version under which a submission was accepted; `None` if it never was.
     pub fn version(&self, serial: u64) -> Option<ContractVersion> {
         let version = self.records.get(&serial)?.version;
         (version != ContractVersion::default()).then_some(version)
@@ -296,16 +296,16 @@
         self.place(now);
     }
 
-    /// Sets the most that a customer's limit can grow to. Admission reckons with it, placement with the limit.
+    /// Sets the most that a customer's limit can grow to. Admission uses this maximum, placement the limit.
     pub fn set_max_limit(&mut self, customer: &CustomerId, max_limit: u32) {
         self.waiting.set_max_limit(customer, max_limit);
     }
 
     /// Like [`Self::set_limit`], for a limit that lapses: from `until` on nothing of the customer is placed.
     ///
-    /// Failure: this process is paused while a lease on concurrency lapses and goes to others. Symptom without this:
-    /// on thawing it places by the old limit, and the customer runs more than its contract allows. The time is
-    /// compared at each placement, so nothing that lies in the queues gets past it.
+    /// This process may be paused while a lease on concurrency lapses and goes to other entries. If it placed by the
+    /// old limit after the pause, the customer would run more than its contract allows. The time is compared at each
+    /// placement, so that inputs queued during the pause cannot bypass it.
     pub fn set_limit_until(
         &mut self,
         now: Instant,
@@ -317,14 +317,14 @@
         self.place(now);
     }
 
-    /// Sets how many entries place on the same slots, this one included. Until it is told otherwise, an entry takes
-    /// itself for the only one: it then predicts too short a wait and refuses too little, and what it accepted too
-    /// much ends in the dispatchers' queues at its deadline.
+    /// Sets how many entries place tasks on the same slots, including this one. Until this is called, the entry assumes
+    /// that it is the only one. It then predicts too short a wait and refuses too little, and the excess that it
+    /// accepted stays in the dispatchers' queues until its deadline.
     pub fn set_entries(&mut self, entries: u32) {
         self.entries = entries.max(1);
     }
 
-    /// Attempts at dispatchers and tasks waiting here, of one customer.
+    /// Number of attempts at dispatchers and of tasks waiting here, for one customer.
     pub fn usage(&self, customer: &CustomerId) -> (u32, usize) {
         self.waiting.usage(customer)
     }
@@ -334,22 +334,22 @@
         self.waiting.customers()
     }
 
-    /// Submissions without an answer.
+    /// Number of submissions without an answer.
     pub fn open_submissions(&self) -> usize {
         self.open
     }
 
-    /// Attempts that dispatchers may hold, with those of answered submissions.
+    /// Number of attempts that dispatchers may hold, including those of answered submissions.
     pub fn attempts_in_flight(&self) -> usize {
         self.attempts.len()
     }
 
-    /// The attempts that dispatchers may hold, each with its dispatcher and how far it has come, in order.
+    /// The attempts that dispatchers may hold, each with its dispatcher and phase, sorted by id.
     pub fn attempts(&self) -> Vec<(AttemptId, DispatcherKey, AttemptPhase)> {
         self.attempts.list()
     }
 
-    /// When [`Self::tick`] has something to do next.
+    /// When [`Self::tick`] has to be called next; `None` if nothing is pending.
     pub fn next_tick(&self) -> Option<Instant> {
         let due = self.deadlines.first().map(|(due, _)| *due);
         let resume = self.waiting.next_resume();
@@ -407,7 +407,7 @@
     }
 }
 
-/// Gives the tasks their expected run times and returns the sum.
+/// Stores the expected run times in the tasks and returns their sum.
 fn assign_run_times(record: &mut SubmissionRecord, work: ExpectedWork) -> Duration {
     let mut total = Duration::ZERO;
     for (task, expected) in record.tasks.iter_mut().zip(work.run_times) {
--- a/crates/authority/src/authority/admission.rs
+++ b/crates/authority/src/authority/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a submission is accepted.
+//! Admission: decides whether a submission is accepted.
 
 use std::time::{Duration, Instant};
 
@@ -13,23 +13,23 @@
 
 use crate::{authority::TaskAuthority, refusal::SubmissionRefusal};
 
-/// When to come back after a refusal for want of room or slots: long enough for answers to leave, or for the endpoints
-/// of a dead VM to have another owner.
+/// Retry-after of a refusal for lack of memory or slots: long enough for open submissions to be answered, or for the
+/// endpoints of a dead VM to get another owner.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The share of single tasks that run no longer than the slowest that is reckoned with.
+/// The quantile of a single task's run time that counts as its slowest run.
 const SLOW_RUN_QUANTILE: f64 = 0.9;
 
-/// What a submission's tasks are expected to take.
+/// Expected run times of a submission's tasks.
 pub(super) struct ExpectedWork {
-    /// By task.
+    /// The expected run time of each task, in their order.
     pub(super) run_times: Vec<Duration>,
     total: Duration,
     largest: RunTimeEstimate,
     slowest: Duration,
 }
 
-/// What is known of one kind of task.
+/// Estimated run times of one kind of task.
 #[derive(Clone, Copy)]
 struct KindEstimate {
     expected: RunTimeEstimate,
@@ -37,7 +37,7 @@
 }
 
 impl TaskAuthority {
-    /// Decides on a submission. What costs nothing to tell comes first, since a flood is refused here.
+    /// Decides whether a submission is accepted. The cheapest checks come first, since a flood is refused here.
     pub(super) fn admit<'a>(
         &mut self,
         now: Instant,
@@ -54,8 +54,8 @@
                 return Err(SubmissionRefusal::permanent(RefusalReason::PayloadTooLarge));
             }
         }
-        // Each open submission costs memory until its answer, so a flood has to end somewhere; refusing is cheap
-        // and honest, and the callers know when to come back.
+        // Each open submission uses memory until it is answered, so their number and size are bounded. A refusal is
+        // cheap and tells the caller when to try again.
         let bytes: u64 = body.tasks.iter().map(|task| task.payload.size().0).sum();
         let large = self.memory.open_payloads.0 + bytes > self.settings.max_open_bytes.0;
         if large || self.open >= self.settings.max_open_submissions {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// A task has started, as far as its dispatcher tells.
+    /// Counts a task as started in its customer's load, as far as its dispatcher has told.
     pub(super) fn mark_started(&mut self, now: Instant, attempt: AttemptId) {
         let Some(record) = self.records.get_mut(&attempt.submission.serial) else {
             return;
@@ -101,8 +101,8 @@
     ) -> AdmissionVerdict {
         let load = self.load.get(&body.customer);
         let slots = self.placement.slots(now);
-        // Slots that went out of reach a moment ago are on their way to another owner; how many is not known, so
-        // only what the submission and its customer's limit tell by themselves counts.
+        // Slots that became unreachable a moment ago are about to get another owner. How many they will be is unknown,
+        // so only the submission itself and its customer's limit count.
         let (predicted_wait, saturation) = match slots {
             0 => (Duration::ZERO, Saturation::default()),
             _ => {
@@ -115,8 +115,8 @@
                     drain: load.drain_rate,
                     slots: slots as f64 / f64::from(self.entries),
                 };
-                // The mean outlives a moment in which slots are few, and the moment alone refuses ordinary bursts; an
-                // overload that lasts shows in both.
+                // The mean stays high beyond a moment in which slots are few, and the present value alone would refuse
+                // ordinary bursts. A lasting overload shows in both, so the lower one counts.
                 let (mean, present) = (self.saturation.mean(), self.placement.saturation(now));
                 let lasting = if present < mean { present } else { mean };
                 (picture.predicted_wait(), lasting)
@@ -132,8 +132,9 @@
             deadline: body.deadline.unwrap_or_else(|| contract.answer_within()),
             running: load.tasks,
             running_work: load.expected_work,
-            // Not the limit of this moment: a grant comes a round trip after the first submission and grows with what
-            // waits, so by it the first job of an idle customer would be refused.
+            // The maximum of the limit and not its present value: a grant arrives a round trip after the first
+            // submission and grows with the waiting tasks, so the present value would refuse the first job of an idle
+            // customer.
             granted: self.waiting.max_limit(&body.customer),
             predicted_wait,
             saturation,
@@ -142,7 +143,7 @@
     }
 
     fn expected_work(&self, now: Instant, body: &SubmissionBody) -> ExpectedWork {
-        // The more tasks, the rarer a run time that one of them may well take.
+        // The more tasks there are, the rarer is the long run time that one of them may well have.
         let quantile = 1.0 - (1.0 - SLOW_RUN_QUANTILE) / body.tasks.len().max(1) as f64;
         let mut work = ExpectedWork {
             run_times: Vec::with_capacity(body.tasks.len()),
@@ -155,7 +156,7 @@
         };
         let mut last: Option<(&TaskBody, KindEstimate)> = None;
         for task in &body.tasks {
-            // Tasks of a job are mostly alike, and a quantile costs a walk over its buckets.
+            // Most tasks of a job are alike, and a quantile costs a walk over its buckets.
             let estimate = match last {
                 Some((before, estimate)) if have_same_estimate(before, task) => estimate,
                 _ => self.estimate(now, &body.customer, task, quantile),
@@ -189,11 +190,11 @@
         }
     }
 
-    /// The run time by which accepted work counts in the predicted wait.
+    /// The run time with which accepted work counts in the predicted wait.
     ///
-    /// Load: the first jobs of a kind, declared a hundred times too long. Harm: the second is refused and told to come
-    /// back after half a minute, though the first is done within a second. Reason: until it is measured a task counts
-    /// as a usual one at the most; a few ends correct that.
+    /// Callers may declare the first jobs of a kind a hundred times too long. Without a cap, the second job would be
+    /// refused with a retry-after of half a minute, although the first is done within a second. Until the run time is
+    /// measured, a task therefore counts with the assumed run time at most; a few completed tasks correct that.
     fn capped_run_time(&self, expected: RunTimeEstimate) -> Duration {
         match expected.source {
             EstimateSource::Measured | EstimateSource::Stale => expected.run_time,
--- a/crates/authority/src/authority/placement.rs
+++ b/crates/authority/src/authority/placement.rs
@@ -1,4 +1,4 @@
-//! Offers waiting tasks to dispatchers.
+//! Placement: offers waiting tasks to dispatchers.
 
 use std::{collections::BTreeMap, time::Instant};
 
@@ -15,14 +15,14 @@
 };
 
 impl TaskAuthority {
-    /// Whether any reachable dispatcher takes work.
+    /// Whether any reachable dispatcher accepts tasks.
     pub fn has_capacity(&self) -> bool {
         self.sessions
             .values()
             .any(|session| session.open_session().is_some() && takes_work(session))
     }
 
-    /// Whether slots are in reach or were a moment ago.
+    /// Whether a reachable dispatcher accepts tasks or did within the capacity grace.
     pub(super) fn had_recent_capacity(&mut self, now: Instant) -> bool {
         if self.has_capacity() {
             self.last_capacity_at = Some(now);
@@ -32,7 +32,8 @@
             .is_some_and(|last| now.saturating_duration_since(last) <= grace)
     }
 
-    /// Offers what may be offered. Costs what changed since the last call, not what waits.
+    /// Offers the tasks that may be offered. The cost grows with the changes since the last call, not with the waiting
+    /// tasks.
     pub(super) fn place(&mut self, now: Instant) {
         if !self.has_capacity() {
             return;
@@ -40,7 +41,7 @@
         let mut batches = BTreeMap::new();
         for customer in self.waiting.take_changed() {
             if !self.place_customer(now, &customer, &mut batches) {
-                // Nobody can be chosen just now. All wait for the next word of a dispatcher.
+                // No dispatcher can be chosen at present. All tasks wait for the next report of a dispatcher.
                 self.unplaced = true;
                 break;
             }
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Places what one customer may have in flight; `false` when there is nobody to choose.
+    /// Places the tasks that one customer may have in flight; `false` if no dispatcher can be chosen.
     fn place_customer(
         &mut self,
         now: Instant,
@@ -98,7 +99,7 @@
         true
     }
 
-    /// Marks a task as in flight to a dispatcher and makes its offer.
+    /// Marks a task as in flight to a dispatcher and creates its offer.
     fn create_offer(
         &mut self,
         now: Instant,
@@ -138,8 +139,9 @@
                 .on_placed(now, &customer, 1, retry_percent);
         }
         self.emit_event(AuthorityEvent::Offered(attempt, dispatcher));
-        // Load: run times declared a hundred times too long or too short. Harm: by such a word the dispatcher's fair
-        // queue bills the customer wrongly and keeps a slot's worth of work back for nothing.
+        // The offer carries the estimate, because callers may declare run times a hundred times too long or too short.
+        // By such a value the dispatcher's fair queue would charge the customer wrongly and hold back a slot's worth of
+        // work for nothing.
         let expected = self
             .run_times
             .expect(now, &customer, &body.kind, body.declared_run_time);
@@ -154,9 +156,12 @@
         })
     }
 
-    /// Load: jobs of large payloads, offered together when a session opens or a limit rises. Harm: in one message they
-    /// would pass the reader's limit, and the call fail on each session again; below it, the first task would wait for
-    /// the last one's bytes. Each part is a batch of its own, so that a withdrawal names the last part sent.
+    /// Sends offers in batches of bounded size.
+    ///
+    /// Jobs of large payloads are offered together when a session opens or a limit rises. In one message they would
+    /// exceed the reader's limit, and the call would fail on each session again; below that limit, the first task would
+    /// wait for the bytes of the last one. Each part is a batch of its own, so that a withdrawal names the last part
+    /// sent.
     fn send_batches(&mut self, dispatcher: DispatcherKey, offers: Vec<TaskOffer>) {
         for part in split_for_messages(offers, |offer| offer.payload.size()) {
             self.send_batch(dispatcher, part);
@@ -179,7 +184,8 @@
         });
     }
 
-    /// Takes what a dispatcher said of its slots into the choice. One that is stopping or lost is not in the table.
+    /// Passes the last slot counts of a dispatcher to the placement table, which contains no stopping or lost
+    /// dispatchers.
     pub(super) fn update_placement(&mut self, now: Instant, dispatcher: DispatcherKey) {
         let Some(session) = self.sessions.get(&dispatcher) else {
             return;
@@ -193,7 +199,7 @@
             .on_hint(now, dispatcher, hint, session.unanswered_offers);
     }
 
-    /// A dispatcher has answered an offer, in one way or another.
+    /// Counts an offer to the dispatcher as answered, whatever the answer.
     pub(super) fn on_offer_answered(&mut self, dispatcher: DispatcherKey) {
         if let Some(session) = self.sessions.get_mut(&dispatcher) {
             session.unanswered_offers = session.unanswered_offers.saturating_sub(1);
@@ -201,9 +207,11 @@
         self.placement.on_answer(dispatcher);
     }
 
-    /// Load: bursts of jobs over dispatchers with unequal room. Harm: a task queued behind a full dispatcher while
-    /// another has free slots answers late. Stopping dispatchers and those without an open session are not in the
-    /// table; the one that has just turned the task away is passed over where there is another.
+    /// Chooses a dispatcher for a task.
+    ///
+    /// In bursts of jobs over dispatchers of unequal size, a task queued behind a full dispatcher is answered late
+    /// although another has free slots. Stopping dispatchers and those without an open session are not in the table.
+    /// `avoided`, which has just refused the task, is chosen only if there is no other.
     fn choose_dispatcher(
         &mut self,
         now: Instant,
--- a/crates/authority/src/authority/predicted_late.rs
+++ b/crates/authority/src/authority/predicted_late.rs
@@ -1,4 +1,4 @@
-//! Submissions that wait and can no longer be in time.
+//! Refusal of waiting submissions that can no longer be in time.
 
 use std::time::{Duration, Instant};
 
@@ -10,24 +10,25 @@
     record::{SubmissionRecord, TaskPhase},
 };
 
-/// Within this time of its deadline a submission is no longer looked at: the deadline itself is as soon.
+/// A submission with less time left until its deadline is not checked any more: the deadline itself comes as soon.
 const MIN_TIME_TO_CHECK: Duration = Duration::from_millis(20);
 
-/// When to come back, before it is drawn out at random: by then the slots that were missing have moved on.
+/// Retry-after of such a refusal, before jitter. By then other tasks run in the slots that were missing.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Up to this part more, so that what became hopeless together does not come back together.
+/// The most that jitter adds to the retry-after, as a fraction of it, so that submissions refused together do not come
+/// back together.
 const RETRY_AFTER_JITTER: f64 = 0.5;
 
-/// The share of runs that are shorter than what is taken for a task's run time, where the mean is not shorter yet.
+/// The quantile that counts as a task's run time where the mean is not shorter.
 const MEDIAN_QUANTILE: f64 = 0.5;
 
 impl TaskAuthority {
-    /// Looks after a submission of which tasks wait.
+    /// Schedules the next deadline check of a submission with waiting tasks.
     ///
-    /// Load: tasks that run much longer than expected, with more waiting behind them. Harm: the caller of work that
-    /// cannot be in time any more learns of it at its deadline only. Each look takes half of the time left or less, so
-    /// a submission costs a handful of them.
+    /// Tasks may run much longer than expected while others wait behind them. Without the checks, the caller of work
+    /// that cannot be in time any more is told only at its deadline. Each check takes place after half of the time left
+    /// or earlier, so a submission costs a handful of them.
     pub(super) fn schedule_deadline_check(&mut self, now: Instant, serial: u64) {
         let Some(record) = self.records.get(&serial).filter(|record| record.is_open()) else {
             return;
@@ -38,7 +39,7 @@
         }
         let mut check_at = now + left / 2;
         if let Some(needed) = self.longest_run_time(now, record) {
-            // A moment later than it just fits, and not before now.
+            // One millisecond after the last start that is in time, and not before now.
             let last_start = left.saturating_sub(needed) + Duration::from_millis(1);
             check_at = check_at.min(now + last_start);
         }
@@ -49,7 +50,7 @@
         self.deadline_checks.insert((check_at, serial));
     }
 
-    /// Looks at the submissions whose time for it has come.
+    /// Runs the deadline checks that are due.
     pub(super) fn run_deadline_checks(&mut self, now: Instant) {
         while let Some((check_at, serial)) = self.deadline_checks.first().copied() {
             if check_at > now {
@@ -70,8 +71,8 @@
 
     /// Whether a task that is about to be offered would end too late, and nothing of its submission has started.
     ///
-    /// Load: slots that get free after a long wait. Harm: they go to tasks whose answers come too late, and the next
-    /// ones wait for them and come too late as well.
+    /// When slots get free after a long wait, they would otherwise go to tasks whose answers come too late, and the
+    /// next tasks would wait for those slots and be late as well.
     pub(super) fn is_predicted_late(&self, now: Instant, serial: u64, task: TaskIndex) -> bool {
         let Some(record) = self.records.get(&serial) else {
             return false;
@@ -81,7 +82,7 @@
         needed.is_some_and(|needed| needed > left) && nothing_started(record)
     }
 
-    /// Answers a submission of which nothing has started.
+    /// Refuses a submission of which nothing has started as predicted late.
     pub(super) fn refuse_predicted_late(&mut self, now: Instant, serial: u64) {
         let jitter = 1.0 + self.rng.f64() * RETRY_AFTER_JITTER;
         let outcome = SubmissionOutcome::Refused {
@@ -91,12 +92,12 @@
         self.finish(now, serial, outcome);
     }
 
-    /// The longest time that a waiting task of the submission needs; `None` while none is measured.
+    /// The longest usual run time of the submission's waiting tasks; `None` while none is measured.
     fn longest_run_time(&self, now: Instant, record: &SubmissionRecord) -> Option<Duration> {
         let mut longest = None;
         let mut last_kind = None;
         for (index, task) in record.tasks.iter().enumerate() {
-            // Tasks of a job are mostly of one kind.
+            // Most tasks of a job are of one kind.
             if last_kind == Some(&task.body.kind) || !matches!(task.phase, TaskPhase::Waiting) {
                 continue;
             }
@@ -106,8 +107,8 @@
         longest
     }
 
-    /// The time that a task needs as measured lately, the shorter one of the mean and the median: a refusal must not
-    /// rest on a few long runs among many short ones.
+    /// The usual run time of a task as measured lately: the mean, or the median if the mean exceeds the time left and
+    /// the median is shorter. A refusal must not rest on a few long runs among many short ones.
     fn usual_run_time(
         &self,
         now: Instant,
@@ -131,7 +132,7 @@
     }
 }
 
-/// Whether every task certainly waits here.
+/// Whether the submission is open and all of its tasks wait here.
 fn nothing_started(record: &SubmissionRecord) -> bool {
     record.is_open()
         && record
--- a/crates/authority/src/authority/replies.rs
+++ b/crates/authority/src/authority/replies.rs
@@ -1,4 +1,5 @@
-//! What dispatchers say: verdicts, asks for bodies, ends, confirmed withdrawals.
+//! Messages from dispatchers: replies to offers, claims of bodies, ends of attempts, replies to withdrawals, slot
+//! counts.
 
 use std::time::{Duration, Instant};
 
@@ -15,23 +16,24 @@
     session::DispatcherKey,
 };
 
-/// Tries of one task after refusals that tell of load, before it is given up, whatever its customer has saved up in
-/// its budget. A task that eight dispatchers have turned away, with growing pauses between, meets an overload that
-/// another try would only feed; without the bound one unlucky task could spend the budget of all others.
+/// Number of attempts of one task after which a refusal caused by overload is final, whatever its customer has saved up
+/// in its retry budget. A task that eight dispatchers have refused, with growing backoff in between, meets an overload
+/// that another try would only increase. Without the bound one such task could spend the budget of all others.
 const MAX_LOAD_RETRIES: u32 = 8;
 
-/// The tasks over which the mean run time is taken: about two usual jobs, so that it follows a change of the mix within
-/// a second and one long task does not send the next ones to another data centre.
+/// Number of tasks over which the mean run time is taken: about two usual jobs. The mean then follows a change of the
+/// mix within a second, and one long task does not send the next ones to another data centre.
 const MEAN_RUN_TIME_TASKS: u32 = 64;
 
-/// The tries of a task among which it may leave a queue for a free slot elsewhere.
+/// Number of attempts of a task that may leave a queue for a free slot elsewhere.
 const MAX_MOVES: u32 = 2;
 
 impl TaskAuthority {
-    /// A dispatcher has answered an offer.
+    /// Handles a dispatcher's replies to offers.
     pub fn on_offer_replies(&mut self, now: Instant, replies: &[(AttemptId, TaskVerdict)]) {
-        // All that a refused batch turned away is noted before any of it is decided on: a job that is given up at its
-        // first task would otherwise count the others as perhaps started, and be answered "failed" for "refused".
+        // All tasks that a refused batch returned are set to waiting before any of them is decided on. A job that is
+        // given up at its first task would otherwise count the others as possibly started, and be answered "failed"
+        // instead of "refused".
         let mut not_run = Vec::new();
         let mut moved = Vec::new();
         for (attempt, reply) in replies {
@@ -62,8 +64,8 @@
         self.place(now);
     }
 
-    /// A dispatcher has a slot for a queued attempt and asks for the body. `None` means that the attempt is gone
-    /// and must not start.
+    /// Handles a claim: a dispatcher has a slot for a queued attempt and asks for the body. `None` means that the
+    /// attempt must not start.
     pub fn on_claim(
         &mut self,
         now: Instant,
@@ -71,10 +73,10 @@
         attempt: AttemptId,
     ) -> Option<Payload> {
         let in_flight = self.attempts.get(&attempt)?;
-        // An ask of an older session comes from a reservation that was given up when that session was lost, and the
-        // body goes out once only. In any other phase the ask is good, whatever was heard before: it may overtake the
-        // verdict, or follow a withdrawal that the dispatcher could not confirm, and only a dispatcher that keeps no
-        // body asks.
+        // A claim on an older session comes from a reservation that was given up when that session was lost, and the
+        // body is sent only once. In any other phase the claim is valid, whatever arrived before: it may overtake the
+        // reply to the offer, or follow a withdrawal that the dispatcher could not confirm, and only a dispatcher that
+        // keeps no body claims one.
         if in_flight.session != session || in_flight.phase == AttemptPhase::Claimed {
             return None;
         }
@@ -83,8 +85,8 @@
             .get_mut(&attempt.submission.serial)
             .filter(|record| record.is_open());
         let Some(task) = record.and_then(|record| record.task_mut(attempt.task)) else {
-            // Its submission has its answer. The dispatcher forgets the attempt on hearing so, and its part of the
-            // concurrency is free.
+            // The submission was answered. The dispatcher drops the attempt when it is told so, and its concurrency is
+            // free.
             self.remove_attempt(attempt);
             return None;
         };
@@ -95,10 +97,10 @@
         Some(payload)
     }
 
-    /// An attempt has ended after `ran`.
+    /// Handles the end of an attempt after the run time `ran`.
     pub fn on_ended(&mut self, now: Instant, attempt: AttemptId, end: AttemptEnd, ran: Duration) {
         let Some(in_flight) = self.remove_attempt(attempt) else {
-            // Nobody waits for it: the attempt was given up as unknown before, and stays so.
+            // The attempt was given up as unknown before, and stays so.
             return;
         };
         self.emit_event(AuthorityEvent::Ended(attempt, end.clone()));
@@ -114,7 +116,7 @@
         self.place(now);
     }
 
-    /// A dispatcher has said what became of withdrawn attempts.
+    /// Handles a dispatcher's replies to a withdrawal.
     pub fn on_withdrawn(&mut self, now: Instant, replies: &[(AttemptId, WithdrawalVerdict)]) {
         for (attempt, reply) in replies {
             match reply {
@@ -128,15 +130,16 @@
                         );
                     }
                 }
-                // It may only mean that the offer is still on its way there. Taken for a start, it would hide the
-                // verdict that comes next, and the attempt would hold its part of the concurrency for ever.
+                // This reply may only mean that the offer is still in transit. If it counted as a start, the reply to
+                // the offer that comes next would be ignored, and the attempt would use its part of the concurrency for
+                // ever.
                 WithdrawalVerdict::Running => {}
             }
         }
         self.place(now);
     }
 
-    /// A dispatcher has said how its slots stand.
+    /// Handles the slot counts that a dispatcher reports.
     pub fn on_slots(&mut self, now: Instant, dispatcher: DispatcherKey, slots: SlotCounts) {
         let Some(session) = self.sessions.get_mut(&dispatcher) else {
             return;
@@ -151,7 +154,7 @@
         }
     }
 
-    /// Notes how far an attempt has come; `false` when it is gone.
+    /// Sets the phase of an attempt; `false` if the attempt is gone.
     fn set_phase(&mut self, attempt: AttemptId, phase: AttemptPhase) -> bool {
         let Some(in_flight) = self.attempts.get_mut(&attempt) else {
             return false;
@@ -164,8 +167,8 @@
         true
     }
 
-    /// Takes the run time of what ran, also of a task whose submission has its answer: those that come after the
-    /// deadline are the slow ones, and without them their kind would look fast.
+    /// Records the run time of an attempt, even if its submission was answered: tasks that end after the deadline are
+    /// the slow ones, and without them their kind would look fast.
     fn record_run_time(
         &mut self,
         now: Instant,
@@ -192,11 +195,13 @@
         }
     }
 
-    /// Load: two entries that place onto the same free slots without knowing of each other. Harm: one of them waits for a
-    /// whole run time while a slot stands free at another dispatcher. A queued task has certainly not started and its ask
-    /// will be turned away, so it can go there at the price of an offer and a withdrawal. Only as many move as there are
-    /// free slots, and each task twice at most, since what is known of other dispatchers may be as old as their last
-    /// word; with every slot in use nothing moves.
+    /// Whether a task that a dispatcher queued may move to a free slot elsewhere.
+    ///
+    /// Two entries may place tasks onto the same free slots without knowing of each other, and one of the tasks would
+    /// wait for a whole run time while a slot at another dispatcher is free. A queued task has certainly not started
+    /// and its claim will be refused, so it can move at the cost of an offer and a withdrawal. Only as many tasks move
+    /// as there are free slots, and each at most twice, since the slot counts known of other dispatchers may be as old
+    /// as their last report. With every slot in use nothing moves.
     fn may_move(&self, attempt: AttemptId, moved: usize) -> bool {
         let Some(in_flight) = self
             .attempts
@@ -222,7 +227,7 @@
         let Some(in_flight) = self.attempts.get(&attempt) else {
             return;
         };
-        // A verdict that was overtaken by the ask or the end says nothing new.
+        // A reply that the claim or the end has overtaken contains nothing new.
         if in_flight.phase != AttemptPhase::Offered {
             return;
         }
@@ -237,7 +242,7 @@
         self.withdraw_if_answered(attempt);
     }
 
-    /// Takes an attempt out of the air and gives its part of the concurrency back.
+    /// Removes an attempt from the table and releases its part of the concurrency.
     pub(super) fn remove_attempt(&mut self, attempt: AttemptId) -> Option<InFlightAttempt> {
         let in_flight = self.attempts.remove(&attempt)?;
         self.waiting.release(&in_flight.customer);
@@ -271,7 +276,8 @@
         }
     }
 
-    /// The one place where a task becomes ready for another attempt: each way here is a definite not-run.
+    /// Makes a task ready for another attempt, in this one place only: every caller knows that the attempt definitely
+    /// did not run.
     pub(super) fn on_not_run(
         &mut self,
         now: Instant,
@@ -307,8 +313,8 @@
             self.waiting.push(&customer, waiting);
             return;
         }
-        // Load: endpoints that turn everything away. Harm: each refusal causes another placement, and the overload
-        // feeds itself. The budget bounds placements to the first ones plus the contract's percentage.
+        // If the endpoints refuse every task, each refusal causes another placement, and the overload feeds itself. The
+        // budget bounds placements to the first ones plus the contract's percentage.
         let granted = !consumes_retry_budget(reason) || self.retry_budget.try_retry(now, &customer);
         if attempts >= MAX_LOAD_RETRIES || !granted {
             self.finish_not_placed(now, serial, RefusalReason::RetryBudgetSpent);
@@ -352,7 +358,7 @@
         }
     }
 
-    /// Doubles with each attempt, with a random part so that tasks refused together do not come back together.
+    /// Backoff that doubles with each attempt, with jitter so that tasks refused together do not come back together.
     fn backoff(&mut self, attempts: u32) -> Duration {
         let doubled = self.settings.retry_backoff * 2u32.saturating_pow(attempts.min(10));
         let longest = doubled.min(self.settings.max_retry_backoff);
@@ -360,15 +366,16 @@
     }
 }
 
-/// Whether another try is taken out of the customer's budget. A dispatcher hands back what waits for it when its last
-/// endpoint gets another owner: that tells of a change, and since it says so with its slots it gets no more offers.
-/// The task still pauses, or it would come back before the new owner is known.
+/// Whether a retry is charged to the customer's budget. A dispatcher hands back its waiting tasks when its last
+/// endpoint gets another owner. That is a change in the system and not overload, and since the dispatcher reports it
+/// with its slot counts, it gets no more offers. The task still backs off, or it would be placed again before the new
+/// owner is known.
 fn consumes_retry_budget(reason: RetryReason) -> bool {
     signals_overload(reason) && reason != RetryReason::NoEndpoint
 }
 
-/// Whether a refusal comes from load, so that trying again adds to it. The others come from a change in the
-/// system, and the task goes elsewhere at once.
+/// Whether a refusal is caused by overload, so that another try adds to it. The other refusals come from a change in
+/// the system, and the task goes elsewhere at once.
 fn signals_overload(reason: RetryReason) -> bool {
     match reason {
         RetryReason::EndpointBusy
--- a/crates/authority/src/authority/termination.rs
+++ b/crates/authority/src/authority/termination.rs
@@ -1,4 +1,4 @@
-//! Deadlines, cancellations, lost dispatchers: how submissions end without all their results.
+//! Deadlines, cancellations and lost dispatchers: how submissions end without all their results.
 
 use std::{
     collections::BTreeMap,
@@ -19,11 +19,13 @@
     session::{DispatcherKey, DispatcherSession, SessionState},
 };
 
-/// When to come back after the deadline passed in a queue: long enough for a queue of usual tasks to move.
+/// Retry-after of a submission whose deadline passed in a queue or whose task could not be placed: long enough for a
+/// queue of usual tasks to move.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl TaskAuthority {
-    /// Answers what is due, wakes paused tasks, gives up dispatchers that stayed away, forgets old answers.
+    /// Does the work that is due: terminates submissions at their deadline, removes dispatchers that did not reconnect,
+    /// runs deadline checks, resumes tasks after their backoff, drops old answers and places tasks.
     pub fn tick(&mut self, now: Instant) {
         while let Some((due, serial)) = self.deadlines.first().copied() {
             if due > now {
@@ -37,7 +39,7 @@
             let Some(record) = self.records.get(&serial).filter(|record| record.is_open()) else {
                 continue;
             };
-            // The pause may be one of an earlier run of a submission that was refused in between; its task may be in
+            // The backoff may be one of an earlier run of a submission that was refused in between. Its task may be in
             // flight again by now, and placing it once more would run it twice.
             if !record.is_waiting(task) {
                 continue;
@@ -51,7 +53,7 @@
         self.place(now);
     }
 
-    /// A caller takes a submission back.
+    /// Cancels a submission for a caller.
     pub fn cancel(&mut self, now: Instant, serial: u64) -> CancelReply {
         let Some(record) = self.records.get(&serial).filter(|record| record.is_open()) else {
             return CancelReply::NotOpen;
@@ -64,7 +66,7 @@
         CancelReply::Cancelled
     }
 
-    /// A session to a dispatcher stands.
+    /// Handles a new session with a dispatcher.
     pub fn on_session_opened(
         &mut self,
         now: Instant,
@@ -79,7 +81,7 @@
             .get(&dispatcher)
             .map(|session| session.incarnation);
         if before.is_some_and(|before| before != incarnation) {
-            // The process that may have started them is gone, and its memory with it.
+            // The process that may have started the attempts is gone, together with its memory.
             self.abandon_attempts_at(now, dispatcher, UnknownReason::DispatcherGone);
         }
         let state = SessionState::Open { session, batch: 0 };
@@ -105,7 +107,7 @@
         self.place(now);
     }
 
-    /// The connection of a session broke or stayed silent.
+    /// Handles a session whose connection broke or stayed silent.
     pub fn on_session_lost(&mut self, now: Instant, dispatcher: DispatcherKey, session: SessionId) {
         let reconnect_by = now + self.settings.reconnect_wait;
         let Some(lost) = self.sessions.get_mut(&dispatcher) else {
@@ -130,7 +132,7 @@
         self.place(now);
     }
 
-    /// A dispatcher's process is known to be gone.
+    /// Removes a dispatcher whose process is gone, and gives up its attempts.
     pub fn on_dispatcher_gone(&mut self, now: Instant, dispatcher: DispatcherKey) {
         self.abandon_attempts_at(now, dispatcher, UnknownReason::DispatcherGone);
         self.sessions.remove(&dispatcher);
@@ -138,7 +140,7 @@
         self.place(now);
     }
 
-    /// A dispatcher is stopping: it finishes what runs and takes nothing new.
+    /// Stops placing tasks at a dispatcher that is stopping: it finishes its running tasks and accepts no new ones.
     pub fn on_dispatcher_stopping(&mut self, dispatcher: DispatcherKey) {
         if let Some(session) = self.sessions.get_mut(&dispatcher) {
             session.stopping = true;
@@ -146,7 +148,7 @@
         self.placement.remove_dispatcher(dispatcher);
     }
 
-    /// This process ends now: everything open is answered as it stands.
+    /// Answers all open submissions as they stand, because this process ends.
     pub fn stop(&mut self, now: Instant) {
         while let Some((_, serial)) = self.deadlines.first().copied() {
             self.terminate(now, serial, TerminationCause::Stopped);
@@ -208,7 +210,8 @@
         self.finish(now, serial, outcome);
     }
 
-    /// A task could not be placed: refused when nothing of the submission started, failed otherwise.
+    /// Answers a submission of which a task could not be placed: refused if nothing of it may have started, failed
+    /// otherwise.
     pub(super) fn finish_not_placed(&mut self, now: Instant, serial: u64, reason: RefusalReason) {
         let outcome = if self.may_have_started(serial) {
             SubmissionOutcome::Failed(FailureReason::TaskNotPlaced)
@@ -221,7 +224,7 @@
         self.finish(now, serial, outcome);
     }
 
-    /// Gives a submission its one answer and takes back what has not started.
+    /// Gives a submission its only answer and withdraws its tasks that have not started.
     pub(super) fn finish(&mut self, now: Instant, serial: u64, outcome: SubmissionOutcome) {
         let id = self.submission_id(serial);
         let Some(record) = self
@@ -248,7 +251,7 @@
         self.withdraw_tasks(now, serial);
     }
 
-    /// An attempt whose submission was answered before the verdict came.
+    /// Withdraws a queued attempt whose submission was answered before the reply to the offer arrived.
     pub(super) fn withdraw_if_answered(&mut self, attempt: AttemptId) {
         let open = self
             .records
@@ -274,8 +277,11 @@
         }
     }
 
-    /// Load: cancellation waves and jobs that fail early. Harm: reservations of the dead hold up the living. Each
-    /// dispatcher gets one message with all of a submission's attempts, so the cost is what is taken back.
+    /// Drops the tasks of an answered submission and withdraws its attempts.
+    ///
+    /// After many cancellations, or when jobs fail early, reservations of answered submissions would otherwise delay
+    /// the tasks of open ones. Each dispatcher gets one message with all attempts of the submission, so the cost grows
+    /// only with what is withdrawn.
     fn withdraw_tasks(&mut self, now: Instant, serial: u64) {
         let id = self.submission_id(serial);
         let Some(record) = self.records.get_mut(&serial) else {
@@ -325,8 +331,9 @@
         }
     }
 
-    /// Says where an attempt has to be withdrawn. One that has certainly not started gives its concurrency back at
-    /// once, since its ask will be turned away; one that may run keeps it until the dispatcher has said more.
+    /// Returns the dispatcher from which an attempt has to be withdrawn, if any. An attempt that has certainly not
+    /// started releases its concurrency at once, since its claim will be refused. One that may run keeps it until the
+    /// dispatcher has reported more.
     fn withdraw_attempt(&mut self, attempt: AttemptId) -> Option<DispatcherKey> {
         let in_flight = self.attempts.get(&attempt)?;
         let (dispatcher, phase) = (in_flight.dispatcher, in_flight.phase);
@@ -340,7 +347,7 @@
         }
     }
 
-    /// Tells a dispatcher to forget reservations that were given up here.
+    /// Tells a dispatcher to drop reservations that were given up here.
     pub(super) fn withdraw_reservations(
         &mut self,
         dispatcher: DispatcherKey,
@@ -415,7 +422,7 @@
                 break;
             }
             self.kept_answers.pop_front();
-            // A refused submission may have run again since, and has a later place in the line.
+            // A refused submission may have run again since, and then has a later entry in the queue.
             let Some(record) = self.records.get(&serial) else {
                 continue;
             };
@@ -430,7 +437,7 @@
     }
 }
 
-/// Why a submission is given up.
+/// Why a submission is terminated.
 #[derive(Clone, Copy, Debug)]
 enum TerminationCause {
     Deadline,
@@ -443,7 +450,7 @@
         let (reason, retry_after) = match self {
             Self::Deadline => (RefusalReason::DeadlinePassed, Some(RETRY_AFTER)),
             Self::Cancelled => (RefusalReason::Cancelled, None),
-            // Another VM takes it at once.
+            // Another VM accepts it at once.
             Self::Stopped => (RefusalReason::Stopping, Some(Duration::ZERO)),
         };
         SubmissionOutcome::Refused {
--- a/crates/authority/src/customer_load.rs
+++ b/crates/authority/src/customer_load.rs
@@ -1,4 +1,4 @@
-//! What each customer has accepted and not ended here: the picture that admission decides by.
+//! Accepted work of each customer that has not ended, on which admission bases its predictions.
 
 use std::{
     collections::BTreeSet,
@@ -8,34 +8,35 @@
 use decisions::DrainRate;
 use model::{CustomerId, CustomerShare, FastMap};
 
-/// How long a customer whose tasks do not move counts as one that competes for slots. By those of one moment alone, a
-/// moment without the others would let a customer in for far more than its share.
+/// How long a customer counts as competing for slots after its last activity. If only the activity of the present
+/// moment counted, a moment without the other customers would admit far more of one customer than its share.
 const ACTIVE_WINDOW: Duration = Duration::from_secs(2);
 
-/// Moves this close together are noted once: the index by time then costs one change for many tasks.
+/// Activity of a customer within this time is recorded once, so that many tasks cost one change of the index by time.
 const ACTIVITY_RESOLUTION: Duration = Duration::from_millis(100);
 
-/// The accepted work of one customer.
+/// Accepted work of one customer that has not ended.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CustomerLoad {
-    /// Tasks that were accepted and have not ended.
+    /// Number of tasks that were accepted and have not ended.
     pub(crate) tasks: u32,
     /// The sum of their expected run times.
     pub(crate) expected_work: Duration,
-    /// The part of it that has not started.
+    /// The part of `expected_work` that has not started.
     pub(crate) waiting_work: Duration,
-    /// What its backlog got lately.
+    /// The number of slots that lately worked on its backlog.
     pub(crate) drain_rate: DrainRate,
     share: CustomerShare,
-    /// Its place in the index by time, while it counts as active.
+    /// Time under which the customer is listed in the index by time, while it counts as active.
     indexed_at: Option<Instant>,
 }
 
-/// The accepted work by customer.
+/// Accepted work by customer.
 ///
-/// Load: thousands of submissions a second of many customers. Harm: sums taken anew for each would cost what is open.
-/// They are kept along with each move of a task, O(log n) in the active customers. A customer without open tasks is
-/// forgotten once it is no longer active, so memory is bounded by what is open and by what came in the last seconds.
+/// Thousands of submissions arrive each second from many customers. Sums computed anew for each submission would cost
+/// as much as there is open work, so they are updated with each change of a task, in O(log n) of the active customers.
+/// A customer without open tasks is dropped once it is no longer active, so memory is bounded by the open work and the
+/// arrivals of the last seconds.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LoadTable {
     customers: FastMap<CustomerId, CustomerLoad>,
@@ -44,7 +45,7 @@
 }
 
 impl LoadTable {
-    /// Tasks with this work in all were accepted.
+    /// Adds accepted tasks; `work` is the sum of their expected run times.
     pub(crate) fn accept(
         &mut self,
         now: Instant,
@@ -64,7 +65,7 @@
         self.record_activity(now, customer);
     }
 
-    /// A task has started.
+    /// Counts a task as started.
     pub(crate) fn start(&mut self, now: Instant, customer: &CustomerId, expected: Duration) {
         let Some(load) = self.customers.get_mut(customer) else {
             return;
@@ -75,14 +76,14 @@
         self.record_activity(now, customer);
     }
 
-    /// A task that was taken to have started certainly has not.
+    /// Takes back [`Self::start`] for a task that certainly has not started.
     pub(crate) fn mark_not_started(&mut self, customer: &CustomerId, expected: Duration) {
         if let Some(load) = self.customers.get_mut(customer) {
             load.waiting_work = load.waiting_work.saturating_add(expected);
         }
     }
 
-    /// A task has ended, or nobody waits for it any more.
+    /// Removes a task that has ended or whose submission was answered.
     pub(crate) fn end(
         &mut self,
         now: Instant,
@@ -106,7 +107,7 @@
         self.customers.get(customer).cloned().unwrap_or_default()
     }
 
-    /// The shares of all active customers, this one included, which may come with a new share.
+    /// Sum of the shares of all active customers including this one, which counts with the given share.
     pub(crate) fn active_shares_with(
         &mut self,
         now: Instant,
--- a/crates/authority/src/lib.rs
+++ b/crates/authority/src/lib.rs
@@ -1,10 +1,10 @@
-//! The entry's state: one authority per submission, without I/O.
+//! The state of an entry: one authority decides on all of its submissions, without I/O.
 //!
-//! A [`TaskAuthority`] owns each submission from acceptance to its one answer. It alone decides that a task is
-//! given up or may be placed again. Inputs come as method calls with the time; what has to be sent or told comes
-//! out of [`TaskAuthority::take_actions`].
+//! A [`TaskAuthority`] owns each submission from acceptance to its single answer. It alone decides that a task is given
+//! up or may be placed again. Its inputs are method calls that carry the time; [`TaskAuthority::take_actions`] returns
+//! the messages to send and the events to report.
 //!
-//! The rule that everything here serves: a task whose body may have reached an endpoint is never offered again.
+//! Invariant: a task whose body may have reached an endpoint is never offered again.
 
 mod action;
 mod attempt;
--- a/crates/authority/src/memory_usage.rs
+++ b/crates/authority/src/memory_usage.rs
@@ -1,15 +1,14 @@
-//! How many bytes of callers the process holds.
+//! Accounting of the caller data that the process keeps in memory.
 
 use model::{ByteSize, SubmissionOutcome};
 
 use crate::record::SubmissionRecord;
 
-/// The bytes of payloads and answers that are held.
+/// Size of the payloads and results kept in memory.
 ///
-/// Failure: a burst of jobs of many MB each, which a bound on the number of submissions lets in. Symptom without this:
-/// the process outgrows its VM and is killed, and every caller on it gets no answer. Counting payloads is enough for
-/// open submissions, since what else a submission holds is small, and counting results for answered ones, since their
-/// payloads are dropped.
+/// A burst of jobs of many MB each passes a bound on the number of submissions. Without a bound on bytes, the process
+/// outgrows its VM and is killed, and no caller on it gets an answer. For open submissions the payloads are counted,
+/// because everything else about them is small; for answered ones the results, because their payloads are dropped.
 #[derive(Debug, Default)]
 pub(crate) struct MemoryUsage {
     pub(crate) open_payloads: ByteSize,
@@ -21,13 +20,13 @@
         self.open_payloads.0 += payload_bytes(record);
     }
 
-    /// The submission has its answer. To be called while its tasks are still there.
+    /// Moves an answered submission from the open to the kept ones. Must be called before its tasks are dropped.
     pub(crate) fn close(&mut self, record: &SubmissionRecord, outcome: &SubmissionOutcome) {
         self.open_payloads.0 = self.open_payloads.0.saturating_sub(payload_bytes(record));
         self.kept_results.0 += result_bytes(outcome);
     }
 
-    /// The answer is forgotten.
+    /// Subtracts the results of an answer that is dropped.
     pub(crate) fn remove_kept(&mut self, outcome: &SubmissionOutcome) {
         self.kept_results.0 = self.kept_results.0.saturating_sub(result_bytes(outcome));
     }
--- a/crates/authority/src/record.rs
+++ b/crates/authority/src/record.rs
@@ -1,4 +1,4 @@
-//! Submissions and their tasks.
+//! Records of submissions and of their tasks.
 
 use std::{
     sync::Arc,
@@ -12,9 +12,9 @@
 
 #[derive(Clone, Debug)]
 pub(crate) enum TaskPhase {
-    /// Waits here for room in the customer's concurrency, or for a pause to pass.
+    /// Waits at the entry for free concurrency of its customer or for the end of a backoff.
     Waiting,
-    /// Attempt number `attempt - 1` of the task is in the flight table.
+    /// Attempt number `attempt_count - 1` of the task is in the attempt table.
     InFlight,
     Done(TaskResult),
 }
@@ -22,11 +22,11 @@
 #[derive(Clone, Debug)]
 pub(crate) struct TaskRecord {
     pub(crate) body: TaskBody,
-    /// The run time by which the task counts in its customer's load.
+    /// Expected run time with which the task counts in its customer's load.
     pub(crate) expected_run_time: Duration,
-    /// Whether it counts as started there.
+    /// Whether the task counts as started in its customer's load.
     pub(crate) started: bool,
-    /// Attempts made so far.
+    /// Number of attempts made so far.
     pub(crate) attempt_count: u32,
     pub(crate) phase: TaskPhase,
 }
@@ -56,14 +56,14 @@
     pub(crate) move_queued: bool,
     pub(crate) digest: u64,
     pub(crate) due: Instant,
-    /// Its place in the order of looks at what waits.
+    /// Time of the next deadline check, under which the submission is listed in the authority's `deadline_checks`.
     pub(crate) check_at: Option<Instant>,
     pub(crate) tasks: Vec<TaskRecord>,
     pub(crate) done: u32,
     /// The first attempt number of this run.
     pub(crate) first_attempt: u32,
-    /// The first attempt number that was never used, once the tasks are dropped. A refused submission that runs after
-    /// all starts its tasks' attempts there: an id used before may still be on its way somewhere.
+    /// The first unused attempt number, set when the tasks are dropped. A refused submission that runs after all starts
+    /// its tasks' attempts there, because messages with an id used before may still be in transit.
     pub(crate) next_attempt: u32,
     pub(crate) state: RecordState,
 }
@@ -113,7 +113,7 @@
         results
     }
 
-    /// The terms of the contract that the submission runs under from acceptance to answer, also when the contract
+    /// Stores the terms of the contract under which the submission runs from acceptance to answer, even if the contract
     /// changes in between.
     pub(crate) fn apply_terms(&mut self, contract: &Contract, version: ContractVersion) {
         self.version = version;
--- a/crates/authority/src/refusal.rs
+++ b/crates/authority/src/refusal.rs
@@ -9,14 +9,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("refused: {reason}")]
 pub struct SubmissionRefusal {
-    /// Why.
+    /// The reason of the refusal.
     pub reason: RefusalReason,
-    /// When it is worth coming back. `None` where coming back does not help.
+    /// How long the caller should wait before it tries again. `None` if another try cannot succeed.
     pub retry_after: Option<Duration>,
 }
 
 impl SubmissionRefusal {
-    /// A refusal that will be the same at any time.
+    /// Creates a refusal that another try cannot change.
     pub fn permanent(reason: RefusalReason) -> Self {
         Self {
             reason,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// A refusal that may have changed by then.
+    /// Creates a refusal that may no longer apply after `retry_after`.
     pub fn temporary(reason: RefusalReason, retry_after: Duration) -> Self {
         Self {
             reason,
--- a/crates/authority/src/session.rs
+++ b/crates/authority/src/session.rs
@@ -1,18 +1,19 @@
-//! The dispatchers as this entry sees them.
+//! Sessions of the entry with dispatchers.
 
 use std::time::Instant;
 
 pub use decisions::DispatcherKey;
 use model::{FastMap, IncarnationId, SessionId, SlotCounts};
 
-/// Whether a dispatcher can be reached.
+/// Connection state of a dispatcher.
 #[derive(Clone, Debug)]
 pub(crate) enum SessionState {
     Open {
         session: SessionId,
         batch: u64,
     },
-    /// What may have started there is not known until it comes back or is given up at `until`.
+    /// The connection is lost. Whether attempts there have started is unknown until the dispatcher reconnects; at
+    /// `reconnect_by` it is given up.
     Lost {
         reconnect_by: Instant,
     },
@@ -24,12 +25,12 @@
     pub(crate) state: SessionState,
     pub(crate) stopping: bool,
     pub(crate) slots: SlotCounts,
-    /// Attempts there in the phase "offered": what `slots` cannot have counted.
+    /// Number of attempts at the dispatcher in the phase "offered", which `slots` cannot have counted yet.
     pub(crate) unanswered_offers: u32,
 }
 
 impl DispatcherSession {
-    /// The open session and its last batch.
+    /// The open session and the number of its last batch.
     pub(crate) fn open_session(&self) -> Option<(SessionId, u64)> {
         match self.state {
             SessionState::Open { session, batch } => Some((session, batch)),
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Takes the number of the next batch.
+    /// Increments the batch number and returns it with the open session.
     pub(crate) fn next_batch(&mut self) -> Option<(SessionId, u64)> {
         match &mut self.state {
             SessionState::Open { session, batch } => {
--- a/crates/authority/src/settings.rs
+++ b/crates/authority/src/settings.rs
@@ -1,53 +1,60 @@
-//! Limits of the entry's state.
+//! Settings of the authority.
 
 use std::time::Duration;
 
 use decisions::{AdmissionSettings, PlacementSettings, RetrySettings, RunTimeSettings};
 use model::ByteSize;
 
-/// The retries that a customer starts with at an entry: as many as it may save up later, one for each task that it has
-/// running by default. Endpoints whose owner died are still busy for a moment when the next owner offers them work.
-/// Customers are forgotten by the thousand only, so the retries are granted once in a process's life.
+/// Retries that a customer's budget holds when an entry first sees the customer. They are as many as the customer may
+/// save up later: one for each task that it has running by default. The endpoints of a dead owner are still busy for a
+/// moment when the next owner offers them work, so a customer needs retries before it has saved any. The budget forgets
+/// customers only above thousands of them, so the retries are granted once in a process's life.
 const INITIAL_RETRIES: f64 = 40.0;
 
-/// Dispatchers drawn to take the best of. With the two or three dispatchers that a data centre has today, two draws send
-/// one task in some to a full dispatcher beside a free one; with twenty, more draws than two make entries run to the
-/// same one, and the setting has to go down again (docs/design/0002-decisions.md has both measured).
+/// Number of dispatchers drawn at random, of which the best is chosen. With the two or three dispatchers that a data
+/// centre has today, two draws send some tasks to a full dispatcher although another is free. With twenty dispatchers,
+/// more than two draws make several entries choose the same one, and this value has to go down again (see
+/// docs/design/0002-decisions.md for figures on both).
 const DISPATCHER_DRAWS: u32 = 8;
 
-/// Limits of the entry's state. Every table is bounded, so that a flood of submissions costs refusals, not memory.
+/// Settings of the authority. Every table is bounded, so that a flood of submissions leads to refusals and not to
+/// unbounded memory use.
 #[derive(Clone, Debug)]
 pub struct AuthoritySettings {
-    /// Submissions without an answer at once. One more is refused as overloaded.
+    /// Maximal number of open submissions, which are those without an answer. A further one is refused as overloaded.
     pub max_open_submissions: usize,
-    /// Bytes of their payloads together. A submission that would go above it is refused as overloaded.
+    /// Maximal payload size of all open submissions together. A submission that would exceed it is refused as
+    /// overloaded.
     pub max_open_bytes: ByteSize,
-    /// Answered submissions kept so that a second arrival gets the first answer.
+    /// Maximal number of answered submissions kept, so that a duplicate gets the first answer.
     pub max_kept_answers: usize,
-    /// Bytes of their results together. Above it the oldest are forgotten; a second arrival is then told "unknown".
+    /// Maximal result size of all kept answers together. Above it the oldest are dropped, and a duplicate of such a
+    /// submission is answered "unknown".
     pub max_kept_bytes: ByteSize,
     /// How long an answer is kept.
     pub outcome_retention: Duration,
-    /// How long an unused ticket is good.
+    /// How long an unused ticket is valid.
     pub ticket_term: Duration,
-    /// Unused tickets at once.
+    /// Maximal number of unused tickets.
     pub max_tickets: usize,
-    /// What is refused at submission.
+    /// The admission rules for new submissions.
     pub admission: AdmissionSettings,
     /// How dispatchers are chosen.
     pub placement: PlacementSettings,
-    /// How run times are learned.
+    /// How run times are estimated.
     pub run_times: RunTimeSettings,
-    /// The budget of retries after refusals that tell of load.
+    /// The budget for retries after refusals that are caused by overload.
     pub retries: RetrySettings,
-    /// The first pause before a task is placed again after a refusal that tells of load.
+    /// Base of the exponential backoff before a task is placed again after a refusal that is caused by overload. The
+    /// first backoff lasts between one and two times this value.
     pub retry_backoff: Duration,
-    /// The longest such pause.
+    /// Upper bound of that backoff.
     pub max_retry_backoff: Duration,
-    /// How long submissions are still accepted after the last slot went out of reach. Endpoints of a dead dispatcher
-    /// have another owner within its suspect time; refusing meanwhile would turn away work that can be done in time.
+    /// How long submissions are still accepted after the last slot became unreachable. The endpoints of a dead
+    /// dispatcher get another owner within its suspect time; refusals in the meantime would turn away work that can be
+    /// done in time.
     pub capacity_grace: Duration,
-    /// The time that a lost dispatcher has to come back before what may have started there is given up.
+    /// How long a lost dispatcher may take to reconnect before attempts that may have started there are given up.
     pub reconnect_wait: Duration,
 }
 
--- a/crates/authority/src/ticket.rs
+++ b/crates/authority/src/ticket.rs
@@ -1,4 +1,4 @@
-//! Tickets: the right to run one request at this incarnation, once.
+//! Tickets: each is the right to run one request once at this incarnation.
 
 use std::{
     collections::VecDeque,
@@ -7,20 +7,20 @@
 
 use model::{CustomerId, FastMap};
 
-/// What a ticket is good for when it is presented.
+/// Status of a ticket when a request presents it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TicketStatus {
-    /// It was not used: the request may run under it.
+    /// The ticket is unused: the request may run under it.
     Unused,
-    /// A request came with it before: the second arrival gets that one's answer.
+    /// An earlier request used the ticket: the duplicate gets the answer of that request.
     Used,
-    /// It was issued to another customer.
+    /// The ticket was issued to another customer.
     WrongCustomer,
-    /// It is not known here: never issued, or forgotten. Whether a request ran under it cannot be said.
+    /// The ticket was never issued here, or it was dropped. Whether a request ran under it cannot be told.
     Unknown,
 }
 
-/// Unused tickets by serial, oldest first for expiry.
+/// Unused tickets by serial, and a queue of all in order of issue for expiry.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TicketTable {
     unused: FastMap<u64, CustomerId>,
--- a/crates/authority/src/waiting.rs
+++ b/crates/authority/src/waiting.rs
@@ -1,4 +1,4 @@
-//! Tasks that wait at the entry for room in their customer's concurrency.
+//! Tasks that wait at the entry for free concurrency of their customer.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -9,8 +9,8 @@
 
 use crate::DispatcherKey;
 
-/// A waiting task in the order of placement: the earliest deadline first, and tasks of one submission together,
-/// since a job answers with its last task.
+/// A waiting task. The order is that of placement: the earliest deadline first, and tasks of one submission together,
+/// since a job is answered with its last task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct WaitingTask {
     pub(crate) due: Instant,
@@ -22,15 +22,15 @@
 struct CustomerQueue {
     tasks: BTreeSet<WaitingTask>,
     limit: u32,
-    /// The most that the limit can grow to, where that is known.
+    /// The most that the limit can grow to, if known.
     max_limit: Option<u32>,
-    /// When the limit lapses; then nothing may be placed.
+    /// When the limit lapses. From then on nothing of the customer may be placed.
     limit_expires_at: Option<Instant>,
     in_flight: u32,
 }
 
-/// Waiting tasks by customer. A customer is looked at again only when something about it changed, so a pass costs
-/// what changed and not what waits.
+/// Waiting tasks by customer. A placement pass visits only customers for which something changed, so its cost grows
+/// with the changes and not with the waiting tasks.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WaitingTable {
     customers: FastMap<CustomerId, CustomerQueue>,
@@ -54,7 +54,8 @@
             .max_limit = Some(max_limit);
     }
 
-    /// The most that a customer can have at dispatchers at once: its share, or its limit where no share is known.
+    /// The most attempts that a customer can have at dispatchers at once: the maximum of its limit, or its limit while
+    /// no maximum is known.
     pub(crate) fn max_limit(&self, customer: &CustomerId) -> u32 {
         let queue = self.customers.get(customer);
         queue.map_or(0, |queue| queue.max_limit.unwrap_or(queue.limit))
@@ -66,13 +67,14 @@
         self.changed.insert(customer.clone());
     }
 
-    /// Puts a task aside until `until`; the pause is keyed by time so that waking costs what wakes.
+    /// Keeps a task in backoff until `until`. Such tasks are ordered by time, so that resuming costs only as much as
+    /// the tasks that resume.
     pub(crate) fn back_off(&mut self, customer: &CustomerId, until: Instant, task: WaitingTask) {
         let key = WaitingTask { due: until, ..task };
         self.backing_off.insert(key, customer.clone());
     }
 
-    /// Takes the tasks whose pause is over, as (customer, serial, task).
+    /// Removes and returns the tasks whose backoff is over, as (customer, serial, task).
     pub(crate) fn take_resumed(&mut self, now: Instant) -> Vec<(CustomerId, u64, TaskIndex)> {
         let mut resumed = Vec::new();
         while let Some(first) = self.backing_off.first_entry() {
@@ -104,7 +106,7 @@
         self.avoid.remove(&(task.serial, task.task))
     }
 
-    /// Takes the next task of a customer that has room.
+    /// Removes and returns the next task of a customer whose limit allows another attempt, and counts it as in flight.
     pub(crate) fn pop(&mut self, now: Instant, customer: &CustomerId) -> Option<WaitingTask> {
         let queue = self.customers.get_mut(customer)?;
         let lapsed = queue.limit_expires_at.is_some_and(|until| until <= now);
@@ -116,7 +118,7 @@
         Some(task)
     }
 
-    /// An attempt of the customer has ended or was withdrawn.
+    /// Releases the concurrency that an attempt of the customer used.
     pub(crate) fn release(&mut self, customer: &CustomerId) {
         if let Some(queue) = self.customers.get_mut(customer) {
             queue.in_flight = queue.in_flight.saturating_sub(1);
@@ -132,14 +134,14 @@
         }
     }
 
-    /// Customers to look at, in a fixed order so that a run can be repeated.
+    /// Removes and returns the customers for which something changed, sorted so that runs are deterministic.
     pub(crate) fn take_changed(&mut self) -> Vec<CustomerId> {
         let mut customers: Vec<_> = self.changed.drain().collect();
         customers.sort_unstable();
         customers
     }
 
-    /// Attempts in flight and tasks waiting, of one customer.
+    /// Number of attempts in flight and of waiting tasks of one customer.
     pub(crate) fn usage(&self, customer: &CustomerId) -> (u32, usize) {
         self.customers
             .get(customer)
