--- a/crates/authority/benches/authority.rs
+++ b/crates/authority/benches/authority.rs
@@ -16,7 +16,7 @@
 const RUN_TIME: Duration = Duration::from_millis(200);
 const DISPATCHERS: u64 = 3;
 
-/// An authority with submissions that are open and whose tasks run.
+/// An authority with open submissions whose tasks run.
 struct LoadedEntry {
     authority: TaskAuthority,
     now: Instant,
@@ -79,7 +79,7 @@
         let admitted = self.authority.submit(self.now, body, 0, terms, None);
         assert!(
             admitted.is_ok(),
-            "a refusal costs less than what is measured"
+            "the submission was refused, which costs less than the work to measure"
         );
         let mut attempts = Vec::with_capacity(tasks);
         for action in self.authority.take_actions() {
@@ -118,7 +118,7 @@
             let mut entry = LoadedEntry::new(&home, &kind, customers, open);
             let id = format!("{customers}-customers/{open}-open");
             group.bench_function(BenchmarkId::from_parameter(id), |b| {
-                // Time stands still, so the open submissions stay open.
+                // The clock does not advance, so the open submissions stay open.
                 b.iter(|| entry.run_job());
             });
         }
--- a/crates/authority/tests/held_bytes.rs
+++ b/crates/authority/tests/held_bytes.rs
@@ -1,4 +1,4 @@
-//! The bounds on the bytes that an entry holds.
+//! Bounds on the size of the caller data that an entry keeps in memory.
 
 use std::time::{Duration, Instant};
 
@@ -25,7 +25,7 @@
     authority
 }
 
-/// Submits a job of one task for each size, and gives its serial.
+/// Submits a job of one task for each size and returns its serial.
 fn submit(
     authority: &mut TaskAuthority,
     now: Instant,
@@ -76,9 +76,9 @@
 
 #[test]
 fn payloads_over_the_bound_are_refused_until_an_answer_frees_room() {
-    // Callers send jobs of many MB faster than they can be answered. What comes over the bound is refused as
-    // overloaded, and runs when it comes again after an answer: held without a bound, the payloads would end the
-    // process and every caller's answer with it.
+    // Callers send jobs of many MB faster than they can be answered. Jobs above the bound are refused as overloaded,
+    // and are accepted again once an answer or a cancellation has freed bytes. Without the bound, the payloads would
+    // end the process, and every caller on it would lose its answer.
     let now = Instant::now();
     let settings = AuthoritySettings {
         max_open_bytes: ByteSize(1_000),
@@ -102,9 +102,9 @@
 }
 
 #[test]
-fn the_oldest_results_are_forgotten_above_the_bound() {
-    // Large answers come faster than their keeping time ends. The oldest are forgotten, and a second arrival of such
-    // a request is told "unknown" and never runs again: kept without a bound, they would end the process.
+fn the_oldest_results_are_dropped_above_the_bound() {
+    // Large results arrive faster than their retention ends. The oldest are dropped, and a duplicate of such a request
+    // is answered "unknown" and never runs again. Without the bound, the kept results would end the process.
     let now = Instant::now();
     let settings = AuthoritySettings {
         max_kept_bytes: ByteSize(1_000),
--- a/crates/authority/tests/large_batches.rs
+++ b/crates/authority/tests/large_batches.rs
@@ -26,9 +26,10 @@
 
 #[test]
 fn a_batch_of_large_payloads_leaves_in_parts() {
-    // The session with the only dispatcher is lost, jobs of 24 MB come, and a new session opens. Their offers leave
-    // together, in messages of at most a MiB; in one they would pass the reader's limit, and no session could carry it.
-    // A withdrawal afterwards names the last part, so that the dispatcher confirms nothing that may still come.
+    // The session with the only dispatcher is lost, jobs of 24 MB each arrive, and a new session opens. Their offers
+    // leave together, in messages of at most 1 MiB; one message of all would exceed the reader's limit, and no session
+    // could carry it. A withdrawal afterwards names the last part, so that the dispatcher confirms nothing that may
+    // still arrive.
     let now = Instant::now();
     let data_centre: DataCentreId = "hall".parse().expect("an id");
     let settings = AuthoritySettings::default();
--- a/crates/authority/tests/limits.rs
+++ b/crates/authority/tests/limits.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// An authority with a dispatcher of many free slots.
+/// An authority and one dispatcher with many free slots.
 fn authority(now: Instant) -> TaskAuthority {
     let data_centre: DataCentreId = "hall".parse().unwrap();
     let mut authority = TaskAuthority::new(
@@ -51,8 +51,8 @@
     authority.submit(now, job(tasks), 0, terms, None).unwrap();
 }
 
-// The caller's task waits, although there are free slots. The entry is paused, its limit lapses and goes to another
-// entry; on thawing, the submission that lay in its socket is placed only when there is a new limit.
+// The entry is paused while its limit lapses and goes to another entry. A submission that it reads from its socket
+// afterwards is placed only when there is a new limit, although there are free slots.
 #[test]
 fn nothing_is_placed_on_a_lapsed_limit() {
     let now = Instant::now();
@@ -61,7 +61,7 @@
     authority.set_limit_until(now, &customer(), 5, Some(until));
     submit(&mut authority, now, 1);
     assert_eq!(authority.usage(&customer()), (1, 0));
-    // The dispatcher answers; one that leaves an offer without any word gets no more.
+    // The dispatcher replies, because one that leaves an offer without any reply gets no more.
     let (attempt, ..) = authority.attempts()[0];
     authority.on_offer_replies(now, &[(attempt, TaskVerdict::Started)]);
     authority.on_slots(
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_lower_limit_holds_what_waits() {
+fn a_lower_limit_keeps_tasks_waiting() {
     let now = Instant::now();
     let mut authority = authority(now);
     authority.set_limit_until(now, &customer(), 3, None);
--- a/crates/authority/tests/load/admission.rs
+++ b/crates/authority/tests/load/admission.rs
@@ -1,4 +1,4 @@
-//! What is refused at submission, with when to come back, and what is not.
+//! Which submissions are refused, with which retry-after, and which are not.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 
 use crate::simulation::{ms, Job, Simulation, HOME};
 
-/// A contract under which nothing is refused for the sake of others.
+/// A contract under which nothing is refused for the sake of other customers.
 fn strict() -> Contract {
     Contract {
         may_refuse: RefusableWork::Nothing,
@@ -14,7 +14,7 @@
     }
 }
 
-/// Lets the kind's run time be measured.
+/// Runs a job so that the run time of its kind is measured.
 fn warm_up(simulation: &mut Simulation, customer: &'static str) {
     let job = Job {
         customer,
@@ -41,17 +41,17 @@
     name: &'static str,
     limit: u32,
     run_time: Duration,
-    /// Jobs of 8 tasks at once, each due within 2 s, on 8 slots.
+    /// Number of jobs submitted at once, of 8 tasks each and due within 2 s, on 8 slots.
     jobs: usize,
     reason: RefusalReason,
     refused: std::ops::RangeInclusive<usize>,
     comes_back: bool,
 }
 
-/// What the callers see: those that cannot be in time are refused at once and told when to come back, and each that was
-/// accepted is complete in time. Where coming back does not help they are told so.
+/// Jobs that cannot be in time are refused at once with a retry-after, and each accepted job completes in time. A job
+/// that can never be in time is refused without a retry-after.
 #[test]
-fn a_burst_is_cut_to_what_can_be_in_time() {
+fn a_burst_is_limited_to_jobs_that_can_be_in_time() {
     let cases = [
         RefusalCase {
             name: "within the slots",
@@ -121,10 +121,10 @@
     }
 }
 
-/// What the callers see: the one far over its limit is refused, the other gets every answer in time. What happens: the
-/// big one submits 60 jobs at once, all slots and the queue are its own, then the small one comes.
+/// One customer submits 60 jobs at once, so all slots and the queue are its own; then a small customer submits. The
+/// first is refused most of its jobs, and the second gets every answer in time.
 #[test]
-fn a_customer_far_over_its_limit_leaves_the_other_in_time() {
+fn a_customer_far_over_its_limit_does_not_delay_another() {
     let mut simulation = Simulation::new(strict());
     simulation.set_limit("big", 8);
     simulation.set_limit("small", 8);
@@ -161,7 +161,7 @@
     );
 }
 
-/// What the callers see: while run times are not measured, wrong declarations refuse nothing that fits.
+/// While run times are not measured, wrong declarations cause no refusal of work that fits.
 #[test]
 fn declared_times_off_by_a_hundredfold_refuse_nothing() {
     for declared in [ms(2), ms(200), ms(20_000)] {
@@ -186,10 +186,9 @@
     }
 }
 
-/// What the callers see: work that waits for slots which just went is not refused for want of slots until the grace is
-/// over.
+/// When all slots have just become unreachable, submissions are refused for lack of slots only after the grace.
 #[test]
-fn without_slots_for_a_moment_work_is_still_accepted() {
+fn submissions_are_accepted_within_the_grace_without_slots() {
     let mut simulation = Simulation::new(strict());
     simulation.set_limit("school", 40);
     let number = simulation.add_dispatcher(8, HOME);
@@ -205,7 +204,7 @@
     assert!(refusal.retry_after.is_some());
 }
 
-/// What the callers see: the sums come back to nothing, so an idle system takes a full burst again and again.
+/// Ended and cancelled work is subtracted from the load, so an idle system accepts a full burst again and again.
 #[test]
 fn ended_work_is_not_counted() {
     let mut simulation = Simulation::new(strict());
@@ -230,10 +229,10 @@
     }
 }
 
-/// What the caller sees: short work is accepted beside long tasks that have slots of their own. Only what has not
-/// started is in its way.
+/// Short work is accepted beside long tasks that have slots of their own, because only tasks that have not started
+/// delay it.
 #[test]
-fn running_tasks_are_not_waited_for() {
+fn running_tasks_do_not_add_to_the_predicted_wait() {
     let mut simulation = Simulation::new(strict());
     simulation.set_limit("school", 400);
     simulation.add_dispatcher(16, HOME);
@@ -258,11 +257,10 @@
         .expect("half of the slots are free");
 }
 
-/// What the callers see: a burst of short jobs is complete, though it is five times the slots; what comes on top of an
-/// overload that lasts is refused, as the contract allows. What happens: jobs of tasks that hold all slots for seconds
-/// come in again and again.
+/// A burst of short jobs completes, though it is five times the slots. Then jobs whose tasks occupy all slots for
+/// seconds arrive again and again; what exceeds such a lasting overload is refused, as the contract allows.
 #[test]
-fn a_burst_is_no_overload_and_a_lasting_one_is() {
+fn a_burst_is_not_overload_but_a_lasting_excess_is() {
     let mut simulation = Simulation::new(Contract::default());
     simulation.set_limit("school", 400);
     simulation.add_dispatcher(4, HOME);
--- a/crates/authority/tests/load/main.rs
+++ b/crates/authority/tests/load/main.rs
@@ -1,4 +1,4 @@
-//! The authority under load, in virtual time: what callers get, and how many messages it costs.
+//! Load tests of the authority in virtual time: what callers get, and how many messages it costs.
 
 mod admission;
 mod placement;
--- a/crates/authority/tests/load/placement.rs
+++ b/crates/authority/tests/load/placement.rs
@@ -1,4 +1,4 @@
-//! Where tasks go.
+//! Choice of the dispatcher for a task.
 
 use authority::DispatcherKey;
 use model::{Contract, RefusableWork, RetryReason, SubmissionOutcome};
@@ -29,41 +29,41 @@
     /// Slots and data centre of each dispatcher.
     dispatchers: &'static [(usize, &'static str)],
     tasks: usize,
-    /// Offers at each.
+    /// Number of offers at each dispatcher.
     offers: &'static [std::ops::RangeInclusive<usize>],
 }
 
-/// What the caller sees: its tasks start at once while any dispatcher has free slots, at home first. Another data centre
-/// gets what would wait here for longer than the way there and back, as far as its spare slots go.
+/// Tasks start at once while any dispatcher has free slots, in the home data centre first. Another data centre gets the
+/// tasks that would wait at home for longer than the round trip, as far as its spare slots go.
 #[test]
 fn a_job_goes_to_free_slots_at_home_first() {
     let cases = [
         PlacementCase {
-            name: "unequal room",
+            name: "unequal numbers of slots",
             dispatchers: &[(4, HOME), (12, HOME)],
             tasks: 16,
             offers: &[4..=4, 12..=12],
         },
         PlacementCase {
-            name: "home has room",
+            name: "free slots at home",
             dispatchers: &[(8, HOME), (100, REMOTE)],
             tasks: 8,
             offers: &[8..=8, 0..=0],
         },
         PlacementCase {
-            name: "the rest goes away, but leaves a fifth there",
+            name: "the rest goes to the other data centre, but leaves a fifth free there",
             dispatchers: &[(8, HOME), (10, REMOTE)],
             tasks: 30,
             offers: &[22..=22, 8..=8],
         },
         PlacementCase {
-            name: "no home",
+            name: "no dispatcher at home",
             dispatchers: &[(10, REMOTE)],
             tasks: 12,
             offers: &[12..=12],
         },
         PlacementCase {
-            name: "no slots at one",
+            name: "one dispatcher without slots",
             dispatchers: &[(0, HOME), (4, HOME)],
             tasks: 8,
             offers: &[0..=0, 8..=8],
@@ -93,10 +93,10 @@
     }
 }
 
-/// What the caller sees: its task runs at the second try. What happens: the dispatcher with most free slots turns it
-/// away; it looks as free as before and would draw the task again.
+/// The dispatcher with the most free slots refuses a task. It looks as free as before and would be chosen again; the
+/// second attempt has to go to the other dispatcher.
 #[test]
-fn the_one_that_refused_is_passed_over() {
+fn a_dispatcher_that_refused_a_task_is_avoided() {
     let mut simulation = simulation();
     let large = simulation.add_dispatcher(1_000, HOME);
     simulation.add_dispatcher(1, HOME);
@@ -117,11 +117,11 @@
     );
 }
 
-/// What the caller sees: a late start and not a refusal, while nobody can be chosen. What happens: the only dispatcher
-/// stops; tasks wait; another one comes, or its slots do.
+/// While no dispatcher can be chosen, tasks wait and are not refused. The only dispatcher stops; the tasks start when
+/// another one opens a session with slots or reports slots later.
 #[test]
-fn tasks_wait_while_there_is_no_choice() {
-    for comes_with in [8, 0] {
+fn tasks_wait_while_no_dispatcher_can_be_chosen() {
+    for initial_slots in [8, 0] {
         let mut simulation = simulation();
         let first = simulation.add_dispatcher(8, HOME);
         simulation.authority.tick(simulation.now);
@@ -138,7 +138,7 @@
             0,
             "a stopping dispatcher gets nothing"
         );
-        let second = simulation.add_dispatcher(comes_with, HOME);
+        let second = simulation.add_dispatcher(initial_slots, HOME);
         simulation.dispatchers[second].slots = 8;
         simulation.report_slots();
         assert_eq!(offer_counts(&simulation), [0, 8]);
@@ -151,8 +151,8 @@
     }
 }
 
-/// What the caller sees: its job goes on at the others. What happens: a dispatcher freezes; it takes offers and says
-/// nothing. Its slots look free until its session is given up, and would draw one burst after another.
+/// A dispatcher freezes: it accepts offers and does not reply. Its slots look free until its session is given up, and
+/// would attract one burst after another. The job has to continue at the other dispatchers.
 #[test]
 fn a_silent_dispatcher_gets_no_second_burst() {
     let mut simulation = simulation();
@@ -177,10 +177,10 @@
     );
 }
 
-/// What the caller sees: tasks that wait start when the dispatcher speaks again. What happens: the only dispatcher is
-/// silent, so nobody can be chosen; then its next word comes, with the slots that it had before.
+/// The only dispatcher is silent, so no dispatcher can be chosen. The waiting tasks are placed on its next report,
+/// although it has the same slots as before.
 #[test]
-fn tasks_that_wait_for_a_silent_dispatcher_go_on_its_next_word() {
+fn tasks_that_wait_for_a_silent_dispatcher_are_placed_on_its_next_report() {
     let mut simulation = simulation();
     simulation.add_dispatcher(20, HOME);
     simulation.dispatchers[0].frozen = true;
@@ -203,10 +203,10 @@
     );
 }
 
-/// What the caller sees: its tasks do not queue behind others that are on their way. What happens: a dispatcher's hint
-/// crosses with offers, which it cannot have counted, and makes it look empty.
+/// The slot counts of a dispatcher cross with offers that it cannot have counted, and make it look empty. Further tasks
+/// must not queue behind the offers in transit.
 #[test]
-fn offers_on_their_way_count_on_top_of_a_hint() {
+fn offers_in_transit_count_on_top_of_reported_slots() {
     let mut simulation = simulation();
     simulation.add_dispatcher(8, HOME);
     simulation.add_dispatcher(8, HOME);
@@ -225,8 +225,8 @@
     assert!(offers[0] < 15, "{offers:?}");
 }
 
-/// What the caller sees: tasks stay at home while there is room. What happens: the answer to an offer brings a hint that
-/// counts its tasks; counted as unanswered too, they would fill twice the slots.
+/// The reply to an offer comes with slot counts that include its tasks. Counted as unanswered too, they would fill
+/// twice the slots, and tasks would leave the home data centre although it has room.
 #[test]
 fn answered_offers_count_once() {
     let mut simulation = simulation();
--- a/crates/authority/tests/load/predicted_late.rs
+++ b/crates/authority/tests/load/predicted_late.rs
@@ -1,4 +1,4 @@
-//! Work that waits and can no longer be in time is answered at once.
+//! Waiting work that can no longer be in time is refused at once.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
     simulation
 }
 
-/// When the submission was refused as late, after its arrival.
+/// Time from the start until the submission was refused as predicted late; `None` for any other answer.
 fn refused_after(simulation: &Simulation, serial: u64) -> Option<Duration> {
     let (at, outcome) = &simulation.answers[&serial];
     let SubmissionOutcome::Refused {
@@ -32,17 +32,16 @@
 
 struct PredictedLateCase {
     name: &'static str,
-    /// How long the three tasks run that hold all of the customer's concurrency.
+    /// Run time of the three tasks that use all of the customer's concurrency.
     blocking_run_time: Duration,
-    /// When the waiting submission is refused; `None` when it is complete.
+    /// Bounds of the time at which the waiting submission is refused; `None` when it completes.
     refused: Option<(Duration, Duration)>,
 }
 
-/// What the caller sees: a refusal with when to come back, two seconds before the deadline and not at it. What happens:
-/// tasks of the kind took 2 s until now; three of them hold the customer's concurrency for longer than ever, and one
-/// more, due in 5 s, waits behind them.
+/// Tasks of the kind took 2 s until now. Three of them use the customer's concurrency for longer than ever, and one
+/// more, due in 5 s, waits behind them. It is refused with a retry-after two seconds before its deadline and not at it.
 #[test]
-fn what_waits_too_long_is_refused_when_it_cannot_be_in_time_any_more() {
+fn a_waiting_task_is_refused_once_it_cannot_be_in_time() {
     let cases = [
         PredictedLateCase {
             name: "in time after the usual wait",
@@ -63,16 +62,16 @@
     for case in cases {
         let mut simulation = simulation();
         simulation.run_times.insert("hold", ms(2_000));
-        let warm = Job {
+        let three_tasks = Job {
             tasks: 3,
             deadline: ms(9_000),
             ..Job::default()
         };
-        simulation.submit(&warm).expect("admitted");
+        simulation.submit(&three_tasks).expect("admitted");
         simulation.advance(ms(3_000));
         simulation.start = simulation.now;
         simulation.run_times.insert("hold", case.blocking_run_time);
-        simulation.submit(&warm).expect("admitted");
+        simulation.submit(&three_tasks).expect("admitted");
         simulation.run_times.insert("hold", ms(2_000));
         let serial = simulation.submit(&Job::default()).expect("admitted");
         simulation.advance(ms(9_000));
@@ -91,11 +90,11 @@
     }
 }
 
-/// What the caller sees: a refusal when the slots get free, and not a start that ends too late. What happens: nothing is
-/// known of a new kind; its first three tasks take 3 s, and what waited behind them is due 2 s later. The first two ends
-/// are too few to go by and let two more start; from the third on nothing does.
+/// The run time of a new kind is unknown. Its first three tasks take 3 s, and the tasks that wait behind them are due 2
+/// s later. The first two ends are too few for an estimate and let two more tasks start; from the third end on, waiting
+/// tasks are refused when a slot gets free, instead of starting and ending too late.
 #[test]
-fn a_free_slot_does_not_go_to_what_would_end_too_late() {
+fn a_free_slot_does_not_go_to_a_task_that_would_end_too_late() {
     let mut simulation = simulation();
     simulation.run_times.insert("report", ms(3_000));
     let job = Job {
--- a/crates/authority/tests/load/retries.rs
+++ b/crates/authority/tests/load/retries.rs
@@ -1,4 +1,4 @@
-//! Retries are bounded by what the customer has saved up.
+//! Retries are bounded by the retry budget of the customer.
 
 use model::{Contract, RefusalReason, RetryReason, SubmissionOutcome};
 
@@ -8,36 +8,36 @@
     name: &'static str,
     retry_percent: u32,
     refusal: RetryReason,
-    /// Offers for 200 single tasks within a tenth of a second.
+    /// Number of offers for 200 single tasks within a tenth of a second.
     offers: std::ops::RangeInclusive<usize>,
 }
 
-/// What the caller sees: refusals with when to come back, soon after the budget is spent. What happens: every offer is
-/// turned away as busy, each task would be tried eight times, and the messages would grow eightfold while the
-/// endpoints have the least time for them.
+/// Every offer is refused as busy. Without a budget, each task would be tried eight times, and the messages would grow
+/// eightfold while the endpoints have the least time for them. The callers get refusals with a retry-after soon after
+/// the budget is spent.
 #[test]
-fn a_storm_of_busy_answers_costs_little_more_than_the_first_offers() {
+fn repeated_busy_replies_cost_few_offers_beyond_the_first() {
     let cases = [
         RetryCase {
-            name: "no retries but the floor",
+            name: "no retries but the initial ones and the floor",
             retry_percent: 0,
             refusal: RetryReason::EndpointBusy,
             offers: 240..=243,
         },
         RetryCase {
-            name: "a fifth",
+            name: "retries for a fifth of the tasks",
             retry_percent: 20,
             refusal: RetryReason::EndpointBusy,
             offers: 240..=283,
         },
         RetryCase {
-            name: "a full queue tells of load too",
+            name: "a full queue is overload too",
             retry_percent: 20,
             refusal: RetryReason::QueueFull,
             offers: 240..=283,
         },
         RetryCase {
-            name: "an unreachable endpoint too",
+            name: "an unreachable endpoint is overload too",
             retry_percent: 20,
             refusal: RetryReason::EndpointUnreachable,
             offers: 240..=283,
@@ -73,8 +73,8 @@
     }
 }
 
-/// What the caller sees: its job is complete although its first dispatcher is stopping. The refusal tells of a change
-/// and not of load, so it costs nothing of the budget: here there is none.
+/// A job completes although its first dispatcher is stopping. Such a refusal comes from a change and not from overload,
+/// so it costs nothing of the budget, to which the contract adds nothing here.
 #[test]
 fn a_stopping_dispatcher_costs_no_budget() {
     let mut simulation = Simulation::new(Contract {
@@ -100,10 +100,10 @@
     );
 }
 
-/// What the caller sees: a request of one customer is served after a moment, while much of another's work is refused.
-/// What happens: endpoints are busy for a moment, and the one with much work spends its budget; the other has its own.
+/// Endpoints are busy for a moment, and a customer with much work spends its retry budget, so much of its work is
+/// refused. Another customer has a budget of its own, and its request is served after a moment.
 #[test]
-fn a_spent_budget_leaves_others_alone() {
+fn a_spent_budget_does_not_affect_other_customers() {
     let mut simulation = Simulation::new(Contract {
         retry_percent: 0,
         ..Contract::default()
@@ -134,8 +134,8 @@
             SubmissionOutcome::Complete(_)
         )
     };
-    assert!(complete(serial), "what had started runs to its end");
-    assert!(complete(served), "everybody has a budget");
+    assert!(complete(serial), "a started job runs to its end");
+    assert!(complete(served), "each customer has a budget");
     assert_eq!(simulation.authority.usage(&customer("noisy")), (0, 0));
     let mut refused = 0;
     for (_, outcome) in simulation.answers.values() {
--- a/crates/authority/tests/load/run_times.rs
+++ b/crates/authority/tests/load/run_times.rs
@@ -1,4 +1,4 @@
-//! Expected run times are those measured, whatever is declared.
+//! Expected run times are the measured ones, whatever is declared.
 
 use std::time::Duration;
 
@@ -12,10 +12,10 @@
     ran: Duration,
 }
 
-/// What the dispatcher sees: its fair queue bills by the expected run time. What happens: callers declare a hundredth
-/// or a hundredfold of what their tasks take; after a few ends the offers name what was measured.
+/// The fair queue of a dispatcher charges by the expected run time. Callers declare a hundredth or a hundredfold of
+/// what their tasks take; after a few ends the offers carry the measured run time.
 #[test]
-fn offers_name_the_measured_run_time_after_a_few_ends() {
+fn offers_carry_the_measured_run_time_after_a_few_ends() {
     let cases = [
         RunTimeCase {
             name: "declared a hundred times too long",
@@ -53,10 +53,10 @@
     }
 }
 
-/// What the dispatcher sees: tasks that outlive their deadline are expected to be slow the next time. What happens:
-/// their submission has its answer when they end, and their run time counts all the same.
+/// Tasks end after their deadline, when their submission has been answered. Their run time counts all the same, and the
+/// kind is expected to be slow the next time.
 #[test]
-fn tasks_that_outlive_their_submission_count() {
+fn run_times_of_tasks_that_outlive_their_submission_count() {
     let mut simulation = Simulation::new(Contract::default());
     simulation.set_limit("school", 40);
     simulation.add_dispatcher(8, HOME);
--- a/crates/authority/tests/load/simulation.rs
+++ b/crates/authority/tests/load/simulation.rs
@@ -1,4 +1,4 @@
-//! One authority and dispatchers with slots, in virtual time. Messages take no time and none is lost.
+//! One authority and dispatchers with slots, simulated in virtual time. Messages take no time and none is lost.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -62,14 +62,14 @@
     }
 }
 
-/// A dispatcher that runs tasks in its slots and keeps the others in the order of their coming.
+/// A dispatcher that runs tasks in its slots and queues the others in order of arrival.
 pub(crate) struct Dispatcher {
     pub(crate) key: DispatcherKey,
     pub(crate) session: SessionId,
     pub(crate) slots: usize,
-    /// Turns every offer away.
+    /// The reason with which every offer is refused, if any.
     pub(crate) refusal: Option<RetryReason>,
-    /// Takes offers and says nothing.
+    /// Whether it accepts offers without replying.
     pub(crate) frozen: bool,
     pub(crate) offers: Vec<TaskOffer>,
     running: BTreeSet<(Instant, AttemptId, Duration)>,
@@ -102,12 +102,12 @@
 
 pub(crate) struct Simulation {
     pub(crate) now: Instant,
-    /// From where answer times are counted.
+    /// The time from which answer times are counted.
     pub(crate) start: Instant,
     pub(crate) authority: TaskAuthority,
     pub(crate) contract: Contract,
     pub(crate) dispatchers: Vec<Dispatcher>,
-    /// How long tasks of a kind run.
+    /// Run time of the tasks of each kind.
     pub(crate) run_times: BTreeMap<&'static str, Duration>,
     /// Answers by serial, with their times.
     pub(crate) answers: BTreeMap<u64, (Instant, SubmissionOutcome)>,
@@ -157,7 +157,7 @@
         self.authority.set_limit(self.now, &customer(name), limit);
     }
 
-    /// Submits a job; `Ok` has the serial.
+    /// Submits a job and returns its serial.
     pub(crate) fn submit(&mut self, job: &Job) -> Result<u64, SubmissionRefusal> {
         let terms = Some((&self.contract, ContractVersion(1)));
         let admitted = self
@@ -175,7 +175,7 @@
         offers
     }
 
-    /// Lets the time pass, with all that happens in it.
+    /// Advances the time and handles every event in it.
     pub(crate) fn advance(&mut self, time: Duration) {
         let until = self.now + time;
         self.flush();
@@ -196,7 +196,7 @@
         self.now = until;
     }
 
-    /// Each dispatcher tells how its slots stand, as pings do.
+    /// Every dispatcher that is not frozen reports its slot counts, as with a ping.
     pub(crate) fn report_slots(&mut self) {
         for dispatcher in &self.dispatchers {
             if dispatcher.frozen {
--- a/crates/authority/tests/moving.rs
+++ b/crates/authority/tests/moving.rs
@@ -1,4 +1,4 @@
-//! Tasks that leave a queue for a free slot elsewhere.
+//! Moves of queued tasks to free slots at another dispatcher.
 
 use std::time::{Duration, Instant};
 
@@ -8,10 +8,10 @@
     SlotCounts, SubmissionBody, SubmissionKind, TaskBody, TaskVerdict,
 };
 
-/// Two dispatchers; the first has `free` slots and the second `beside`, of four each.
+/// Two dispatchers of four slots each, of which the first has `free` ones free and the second `beside`.
 fn check(move_queued: bool, free: u32, beside: u32, expect_moves: usize) {
-    // Another entry took the first dispatcher's slots a moment ago, so the job's tasks are queued there. The caller sees
-    // its job wait for a whole run time, although the second dispatcher may have slots free.
+    // Another entry took the first dispatcher's slots a moment ago, so the job's tasks are queued there. Unless they
+    // move, the job waits for a whole run time although the second dispatcher may have slots free.
     let now = Instant::now();
     let data_centre: DataCentreId = "hall".parse().expect("an id");
     let mut authority = TaskAuthority::new(
@@ -61,7 +61,11 @@
         .submit(now, body, 0, Some((&contract, ContractVersion(1))), None)
         .expect("admitted");
     let offered = offers(&mut authority, first);
-    assert_eq!(offered.len(), 3, "all go where the slots were");
+    assert_eq!(
+        offered.len(),
+        3,
+        "all tasks go to the dispatcher that had free slots"
+    );
     authority.on_slots(now, second, slots(beside));
     authority.on_slots(now, first, slots(free));
     let verdicts: Vec<_> = offered
--- a/crates/authority/tests/withdrawal.rs
+++ b/crates/authority/tests/withdrawal.rs
@@ -9,10 +9,10 @@
 };
 
 #[test]
-fn a_verdict_after_an_unconfirmed_withdrawal_still_counts() {
-    // A job is cancelled while its offer is on the way. The dispatcher reads the withdrawal first and can confirm
-    // nothing; then it queues the offer and says so. If that is passed over, the customer's concurrency is held for a
-    // task that never starts: the caller sees its other work wait for ever.
+fn an_offer_reply_after_an_unconfirmed_withdrawal_still_counts() {
+    // A job is cancelled while its offer is in transit. The dispatcher reads the withdrawal first and can confirm
+    // nothing; then it queues the offer and replies to it. If that reply is ignored, the task uses the customer's
+    // concurrency without ever starting, and the customer's other work waits for ever.
     let now = Instant::now();
     let data_centre: DataCentreId = "hall".parse().expect("an id");
     let mut authority = TaskAuthority::new(
@@ -54,5 +54,5 @@
     let withdrawn = actions
         .iter()
         .any(|action| matches!(action, AuthorityAction::Withdraw { .. }));
-    assert!(withdrawn, "the reservation is taken back: {actions:?}");
+    assert!(withdrawn, "the reservation is withdrawn: {actions:?}");
 }
