--- a/crates/authority/src/authority.rs
+++ b/crates/authority/src/authority.rs
@@ -59,7 +59,7 @@
     incarnation: IncarnationId,
     next_serial: u64,
     records: FastMap<u64, SubmissionRecord>,
-    open: usize,
+    open_count: usize,
     memory: MemoryUsage,
     deadlines: BTreeSet<(Instant, u64)>,
     /// The next deadline check of each submission with waiting tasks, by time.
@@ -98,7 +98,7 @@
             incarnation,
             next_serial: 1,
             records: FastMap::default(),
-            open: 0,
+            open_count: 0,
             memory: MemoryUsage::default(),
             deadlines: BTreeSet::new(),
             deadline_checks: BTreeSet::new(),
@@ -183,7 +183,7 @@
         }
         self.memory.add_open(&record);
         self.records.insert(serial, record);
-        self.open += 1;
+        self.open_count += 1;
         self.deadlines.insert((due, serial));
         self.place(now);
         self.schedule_deadline_check(now, serial);
@@ -336,7 +336,7 @@
 
     /// Number of submissions without an answer.
     pub fn open_submissions(&self) -> usize {
-        self.open
+        self.open_count
     }
 
     /// Number of attempts that dispatchers may hold, including those of answered submissions.
--- a/crates/authority/src/authority/admission.rs
+++ b/crates/authority/src/authority/admission.rs
@@ -58,7 +58,7 @@
         // cheap and tells the caller when to try again.
         let bytes: u64 = body.tasks.iter().map(|task| task.payload.size().0).sum();
         let large = self.memory.open_payloads.0 + bytes > self.settings.max_open_bytes.0;
-        if large || self.open >= self.settings.max_open_submissions {
+        if large || self.open_count >= self.settings.max_open_submissions {
             let reason = RefusalReason::Overloaded;
             return Err(SubmissionRefusal::temporary(reason, RETRY_AFTER));
         }
--- a/crates/authority/src/authority/replies.rs
+++ b/crates/authority/src/authority/replies.rs
@@ -19,7 +19,7 @@
 /// Number of attempts of one task after which a refusal caused by overload is final, whatever its customer has saved up
 /// in its retry budget. A task that eight dispatchers have refused, with growing backoff in between, meets an overload
 /// that another try would only increase. Without the bound one such task could spend the budget of all others.
-const MAX_LOAD_RETRIES: u32 = 8;
+const MAX_OVERLOAD_ATTEMPTS: u32 = 8;
 
 /// Number of tasks over which the mean run time is taken: about two usual jobs. The mean then follows a change of the
 /// mix within a second, and one long task does not send the next ones to another data centre.
@@ -316,7 +316,7 @@
         // If the endpoints refuse every task, each refusal causes another placement, and the overload feeds itself. The
         // budget bounds placements to the first ones plus the contract's percentage.
         let granted = !consumes_retry_budget(reason) || self.retry_budget.try_retry(now, &customer);
-        if attempts >= MAX_LOAD_RETRIES || !granted {
+        if attempts >= MAX_OVERLOAD_ATTEMPTS || !granted {
             self.finish_not_placed(now, serial, RefusalReason::RetryBudgetSpent);
             return;
         }
--- a/crates/authority/src/authority/termination.rs
+++ b/crates/authority/src/authority/termination.rs
@@ -244,7 +244,7 @@
         if let Some(check_at) = record.check_at.take() {
             self.deadline_checks.remove(&(check_at, serial));
         }
-        self.open -= 1;
+        self.open_count -= 1;
         self.kept_answers.push_back((now, serial));
         self.actions.push(AuthorityAction::Answer { id, outcome });
         self.emit_event(AuthorityEvent::Answered(id));
