--- a/crates/authority/src/authority.rs
+++ b/crates/authority/src/authority.rs
@@ -61,9 +61,11 @@
     records: FastMap<u64, SubmissionRecord>,
     open_count: usize,
     memory: MemoryUsage,
+    /// The deadline and serial of each open submission.
     deadlines: BTreeSet<(Instant, u64)>,
     /// The next deadline check of each submission with waiting tasks, by time.
     deadline_checks: BTreeSet<(Instant, u64)>,
+    /// The answer time and serial of each answered submission that is kept, the oldest first.
     kept_answers: VecDeque<(Instant, u64)>,
     tickets: TicketTable,
     attempts: AttemptTable,
--- a/crates/authority/src/authority/admission.rs
+++ b/crates/authority/src/authority/admission.rs
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Counts a task as started in its customer's load, as far as its dispatcher has told.
+    /// Counts a task as started in its customer's load, as far as its dispatcher's messages tell.
     pub(super) fn mark_started(&mut self, now: Instant, attempt: AttemptId) {
         let Some(record) = self.records.get_mut(&attempt.submission.serial) else {
             return;
@@ -143,7 +143,7 @@
     }
 
     fn expected_work(&self, now: Instant, body: &SubmissionBody) -> ExpectedWork {
-        // The more tasks there are, the rarer is the long run time that one of them may well have.
+        // The quantile rises with the number of tasks: among many, one may well have a rare, long run time.
         let quantile = 1.0 - (1.0 - SLOW_RUN_QUANTILE) / body.tasks.len().max(1) as f64;
         let mut work = ExpectedWork {
             run_times: Vec::with_capacity(body.tasks.len()),
--- a/crates/authority/src/authority/predicted_late.rs
+++ b/crates/authority/src/authority/predicted_late.rs
@@ -13,7 +13,7 @@
 /// A submission with less time left until its deadline is not checked any more: the deadline itself comes as soon.
 const MIN_TIME_TO_CHECK: Duration = Duration::from_millis(20);
 
-/// Retry-after of such a refusal, before jitter. By then other tasks run in the slots that were missing.
+/// Retry-after of a submission predicted late, before jitter. By then other tasks run in the slots that were missing.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// The most that jitter adds to the retry-after, as a fraction of it, so that submissions refused together do not come
--- a/crates/authority/src/authority/replies.rs
+++ b/crates/authority/src/authority/replies.rs
@@ -31,9 +31,9 @@
 impl TaskAuthority {
     /// Handles a dispatcher's replies to offers.
     pub fn on_offer_replies(&mut self, now: Instant, replies: &[(AttemptId, TaskVerdict)]) {
-        // All tasks that a refused batch returned are set to waiting before any of them is decided on. A job that is
-        // given up at its first task would otherwise count the others as possibly started, and be answered "failed"
-        // instead of "refused".
+        // All refused tasks of a batch are set to waiting before any of them is decided on. A job that is given up at
+        // its first task would otherwise count the others as possibly started, and be answered "failed" instead of
+        // "refused".
         let mut not_run = Vec::new();
         let mut moved = Vec::new();
         for (attempt, reply) in replies {
--- a/crates/authority/src/waiting.rs
+++ b/crates/authority/src/waiting.rs
@@ -36,6 +36,7 @@
     customers: FastMap<CustomerId, CustomerQueue>,
     changed: FastSet<CustomerId>,
     backing_off: BTreeMap<WaitingTask, CustomerId>,
+    /// The dispatcher that last refused a task, by the serial and index of the task.
     avoid: FastMap<(u64, TaskIndex), DispatcherKey>,
 }
 
--- a/crates/authority/tests/load/predicted_late.rs
+++ b/crates/authority/tests/load/predicted_late.rs
@@ -90,9 +90,9 @@
     }
 }
 
-/// The run time of a new kind is unknown. Its first three tasks take 3 s, and the tasks that wait behind them are due 2
-/// s later. The first two ends are too few for an estimate and let two more tasks start; from the third end on, waiting
-/// tasks are refused when a slot gets free, instead of starting and ending too late.
+/// The run time of a new kind is unknown. Its first three tasks take 3 s, and the tasks that wait behind them are due
+/// two seconds later. The first two ends are too few for an estimate and let two more tasks start; from the third end
+/// on, waiting tasks are refused when a slot gets free, instead of starting and ending too late.
 #[test]
 fn a_free_slot_does_not_go_to_a_task_that_would_end_too_late() {
     let mut simulation = simulation();
