--- a/crates/authority/src/authority/admitting.rs
+++ b/crates/authority/src/authority/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a submission is accepted.
+//! Admission: decides whether a submission is accepted.
 
 use std::time::{Duration, Instant};
 
@@ -13,23 +13,23 @@
 
 use crate::{authority::TaskAuthority, refusal::SubmissionRefusal};
 
-/// When to come back after a refusal for want of room or slots: long enough for answers to leave, or for the endpoints
-/// of a dead VM to have another owner.
-const COME_BACK: Duration = Duration::from_secs(1);
+/// Retry-after of a refusal for lack of memory or slots: long enough for open submissions to be answered, or for the
+/// endpoints of a dead VM to get another owner.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The share of single tasks that run no longer than the slowest that is reckoned with.
-const SLOWEST_SHARE: f64 = 0.9;
+/// The quantile of a single task's run time that counts as its slowest run.
+const SLOW_RUN_QUANTILE: f64 = 0.9;
 
-/// What a submission's tasks are expected to take.
+/// Expected run times of a submission's tasks.
 pub(super) struct ExpectedWork {
-    /// By task.
+    /// The expected run time of each task, in their order.
     pub(super) run_times: Vec<Duration>,
     total: Duration,
     largest: RunTimeEstimate,
     slowest: Duration,
 }
 
-/// What is known of one kind of task.
+/// Estimated run times of one kind of task.
 #[derive(Clone, Copy)]
 struct KindEstimate {
     expected: RunTimeEstimate,
@@ -37,7 +37,7 @@
 }
 
 impl TaskAuthority {
-    /// Decides on a submission. What costs nothing to tell comes first, since a flood is refused here.
+    /// Decides whether a submission is accepted. The cheapest checks come first, since a flood is refused here.
     pub(super) fn admit<'a>(
         &mut self,
         now: Instant,
@@ -45,26 +45,26 @@
         contract: Option<(&'a Contract, ContractVersion)>,
     ) -> Result<(&'a Contract, ContractVersion, ExpectedWork), SubmissionRefusal> {
         let (contract, version) =
-            contract.ok_or(SubmissionRefusal::never(RefusalReason::UnknownCustomer))?;
+            contract.ok_or(SubmissionRefusal::permanent(RefusalReason::UnknownCustomer))?;
         if contract.state == ContractState::Retired {
-            return Err(SubmissionRefusal::never(RefusalReason::RetiredCustomer));
+            return Err(SubmissionRefusal::permanent(RefusalReason::RetiredCustomer));
         }
         for task in &body.tasks {
             if task.payload.size() > contract.max_payload_bytes {
-                return Err(SubmissionRefusal::never(RefusalReason::PayloadTooLarge));
+                return Err(SubmissionRefusal::permanent(RefusalReason::PayloadTooLarge));
             }
         }
-        // Each open submission costs memory until its answer, so a flood has to end somewhere; refusing is cheap
-        // and honest, and the callers know when to come back.
+        // Each open submission uses memory until it is answered, so their number and size are bounded. A refusal is
+        // cheap and tells the caller when to try again.
         let bytes: u64 = body.tasks.iter().map(|task| task.payload.size().0).sum();
-        let large = self.held.open.0 + bytes > self.settings.max_open_bytes.0;
-        if large || self.open >= self.settings.max_open {
+        let large = self.memory.open_payloads.0 + bytes > self.settings.max_open_bytes.0;
+        if large || self.open_count >= self.settings.max_open_submissions {
             let reason = RefusalReason::Overloaded;
-            return Err(SubmissionRefusal::not_now(reason, COME_BACK));
+            return Err(SubmissionRefusal::temporary(reason, RETRY_AFTER));
         }
-        if !self.had_capacity(now) {
+        if !self.had_recent_capacity(now) {
             let reason = RefusalReason::NoCapacity;
-            return Err(SubmissionRefusal::not_now(reason, COME_BACK));
+            return Err(SubmissionRefusal::temporary(reason, RETRY_AFTER));
         }
         let work = self.expected_work(now, body);
         match self.decide(now, body, contract, &work) {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// A task has started, as far as its dispatcher tells.
+    /// Counts a task as started in its customer's load, as far as its dispatcher's messages tell.
     pub(super) fn mark_started(&mut self, now: Instant, attempt: AttemptId) {
         let Some(record) = self.records.get_mut(&attempt.submission.serial) else {
             return;
@@ -89,7 +89,7 @@
             return;
         };
         task.started = true;
-        self.load.start(now, &customer, task.expected);
+        self.load.start(now, &customer, task.expected_run_time);
     }
 
     fn decide(
@@ -100,22 +100,22 @@
         work: &ExpectedWork,
     ) -> AdmissionDecision {
         let load = self.load.get(&body.customer);
-        let slots = self.places.slots(now);
-        // Slots that went out of reach a moment ago are on their way to another owner; how many is not known, so
-        // only what the submission and its customer's limit tell by themselves counts.
+        let slots = self.placement.slots(now);
+        // Slots that became unreachable a moment ago are about to get another owner. How many they will be is unknown,
+        // so only the submission itself and its customer's limit count.
         let (predicted_wait, saturation) = match slots {
             0 => (Duration::ZERO, Saturation::default()),
             _ => {
                 let picture = WaitEstimator {
-                    pending_work: load.waiting,
+                    pending_work: load.waiting_work,
                     share: contract.share,
-                    active_shares: self.load.shares_with(now, &body.customer, contract.share),
-                    drain_rate: load.drain,
+                    active_shares: self.load.active_shares_with(now, &body.customer, contract.share),
+                    drain_rate: load.drain_rate,
                     slots: slots as f64 / f64::from(self.entries),
                 };
-                // The mean outlives a moment in which slots are few, and the moment alone refuses ordinary bursts; an
-                // overload that lasts shows in both.
-                let (mean, present) = (self.saturation.mean(), self.places.saturation(now));
+                // The mean stays high beyond a moment in which slots are few, and the present value alone would refuse
+                // ordinary bursts. A lasting overload shows in both, so the lower one counts.
+                let (mean, present) = (self.saturation.mean(), self.placement.saturation(now));
                 let lasting = if present < mean { present } else { mean };
                 (picture.predicted_wait(), lasting)
             }
@@ -129,10 +129,11 @@
             expected_work: work.total,
             deadline: body.deadline.unwrap_or_else(|| contract.answer_within()),
             open_tasks: load.tasks,
-            open_work: load.work,
-            // Not the limit of this moment: a grant comes a round trip after the first submission and grows with what
-            // waits, so by it the first job of an idle customer would be refused.
-            granted_concurrency: self.waiting.reach(&body.customer),
+            open_work: load.expected_work,
+            // The maximum of the limit and not its present value: a grant arrives a round trip after the first
+            // submission and grows with the waiting tasks, so the present value would refuse the first job of an idle
+            // customer.
+            granted_concurrency: self.waiting.max_limit(&body.customer),
             predicted_wait,
             saturation,
         };
@@ -140,8 +141,8 @@
     }
 
     fn expected_work(&self, now: Instant, body: &SubmissionBody) -> ExpectedWork {
-        // The more tasks, the rarer a run time that one of them may well take.
-        let share = 1.0 - (1.0 - SLOWEST_SHARE) / body.tasks.len().max(1) as f64;
+        // The quantile rises with the number of tasks: among many, one may well have a rare, long run time.
+        let quantile = 1.0 - (1.0 - SLOW_RUN_QUANTILE) / body.tasks.len().max(1) as f64;
         let mut work = ExpectedWork {
             run_times: Vec::with_capacity(body.tasks.len()),
             total: Duration::ZERO,
@@ -153,14 +154,14 @@
         };
         let mut last: Option<(&TaskBody, KindEstimate)> = None;
         for task in &body.tasks {
-            // Tasks of a job are mostly alike, and a quantile costs a walk over its buckets.
+            // Most tasks of a job are alike, and a quantile costs a walk over its buckets.
             let estimate = match last {
-                Some((before, estimate)) if is_alike(before, task) => estimate,
-                _ => self.estimate(now, &body.customer, task, share),
+                Some((before, estimate)) if have_same_estimate(before, task) => estimate,
+                _ => self.estimate(now, &body.customer, task, quantile),
             };
             last = Some((task, estimate));
             let expected = estimate.expected;
-            work.run_times.push(self.reckoned(expected));
+            work.run_times.push(self.capped_run_time(expected));
             work.total = work.total.saturating_add(expected.run_time);
             if (expected.run_time, expected.source) > (work.largest.run_time, work.largest.source) {
                 work.largest = expected;
@@ -175,26 +176,26 @@
         now: Instant,
         customer: &CustomerId,
         task: &TaskBody,
-        share: f64,
+        quantile: f64,
     ) -> KindEstimate {
         let declared = task.declared_run_time;
         KindEstimate {
             expected: self
-                .times
+                .run_times
                 .expected_run_time(now, customer, &task.kind, declared),
             slowest: self
-                .times
-                .quantile(now, customer, &task.kind, declared, share)
+                .run_times
+                .quantile(now, customer, &task.kind, declared, quantile)
                 .run_time,
         }
     }
 
-    /// The run time by which accepted work counts in the predicted wait.
+    /// The run time with which accepted work counts in the predicted wait.
     ///
-    /// Load: the first jobs of a kind, declared a hundred times too long. Harm: the second is refused and told to come
-    /// back after half a minute, though the first is done within a second. Reason: until it is measured a task counts
-    /// as a usual one at the most; a few ends correct that.
-    fn reckoned(&self, expected: RunTimeEstimate) -> Duration {
+    /// Callers may declare the first jobs of a kind a hundred times too long. Without a cap, the second job would be
+    /// refused with a retry-after of half a minute, although the first is done within a second. Until the run time is
+    /// measured, a task therefore counts with the assumed run time at most; a few completed tasks correct that.
+    fn capped_run_time(&self, expected: RunTimeEstimate) -> Duration {
         match expected.source {
             EstimateSource::Measured | EstimateSource::Stale => expected.run_time,
             EstimateSource::Assumed | EstimateSource::Declared => {
@@ -204,6 +205,6 @@
     }
 }
 
-fn is_alike(one: &TaskBody, other: &TaskBody) -> bool {
+fn have_same_estimate(one: &TaskBody, other: &TaskBody) -> bool {
     one.kind == other.kind && one.declared_run_time == other.declared_run_time
 }
--- a/crates/authority/src/authority/replies.rs
+++ b/crates/authority/src/authority/replies.rs
@@ -1,4 +1,5 @@
-//! What dispatchers say: verdicts, asks for bodies, ends, confirmed withdrawals.
+//! Messages from dispatchers: replies to offers, claims of bodies, ends of attempts, replies to withdrawals, slot
+//! counts.
 
 use std::time::{Duration, Instant};
 
@@ -9,73 +10,74 @@
 
 use crate::{
     action::AuthorityEvent,
+    attempt::{AttemptPhase, InFlightAttempt},
     authority::{waiting_task, TaskAuthority},
-    flight::{FlightPhase, FlightRecord},
-    record::{SubmissionShape, TaskPhase},
+    record::{SubmissionClass, TaskPhase},
     session::DispatcherKey,
 };
 
-/// Tries of one task after refusals that tell of load, before it is given up, whatever its customer has saved up in
-/// its budget. A task that eight dispatchers have turned away, with growing pauses between, meets an overload that
-/// another try would only feed; without the bound one unlucky task could spend the budget of all others.
-const MAX_LOAD_RETRIES: u32 = 8;
+/// Number of attempts of one task after which a refusal caused by overload is final, whatever its customer has saved up
+/// in its retry budget. A task that eight dispatchers have refused, with growing backoff in between, meets an overload
+/// that another try would only increase. Without the bound one such task could spend the budget of all others.
+const MAX_OVERLOAD_ATTEMPTS: u32 = 8;
 
-/// The tasks over which the mean run time is taken: about two usual jobs, so that it follows a change of the mix within
-/// a second and one long task does not send the next ones to another data centre.
-const MEAN_OVER: u32 = 64;
+/// Number of tasks over which the mean run time is taken: about two usual jobs. The mean then follows a change of the
+/// mix within a second, and one long task does not send the next ones to another data centre.
+const MEAN_RUN_TIME_TASKS: u32 = 64;
 
-/// The tries of a task among which it may leave a queue for a free slot elsewhere.
+/// Number of attempts of a task that may leave a queue for a free slot elsewhere.
 const MAX_MOVES: u32 = 2;
 
 impl TaskAuthority {
-    /// A dispatcher has answered an offer.
-    pub fn on_verdicts(&mut self, now: Instant, verdicts: &[(AttemptId, TaskVerdict)]) {
-        // All that a refused batch turned away is noted before any of it is decided on: a job that is given up at its
-        // first task would otherwise count the others as perhaps started, and be answered "failed" for "refused".
-        let mut turned_away = Vec::new();
+    /// Handles a dispatcher's replies to offers.
+    pub fn on_offer_replies(&mut self, now: Instant, replies: &[(AttemptId, TaskVerdict)]) {
+        // All refused tasks of a batch are set to waiting before any of them is decided on. A job that is given up at
+        // its first task would otherwise count the others as possibly started, and be answered "failed" instead of
+        // "refused".
+        let mut not_run = Vec::new();
         let mut moved = Vec::new();
-        for (attempt, verdict) in verdicts {
-            match verdict {
+        for (attempt, reply) in replies {
+            match reply {
                 TaskVerdict::Queued if self.may_move(*attempt, moved.len()) => {
-                    if let Some(flight) = self.land(*attempt) {
+                    if let Some(in_flight) = self.remove_attempt(*attempt) {
                         self.set_waiting(*attempt);
                         moved.push(*attempt);
-                        turned_away.push((*attempt, RetryReason::SlotElsewhere, flight.dispatcher));
+                        not_run.push((*attempt, RetryReason::SlotElsewhere, in_flight.dispatcher));
                     }
                 }
-                TaskVerdict::Started => self.on_taken(now, *attempt, FlightPhase::Running),
-                TaskVerdict::Queued => self.on_taken(now, *attempt, FlightPhase::Queued),
+                TaskVerdict::Started => self.on_accepted(now, *attempt, AttemptPhase::Running),
+                TaskVerdict::Queued => self.on_accepted(now, *attempt, AttemptPhase::Queued),
                 TaskVerdict::NotRun(reason) => {
-                    if let Some(flight) = self.land(*attempt) {
+                    if let Some(in_flight) = self.remove_attempt(*attempt) {
                         self.set_waiting(*attempt);
-                        turned_away.push((*attempt, *reason, flight.dispatcher));
+                        not_run.push((*attempt, *reason, in_flight.dispatcher));
                     }
                 }
             }
         }
-        if let Some((_, _, dispatcher)) = turned_away.first().filter(|_| !moved.is_empty()) {
-            self.take_back_reservations(*dispatcher, moved);
+        if let Some((_, _, dispatcher)) = not_run.first().filter(|_| !moved.is_empty()) {
+            self.withdraw_reservations(*dispatcher, moved);
         }
-        for (attempt, reason, dispatcher) in turned_away {
+        for (attempt, reason, dispatcher) in not_run {
             self.on_not_run(now, attempt, reason, dispatcher);
         }
         self.place(now);
     }
 
-    /// A dispatcher has a slot for a queued attempt and asks for the body. `None` means that the attempt is gone
-    /// and must not start.
+    /// Handles a claim: a dispatcher has a slot for a queued attempt and asks for the body. `None` means that the
+    /// attempt must not start.
     pub fn on_claim(
         &mut self,
         now: Instant,
         session: SessionId,
         attempt: AttemptId,
     ) -> Option<Payload> {
-        let flight = self.flights.get(&attempt)?;
-        // An ask of an older session comes from a reservation that was given up when that session was lost, and the
-        // body goes out once only. In any other phase the ask is good, whatever was heard before: it may overtake the
-        // verdict, or follow a withdrawal that the dispatcher could not confirm, and only a dispatcher that keeps no
-        // body asks.
-        if flight.session != session || flight.phase == FlightPhase::Claimed {
+        let in_flight = self.attempts.get(&attempt)?;
+        // A claim on an older session comes from a reservation that was given up when that session was lost, and the
+        // body is sent only once. In any other phase the claim is valid, whatever arrived before: it may overtake the
+        // reply to the offer, or follow a withdrawal that the dispatcher could not confirm, and only a dispatcher that
+        // keeps no body claims one.
+        if in_flight.session != session || in_flight.phase == AttemptPhase::Claimed {
             return None;
         }
         let record = self
@@ -83,91 +85,95 @@
             .get_mut(&attempt.submission.serial)
             .filter(|record| record.is_open());
         let Some(task) = record.and_then(|record| record.task_mut(attempt.task)) else {
-            // Its submission has its answer. The dispatcher forgets the attempt on hearing so, and its part of the
-            // concurrency is free.
-            self.land(attempt);
+            // The submission was answered. The dispatcher drops the attempt when it is told so, and its concurrency is
+            // free.
+            self.remove_attempt(attempt);
             return None;
         };
         let payload = task.body.payload.clone();
-        self.set_phase(attempt, FlightPhase::Claimed);
+        self.set_phase(attempt, AttemptPhase::Claimed);
         self.mark_started(now, attempt);
-        self.note(AuthorityEvent::Claimed(attempt));
+        self.emit_event(AuthorityEvent::Claimed(attempt));
         Some(payload)
     }
 
-    /// An attempt has ended after `ran`.
+    /// Handles the end of an attempt after the run time `ran`.
     pub fn on_ended(&mut self, now: Instant, attempt: AttemptId, end: AttemptEnd, ran: Duration) {
-        let Some(flight) = self.land(attempt) else {
-            // Nobody waits for it: the attempt was given up as unknown before, and stays so.
+        let Some(in_flight) = self.remove_attempt(attempt) else {
+            // The attempt was given up as unknown before, and stays so.
             return;
         };
-        self.note(AuthorityEvent::Ended(attempt, end.clone()));
-        self.learn(now, &flight, &end, ran);
+        self.emit_event(AuthorityEvent::Ended(attempt, end.clone()));
+        self.record_run_time(now, &in_flight, &end, ran);
         match end {
             AttemptEnd::Done(result) => self.on_done(now, attempt, result),
             AttemptEnd::Failed => self.finish_failed(now, attempt, FailureReason::TaskFailed),
-            AttemptEnd::NotRun(reason) => self.on_not_run(now, attempt, reason, flight.dispatcher),
+            AttemptEnd::NotRun(reason) => { self.on_not_run(now, attempt, reason, in_flight.dispatcher)
+            }
             AttemptEnd::Unknown(reason) => self.on_unknown(now, attempt, reason),
         }
         self.place(now);
     }
 
-    /// A dispatcher has said what became of withdrawn attempts.
+    /// Handles a dispatcher's replies to a withdrawal.
     pub fn on_withdrawn(&mut self, now: Instant, replies: &[(AttemptId, WithdrawalVerdict)]) {
         for (attempt, reply) in replies {
             match reply {
                 WithdrawalVerdict::NotRun => {
-                    if let Some(flight) = self.land(*attempt) {
-                        self.on_not_run(now, *attempt, RetryReason::Withdrawn, flight.dispatcher);
+                    if let Some(in_flight) = self.remove_attempt(*attempt) {
+                        self.on_not_run(now, *attempt, RetryReason::Withdrawn,
+                            in_flight.dispatcher);
                     }
                 }
-                // It may only mean that the offer is still on its way there. Taken for a start, it would hide the
-                // verdict that comes next, and the attempt would hold its part of the concurrency for ever.
+                // This reply may only mean that the offer is still in transit. If it counted as a start, the reply to
+                // the offer that comes next would be ignored, and the attempt would use its part of the concurrency for
+                // ever.
                 WithdrawalVerdict::Running => {}
             }
         }
         self.place(now);
     }
 
-    /// A dispatcher has said how its slots stand.
+    /// Handles the slot counts that a dispatcher reports.
     pub fn on_slots(&mut self, now: Instant, dispatcher: DispatcherKey, slots: SlotCounts) {
         let Some(session) = self.sessions.get_mut(&dispatcher) else {
             return;
         };
         let gained = session.slots.limit == 0 && slots.limit > 0;
         session.slots = slots;
-        self.hint(now, dispatcher);
+        self.update_placement(now, dispatcher);
         if gained || (self.unplaced && slots.limit > 0) {
             self.unplaced = false;
-            self.waiting.mark_all();
+            self.waiting.mark_all_changed();
             self.place(now);
         }
     }
 
-    /// Notes how far an attempt has come; `false` when it is gone.
-    fn set_phase(&mut self, attempt: AttemptId, phase: FlightPhase) -> bool {
-        let Some(flight) = self.flights.get_mut(&attempt) else {
+    /// Sets the phase of an attempt; `false` if the attempt is gone.
+    fn set_phase(&mut self, attempt: AttemptId, phase: AttemptPhase) -> bool {
+        let Some(in_flight) = self.attempts.get_mut(&attempt) else {
             return false;
         };
-        let before = std::mem::replace(&mut flight.phase, phase);
-        let dispatcher = flight.dispatcher;
-        if before == FlightPhase::Offered {
-            self.on_answered(dispatcher);
+        let before = std::mem::replace(&mut in_flight.phase, phase);
+        let dispatcher = in_flight.dispatcher;
+        if before == AttemptPhase::Offered {
+            self.on_offer_answered(dispatcher);
         }
         true
     }
 
-    /// Takes the run time of what ran, also of a task whose submission has its answer: those that come after the
-    /// deadline are the slow ones, and without them their kind would look fast.
-    fn learn(&mut self, now: Instant, flight: &FlightRecord, end: &AttemptEnd, ran: Duration) {
-        let (customer, kind) = (&flight.customer, &flight.kind);
+    /// Records the run time of an attempt, even if its submission was answered: tasks that end after the deadline are
+    /// the slow ones, and without them their kind would look fast.
+    fn record_run_time(&mut self, now: Instant,
+        in_flight: &InFlightAttempt, end: &AttemptEnd, ran: Duration) {
+        let (customer, kind) = (&in_flight.customer, &in_flight.kind);
         match end {
             AttemptEnd::Done(_) => {
-                self.times.record(now, customer, kind, ran);
-                let others = self.mean_run_time * (MEAN_OVER - 1);
-                self.mean_run_time = (others + ran) / MEAN_OVER;
+                self.run_times.record(now, customer, kind, ran);
+                let others = self.mean_run_time * (MEAN_RUN_TIME_TASKS - 1);
+                self.mean_run_time = (others + ran) / MEAN_RUN_TIME_TASKS;
             }
-            AttemptEnd::Failed => self.times.record_failure(now, customer, kind),
+            AttemptEnd::Failed => self.run_times.record_failure(now, customer, kind),
             AttemptEnd::NotRun(_) | AttemptEnd::Unknown(_) => {}
         }
     }
@@ -179,16 +185,18 @@
         }
     }
 
-    /// Load: two entries that place onto the same free slots without knowing of each other. Harm: one of them waits for a
-    /// whole run time while a slot stands free at another dispatcher. A queued task has certainly not started and its ask
-    /// will be turned away, so it can go there at the price of an offer and a withdrawal. Only as many move as there are
-    /// free slots, and each task twice at most, since what is known of other dispatchers may be as old as their last
-    /// word; with every slot in use nothing moves.
+    /// Whether a task that a dispatcher queued may move to a free slot elsewhere.
+    ///
+    /// Two entries may place tasks onto the same free slots without knowing of each other, and one of the tasks would
+    /// wait for a whole run time while a slot at another dispatcher is free. A queued task has certainly not started
+    /// and its claim will be refused, so it can move at the cost of an offer and a withdrawal. Only as many tasks move
+    /// as there are free slots, and each at most twice, since the slot counts known of other dispatchers may be as old
+    /// as their last report. With every slot in use nothing moves.
     fn may_move(&self, attempt: AttemptId, moved: usize) -> bool {
-        let Some(flight) = self
-            .flights
+        let Some(in_flight) = self
+            .attempts
             .get(&attempt)
-            .filter(|flight| flight.phase == FlightPhase::Offered)
+            .filter(|in_flight| in_flight.phase == AttemptPhase::Offered)
         else {
             return false;
         };
@@ -202,37 +210,37 @@
         let tries = attempt.attempt - record.first_attempt;
         record.move_queued
             && tries < MAX_MOVES
-            && self.places.free_slots_elsewhere(flight.dispatcher) > moved as u64
+            && self.placement.free_slots_elsewhere(in_flight.dispatcher) > moved as u64
     }
 
-    fn on_taken(&mut self, now: Instant, attempt: AttemptId, phase: FlightPhase) {
-        let Some(flight) = self.flights.get(&attempt) else {
+    fn on_accepted(&mut self, now: Instant, attempt: AttemptId, phase: AttemptPhase) {
+        let Some(in_flight) = self.attempts.get(&attempt) else {
             return;
         };
-        // A verdict that was overtaken by the ask or the end says nothing new.
-        if flight.phase != FlightPhase::Offered {
+        // A reply that the claim or the end has overtaken contains nothing new.
+        if in_flight.phase != AttemptPhase::Offered {
             return;
         }
         self.set_phase(attempt, phase);
         match phase {
-            FlightPhase::Queued => self.note(AuthorityEvent::Queued(attempt)),
+            AttemptPhase::Queued => self.emit_event(AuthorityEvent::Queued(attempt)),
             _ => {
                 self.mark_started(now, attempt);
-                self.note(AuthorityEvent::Started(attempt));
+                self.emit_event(AuthorityEvent::Started(attempt));
             }
         }
         self.withdraw_if_answered(attempt);
     }
 
-    /// Takes an attempt out of the air and gives its part of the concurrency back.
-    pub(super) fn land(&mut self, attempt: AttemptId) -> Option<FlightRecord> {
-        let flight = self.flights.remove(&attempt)?;
-        self.waiting.release(&flight.customer);
-        if flight.phase == FlightPhase::Offered {
-            self.on_answered(flight.dispatcher);
+    /// Removes an attempt from the table and releases its part of the concurrency.
+    pub(super) fn remove_attempt(&mut self, attempt: AttemptId) -> Option<InFlightAttempt> {
+        let in_flight = self.attempts.remove(&attempt)?;
+        self.waiting.release(&in_flight.customer);
+        if in_flight.phase == AttemptPhase::Offered {
+            self.on_offer_answered(in_flight.dispatcher);
         }
-        self.places.on_end(flight.dispatcher);
-        Some(flight)
+        self.placement.on_end(in_flight.dispatcher);
+        Some(in_flight)
     }
 
     fn on_done(&mut self, now: Instant, attempt: AttemptId, result: TaskResult) {
@@ -249,7 +257,7 @@
             return;
         };
         task.phase = TaskPhase::Done(result);
-        let expected = task.expected;
+        let expected = task.expected_run_time;
         record.done += 1;
         self.load.end(now, &record.customer, expected, true);
         if record.done as usize == record.tasks.len() {
@@ -258,7 +266,8 @@
         }
     }
 
-    /// The one place where a task becomes ready for another attempt: each way here is a definite not-run.
+    /// Makes a task ready for another attempt, in this one place only: every caller knows that the attempt definitely
+    /// did not run.
     pub(super) fn on_not_run(
         &mut self,
         now: Instant,
@@ -284,24 +293,24 @@
         };
         task.phase = TaskPhase::Waiting;
         if std::mem::take(&mut task.started) {
-            self.load.put_back(&customer, task.expected);
+            self.load.mark_not_started(&customer, task.expected_run_time);
         }
-        let attempts = task.attempts - first_attempt;
-        self.note(AuthorityEvent::Retried(attempt, reason));
+        let attempts = task.attempt_count - first_attempt;
+        self.emit_event(AuthorityEvent::Retried(attempt, reason));
         self.waiting.avoid(serial, attempt.task, dispatcher);
-        if !tells_of_load(reason) {
+        if !signals_overload(reason) {
             self.waiting.push(&customer, waiting);
             return;
         }
-        // Load: endpoints that turn everything away. Harm: each refusal causes another placement, and the overload
-        // feeds itself. The budget bounds placements to the first ones plus the contract's percentage.
-        let granted = !costs_budget(reason) || self.budget.try_retry(now, &customer);
-        if attempts >= MAX_LOAD_RETRIES || !granted {
+        // If the endpoints refuse every task, each refusal causes another placement, and the overload feeds itself. The
+        // budget bounds placements to the first ones plus the contract's percentage.
+        let granted = !consumes_retry_budget(reason) || self.retry_budget.try_retry(now, &customer);
+        if attempts >= MAX_OVERLOAD_ATTEMPTS || !granted {
             self.finish_not_placed(now, serial, RefusalReason::RetryBudgetSpent);
             return;
         }
-        let pause = self.pause(attempts);
-        self.waiting.pause(&customer, now + pause, waiting);
+        let backoff = self.backoff(attempts);
+        self.waiting.back_off(&customer, now + backoff, waiting);
     }
 
     fn on_unknown(&mut self, now: Instant, attempt: AttemptId, reason: UnknownReason) {
@@ -309,20 +318,20 @@
         let Some(record) = self.records.get(&serial).filter(|record| record.is_open()) else {
             return;
         };
-        let outcome = match record.shape {
-            SubmissionShape::Job => SubmissionOutcome::Failed(FailureReason::TaskUnknown),
-            SubmissionShape::Request => SubmissionOutcome::Unknown(reason),
+        let outcome = match record.class {
+            SubmissionClass::Job => SubmissionOutcome::Failed(FailureReason::TaskUnknown),
+            SubmissionClass::Request => SubmissionOutcome::Unknown(reason),
         };
         self.finish(now, serial, outcome);
     }
 
-    pub(super) fn give_up_attempt(
+    pub(super) fn abandon_attempt(
         &mut self,
         now: Instant,
         attempt: AttemptId,
         reason: UnknownReason,
     ) {
-        if self.land(attempt).is_some() {
+        if self.remove_attempt(attempt).is_some() {
             self.on_unknown(now, attempt, reason);
         }
     }
@@ -338,24 +347,25 @@
         }
     }
 
-    /// Doubles with each attempt, with a random part so that tasks refused together do not come back together.
-    fn pause(&mut self, attempts: u32) -> Duration {
-        let doubled = self.settings.retry_pause * 2u32.saturating_pow(attempts.min(10));
-        let longest = doubled.min(self.settings.max_retry_pause);
+    /// Backoff that doubles with each attempt, with jitter so that tasks refused together do not come back together.
+    fn backoff(&mut self, attempts: u32) -> Duration {
+        let doubled = self.settings.retry_backoff * 2u32.saturating_pow(attempts.min(10));
+        let longest = doubled.min(self.settings.max_retry_backoff);
         longest.mul_f64(0.5 + self.rng.f64() / 2.0)
     }
 }
 
-/// Whether another try is taken out of the customer's budget. A dispatcher hands back what waits for it when its last
-/// endpoint gets another owner: that tells of a change, and since it says so with its slots it gets no more offers.
-/// The task still pauses, or it would come back before the new owner is known.
-fn costs_budget(reason: RetryReason) -> bool {
-    tells_of_load(reason) && reason != RetryReason::NoEndpoint
+/// Whether a retry is charged to the customer's budget. A dispatcher hands back its waiting tasks when its last
+/// endpoint gets another owner. That is a change in the system and not overload, and since the dispatcher reports it
+/// with its slot counts, it gets no more offers. The task still backs off, or it would be placed again before the new
+/// owner is known.
+fn consumes_retry_budget(reason: RetryReason) -> bool {
+    signals_overload(reason) && reason != RetryReason::NoEndpoint
 }
 
-/// Whether a refusal comes from load, so that trying again adds to it. The others come from a change in the
-/// system, and the task goes elsewhere at once.
-fn tells_of_load(reason: RetryReason) -> bool {
+/// Whether a refusal is caused by overload, so that another try adds to it. The other refusals come from a change in
+/// the system, and the task goes elsewhere at once.
+fn signals_overload(reason: RetryReason) -> bool {
     match reason {
         RetryReason::EndpointBusy
         | RetryReason::EndpointUnreachable
--- a/crates/authority/src/refusal.rs
+++ b/crates/authority/src/refusal.rs
@@ -9,23 +9,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("refused: {reason}")]
 pub struct SubmissionRefusal {
-    /// Why.
+    /// The reason of the refusal.
     pub reason: RefusalReason,
-    /// When it is worth coming back. `None` where coming back does not help.
+    /// How long the caller should wait before it tries again. `None` if another try cannot succeed.
     pub retry_after: Option<Duration>,
 }
 
 impl SubmissionRefusal {
-    /// A refusal that will be the same at any time.
-    pub fn never(reason: RefusalReason) -> Self {
+    /// Creates a refusal that another try cannot change.
+    pub fn permanent(reason: RefusalReason) -> Self {
         Self {
             reason,
             retry_after: None,
         }
     }
 
-    /// A refusal that may have changed by then.
-    pub fn not_now(reason: RefusalReason, retry_after: Duration) -> Self {
+    /// Creates a refusal that may no longer apply after `retry_after`.
+    pub fn temporary(reason: RefusalReason, retry_after: Duration) -> Self {
         Self {
             reason,
             retry_after: Some(retry_after),
--- a/crates/authority/tests/load/run_times.rs
+++ b/crates/authority/tests/load/run_times.rs
@@ -1,10 +1,10 @@
-//! Expected run times are those measured, whatever is declared.
+//! Expected run times are the measured ones, whatever is declared.
 
 use std::time::Duration;
 
 use model::Contract;
 
-use crate::world::{ms, Job, World, HOME};
+use crate::simulation::{ms, Job, Simulation, HOME};
 
 struct RunTimeCase {
     name: &'static str,
@@ -12,10 +12,10 @@
     ran: Duration,
 }
 
-/// What the dispatcher sees: its fair queue bills by the expected run time. What happens: callers declare a hundredth
-/// or a hundredfold of what their tasks take; after a few ends the offers name what was measured.
+/// The fair queue of a dispatcher charges by the expected run time. Callers declare a hundredth or a hundredfold of
+/// what their tasks take; after a few ends the offers carry the measured run time.
 #[test]
-fn offers_name_the_measured_run_time_after_a_few_ends() {
+fn offers_carry_the_measured_run_time_after_a_few_ends() {
     let cases = [
         RunTimeCase {
             name: "declared a hundred times too long",
@@ -34,45 +34,45 @@
         },
     ];
     for case in cases {
-        let mut world = World::new(Contract::default());
-        world.allow("school", 40);
-        world.add_dispatcher(8, HOME);
-        world.run_times.insert("hold", case.ran);
+        let mut simulation = Simulation::new(Contract::default());
+        simulation.set_limit("school", 40);
+        simulation.add_dispatcher(8, HOME);
+        simulation.run_times.insert("hold", case.ran);
         let job = Job {
             tasks: 4,
             declared: case.declared,
             ..Job::default()
         };
-        world.submit(&job).expect(case.name);
-        let first = world.dispatchers[0].offers[0].expected_run_time;
+        simulation.submit(&job).expect(case.name);
+        let first = simulation.dispatchers[0].offers[0].expected_run_time;
         assert_eq!(first, case.declared.unwrap_or(ms(300)), "{}", case.name);
-        world.pass(ms(1_000));
-        world.submit(&job).expect(case.name);
-        let later = world.dispatchers[0].offers[4].expected_run_time;
+        simulation.advance(ms(1_000));
+        simulation.submit(&job).expect(case.name);
+        let later = simulation.dispatchers[0].offers[4].expected_run_time;
         assert_eq!(later, case.ran, "{}", case.name);
     }
 }
 
-/// What the dispatcher sees: tasks that outlive their deadline are expected to be slow the next time. What happens:
-/// their submission has its answer when they end, and their run time counts all the same.
+/// Tasks end after their deadline, when their submission has been answered. Their run time counts all the same, and the
+/// kind is expected to be slow the next time.
 #[test]
-fn tasks_that_outlive_their_submission_count() {
-    let mut world = World::new(Contract::default());
-    world.allow("school", 40);
-    world.add_dispatcher(8, HOME);
-    world.run_times.insert("hold", ms(3_000));
+fn run_times_of_tasks_that_outlive_their_submission_count() {
+    let mut simulation = Simulation::new(Contract::default());
+    simulation.set_limit("school", 40);
+    simulation.add_dispatcher(8, HOME);
+    simulation.run_times.insert("hold", ms(3_000));
     let job = Job {
         tasks: 4,
         deadline: ms(1_000),
         ..Job::default()
     };
-    world.submit(&job).expect("admitted");
-    world.pass(ms(4_000));
+    simulation.submit(&job).expect("admitted");
+    simulation.advance(ms(4_000));
     let longer = Job {
         deadline: ms(9_000),
         ..job
     };
-    world.submit(&longer).expect("admitted");
-    let later = world.dispatchers[0].offers[4].expected_run_time;
+    simulation.submit(&longer).expect("admitted");
+    let later = simulation.dispatchers[0].offers[4].expected_run_time;
     assert_eq!(later, ms(3_000));
 }
