--- a/crates/authority/src/authority/admission.rs
+++ b/crates/authority/src/authority/admission.rs
@@ -109,7 +109,11 @@
                 let picture = WaitEstimator {
                     pending_work: load.waiting_work,
                     share: contract.share,
-                    active_shares: self.load.active_shares_with(now, &body.customer, contract.share),
+                    active_shares: self.load.active_shares_with(
+                        now,
+                        &body.customer,
+                        contract.share,
+                    ),
                     drain_rate: load.drain_rate,
                     slots: slots as f64 / f64::from(self.entries),
                 };
--- a/crates/authority/src/authority/placement.rs
+++ b/crates/authority/src/authority/placement.rs
@@ -135,7 +135,8 @@
         };
         self.attempts.insert(attempt, in_flight);
         if attempt.attempt == first_attempt {
-            self.retry_budget.on_placed(now, &customer, 1, retry_percent);
+            self.retry_budget
+                .on_placed(now, &customer, 1, retry_percent);
         }
         self.emit_event(AuthorityEvent::Offered(attempt, dispatcher));
         // The offer carries the estimate, because callers may declare run times a hundred times too long or too short.
@@ -211,7 +212,11 @@
     /// In bursts of jobs over dispatchers of unequal size, a task queued behind a full dispatcher is answered late
     /// although another has free slots. Stopping dispatchers and those without an open session are not in the table.
     /// `avoided`, which has just refused the task, is chosen only if there is no other.
-    fn choose_dispatcher(&mut self, now: Instant, avoided: Option<DispatcherKey>) -> Option<DispatcherKey> {
+    fn choose_dispatcher(
+        &mut self,
+        now: Instant,
+        avoided: Option<DispatcherKey>,
+    ) -> Option<DispatcherKey> {
         let query = PlacementQuery {
             mean_run_time: self.mean_run_time,
         };
--- a/crates/authority/src/authority/predicted_late.rs
+++ b/crates/authority/src/authority/predicted_late.rs
@@ -125,7 +125,9 @@
         if mean.run_time <= left {
             return Some(mean.run_time);
         }
-        let median = self.run_times.quantile(now, customer, kind, None, MEDIAN_QUANTILE);
+        let median = self
+            .run_times
+            .quantile(now, customer, kind, None, MEDIAN_QUANTILE);
         Some(mean.run_time.min(median.run_time))
     }
 }
--- a/crates/authority/src/authority/replies.rs
+++ b/crates/authority/src/authority/replies.rs
@@ -108,7 +108,8 @@
         match end {
             AttemptEnd::Done(result) => self.on_done(now, attempt, result),
             AttemptEnd::Failed => self.finish_failed(now, attempt, FailureReason::TaskFailed),
-            AttemptEnd::NotRun(reason) => { self.on_not_run(now, attempt, reason, in_flight.dispatcher)
+            AttemptEnd::NotRun(reason) => {
+                self.on_not_run(now, attempt, reason, in_flight.dispatcher)
             }
             AttemptEnd::Unknown(reason) => self.on_unknown(now, attempt, reason),
         }
@@ -121,8 +122,12 @@
             match reply {
                 WithdrawalVerdict::NotRun => {
                     if let Some(in_flight) = self.remove_attempt(*attempt) {
-                        self.on_not_run(now, *attempt, RetryReason::Withdrawn,
-                            in_flight.dispatcher);
+                        self.on_not_run(
+                            now,
+                            *attempt,
+                            RetryReason::Withdrawn,
+                            in_flight.dispatcher,
+                        );
                     }
                 }
                 // This reply may only mean that the offer is still in transit. If it counted as a start, the reply to
@@ -164,8 +169,13 @@
 
     /// Records the run time of an attempt, even if its submission was answered: tasks that end after the deadline are
     /// the slow ones, and without them their kind would look fast.
-    fn record_run_time(&mut self, now: Instant,
-        in_flight: &InFlightAttempt, end: &AttemptEnd, ran: Duration) {
+    fn record_run_time(
+        &mut self,
+        now: Instant,
+        in_flight: &InFlightAttempt,
+        end: &AttemptEnd,
+        ran: Duration,
+    ) {
         let (customer, kind) = (&in_flight.customer, &in_flight.kind);
         match end {
             AttemptEnd::Done(_) => {
@@ -293,7 +303,8 @@
         };
         task.phase = TaskPhase::Waiting;
         if std::mem::take(&mut task.started) {
-            self.load.mark_not_started(&customer, task.expected_run_time);
+            self.load
+                .mark_not_started(&customer, task.expected_run_time);
         }
         let attempts = task.attempt_count - first_attempt;
         self.emit_event(AuthorityEvent::Retried(attempt, reason));
--- a/crates/authority/src/authority/termination.rs
+++ b/crates/authority/src/authority/termination.rs
@@ -160,7 +160,8 @@
         for attempt in attempts {
             let in_flight = self.attempts.get(attempt);
             offered += u32::from(
-                in_flight.is_some_and(|in_flight| in_flight.phase == AttemptPhase::Offered));
+                in_flight.is_some_and(|in_flight| in_flight.phase == AttemptPhase::Offered),
+            );
         }
         offered
     }
@@ -294,7 +295,8 @@
         for (index, task) in tasks.iter().enumerate() {
             let index = index as u32;
             if !matches!(task.phase, TaskPhase::Done(_)) {
-                self.load.end(now, &customer, task.expected_run_time, task.started);
+                self.load
+                    .end(now, &customer, task.expected_run_time, task.started);
             }
             match task.phase {
                 TaskPhase::Waiting => {
