--- a/crates/dispatcher/src/control.rs
+++ b/crates/dispatcher/src/control.rs
@@ -117,7 +117,7 @@
             head: 0,
         };
         let member_settings = MemberSettings {
-            beat_every: settings.heartbeat_ms.duration(),
+            heartbeat_interval: settings.heartbeat_ms.duration(),
             suspect_after: settings.suspect_ms.duration(),
             ..MemberSettings::default()
         };
--- a/crates/dispatcher/src/control/membership.rs
+++ b/crates/dispatcher/src/control/membership.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use actix::{ActorFutureExt as _, AsyncContext as _, Context, Handler, WrapFuture as _};
-use membership::{BeatReply, MemberAction};
+use membership::{HeartbeatReply, MemberAction};
 use model::{EndpointAddress, EndpointId, EndpointState, VmEntry, VmRole};
 use peer::{PeerError, PingReply};
 use telemetry::CounterKind;
@@ -15,7 +15,7 @@
         let mut changed = false;
         for action in self.members.tick(self.clock.now()) {
             match action {
-                MemberAction::Beat { address } => self.beat(ctx, address),
+                MemberAction::SendHeartbeat { address } => self.beat(ctx, address),
                 MemberAction::ViewChanged => changed = true,
             }
         }
@@ -136,7 +136,7 @@
             Some(PeerSlot::Open(link)) => {
                 let reply = link
                     .client()
-                    .beat(&self.members.beat_message())
+                    .beat(&self.members.heartbeat_message())
                     .into_actor(self);
                 ctx.spawn(
                     reply
@@ -165,7 +165,7 @@
         &mut self,
         ctx: &mut Context<Self>,
         address: SocketAddr,
-        reply: Result<BeatReply, PeerError>,
+        reply: Result<HeartbeatReply, PeerError>,
     ) {
         let now = self.clock.now();
         match reply {
@@ -191,7 +191,7 @@
 
     fn handle(&mut self, taken: BeatTaken, ctx: &mut Context<Self>) {
         let (address, head) = (taken.message.view.address, taken.message.view.head);
-        let reply = self.members.on_beat(self.clock.now(), taken.message);
+        let reply = self.members.on_heartbeat(self.clock.now(), taken.message);
         self.hear_head(ctx, address, head);
         let _gone = taken.reply.send(Ok(reply));
         self.tick_members(ctx);
@@ -217,7 +217,7 @@
             .is_none_or(|(entry, session)| self.ledger.hear(now, entry, session));
         let answer = match open {
             true => Ok(PingReply {
-                view: self.members.beat_message().view,
+                view: self.members.heartbeat_message().view,
                 slots: self.ledger.slots(),
                 centre: (self.centre.revision != taken.revision).then(|| self.centre.clone()),
             }),
--- a/crates/dispatcher/src/control/messages.rs
+++ b/crates/dispatcher/src/control/messages.rs
@@ -4,7 +4,7 @@
 
 use actix::Message;
 use contracts::HeadNumber;
-use membership::{AskBatch, BeatMessage, BeatReply, HandoverReport, ReplyBatch};
+use membership::{AskBatch, HandoverReport, HeartbeatMessage, HeartbeatReply, ReplyBatch};
 use model::{
     AttemptId, IncarnationId, SessionId, SlotCounts, TaskOffer, TaskVerdict, VmEntry,
     WithdrawalVerdict,
@@ -57,8 +57,8 @@
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(crate) struct BeatTaken {
-    pub(crate) message: BeatMessage,
-    pub(crate) reply: ReplyTo<BeatReply>,
+    pub(crate) message: HeartbeatMessage,
+    pub(crate) reply: ReplyTo<HeartbeatReply>,
 }
 
 /// An entry asks whether this dispatcher is alive.
--- a/crates/dispatcher/src/port.rs
+++ b/crates/dispatcher/src/port.rs
@@ -4,7 +4,7 @@
 
 use actix::{Addr, Handler};
 use contracts::HeadNumber;
-use membership::{AskBatch, BeatMessage, BeatReply, HandoverReport, ReplyBatch};
+use membership::{AskBatch, HandoverReport, HeartbeatMessage, HeartbeatReply, ReplyBatch};
 use model::{
     AttemptId, IncarnationId, SessionId, SlotCounts, TaskOffer, TaskVerdict, VmEntry,
     WithdrawalVerdict,
@@ -93,7 +93,7 @@
         Box::pin(std::future::ready(Ok(client)))
     }
 
-    fn beat(&self, message: BeatMessage) -> ReplyFuture<BeatReply> {
+    fn beat(&self, message: HeartbeatMessage) -> ReplyFuture<HeartbeatReply> {
         ask(&self.control, |reply| BeatTaken { message, reply })
     }
 
--- a/crates/membership/examples/cost/main.rs
+++ b/crates/membership/examples/cost/main.rs
@@ -14,9 +14,9 @@
 };
 
 use membership::{
-    rendezvous, AskBatch, BeatMessage, BeatReply, GrantHolder, GrantLedger, GrantReply,
-    GrantSettings, GrantVerdict, LiveOwner, MemberAction, MemberSettings, MemberTable, MemberView,
-    OwnMember, OwnershipMap, ReplyBatch,
+    rendezvous, AskBatch, GrantHolder, GrantLedger, GrantReply, GrantSettings, GrantVerdict,
+    HeartbeatMessage, HeartbeatReply, LiveOwner, MemberAction, MemberSettings, MemberTable,
+    MemberView, OwnMember, OwnershipMap, ReplyBatch,
 };
 use model::{
     CustomerId, DataCentreId, EndpointId, EndpointState, FastMap, IncarnationId, VmEntry, VmRole,
@@ -122,17 +122,17 @@
         for vm in 0..own {
             if now >= due[usize::from(vm)] {
                 due[usize::from(vm)] = now + table.period();
-                black_box(table.on_beat(now, BeatMessage { view: view(0, vm) }));
+                black_box(table.on_heartbeat(now, HeartbeatMessage { view: view(0, vm) }));
                 local += 1;
             }
         }
         for action in table.tick(now) {
-            let MemberAction::Beat { address } = action else {
+            let MemberAction::SendHeartbeat { address } = action else {
                 continue;
             };
             let peer = list.iter().position(|vm| vm.address == address).unwrap() as u16;
             let (c, vm) = (peer / vms, peer % vms);
-            table.on_reply(now, BeatReply { view: view(c, vm) });
+            table.on_reply(now, HeartbeatReply { view: view(c, vm) });
             if c == 0 {
                 local += 1;
             } else {
@@ -142,37 +142,38 @@
         busy += started.elapsed();
     }
     let seconds = f64::from(STEPS) / 20.0;
-    let inward = remote_beats_in(vms, centres, own, &list);
-    let beats = f64::from(local) / seconds;
-    let far = (f64::from(remote) + f64::from(inward) * f64::from(remote_rounds())) / seconds;
+    let received = remote_heartbeats_received(vms, centres, own, &list);
+    let local_rate = f64::from(local) / seconds;
+    let remote_rate =
+        (f64::from(remote) + f64::from(received) * f64::from(remote_rounds())) / seconds;
     println!(
-        "  beats: {beats:.1}/s here, {far:.1}/s to and from others, {:.2} KB/s; {} KB held, {:.4}% of a core",
-        (beats + far) * wire::beat_bytes() as f64 / 1000.0,
+        "  heartbeats: {local_rate:.1}/s here, {remote_rate:.1}/s to and from others, {:.2} KB/s; {} KB held, {:.4}% of a core",
+        (local_rate + remote_rate) * wire::heartbeat_bytes() as f64 / 1000.0,
         (heap::used() - held) / 1000,
         busy.as_secs_f64() / seconds * 100.0
     );
 }
 
 fn remote_rounds() -> u32 {
-    let every = MemberSettings::default().remote_beat_every;
+    let every = MemberSettings::default().remote_heartbeat_interval;
     (Duration::from_millis(50) * STEPS).as_secs() as u32 / every.as_secs() as u32
 }
 
 /// How many processes of other data centres choose this one for a contact.
-fn remote_beats_in(vms: u16, centres: u16, own: u16, list: &[VmEntry]) -> u32 {
+fn remote_heartbeats_received(vms: u16, centres: u16, own: u16, list: &[VmEntry]) -> u32 {
     let here = &list[..usize::from(vms)];
-    let mut inward = 0;
+    let mut received = 0;
     for c in 1..centres {
         for vm in 0..vms {
             for action in table(c, vm, here).tick(Instant::now()) {
-                let target = MemberAction::Beat {
+                let target = MemberAction::SendHeartbeat {
                     address: address(0, own),
                 };
-                inward += u32::from(action == target);
+                received += u32::from(action == target);
             }
         }
     }
-    inward
+    received
 }
 
 fn print_ownership(vms: u16, endpoints: usize) {
--- a/crates/membership/examples/cost/wire.rs
+++ b/crates/membership/examples/cost/wire.rs
@@ -16,13 +16,13 @@
 pub(crate) fn print_sizes() {
     println!(
         "one beat with its answer: {} bytes of messages, {} with headers",
-        beat_bytes() - HEADER * SEGMENTS,
-        beat_bytes()
+        heartbeat_bytes() - HEADER * SEGMENTS,
+        heartbeat_bytes()
     );
 }
 
 /// A heartbeat and its answer, headers included.
-pub(crate) fn beat_bytes() -> usize {
+pub(crate) fn heartbeat_bytes() -> usize {
     let call = call_bytes(|content| {
         write_view(
             content
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -24,8 +24,8 @@
     },
     handover::{HandoverCount, HandoverLedger, HandoverReport},
     member::{
-        BeatMessage, BeatReply, LiveOwner, MemberAction, MemberSettings, MemberTable, MemberView,
-        OwnMember,
+        HeartbeatMessage, HeartbeatReply, LiveOwner, MemberAction, MemberSettings, MemberTable,
+        MemberView, OwnMember,
     },
     mix::{rendezvous, StableHash},
     ownership::{OwnershipMap, OwnershipMove},
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -12,7 +12,9 @@
 
 use model::{DataCentreId, EndpointState, FastMap, VmEntry, VmRole};
 
-pub use message::{BeatMessage, BeatReply, LiveOwner, MemberAction, MemberView, OwnMember};
+pub use message::{
+    HeartbeatMessage, HeartbeatReply, LiveOwner, MemberAction, MemberView, OwnMember,
+};
 pub use settings::MemberSettings;
 
 use crate::mix::{score, StableHash};
@@ -26,11 +28,11 @@
     own: OwnMember,
     settings: MemberSettings,
     members: BTreeMap<SocketAddr, Member>,
-    remote_due: FastMap<DataCentreId, Instant>,
+    remote_heartbeats_due: FastMap<DataCentreId, Instant>,
     last_input: Option<Instant>,
     revision: u64,
     /// The revision of the last [`MemberAction::ViewChanged`].
-    told_revision: u64,
+    reported_revision: u64,
 }
 
 #[derive(Clone, Debug)]
@@ -43,11 +45,11 @@
     leaving: bool,
     live: bool,
     last_heard: Option<Instant>,
-    last_beat: Option<Instant>,
+    last_heartbeat_sent: Option<Instant>,
     /// The first beat that nothing was heard after.
     unanswered_since: Option<Instant>,
     /// To be beaten at the next tick, whenever that was done last.
-    due_now: bool,
+    heartbeat_due: bool,
 }
 
 impl MemberTable {
@@ -61,10 +63,10 @@
             own,
             settings,
             members: BTreeMap::new(),
-            remote_due: FastMap::default(),
+            remote_heartbeats_due: FastMap::default(),
             last_input: None,
             revision: 0,
-            told_revision: 0,
+            reported_revision: 0,
         };
         for (address, data_centre) in seeds {
             if address == table.own.address {
@@ -99,32 +101,32 @@
     /// To be called several times a beat period. Order: beats within the data centre, beats to others, then
     /// [`MemberAction::ViewChanged`] at most once.
     pub fn tick(&mut self, now: Instant) -> Vec<MemberAction> {
-        self.note_input(now);
-        self.judge(now);
-        self.forget(now);
+        self.detect_own_pause(now);
+        self.mark_silent_members(now);
+        self.remove_stale_members(now);
         let mut actions = Vec::new();
-        self.beat_local(now, &mut actions);
-        self.beat_remote(now, &mut actions);
-        if self.revision != self.told_revision {
-            self.told_revision = self.revision;
+        self.push_local_heartbeats(now, &mut actions);
+        self.push_remote_heartbeats(now, &mut actions);
+        if self.revision != self.reported_revision {
+            self.reported_revision = self.revision;
             actions.push(MemberAction::ViewChanged);
         }
         actions
     }
 
     /// A heartbeat came. The answer counts as a heartbeat at the other side, so a pair needs one beat a period.
-    pub fn on_beat(&mut self, now: Instant, message: BeatMessage) -> BeatReply {
-        self.note_input(now);
-        self.hear(now, message.view);
-        BeatReply {
+    pub fn on_heartbeat(&mut self, now: Instant, message: HeartbeatMessage) -> HeartbeatReply {
+        self.detect_own_pause(now);
+        self.record_contact(now, message.view);
+        HeartbeatReply {
             view: self.own_view(),
         }
     }
 
     /// The answer to a beat came.
-    pub fn on_reply(&mut self, now: Instant, reply: BeatReply) {
-        self.note_input(now);
-        self.hear(now, reply.view);
+    pub fn on_reply(&mut self, now: Instant, reply: HeartbeatReply) {
+        self.detect_own_pause(now);
+        self.record_contact(now, reply.view);
     }
 
     /// The member's VM refused a connection: nothing listens there.
@@ -133,7 +135,7 @@
     /// suspect time. A refusal comes from the VM's own system and not from the network, so it is proof enough; the
     /// next process there is live as soon as it is heard. A broken connection or a timeout is no such proof.
     pub fn on_refused(&mut self, now: Instant, address: SocketAddr) {
-        self.note_input(now);
+        self.detect_own_pause(now);
         let Some(member) = self.members.get_mut(&address) else {
             return;
         };
@@ -144,8 +146,8 @@
     }
 
     /// The beat to send, to whomever.
-    pub fn beat_message(&self) -> BeatMessage {
-        BeatMessage {
+    pub fn heartbeat_message(&self) -> HeartbeatMessage {
+        HeartbeatMessage {
             view: self.own_view(),
         }
     }
@@ -172,7 +174,7 @@
     pub fn announce(&mut self) {
         for member in self.members.values_mut() {
             if member.live && member.data_centre == self.own.data_centre {
-                member.due_now = true;
+                member.heartbeat_due = true;
             }
         }
     }
@@ -242,7 +244,7 @@
     pub fn period(&self) -> Duration {
         let mut members: u32 = 0;
         for member in self.members.values() {
-            if member.data_centre == self.own.data_centre && member.is_target() {
+            if member.data_centre == self.own.data_centre && member.is_heartbeat_target() {
                 members += 1;
             }
         }
@@ -270,7 +272,7 @@
     /// own. A gap in its own inputs longer than the suspect time shows that it was the one away; its live members
     /// then get a full suspect time from now, in which the beats in the sockets are read. One that did die meanwhile
     /// is found dead that much later, which costs only its endpoints' share of capacity.
-    fn note_input(&mut self, now: Instant) {
+    fn detect_own_pause(&mut self, now: Instant) {
         let last = self.last_input.replace(now).unwrap_or(now);
         if now.saturating_duration_since(last) <= self.settings.suspect_after {
             return;
@@ -283,7 +285,7 @@
         }
     }
 
-    fn hear(&mut self, now: Instant, view: MemberView) {
+    fn record_contact(&mut self, now: Instant, view: MemberView) {
         if view.address == self.own.address {
             return;
         }
@@ -291,7 +293,11 @@
         member.data_centre = view.data_centre.clone();
         member.last_heard = Some(now);
         member.unanswered_since = None;
-        let changed = !member.live || member.view.as_ref().is_none_or(|old| old.differs(&view));
+        let changed = !member.live
+            || member
+                .view
+                .as_ref()
+                .is_none_or(|old| old.changes_ownership(&view));
         member.live = true;
         member.view = Some(view);
         if changed {
@@ -299,10 +305,10 @@
         }
     }
 
-    fn judge(&mut self, now: Instant) {
+    fn mark_silent_members(&mut self, now: Instant) {
         for member in self.members.values_mut() {
             let remote = member.data_centre != self.own.data_centre;
-            if member.live && member.is_silent(now, remote, &self.settings) {
+            if member.live && member.is_unresponsive(now, remote, &self.settings) {
                 member.live = false;
                 self.revision += 1;
             }
@@ -311,12 +317,12 @@
 
     /// Silent members that no list names are forgotten, else a table grows with every VM that ever was (450 are
     /// replaced a day at the target).
-    fn forget(&mut self, now: Instant) {
+    fn remove_stale_members(&mut self, now: Instant) {
         let forget_after = self.settings.forget_after;
         self.members.retain(|_, member| {
             let heard = member
                 .last_heard
-                .is_some_and(|at| passed(now, at) < forget_after);
+                .is_some_and(|at| time_between(now, at) < forget_after);
             member.live || member.seed || member.listed || heard
         });
     }
@@ -327,43 +333,43 @@
     ///
     /// A live member that leaves a beat unanswered is tried again at the shortest period, so that its death rests on
     /// several beats and is known soon, also where the period is long.
-    fn beat_local(&mut self, now: Instant, actions: &mut Vec<MemberAction>) {
+    fn push_local_heartbeats(&mut self, now: Instant, actions: &mut Vec<MemberAction>) {
         let period = self.period();
         for (address, member) in &mut self.members {
-            if member.data_centre != self.own.data_centre || !member.is_target() {
+            if member.data_centre != self.own.data_centre || !member.is_heartbeat_target() {
                 continue;
             }
             let wait = if member.live && member.unanswered_since.is_some() {
-                self.settings.beat_every
+                self.settings.heartbeat_interval
             } else if self.own.address < *address {
                 period
             } else {
                 period + period / 2
             };
-            let latest = member.last_heard.max(member.last_beat);
-            if !member.due_now && latest.is_some_and(|at| passed(now, at) < wait) {
+            let latest = member.last_heard.max(member.last_heartbeat_sent);
+            if !member.heartbeat_due && latest.is_some_and(|at| time_between(now, at) < wait) {
                 continue;
             }
-            member.beat(now);
-            actions.push(MemberAction::Beat { address: *address });
+            member.record_heartbeat_sent(now);
+            actions.push(MemberAction::SendHeartbeat { address: *address });
         }
     }
 
     /// A fixed number of beats to each other data centre, whatever its size: at 12 data centres of 60 VMs a full mesh
     /// would be 719 pairs a process, two contacts each are 22 out and about 22 in.
-    fn beat_remote(&mut self, now: Instant, actions: &mut Vec<MemberAction>) {
+    fn push_remote_heartbeats(&mut self, now: Instant, actions: &mut Vec<MemberAction>) {
         for (data_centre, addresses) in self.remote_members() {
-            let due = self.remote_due.get(&data_centre);
+            let due = self.remote_heartbeats_due.get(&data_centre);
             if due.is_some_and(|due| now < *due) {
                 continue;
             }
-            self.remote_due
-                .insert(data_centre, now + self.settings.remote_beat_every);
+            self.remote_heartbeats_due
+                .insert(data_centre, now + self.settings.remote_heartbeat_interval);
             for address in self.contacts(now, addresses) {
                 if let Some(member) = self.members.get_mut(&address) {
-                    member.beat(now);
+                    member.record_heartbeat_sent(now);
                 }
-                actions.push(MemberAction::Beat { address });
+                actions.push(MemberAction::SendHeartbeat { address });
             }
         }
     }
@@ -371,7 +377,7 @@
     fn remote_members(&self) -> BTreeMap<DataCentreId, Vec<SocketAddr>> {
         let mut remote: BTreeMap<DataCentreId, Vec<SocketAddr>> = BTreeMap::new();
         for (address, member) in &self.members {
-            if member.data_centre == self.own.data_centre || !member.is_target() {
+            if member.data_centre == self.own.data_centre || !member.is_heartbeat_target() {
                 continue;
             }
             remote
@@ -389,8 +395,8 @@
         let own = self.own.address.stable_hash();
         addresses.sort_by_cached_key(|address| {
             let member = &self.members[address];
-            let silent = member.is_silent(now, true, &self.settings);
-            let tried = member.last_beat.filter(|_| silent);
+            let silent = member.is_unresponsive(now, true, &self.settings);
+            let tried = member.last_heartbeat_sent.filter(|_| silent);
             let rank = Reverse(score(own, address.stable_hash()));
             (silent, tried, rank)
         });
@@ -409,46 +415,46 @@
             leaving: false,
             live: false,
             last_heard: None,
-            last_beat: None,
+            last_heartbeat_sent: None,
             unanswered_since: None,
-            due_now: false,
+            heartbeat_due: false,
         }
     }
 
     /// A leaving VM is heard until it falls silent, and not tried after that. A silent member that no list names is
     /// not tried either.
-    fn is_target(&self) -> bool {
+    fn is_heartbeat_target(&self) -> bool {
         self.live || self.seed || (self.listed && !self.leaving)
     }
 
-    fn beat(&mut self, now: Instant) {
-        self.due_now = false;
-        self.last_beat = Some(now);
+    fn record_heartbeat_sent(&mut self, now: Instant) {
+        self.heartbeat_due = false;
+        self.last_heartbeat_sent = Some(now);
         self.unanswered_since.get_or_insert(now);
     }
 
     /// Whether nothing was heard for the suspect time after a beat. A remote member that is no contact of ours is
     /// not beaten; it beats us, so its own silence counts.
-    fn is_silent(&self, now: Instant, remote: bool, settings: &MemberSettings) -> bool {
+    fn is_unresponsive(&self, now: Instant, remote: bool, settings: &MemberSettings) -> bool {
         let limit = match remote {
             true => settings.remote_suspect_after,
             false => settings.suspect_after,
         };
         if self
             .unanswered_since
-            .is_some_and(|asked| passed(now, asked) >= limit)
+            .is_some_and(|asked| time_between(now, asked) >= limit)
         {
             return true;
         }
-        let overdue = settings.remote_beat_every + limit;
+        let overdue = settings.remote_heartbeat_interval + limit;
         remote
             && self
                 .last_heard
-                .is_some_and(|heard| passed(now, heard) >= overdue)
+                .is_some_and(|heard| time_between(now, heard) >= overdue)
     }
 }
 
 /// The time from `from` to `to`; zero when `from` is later.
-fn passed(to: Instant, from: Instant) -> Duration {
+fn time_between(to: Instant, from: Instant) -> Duration {
     to.saturating_duration_since(from)
 }
--- a/crates/membership/src/member/message.rs
+++ b/crates/membership/src/member/message.rs
@@ -36,7 +36,7 @@
 
 impl MemberView {
     /// Whether the two differ in what decides ownership. A new contract head does not.
-    pub(crate) fn differs(&self, other: &Self) -> bool {
+    pub(crate) fn changes_ownership(&self, other: &Self) -> bool {
         self.incarnation != other.incarnation
             || self.stopping != other.stopping
             || self.data_centre != other.data_centre
@@ -54,14 +54,14 @@
 
 /// A heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BeatMessage {
+pub struct HeartbeatMessage {
     /// The sender.
     pub view: MemberView,
 }
 
 /// The answer to a heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BeatReply {
+pub struct HeartbeatReply {
     /// The one that answers.
     pub view: MemberView,
 }
@@ -69,8 +69,8 @@
 /// What the table asks of its process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberAction {
-    /// Send [`crate::MemberTable::beat_message`] to this address.
-    Beat {
+    /// Send [`crate::MemberTable::heartbeat_message`] to this address.
+    SendHeartbeat {
         /// The peer address.
         address: SocketAddr,
     },
--- a/crates/membership/src/member/settings.rs
+++ b/crates/membership/src/member/settings.rs
@@ -6,13 +6,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberSettings {
     /// The shortest time between two beats of one pair within the data centre.
-    pub beat_every: Duration,
+    pub heartbeat_interval: Duration,
     /// The most beats a second, sent and received, that a process spends on its own data centre. With more members
     /// the period grows instead: at 59 peers and 14 beats it is 4.2 s. A beat and its answer take 608 bytes, so the
     /// full mesh stays below 9 of the 27 KB/s that a node may spend on control; with 8 VMs the limit does not bind.
-    pub beats_per_second: u32,
+    pub max_heartbeats_per_second: u32,
     /// The time between two beats to the contacts of another data centre.
-    pub remote_beat_every: Duration,
+    pub remote_heartbeat_interval: Duration,
     /// How many dispatchers of each other data centre to beat. Two, so that one death leaves one known.
     pub contacts_per_data_centre: usize,
     /// The silence after an unanswered beat within the data centre that counts as death: four beats at the shortest
@@ -28,9 +28,9 @@
 impl Default for MemberSettings {
     fn default() -> Self {
         Self {
-            beat_every: Duration::from_millis(500),
-            beats_per_second: 14,
-            remote_beat_every: Duration::from_secs(10),
+            heartbeat_interval: Duration::from_millis(500),
+            max_heartbeats_per_second: 14,
+            remote_heartbeat_interval: Duration::from_secs(10),
             contacts_per_data_centre: 2,
             suspect_after: Duration::from_secs(2),
             remote_suspect_after: Duration::from_secs(12),
@@ -42,7 +42,7 @@
 impl MemberSettings {
     /// The time between two beats of one pair among `members` peers.
     pub(crate) fn period(&self, members: u32) -> Duration {
-        let spread = Duration::from_secs(1) * members / self.beats_per_second.max(1);
-        self.beat_every.max(spread)
+        let spread = Duration::from_secs(1) * members / self.max_heartbeats_per_second.max(1);
+        self.heartbeat_interval.max(spread)
     }
 }
--- a/crates/membership/tests/members.rs
+++ b/crates/membership/tests/members.rs
@@ -6,7 +6,8 @@
 };
 
 use membership::{
-    BeatMessage, BeatReply, MemberAction, MemberSettings, MemberTable, MemberView, OwnMember,
+    HeartbeatMessage, HeartbeatReply, MemberAction, MemberSettings, MemberTable, MemberView,
+    OwnMember,
 };
 use model::{DataCentreId, EndpointState, IncarnationId, VmEntry, VmRole};
 
@@ -64,7 +65,7 @@
 fn beats(actions: &[MemberAction]) -> Vec<SocketAddr> {
     let mut addresses = Vec::new();
     for action in actions {
-        if let MemberAction::Beat { address } = action {
+        if let MemberAction::SendHeartbeat { address } = action {
             addresses.push(*address);
         }
     }
@@ -152,7 +153,7 @@
     fn hear(&mut self, n: u8) {
         let mut view = view(HOME, n);
         view.stopping = self.stopping.contains(&n);
-        let reply = self.table.on_beat(self.now, BeatMessage { view });
+        let reply = self.table.on_heartbeat(self.now, HeartbeatMessage { view });
         assert_eq!(reply.view.address, address(HOME, 3));
     }
 }
@@ -281,9 +282,9 @@
     let now = Instant::now();
     let mut table = table(3);
     for n in [1, 9] {
-        table.on_beat(
+        table.on_heartbeat(
             now,
-            BeatMessage {
+            HeartbeatMessage {
                 view: view(HOME, n),
             },
         );
@@ -292,7 +293,7 @@
     table.set_stopping();
     let both = [address(HOME, 1), address(HOME, 9)];
     assert_eq!(beats(&table.tick(now)), both);
-    assert!(table.beat_message().view.stopping);
+    assert!(table.heartbeat_message().view.stopping);
     assert!(table
         .owners()
         .iter()
@@ -308,7 +309,7 @@
         let before = table.revision();
         table.on_reply(
             now,
-            BeatReply {
+            HeartbeatReply {
                 view: member.clone(),
             },
         );
@@ -330,9 +331,9 @@
     let check = |n: u8, after: u64, expect: usize| {
         let now = Instant::now();
         let mut table = table(3);
-        table.on_beat(
+        table.on_heartbeat(
             now,
-            BeatMessage {
+            HeartbeatMessage {
                 view: view(HOME, n),
             },
         );
@@ -355,9 +356,9 @@
     let mut table = table(1);
     table.on_vm_list(&list(HOME, 1..=60));
     for n in 2..=60 {
-        table.on_beat(
+        table.on_heartbeat(
             now,
-            BeatMessage {
+            HeartbeatMessage {
                 view: view(HOME, n),
             },
         );
@@ -374,7 +375,7 @@
                     continue;
                 };
                 let view = view(HOME, v4.ip().octets()[3]);
-                table.on_reply(now, BeatReply { view });
+                table.on_reply(now, HeartbeatReply { view });
             }
         }
     }
@@ -397,10 +398,10 @@
             for to in beats(&tables[i].tick(now)) {
                 let j = tables
                     .iter()
-                    .position(|t| t.beat_message().view.address == to);
+                    .position(|t| t.heartbeat_message().view.address == to);
                 let j = j.unwrap();
-                let message = tables[i].beat_message();
-                let reply = tables[j].on_beat(now, message);
+                let message = tables[i].heartbeat_message();
+                let reply = tables[j].on_heartbeat(now, message);
                 tables[i].on_reply(now, reply);
                 let watched = i == 0 || j == 0;
                 messages += usize::from(step >= 300 && watched);
@@ -439,7 +440,7 @@
             let name = if n <= 60 { AWAY } else { "junagadh-dc" };
             table.on_reply(
                 now,
-                BeatReply {
+                HeartbeatReply {
                     view: view(name, n),
                 },
             );
@@ -486,9 +487,9 @@
         if n == 3 {
             continue;
         }
-        table.on_beat(
+        table.on_heartbeat(
             now,
-            BeatMessage {
+            HeartbeatMessage {
                 view: view(HOME, n),
             },
         );
--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -4,7 +4,7 @@
 use std::{future::Future, time::Duration};
 
 use contracts::HeadNumber;
-use membership::{AskBatch, BeatMessage, BeatReply, HandoverReport, ReplyBatch};
+use membership::{AskBatch, HandoverReport, HeartbeatMessage, HeartbeatReply, ReplyBatch};
 use model::{
     AttemptEnd, AttemptId, IncarnationId, Payload, SessionId, SlotCounts, TaskOffer, TaskVerdict,
     VmEntry, WithdrawalVerdict,
@@ -103,14 +103,14 @@
     /// The connection broke.
     pub fn beat(
         &self,
-        message: &BeatMessage,
-    ) -> impl Future<Output = Result<BeatReply, PeerError>> + 'static {
+        message: &HeartbeatMessage,
+    ) -> impl Future<Output = Result<HeartbeatReply, PeerError>> + 'static {
         let mut request = self.port.beat_request();
         write_view(request.get().init_view(), &message.view);
         let reply = request.send().promise;
         async move {
             let reply = reply.await?;
-            Ok(BeatReply {
+            Ok(HeartbeatReply {
                 view: read_view(reply.get()?.get_view()?)?,
             })
         }
--- a/crates/peer/src/service.rs
+++ b/crates/peer/src/service.rs
@@ -8,7 +8,7 @@
 use contracts::{ContractRow, ContractUpdate, HeadNumber};
 use futures::future::LocalBoxFuture;
 use membership::{
-    AskBatch, BeatMessage, BeatReply, CentreView, HandoverReport, MemberView, ReplyBatch,
+    AskBatch, CentreView, HandoverReport, HeartbeatMessage, HeartbeatReply, MemberView, ReplyBatch,
 };
 use model::{
     AttemptEnd, AttemptId, ContractVersion, IncarnationId, Payload, SessionId, SlotCounts,
@@ -78,7 +78,7 @@
     fn find(&self, incarnation: IncarnationId) -> ReplyFuture<Option<EntryClient>>;
 
     /// Takes a heartbeat.
-    fn beat(&self, message: BeatMessage) -> ReplyFuture<BeatReply>;
+    fn beat(&self, message: HeartbeatMessage) -> ReplyFuture<HeartbeatReply>;
 
     /// Says that this process is alive, how it sees itself and how its slots stand, and how it sees its data centre
     /// if that is another revision.
@@ -450,8 +450,8 @@
     }
 }
 
-fn read_beat(params: &dispatcher_capnp::BeatParams) -> Result<BeatMessage, PeerError> {
-    Ok(BeatMessage {
+fn read_beat(params: &dispatcher_capnp::BeatParams) -> Result<HeartbeatMessage, PeerError> {
+    Ok(HeartbeatMessage {
         view: read_view(params.get()?.get_view()?)?,
     })
 }
--- a/crates/peer/tests/border/fakes.rs
+++ b/crates/peer/tests/border/fakes.rs
@@ -5,7 +5,7 @@
 use actix_rt::task::JoinHandle;
 use contracts::HeadNumber;
 use membership::{
-    AskBatch, BeatMessage, BeatReply, CentreView, HandoverReport, MemberView, ReplyBatch,
+    AskBatch, CentreView, HandoverReport, HeartbeatMessage, HeartbeatReply, MemberView, ReplyBatch,
 };
 use model::{
     AttemptEnd, AttemptId, IncarnationId, Payload, SessionId, SlotCounts, TaskOffer, TaskVerdict,
@@ -142,10 +142,10 @@
         ready(self.0.entry.borrow().clone())
     }
 
-    fn beat(&self, message: BeatMessage) -> ReplyFuture<BeatReply> {
+    fn beat(&self, message: HeartbeatMessage) -> ReplyFuture<HeartbeatReply> {
         self.0.see(SeenCall::Beat(message.view));
         let view = self.0.answers.borrow().view.clone();
-        ready(BeatReply { view })
+        ready(HeartbeatReply { view })
     }
 
     fn ping(&self, revision: u64) -> ReplyFuture<PingReply> {
--- a/crates/peer/tests/border/round_trips.rs
+++ b/crates/peer/tests/border/round_trips.rs
@@ -49,7 +49,7 @@
     let view = values.next(values::view());
     // The asker knows what it asked for; it does not travel back.
     let since = shared.answers.borrow().news.update.since;
-    let message = membership::BeatMessage { view: view.clone() };
+    let message = membership::HeartbeatMessage { view: view.clone() };
     let beat = client.beat(&message).await.expect("beat");
     let (revision, ask, report) = (
         values.next(any::<u64>()),
--- a/crates/peer/tests/grants.rs
+++ b/crates/peer/tests/grants.rs
@@ -4,8 +4,8 @@
 
 use contracts::HeadNumber;
 use membership::{
-    AskBatch, BeatMessage, BeatReply, CentreView, GrantAsk, GrantReply, GrantVerdict,
-    HandoverCount, HandoverReport, MemberView, ReplyBatch,
+    AskBatch, CentreView, GrantAsk, GrantReply, GrantVerdict, HandoverCount, HandoverReport,
+    HeartbeatMessage, HeartbeatReply, MemberView, ReplyBatch,
 };
 use model::{
     AttemptId, IncarnationId, SessionId, SlotCounts, TaskOffer, TaskVerdict, VmEntry,
@@ -102,7 +102,7 @@
         unused()
     }
 
-    fn beat(&self, _: BeatMessage) -> ReplyFuture<BeatReply> {
+    fn beat(&self, _: HeartbeatMessage) -> ReplyFuture<HeartbeatReply> {
         unused()
     }
 
