--- a/crates/membership/src/grant/holder.rs
+++ b/crates/membership/src/grant/holder.rs
@@ -10,7 +10,7 @@
 use thiserror::Error;
 
 use super::{base_share, AskBatch, GrantAsk, GrantReply, GrantSettings, GrantVerdict, ReplyBatch};
-use crate::mix::rendezvous;
+use crate::hashing::rendezvous;
 
 /// What a batch without asks takes with its answer and all headers, in bytes; measured.
 const BATCH_BYTES: u32 = 568;
--- a/crates/membership/src/grant/ledger.rs
+++ b/crates/membership/src/grant/ledger.rs
@@ -12,8 +12,8 @@
     ReplyBatch,
 };
 use crate::{
+    hashing::{rendezvous, StableHash},
     member::LiveOwner,
-    mix::{rendezvous, StableHash},
 };
 
 /// How long a dispatcher that fell silent is remembered, so that its return is known for one. Longer than the hour
--- a/crates/membership/src/grant/share.rs
+++ b/crates/membership/src/grant/share.rs
@@ -6,7 +6,7 @@
 
 use model::{CustomerId, DataCentreId};
 
-use crate::mix::{score, StableHash};
+use crate::hashing::{score, StableHash};
 
 /// Splits `concurrency` over data centres in proportion to their endpoints' slots, by largest remainder.
 ///
--- a/crates/membership/src/mix.rs
+++ b/crates/membership/src/hashing.rs
@@ -8,7 +8,7 @@
 use model::{CustomerId, EndpointId};
 
 /// The odd constant of a 64-bit Weyl sequence: the golden ratio.
-const GOLDEN: u64 = 0x9e37_79b9_7f4a_7c15;
+const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// A value with a hash that is the same in every process and build.
 pub trait StableHash {
@@ -38,8 +38,8 @@
     fn stable_hash(&self) -> u64 {
         let port = u64::from(self.port());
         match self {
-            Self::V4(v4) => hash_bytes(&v4.ip().octets()) ^ finish(port),
-            Self::V6(v6) => hash_bytes(&v6.ip().octets()) ^ finish(port),
+            Self::V4(v4) => hash_bytes(&v4.ip().octets()) ^ mix_bits(port),
+            Self::V6(v6) => hash_bytes(&v6.ip().octets()) ^ mix_bits(port),
         }
     }
 }
@@ -62,24 +62,24 @@
 pub(crate) fn score(key: u64, member: u64) -> u64 {
     // Both are well mixed already; the rotation keeps a key that equals a member from giving the same value for
     // every such pair.
-    finish(key ^ member.rotate_left(32))
+    mix_bits(key ^ member.rotate_left(32))
 }
 
 /// Folds bytes eight at a time, little-endian, the length first so that a zero byte at the end counts.
 fn hash_bytes(bytes: &[u8]) -> u64 {
-    let mut state = finish(bytes.len() as u64);
+    let mut state = mix_bits(bytes.len() as u64);
     for chunk in bytes.chunks(8) {
         let mut word = [0; 8];
         word[..chunk.len()].copy_from_slice(chunk);
-        state = finish(state ^ u64::from_le_bytes(word));
+        state = mix_bits(state ^ u64::from_le_bytes(word));
     }
     state
 }
 
 /// A bijective mix in which each input bit flips about half of the output bits: two rounds of xor-shift and
 /// multiplication by odd constants.
-fn finish(value: u64) -> u64 {
-    let mut x = value.wrapping_add(GOLDEN);
+fn mix_bits(value: u64) -> u64 {
+    let mut x = value.wrapping_add(GOLDEN_RATIO);
     x = (x ^ (x >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93);
     x = (x ^ (x >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93);
     x ^ (x >> 32)
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -12,8 +12,8 @@
 mod centre;
 mod grant;
 mod handover;
+mod hashing;
 mod member;
-mod mix;
 mod ownership;
 
 pub use crate::{
@@ -23,10 +23,10 @@
         GrantReply, GrantSettings, GrantVerdict, ReplyBatch, StartRefusal,
     },
     handover::{HandoverCount, HandoverLedger, HandoverReport},
+    hashing::{rendezvous, StableHash},
     member::{
         HeartbeatMessage, HeartbeatReply, LiveOwner, MemberAction, MemberSettings, MemberTable,
         MemberView, OwnMember,
     },
-    mix::{rendezvous, StableHash},
     ownership::{OwnershipMap, OwnershipMove},
 };
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -17,7 +17,7 @@
 };
 pub use settings::MemberSettings;
 
-use crate::mix::{score, StableHash};
+use crate::hashing::{score, StableHash};
 
 /// A list of dispatchers with what was last heard of each.
 ///
--- a/crates/membership/src/ownership.rs
+++ b/crates/membership/src/ownership.rs
@@ -4,7 +4,7 @@
 
 use model::{EndpointId, FastMap};
 
-use crate::mix::{score, StableHash};
+use crate::hashing::{score, StableHash};
 
 /// An endpoint that changed its owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -81,7 +81,7 @@
         let mut before = std::mem::take(&mut self.owners);
         let mut moves = Vec::new();
         for endpoint in endpoints {
-            let to = best(endpoint.stable_hash(), &hashes).map(|i| self.members[i]);
+            let to = highest_scoring(endpoint.stable_hash(), &hashes).map(|i| self.members[i]);
             let known = before.remove(&endpoint);
             self.owners.insert(endpoint.clone(), to);
             let from = known.flatten();
@@ -102,6 +102,6 @@
 }
 
 /// The place of the member hash with the highest score. The later wins a tie, as in [`crate::rendezvous`].
-fn best(key: u64, members: &[u64]) -> Option<usize> {
+fn highest_scoring(key: u64, members: &[u64]) -> Option<usize> {
     (0..members.len()).max_by_key(|&i| (score(key, members[i]), i))
 }
