--- a/crates/dispatcher/src/control.rs
+++ b/crates/dispatcher/src/control.rs
@@ -18,8 +18,8 @@
 
 use ::contracts::ContractView;
 use ::membership::{
-    CentreView, GrantLedger, GrantSettings, HandoverLedger, MemberSettings, MemberTable, OwnMember,
-    OwnershipMap,
+    CentreView, GrantAllocator, GrantSettings, HandoverTracker, MemberSettings, MemberTable,
+    OwnMember, OwnershipMap,
 };
 use actix::{Actor, Addr, AsyncContext as _, Context, Handler};
 use kernel::{ClockSource, ServiceName};
@@ -64,9 +64,9 @@
     ledger: SlotLedger,
     members: MemberTable,
     ownership: OwnershipMap,
-    grants: GrantLedger,
+    grants: GrantAllocator,
     centre: CentreView,
-    handovers: HandoverLedger,
+    handovers: HandoverTracker,
     reported: FastSet<SocketAddr>,
     next_report: u64,
     vms: Vec<VmEntry>,
@@ -131,7 +131,7 @@
             claim_limit: settings.claim_limit_ms.duration(),
             ..LedgerSettings::default()
         });
-        let grants = GrantLedger::new(parts.own_address, grant_settings(&settings));
+        let grants = GrantAllocator::new(parts.own_address, grant_settings(&settings));
         Self {
             clock: parts.clock,
             incarnation: parts.incarnation,
@@ -141,7 +141,7 @@
             ownership: OwnershipMap::default(),
             grants,
             centre: CentreView::default(),
-            handovers: HandoverLedger::default(),
+            handovers: HandoverTracker::default(),
             reported: FastSet::default(),
             next_report: 1,
             vms: Vec::new(),
--- a/crates/membership/examples/cost/main.rs
+++ b/crates/membership/examples/cost/main.rs
@@ -14,7 +14,7 @@
 };
 
 use membership::{
-    rendezvous, AskBatch, GrantHolder, GrantLedger, GrantReply, GrantSettings, GrantVerdict,
+    rendezvous, AskBatch, GrantAllocator, GrantHolder, GrantReply, GrantSettings, GrantVerdict,
     HeartbeatMessage, HeartbeatReply, LiveOwner, MemberAction, MemberSettings, MemberTable,
     MemberView, OwnMember, OwnershipMap, ReplyBatch,
 };
@@ -40,7 +40,7 @@
         for (load, count) in [("content", 10), ("short everywhere", 2)] {
             print_holder(vms, load, count);
         }
-        print_ledger(vms);
+        print_allocator(vms);
     }
 }
 
@@ -262,13 +262,13 @@
 }
 
 /// A home that every entry of the data centre asks about all the customers that it is home of.
-fn print_ledger(vms: u16) {
+fn print_allocator(vms: u16) {
     let mut now = Instant::now();
     let own = address(0, 0);
     let held = heap::used();
-    let mut ledger = GrantLedger::new(own, GrantSettings::default());
+    let mut allocator = GrantAllocator::new(own, GrantSettings::default());
     for customer in customers() {
-        ledger.set_share(now, customer, 600);
+        allocator.set_share(now, customer, 600);
     }
     let mut live = Vec::new();
     for vm in 0..vms {
@@ -278,26 +278,26 @@
         });
     }
     let listed = live.iter().map(|owner| owner.address).collect();
-    ledger.set_view(now, live, listed);
-    let mine: Vec<CustomerId> = ledger.customers().cloned().collect();
+    allocator.set_view(now, live, listed);
+    let own_customers: Vec<CustomerId> = allocator.customers().cloned().collect();
     for _ in 0..11 {
         now += Duration::from_secs(1);
-        ledger.tick(now);
+        allocator.tick(now);
     }
     let rounds: u64 = 20;
     let mut busy = Duration::ZERO;
     for round in 1..=rounds {
         for vm in 0..vms {
-            let batch = ask_of(vm, round, &mine);
+            let batch = ask_of(vm, round, &own_customers);
             let started = Instant::now();
-            black_box(ledger.on_ask(now, &batch));
+            black_box(allocator.on_ask(now, &batch));
             busy += started.elapsed();
         }
     }
-    let asks = rounds * u64::from(vms) * mine.len() as u64;
+    let asks = rounds * u64::from(vms) * own_customers.len() as u64;
     println!(
         "  home of {} customers (most at one home: {}): {} KB held, {:?} an ask",
-        mine.len(),
+        own_customers.len(),
         most_at_one_home(vms),
         (heap::used() - held) / 1000,
         busy / asks.max(1) as u32
--- a/crates/membership/src/grant.rs
+++ b/crates/membership/src/grant.rs
@@ -1,7 +1,7 @@
 //! Leased grants: the parts of a customer's concurrency that entries may use.
 //!
 //! A customer's concurrency is split into a share per data centre ([`split_shares`]). Within one, the customer's home
-//! dispatcher ([`GrantLedger`]) leases parts of the share to the entries ([`GrantHolder`]) for a term.
+//! dispatcher ([`GrantAllocator`]) leases parts of the share to the entries ([`GrantHolder`]) for a term.
 //!
 //! What keeps the sum within the share:
 //!
@@ -15,14 +15,14 @@
 //! While views differ, or a holder is cut off from its home, entries may fall back to base shares, which add up to the
 //! share once more. So the overrun is at most one share, and it ends one term after the views agree.
 
+mod allocator;
 mod holder;
-mod ledger;
 mod message;
 mod settings;
 mod share;
 
+pub use allocator::GrantAllocator;
 pub use holder::{GrantHolder, StartRefusal};
-pub use ledger::GrantLedger;
 pub use message::{AskBatch, GrantAsk, GrantReply, GrantVerdict, ReplyBatch};
 pub use settings::GrantSettings;
 pub use share::{base_share, fair_target, split_shares};
--- a/crates/membership/src/handover.rs
+++ b/crates/membership/src/handover.rs
@@ -39,21 +39,21 @@
 /// gone before its last task ends, and a record without an end would keep the slot for ever. A task that outlives its
 /// deadline costs at most a busy answer.
 #[derive(Clone, Debug, Default)]
-pub struct HandoverLedger {
-    reports: FastMap<IncarnationId, OpenReport>,
+pub struct HandoverTracker {
+    reports: FastMap<IncarnationId, ReportRecord>,
 }
 
 #[derive(Clone, Debug)]
-struct OpenReport {
+struct ReportRecord {
     serial: u64,
     deadlines: FastMap<EndpointId, Vec<Instant>>,
 }
 
-impl HandoverLedger {
+impl HandoverTracker {
     /// Takes a report. One that is no newer than the last of the same owner is ignored.
     pub fn on_report(&mut self, now: Instant, report: HandoverReport) {
-        let open = self.reports.get(&report.incarnation);
-        if open.is_some_and(|open| report.serial <= open.serial) {
+        let record = self.reports.get(&report.incarnation);
+        if record.is_some_and(|record| report.serial <= record.serial) {
             return;
         }
         let mut deadlines: FastMap<EndpointId, Vec<Instant>> = FastMap::default();
@@ -63,7 +63,7 @@
         }
         let serial = report.serial;
         self.reports
-            .insert(report.incarnation, OpenReport { serial, deadlines });
+            .insert(report.incarnation, ReportRecord { serial, deadlines });
     }
 
     /// The slots of the endpoint that earlier owners use now.
@@ -83,8 +83,8 @@
         let mut used: FastMap<EndpointId, u32> = FastMap::default();
         for report in self.reports.values() {
             for (endpoint, deadlines) in &report.deadlines {
-                let open = deadlines.iter().filter(|at| now < **at).count();
-                *used.entry(endpoint.clone()).or_default() += open as u32;
+                let record = deadlines.iter().filter(|at| now < **at).count();
+                *used.entry(endpoint.clone()).or_default() += record as u32;
             }
         }
         used.retain(|_, count| *count > 0);
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -5,7 +5,7 @@
 //!
 //! - [`MemberTable`]: which dispatchers are live, from heartbeats.
 //! - [`OwnershipMap`]: which dispatcher owns which endpoint.
-//! - [`GrantLedger`] and [`GrantHolder`]: the two sides of a lease on a part of a customer's concurrency.
+//! - [`GrantAllocator`] and [`GrantHolder`]: the two sides of a lease on a part of a customer's concurrency.
 //! - [`CentreView`]: what entries hear of all that.
 //! - [`HandoverReport`]: what a leaving owner tells the new ones.
 
@@ -19,10 +19,10 @@
 pub use crate::{
     centre::CentreView,
     grant::{
-        base_share, fair_target, split_shares, AskBatch, GrantAsk, GrantHolder, GrantLedger,
+        base_share, fair_target, split_shares, AskBatch, GrantAllocator, GrantAsk, GrantHolder,
         GrantReply, GrantSettings, GrantVerdict, ReplyBatch, StartRefusal,
     },
-    handover::{HandoverCount, HandoverLedger, HandoverReport},
+    handover::{HandoverCount, HandoverReport, HandoverTracker},
     hashing::{rendezvous, StableHash},
     member::{
         HeartbeatMessage, HeartbeatReply, LiveOwner, MemberAction, MemberSettings, MemberTable,
--- a/crates/membership/tests/grant_faults/fleet.rs
+++ b/crates/membership/tests/grant_faults/fleet.rs
@@ -8,7 +8,7 @@
 };
 
 use fastrand::Rng;
-use membership::{AskBatch, GrantHolder, GrantLedger, GrantSettings, LiveOwner, ReplyBatch};
+use membership::{AskBatch, GrantAllocator, GrantHolder, GrantSettings, LiveOwner, ReplyBatch};
 use model::{CustomerId, IncarnationId};
 
 pub(crate) const STEP_MS: u64 = 50;
@@ -64,7 +64,7 @@
     address: SocketAddr,
     incarnation: IncarnationId,
     dispatcher: IncarnationId,
-    ledger: GrantLedger,
+    allocator: GrantAllocator,
     holder: GrantHolder,
     clock_start: Instant,
     skew_ppm: i64,
@@ -146,8 +146,11 @@
         limits
     }
 
-    pub(crate) fn debited(&self) -> u32 {
-        let debits = self.vms.iter().map(|vm| vm.ledger.debited(&self.customer));
+    pub(crate) fn leased(&self) -> u32 {
+        let debits = self
+            .vms
+            .iter()
+            .map(|vm| vm.allocator.leased(&self.customer));
         debits.sum()
     }
 
@@ -189,7 +192,7 @@
             address,
             incarnation,
             dispatcher: incarnation,
-            ledger: GrantLedger::new(address, self.settings.clone()),
+            allocator: GrantAllocator::new(address, self.settings.clone()),
             holder: GrantHolder::new(address, incarnation, self.settings.clone()),
             clock_start: Instant::now() + Duration::from_secs(1000 * i as u64),
             skew_ppm: self.rng.i64(-3000..=3000),
@@ -207,11 +210,11 @@
         self.lives += 1;
         let vm = &mut self.vms[i];
         vm.dispatcher = IncarnationId(self.lives * 0x9e37_79b9);
-        vm.ledger = GrantLedger::new(vm.address, self.settings.clone());
+        vm.allocator = GrantAllocator::new(vm.address, self.settings.clone());
         vm.view = Vec::new();
         vm.heard.fill(now);
         let clock = vm.clock(now);
-        vm.ledger
+        vm.allocator
             .set_share(clock, self.customer.clone(), self.share);
     }
 
@@ -294,14 +297,14 @@
         let listed: Vec<SocketAddr> = self.vms.iter().map(|vm| vm.address).collect();
         let vm = &mut self.vms[i];
         let clock = vm.clock(self.now);
-        vm.ledger.tick(clock);
+        vm.allocator.tick(clock);
         if view == vm.view {
             return;
         }
         vm.view = view.clone();
         let live = view.iter().map(|owner| owner.address).collect();
         vm.holder.set_view(clock, live, listed.clone());
-        vm.ledger.set_view(clock, view, listed);
+        vm.allocator.set_view(clock, view, listed);
     }
 
     /// Hands over what is due. What is for a frozen process waits in its socket.
@@ -328,7 +331,7 @@
         let clock = vm.clock(self.now);
         match letter.body {
             Body::Ask(batch) => {
-                if let Some(reply) = vm.ledger.on_ask(clock, &batch) {
+                if let Some(reply) = vm.allocator.on_ask(clock, &batch) {
                     self.send(letter.to, letter.from, letter.entry, Body::Reply(reply));
                 }
             }
--- a/crates/membership/tests/grant_faults/main.rs
+++ b/crates/membership/tests/grant_faults/main.rs
@@ -65,7 +65,7 @@
     fleet.set_demand(0);
     let idle = fleet.now() + 3_000;
     fleet.run(idle, |_, _| ());
-    prop_assert_eq!(fleet.debited(), 0, "all is back");
+    prop_assert_eq!(fleet.leased(), 0, "all is back");
     Ok(())
 }
 
--- a/crates/membership/tests/grants.rs
+++ b/crates/membership/tests/grants.rs
@@ -7,13 +7,13 @@
 };
 
 use membership::{
-    rendezvous, AskBatch, GrantAsk, GrantHolder, GrantLedger, GrantSettings, GrantVerdict,
+    rendezvous, AskBatch, GrantAllocator, GrantAsk, GrantHolder, GrantSettings, GrantVerdict,
     LiveOwner, ReplyBatch, StartRefusal,
 };
 use model::{CustomerId, IncarnationId};
 
 /// When a new home has waited out all earlier grants.
-const SETTLED: u64 = 12_600;
+const RECOVERY_MS: u64 = 12_600;
 
 fn address(n: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, n], 7000))
@@ -40,7 +40,7 @@
 
 /// The home at address 1, alone live; the list names it and `others` more VMs.
 struct Home {
-    ledger: GrantLedger,
+    allocator: GrantAllocator,
     start: Instant,
     serial: u64,
 }
@@ -48,12 +48,12 @@
 impl Home {
     fn new(share: u32, others: u8) -> Self {
         let start = Instant::now();
-        let mut ledger = GrantLedger::new(address(1), GrantSettings::default());
-        ledger.set_share(start, customer(), share);
+        let mut allocator = GrantAllocator::new(address(1), GrantSettings::default());
+        allocator.set_share(start, customer(), share);
         let listed = (1..=1 + others).map(address).collect();
-        ledger.set_view(start, vec![owner(1)], listed);
+        allocator.set_view(start, vec![owner(1)], listed);
         Self {
-            ledger,
+            allocator,
             start,
             serial: 0,
         }
@@ -66,9 +66,9 @@
     /// Ticks every second up to the time, as a process that is not frozen does.
     fn pass(&mut self, from: u64, to: u64) {
         for millis in (from..to).step_by(1000) {
-            self.ledger.tick(self.at(millis));
+            self.allocator.tick(self.at(millis));
         }
-        self.ledger.tick(self.at(to));
+        self.allocator.tick(self.at(to));
     }
 
     fn ask(&mut self, millis: u64, holder: u8, want: u32, held: u32, in_use: u32) -> GrantVerdict {
@@ -86,8 +86,8 @@
             }],
         };
         let now = self.at(millis);
-        let reply = self.ledger.on_ask(now, &batch).unwrap();
-        assert_eq!(self.ledger.on_ask(now, &batch), None, "late or twice");
+        let reply = self.allocator.on_ask(now, &batch).unwrap();
+        assert_eq!(self.allocator.on_ask(now, &batch), None, "late or twice");
         reply.replies[0].verdict
     }
 }
@@ -95,10 +95,10 @@
 /// `asks`: (ms after the home settled, holder, want, held, in use, expected grant).
 fn check_home(share: u32, asks: &[(u64, u8, u32, u32, u32, u32)]) {
     let mut home = Home::new(share, 0);
-    home.pass(0, SETTLED);
-    let mut last = SETTLED;
+    home.pass(0, RECOVERY_MS);
+    let mut last = RECOVERY_MS;
     for (millis, holder, want, held, in_use, count) in asks {
-        let at = SETTLED + millis;
+        let at = RECOVERY_MS + millis;
         home.pass(last, at);
         last = at;
         let verdict = home.ask(at, *holder, *want, *held, *in_use);
@@ -162,7 +162,7 @@
 fn a_new_home_confirms_and_does_not_raise() {
     let check = |at: u64, want: u32, held: u32, expect: u32| {
         let mut home = Home::new(10, 4);
-        home.ledger.set_view(
+        home.allocator.set_view(
             home.start,
             (1..=5).map(owner).collect(),
             (1..=5).map(address).collect(),
@@ -175,8 +175,8 @@
     check(0, 60, 6, 6);
     check(0, 60, 0, 2);
     check(0, 1, 0, 1);
-    check(SETTLED - 1, 60, 6, 6);
-    check(SETTLED, 60, 6, 10);
+    check(RECOVERY_MS - 1, 60, 6, 6);
+    check(RECOVERY_MS, 60, 6, 10);
 }
 
 // The caller sees its limit kept. The home freezes for 3 s, the others take the next in line for the home, and that
@@ -185,9 +185,9 @@
 fn a_thawed_home_is_a_new_home() {
     let check = |frozen: u64, expect: u32| {
         let mut home = Home::new(10, 0);
-        home.pass(0, SETTLED);
-        home.ask(SETTLED, 2, 2, 0, 0);
-        let verdict = home.ask(SETTLED + frozen, 2, 8, 2, 2);
+        home.pass(0, RECOVERY_MS);
+        home.ask(RECOVERY_MS, 2, 2, 0, 0);
+        let verdict = home.ask(RECOVERY_MS + frozen, 2, 8, 2, 2);
         let count = expect;
         assert_eq!(verdict, GrantVerdict::Granted { count, share: 10 });
     };
@@ -205,13 +205,13 @@
         let listed = vec![address(1), address(2)];
         let see = |home: &mut Home, at: u64, live: Vec<LiveOwner>| {
             let now = home.at(at);
-            home.ledger.set_view(now, live, listed.clone());
+            home.allocator.set_view(now, live, listed.clone());
         };
         see(&mut home, 0, vec![owner(1), owner(2)]);
-        home.pass(0, SETTLED);
-        see(&mut home, SETTLED, vec![owner(1)]);
-        see(&mut home, SETTLED + 1, vec![owner(1), back]);
-        let verdict = home.ask(SETTLED + 2, 1, 60, 0, 0);
+        home.pass(0, RECOVERY_MS);
+        see(&mut home, RECOVERY_MS, vec![owner(1)]);
+        see(&mut home, RECOVERY_MS + 1, vec![owner(1), back]);
+        let verdict = home.ask(RECOVERY_MS + 2, 1, 60, 0, 0);
         let count = expect;
         assert_eq!(verdict, GrantVerdict::Granted { count, share: 10 });
     };
@@ -228,15 +228,15 @@
 #[test]
 fn a_lower_share_binds_the_unaware_at_their_renewal() {
     let mut home = Home::new(10, 0);
-    home.pass(0, SETTLED);
-    home.ask(SETTLED, 2, 60, 0, 0);
-    let now = home.at(SETTLED + 1);
-    home.ledger.set_share(now, customer(), 4);
+    home.pass(0, RECOVERY_MS);
+    home.ask(RECOVERY_MS, 2, 60, 0, 0);
+    let now = home.at(RECOVERY_MS + 1);
+    home.allocator.set_share(now, customer(), 4);
     let granted = |count| GrantVerdict::Granted { count, share: 4 };
-    assert_eq!(home.ask(SETTLED + 2, 3, 60, 0, 0), granted(0));
-    assert_eq!(home.ask(SETTLED + 3, 2, 60, 10, 10), granted(2));
-    assert_eq!(home.ask(SETTLED + 4, 2, 60, 2, 2), granted(2));
-    assert_eq!(home.ask(SETTLED + 5, 3, 60, 0, 0), granted(2));
+    assert_eq!(home.ask(RECOVERY_MS + 2, 3, 60, 0, 0), granted(0));
+    assert_eq!(home.ask(RECOVERY_MS + 3, 2, 60, 10, 10), granted(2));
+    assert_eq!(home.ask(RECOVERY_MS + 4, 2, 60, 2, 2), granted(2));
+    assert_eq!(home.ask(RECOVERY_MS + 5, 3, 60, 0, 0), granted(2));
 }
 
 // The callers on both sides of a cut are served. A home sees one of five VMs: it grants what the base shares of the
@@ -246,10 +246,10 @@
     let check = |share: u32, seen: u8, expect: u32| {
         let mut home = Home::new(share, 4);
         let live = (1..=seen).map(owner).collect();
-        home.ledger
+        home.allocator
             .set_view(home.start, live, (1..=5).map(address).collect());
-        home.pass(0, SETTLED);
-        let verdict = home.ask(SETTLED, 1, 1000, 0, 0);
+        home.pass(0, RECOVERY_MS);
+        let verdict = home.ask(RECOVERY_MS, 1, 1000, 0, 0);
         let count = expect;
         assert_eq!(verdict, GrantVerdict::Granted { count, share });
     };
@@ -265,7 +265,7 @@
 #[test]
 fn another_dispatchers_customer_is_turned_away() {
     let mut home = Home::new(10, 0);
-    home.ledger
+    home.allocator
         .set_view(home.start, vec![owner(9)], vec![address(9)]);
     assert_eq!(home.ask(1, 2, 5, 0, 0), GrantVerdict::NotHome);
 }
--- a/crates/membership/tests/handover.rs
+++ b/crates/membership/tests/handover.rs
@@ -5,7 +5,7 @@
     time::{Duration, Instant},
 };
 
-use membership::{HandoverCount, HandoverLedger, HandoverReport};
+use membership::{HandoverCount, HandoverReport, HandoverTracker};
 use model::{EndpointId, IncarnationId};
 
 fn endpoint(n: u32) -> EndpointId {
@@ -31,14 +31,14 @@
 /// Takes the reports at once and counts the slots of endpoint 1 used after `after` ms.
 fn check(reports: &[HandoverReport], after: u64, expect: usize) {
     let now = Instant::now();
-    let mut ledger = HandoverLedger::default();
+    let mut tracker = HandoverTracker::default();
     for report in reports {
-        ledger.on_report(now, report.clone());
+        tracker.on_report(now, report.clone());
     }
     let later = now + Duration::from_millis(after);
-    assert_eq!(ledger.outstanding(later, &endpoint(1)), expect);
-    let nothing_left = ledger.tick(later);
-    assert_eq!(ledger.outstanding(later, &endpoint(1)), expect);
+    assert_eq!(tracker.outstanding(later, &endpoint(1)), expect);
+    let nothing_left = tracker.tick(later);
+    assert_eq!(tracker.outstanding(later, &endpoint(1)), expect);
     assert!(expect == 0 || !nothing_left);
 }
 
@@ -60,8 +60,8 @@
 #[test]
 fn expired_reports_are_dropped() {
     let now = Instant::now();
-    let mut ledger = HandoverLedger::default();
-    ledger.on_report(now, report(1, 1, &[(1, &[100])]));
-    assert!(!ledger.tick(now));
-    assert!(ledger.tick(now + Duration::from_millis(100)));
+    let mut tracker = HandoverTracker::default();
+    tracker.on_report(now, report(1, 1, &[(1, &[100])]));
+    assert!(!tracker.tick(now));
+    assert!(tracker.tick(now + Duration::from_millis(100)));
 }
