--- a/crates/entry/src/control/grants.rs
+++ b/crates/entry/src/control/grants.rs
@@ -45,7 +45,7 @@
             return;
         };
         self.own_dispatcher = own.address;
-        self.grants.set_own(own.address);
+        self.grants.set_own_address(own.address);
         self.choose_centre();
     }
 
@@ -193,7 +193,7 @@
     fn use_grant(&mut self, now: Instant, customer: &CustomerId) {
         let usable = UsableGrant {
             limit: self.grants.limit(now, customer),
-            until: self.grants.lapses_at(now, customer),
+            until: self.grants.expires_at(now, customer),
         };
         let before = self.usable.get(customer).copied().unwrap_or_default();
         if usable == before {
--- a/crates/membership/src/grant/holder.rs
+++ b/crates/membership/src/grant/holder.rs
@@ -19,7 +19,7 @@
 const ASK_BYTES: u32 = 96;
 
 /// How far the budget may be overdrawn, so that the asks of a whole change of view go out at once.
-const MOST_OVERDRAWN: Duration = Duration::from_secs(2);
+const MAX_BUDGET_OVERDRAFT: Duration = Duration::from_secs(2);
 
 /// Why a task may not start now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
@@ -42,14 +42,14 @@
     settings: GrantSettings,
     live: Vec<SocketAddr>,
     listed: Vec<SocketAddr>,
-    holdings: FastMap<CustomerId, Holding>,
+    customers: FastMap<CustomerId, CustomerState>,
     serial: u64,
     /// The time up to which the budget of bytes is spent.
-    spent_until: Option<Instant>,
+    budget_spent_until: Option<Instant>,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Holding {
+struct CustomerState {
     share: u32,
     home: Option<SocketAddr>,
     grant: Option<Grant>,
@@ -59,10 +59,10 @@
     peak: u32,
     /// Since when the grant is larger than needed.
     excess_since: Option<Instant>,
-    asked: Option<Asked>,
+    pending_ask: Option<PendingAsk>,
     /// The first ask that no home answered.
-    silent_since: Option<Instant>,
-    due: Option<Instant>,
+    unanswered_since: Option<Instant>,
+    ask_due: Option<Instant>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -74,7 +74,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct PendingAsk {
     serial: u64,
     at: Instant,
     want: u32,
@@ -90,9 +90,9 @@
             settings,
             live: Vec::new(),
             listed: Vec::new(),
-            holdings: FastMap::default(),
+            customers: FastMap::default(),
             serial: 0,
-            spent_until: None,
+            budget_spent_until: None,
         }
     }
 
@@ -101,31 +101,31 @@
     pub fn set_view(&mut self, now: Instant, live: Vec<SocketAddr>, listed: Vec<SocketAddr>) {
         self.live = live;
         self.listed = listed;
-        for (customer, holding) in &mut self.holdings {
+        for (customer, state) in &mut self.customers {
             let home = rendezvous(customer, self.live.iter().copied());
-            if home == holding.home {
+            if home == state.home {
                 continue;
             }
-            holding.home = home;
-            holding.asked = None;
-            if holding.is_active(now) {
-                holding.due = Some(now);
+            state.home = home;
+            state.pending_ask = None;
+            if state.is_active(now) {
+                state.ask_due = Some(now);
             }
         }
     }
 
     /// Sets the customer's share in this data centre; 0 when the contract is retired. A lower one binds at once.
     pub fn set_share(&mut self, customer: &CustomerId, share: u32) {
-        if let Some(holding) = self.holdings.get_mut(customer) {
-            holding.share = share;
+        if let Some(state) = self.customers.get_mut(customer) {
+            state.share = share;
             return;
         }
-        let holding = Holding {
+        let state = CustomerState {
             share,
             home: rendezvous(customer, self.live.iter().copied()),
-            ..Holding::default()
+            ..CustomerState::default()
         };
-        self.holdings.insert(customer.clone(), holding);
+        self.customers.insert(customer.clone(), state);
     }
 
     /// Counts a task that starts now.
@@ -137,35 +137,35 @@
     pub fn start(&mut self, now: Instant, customer: &CustomerId) -> Result<(), StartRefusal> {
         let limit = self.limit(now, customer);
         let retry_every = self.settings.retry_every;
-        let holding = self
-            .holdings
+        let state = self
+            .customers
             .get_mut(customer)
             .ok_or(StartRefusal::NoShare)?;
-        if holding.share == 0 {
+        if state.share == 0 {
             return Err(StartRefusal::NoShare);
         }
-        if holding.in_use >= limit {
-            holding.peak = holding.peak.max(holding.in_use + holding.waiting.max(1));
-            holding.ask_soon(now, retry_every);
+        if state.in_use >= limit {
+            state.peak = state.peak.max(state.in_use + state.waiting.max(1));
+            state.schedule_ask(now, retry_every);
             return Err(StartRefusal::NoGrant);
         }
-        holding.in_use += 1;
-        holding.note_demand();
+        state.in_use += 1;
+        state.record_demand();
         Ok(())
     }
 
     /// Counts a task that ended, or that certainly did not start.
     pub fn finish(&mut self, customer: &CustomerId) {
-        if let Some(holding) = self.holdings.get_mut(customer) {
-            holding.in_use = holding.in_use.saturating_sub(1);
+        if let Some(state) = self.customers.get_mut(customer) {
+            state.in_use = state.in_use.saturating_sub(1);
         }
     }
 
     /// Sets how many tasks of the customer run or may run, and how many wait for a grant, for callers that keep count
     /// of both themselves.
     pub fn set_demand(&mut self, now: Instant, customer: &CustomerId, in_use: u32, waiting: u32) {
-        if let Some(holding) = self.holdings.get_mut(customer) {
-            holding.in_use = in_use;
+        if let Some(state) = self.customers.get_mut(customer) {
+            state.in_use = in_use;
         }
         self.set_waiting(now, customer, waiting);
     }
@@ -174,44 +174,44 @@
     pub fn set_waiting(&mut self, now: Instant, customer: &CustomerId, waiting: u32) {
         let limit = self.limit(now, customer);
         let retry_every = self.settings.retry_every;
-        let Some(holding) = self.holdings.get_mut(customer) else {
+        let Some(state) = self.customers.get_mut(customer) else {
             return;
         };
-        holding.waiting = waiting;
-        holding.note_demand();
-        if holding.demand() > limit {
-            holding.ask_soon(now, retry_every);
+        state.waiting = waiting;
+        state.record_demand();
+        if state.demand() > limit {
+            state.schedule_ask(now, retry_every);
         }
     }
 
     /// How many tasks of the customer may be in use at once now.
     pub fn limit(&self, now: Instant, customer: &CustomerId) -> u32 {
-        let Some(holding) = self.holdings.get(customer) else {
+        let Some(state) = self.customers.get(customer) else {
             return 0;
         };
-        if let Some(count) = holding.granted(now) {
+        if let Some(count) = state.granted(now) {
             return count;
         }
-        if holding.home_is_silent(now, self.settings.base_after) {
-            return base_share(holding.share, customer, self.own, &self.listed);
+        if state.home_is_unresponsive(now, self.settings.base_after) {
+            return base_share(state.share, customer, self.own, &self.listed);
         }
         0
     }
 
     /// When [`Self::limit`] ends to hold; `None` for one that does not lapse by itself.
-    pub fn lapses_at(&self, now: Instant, customer: &CustomerId) -> Option<Instant> {
-        let grant = self.holdings.get(customer)?.grant?;
+    pub fn expires_at(&self, now: Instant, customer: &CustomerId) -> Option<Instant> {
+        let grant = self.customers.get(customer)?.grant?;
         (now < grant.until).then_some(grant.until)
     }
 
     /// The address by which this entry's base shares are reckoned, once it is known better than at the start.
-    pub fn set_own(&mut self, own: SocketAddr) {
+    pub fn set_own_address(&mut self, own: SocketAddr) {
         self.own = own;
     }
 
     /// The tasks of the customer that run or may run.
     pub fn in_use(&self, customer: &CustomerId) -> u32 {
-        self.holdings.get(customer).map_or(0, |h| h.in_use)
+        self.customers.get(customer).map_or(0, |h| h.in_use)
     }
 
     /// Lets time pass and returns the batches to send now, those due first first.
@@ -220,11 +220,14 @@
     pub fn tick(&mut self, now: Instant) -> Vec<AskBatch> {
         let mut batches = Vec::new();
         for home in self.homes_due(now) {
-            if self.spent_until.is_some_and(|at| at > now + MOST_OVERDRAWN) {
+            if self
+                .budget_spent_until
+                .is_some_and(|at| at > now + MAX_BUDGET_OVERDRAFT)
+            {
                 break;
             }
-            let batch = self.batch_for(now, home);
-            self.spend(now, batch.asks.len() as u32);
+            let batch = self.build_batch(now, home);
+            self.charge_budget(now, batch.asks.len() as u32);
             batches.push(batch);
         }
         batches
@@ -233,34 +236,37 @@
     /// A home answered. An answer to any but the latest ask about a customer is ignored: the home reckons with that.
     pub fn on_reply(&mut self, now: Instant, batch: &ReplyBatch) {
         for reply in &batch.replies {
-            let Some(holding) = self.holdings.get_mut(&reply.customer) else {
+            let Some(state) = self.customers.get_mut(&reply.customer) else {
                 continue;
             };
-            let Some(asked) = holding.asked.filter(|asked| asked.serial == batch.serial) else {
+            let Some(pending_ask) = state
+                .pending_ask
+                .filter(|pending_ask| pending_ask.serial == batch.serial)
+            else {
                 continue;
             };
-            holding.asked = None;
-            holding.obey(now, asked, reply, batch.term, &self.settings);
+            state.pending_ask = None;
+            state.apply_reply(now, pending_ask, reply, batch.term, &self.settings);
         }
     }
 
     /// The homes with a customer whose ask is due, the longest due first.
     fn homes_due(&mut self, now: Instant) -> Vec<SocketAddr> {
         let mut due: BTreeMap<SocketAddr, Instant> = BTreeMap::new();
-        for holding in self.holdings.values_mut() {
-            holding.note_excess(now, &self.settings);
-            let Some(at) = holding.due.filter(|at| *at <= now) else {
+        for state in self.customers.values_mut() {
+            state.check_excess(now, &self.settings);
+            let Some(at) = state.ask_due.filter(|at| *at <= now) else {
                 continue;
             };
-            if holding.awaits_reply(now, &self.settings) {
+            if state.awaits_reply(now, &self.settings) {
                 continue;
             }
-            if !holding.is_active(now) {
-                holding.rest();
+            if !state.is_active(now) {
+                state.clear();
                 continue;
             }
-            let Some(home) = holding.home else {
-                holding.silent_since.get_or_insert(now);
+            let Some(home) = state.home else {
+                state.unanswered_since.get_or_insert(now);
                 continue;
             };
             let earliest = due.entry(home).or_insert(at);
@@ -273,32 +279,32 @@
     }
 
     /// Charges the budget with a batch of so many asks.
-    fn spend(&mut self, now: Instant, asks: u32) {
+    fn charge_budget(&mut self, now: Instant, asks: u32) {
         let bytes = BATCH_BYTES + ASK_BYTES * asks;
-        let spent = self.spent_until.map_or(now, |at| at.max(now));
+        let spent = self.budget_spent_until.map_or(now, |at| at.max(now));
         let time = Duration::from_secs(1) * bytes / self.settings.bytes_per_second.max(1);
-        self.spent_until = Some(spent + time);
+        self.budget_spent_until = Some(spent + time);
     }
 
     /// One batch with every active customer of the home, due or not: one more costs some bytes, a message of its own
     /// later several times that. Left out are those whose answer may be on its way, as it would be ignored.
-    fn batch_for(&mut self, now: Instant, home: SocketAddr) -> AskBatch {
+    fn build_batch(&mut self, now: Instant, home: SocketAddr) -> AskBatch {
         self.serial += 1;
         let mut asks = Vec::new();
-        for (customer, holding) in &mut self.holdings {
-            if holding.home != Some(home) || !holding.is_active(now) {
+        for (customer, state) in &mut self.customers {
+            if state.home != Some(home) || !state.is_active(now) {
                 continue;
             }
-            if holding.awaits_reply(now, &self.settings) {
+            if state.awaits_reply(now, &self.settings) {
                 continue;
             }
-            let base = base_share(holding.share, customer, self.own, &self.listed);
-            let (want, held) = holding.ask(now, self.serial, base, &self.settings);
+            let base = base_share(state.share, customer, self.own, &self.listed);
+            let (want, held) = state.prepare_ask(now, self.serial, base, &self.settings);
             asks.push(GrantAsk {
                 customer: customer.clone(),
                 want,
                 held,
-                in_use: holding.in_use,
+                in_use: state.in_use,
             });
         }
         asks.sort_unstable_by(|a, b| a.customer.cmp(&b.customer));
@@ -312,7 +318,7 @@
     }
 }
 
-impl Holding {
+impl CustomerState {
     fn demand(&self) -> u32 {
         self.in_use.saturating_add(self.waiting)
     }
@@ -323,7 +329,8 @@
 
     fn awaits_reply(&self, now: Instant, settings: &GrantSettings) -> bool {
         let limit = settings.retry_every;
-        self.asked.is_some_and(|asked| now < asked.at + limit)
+        self.pending_ask
+            .is_some_and(|pending_ask| now < pending_ask.at + limit)
     }
 
     /// The grant in force, scaled down where the share has fallen since: the sum over all holders falls with it.
@@ -336,12 +343,12 @@
         Some(scaled as u32)
     }
 
-    fn home_is_silent(&self, now: Instant, base_after: Duration) -> bool {
-        self.silent_since
+    fn home_is_unresponsive(&self, now: Instant, base_after: Duration) -> bool {
+        self.unanswered_since
             .is_some_and(|since| now.saturating_duration_since(since) >= base_after)
     }
 
-    fn note_demand(&mut self) {
+    fn record_demand(&mut self) {
         let demand = self.demand();
         self.peak = self.peak.max(demand);
         let grant = self.grant.map_or(0, |grant| grant.count);
@@ -352,7 +359,7 @@
 
     /// A grant of which less than half is used goes back after a while, so that others need not wait for its renewal.
     /// Half leaves room for the ups and downs of short tasks without a message for each.
-    fn note_excess(&mut self, now: Instant, settings: &GrantSettings) {
+    fn check_excess(&mut self, now: Instant, settings: &GrantSettings) {
         let granted = self.granted(now).unwrap_or_default();
         if self.demand().saturating_mul(2) >= granted {
             self.excess_since = None;
@@ -361,23 +368,23 @@
         let since = *self.excess_since.get_or_insert(now);
         if now.saturating_duration_since(since) >= settings.return_after {
             self.peak = self.demand();
-            self.due = Some(self.due.map_or(now, |due| due.min(now)));
+            self.ask_due = Some(self.ask_due.map_or(now, |due| due.min(now)));
         }
     }
 
     /// Makes an ask due now, or when the last one has had its time.
-    fn ask_soon(&mut self, now: Instant, retry_every: Duration) {
-        let soonest = match self.asked {
-            Some(asked) => now.max(asked.at + retry_every),
+    fn schedule_ask(&mut self, now: Instant, retry_every: Duration) {
+        let soonest = match self.pending_ask {
+            Some(pending_ask) => now.max(pending_ask.at + retry_every),
             // The answer to the last one set the time of the next.
-            None if self.due.is_some_and(|due| due <= now + retry_every) => return,
+            None if self.ask_due.is_some_and(|due| due <= now + retry_every) => return,
             None => now,
         };
-        self.due = Some(self.due.map_or(soonest, |due| due.min(soonest)));
+        self.ask_due = Some(self.ask_due.map_or(soonest, |due| due.min(soonest)));
     }
 
     /// Gives up what is not needed, then says what it wants and holds.
-    fn ask(
+    fn prepare_ask(
         &mut self,
         now: Instant,
         serial: u64,
@@ -390,7 +397,7 @@
         }
         let held = match self.granted(now) {
             Some(granted) => granted.min(want),
-            None if self.home_is_silent(now, settings.base_after) => base,
+            None if self.home_is_unresponsive(now, settings.base_after) => base,
             None => 0,
         };
         if let Some(grant) = self.grant.as_mut().filter(|grant| now < grant.until) {
@@ -399,21 +406,21 @@
         }
         self.peak = self.demand();
         self.excess_since = None;
-        self.asked = Some(Asked {
+        self.pending_ask = Some(PendingAsk {
             serial,
             at: now,
             want,
             held,
         });
-        self.silent_since.get_or_insert(now);
-        self.due = Some(now + settings.retry_every);
+        self.unanswered_since.get_or_insert(now);
+        self.ask_due = Some(now + settings.retry_every);
         (want, held)
     }
 
-    fn obey(
+    fn apply_reply(
         &mut self,
         now: Instant,
-        asked: Asked,
+        pending_ask: PendingAsk,
         reply: &GrantReply,
         term: Duration,
         settings: &GrantSettings,
@@ -421,16 +428,16 @@
         let GrantVerdict::Granted { count, share } = reply.verdict else {
             return;
         };
-        self.silent_since = None;
+        self.unanswered_since = None;
         self.grant = Some(Grant {
             count,
             share,
-            until: asked.at + term,
+            until: pending_ask.at + term,
         });
-        let next = if count < asked.held {
+        let next = if count < pending_ask.held {
             // The home frees what it took back only when an ask shows that it is given up, and others wait for it.
             now
-        } else if self.demand() > count && count >= asked.want {
+        } else if self.demand() > count && count >= pending_ask.want {
             // A burst that came while the ask was on its way: the home gave all that was asked for and may have more.
             // Waiting here would hold the burst up for no one's sake; one ask a round trip is what it costs.
             now
@@ -438,15 +445,15 @@
             now + settings.retry_every
         } else {
             // A deployment with a shorter term has no use for a renewal after its end.
-            asked.at + settings.renew_every.min(term * 2 / 3)
+            pending_ask.at + settings.renew_every.min(term * 2 / 3)
         };
-        self.due = Some(next);
+        self.ask_due = Some(next);
     }
 
-    fn rest(&mut self) {
-        self.due = None;
-        self.asked = None;
-        self.silent_since = None;
+    fn clear(&mut self) {
+        self.ask_due = None;
+        self.pending_ask = None;
+        self.unanswered_since = None;
         self.grant = None;
     }
 }
--- a/crates/membership/tests/grants.rs
+++ b/crates/membership/tests/grants.rs
@@ -377,11 +377,11 @@
     let entry = Entry::granted(20, 0, 1, 10);
     let (customer, term) = (customer(), GrantSettings::default().term);
     assert_eq!(
-        entry.holder.lapses_at(entry.at(1), &customer),
+        entry.holder.expires_at(entry.at(1), &customer),
         Some(entry.at(0) + term)
     );
     let lapsed = entry.at(0) + term;
-    assert_eq!(entry.holder.lapses_at(lapsed, &customer), None);
+    assert_eq!(entry.holder.expires_at(lapsed, &customer), None);
     assert_eq!(entry.holder.limit(lapsed, &customer), 0);
 }
 
