--- a/crates/dispatcher/src/control.rs
+++ b/crates/dispatcher/src/control.rs
@@ -272,7 +272,7 @@
     GrantSettings {
         term,
         margin: term / 20,
-        frozen_after: settings.suspect_ms.duration(),
+        max_input_gap: settings.suspect_ms.duration(),
         ..GrantSettings::default()
     }
 }
--- a/crates/membership/src/grant/allocator.rs
+++ b/crates/membership/src/grant/allocator.rs
@@ -138,7 +138,7 @@
         })
     }
 
-    /// Lets time pass. To be called at least twice within [`GrantSettings::frozen_after`].
+    /// Lets time pass. To be called at least twice within [`GrantSettings::max_input_gap`].
     pub fn tick(&mut self, now: Instant) {
         self.detect_own_pause(now);
         self.last_batches.retain(|_, last| now < last.until);
@@ -168,7 +168,7 @@
     /// is no later than the news that this one is back.
     fn detect_own_pause(&mut self, now: Instant) {
         let last = self.last_input.replace(now).unwrap_or(now);
-        if now.saturating_duration_since(last) > self.settings.frozen_after {
+        if now.saturating_duration_since(last) > self.settings.max_input_gap {
             self.restart_recovery(now);
         }
     }
--- a/crates/membership/src/grant/holder.rs
+++ b/crates/membership/src/grant/holder.rs
@@ -136,7 +136,7 @@
     /// lapsed, whatever lies in its queues.
     pub fn start(&mut self, now: Instant, customer: &CustomerId) -> Result<(), StartRefusal> {
         let limit = self.limit(now, customer);
-        let retry_every = self.settings.retry_every;
+        let retry_interval = self.settings.retry_interval;
         let state = self
             .customers
             .get_mut(customer)
@@ -146,7 +146,7 @@
         }
         if state.in_use >= limit {
             state.peak = state.peak.max(state.in_use + state.waiting.max(1));
-            state.schedule_ask(now, retry_every);
+            state.schedule_ask(now, retry_interval);
             return Err(StartRefusal::NoGrant);
         }
         state.in_use += 1;
@@ -173,14 +173,14 @@
     /// Sets how many tasks of the customer wait for a grant at this entry.
     pub fn set_waiting(&mut self, now: Instant, customer: &CustomerId, waiting: u32) {
         let limit = self.limit(now, customer);
-        let retry_every = self.settings.retry_every;
+        let retry_interval = self.settings.retry_interval;
         let Some(state) = self.customers.get_mut(customer) else {
             return;
         };
         state.waiting = waiting;
         state.record_demand();
         if state.demand() > limit {
-            state.schedule_ask(now, retry_every);
+            state.schedule_ask(now, retry_interval);
         }
     }
 
@@ -192,7 +192,7 @@
         if let Some(count) = state.granted(now) {
             return count;
         }
-        if state.home_is_unresponsive(now, self.settings.base_after) {
+        if state.home_is_unresponsive(now, self.settings.base_share_after) {
             return base_share(state.share, customer, self.own, &self.listed);
         }
         0
@@ -282,7 +282,7 @@
     fn charge_budget(&mut self, now: Instant, asks: u32) {
         let bytes = BATCH_BYTES + ASK_BYTES * asks;
         let spent = self.budget_spent_until.map_or(now, |at| at.max(now));
-        let time = Duration::from_secs(1) * bytes / self.settings.bytes_per_second.max(1);
+        let time = Duration::from_secs(1) * bytes / self.settings.max_bytes_per_second.max(1);
         self.budget_spent_until = Some(spent + time);
     }
 
@@ -328,7 +328,7 @@
     }
 
     fn awaits_reply(&self, now: Instant, settings: &GrantSettings) -> bool {
-        let limit = settings.retry_every;
+        let limit = settings.retry_interval;
         self.pending_ask
             .is_some_and(|pending_ask| now < pending_ask.at + limit)
     }
@@ -343,9 +343,9 @@
         Some(scaled as u32)
     }
 
-    fn home_is_unresponsive(&self, now: Instant, base_after: Duration) -> bool {
+    fn home_is_unresponsive(&self, now: Instant, base_share_after: Duration) -> bool {
         self.unanswered_since
-            .is_some_and(|since| now.saturating_duration_since(since) >= base_after)
+            .is_some_and(|since| now.saturating_duration_since(since) >= base_share_after)
     }
 
     fn record_demand(&mut self) {
@@ -366,18 +366,18 @@
             return;
         }
         let since = *self.excess_since.get_or_insert(now);
-        if now.saturating_duration_since(since) >= settings.return_after {
+        if now.saturating_duration_since(since) >= settings.return_unused_after {
             self.peak = self.demand();
             self.ask_due = Some(self.ask_due.map_or(now, |due| due.min(now)));
         }
     }
 
     /// Makes an ask due now, or when the last one has had its time.
-    fn schedule_ask(&mut self, now: Instant, retry_every: Duration) {
+    fn schedule_ask(&mut self, now: Instant, retry_interval: Duration) {
         let soonest = match self.pending_ask {
-            Some(pending_ask) => now.max(pending_ask.at + retry_every),
+            Some(pending_ask) => now.max(pending_ask.at + retry_interval),
             // The answer to the last one set the time of the next.
-            None if self.ask_due.is_some_and(|due| due <= now + retry_every) => return,
+            None if self.ask_due.is_some_and(|due| due <= now + retry_interval) => return,
             None => now,
         };
         self.ask_due = Some(self.ask_due.map_or(soonest, |due| due.min(soonest)));
@@ -393,11 +393,11 @@
     ) -> (u32, u32) {
         let mut want = with_headroom(self.peak.max(self.demand()), settings.headroom_percent);
         if want > 0 && self.granted(now).is_none_or(|count| count == 0) {
-            want = want.max(base.min(settings.first_ask));
+            want = want.max(base.min(settings.min_initial_ask));
         }
         let held = match self.granted(now) {
             Some(granted) => granted.min(want),
-            None if self.home_is_unresponsive(now, settings.base_after) => base,
+            None if self.home_is_unresponsive(now, settings.base_share_after) => base,
             None => 0,
         };
         if let Some(grant) = self.grant.as_mut().filter(|grant| now < grant.until) {
@@ -413,7 +413,7 @@
             held,
         });
         self.unanswered_since.get_or_insert(now);
-        self.ask_due = Some(now + settings.retry_every);
+        self.ask_due = Some(now + settings.retry_interval);
         (want, held)
     }
 
@@ -442,10 +442,10 @@
             // Waiting here would hold the burst up for no one's sake; one ask a round trip is what it costs.
             now
         } else if self.demand() > count || (count == 0 && self.peak > 0) {
-            now + settings.retry_every
+            now + settings.retry_interval
         } else {
             // A deployment with a shorter term has no use for a renewal after its end.
-            pending_ask.at + settings.renew_every.min(term * 2 / 3)
+            pending_ask.at + settings.renewal_interval.min(term * 2 / 3)
         };
         self.ask_due = Some(next);
     }
--- a/crates/membership/tests/grant_faults/main.rs
+++ b/crates/membership/tests/grant_faults/main.rs
@@ -104,7 +104,7 @@
     #[test]
     fn grants_never_exceed_the_share((vms, share, seed, faults) in case(Views::Fixed)) {
         let settings = GrantSettings {
-            base_after: Duration::from_secs(3600),
+            base_share_after: Duration::from_secs(3600),
             ..GrantSettings::default()
         };
         let mut fleet = Fleet::new(vms, share, seed, Views::Fixed, faults, settings);
--- a/crates/membership/tests/grants.rs
+++ b/crates/membership/tests/grants.rs
@@ -347,7 +347,7 @@
     entry.holder.set_demand(entry.at(1), &customer, 0, 20);
     assert_eq!(entry.holder.tick(entry.at(1)), [], "one is on its way");
     let want = first[0].asks[0].want;
-    assert_eq!(want, settings.first_ask);
+    assert_eq!(want, settings.min_initial_ask);
     entry
         .holder
         .on_reply(entry.at(2), &answer(&first[0], want, 40));
@@ -358,7 +358,7 @@
         .holder
         .on_reply(entry.at(3), &answer(&second[0], 10, 40));
     assert_eq!(entry.holder.tick(entry.at(4)), []);
-    let later = entry.at(3) + settings.retry_every;
+    let later = entry.at(3) + settings.retry_interval;
     assert_eq!(entry.holder.tick(later).len(), 1);
 }
 
