--- a/crates/membership/examples/cost/main.rs
+++ b/crates/membership/examples/cost/main.rs
@@ -14,7 +14,7 @@
 };
 
 use membership::{
-    rendezvous, AskBatch, GrantAllocator, GrantHolder, GrantReply, GrantSettings, GrantVerdict,
+    rendezvous, AskBatch, GrantAllocator, GrantDecision, GrantHolder, GrantReply, GrantSettings,
     HeartbeatMessage, HeartbeatReply, LiveOwner, MemberAction, MemberSettings, MemberTable,
     MemberView, OwnMember, OwnershipMap, ReplyBatch,
 };
@@ -206,12 +206,12 @@
 }
 
 fn answer(batch: &AskBatch, count: u32) -> ReplyBatch {
-    let verdict = GrantVerdict::Granted { count, share: 600 };
+    let decision = GrantDecision::Granted { count, share: 600 };
     let mut replies = Vec::new();
     for ask in &batch.asks {
         replies.push(GrantReply {
             customer: ask.customer.clone(),
-            verdict,
+            decision,
         });
     }
     ReplyBatch {
--- a/crates/membership/examples/cost/wire.rs
+++ b/crates/membership/examples/cost/wire.rs
@@ -4,7 +4,7 @@
 
 use capnp::{message::Builder, serialize::compute_serialized_size_in_words};
 use capnp_rpc::rpc_capnp;
-use membership::{AskBatch, GrantVerdict, ReplyBatch};
+use membership::{AskBatch, GrantDecision, ReplyBatch};
 use peer::peer_capnp::{dispatcher_port, member_view};
 
 /// TCP and IP headers with timestamps, in bytes. Reckoned, not measured.
@@ -115,7 +115,7 @@
     for (i, reply) in batch.replies.iter().enumerate() {
         let mut builder = replies.reborrow().get(i as u32);
         builder.set_customer(reply.customer.as_str());
-        if let GrantVerdict::Granted { count, share } = reply.verdict {
+        if let GrantDecision::Granted { count, share } = reply.decision {
             let mut granted = builder.init_granted();
             granted.set_count(count);
             granted.set_share(share);
--- a/crates/membership/src/grant.rs
+++ b/crates/membership/src/grant.rs
@@ -23,6 +23,6 @@
 
 pub use allocator::GrantAllocator;
 pub use holder::{GrantHolder, StartRefusal};
-pub use message::{AskBatch, GrantAsk, GrantReply, GrantVerdict, ReplyBatch};
+pub use message::{AskBatch, GrantAsk, GrantDecision, GrantReply, ReplyBatch};
 pub use settings::GrantSettings;
 pub use share::{base_share, fair_target, split_shares};
--- a/crates/membership/src/grant/allocator.rs
+++ b/crates/membership/src/grant/allocator.rs
@@ -8,7 +8,7 @@
 use model::{CustomerId, FastMap, IncarnationId};
 
 use super::{
-    base_share, fair_target, AskBatch, GrantAsk, GrantReply, GrantSettings, GrantVerdict,
+    base_share, fair_target, AskBatch, GrantAsk, GrantDecision, GrantReply, GrantSettings,
     ReplyBatch,
 };
 use crate::{
@@ -128,7 +128,7 @@
         for ask in &batch.asks {
             replies.push(GrantReply {
                 customer: ask.customer.clone(),
-                verdict: self.decide_grant(now, batch, ask),
+                decision: self.decide_grant(now, batch, ask),
             });
         }
         Some(ReplyBatch {
@@ -206,9 +206,9 @@
             });
     }
 
-    fn decide_grant(&mut self, now: Instant, batch: &AskBatch, ask: &GrantAsk) -> GrantVerdict {
+    fn decide_grant(&mut self, now: Instant, batch: &AskBatch, ask: &GrantAsk) -> GrantDecision {
         let Some(mut allocation) = self.allocations.remove(&ask.customer) else {
-            return GrantVerdict::NotHome;
+            return GrantDecision::NotHome;
         };
         allocation.expire(now);
         let share = self.shares.get(&ask.customer).copied().unwrap_or_default();
@@ -224,7 +224,7 @@
         let count = fair.min(free);
         allocation.record_lease(batch, ask, count, now + self.settings.reclaim_after());
         self.allocations.insert(ask.customer.clone(), allocation);
-        GrantVerdict::Granted { count, share }
+        GrantDecision::Granted { count, share }
     }
 
     /// The share without the base shares of listed VMs that this home neither sees live nor has a debit for.
--- a/crates/membership/src/grant/holder.rs
+++ b/crates/membership/src/grant/holder.rs
@@ -9,7 +9,7 @@
 use model::{CustomerId, FastMap, IncarnationId};
 use thiserror::Error;
 
-use super::{base_share, AskBatch, GrantAsk, GrantReply, GrantSettings, GrantVerdict, ReplyBatch};
+use super::{base_share, AskBatch, GrantAsk, GrantDecision, GrantReply, GrantSettings, ReplyBatch};
 use crate::hashing::rendezvous;
 
 /// What a batch without asks takes with its answer and all headers, in bytes; measured.
@@ -425,7 +425,7 @@
         term: Duration,
         settings: &GrantSettings,
     ) {
-        let GrantVerdict::Granted { count, share } = reply.verdict else {
+        let GrantDecision::Granted { count, share } = reply.decision else {
             return;
         };
         self.unanswered_since = None;
--- a/crates/membership/src/grant/message.rs
+++ b/crates/membership/src/grant/message.rs
@@ -49,12 +49,12 @@
     /// The customer.
     pub customer: CustomerId,
     /// What the home decided.
-    pub verdict: GrantVerdict,
+    pub decision: GrantDecision,
 }
 
 /// What a home decided on an ask.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum GrantVerdict {
+pub enum GrantDecision {
     /// The entry may have `count` tasks at once until the term ends. It may be less than it holds.
     Granted {
         /// Tasks at once.
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -19,8 +19,8 @@
 pub use crate::{
     centre::CentreView,
     grant::{
-        base_share, fair_target, split_shares, AskBatch, GrantAllocator, GrantAsk, GrantHolder,
-        GrantReply, GrantSettings, GrantVerdict, ReplyBatch, StartRefusal,
+        base_share, fair_target, split_shares, AskBatch, GrantAllocator, GrantAsk, GrantDecision,
+        GrantHolder, GrantReply, GrantSettings, ReplyBatch, StartRefusal,
     },
     handover::{HandoverCount, HandoverReport, HandoverTracker},
     hashing::{rendezvous, StableHash},
--- a/crates/membership/tests/grants.rs
+++ b/crates/membership/tests/grants.rs
@@ -7,7 +7,7 @@
 };
 
 use membership::{
-    rendezvous, AskBatch, GrantAllocator, GrantAsk, GrantHolder, GrantSettings, GrantVerdict,
+    rendezvous, AskBatch, GrantAllocator, GrantAsk, GrantDecision, GrantHolder, GrantSettings,
     LiveOwner, ReplyBatch, StartRefusal,
 };
 use model::{CustomerId, IncarnationId};
@@ -71,7 +71,7 @@
         self.allocator.tick(self.at(to));
     }
 
-    fn ask(&mut self, millis: u64, holder: u8, want: u32, held: u32, in_use: u32) -> GrantVerdict {
+    fn ask(&mut self, millis: u64, holder: u8, want: u32, held: u32, in_use: u32) -> GrantDecision {
         self.serial += 1;
         let batch = AskBatch {
             home: address(1),
@@ -88,7 +88,7 @@
         let now = self.at(millis);
         let reply = self.allocator.on_ask(now, &batch).unwrap();
         assert_eq!(self.allocator.on_ask(now, &batch), None, "late or twice");
-        reply.replies[0].verdict
+        reply.replies[0].decision
     }
 }
 
@@ -101,12 +101,12 @@
         let at = RECOVERY_MS + millis;
         home.pass(last, at);
         last = at;
-        let verdict = home.ask(at, *holder, *want, *held, *in_use);
-        let expect = GrantVerdict::Granted {
+        let decision = home.ask(at, *holder, *want, *held, *in_use);
+        let expect = GrantDecision::Granted {
             count: *count,
             share,
         };
-        assert_eq!(verdict, expect, "at {millis} ms, holder {holder}");
+        assert_eq!(decision, expect, "at {millis} ms, holder {holder}");
     }
 }
 
@@ -168,9 +168,9 @@
             (1..=5).map(address).collect(),
         );
         home.pass(0, at);
-        let verdict = home.ask(at, 2, want, held, held);
+        let decision = home.ask(at, 2, want, held, held);
         let count = expect;
-        assert_eq!(verdict, GrantVerdict::Granted { count, share: 10 });
+        assert_eq!(decision, GrantDecision::Granted { count, share: 10 });
     };
     check(0, 60, 6, 6);
     check(0, 60, 0, 2);
@@ -187,9 +187,9 @@
         let mut home = Home::new(10, 0);
         home.pass(0, RECOVERY_MS);
         home.ask(RECOVERY_MS, 2, 2, 0, 0);
-        let verdict = home.ask(RECOVERY_MS + frozen, 2, 8, 2, 2);
+        let decision = home.ask(RECOVERY_MS + frozen, 2, 8, 2, 2);
         let count = expect;
-        assert_eq!(verdict, GrantVerdict::Granted { count, share: 10 });
+        assert_eq!(decision, GrantDecision::Granted { count, share: 10 });
     };
     check(2000, 8);
     check(2001, 2);
@@ -211,9 +211,9 @@
         home.pass(0, RECOVERY_MS);
         see(&mut home, RECOVERY_MS, vec![owner(1)]);
         see(&mut home, RECOVERY_MS + 1, vec![owner(1), back]);
-        let verdict = home.ask(RECOVERY_MS + 2, 1, 60, 0, 0);
+        let decision = home.ask(RECOVERY_MS + 2, 1, 60, 0, 0);
         let count = expect;
-        assert_eq!(verdict, GrantVerdict::Granted { count, share: 10 });
+        assert_eq!(decision, GrantDecision::Granted { count, share: 10 });
     };
     check(owner(2), 5);
     let restarted = LiveOwner {
@@ -232,7 +232,7 @@
     home.ask(RECOVERY_MS, 2, 60, 0, 0);
     let now = home.at(RECOVERY_MS + 1);
     home.allocator.set_share(now, customer(), 4);
-    let granted = |count| GrantVerdict::Granted { count, share: 4 };
+    let granted = |count| GrantDecision::Granted { count, share: 4 };
     assert_eq!(home.ask(RECOVERY_MS + 2, 3, 60, 0, 0), granted(0));
     assert_eq!(home.ask(RECOVERY_MS + 3, 2, 60, 10, 10), granted(2));
     assert_eq!(home.ask(RECOVERY_MS + 4, 2, 60, 2, 2), granted(2));
@@ -249,9 +249,9 @@
         home.allocator
             .set_view(home.start, live, (1..=5).map(address).collect());
         home.pass(0, RECOVERY_MS);
-        let verdict = home.ask(RECOVERY_MS, 1, 1000, 0, 0);
+        let decision = home.ask(RECOVERY_MS, 1, 1000, 0, 0);
         let count = expect;
-        assert_eq!(verdict, GrantVerdict::Granted { count, share });
+        assert_eq!(decision, GrantDecision::Granted { count, share });
     };
     for seen in 1..=5 {
         check(100, seen, 20 * u32::from(seen));
@@ -267,7 +267,7 @@
     let mut home = Home::new(10, 0);
     home.allocator
         .set_view(home.start, vec![owner(9)], vec![address(9)]);
-    assert_eq!(home.ask(1, 2, 5, 0, 0), GrantVerdict::NotHome);
+    assert_eq!(home.ask(1, 2, 5, 0, 0), GrantDecision::NotHome);
 }
 
 /// An entry on VM 2 whose home is always at address 1.
@@ -306,12 +306,12 @@
 }
 
 fn answer(batch: &AskBatch, count: u32, share: u32) -> ReplyBatch {
-    let verdict = GrantVerdict::Granted { count, share };
+    let decision = GrantDecision::Granted { count, share };
     let mut replies = Vec::new();
     for ask in &batch.asks {
         replies.push(membership::GrantReply {
             customer: ask.customer.clone(),
-            verdict,
+            decision,
         });
     }
     ReplyBatch {
--- a/crates/peer/src/convert_grants.rs
+++ b/crates/peer/src/convert_grants.rs
@@ -4,7 +4,7 @@
 
 use capnp::text_list;
 use membership::{
-    AskBatch, CentreView, GrantAsk, GrantReply, GrantVerdict, HandoverCount, HandoverReport,
+    AskBatch, CentreView, GrantAsk, GrantDecision, GrantReply, HandoverCount, HandoverReport,
     ReplyBatch,
 };
 use model::IncarnationId;
@@ -56,13 +56,13 @@
     for (index, reply) in batch.replies.iter().enumerate() {
         let mut builder = replies.reborrow().get(index as u32);
         builder.set_customer(reply.customer.as_str());
-        match reply.verdict {
-            GrantVerdict::Granted { count, share } => {
+        match reply.decision {
+            GrantDecision::Granted { count, share } => {
                 let mut granted = builder.init_granted();
                 granted.set_count(count);
                 granted.set_share(share);
             }
-            GrantVerdict::NotHome => builder.set_not_home(()),
+            GrantDecision::NotHome => builder.set_not_home(()),
         }
     }
 }
@@ -70,16 +70,16 @@
 pub(crate) fn read_replies(reader: reply_batch::Reader<'_>) -> Result<ReplyBatch, PeerError> {
     let mut replies = Vec::new();
     for reply in reader.get_replies()? {
-        let verdict = match reply.which().map_err(bad)? {
-            grant_reply::Granted(granted) => GrantVerdict::Granted {
+        let decision = match reply.which().map_err(bad)? {
+            grant_reply::Granted(granted) => GrantDecision::Granted {
                 count: granted.get_count(),
                 share: granted.get_share(),
             },
-            grant_reply::NotHome(()) => GrantVerdict::NotHome,
+            grant_reply::NotHome(()) => GrantDecision::NotHome,
         };
         replies.push(GrantReply {
             customer: text(reply.get_customer())?.parse().map_err(bad)?,
-            verdict,
+            decision,
         });
     }
     Ok(ReplyBatch {
--- a/crates/peer/tests/border/values.rs
+++ b/crates/peer/tests/border/values.rs
@@ -4,7 +4,7 @@
 
 use contracts::{ContractRow, ContractUpdate, HeadNumber};
 use membership::{
-    AskBatch, CentreView, GrantAsk, GrantReply, GrantVerdict, HandoverCount, HandoverReport,
+    AskBatch, CentreView, GrantAsk, GrantDecision, GrantReply, HandoverCount, HandoverReport,
     MemberView, ReplyBatch,
 };
 use model::{
@@ -156,13 +156,13 @@
 }
 
 pub(crate) fn reply_batch() -> impl Strategy<Value = ReplyBatch> {
-    let verdict = prop_oneof![
-        any::<(u32, u32)>().prop_map(|(count, share)| GrantVerdict::Granted { count, share }),
-        Just(GrantVerdict::NotHome),
+    let decision = prop_oneof![
+        any::<(u32, u32)>().prop_map(|(count, share)| GrantDecision::Granted { count, share }),
+        Just(GrantDecision::NotHome),
     ];
-    let reply = (NAME, verdict).prop_map(|(customer, verdict)| GrantReply {
+    let reply = (NAME, decision).prop_map(|(customer, decision)| GrantReply {
         customer: customer.parse().expect("a name"),
-        verdict,
+        decision,
     });
     (any::<(u64, u32)>(), vec(reply, 0..6)).prop_map(|((serial, micros), replies)| {
         let term = Duration::from_micros(u64::from(micros));
--- a/crates/peer/tests/grants.rs
+++ b/crates/peer/tests/grants.rs
@@ -4,7 +4,7 @@
 
 use contracts::HeadNumber;
 use membership::{
-    AskBatch, CentreView, GrantAsk, GrantReply, GrantVerdict, HandoverCount, HandoverReport,
+    AskBatch, CentreView, GrantAsk, GrantDecision, GrantReply, HandoverCount, HandoverReport,
     HeartbeatMessage, HeartbeatReply, MemberView, ReplyBatch,
 };
 use model::{
@@ -58,11 +58,11 @@
 }
 
 fn reply() -> ReplyBatch {
-    let granted = GrantVerdict::Granted { count: 3, share: 7 };
-    let replies = [("c1", granted), ("c2", GrantVerdict::NotHome)];
-    let replies = replies.map(|(customer, verdict)| GrantReply {
+    let granted = GrantDecision::Granted { count: 3, share: 7 };
+    let replies = [("c1", granted), ("c2", GrantDecision::NotHome)];
+    let replies = replies.map(|(customer, decision)| GrantReply {
         customer: customer.parse().unwrap(),
-        verdict,
+        decision,
     });
     ReplyBatch {
         serial: 1,
