--- a/crates/membership/tests/grant_faults/fleet.rs
+++ b/crates/membership/tests/grant_faults/fleet.rs
@@ -12,7 +12,7 @@
 use model::{CustomerId, IncarnationId};
 
 pub(crate) const STEP_MS: u64 = 50;
-const DETECT_MS: u64 = 3000;
+const DETECTION_MS: u64 = 3000;
 
 /// One thing that goes wrong. Times in ms from the start of the run.
 #[derive(Clone, Debug)]
@@ -41,7 +41,7 @@
     /// Everybody sees everybody, always.
     Fixed,
     /// A VM out of reach is dropped after 3 s and back at once.
-    Heard,
+    Detected,
 }
 
 #[derive(Clone)]
@@ -51,7 +51,7 @@
 }
 
 #[derive(Clone)]
-struct Letter {
+struct InFlightMessage {
     at: u64,
     from: usize,
     to: usize,
@@ -70,7 +70,7 @@
     skew_ppm: i64,
     up: bool,
     entry_up: bool,
-    heard: Vec<u64>,
+    last_heard: Vec<u64>,
     view: Vec<LiveOwner>,
     running: Vec<u64>,
     demand: u32,
@@ -84,9 +84,9 @@
     faults: Vec<Fault>,
     now: u64,
     vms: Vec<Vm>,
-    wire: Vec<Letter>,
+    in_flight: Vec<InFlightMessage>,
     rng: Rng,
-    lives: u64,
+    incarnations: u64,
 }
 
 impl Fleet {
@@ -106,9 +106,9 @@
             faults,
             now: 0,
             vms: Vec::new(),
-            wire: Vec::new(),
+            in_flight: Vec::new(),
             rng: Rng::with_seed(seed),
-            lives: 0,
+            incarnations: 0,
         };
         for i in 0..count {
             let vm = fleet.new_vm(i, count);
@@ -164,7 +164,7 @@
         for vm in &mut self.vms {
             vm.demand = demand;
         }
-        self.lives |= 1 << 32;
+        self.incarnations |= 1 << 32;
     }
 
     fn step(&mut self) {
@@ -172,7 +172,7 @@
         for i in 0..self.vms.len() {
             self.replace_vm(i);
             self.replace_entry(i);
-            self.see(i);
+            self.update_view(i);
         }
         self.deliver();
         for i in 0..self.vms.len() {
@@ -180,8 +180,8 @@
             if !vm.up || !vm.entry_up || self.frozen_entry(i) {
                 continue;
             }
-            self.work(i);
-            self.ask(i);
+            self.run_tasks(i);
+            self.send_asks(i);
         }
     }
 
@@ -198,7 +198,7 @@
             skew_ppm: self.rng.i64(-3000..=3000),
             up: true,
             entry_up: true,
-            heard: vec![0; count],
+            last_heard: vec![0; count],
             view: Vec::new(),
             running: Vec::new(),
             demand: 0,
@@ -207,21 +207,21 @@
 
     fn start_dispatcher(&mut self, i: usize) {
         let now = self.now;
-        self.lives += 1;
+        self.incarnations += 1;
         let vm = &mut self.vms[i];
-        vm.dispatcher = IncarnationId(self.lives * 0x9e37_79b9);
+        vm.dispatcher = IncarnationId(self.incarnations * 0x9e37_79b9);
         vm.allocator = GrantAllocator::new(vm.address, self.settings.clone());
         vm.view = Vec::new();
-        vm.heard.fill(now);
+        vm.last_heard.fill(now);
         let clock = vm.clock(now);
         vm.allocator
             .set_share(clock, self.customer.clone(), self.share);
     }
 
     fn start_entry(&mut self, i: usize) {
-        self.lives += 1;
+        self.incarnations += 1;
         let vm = &mut self.vms[i];
-        vm.incarnation = IncarnationId(self.lives * 0x9e37_79b9);
+        vm.incarnation = IncarnationId(self.incarnations * 0x9e37_79b9);
         vm.holder = GrantHolder::new(vm.address, vm.incarnation, self.settings.clone());
         vm.holder.set_share(&self.customer, self.share);
         vm.running = Vec::new();
@@ -276,18 +276,18 @@
     }
 
     /// Brings the view of one VM's processes up to date.
-    fn see(&mut self, i: usize) {
+    fn update_view(&mut self, i: usize) {
         if !self.vms[i].up || self.frozen_dispatcher(i) {
             return;
         }
-        let thawed = self.now - self.vms[i].heard[i] > STEP_MS;
+        let thawed = self.now - self.vms[i].last_heard[i] > STEP_MS;
         let mut view = Vec::new();
         for j in 0..self.vms.len() {
             let reachable = self.vms[j].up && !self.cut(i, j) && !self.frozen_dispatcher(j);
             if i == j || thawed || reachable || self.views == Views::Fixed {
-                self.vms[i].heard[j] = self.now;
+                self.vms[i].last_heard[j] = self.now;
             }
-            if self.now - self.vms[i].heard[j] < DETECT_MS {
+            if self.now - self.vms[i].last_heard[j] < DETECTION_MS {
                 view.push(LiveOwner {
                     address: self.vms[j].address,
                     incarnation: self.vms[j].dispatcher,
@@ -309,34 +309,34 @@
 
     /// Hands over what is due. What is for a frozen process waits in its socket.
     fn deliver(&mut self) {
-        let mut wire = std::mem::take(&mut self.wire);
-        wire.sort_by_key(|letter| letter.at);
-        for letter in wire {
-            let frozen = match letter.body {
-                Body::Ask(_) => self.frozen_dispatcher(letter.to),
-                Body::Reply(_) => self.frozen_entry(letter.to),
+        let mut in_flight = std::mem::take(&mut self.in_flight);
+        in_flight.sort_by_key(|message| message.at);
+        for message in in_flight {
+            let frozen = match message.body {
+                Body::Ask(_) => self.frozen_dispatcher(message.to),
+                Body::Reply(_) => self.frozen_entry(message.to),
             };
-            if letter.at > self.now || frozen {
-                self.wire.push(letter);
+            if message.at > self.now || frozen {
+                self.in_flight.push(message);
                 continue;
             }
-            if self.vms[letter.to].up && !self.cut(letter.from, letter.to) {
-                self.hand_over(letter);
+            if self.vms[message.to].up && !self.cut(message.from, message.to) {
+                self.receive(message);
             }
         }
     }
 
-    fn hand_over(&mut self, letter: Letter) {
-        let vm = &mut self.vms[letter.to];
+    fn receive(&mut self, message: InFlightMessage) {
+        let vm = &mut self.vms[message.to];
         let clock = vm.clock(self.now);
-        match letter.body {
+        match message.body {
             Body::Ask(batch) => {
                 if let Some(reply) = vm.allocator.on_ask(clock, &batch) {
-                    self.send(letter.to, letter.from, letter.entry, Body::Reply(reply));
+                    self.send(message.to, message.from, message.entry, Body::Reply(reply));
                 }
             }
             Body::Reply(reply) => {
-                if vm.entry_up && vm.incarnation == letter.entry {
+                if vm.entry_up && vm.incarnation == message.entry {
                     vm.holder.on_reply(clock, &reply);
                 }
             }
@@ -356,7 +356,7 @@
             return;
         }
         let at = self.now + self.rng.u64(0..=slowest);
-        self.wire.push(Letter {
+        self.in_flight.push(InFlightMessage {
             at,
             from,
             to,
@@ -366,9 +366,9 @@
     }
 
     /// Ends tasks, takes in new ones, starts what the grant allows.
-    fn work(&mut self, i: usize) {
+    fn run_tasks(&mut self, i: usize) {
         let now = self.now;
-        let steady = self.lives >> 32 != 0;
+        let steady = self.incarnations >> 32 != 0;
         if !steady && self.rng.u8(0..40) == 0 {
             self.vms[i].demand = *self.rng.choice(&[0, 0, 1, 3, 10, 60]).unwrap();
         }
@@ -391,7 +391,7 @@
         vm.holder.set_waiting(clock, &customer, waiting);
     }
 
-    fn ask(&mut self, i: usize) {
+    fn send_asks(&mut self, i: usize) {
         let vm = &mut self.vms[i];
         let clock = vm.clock(self.now);
         let entry = vm.incarnation;
--- a/crates/membership/tests/grant_faults/main.rs
+++ b/crates/membership/tests/grant_faults/main.rs
@@ -13,12 +13,12 @@
 const FAULTS_UNTIL: u64 = 40_000;
 
 /// Time for one lost view to heal, one term with its margin, and two renewals.
-const HEALED_AFTER: u64 = 3_000 + 12_600 + 16_000;
+const HEALING_MS: u64 = 3_000 + 12_600 + 16_000;
 
 fn fault(vms: usize, views: Views) -> impl Strategy<Value = Fault> {
     let replace = match views {
         Views::Fixed => FaultKind::ReplaceEntry,
-        Views::Heard => FaultKind::ReplaceVm,
+        Views::Detected => FaultKind::ReplaceVm,
     };
     let kind = prop_oneof![
         1 => (0..vms).prop_map(FaultKind::FreezeEntry),
@@ -47,7 +47,7 @@
 fn check_heals(mut fleet: Fleet) -> Result<(), TestCaseError> {
     fleet.heal();
     fleet.set_demand(100);
-    let healed = fleet.now() + HEALED_AFTER;
+    let healed = fleet.now() + HEALING_MS;
     fleet.run(healed, |_, _| ());
     let limits = fleet.limits();
     let share = fleet.share;
@@ -87,7 +87,7 @@
             kind: kinds[seed as usize % 3](seed as usize / 3 % 5),
         };
         let settings = GrantSettings::default();
-        let mut fleet = Fleet::new(5, 58, seed, Views::Heard, vec![fault], settings);
+        let mut fleet = Fleet::new(5, 58, seed, Views::Detected, vec![fault], settings);
         fleet.set_demand(100);
         fleet.run(FAULTS_UNTIL + 20_000, |_, sum| worst = worst.max(sum));
     }
@@ -119,9 +119,9 @@
     // all base shares together are the share once more; so the overrun is at most one share, until a term after the
     // views agree.
     #[test]
-    fn overrun_is_at_most_one_share((vms, share, seed, faults) in case(Views::Heard)) {
+    fn overrun_is_at_most_one_share((vms, share, seed, faults) in case(Views::Detected)) {
         let settings = GrantSettings::default();
-        let mut fleet = Fleet::new(vms, share, seed, Views::Heard, faults, settings);
+        let mut fleet = Fleet::new(vms, share, seed, Views::Detected, faults, settings);
         let mut worst = (0, 0);
         fleet.run(FAULTS_UNTIL, |fleet, sum| worst = worst.max((sum, fleet.now())));
         prop_assert!(worst.0 <= 2 * share, "{:?} (sum, ms) of {}", worst, share);
--- a/crates/membership/tests/grants.rs
+++ b/crates/membership/tests/grants.rs
@@ -64,7 +64,7 @@
     }
 
     /// Ticks every second up to the time, as a process that is not frozen does.
-    fn pass(&mut self, from: u64, to: u64) {
+    fn advance(&mut self, from: u64, to: u64) {
         for millis in (from..to).step_by(1000) {
             self.allocator.tick(self.at(millis));
         }
@@ -95,11 +95,11 @@
 /// `asks`: (ms after the home settled, holder, want, held, in use, expected grant).
 fn check_home(share: u32, asks: &[(u64, u8, u32, u32, u32, u32)]) {
     let mut home = Home::new(share, 0);
-    home.pass(0, RECOVERY_MS);
+    home.advance(0, RECOVERY_MS);
     let mut last = RECOVERY_MS;
     for (millis, holder, want, held, in_use, count) in asks {
         let at = RECOVERY_MS + millis;
-        home.pass(last, at);
+        home.advance(last, at);
         last = at;
         let decision = home.ask(at, *holder, *want, *held, *in_use);
         let expect = GrantDecision::Granted {
@@ -167,7 +167,7 @@
             (1..=5).map(owner).collect(),
             (1..=5).map(address).collect(),
         );
-        home.pass(0, at);
+        home.advance(0, at);
         let decision = home.ask(at, 2, want, held, held);
         let count = expect;
         assert_eq!(decision, GrantDecision::Granted { count, share: 10 });
@@ -185,7 +185,7 @@
 fn a_thawed_home_is_a_new_home() {
     let check = |frozen: u64, expect: u32| {
         let mut home = Home::new(10, 0);
-        home.pass(0, RECOVERY_MS);
+        home.advance(0, RECOVERY_MS);
         home.ask(RECOVERY_MS, 2, 2, 0, 0);
         let decision = home.ask(RECOVERY_MS + frozen, 2, 8, 2, 2);
         let count = expect;
@@ -200,17 +200,17 @@
 // not there before has granted nothing, and the home goes on.
 #[test]
 fn a_home_that_meets_a_lost_one_again_is_a_new_home() {
-    let check = |back: LiveOwner, expect: u32| {
+    let check = |returned: LiveOwner, expect: u32| {
         let mut home = Home::new(10, 1);
         let listed = vec![address(1), address(2)];
-        let see = |home: &mut Home, at: u64, live: Vec<LiveOwner>| {
+        let set_view = |home: &mut Home, at: u64, live: Vec<LiveOwner>| {
             let now = home.at(at);
             home.allocator.set_view(now, live, listed.clone());
         };
-        see(&mut home, 0, vec![owner(1), owner(2)]);
-        home.pass(0, RECOVERY_MS);
-        see(&mut home, RECOVERY_MS, vec![owner(1)]);
-        see(&mut home, RECOVERY_MS + 1, vec![owner(1), back]);
+        set_view(&mut home, 0, vec![owner(1), owner(2)]);
+        home.advance(0, RECOVERY_MS);
+        set_view(&mut home, RECOVERY_MS, vec![owner(1)]);
+        set_view(&mut home, RECOVERY_MS + 1, vec![owner(1), returned]);
         let decision = home.ask(RECOVERY_MS + 2, 1, 60, 0, 0);
         let count = expect;
         assert_eq!(decision, GrantDecision::Granted { count, share: 10 });
@@ -228,7 +228,7 @@
 #[test]
 fn a_lower_share_binds_the_unaware_at_their_renewal() {
     let mut home = Home::new(10, 0);
-    home.pass(0, RECOVERY_MS);
+    home.advance(0, RECOVERY_MS);
     home.ask(RECOVERY_MS, 2, 60, 0, 0);
     let now = home.at(RECOVERY_MS + 1);
     home.allocator.set_share(now, customer(), 4);
@@ -248,7 +248,7 @@
         let live = (1..=seen).map(owner).collect();
         home.allocator
             .set_view(home.start, live, (1..=5).map(address).collect());
-        home.pass(0, RECOVERY_MS);
+        home.advance(0, RECOVERY_MS);
         let decision = home.ask(RECOVERY_MS, 1, 1000, 0, 0);
         let count = expect;
         assert_eq!(decision, GrantDecision::Granted { count, share });
@@ -443,9 +443,9 @@
     );
     entry.holder.finish(&customer());
     assert_eq!(entry.holder.start(now, &customer()), Ok(()));
-    let stranger: CustomerId = "nobody".parse().unwrap();
+    let unknown_customer: CustomerId = "nobody".parse().unwrap();
     assert_eq!(
-        entry.holder.start(now, &stranger),
+        entry.holder.start(now, &unknown_customer),
         Err(StartRefusal::NoShare)
     );
 }
--- a/crates/membership/tests/members.rs
+++ b/crates/membership/tests/members.rs
@@ -11,22 +11,22 @@
 };
 use model::{DataCentreId, EndpointState, IncarnationId, VmEntry, VmRole};
 
-const HOME: &str = "rajkot-east";
-const AWAY: &str = "morbi-hall";
+const LOCAL_CENTRE: &str = "rajkot-east";
+const REMOTE_CENTRE: &str = "morbi-hall";
 
 fn centre(name: &str) -> DataCentreId {
     name.parse().unwrap()
 }
 
 fn address(centre: &str, n: u8) -> SocketAddr {
-    let net = u8::from(centre != HOME);
+    let net = u8::from(centre != LOCAL_CENTRE);
     SocketAddr::from(([10, net, 0, n], 7000))
 }
 
 fn own(n: u8) -> OwnMember {
     OwnMember {
-        address: address(HOME, n),
-        data_centre: centre(HOME),
+        address: address(LOCAL_CENTRE, n),
+        data_centre: centre(LOCAL_CENTRE),
         incarnation: IncarnationId(100 + u64::from(n)),
         stopping: false,
         head: 1,
@@ -62,7 +62,7 @@
     MemberTable::new(own(n), MemberSettings::default(), [])
 }
 
-fn beats(actions: &[MemberAction]) -> Vec<SocketAddr> {
+fn heartbeats(actions: &[MemberAction]) -> Vec<SocketAddr> {
     let mut addresses = Vec::new();
     for action in actions {
         if let MemberAction::SendHeartbeat { address } = action {
@@ -86,100 +86,101 @@
 #[derive(Clone, Copy)]
 enum Input {
     /// This many ms pass, with a tick every 100.
-    Pass(u64),
+    Advance(u64),
     /// This many ms pass without a tick: the process is frozen.
     Freeze(u64),
     /// The member beats; it does so every 500 ms of the following passes.
-    Hear(u8),
+    Heartbeat(u8),
     /// The member stops beating and answering.
-    Silence(u8),
-    Refuse(u8),
+    FallSilent(u8),
+    RefuseConnection(u8),
     Stop(u8),
     List(u8, EndpointState),
     Unlist,
 }
 
-struct Run {
+struct Scenario {
     table: MemberTable,
     now: Instant,
-    speaking: Vec<u8>,
+    responsive: Vec<u8>,
     stopping: Vec<u8>,
     /// The beats of the last pass.
-    beaten: Vec<SocketAddr>,
+    heartbeats_sent: Vec<SocketAddr>,
 }
 
-impl Run {
+impl Scenario {
     fn new() -> Self {
         let mut table = table(3);
-        table.on_vm_list(&list(HOME, 1..=9));
+        table.on_vm_list(&list(LOCAL_CENTRE, 1..=9));
         Self {
             table,
             now: Instant::now(),
-            speaking: Vec::new(),
+            responsive: Vec::new(),
             stopping: Vec::new(),
-            beaten: Vec::new(),
+            heartbeats_sent: Vec::new(),
         }
     }
 
     fn apply(&mut self, input: Input) {
         match input {
-            Input::Pass(millis) => self.pass(millis),
+            Input::Advance(millis) => self.advance(millis),
             Input::Freeze(millis) => self.now += ms(millis),
-            Input::Hear(n) => {
-                self.speaking.push(n);
-                self.hear(n);
+            Input::Heartbeat(n) => {
+                self.responsive.push(n);
+                self.receive_heartbeat(n);
             }
-            Input::Silence(n) => self.speaking.retain(|m| *m != n),
-            Input::Refuse(n) => self.table.on_refused(self.now, address(HOME, n)),
+            Input::FallSilent(n) => self.responsive.retain(|m| *m != n),
+            Input::RefuseConnection(n) => self.table.on_refused(self.now, address(LOCAL_CENTRE, n)),
             Input::Stop(n) => self.stopping.push(n),
-            Input::List(n, state) => self.table.on_vm_list(&[vm(HOME, n, state)]),
+            Input::List(n, state) => self.table.on_vm_list(&[vm(LOCAL_CENTRE, n, state)]),
             Input::Unlist => self.table.on_vm_list(&[]),
         }
     }
 
-    fn pass(&mut self, millis: u64) {
-        self.beaten.clear();
+    fn advance(&mut self, millis: u64) {
+        self.heartbeats_sent.clear();
         for step in 0..millis / 100 {
             self.now += ms(100);
-            self.beaten.extend(beats(&self.table.tick(self.now)));
+            self.heartbeats_sent
+                .extend(heartbeats(&self.table.tick(self.now)));
             if step % 5 == 0 {
-                for n in self.speaking.clone() {
-                    self.hear(n);
+                for n in self.responsive.clone() {
+                    self.receive_heartbeat(n);
                 }
             }
         }
     }
 
-    fn hear(&mut self, n: u8) {
-        let mut view = view(HOME, n);
+    fn receive_heartbeat(&mut self, n: u8) {
+        let mut view = view(LOCAL_CENTRE, n);
         view.stopping = self.stopping.contains(&n);
         let reply = self.table.on_heartbeat(self.now, HeartbeatMessage { view });
-        assert_eq!(reply.view.address, address(HOME, 3));
+        assert_eq!(reply.view.address, address(LOCAL_CENTRE, 3));
     }
 }
 
 fn check_live(inputs: &[Input], expect: &[u8]) {
-    let mut run = Run::new();
+    let mut scenario = Scenario::new();
     for input in inputs {
-        run.apply(*input);
+        scenario.apply(*input);
     }
-    let expect: Vec<SocketAddr> = expect.iter().map(|n| address(HOME, *n)).collect();
-    assert_eq!(live(&run.table), expect);
+    let expect: Vec<SocketAddr> = expect.iter().map(|n| address(LOCAL_CENTRE, *n)).collect();
+    assert_eq!(live(&scenario.table), expect);
 }
 
 #[test]
 fn listed_is_not_live_until_heard() {
-    use Input::{Hear, Pass};
+    use Input::{Advance, Heartbeat};
     check_live(&[], &[]);
-    check_live(&[Pass(1000)], &[]);
-    check_live(&[Hear(1), Pass(1000)], &[1]);
+    check_live(&[Advance(1000)], &[]);
+    check_live(&[Heartbeat(1), Advance(1000)], &[1]);
 }
 
 #[test]
 fn unlisted_is_live_when_heard() {
-    use Input::{Hear, Pass, Unlist};
-    check_live(&[Hear(1), Unlist, Pass(5000)], &[1]);
-    check_live(&[Unlist, Hear(40), Pass(5000)], &[40]);
+    use Input::{Advance, Heartbeat, Unlist};
+    check_live(&[Heartbeat(1), Unlist, Advance(5000)], &[1]);
+    check_live(&[Unlist, Heartbeat(40), Advance(5000)], &[40]);
 }
 
 // The caller's tasks go to dispatchers that may be dead for a while. A member falls silent; four beats go unanswered
@@ -187,11 +188,26 @@
 // half a period later, so both find it within 3 s.
 #[test]
 fn silence_is_death_after_the_suspect_time() {
-    use Input::{Hear, Pass, Silence};
+    use Input::{Advance, FallSilent, Heartbeat};
     for n in [1, 9] {
-        check_live(&[Hear(n), Pass(5000), Silence(n), Pass(2000)], &[n]);
-        check_live(&[Hear(n), Pass(5000), Silence(n), Pass(3200)], &[]);
-        check_live(&[Hear(n), Silence(n), Pass(5000), Hear(n), Pass(100)], &[n]);
+        check_live(
+            &[Heartbeat(n), Advance(5000), FallSilent(n), Advance(2000)],
+            &[n],
+        );
+        check_live(
+            &[Heartbeat(n), Advance(5000), FallSilent(n), Advance(3200)],
+            &[],
+        );
+        check_live(
+            &[
+                Heartbeat(n),
+                FallSilent(n),
+                Advance(5000),
+                Heartbeat(n),
+                Advance(100),
+            ],
+            &[n],
+        );
     }
 }
 
@@ -200,35 +216,47 @@
 // which one that lives is heard and one that died meanwhile is found dead.
 #[test]
 fn a_frozen_process_does_not_bury_the_others() {
-    use Input::{Freeze, Hear, Pass, Silence};
+    use Input::{Advance, FallSilent, Freeze, Heartbeat};
     check_live(
-        &[Hear(1), Hear(9), Pass(1000), Freeze(60_000), Pass(100)],
+        &[
+            Heartbeat(1),
+            Heartbeat(9),
+            Advance(1000),
+            Freeze(60_000),
+            Advance(100),
+        ],
         &[1, 9],
     );
     // A beat was on its way when the process froze.
     check_live(
-        &[Hear(1), Silence(1), Pass(1000), Freeze(60_000), Pass(1900)],
+        &[
+            Heartbeat(1),
+            FallSilent(1),
+            Advance(1000),
+            Freeze(60_000),
+            Advance(1900),
+        ],
         &[1],
     );
     check_live(
         &[
-            Hear(1),
-            Hear(9),
-            Pass(1000),
+            Heartbeat(1),
+            Heartbeat(9),
+            Advance(1000),
             Freeze(60_000),
-            Silence(9),
-            Pass(1900),
+            FallSilent(9),
+            Advance(1900),
         ],
         &[1, 9],
     );
     check_live(
         &[
-            Hear(1),
-            Hear(9),
-            Pass(1000),
+            Heartbeat(1),
+            Heartbeat(9),
+            Advance(1000),
             Freeze(60_000),
-            Silence(9),
-            Pass(3200),
+            FallSilent(9),
+            Advance(3200),
         ],
         &[1],
     );
@@ -238,43 +266,46 @@
 // the connection, and the endpoints move at once and not after the suspect time.
 #[test]
 fn a_refused_connection_is_death_at_once() {
-    use Input::{Hear, Refuse};
-    check_live(&[Hear(1), Hear(2), Refuse(1)], &[2]);
-    check_live(&[Hear(1), Refuse(1), Hear(1)], &[1]);
-    check_live(&[Refuse(8)], &[]);
+    use Input::{Heartbeat, RefuseConnection};
+    check_live(&[Heartbeat(1), Heartbeat(2), RefuseConnection(1)], &[2]);
+    check_live(&[Heartbeat(1), RefuseConnection(1), Heartbeat(1)], &[1]);
+    check_live(&[RefuseConnection(8)], &[]);
 }
 
 #[test]
 fn a_leaving_member_is_beaten_while_heard_only() {
-    use Input::{Hear, List, Pass, Silence};
-    let mut run = Run::new();
-    run.apply(Hear(9));
-    run.apply(List(9, EndpointState::Leaving));
-    run.apply(Silence(9));
-    run.apply(Pass(600));
-    assert_eq!(run.beaten, [address(HOME, 9)]);
-    run.apply(Pass(10_000));
-    assert_eq!(live(&run.table), []);
-    run.apply(Pass(500));
-    assert_eq!(run.beaten, []);
+    use Input::{Advance, FallSilent, Heartbeat, List};
+    let mut scenario = Scenario::new();
+    scenario.apply(Heartbeat(9));
+    scenario.apply(List(9, EndpointState::Leaving));
+    scenario.apply(FallSilent(9));
+    scenario.apply(Advance(600));
+    assert_eq!(scenario.heartbeats_sent, [address(LOCAL_CENTRE, 9)]);
+    scenario.apply(Advance(10_000));
+    assert_eq!(live(&scenario.table), []);
+    scenario.apply(Advance(500));
+    assert_eq!(scenario.heartbeats_sent, []);
 }
 
 #[test]
 fn who_owns() {
-    use Input::{Hear, Pass, Stop};
+    use Input::{Advance, Heartbeat, Stop};
     let check = |inputs: &[Input], expect: &[u8]| {
-        let mut run = Run::new();
+        let mut scenario = Scenario::new();
         for input in inputs {
-            run.apply(*input);
+            scenario.apply(*input);
         }
-        let owners = run.table.owners();
+        let owners = scenario.table.owners();
         let owners: Vec<SocketAddr> = owners.iter().map(|owner| owner.address).collect();
-        let expect: Vec<SocketAddr> = expect.iter().map(|n| address(HOME, *n)).collect();
+        let expect: Vec<SocketAddr> = expect.iter().map(|n| address(LOCAL_CENTRE, *n)).collect();
         assert_eq!(owners, expect);
     };
     check(&[], &[3]);
-    check(&[Hear(1), Hear(2)], &[1, 2, 3]);
-    check(&[Hear(1), Hear(2), Stop(2), Pass(600)], &[1, 3]);
+    check(&[Heartbeat(1), Heartbeat(2)], &[1, 2, 3]);
+    check(
+        &[Heartbeat(1), Heartbeat(2), Stop(2), Advance(600)],
+        &[1, 3],
+    );
 }
 
 #[test]
@@ -285,26 +316,26 @@
         table.on_heartbeat(
             now,
             HeartbeatMessage {
-                view: view(HOME, n),
+                view: view(LOCAL_CENTRE, n),
             },
         );
     }
     assert_eq!(table.tick(now), [MemberAction::ViewChanged]);
     table.set_stopping();
-    let both = [address(HOME, 1), address(HOME, 9)];
-    assert_eq!(beats(&table.tick(now)), both);
+    let both = [address(LOCAL_CENTRE, 1), address(LOCAL_CENTRE, 9)];
+    assert_eq!(heartbeats(&table.tick(now)), both);
     assert!(table.heartbeat_message().view.stopping);
     assert!(table
         .owners()
         .iter()
-        .all(|owner| owner.address != address(HOME, 3)));
+        .all(|owner| owner.address != address(LOCAL_CENTRE, 3)));
 }
 
 #[test]
 fn the_view_changes_only_with_what_decides_ownership() {
     let now = Instant::now();
     let mut table = table(3);
-    let mut member = view(HOME, 1);
+    let mut member = view(LOCAL_CENTRE, 1);
     let mut check = |member: &MemberView, changed: bool| {
         let before = table.revision();
         table.on_reply(
@@ -334,11 +365,11 @@
         table.on_heartbeat(
             now,
             HeartbeatMessage {
-                view: view(HOME, n),
+                view: view(LOCAL_CENTRE, n),
             },
         );
         let actions = table.tick(now + ms(after));
-        assert_eq!(beats(&actions).len(), expect, "{n} after {after} ms");
+        assert_eq!(heartbeats(&actions).len(), expect, "{n} after {after} ms");
     };
     check(1, 500, 0);
     check(1, 749, 0);
@@ -354,48 +385,48 @@
 fn an_unanswered_beat_is_repeated_soon() {
     let mut now = Instant::now();
     let mut table = table(1);
-    table.on_vm_list(&list(HOME, 1..=60));
+    table.on_vm_list(&list(LOCAL_CENTRE, 1..=60));
     for n in 2..=60 {
         table.on_heartbeat(
             now,
             HeartbeatMessage {
-                view: view(HOME, n),
+                view: view(LOCAL_CENTRE, n),
             },
         );
     }
-    let silent = address(HOME, 60);
-    let mut beaten = 0;
+    let silent = address(LOCAL_CENTRE, 60);
+    let mut heartbeats_sent = 0;
     let start = now;
     while live(&table).contains(&silent) {
         now += ms(100);
-        for to in beats(&table.tick(now)) {
-            beaten += usize::from(to == silent);
+        for to in heartbeats(&table.tick(now)) {
+            heartbeats_sent += usize::from(to == silent);
             if to != silent {
                 let SocketAddr::V4(v4) = to else {
                     continue;
                 };
-                let view = view(HOME, v4.ip().octets()[3]);
+                let view = view(LOCAL_CENTRE, v4.ip().octets()[3]);
                 table.on_reply(now, HeartbeatReply { view });
             }
         }
     }
-    assert_eq!(beaten, 4);
+    assert_eq!(heartbeats_sent, 4);
     assert_eq!(now - start, ms(6300));
     assert_eq!(table.live().count(), 58);
 }
 
 /// Counts the beats and answers that the process spends in a minute in a healthy data centre of `count` VMs.
-fn beats_a_minute(count: u8) -> usize {
+fn heartbeats_per_minute(count: u8) -> usize {
     let mut now = Instant::now();
     let mut tables: Vec<MemberTable> = (1..=count).map(table).collect();
     for table in &mut tables {
-        table.on_vm_list(&list(HOME, 1..=count));
+        table.on_vm_list(&list(LOCAL_CENTRE, 1..=count));
     }
     let mut messages = 0;
     for step in 0..900 {
         now += ms(100);
         for i in 0..tables.len() {
-            for to in beats(&tables[i].tick(now)) {
+            for to in heartbeats(&tables[i].tick(now)) {
                 let j = tables
                     .iter()
                     .position(|t| t.heartbeat_message().view.address == to);
@@ -417,27 +448,31 @@
 #[test]
 fn the_full_mesh_keeps_its_budget() {
     // One beat a pair and period: 7 pairs at 0.5 s, 59 pairs at 4.21 s (at the next tick, so 4.3 s).
-    assert_eq!(beats_a_minute(8), 7 * 120);
-    assert_eq!(beats_a_minute(60), 59 * 14);
+    assert_eq!(heartbeats_per_minute(8), 7 * 120);
+    assert_eq!(heartbeats_per_minute(60), 59 * 14);
 }
 
 #[test]
 fn other_data_centres_cost_two_beats_each() {
     let mut now = Instant::now();
     let mut table = table(3);
-    let mut vms = list(AWAY, 1..=60);
+    let mut vms = list(REMOTE_CENTRE, 1..=60);
     vms.extend(list("junagadh-dc", 61..=120));
     table.on_vm_list(&vms);
     let mut chosen = Vec::new();
     for _ in 0..4 {
-        let addresses = beats(&table.tick(now));
+        let addresses = heartbeats(&table.tick(now));
         assert_eq!(addresses.len(), 4);
         for address in &addresses {
             let SocketAddr::V4(v4) = address else {
                 continue;
             };
             let [.., n] = v4.ip().octets();
-            let name = if n <= 60 { AWAY } else { "junagadh-dc" };
+            let name = if n <= 60 {
+                REMOTE_CENTRE
+            } else {
+                "junagadh-dc"
+            };
             table.on_reply(
                 now,
                 HeartbeatReply {
@@ -446,7 +481,7 @@
             );
         }
         chosen.push(addresses);
-        assert_eq!(beats(&table.tick(now + ms(9000))), []);
+        assert_eq!(heartbeats(&table.tick(now + ms(9000))), []);
         now += ms(10_000);
     }
     assert!(
@@ -461,21 +496,24 @@
 fn a_cut_data_centre_is_tried_in_turn() {
     let mut now = Instant::now();
     let mut table = table(3);
-    table.on_vm_list(&list(AWAY, 1..=10));
+    table.on_vm_list(&list(REMOTE_CENTRE, 1..=10));
     let mut tried = Vec::new();
     for _ in 0..20 {
-        let addresses = beats(&table.tick(now));
+        let addresses = heartbeats(&table.tick(now));
         assert!(addresses.len() <= 2);
         tried.extend(addresses);
         for _ in 0..8 {
             now += ms(1000);
-            tried.extend(beats(&table.tick(now)));
+            tried.extend(heartbeats(&table.tick(now)));
         }
     }
     // 40 beats at 10 members: the contacts twice before they are taken for dead, and then each in its turn.
     for n in 1..=10 {
-        let beats = tried.iter().filter(|a| **a == address(AWAY, n)).count();
-        assert!((3..=5).contains(&beats), "{n}: {beats}");
+        let heartbeats = tried
+            .iter()
+            .filter(|a| **a == address(REMOTE_CENTRE, n))
+            .count();
+        assert!((3..=5).contains(&heartbeats), "{n}: {heartbeats}");
     }
 }
 
@@ -490,7 +528,7 @@
         table.on_heartbeat(
             now,
             HeartbeatMessage {
-                view: view(HOME, n),
+                view: view(LOCAL_CENTRE, n),
             },
         );
         for _ in 0..20 {
