--- a/crates/membership/tests/grant_faults/main.rs
+++ b/crates/membership/tests/grant_faults/main.rs
@@ -73,7 +73,7 @@
 // the home is replaced, frozen or cut off. The next home confirms what entries hold, which under an even load is about
 // their base shares, and raises nothing for a term; a home that raised at once would give the share out twice.
 #[test]
-fn an_even_load_overruns_by_less_than_a_task_an_entry() {
+fn an_even_load_overruns_by_less_than_one_task_per_entry() {
     let kinds = [
         FaultKind::ReplaceVm as fn(usize) -> FaultKind,
         FaultKind::FreezeDispatcher,
--- a/crates/membership/tests/grants.rs
+++ b/crates/membership/tests/grants.rs
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_grant_is_debited() {
+fn a_grant_reduces_what_others_get() {
     check_home(10, &[(0, 2, 6, 0, 0, 6), (1, 3, 6, 0, 0, 4)]);
     check_home(10, &[(0, 2, 60, 0, 0, 10), (1, 3, 6, 0, 0, 0)]);
     check_home(0, &[(0, 2, 6, 0, 0, 0)]);
@@ -121,7 +121,7 @@
 // wants some, the first gets less at its next ask, and what it lost is free only when a further ask shows that it
 // knows: the answer may have been lost, and it would start tasks on the old number.
 #[test]
-fn what_is_taken_back_is_free_once_the_holder_says_so() {
+fn a_reduced_part_is_free_once_the_holder_confirms_it() {
     let before = [
         (0, 2, 60, 0, 0, 10),
         (1, 3, 60, 0, 0, 0),
@@ -182,7 +182,7 @@
 // The caller sees its limit kept. The home freezes for 3 s, the others take the next in line for the home, and that
 // one may grant. Thawed, the home must not grant from its old state: it confirms only, for a term and a margin.
 #[test]
-fn a_thawed_home_is_a_new_home() {
+fn a_thawed_home_recovers_like_a_new_one() {
     let check = |frozen: u64, expect: u32| {
         let mut home = Home::new(10, 0);
         home.advance(0, RECOVERY_MS);
@@ -199,7 +199,7 @@
 // its side; its holders come back one by one, so the home confirms only, for a term and a margin. A process that was
 // not there before has granted nothing, and the home goes on.
 #[test]
-fn a_home_that_meets_a_lost_one_again_is_a_new_home() {
+fn a_home_recovers_when_a_lost_dispatcher_returns() {
     let check = |returned: LiveOwner, expect: u32| {
         let mut home = Home::new(10, 1);
         let listed = vec![address(1), address(2)];
@@ -226,7 +226,7 @@
 // The operator's change binds an entry that has not heard of it within a term. The home has; at the entry's renewal it
 // grants by the lower share, and what is over it is free for nobody.
 #[test]
-fn a_lower_share_binds_the_unaware_at_their_renewal() {
+fn a_lower_share_binds_uninformed_holders_at_renewal() {
     let mut home = Home::new(10, 0);
     home.advance(0, RECOVERY_MS);
     home.ask(RECOVERY_MS, 2, 60, 0, 0);
@@ -242,7 +242,7 @@
 // The callers on both sides of a cut are served. A home sees one of five VMs: it grants what the base shares of the
 // others leave, since each of those may be using its own. On the side with most VMs at least one task may run.
 #[test]
-fn a_home_leaves_the_base_shares_of_unseen_vms_alone() {
+fn a_home_reserves_the_base_shares_of_unseen_vms() {
     let check = |share: u32, seen: u8, expect: u32| {
         let mut home = Home::new(share, 4);
         let live = (1..=seen).map(owner).collect();
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn another_dispatchers_customer_is_turned_away() {
+fn an_ask_for_another_dispatchers_customer_is_rejected() {
     let mut home = Home::new(10, 0);
     home.allocator
         .set_view(home.start, vec![owner(9)], vec![address(9)]);
@@ -339,7 +339,7 @@
 // The caller of a burst waits one round trip more and not a second. The first task's ask is on its way while the rest
 // of the burst comes; the home gives all that was asked for, so there may be more, and the holder asks for that at once.
 #[test]
-fn a_burst_behind_an_ask_is_asked_for_at_once() {
+fn a_burst_during_a_pending_ask_is_asked_for_at_once() {
     let mut entry = Entry::new(40);
     let (customer, settings) = (customer(), GrantSettings::default());
     entry.holder.set_demand(entry.at(0), &customer, 0, 1);
@@ -363,7 +363,7 @@
 }
 
 #[test]
-fn demand_is_taken_as_counted_elsewhere() {
+fn set_demand_replaces_the_tasks_in_use() {
     let mut entry = Entry::granted(20, 0, 1, 10);
     let customer = customer();
     entry.holder.set_demand(entry.at(2), &customer, 7, 0);
@@ -373,7 +373,7 @@
 }
 
 #[test]
-fn a_grant_says_when_it_lapses() {
+fn a_grant_reports_its_expiry() {
     let entry = Entry::granted(20, 0, 1, 10);
     let (customer, term) = (customer(), GrantSettings::default().term);
     assert_eq!(
@@ -490,7 +490,7 @@
 }
 
 #[test]
-fn an_unused_grant_goes_back_and_an_idle_customer_costs_nothing() {
+fn an_unused_grant_is_returned_and_an_idle_customer_sends_nothing() {
     let mut entry = Entry::granted(40, 0, 1, 10);
     entry.holder.set_waiting(entry.at(100), &customer(), 0);
     let mut sent = Vec::new();
@@ -543,7 +543,7 @@
 }
 
 #[test]
-fn batches_keep_their_budget() {
+fn batches_stay_within_the_byte_budget() {
     // Content: a renewal every 8 s at each dispatcher that is home of a customer.
     let counted = count_batches(60, 10);
     assert!((50..=60).contains(&counted.homes), "{}", counted.homes);
--- a/crates/membership/tests/members.rs
+++ b/crates/membership/tests/members.rs
@@ -187,7 +187,7 @@
 // in the suspect time of 2 s, and then its endpoints get another owner. The higher address of a pair starts beating
 // half a period later, so both find it within 3 s.
 #[test]
-fn silence_is_death_after_the_suspect_time() {
+fn a_silent_member_is_dead_after_the_suspect_time() {
     use Input::{Advance, FallSilent, Heartbeat};
     for n in [1, 9] {
         check_live(
@@ -215,7 +215,7 @@
 // thawing it must not take the silence for theirs: it would own every endpoint. They get a full suspect time, in
 // which one that lives is heard and one that died meanwhile is found dead.
 #[test]
-fn a_frozen_process_does_not_bury_the_others() {
+fn a_frozen_process_does_not_declare_its_peers_dead() {
     use Input::{Advance, FallSilent, Freeze, Heartbeat};
     check_live(
         &[
@@ -265,7 +265,7 @@
 // The caller's next task waits at most for a reconnect. A dispatcher process dies on a VM that lives; the VM refuses
 // the connection, and the endpoints move at once and not after the suspect time.
 #[test]
-fn a_refused_connection_is_death_at_once() {
+fn a_refused_connection_marks_a_member_dead_at_once() {
     use Input::{Heartbeat, RefuseConnection};
     check_live(&[Heartbeat(1), Heartbeat(2), RefuseConnection(1)], &[2]);
     check_live(&[Heartbeat(1), RefuseConnection(1), Heartbeat(1)], &[1]);
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn a_leaving_member_is_beaten_while_heard_only() {
+fn a_leaving_member_gets_heartbeats_only_while_it_responds() {
     use Input::{Advance, FallSilent, Heartbeat, List};
     let mut scenario = Scenario::new();
     scenario.apply(Heartbeat(9));
@@ -288,7 +288,7 @@
 }
 
 #[test]
-fn who_owns() {
+fn owners_are_live_and_not_stopping() {
     use Input::{Advance, Heartbeat, Stop};
     let check = |inputs: &[Input], expect: &[u8]| {
         let mut scenario = Scenario::new();
@@ -309,7 +309,7 @@
 }
 
 #[test]
-fn stopping_is_told_at_once() {
+fn stopping_is_announced_at_once() {
     let now = Instant::now();
     let mut table = table(3);
     for n in [1, 9] {
@@ -358,7 +358,7 @@
 }
 
 #[test]
-fn the_higher_address_leaves_the_beat_to_the_lower() {
+fn the_lower_address_of_a_pair_sends_the_heartbeat() {
     let check = |n: u8, after: u64, expect: usize| {
         let now = Instant::now();
         let mut table = table(3);
@@ -382,7 +382,7 @@
 // so one lost beat must not be death, and four periods of silence would be 18 s. An unanswered beat is repeated every
 // 500 ms.
 #[test]
-fn an_unanswered_beat_is_repeated_soon() {
+fn an_unanswered_heartbeat_is_repeated_at_the_shortest_interval() {
     let mut now = Instant::now();
     let mut table = table(1);
     table.on_vm_list(&list(LOCAL_CENTRE, 1..=60));
@@ -446,14 +446,14 @@
 }
 
 #[test]
-fn the_full_mesh_keeps_its_budget() {
+fn full_mesh_heartbeats_stay_within_budget() {
     // One beat a pair and period: 7 pairs at 0.5 s, 59 pairs at 4.21 s (at the next tick, so 4.3 s).
     assert_eq!(heartbeats_per_minute(8), 7 * 120);
     assert_eq!(heartbeats_per_minute(60), 59 * 14);
 }
 
 #[test]
-fn other_data_centres_cost_two_beats_each() {
+fn each_remote_data_centre_costs_two_heartbeats() {
     let mut now = Instant::now();
     let mut table = table(3);
     let mut vms = list(REMOTE_CENTRE, 1..=60);
@@ -493,7 +493,7 @@
 // The caller's spare tasks reach another data centre again after a cut, at the usual number of beats. The contacts
 // fall silent, others are tried in turn, and when the data centre is back some contact answers soon.
 #[test]
-fn a_cut_data_centre_is_tried_in_turn() {
+fn contacts_of_an_unreachable_data_centre_are_tried_in_turn() {
     let mut now = Instant::now();
     let mut table = table(3);
     table.on_vm_list(&list(REMOTE_CENTRE, 1..=10));
@@ -518,7 +518,7 @@
 }
 
 #[test]
-fn replaced_vms_are_forgotten() {
+fn replaced_vms_are_removed() {
     let mut now = Instant::now();
     let mut table = table(3);
     for n in 1..=60 {
--- a/crates/membership/tests/ownership.rs
+++ b/crates/membership/tests/ownership.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn nobody_owns_without_members() {
+fn endpoints_have_no_owner_without_members() {
     let mut map = OwnershipMap::default();
     let moves = map.update([], endpoints(3));
     assert_eq!(moves, []);
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn balance_at_the_sizes_of_today_and_of_the_target() {
+fn ownership_is_balanced_at_7_and_60_members() {
     // Means of 7.1, 6.4 and 76.7.
     check_balance(7, 50, 2, 13);
     check_balance(60, 384, 1, 14);
@@ -111,7 +111,7 @@
     }
 
     #[test]
-    fn the_map_and_the_single_choice_agree(
+    fn the_map_agrees_with_rendezvous(
         numbers in prop::collection::btree_set(any::<u16>(), 1..40),
         count in 1..50u32,
     ) {
