--- a/crates/dispatcher/src/control/handover.rs
+++ b/crates/dispatcher/src/control/handover.rs
@@ -79,7 +79,8 @@
     fn count_outside(&mut self) {
         let now = self.clock.now();
         self.handovers.tick(now);
-        self.ledger.set_outside(now, self.handovers.used(now));
+        self.ledger
+            .set_previous_owner_slots(now, self.handovers.used(now));
     }
 }
 
--- a/crates/ledger/src/endpoint.rs
+++ b/crates/ledger/src/endpoint.rs
@@ -10,7 +10,7 @@
     pub(crate) address: EndpointAddress,
     pub(crate) running: u32,
     /// Slots that an earlier owner still uses.
-    pub(crate) outside: u32,
+    pub(crate) previous_owner_slots: u32,
     pub(crate) state: EndpointState,
     pub(crate) owned: bool,
     /// What its tasks have shown.
@@ -30,7 +30,7 @@
             limit: address.slots,
             address,
             running: 0,
-            outside: 0,
+            previous_owner_slots: 0,
             state,
             owned: true,
             health,
@@ -41,11 +41,12 @@
         self.limit = self.health.capacity(now, self.address.slots);
     }
 
-    pub(crate) fn room(&self) -> u32 {
+    pub(crate) fn free_slots(&self) -> u32 {
         if !self.owned || self.state == EndpointState::Leaving {
             return 0;
         }
-        self.limit.saturating_sub(self.running + self.outside)
+        self.limit
+            .saturating_sub(self.running + self.previous_owner_slots)
     }
 }
 
@@ -53,7 +54,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EndpointTable {
     endpoints: FastMap<EndpointId, EndpointRecord>,
-    by_room: BTreeMap<u32, FastSet<EndpointId>>,
+    by_free_slots: BTreeMap<u32, FastSet<EndpointId>>,
     limit: u32,
     running: u32,
 }
@@ -77,12 +78,12 @@
         let Some(record) = self.endpoints.get_mut(id) else {
             return;
         };
-        let (room, limit, used) = (record.room(), usable(record), used(record));
+        let (free, limit, used) = (record.free_slots(), usable(record), used(record));
         change(record);
         self.limit = self.limit - limit + usable(record);
         self.running = self.running - used + self::used(record);
-        let (after, gone) = (record.room(), !record.owned && record.running == 0);
-        self.move_room(id, room, after);
+        let (after, gone) = (record.free_slots(), !record.owned && record.running == 0);
+        self.reindex(id, free, after);
         if gone {
             self.endpoints.remove(id);
         }
@@ -93,31 +94,34 @@
         if self.endpoints.contains_key(&id) {
             return;
         }
-        let room = record.room();
+        let free = record.free_slots();
         self.limit += usable(&record);
         self.running += used(&record);
         self.endpoints.insert(id.clone(), record);
-        self.move_room(&id, 0, room);
+        self.reindex(&id, 0, free);
     }
 
-    /// The endpoint with the most room, the first by id among equals.
-    pub(crate) fn roomiest(&self) -> Option<EndpointId> {
-        let (_, ids) = self.by_room.last_key_value()?;
+    /// The endpoint with the most free, the first by id among equals.
+    pub(crate) fn with_most_free_slots(&self) -> Option<EndpointId> {
+        let (_, ids) = self.by_free_slots.last_key_value()?;
         ids.iter().min().cloned()
     }
 
-    fn move_room(&mut self, id: &EndpointId, before: u32, after: u32) {
+    fn reindex(&mut self, id: &EndpointId, before: u32, after: u32) {
         if before == after {
             return;
         }
-        if let Some(ids) = self.by_room.get_mut(&before) {
+        if let Some(ids) = self.by_free_slots.get_mut(&before) {
             ids.remove(id);
             if ids.is_empty() {
-                self.by_room.remove(&before);
+                self.by_free_slots.remove(&before);
             }
         }
         if after > 0 {
-            self.by_room.entry(after).or_default().insert(id.clone());
+            self.by_free_slots
+                .entry(after)
+                .or_default()
+                .insert(id.clone());
         }
     }
 }
@@ -125,7 +129,7 @@
 /// Slots in use, by whomever. An earlier owner's count only where this dispatcher is the owner.
 fn used(record: &EndpointRecord) -> u32 {
     match record.owned {
-        true => record.running + record.outside,
+        true => record.running + record.previous_owner_slots,
         false => record.running,
     }
 }
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -54,7 +54,7 @@
     settings: LedgerSettings,
     endpoints: EndpointTable,
     /// Slots that earlier owners still use, also of endpoints that are not owned yet.
-    outside: FastMap<EndpointId, u32>,
+    previous_owner_slots: FastMap<EndpointId, u32>,
     queue: FairQueue,
     reservations: FastMap<AttemptId, Reservation>,
     claims: FastMap<AttemptId, PendingClaim>,
@@ -77,7 +77,7 @@
         Self {
             settings,
             endpoints: EndpointTable::default(),
-            outside: FastMap::default(),
+            previous_owner_slots: FastMap::default(),
             queue,
             reservations: FastMap::default(),
             claims: FastMap::default(),
--- a/crates/ledger/src/ledger/queueing.rs
+++ b/crates/ledger/src/ledger/queueing.rs
@@ -115,7 +115,7 @@
         // A free slot with an empty queue starts the task at once. While others wait, a new task goes behind them
         // in the fair order; it would otherwise take the slot of a customer whose turn it is.
         if self.queue.is_empty() {
-            if let Some(endpoint) = self.endpoints.roomiest() {
+            if let Some(endpoint) = self.endpoints.with_most_free_slots() {
                 self.start(now, entry, endpoint, offer);
                 return TaskVerdict::Started;
             }
@@ -197,7 +197,7 @@
         if self.stopping {
             return;
         }
-        while let Some(endpoint) = self.endpoints.roomiest() {
+        while let Some(endpoint) = self.endpoints.with_most_free_slots() {
             let Some(next) = self.queue.pop(now) else {
                 return;
             };
--- a/crates/ledger/src/ledger/running.rs
+++ b/crates/ledger/src/ledger/running.rs
@@ -61,15 +61,19 @@
     ///
     /// Load: an owner leaves with its slots full. Harm: a start at a slot that is not free is turned away, and costs a
     /// message and the caller's time.
-    pub fn set_outside(&mut self, now: Instant, used: FastMap<EndpointId, u32>) {
-        if used == self.outside {
+    pub fn set_previous_owner_slots(&mut self, now: Instant, used: FastMap<EndpointId, u32>) {
+        if used == self.previous_owner_slots {
             return;
         }
-        let before = std::mem::replace(&mut self.outside, used);
-        for endpoint in before.keys().chain(self.outside.keys()) {
-            let used = self.outside.get(endpoint).copied().unwrap_or_default();
+        let before = std::mem::replace(&mut self.previous_owner_slots, used);
+        for endpoint in before.keys().chain(self.previous_owner_slots.keys()) {
+            let used = self
+                .previous_owner_slots
+                .get(endpoint)
+                .copied()
+                .unwrap_or_default();
             self.endpoints
-                .update(endpoint, |record| record.outside = used);
+                .update(endpoint, |record| record.previous_owner_slots = used);
         }
         self.fill_slots(now);
     }
@@ -146,7 +150,11 @@
     fn put_endpoint(&mut self, address: &EndpointAddress, state: EndpointState) {
         if self.endpoints.get(&address.id).is_none() {
             let mut record = EndpointRecord::new(address.clone(), state, &self.settings.health);
-            record.outside = self.outside.get(&address.id).copied().unwrap_or_default();
+            record.previous_owner_slots = self
+                .previous_owner_slots
+                .get(&address.id)
+                .copied()
+                .unwrap_or_default();
             self.endpoints.insert(record);
             return;
         }
--- a/crates/ledger/tests/handover.rs
+++ b/crates/ledger/tests/handover.rs
@@ -58,16 +58,16 @@
 fn slots_of_an_earlier_owner_are_not_given_out() {
     let now = Instant::now();
     let mut ledger = ledger(now);
-    ledger.set_outside(now, used(2));
+    ledger.set_previous_owner_slots(now, used(2));
     assert_eq!(ledger.slots().running, 2);
     assert_eq!(ledger.slots().limit, 2);
     let verdicts = ledger.offer(now, ENTRY, SESSION, 1, vec![offer(1)]);
     assert_eq!(verdicts, [TaskVerdict::Queued]);
     assert!(ledger.take_actions().is_empty());
-    ledger.set_outside(now, used(1));
+    ledger.set_previous_owner_slots(now, used(1));
     let actions = ledger.take_actions();
     assert!(matches!(actions[..], [LedgerAction::Claim { .. }]));
-    ledger.set_outside(now, FastMap::default());
+    ledger.set_previous_owner_slots(now, FastMap::default());
     let slots = ledger.slots();
     assert_eq!((slots.running, slots.limit), (1, 2));
 }
@@ -84,7 +84,7 @@
         slots: 1,
     };
     ledger.set_endpoints(now, &[]);
-    ledger.set_outside(now, [(address.id.clone(), 1)].into_iter().collect());
+    ledger.set_previous_owner_slots(now, [(address.id.clone(), 1)].into_iter().collect());
     ledger.set_endpoints(now, &[(address, EndpointState::Live)]);
     let verdicts = ledger.offer(now, ENTRY, SESSION, 1, vec![offer(1)]);
     assert_eq!(verdicts, [TaskVerdict::Queued]);
@@ -97,7 +97,7 @@
 fn what_runs_at_a_lost_endpoint_is_reported() {
     let now = Instant::now();
     let mut ledger = ledger(now);
-    ledger.set_outside(now, used(1));
+    ledger.set_previous_owner_slots(now, used(1));
     ledger.offer(now, ENTRY, SESSION, 1, vec![offer(1)]);
     assert!(ledger.unowned_tasks(now).is_empty());
     ledger.set_endpoints(now, &[]);
