--- a/crates/dispatcher/src/control.rs
+++ b/crates/dispatcher/src/control.rs
@@ -128,7 +128,7 @@
         let members = MemberTable::new(own, member_settings, seeds.collect::<Vec<_>>());
         let ledger = SlotLedger::new(LedgerSettings {
             max_queue: settings.queue_limit,
-            claim_limit: settings.claim_limit_ms.duration(),
+            claim_timeout: settings.claim_limit_ms.duration(),
             ..LedgerSettings::default()
         });
         let grants = GrantAllocator::new(parts.own_address, grant_settings(&settings));
@@ -297,7 +297,8 @@
     type Result = ();
 
     fn handle(&mut self, ran: TaskRan, ctx: &mut Context<Self>) {
-        self.ledger.on_ran(self.clock.now(), ran.attempt, ran.end);
+        self.ledger
+            .on_task_ended(self.clock.now(), ran.attempt, ran.end);
         self.flush(ctx);
     }
 }
--- a/crates/dispatcher/src/control/membership.rs
+++ b/crates/dispatcher/src/control/membership.rs
@@ -214,7 +214,7 @@
         let now = self.clock.now();
         let open = taken
             .session
-            .is_none_or(|(entry, session)| self.ledger.hear(now, entry, session));
+            .is_none_or(|(entry, session)| self.ledger.record_activity(now, entry, session));
         let answer = match open {
             true => Ok(PingReply {
                 view: self.members.heartbeat_message().view,
--- a/crates/dispatcher/src/control/sessions.rs
+++ b/crates/dispatcher/src/control/sessions.rs
@@ -29,7 +29,7 @@
         ctx.spawn(answer.map(move |answer, control, ctx| {
             let now = control.clock.now();
             match answer {
-                Ok(body) => control.ledger.on_claimed(now, attempt, claim, body),
+                Ok(body) => control.ledger.on_claim_answered(now, attempt, claim, body),
                 Err(error) => {
                     log::debug!("dispatcher: ask for {attempt} failed: {error}");
                     control.ledger.on_claim_failed(now, attempt, claim);
--- a/crates/ledger/src/action.rs
+++ b/crates/ledger/src/action.rs
@@ -9,7 +9,7 @@
 /// Something for the process around the ledger to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LedgerAction {
-    /// Run a task on an endpoint; the end comes back through [`crate::SlotLedger::on_ran`].
+    /// Run a task on an endpoint; the end comes back through [`crate::SlotLedger::on_task_ended`].
     Start {
         /// The endpoint.
         endpoint: EndpointAddress,
--- a/crates/ledger/src/entry_link.rs
+++ b/crates/ledger/src/entry_link.rs
@@ -23,22 +23,22 @@
 /// Batches seen, numbered from 1. The highest number seen is not enough: a batch that overtook the one before it would
 /// then vouch for that one, and a task still on its way would be told "not run" and start.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct BatchRecord {
+pub(crate) struct BatchTracker {
     /// Every batch up to this one was seen.
-    complete: u64,
-    ahead: BTreeSet<u64>,
+    contiguous: u64,
+    out_of_order: BTreeSet<u64>,
 }
 
-impl BatchRecord {
-    pub(crate) fn see(&mut self, batch: u64) {
-        self.ahead.insert(batch);
-        while self.ahead.remove(&(self.complete + 1)) {
-            self.complete += 1;
+impl BatchTracker {
+    pub(crate) fn record(&mut self, batch: u64) {
+        self.out_of_order.insert(batch);
+        while self.out_of_order.remove(&(self.contiguous + 1)) {
+            self.contiguous += 1;
         }
     }
 
-    pub(crate) fn has_all(&self, until: u64) -> bool {
-        self.complete >= until
+    pub(crate) fn has_all_up_to(&self, until: u64) -> bool {
+        self.contiguous >= until
     }
 }
 
@@ -46,9 +46,9 @@
 pub(crate) struct EntryLink {
     pub(crate) session: SessionId,
     pub(crate) connected: bool,
-    pub(crate) heard: Instant,
+    pub(crate) last_heard: Instant,
     /// Which batches of offers were seen on this session.
-    pub(crate) batches: BatchRecord,
+    pub(crate) batches: BatchTracker,
     /// Ends that the entry has not confirmed. An attempt is forgotten only after that: a withdrawal that crosses
     /// the report would otherwise find nothing and be told "not run" of a task that ran.
     pub(crate) unconfirmed: FastMap<AttemptId, UnconfirmedEnd>,
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -58,8 +58,8 @@
     queue: FairQueue,
     reservations: FastMap<AttemptId, Reservation>,
     claims: FastMap<AttemptId, PendingClaim>,
-    claim_limits: BTreeSet<(Instant, ClaimNumber, AttemptId)>,
-    next_claim: u64,
+    claim_deadlines: BTreeSet<(Instant, ClaimNumber, AttemptId)>,
+    next_claim_number: u64,
     run_times: RunTimeTable,
     fleet: FleetLatency,
     running: FastMap<AttemptId, RunningTask>,
@@ -67,7 +67,7 @@
     stopping: bool,
     last_tick: Option<Instant>,
     actions: Vec<LedgerAction>,
-    old_ends: VecDeque<(Instant, IncarnationId, AttemptId)>,
+    ends_by_age: VecDeque<(Instant, IncarnationId, AttemptId)>,
 }
 
 impl SlotLedger {
@@ -81,8 +81,8 @@
             queue,
             reservations: FastMap::default(),
             claims: FastMap::default(),
-            claim_limits: BTreeSet::new(),
-            next_claim: 1,
+            claim_deadlines: BTreeSet::new(),
+            next_claim_number: 1,
             run_times: RunTimeTable::new(RunTimeSettings::default()),
             fleet: FleetLatency::default(),
             running: FastMap::default(),
@@ -90,7 +90,7 @@
             stopping: false,
             last_tick: None,
             actions: Vec::new(),
-            old_ends: VecDeque::new(),
+            ends_by_age: VecDeque::new(),
         }
     }
 
@@ -113,7 +113,7 @@
     /// Takes nothing new from now on: what waits is handed back as not run, what runs is waited for.
     pub fn stop(&mut self, now: Instant) {
         self.stopping = true;
-        self.hand_back_all(now);
+        self.return_all_reservations(now);
     }
 
     /// Whether nothing runs and every end has been confirmed.
@@ -135,10 +135,10 @@
 
     /// Ends asks that stayed without an answer, hands back what is overdue, forgets old ends.
     pub fn tick(&mut self, now: Instant) {
-        self.end_silent(now);
-        self.end_late_claims(now);
+        self.close_silent_sessions(now);
+        self.expire_claims(now);
         self.drop_overdue(now);
-        self.forget_ends(now);
+        self.drop_old_ends(now);
         self.refresh_limits(now);
         self.fill_slots(now);
     }
--- a/crates/ledger/src/ledger/queueing.rs
+++ b/crates/ledger/src/ledger/queueing.rs
@@ -31,7 +31,7 @@
         batch: u64,
         offers: Vec<TaskOffer>,
     ) -> Vec<TaskVerdict> {
-        if !self.see_batch(now, entry, session, batch) {
+        if !self.record_batch(now, entry, session, batch) {
             // The session is over: the entry has counted these as lost or asked for their withdrawal since, so
             // starting them now could run a task twice.
             return vec![TaskVerdict::NotRun(RetryReason::DispatcherLost); offers.len()];
@@ -52,17 +52,17 @@
         after_batch: u64,
         attempts: &[AttemptId],
     ) -> Vec<WithdrawalVerdict> {
-        let seen_all = self.has_seen(entry, session, after_batch);
+        let all_received = self.has_received_all(entry, session, after_batch);
         let mut verdicts = Vec::with_capacity(attempts.len());
         for attempt in attempts {
-            verdicts.push(self.withdraw_one(entry, *attempt, seen_all));
+            verdicts.push(self.withdraw_one(entry, *attempt, all_received));
         }
         self.fill_slots(now);
         verdicts
     }
 
     /// An entry has answered an ask: with the body, or that the attempt is gone.
-    pub fn on_claimed(
+    pub fn on_claim_answered(
         &mut self,
         now: Instant,
         attempt: AttemptId,
@@ -96,7 +96,7 @@
 
     /// An ask could not be sent or its answer was lost with the connection.
     pub fn on_claim_failed(&mut self, now: Instant, attempt: AttemptId, claim: ClaimNumber) {
-        self.on_claimed(now, attempt, claim, None);
+        self.on_claim_answered(now, attempt, claim, None);
     }
 
     fn offer_one(
@@ -171,13 +171,13 @@
         &mut self,
         entry: IncarnationId,
         attempt: AttemptId,
-        seen_all: bool,
+        all_received: bool,
     ) -> WithdrawalVerdict {
         if self.drop_reservation(&attempt) {
             return WithdrawalVerdict::NotRun;
         }
         if let Some(pending) = self.claims.remove(&attempt) {
-            // The body may be on its way; `on_claimed` will find no ask and turn it away.
+            // The body may be on its way; `on_claim_answered` will find no ask and turn it away.
             self.release(&pending.endpoint);
             self.refund(&pending.reservation);
             return WithdrawalVerdict::NotRun;
@@ -186,7 +186,7 @@
             .links
             .get(&entry)
             .is_some_and(|link| link.unconfirmed.contains_key(&attempt));
-        if unconfirmed || self.running.contains_key(&attempt) || !seen_all {
+        if unconfirmed || self.running.contains_key(&attempt) || !all_received {
             return WithdrawalVerdict::Running;
         }
         WithdrawalVerdict::NotRun
@@ -204,23 +204,23 @@
             let Some(reservation) = self.reservations.remove(&next.attempt) else {
                 continue;
             };
-            self.ask(now, endpoint, next.attempt, reservation);
+            self.send_claim(now, endpoint, next.attempt, reservation);
         }
     }
 
-    fn ask(
+    fn send_claim(
         &mut self,
         now: Instant,
         endpoint: EndpointId,
         attempt: AttemptId,
         reservation: Reservation,
     ) {
-        let number = ClaimNumber(self.next_claim);
-        self.next_claim += 1;
+        let number = ClaimNumber(self.next_claim_number);
+        self.next_claim_number += 1;
         self.endpoints
             .update(&endpoint, |record| record.running += 1);
-        self.claim_limits
-            .insert((now + self.settings.claim_limit, number, attempt));
+        self.claim_deadlines
+            .insert((now + self.settings.claim_timeout, number, attempt));
         let (entry, session) = (reservation.entry, reservation.session);
         self.claims.insert(
             attempt,
@@ -240,12 +240,12 @@
 
     /// Load: an entry that is frozen or cut off while its tasks are next in line. Harm: slots stand still for its
     /// sake. Reason: after the limit the slot goes on; the body, should it still come, is turned away as not run.
-    pub(super) fn end_late_claims(&mut self, now: Instant) {
-        while let Some((limit, number, attempt)) = self.claim_limits.first().copied() {
+    pub(super) fn expire_claims(&mut self, now: Instant) {
+        while let Some((limit, number, attempt)) = self.claim_deadlines.first().copied() {
             if limit > now {
                 return;
             }
-            self.claim_limits.pop_first();
+            self.claim_deadlines.pop_first();
             let current = self
                 .claims
                 .get(&attempt)
@@ -278,7 +278,7 @@
     }
 
     /// Everything that waits goes back to its entry, which can place it elsewhere at once.
-    pub(super) fn hand_back_all(&mut self, now: Instant) {
+    pub(super) fn return_all_reservations(&mut self, now: Instant) {
         let mut attempts: Vec<_> = self.reservations.keys().copied().collect();
         attempts.sort_unstable();
         for attempt in attempts {
--- a/crates/ledger/src/ledger/running.rs
+++ b/crates/ledger/src/ledger/running.rs
@@ -16,12 +16,12 @@
 
 impl SlotLedger {
     /// A start has ended on its endpoint.
-    pub fn on_ran(&mut self, now: Instant, attempt: AttemptId, end: AttemptEnd) {
+    pub fn on_task_ended(&mut self, now: Instant, attempt: AttemptId, end: AttemptEnd) {
         let Some(task) = self.running.remove(&attempt) else {
             return;
         };
         let ran = now.saturating_duration_since(task.started);
-        self.learn(now, &task, &end, ran);
+        self.record_run(now, &task, &end, ran);
         self.release(&task.endpoint);
         let billed = if matches!(end, AttemptEnd::NotRun(_)) {
             Duration::ZERO
@@ -43,7 +43,7 @@
         let mut kept = FastSet::default();
         for (address, state) in owned {
             kept.insert(address.id.clone());
-            self.put_endpoint(address, *state);
+            self.insert_or_update_endpoint(address, *state);
         }
         for id in self.endpoints.ids() {
             if !kept.contains(&id) {
@@ -51,7 +51,7 @@
             }
         }
         if self.endpoints.totals().0 == 0 {
-            self.hand_back_no_endpoint(now);
+            self.return_reservations_without_endpoint(now);
         }
         self.fill_slots(now);
     }
@@ -147,7 +147,7 @@
         });
     }
 
-    fn put_endpoint(&mut self, address: &EndpointAddress, state: EndpointState) {
+    fn insert_or_update_endpoint(&mut self, address: &EndpointAddress, state: EndpointState) {
         if self.endpoints.get(&address.id).is_none() {
             let mut record = EndpointRecord::new(address.clone(), state, &self.settings.health);
             record.previous_owner_slots = self
@@ -177,7 +177,7 @@
 
     /// Load: one endpoint that fails or drags everything it starts. Harm: it is always free, so it draws more work than
     /// the healthy ones. What its tasks show, against what such tasks do elsewhere, sets its limit.
-    fn learn(&mut self, now: Instant, task: &RunningTask, end: &AttemptEnd, ran: Duration) {
+    fn record_run(&mut self, now: Instant, task: &RunningTask, end: &AttemptEnd, ran: Duration) {
         let expected = self
             .run_times
             .expect(now, &task.customer, &task.kind, None)
@@ -219,7 +219,7 @@
 
     /// Load: the last endpoint of this dispatcher went. Harm: tasks wait here for a slot that will not come while
     /// other dispatchers have some.
-    fn hand_back_no_endpoint(&mut self, now: Instant) {
+    fn return_reservations_without_endpoint(&mut self, now: Instant) {
         let mut attempts: Vec<_> = self.reservations.keys().copied().collect();
         attempts.sort_unstable();
         for attempt in attempts {
--- a/crates/ledger/src/ledger/sessions.rs
+++ b/crates/ledger/src/ledger/sessions.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     action::LedgerAction,
-    entry_link::{BatchRecord, EntryLink, StaleSession, UnconfirmedEnd},
+    entry_link::{BatchTracker, EntryLink, StaleSession, UnconfirmedEnd},
     ledger::SlotLedger,
 };
 
@@ -30,18 +30,18 @@
         {
             return Err(StaleSession(session));
         }
-        self.drop_waiting_of(now, entry);
+        self.drop_waiting_attempts(now, entry);
         let link = self.links.entry(entry).or_insert_with(|| EntryLink {
             session,
             connected: true,
-            heard: now,
-            batches: BatchRecord::default(),
+            last_heard: now,
+            batches: BatchTracker::default(),
             unconfirmed: Default::default(),
         });
         link.session = session;
         link.connected = true;
-        link.heard = now;
-        link.batches = BatchRecord::default();
+        link.last_heard = now;
+        link.batches = BatchTracker::default();
         let mut ends: Vec<_> = link
             .unconfirmed
             .iter()
@@ -69,35 +69,40 @@
             return;
         }
         link.connected = false;
-        self.drop_waiting_of(now, entry);
+        self.drop_waiting_attempts(now, entry);
     }
 
     /// Something came on a session. `false` means that the session is over.
-    pub fn hear(&mut self, now: Instant, entry: IncarnationId, session: SessionId) -> bool {
+    pub fn record_activity(
+        &mut self,
+        now: Instant,
+        entry: IncarnationId,
+        session: SessionId,
+    ) -> bool {
         let Some(link) = self.links.get_mut(&entry) else {
             return false;
         };
         if link.session != session || !link.connected {
             return false;
         }
-        link.heard = now;
+        link.last_heard = now;
         true
     }
 
     /// Ends the sessions of entries that stay silent. After a pause of this process, messages lie unread in its own
     /// sockets; every session then gets its full time again.
-    pub(super) fn end_silent(&mut self, now: Instant) {
+    pub(super) fn close_silent_sessions(&mut self, now: Instant) {
         let paused = self
             .last_tick
-            .is_some_and(|last| now - last > self.settings.entry_silence / 2);
+            .is_some_and(|last| now - last > self.settings.session_timeout / 2);
         self.last_tick = Some(now);
         let mut silent = Vec::new();
         for (entry, link) in &mut self.links {
             if paused {
-                link.heard = now;
+                link.last_heard = now;
             }
             if link.connected
-                && now.saturating_duration_since(link.heard) > self.settings.entry_silence
+                && now.saturating_duration_since(link.last_heard) > self.settings.session_timeout
             {
                 silent.push((*entry, link.session));
             }
@@ -116,27 +121,32 @@
     }
 
     /// Notes a batch of offers. `false` means that the session is over.
-    pub(super) fn see_batch(
+    pub(super) fn record_batch(
         &mut self,
         now: Instant,
         entry: IncarnationId,
         session: SessionId,
         batch: u64,
     ) -> bool {
-        if !self.hear(now, entry, session) {
+        if !self.record_activity(now, entry, session) {
             return false;
         }
         if let Some(link) = self.links.get_mut(&entry) {
-            link.batches.see(batch);
+            link.batches.record(batch);
         }
         true
     }
 
     /// Whether every batch up to this one has been seen, so that an attempt not found here is certainly not run.
-    pub(super) fn has_seen(&self, entry: IncarnationId, session: SessionId, batch: u64) -> bool {
+    pub(super) fn has_received_all(
+        &self,
+        entry: IncarnationId,
+        session: SessionId,
+        batch: u64,
+    ) -> bool {
         self.links
             .get(&entry)
-            .is_some_and(|link| link.session == session && link.batches.has_all(batch))
+            .is_some_and(|link| link.session == session && link.batches.has_all_up_to(batch))
     }
 
     pub(super) fn report_not_run(&mut self, now: Instant, attempt: AttemptId, reason: RetryReason) {
@@ -169,7 +179,7 @@
                 at: now,
             },
         );
-        self.old_ends.push_back((now, entry, attempt));
+        self.ends_by_age.push_back((now, entry, attempt));
         if link.connected {
             let session = link.session;
             self.actions.push(LedgerAction::Report {
@@ -183,12 +193,12 @@
     }
 
     /// An entry out of reach for so long has given its submissions up; keeping more would only cost memory.
-    pub(super) fn forget_ends(&mut self, now: Instant) {
-        while let Some((at, entry, attempt)) = self.old_ends.front().copied() {
-            if at + self.settings.keep_ends > now {
+    pub(super) fn drop_old_ends(&mut self, now: Instant) {
+        while let Some((at, entry, attempt)) = self.ends_by_age.front().copied() {
+            if at + self.settings.end_retention > now {
                 return;
             }
-            self.old_ends.pop_front();
+            self.ends_by_age.pop_front();
             let Some(link) = self.links.get_mut(&entry) else {
                 continue;
             };
@@ -202,7 +212,7 @@
         }
     }
 
-    fn drop_waiting_of(&mut self, now: Instant, entry: IncarnationId) {
+    fn drop_waiting_attempts(&mut self, now: Instant, entry: IncarnationId) {
         let mut waiting = Vec::new();
         for (attempt, reservation) in &self.reservations {
             if reservation.entry == entry {
@@ -212,14 +222,14 @@
         for attempt in waiting {
             self.drop_reservation(&attempt);
         }
-        let mut asked = Vec::new();
+        let mut claimed = Vec::new();
         for (attempt, pending) in &self.claims {
             if pending.reservation.entry == entry {
-                asked.push((*attempt, pending.number));
+                claimed.push((*attempt, pending.number));
             }
         }
-        asked.sort_unstable();
-        for (attempt, number) in asked {
+        claimed.sort_unstable();
+        for (attempt, number) in claimed {
             self.on_claim_failed(now, attempt, number);
         }
     }
--- a/crates/ledger/src/settings.rs
+++ b/crates/ledger/src/settings.rs
@@ -13,13 +13,13 @@
     pub max_queue: usize,
     /// How long an entry has to answer an ask before the slot goes to the next in line. An entry answers within a
     /// round trip; one that does not is frozen or cut off, and must not hold a slot meanwhile.
-    pub claim_limit: Duration,
+    pub claim_timeout: Duration,
     /// The silence after which an entry's session is over. An entry with an open session pings several times a second,
     /// with 60 sessions each 3 s; one that is frozen or cut off silently would hold up this process's stop and its
     /// reservations the queue.
-    pub entry_silence: Duration,
+    pub session_timeout: Duration,
     /// How long the end of an attempt is kept for an entry that is out of reach.
-    pub keep_ends: Duration,
+    pub end_retention: Duration,
 }
 
 impl Default for LedgerSettings {
@@ -27,9 +27,9 @@
         Self {
             health: HealthSettings::default(),
             max_queue: 20_000,
-            claim_limit: Duration::from_millis(200),
-            entry_silence: Duration::from_secs(10),
-            keep_ends: Duration::from_secs(60),
+            claim_timeout: Duration::from_millis(200),
+            session_timeout: Duration::from_secs(10),
+            end_retention: Duration::from_secs(60),
         }
     }
 }
--- a/crates/ledger/tests/at_most_once/world.rs
+++ b/crates/ledger/tests/at_most_once/world.rs
@@ -131,9 +131,9 @@
 
 fn new_ledger(now: Instant, number: usize) -> SlotLedger {
     // Pings are not part of this world.
-    let entry_silence = Duration::from_secs(3600);
+    let session_timeout = Duration::from_secs(3600);
     let mut ledger = SlotLedger::new(LedgerSettings {
-        entry_silence,
+        session_timeout,
         ..LedgerSettings::default()
     });
     let address = EndpointAddress {
@@ -480,7 +480,7 @@
         };
         let dispatcher = &mut self.dispatchers[task.dispatcher];
         if dispatcher.incarnation == task.incarnation {
-            dispatcher.ledger.on_ran(self.now, task.attempt, end);
+            dispatcher.ledger.on_task_ended(self.now, task.attempt, end);
         }
     }
 
@@ -527,7 +527,9 @@
                 claim,
                 body,
             } => {
-                dispatcher.ledger.on_claimed(now, attempt, claim, body);
+                dispatcher
+                    .ledger
+                    .on_claim_answered(now, attempt, claim, body);
                 None
             }
             ToDispatcher::Confirmed(attempt) => {
--- a/crates/ledger/tests/handover.rs
+++ b/crates/ledger/tests/handover.rs
@@ -107,7 +107,7 @@
     let done = AttemptEnd::Done(TaskResult {
         payload: Payload::default(),
     });
-    ledger.on_ran(later, offer(1).attempt, done);
+    ledger.on_task_ended(later, offer(1).attempt, done);
     assert!(ledger.unowned_tasks(later).is_empty());
     let slots = ledger.slots();
     assert_eq!((slots.running, slots.limit), (0, 0));
--- a/crates/ledger/tests/leaving.rs
+++ b/crates/ledger/tests/leaving.rs
@@ -95,7 +95,7 @@
     let mut ledger = ledger(now, &[(endpoint.clone(), EndpointState::Live)]);
     ledger.offer(now, ENTRY, SESSION, 1, vec![offer(1)]);
     let end = AttemptEnd::NotRun(RetryReason::EndpointLeaving);
-    ledger.on_ran(now, offer(1).attempt, end);
+    ledger.on_task_ended(now, offer(1).attempt, end);
     starts(&mut ledger);
     ledger.set_endpoints(now, &[(endpoint, EndpointState::Live)]);
     let verdicts = ledger.offer(now, ENTRY, SESSION, 2, vec![offer(2)]);
--- a/crates/ledger/tests/withdrawal.rs
+++ b/crates/ledger/tests/withdrawal.rs
@@ -95,7 +95,7 @@
     let mut ledger = ledger(now);
     let attempt = offer(1).attempt;
     ledger.offer(now, ENTRY, SESSION, 1, vec![offer(1)]);
-    ledger.on_ran(now, attempt, AttemptEnd::Failed);
+    ledger.on_task_ended(now, attempt, AttemptEnd::Failed);
     assert_eq!(
         ledger.withdraw(now, ENTRY, SESSION, 1, &[attempt]),
         [WithdrawalVerdict::Running]
@@ -112,7 +112,7 @@
     let mut ledger = ledger(now);
     ledger.offer(now, ENTRY, SESSION, 1, vec![offer(1), offer(2), offer(3)]);
     ledger.take_actions();
-    ledger.on_ran(now, offer(1).attempt, AttemptEnd::Failed);
+    ledger.on_task_ended(now, offer(1).attempt, AttemptEnd::Failed);
     let claim = ledger
         .take_actions()
         .into_iter()
@@ -121,10 +121,10 @@
             _ => None,
         });
     let (attempt, claim) = claim.expect("the slot is offered to the next in line");
-    let late = now + LedgerSettings::default().claim_limit;
+    let late = now + LedgerSettings::default().claim_timeout;
     ledger.tick(late);
     ledger.take_actions();
-    ledger.on_claimed(late, attempt, claim, Some(offer(2).payload));
+    ledger.on_claim_answered(late, attempt, claim, Some(offer(2).payload));
     let actions = ledger.take_actions();
     let told = actions.iter().any(|action| {
         matches!(
