--- a/crates/ledger/tests/at_most_once/main.rs
+++ b/crates/ledger/tests/at_most_once/main.rs
@@ -19,12 +19,12 @@
         4 => (1u64..5).prop_map(WorldStep::SubmitAgain),
         30 => (0usize..2, any::<bool>()).prop_map(|(to, second)| WorldStep::ToDispatcher { to, second }),
         30 => (0usize..2, any::<bool>()).prop_map(|(from, second)| WorldStep::ToEntry { from, second }),
-        4 => (0usize..4).prop_map(WorldStep::OldBytes),
-        4 => (0usize..4).prop_map(WorldStep::OldMail),
+        4 => (0usize..4).prop_map(WorldStep::DeliverStaleToDispatcher),
+        4 => (0usize..4).prop_map(WorldStep::DeliverStaleToEntry),
         16 => (0usize..8, fate()).prop_map(|(task, fate)| WorldStep::EndTask { task, fate }),
-        6 => (1u64..400).prop_map(WorldStep::Pass),
+        6 => (1u64..400).prop_map(WorldStep::Advance),
         4 => (0usize..2).prop_map(WorldStep::LoseConnection),
-        3 => (0usize..2).prop_map(WorldStep::DispatcherNotices),
+        3 => (0usize..2).prop_map(WorldStep::DispatcherDetectsLoss),
         6 => (0usize..2).prop_map(WorldStep::Connect),
         1 => (0usize..2).prop_map(WorldStep::Kill),
         8 => (1u64..5).prop_map(WorldStep::Cancel),
@@ -63,12 +63,12 @@
     #![proptest_config(config())]
 
     #[test]
-    fn no_interleaving_starts_twice_or_lies(steps in prop::collection::vec(step(), 1..160)) {
+    fn no_interleaving_starts_a_task_twice_or_gives_an_untrue_answer(steps in prop::collection::vec(step(), 1..160)) {
         let mut world = World::new();
         for step in steps {
-            world.take(step);
+            world.apply(step);
         }
-        world.settle();
-        prop_assert!(world.faults().is_empty(), "{:#?}", world.faults());
+        world.run_to_completion();
+        prop_assert!(world.violations().is_empty(), "{:#?}", world.violations());
     }
 }
--- a/crates/ledger/tests/at_most_once/world.rs
+++ b/crates/ledger/tests/at_most_once/world.rs
@@ -31,15 +31,15 @@
         second: bool,
     },
     /// A message that was on a broken connection is read all the same.
-    OldBytes(usize),
-    OldMail(usize),
+    DeliverStaleToDispatcher(usize),
+    DeliverStaleToEntry(usize),
     EndTask {
         task: usize,
         fate: TaskFate,
     },
-    Pass(u64),
+    Advance(u64),
     LoseConnection(usize),
-    DispatcherNotices(usize),
+    DispatcherDetectsLoss(usize),
     Connect(usize),
     Kill(usize),
     Cancel(u64),
@@ -91,7 +91,7 @@
     session: Option<SessionId>,
     to_dispatcher: VecDeque<ToDispatcher>,
     to_entry: VecDeque<ToEntry>,
-    unnoticed: Option<SessionId>,
+    undetected_loss: Option<SessionId>,
 }
 
 /// What runs on an endpoint, and for which dispatcher's life.
@@ -105,25 +105,25 @@
     now: Instant,
     authority: TaskAuthority,
     dispatchers: Vec<Dispatcher>,
-    old_bytes: VecDeque<(usize, IncarnationId, ToDispatcher)>,
+    stale_to_dispatcher: VecDeque<(usize, IncarnationId, ToDispatcher)>,
     /// What the entry had taken off a connection before it gave the session up, and handles after.
-    old_mail: VecDeque<(usize, ToEntry)>,
+    stale_to_entry: VecDeque<(usize, ToEntry)>,
     /// Attempts that a dispatcher has promised not to start.
-    promised: BTreeSet<AttemptId>,
+    withdrawn: BTreeSet<AttemptId>,
     running: Vec<RunningTask>,
     /// Starts by (serial, task); one that the endpoint turned away as busy is taken out again.
     started: BTreeMap<(u64, u32), u32>,
     answers: BTreeMap<u64, SubmissionOutcome>,
-    sizes: BTreeMap<u64, (bool, u32)>,
+    submissions: BTreeMap<u64, (bool, u32)>,
     next_session: u64,
     next_incarnation: u64,
-    faults: Vec<String>,
+    violations: Vec<String>,
 }
 
 const ENTRY: IncarnationId = IncarnationId(1);
 
 /// What each task is said to have run: far below the deadlines, so that none is refused for it.
-const RAN: Duration = Duration::from_millis(50);
+const RUN_TIME: Duration = Duration::from_millis(50);
 
 fn customer() -> CustomerId {
     "school".parse().expect("a customer id")
@@ -160,16 +160,16 @@
             now,
             authority,
             dispatchers: Vec::new(),
-            old_bytes: VecDeque::new(),
-            old_mail: VecDeque::new(),
-            promised: BTreeSet::new(),
+            stale_to_dispatcher: VecDeque::new(),
+            stale_to_entry: VecDeque::new(),
+            withdrawn: BTreeSet::new(),
             running: Vec::new(),
             started: BTreeMap::new(),
             answers: BTreeMap::new(),
-            sizes: BTreeMap::new(),
+            submissions: BTreeMap::new(),
             next_session: 1,
             next_incarnation: 100,
-            faults: Vec::new(),
+            violations: Vec::new(),
         };
         for number in 0..2 {
             let dispatcher = world.new_dispatcher(number);
@@ -179,23 +179,23 @@
         world
     }
 
-    pub(crate) fn faults(&self) -> &[String] {
-        &self.faults
+    pub(crate) fn violations(&self) -> &[String] {
+        &self.violations
     }
 
-    pub(crate) fn take(&mut self, step: WorldStep) {
+    pub(crate) fn apply(&mut self, step: WorldStep) {
         match step {
             WorldStep::SubmitJob(tasks) => self.submit(true, tasks),
             WorldStep::SubmitRequest => self.submit(false, 1),
             WorldStep::SubmitAgain(serial) => self.submit_again(serial),
             WorldStep::ToDispatcher { to, second } => self.deliver_to_dispatcher(to, second),
             WorldStep::ToEntry { from, second } => self.deliver_to_entry(from, second),
-            WorldStep::OldBytes(index) => self.deliver_old(index),
-            WorldStep::OldMail(index) => self.deliver_old_mail(index),
+            WorldStep::DeliverStaleToDispatcher(index) => self.deliver_stale_to_dispatcher(index),
+            WorldStep::DeliverStaleToEntry(index) => self.deliver_stale_to_entry(index),
             WorldStep::EndTask { task, fate } => self.end_task(task, fate),
-            WorldStep::Pass(millis) => self.pass(Duration::from_millis(millis)),
-            WorldStep::LoseConnection(number) => self.lose(number),
-            WorldStep::DispatcherNotices(number) => self.notice(number),
+            WorldStep::Advance(millis) => self.advance(Duration::from_millis(millis)),
+            WorldStep::LoseConnection(number) => self.lose_connection(number),
+            WorldStep::DispatcherDetectsLoss(number) => self.detect_loss(number),
             WorldStep::Connect(number) => self.connect(number),
             WorldStep::Kill(number) => self.kill(number),
             WorldStep::Cancel(serial) => {
@@ -206,36 +206,36 @@
     }
 
     /// Lets everything come to rest, so that every submission has its answer.
-    pub(crate) fn settle(&mut self) {
+    pub(crate) fn run_to_completion(&mut self) {
         for _ in 0..400 {
             for number in 0..2 {
                 if self.dispatchers[number].session.is_none() {
-                    self.take(WorldStep::Connect(number));
+                    self.apply(WorldStep::Connect(number));
                 }
-                self.take(WorldStep::ToDispatcher {
+                self.apply(WorldStep::ToDispatcher {
                     to: number,
                     second: false,
                 });
-                self.take(WorldStep::ToEntry {
+                self.apply(WorldStep::ToEntry {
                     from: number,
                     second: false,
                 });
             }
-            self.take(WorldStep::EndTask {
+            self.apply(WorldStep::EndTask {
                 task: 0,
                 fate: TaskFate::Done,
             });
-            self.take(WorldStep::OldBytes(0));
-            self.take(WorldStep::Pass(25));
+            self.apply(WorldStep::DeliverStaleToDispatcher(0));
+            self.apply(WorldStep::Advance(25));
         }
         let open: Vec<u64> = self
-            .sizes
+            .submissions
             .keys()
             .filter(|serial| !self.answers.contains_key(serial))
             .copied()
             .collect();
         for serial in open {
-            self.faults
+            self.violations
                 .push(format!("submission {serial} has no answer"));
         }
         for (serial, outcome) in self.answers.clone() {
@@ -243,13 +243,13 @@
         }
         let left = self.authority.attempts();
         if !left.is_empty() {
-            self.faults
+            self.violations
                 .push(format!("attempts hold concurrency for ever: {left:?}"));
         }
     }
 
     fn check_answer(&mut self, serial: u64, outcome: &SubmissionOutcome) {
-        let (_, tasks) = self.sizes[&serial];
+        let (_, tasks) = self.submissions[&serial];
         let starts = |task| {
             self.started
                 .get(&(serial, task))
@@ -260,7 +260,7 @@
             SubmissionOutcome::Refused { .. } => {
                 let ran = (0..tasks).any(|task| starts(task) > 0);
                 if ran {
-                    self.faults
+                    self.violations
                         .push(format!("submission {serial} was told not run and ran"));
                 }
             }
@@ -268,7 +268,7 @@
                 let want: Vec<TaskResult> =
                     (0..tasks).map(|task| result_of(serial, task)).collect();
                 if *results != want {
-                    self.faults
+                    self.violations
                         .push(format!("submission {serial} got another answer"));
                 }
             }
@@ -286,7 +286,7 @@
             session: None,
             to_dispatcher: VecDeque::new(),
             to_entry: VecDeque::new(),
-            unnoticed: None,
+            undetected_loss: None,
         }
     }
 
@@ -299,7 +299,7 @@
         if !self.authority.is_refused(serial) {
             return;
         }
-        if let Some((job, tasks)) = self.sizes.get(&serial).copied() {
+        if let Some((job, tasks)) = self.submissions.get(&serial).copied() {
             self.submit_as(serial, job, tasks);
         }
     }
@@ -333,7 +333,7 @@
             .submit(self.now, body, 0, terms, Some(serial))
             .is_ok()
         {
-            self.sizes.insert(serial, (job, tasks));
+            self.submissions.insert(serial, (job, tasks));
             self.answers.remove(&serial);
         }
     }
@@ -380,7 +380,7 @@
                         .insert(id.serial, outcome.as_ref().clone())
                         .is_some()
                     {
-                        self.faults
+                        self.violations
                             .push(format!("submission {} was answered twice", id.serial));
                     }
                 }
@@ -440,11 +440,11 @@
     fn start(&mut self, dispatcher: usize, incarnation: IncarnationId, offer: &TaskOffer) {
         let attempt = offer.attempt;
         if offer.payload != result_of(attempt.submission.serial, attempt.task).payload {
-            self.faults
+            self.violations
                 .push(format!("{attempt} started with another body"));
         }
-        if self.promised.contains(&attempt) {
-            self.faults.push(format!(
+        if self.withdrawn.contains(&attempt) {
+            self.violations.push(format!(
                 "{attempt} started after its withdrawal was confirmed"
             ));
         }
@@ -454,7 +454,7 @@
             .or_default();
         *starts += 1;
         if *starts > 1 {
-            self.faults.push(format!("{attempt} is a second start"));
+            self.violations.push(format!("{attempt} is a second start"));
         }
         self.running.push(RunningTask {
             dispatcher,
@@ -486,7 +486,7 @@
 
     fn deliver_to_dispatcher(&mut self, number: usize, second: bool) {
         let queue = &mut self.dispatchers[number].to_dispatcher;
-        if let Some(message) = take_one(queue, second) {
+        if let Some(message) = pop_message(queue, second) {
             self.handle_at_dispatcher(number, message);
         }
     }
@@ -517,7 +517,7 @@
                 let verdicts: Vec<_> = attempts.into_iter().zip(verdicts).collect();
                 for (attempt, verdict) in &verdicts {
                     if *verdict == WithdrawalVerdict::NotRun {
-                        self.promised.insert(*attempt);
+                        self.withdrawn.insert(*attempt);
                     }
                 }
                 (dispatcher.session == Some(session)).then_some(ToEntry::Withdrawn(verdicts))
@@ -541,7 +541,7 @@
     }
 
     fn deliver_to_entry(&mut self, number: usize, second: bool) {
-        if let Some(message) = take_one(&mut self.dispatchers[number].to_entry, second) {
+        if let Some(message) = pop_message(&mut self.dispatchers[number].to_entry, second) {
             if let Some(answer) = self.handle_at_entry(message) {
                 self.dispatchers[number].to_dispatcher.push_back(answer);
             }
@@ -572,28 +572,28 @@
                 })
             }
             ToEntry::Ended(attempt, end) => {
-                self.authority.on_ended(self.now, attempt, end, RAN);
+                self.authority.on_ended(self.now, attempt, end, RUN_TIME);
                 Some(ToDispatcher::Confirmed(attempt))
             }
         }
     }
 
-    fn deliver_old_mail(&mut self, index: usize) {
-        if self.old_mail.is_empty() {
+    fn deliver_stale_to_entry(&mut self, index: usize) {
+        if self.stale_to_entry.is_empty() {
             return;
         }
-        let index = index % self.old_mail.len();
-        if let Some((_, message)) = self.old_mail.remove(index) {
+        let index = index % self.stale_to_entry.len();
+        if let Some((_, message)) = self.stale_to_entry.remove(index) {
             let _connection_gone = self.handle_at_entry(message);
         }
     }
 
-    fn deliver_old(&mut self, index: usize) {
-        if self.old_bytes.is_empty() {
+    fn deliver_stale_to_dispatcher(&mut self, index: usize) {
+        if self.stale_to_dispatcher.is_empty() {
             return;
         }
-        let index = index % self.old_bytes.len();
-        let Some((number, incarnation, message)) = self.old_bytes.remove(index) else {
+        let index = index % self.stale_to_dispatcher.len();
+        let Some((number, incarnation, message)) = self.stale_to_dispatcher.remove(index) else {
             return;
         };
         // A confirmation or a body is the answer to a call, and goes with the connection of that call.
@@ -606,7 +606,7 @@
         }
     }
 
-    fn pass(&mut self, by: Duration) {
+    fn advance(&mut self, by: Duration) {
         self.now += by;
         self.authority.tick(self.now);
         for dispatcher in &mut self.dispatchers {
@@ -614,31 +614,32 @@
         }
     }
 
-    fn lose(&mut self, number: usize) {
+    fn lose_connection(&mut self, number: usize) {
         let dispatcher = &mut self.dispatchers[number];
         let Some(session) = dispatcher.session.take() else {
             return;
         };
         let incarnation = dispatcher.incarnation;
-        dispatcher.unnoticed = Some(session);
-        let mail = std::mem::take(&mut dispatcher.to_entry);
-        self.old_mail
-            .extend(mail.into_iter().map(|message| (number, message)));
+        dispatcher.undetected_loss = Some(session);
+        let unread = std::mem::take(&mut dispatcher.to_entry);
+        self.stale_to_entry
+            .extend(unread.into_iter().map(|message| (number, message)));
         for message in std::mem::take(&mut self.dispatchers[number].to_dispatcher) {
             if let ToDispatcher::Body { attempt, claim, .. } = &message {
                 self.dispatchers[number]
                     .ledger
                     .on_claim_failed(self.now, *attempt, *claim);
             }
-            self.old_bytes.push_back((number, incarnation, message));
+            self.stale_to_dispatcher
+                .push_back((number, incarnation, message));
         }
         self.authority
             .on_session_lost(self.now, DispatcherKey(number as u64), session);
     }
 
-    fn notice(&mut self, number: usize) {
+    fn detect_loss(&mut self, number: usize) {
         let dispatcher = &mut self.dispatchers[number];
-        if let Some(session) = dispatcher.unnoticed.take() {
+        if let Some(session) = dispatcher.undetected_loss.take() {
             dispatcher.ledger.on_session_lost(self.now, ENTRY, session);
         }
     }
@@ -664,7 +665,7 @@
     }
 
     fn kill(&mut self, number: usize) {
-        self.lose(number);
+        self.lose_connection(number);
         self.dispatchers[number] = self.new_dispatcher(number);
     }
 }
@@ -675,7 +676,7 @@
     }
 }
 
-fn take_one<T>(queue: &mut VecDeque<T>, second: bool) -> Option<T> {
+fn pop_message<T>(queue: &mut VecDeque<T>, second: bool) -> Option<T> {
     let index = usize::from(second && queue.len() > 1);
     queue.remove(index)
 }
--- a/crates/ledger/tests/handover.rs
+++ b/crates/ledger/tests/handover.rs
@@ -55,7 +55,7 @@
 // The caller at the new owner waits for a slot and is not turned away by a full endpoint. The old owner's tasks fill
 // it; one slot goes free by a report, and the task that waited is asked for.
 #[test]
-fn slots_of_an_earlier_owner_are_not_given_out() {
+fn slots_used_by_a_previous_owner_are_not_assigned() {
     let now = Instant::now();
     let mut ledger = ledger(now);
     ledger.set_previous_owner_slots(now, used(2));
@@ -75,7 +75,7 @@
 // The caller's task waits, although the report came before the endpoint: the leaving owner sends it first, so that no
 // slot is given out between the two.
 #[test]
-fn a_report_may_come_before_the_endpoint() {
+fn a_report_may_arrive_before_the_endpoint() {
     let now = Instant::now();
     let mut ledger = ledger(now);
     let address = EndpointAddress {
@@ -94,7 +94,7 @@
 // The new owner hears of exactly what runs and until when. The old one loses the endpoint while a task runs, and again
 // has nothing to report once that has ended.
 #[test]
-fn what_runs_at_a_lost_endpoint_is_reported() {
+fn tasks_running_on_a_lost_endpoint_are_reported() {
     let now = Instant::now();
     let mut ledger = ledger(now);
     ledger.set_previous_owner_slots(now, used(1));
--- a/crates/ledger/tests/leaving.rs
+++ b/crates/ledger/tests/leaving.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn an_endpoint_that_the_list_calls_leaving_gets_nothing() {
+fn an_endpoint_listed_as_leaving_gets_no_new_tasks() {
     // One of two endpoints leaves while a task runs there. Its slots are the emptier ones, and what comes next must
     // still go to the other; when that is full, it waits.
     let now = Instant::now();
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn an_endpoint_that_calls_itself_leaving_gets_nothing_though_the_list_lags() {
+fn an_endpoint_that_reports_leaving_gets_no_new_tasks_while_the_list_lags() {
     // The endpoint turns a task away as leaving; the VM list still calls it live when it is read next. With no other
     // endpoint, what comes is turned away as not run, so that it can go to another dispatcher.
     let now = Instant::now();
--- a/crates/ledger/tests/withdrawal.rs
+++ b/crates/ledger/tests/withdrawal.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_withdrawal_that_overtakes_its_offer_confirms_nothing() {
+fn a_withdrawal_that_overtakes_its_offer_is_not_confirmed() {
     // The caller cancels a job while its offer is on the way. The library reads the withdrawal first; then the offer
     // comes and starts. A "not run" would free the customer's concurrency while the task runs.
     let now = Instant::now();
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_batch_does_not_vouch_for_the_one_it_overtook() {
+fn a_received_batch_does_not_imply_the_one_it_overtook() {
     // Two offers are on the way and change places; the withdrawal of the first is read between them. "Not run" would
     // be untrue a moment later, when the first offer comes and starts.
     let now = Instant::now();
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_withdrawal_that_crosses_the_report_is_not_told_not_run() {
+fn a_withdrawal_that_crosses_the_report_is_not_answered_not_run() {
     // The task ends while the entry gives it up. The report and the withdrawal cross; forgotten too early, the
     // attempt would be told "not run" and placed again, and run twice.
     let now = Instant::now();
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_body_after_the_limit_of_its_ask_does_not_start() {
+fn a_body_that_arrives_after_the_claim_timeout_does_not_start() {
     // An entry freezes while its task is next in line. The slot goes to the next one after the limit; the entry
     // thaws and its body comes. It must not start, and the entry is told so.
     let now = Instant::now();
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn an_old_session_is_not_opened_again() {
+fn an_old_session_cannot_be_reopened() {
     // An entry's connection hangs, and it opens a second session. The first one's opening is read after that. Taken in,
     // it would end the second session, and offers that the entry has counted as lost since would start.
     let now = Instant::now();
