--- a/crates/membership/src/centre.rs
+++ b/crates/membership/src/centre.rs
@@ -6,21 +6,21 @@
 
 use crate::split_shares;
 
-/// A data centre as one of its dispatchers sees it. Entries have no member table and go by this.
+/// A data centre as one of its dispatchers sees it. Entries have no member table and rely on this view.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CentreView {
-    /// Never 0; goes up with each change in the life of the dispatcher.
+    /// Never 0. Increases with each change during the life of the dispatcher.
     pub revision: u64,
     /// The addresses of [`crate::MemberTable::owners`].
     pub owners: Vec<SocketAddr>,
-    /// As [`crate::MemberTable::listed`].
+    /// The addresses of [`crate::MemberTable::listed`].
     pub listed: Vec<SocketAddr>,
-    /// What each data centre counts for when concurrency is split: see [`crate::split_shares`].
+    /// The slots by which concurrency is split over data centres, see [`crate::split_shares`].
     pub slots: Vec<(DataCentreId, u32)>,
 }
 
 impl CentreView {
-    /// Takes another view; the revision goes up only when something differs, so that nobody is told in vain.
+    /// Replaces the view. The revision increases only if something differs, so that no entry is notified in vain.
     pub fn update(
         &mut self,
         owners: Vec<SocketAddr>,
@@ -39,7 +39,7 @@
         };
     }
 
-    /// The share of a data centre in a concurrency.
+    /// The part of `concurrency` that belongs to a data centre; 0 for one that the view does not contain.
     pub fn share_of(&self, data_centre: &DataCentreId, concurrency: u32) -> u32 {
         let shares = split_shares(concurrency, self.slots.iter().cloned());
         let share = shares.iter().find(|(id, _)| id == data_centre);
--- a/crates/membership/src/grant.rs
+++ b/crates/membership/src/grant.rs
@@ -1,19 +1,22 @@
 //! Leased grants: the parts of a customer's concurrency that entries may use.
 //!
-//! A customer's concurrency is split into a share per data centre ([`split_shares`]). Within one, the customer's home
-//! dispatcher ([`GrantAllocator`]) leases parts of the share to the entries ([`GrantHolder`]) for a term.
+//! A customer's concurrency is split into a share per data centre ([`split_shares`]). Within a data centre, the
+//! customer's home dispatcher ([`GrantAllocator`]) leases parts of the share to the entries ([`GrantHolder`]) for a
+//! term.
 //!
-//! What keeps the sum within the share:
+//! Three rules keep the sum of the grants within the share:
 //!
-//! - The home debits a grant before it hands it over, and takes a lapsed one back only after the term and a margin,
-//!   counted from when the ask came. The holder counts the term from before it sent the ask. So it always stops first.
-//! - The holder obeys only the reply to its latest ask about a customer. So when an ask comes that says "I hold h",
-//!   the holder can hold no more than the larger of h and what this very reply grants: that is the debit.
-//! - A home that is new, or was frozen for long, confirms what holders say they hold and raises nothing until a term
-//!   and a margin have passed, since an earlier home may have granted up to a moment before.
+//! - The home records a lease before it sends a grant, and frees an expired lease only after the term and a margin,
+//!   counted from the arrival of the ask. The holder counts the term from before it sent the ask, so its grant always
+//!   ends first.
+//! - The holder applies only the reply to its latest ask about a customer. When an ask arrives that reports a held
+//!   grant of `h`, the holder can therefore hold no more than the larger of `h` and the count in the reply to that ask.
+//!   The lease records this maximum.
+//! - A home that is new, or was frozen for long, is in recovery for a term and a margin. Until then it confirms what
+//!   holders report to hold and raises no grant, since a previous home may have granted up to a moment before.
 //!
 //! While views differ, or a holder is cut off from its home, entries may fall back to base shares, which add up to the
-//! share once more. So the overrun is at most one share, and it ends one term after the views agree.
+//! share once more. The overrun is therefore at most one share, and it ends one term after the views agree.
 
 mod allocator;
 mod holder;
--- a/crates/membership/src/grant/allocator.rs
+++ b/crates/membership/src/grant/allocator.rs
@@ -16,14 +16,14 @@
     member::LiveOwner,
 };
 
-/// How long a dispatcher that fell silent is remembered, so that its return is known for one. Longer than the hour
-/// for which parts of the system lose each other at times.
+/// How long a departed dispatcher is remembered, so that its return is recognised. Longer than the hour for which parts
+/// of the system at times lose contact with each other.
 const DEPARTED_RETENTION: Duration = Duration::from_secs(2 * 3600);
 
-/// What a dispatcher has leased of the customers whose home it is.
+/// Leases parts of the shares of the customers whose home this dispatcher is.
 ///
-/// State: an account for each such customer and in it a debit for each entry with work of that customer. Nothing of it
-/// is stored or handed over; a new home learns it from the asks.
+/// The state is an allocation for each such customer, with a lease for each entry that has work of that customer. None
+/// of it is stored or handed over; a new home learns it from the asks.
 #[derive(Clone, Debug)]
 pub struct GrantAllocator {
     own: SocketAddr,
@@ -34,14 +34,14 @@
     shares: FastMap<CustomerId, u32>,
     allocations: FastMap<CustomerId, CustomerAllocation>,
     last_batches: FastMap<IncarnationId, LastBatch>,
-    /// When a customer first heard of now may have its first raise: earlier homes' grants have lapsed by then.
+    /// The end of the recovery of a customer that is added now: grants of previous homes have expired by then.
     recovery_until: Option<Instant>,
     last_input: Option<Instant>,
 }
 
 #[derive(Clone, Debug)]
 struct CustomerAllocation {
-    /// Until then grants are confirmed and not raised.
+    /// Until this time grants are confirmed but not raised.
     recovery_until: Instant,
     leases: FastMap<IncarnationId, Lease>,
 }
@@ -49,7 +49,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Lease {
     address: SocketAddr,
-    /// The most that the holder can hold now, running tasks included.
+    /// The largest count that the holder can hold now, running tasks included.
     count: u32,
     want: u32,
     until: Instant,
@@ -62,7 +62,7 @@
 }
 
 impl GrantAllocator {
-    /// A ledger of the dispatcher at `own`, home of no customer yet.
+    /// Creates an allocator for the dispatcher at `own`, which is the home of no customer yet.
     pub fn new(own: SocketAddr, settings: GrantSettings) -> Self {
         Self {
             own,
@@ -78,10 +78,11 @@
         }
     }
 
-    /// Takes a new view: `live` as [`crate::MemberTable::owners`], `listed` as [`crate::MemberTable::listed`].
+    /// Sets the view: `live` as [`crate::MemberTable::owners`], `listed` as [`crate::MemberTable::listed`].
     ///
-    /// A customer that this dispatcher becomes the home of waits out the grants of the home before. One that has
-    /// another home now is dropped; its holders report to that one.
+    /// For a customer whose home this dispatcher becomes, the allocation starts in recovery until the grants of the
+    /// previous home have expired. The allocation of a customer that has another home now is dropped; its holders
+    /// report to the new home.
     pub fn set_view(&mut self, now: Instant, live: Vec<LiveOwner>, listed: Vec<SocketAddr>) {
         self.detect_own_pause(now);
         self.listed = listed;
@@ -104,16 +105,16 @@
         self.update_allocations();
     }
 
-    /// Sets the customer's share in this data centre; 0 when the contract is retired. A lower one binds each holder
-    /// at its next renewal, so at the latest when its term ends.
+    /// Sets the customer's share in this data centre; 0 if the contract is retired. A lower share takes effect for each
+    /// holder at its next renewal, so at the latest when its term ends.
     pub fn set_share(&mut self, now: Instant, customer: CustomerId, share: u32) {
         self.detect_own_pause(now);
         self.shares.insert(customer.clone(), share);
         self.update_allocation(customer);
     }
 
-    /// Answers a batch of asks. `None` for a batch that came after a later one of the same holder: what it says it
-    /// holds is out of date, and the holder would not obey the answer.
+    /// Answers a batch of asks. Returns `None` for a batch that arrives after a later one of the same holder: its held
+    /// counts are out of date, and the holder would ignore the answer.
     pub fn on_ask(&mut self, now: Instant, batch: &AskBatch) -> Option<ReplyBatch> {
         self.detect_own_pause(now);
         let last = self.last_batches.get(&batch.holder);
@@ -138,7 +139,7 @@
         })
     }
 
-    /// Lets time pass. To be called at least twice within [`GrantSettings::max_input_gap`].
+    /// Removes expired leases. Must be called at least twice within [`GrantSettings::max_input_gap`].
     pub fn tick(&mut self, now: Instant) {
         self.detect_own_pause(now);
         self.last_batches.retain(|_, last| now < last.until);
@@ -149,7 +150,7 @@
             .retain(|_, at| now.saturating_duration_since(*at) < DEPARTED_RETENTION);
     }
 
-    /// What is debited of the customer's share; 0 where this is not its home.
+    /// The sum of the leases on the customer's share; 0 if this dispatcher is not its home.
     pub fn leased(&self, customer: &CustomerId) -> u32 {
         let allocation = self.allocations.get(customer);
         allocation.map_or(0, |allocation| {
@@ -162,10 +163,10 @@
         self.allocations.keys()
     }
 
-    /// Failure: this home was frozen for so long that others took another for the home, and that one granted. Symptom
-    /// without this: on thawing it grants from its old debits, and the customer runs up to twice its share. A gap in
-    /// its own inputs shows it; waiting out a term as a new home would is enough, since the other home's last grant
-    /// is no later than the news that this one is back.
+    /// Restarts recovery if the gap since the last input is so long that other processes may have chosen another home,
+    /// which then granted. Without this, a thawed home would grant from its old leases, and the customer would run up
+    /// to twice its share. Recovery for a term, as in a new home, is enough, since the other home's last grant is no
+    /// later than the news that this one is back.
     fn detect_own_pause(&mut self, now: Instant) {
         let last = self.last_input.replace(now).unwrap_or(now);
         if now.saturating_duration_since(last) > self.settings.max_input_gap {
@@ -173,10 +174,10 @@
         }
     }
 
-    /// Back to confirming only, for every account.
+    /// Restarts recovery for every customer: grants are only confirmed until it ends.
     ///
-    /// Also when a lost dispatcher is heard again: it may have been home of the same customers on its side of a cut,
-    /// and its holders come back to this home one by one.
+    /// Also used when a departed dispatcher returns: it may have been the home of the same customers on its side of a
+    /// network partition, and its holders come back to this home one by one.
     fn restart_recovery(&mut self, now: Instant) {
         let recovery_until = now + self.settings.reclaim_after();
         self.recovery_until = Some(recovery_until);
@@ -227,13 +228,13 @@
         GrantDecision::Granted { count, share }
     }
 
-    /// The share without the base shares of listed VMs that this home neither sees live nor has a debit for.
+    /// The share minus the base shares of listed VMs that are neither live in this home's view nor hold a lease.
     ///
-    /// Failure: the data centre's own network is cut in two, and each side has a home. Symptom without this: both
-    /// grant the whole share, for as long as the cut lasts. An entry cut off from its home goes by its base share, and
-    /// base shares add up to the share; so a home that leaves those of the VMs out of its sight alone keeps the sum.
-    /// A side with most of the VMs keeps at least 1: else a customer with a concurrency of 1 stands still whenever the
-    /// VM list lags behind the death of the one VM that has its base share. That is one task over at most.
+    /// If the network of the data centre is partitioned, each side has a home. Without this reservation both would
+    /// grant the whole share for as long as the partition lasts. An entry cut off from its home uses its base share,
+    /// and base shares add up to the share, so a home that reserves those of unseen VMs keeps the sum. A side with most
+    /// of the VMs keeps at least 1: otherwise a customer with a concurrency of 1 would stall whenever the VM list lags
+    /// behind the death of the one VM that has its base share. That costs at most one task above the share.
     fn grantable_share(
         &self,
         share: u32,
@@ -278,7 +279,7 @@
         self.leases.values().any(|lease| lease.address == address)
     }
 
-    /// The wants of all holders, the asker's first, each with a number that breaks ties.
+    /// The counts that all holders want, the asker's first, each with a number that breaks ties.
     fn wants(&self, holder: IncarnationId, ask: &GrantAsk) -> Vec<(u32, u64)> {
         let customer = ask.customer.stable_hash();
         let mut wants = vec![(ask.want, holder.0 ^ customer)];
@@ -290,8 +291,9 @@
         wants
     }
 
-    /// Debits the most that the holder can hold from now on: what it says it holds, should the reply be lost, or what
-    /// the reply grants. A part that the reply takes away is free only when a later ask shows that it was given up.
+    /// Records the largest count that the holder can hold from now on: the count that it reports to hold, in case the
+    /// reply is lost, or the count that the reply grants. A part that the reply takes away becomes free only when a
+    /// later ask confirms that the holder has given it up.
     fn record_lease(&mut self, batch: &AskBatch, ask: &GrantAsk, granted: u32, until: Instant) {
         let count = granted.max(ask.held).max(ask.in_use);
         if count == 0 && ask.want == 0 {
--- a/crates/membership/src/grant/holder.rs
+++ b/crates/membership/src/grant/holder.rs
@@ -12,29 +12,30 @@
 use super::{base_share, AskBatch, GrantAsk, GrantDecision, GrantReply, GrantSettings, ReplyBatch};
 use crate::hashing::rendezvous;
 
-/// What a batch without asks takes with its answer and all headers, in bytes; measured.
+/// Bytes of a batch without asks and its answer, headers included.
 const BATCH_BYTES: u32 = 568;
 
-/// What one ask and its answer add to that, in bytes, for a customer id of 18; measured.
+/// Bytes that one ask and its answer add to a batch, for a customer id of 18 bytes.
 const ASK_BYTES: u32 = 96;
 
-/// How far the budget may be overdrawn, so that the asks of a whole change of view go out at once.
+/// How far the byte budget may be overdrawn, so that all asks that follow a change of view go out at once.
 const MAX_BUDGET_OVERDRAFT: Duration = Duration::from_secs(2);
 
-/// Why a task may not start now.
+/// The reason why a task may not start now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum StartRefusal {
     /// The customer has no share in this data centre that this entry knows of.
-    #[error("the customer has no share here")]
+    #[error("the customer has no share in this data centre")]
     NoShare,
-    /// As many tasks run as the grant allows, or there is no grant in force. An ask is on its way or due.
+    /// The grant is used up, or no grant is in force. An ask is pending or due.
     #[error("the customer's grant is used up or not in force")]
     NoGrant,
 }
 
-/// What one entry holds of each customer's share, and what it needs.
+/// The grants of one entry and its demand, for each customer.
 ///
-/// A customer without work, tasks or grant costs no message. All of an entry's customers at one home share a message.
+/// A customer without work, tasks or a grant costs no message. All customers of an entry with the same home share a
+/// message.
 #[derive(Clone, Debug)]
 pub struct GrantHolder {
     own: SocketAddr,
@@ -44,7 +45,7 @@
     listed: Vec<SocketAddr>,
     customers: FastMap<CustomerId, CustomerState>,
     serial: u64,
-    /// The time up to which the budget of bytes is spent.
+    /// The time up to which the byte budget is spent.
     budget_spent_until: Option<Instant>,
 }
 
@@ -57,10 +58,10 @@
     waiting: u32,
     /// The highest demand since the last ask.
     peak: u32,
-    /// Since when the grant is larger than needed.
+    /// The time since which the grant has been larger than needed.
     excess_since: Option<Instant>,
     pending_ask: Option<PendingAsk>,
-    /// The first ask that no home answered.
+    /// The time of the first ask that no home has answered.
     unanswered_since: Option<Instant>,
     ask_due: Option<Instant>,
 }
@@ -68,7 +69,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Grant {
     count: u32,
-    /// The share that the home went by.
+    /// The customer's share that the home based the grant on.
     share: u32,
     until: Instant,
 }
@@ -82,7 +83,7 @@
 }
 
 impl GrantHolder {
-    /// A holder without grants. `own` is the peer address of the dispatcher on the same VM.
+    /// Creates a holder without grants. `own` is the peer address of the dispatcher on the same VM.
     pub fn new(own: SocketAddr, incarnation: IncarnationId, settings: GrantSettings) -> Self {
         Self {
             own,
@@ -96,8 +97,8 @@
         }
     }
 
-    /// Takes a new view: the addresses of [`crate::MemberTable::owners`], and [`crate::MemberTable::listed`]. A
-    /// customer with another home now is asked for there at the next tick; an answer of the old home is ignored.
+    /// Sets the view: the addresses of [`crate::MemberTable::owners`] and of [`crate::MemberTable::listed`]. A customer
+    /// whose home changed is asked for at the new home with the next tick; an answer of the old home is ignored.
     pub fn set_view(&mut self, now: Instant, live: Vec<SocketAddr>, listed: Vec<SocketAddr>) {
         self.live = live;
         self.listed = listed;
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Sets the customer's share in this data centre; 0 when the contract is retired. A lower one binds at once.
+    /// Sets the customer's share in this data centre; 0 if the contract is retired. A lower share takes effect at once.
     pub fn set_share(&mut self, customer: &CustomerId, share: u32) {
         if let Some(state) = self.customers.get_mut(customer) {
             state.share = share;
@@ -132,8 +133,8 @@
     ///
     /// # Errors
     ///
-    /// Says why it may not. The term is checked here, at each start: a process that was paused finds a lapsed grant
-    /// lapsed, whatever lies in its queues.
+    /// Returns the reason why the task may not start. The term is checked at each start, so that a process that was
+    /// paused notices an expired grant, whatever waits in its queues.
     pub fn start(&mut self, now: Instant, customer: &CustomerId) -> Result<(), StartRefusal> {
         let limit = self.limit(now, customer);
         let retry_interval = self.settings.retry_interval;
@@ -161,8 +162,8 @@
         }
     }
 
-    /// Sets how many tasks of the customer run or may run, and how many wait for a grant, for callers that keep count
-    /// of both themselves.
+    /// Sets how many tasks of the customer run or may run, and how many wait for a grant, for callers that count both
+    /// themselves.
     pub fn set_demand(&mut self, now: Instant, customer: &CustomerId, in_use: u32, waiting: u32) {
         if let Some(state) = self.customers.get_mut(customer) {
             state.in_use = in_use;
@@ -184,7 +185,7 @@
         }
     }
 
-    /// How many tasks of the customer may be in use at once now.
+    /// The number of tasks of the customer that may be in use at `now`.
     pub fn limit(&self, now: Instant, customer: &CustomerId) -> u32 {
         let Some(state) = self.customers.get(customer) else {
             return 0;
@@ -198,25 +199,25 @@
         0
     }
 
-    /// When [`Self::limit`] ends to hold; `None` for one that does not lapse by itself.
+    /// The time at which the grant behind [`Self::limit`] expires; `None` for a limit that does not expire by itself.
     pub fn expires_at(&self, now: Instant, customer: &CustomerId) -> Option<Instant> {
         let grant = self.customers.get(customer)?.grant?;
         (now < grant.until).then_some(grant.until)
     }
 
-    /// The address by which this entry's base shares are reckoned, once it is known better than at the start.
+    /// Sets the address that determines this entry's base shares, once it is known more exactly than at the start.
     pub fn set_own_address(&mut self, own: SocketAddr) {
         self.own = own;
     }
 
-    /// The tasks of the customer that run or may run.
+    /// The number of tasks of the customer that run or may run.
     pub fn in_use(&self, customer: &CustomerId) -> u32 {
         self.customers.get(customer).map_or(0, |h| h.in_use)
     }
 
-    /// Lets time pass and returns the batches to send now, those due first first.
+    /// Returns the batches to send at `now`, the longest due first.
     ///
-    /// `now` must be read before anything is sent: the holder's terms count from it.
+    /// `now` must be read before anything is sent, as the holder counts its terms from it.
     pub fn tick(&mut self, now: Instant) -> Vec<AskBatch> {
         let mut batches = Vec::new();
         for home in self.homes_due(now) {
@@ -233,7 +234,8 @@
         batches
     }
 
-    /// A home answered. An answer to any but the latest ask about a customer is ignored: the home reckons with that.
+    /// Applies a home's answer. An answer to any but the latest ask about a customer is ignored; the home relies on
+    /// that.
     pub fn on_reply(&mut self, now: Instant, batch: &ReplyBatch) {
         for reply in &batch.replies {
             let Some(state) = self.customers.get_mut(&reply.customer) else {
@@ -278,7 +280,7 @@
         homes.into_iter().map(|(_, home)| home).collect()
     }
 
-    /// Charges the budget with a batch of so many asks.
+    /// Charges the byte budget for a batch with this number of asks.
     fn charge_budget(&mut self, now: Instant, asks: u32) {
         let bytes = BATCH_BYTES + ASK_BYTES * asks;
         let spent = self.budget_spent_until.map_or(now, |at| at.max(now));
@@ -286,8 +288,9 @@
         self.budget_spent_until = Some(spent + time);
     }
 
-    /// One batch with every active customer of the home, due or not: one more costs some bytes, a message of its own
-    /// later several times that. Left out are those whose answer may be on its way, as it would be ignored.
+    /// Builds one batch with every active customer of the home, whether its ask is due or not: an additional ask costs
+    /// some bytes, a separate message later costs several times as many. Customers whose answer may still be on its way
+    /// are left out, as that answer would then be ignored.
     fn build_batch(&mut self, now: Instant, home: SocketAddr) -> AskBatch {
         self.serial += 1;
         let mut asks = Vec::new();
@@ -333,7 +336,8 @@
             .is_some_and(|pending_ask| now < pending_ask.at + limit)
     }
 
-    /// The grant in force, scaled down where the share has fallen since: the sum over all holders falls with it.
+    /// The grant in force, scaled down if the share has fallen since, so that the sum over all holders falls with the
+    /// share.
     fn granted(&self, now: Instant) -> Option<u32> {
         let grant = self.grant.filter(|grant| now < grant.until)?;
         if self.share >= grant.share {
@@ -357,8 +361,9 @@
         }
     }
 
-    /// A grant of which less than half is used goes back after a while, so that others need not wait for its renewal.
-    /// Half leaves room for the ups and downs of short tasks without a message for each.
+    /// Makes an ask due if less than half of the grant has been used for a while, which returns the rest so that other
+    /// entries need not wait for the renewal. A threshold of one half absorbs the fluctuation of short tasks without a
+    /// message for each.
     fn check_excess(&mut self, now: Instant, settings: &GrantSettings) {
         let granted = self.granted(now).unwrap_or_default();
         if self.demand().saturating_mul(2) >= granted {
@@ -372,18 +377,18 @@
         }
     }
 
-    /// Makes an ask due now, or when the last one has had its time.
+    /// Makes an ask due now, or one retry interval after the pending one.
     fn schedule_ask(&mut self, now: Instant, retry_interval: Duration) {
         let soonest = match self.pending_ask {
             Some(pending_ask) => now.max(pending_ask.at + retry_interval),
-            // The answer to the last one set the time of the next.
+            // The answer to the last ask has already set the time of the next.
             None if self.ask_due.is_some_and(|due| due <= now + retry_interval) => return,
             None => now,
         };
         self.ask_due = Some(self.ask_due.map_or(soonest, |due| due.min(soonest)));
     }
 
-    /// Gives up what is not needed, then says what it wants and holds.
+    /// Reduces the grant to what is needed, then returns the counts to ask for and to report as held.
     fn prepare_ask(
         &mut self,
         now: Instant,
@@ -435,16 +440,17 @@
             until: pending_ask.at + term,
         });
         let next = if count < pending_ask.held {
-            // The home frees what it took back only when an ask shows that it is given up, and others wait for it.
+            // The home frees the part that it took back only when an ask confirms that the holder has given it up, and
+            // other entries wait for that part.
             now
         } else if self.demand() > count && count >= pending_ask.want {
-            // A burst that came while the ask was on its way: the home gave all that was asked for and may have more.
-            // Waiting here would hold the burst up for no one's sake; one ask a round trip is what it costs.
+            // A burst arrived while the ask was pending. The home granted all that was asked for and may have more, so
+            // waiting would delay the burst for no one's benefit. The cost is one ask per round trip.
             now
         } else if self.demand() > count || (count == 0 && self.peak > 0) {
             now + settings.retry_interval
         } else {
-            // A deployment with a shorter term has no use for a renewal after its end.
+            // If a deployment sets a shorter term, a renewal after its end would be useless.
             pending_ask.at + settings.renewal_interval.min(term * 2 / 3)
         };
         self.ask_due = Some(next);
@@ -458,7 +464,7 @@
     }
 }
 
-/// The demand and some more, so that the next task finds room; nothing for no demand.
+/// The demand plus headroom, so that the next task needs no round trip; 0 if there is no demand.
 fn with_headroom(demand: u32, percent: u32) -> u32 {
     if demand == 0 {
         return 0;
--- a/crates/membership/src/grant/message.rs
+++ b/crates/membership/src/grant/message.rs
@@ -1,4 +1,4 @@
-//! What entries and homes tell each other about grants. One message carries all customers of a home.
+//! Messages between entries and homes about grants. One message carries all customers of a home.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,26 +9,26 @@
 pub struct AskBatch {
     /// The home's peer address.
     pub home: SocketAddr,
-    /// The life of the entry that asks.
+    /// The incarnation of the entry that asks.
     pub holder: IncarnationId,
-    /// The peer address of the dispatcher on the entry's VM, by which base shares are reckoned.
+    /// The peer address of the dispatcher on the entry's VM, which determines base shares.
     pub holder_address: SocketAddr,
-    /// Goes up with every batch of this holder. A home turns away one that came late.
+    /// Increases with every batch of this holder. A home rejects a batch that arrives after a later one.
     pub serial: u64,
-    /// One for each customer with work or with a grant, at this home.
+    /// One ask for each customer of this home with work or with a grant.
     pub asks: Vec<GrantAsk>,
 }
 
-/// What an entry needs of one customer's share.
+/// An entry's request for a part of one customer's share.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GrantAsk {
     /// The customer.
     pub customer: CustomerId,
-    /// How many tasks at once the entry has use for.
+    /// The number of concurrent tasks that the entry has use for.
     pub want: u32,
-    /// The limit that the entry goes by from now on until a reply: what it does not need it has given up already.
+    /// The limit that the entry observes from now until a reply. What it does not need is already given up.
     pub held: u32,
-    /// Tasks that run or may run. After a grant shrank or lapsed this may be more than `held`.
+    /// The number of tasks that run or may run. After a grant shrank or expired this may exceed `held`.
     pub in_use: u32,
 }
 
@@ -37,9 +37,9 @@
 pub struct ReplyBatch {
     /// The batch's serial.
     pub serial: u64,
-    /// How long the grants hold, counted by the holder from before it sent the batch.
+    /// The duration of the grants, which the holder counts from before it sent the batch.
     pub term: Duration,
-    /// One for each ask, in their order.
+    /// One reply for each ask, in the same order.
     pub replies: Vec<GrantReply>,
 }
 
@@ -48,21 +48,21 @@
 pub struct GrantReply {
     /// The customer.
     pub customer: CustomerId,
-    /// What the home decided.
+    /// The decision of the home.
     pub decision: GrantDecision,
 }
 
-/// What a home decided on an ask.
+/// The decision of a home on an ask.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GrantDecision {
-    /// The entry may have `count` tasks at once until the term ends. It may be less than it holds.
+    /// The entry may run `count` tasks at once until the term ends. This may be less than it holds.
     Granted {
-        /// Tasks at once.
+        /// The number of concurrent tasks.
         count: u32,
-        /// The customer's share in this data centre that the home went by. A holder that learns of a lower one scales
-        /// its grant down at once, without a message.
+        /// The customer's share in this data centre that the home based the grant on. A holder that learns of a lower
+        /// share scales its grant down at once, without a message.
         share: u32,
     },
-    /// The home does not take itself for the home of this customer. What the entry holds stays as it was.
+    /// The dispatcher does not consider itself the home of this customer. What the entry holds does not change.
     NotHome,
 }
--- a/crates/membership/src/grant/share.rs
+++ b/crates/membership/src/grant/share.rs
@@ -1,6 +1,6 @@
-//! How a customer's concurrency is divided: between data centres, between VMs, and between entries that ask.
+//! Division of a customer's concurrency between data centres, between VMs, and between entries that ask.
 //!
-//! Pure functions: processes with the same inputs come to the same result.
+//! All functions are pure: processes with the same inputs compute the same result.
 
 use std::{cmp::Reverse, net::SocketAddr};
 
@@ -8,12 +8,12 @@
 
 use crate::hashing::{score, StableHash};
 
-/// Splits `concurrency` over data centres in proportion to their endpoints' slots, by largest remainder.
+/// Splits `concurrency` over data centres in proportion to the slots of their endpoints, by largest remainder.
 ///
-/// Every data centre with slots gets at least 1 if there is enough for all, so that a small customer can be served in
-/// a data centre that is cut off; the largest shares pay for it. The sum is exactly `concurrency`, or 0 without slots.
-/// The share of a data centre out of reach stays with it: it may be serving, and no other can know. Ties go to the
-/// lesser id. Result in the order of ids.
+/// Every data centre with slots gets at least 1 if there is enough for all, taken from the largest shares, so that a
+/// small customer can be served in a data centre that is cut off. The sum is exactly `concurrency`, or 0 without slots.
+/// An unreachable data centre keeps its share: it may be serving, and no other data centre can know. Ties go to the
+/// lesser id. The result is sorted by id.
 pub fn split_shares(
     concurrency: u32,
     slots: impl IntoIterator<Item = (DataCentreId, u32)>,
@@ -30,11 +30,12 @@
     ids.zip(shares).collect()
 }
 
-/// The part of `share` that the entry on the VM `own` may use when no home can be reached.
+/// The part of `share` that the entry on the VM `own` may use if no home can be reached.
 ///
-/// It divides over the VMs that the VM list names, not over the live ones: processes that cannot hear each other agree
-/// on the list. So the base shares of all VMs add up to exactly `share`, on however many sides of a cut they are. The
-/// remainder goes to the VMs with the highest rendezvous scores for the customer, other VMs for other customers.
+/// The share is divided over the VMs in the VM list, not over the live ones, since processes that cannot reach each
+/// other still agree on the list. The base shares of all VMs therefore add up to exactly `share`, however the network
+/// is partitioned. The remainder goes to the VMs with the highest rendezvous scores for the customer, which are other
+/// VMs for other customers.
 pub fn base_share(
     share: u32,
     customer: &CustomerId,
@@ -55,12 +56,12 @@
     whole + u32::from(above < remainder)
 }
 
-/// The max-min fair part of `share` for the first of `wants`.
+/// The max-min fair part of `share` for the first of `wants`, which are pairs of a wanted count and a tie-breaker.
 ///
-/// Load: several entries have more work of one customer than its share. Harm prevented: the entry that asked first, or
-/// asks most, holds all of it while callers at other entries wait. Whoever wants less than an even part gets all it
-/// wants, and what that leaves goes evenly to the rest; a remainder of one each goes to the least of `ties`, one per
-/// want, so that the same entry does not always gain. Cost: a sort of the wants.
+/// Without fairness, when several entries have more work of one customer than its share, the entry that asked first or
+/// asks for most would hold all of it while callers at other entries wait. An entry that wants less than an even part
+/// gets all that it wants, and the rest is divided evenly. A remainder goes one each to the entries with the least
+/// tie-breakers, so that it is not always the same entry that gains. Costs a sort of the wants.
 pub fn fair_target(share: u32, wants: &[(u32, u64)]) -> u32 {
     let Some(&asker) = wants.first() else {
         return 0;
@@ -82,7 +83,7 @@
     asker.0
 }
 
-/// The asker's part where everybody in `rest` wants more than an even part of `left`.
+/// The asker's part if every entry in `rest` wants more than an even part of `left`.
 fn share_of_rest(left: u32, rest: &[(u32, u64)], asker: (u32, u64)) -> u32 {
     let count = rest.len() as u32;
     let before = rest.iter().filter(|want| want.1 < asker.1).count() as u32;
@@ -111,7 +112,7 @@
     shares
 }
 
-/// Gives each place with slots at least 1, one at a time from the place with the largest share.
+/// Raises each share with slots to at least 1, taking from the largest share one at a time.
 fn raise_to_one(shares: &mut [u32], slots: &[u32]) {
     for i in 0..shares.len() {
         if slots[i] == 0 || shares[i] > 0 {
--- a/crates/membership/src/handover.rs
+++ b/crates/membership/src/handover.rs
@@ -1,4 +1,4 @@
-//! What a leaving owner of endpoints tells the new ones.
+//! Reports of running tasks from a leaving owner of endpoints to the new owners.
 
 use std::{
     net::SocketAddr,
@@ -7,19 +7,19 @@
 
 use model::{EndpointId, FastMap, IncarnationId};
 
-/// The tasks that a leaving owner still has running at endpoints that go to one new owner.
+/// The tasks that a leaving owner still runs on endpoints that pass to one new owner.
 ///
-/// Failure: an owner leaves while its tasks run to their ends. Symptom without this: the new owner takes all slots for
-/// free and overfills the endpoints; the busy answers are definite, but each costs a message and a caller's time.
+/// An owner may leave while its tasks run to their ends. Without this report the new owner would count all slots as
+/// free and overfill the endpoints. Their busy answers are definite, but each costs a message and delays a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HandoverReport {
     /// The leaving owner.
     pub from: SocketAddr,
-    /// The life of that owner.
+    /// The incarnation of that owner.
     pub incarnation: IncarnationId,
-    /// Goes up with each report of that life. Each report replaces the one before.
+    /// Increases with each report of that incarnation. Each report replaces the previous one.
     pub serial: u64,
-    /// One for each endpoint with running tasks.
+    /// One count for each endpoint with running tasks.
     pub counts: Vec<HandoverCount>,
 }
 
@@ -28,16 +28,16 @@
 pub struct HandoverCount {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// The time left of each running task until its deadline, as of when the report is sent: lengths of time, since
-    /// clocks of two processes do not compare.
+    /// The time left until the deadline of each running task when the report is sent. These are lengths of time, since
+    /// the clocks of two processes cannot be compared.
     pub time_left: Vec<Duration>,
 }
 
-/// The new owner's record of slots that earlier owners still use.
+/// The new owner's record of slots that previous owners still use.
 ///
-/// A slot counts as used until a later report leaves it out or its task's deadline has passed: the leaving owner may be
-/// gone before its last task ends, and a record without an end would keep the slot for ever. A task that outlives its
-/// deadline costs at most a busy answer.
+/// A slot counts as used until a later report omits it or the deadline of its task has passed. The leaving owner may be
+/// gone before its last task ends, and a record without an expiry would occupy the slot for ever. A task that outlives
+/// its deadline costs at most a busy answer.
 #[derive(Clone, Debug, Default)]
 pub struct HandoverTracker {
     reports: FastMap<IncarnationId, ReportRecord>,
@@ -50,7 +50,7 @@
 }
 
 impl HandoverTracker {
-    /// Takes a report. One that is no newer than the last of the same owner is ignored.
+    /// Records a report. A report that is no newer than the last one of the same incarnation is ignored.
     pub fn on_report(&mut self, now: Instant, report: HandoverReport) {
         let record = self.reports.get(&report.incarnation);
         if record.is_some_and(|record| report.serial <= record.serial) {
@@ -66,7 +66,7 @@
             .insert(report.incarnation, ReportRecord { serial, deadlines });
     }
 
-    /// The slots of the endpoint that earlier owners use now.
+    /// The number of slots of the endpoint that previous owners use at `now`.
     pub fn outstanding(&self, now: Instant, endpoint: &EndpointId) -> usize {
         let mut used = 0;
         for report in self.reports.values() {
@@ -78,7 +78,7 @@
         used
     }
 
-    /// The slots that earlier owners use now, of every endpoint with any.
+    /// The number of slots that previous owners use at `now`, for every endpoint with at least one.
     pub fn used(&self, now: Instant) -> FastMap<EndpointId, u32> {
         let mut used: FastMap<EndpointId, u32> = FastMap::default();
         for report in self.reports.values() {
@@ -91,7 +91,7 @@
         used
     }
 
-    /// Drops what has expired. Returns true when nothing is left.
+    /// Removes expired deadlines and empty reports. Returns `true` if no report is left.
     pub fn tick(&mut self, now: Instant) -> bool {
         for report in self.reports.values_mut() {
             report.deadlines.retain(|_, deadlines| {
--- a/crates/membership/src/hashing.rs
+++ b/crates/membership/src/hashing.rs
@@ -1,13 +1,13 @@
-//! A stable 64-bit hash and rendezvous choice.
+//! A stable 64-bit hash and rendezvous hashing.
 //!
-//! Every process must compute the same owner from the same view, over restarts and builds, so the hash is fixed
-//! here: the standard library's hasher is seeded per process and may change between releases.
+//! Every process must compute the same owner from the same view, across restarts and builds, so the hash is fixed here.
+//! The hasher of the standard library is seeded per process and may change between releases.
 
 use std::net::SocketAddr;
 
 use model::{CustomerId, EndpointId};
 
-/// The odd constant of a 64-bit Weyl sequence: the golden ratio.
+/// The odd increment of a 64-bit Weyl sequence, derived from the golden ratio.
 const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// A value with a hash that is the same in every process and build.
@@ -44,10 +44,10 @@
     }
 }
 
-/// The member with the highest score for `key`, or `None` without members.
+/// Returns the member with the highest score for `key`, or `None` without members.
 ///
-/// Rendezvous hashing: each member's score depends on the key and that member alone, so a member that leaves or
-/// joins moves only the keys that it had or gets. Cost: one mix a member, no allocation.
+/// Rendezvous hashing: each member's score depends on the key and that member alone, so a member that joins or leaves
+/// moves only the keys that it gains or loses. Costs one hash mix per member and no allocation.
 pub fn rendezvous(
     key: &impl StableHash,
     members: impl IntoIterator<Item = SocketAddr>,
@@ -60,12 +60,12 @@
 
 /// The score of a member for a key, from their hashes.
 pub(crate) fn score(key: u64, member: u64) -> u64 {
-    // Both are well mixed already; the rotation keeps a key that equals a member from giving the same value for
-    // every such pair.
+    // Both hashes are already well mixed. Without the rotation, every key that equals a member would get the same
+    // value.
     mix_bits(key ^ member.rotate_left(32))
 }
 
-/// Folds bytes eight at a time, little-endian, the length first so that a zero byte at the end counts.
+/// Hashes bytes in little-endian words of eight. The length goes first, so that trailing zero bytes change the hash.
 fn hash_bytes(bytes: &[u8]) -> u64 {
     let mut state = mix_bits(bytes.len() as u64);
     for chunk in bytes.chunks(8) {
@@ -77,7 +77,7 @@
 }
 
 /// A bijective mix in which each input bit flips about half of the output bits: two rounds of xor-shift and
-/// multiplication by odd constants.
+/// multiplication by an odd constant.
 fn mix_bits(value: u64) -> u64 {
     let mut x = value.wrapping_add(GOLDEN_RATIO);
     x = (x ^ (x >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93);
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,13 +1,14 @@
-//! Live dispatchers, ownership by rendezvous hashing, and leased grants, without I/O.
+//! Membership of dispatchers, endpoint ownership by rendezvous hashing, and leased grants, without I/O.
 //!
-//! Everything here is a state machine: `now: Instant` and messages in, messages and actions out. The clock is the
-//! caller's own monotonic one; no two processes compare their readings, only lengths of time.
+//! Everything here is a state machine: `now: Instant` and messages go in, messages and actions come out. `now` is the
+//! caller's own monotonic clock. Readings of two processes are never compared, only lengths of time.
 //!
 //! - [`MemberTable`]: which dispatchers are live, from heartbeats.
 //! - [`OwnershipMap`]: which dispatcher owns which endpoint.
-//! - [`GrantAllocator`] and [`GrantHolder`]: the two sides of a lease on a part of a customer's concurrency.
-//! - [`CentreView`]: what entries hear of all that.
-//! - [`HandoverReport`]: what a leaving owner tells the new ones.
+//! - [`GrantAllocator`] and [`GrantHolder`]: the home's and the entry's side of a lease on a part of a customer's
+//!   concurrency.
+//! - [`CentreView`]: what dispatchers tell entries about their data centre.
+//! - [`HandoverReport`]: the running tasks that a leaving owner reports to the new owners.
 
 mod centre;
 mod grant;
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,4 +1,4 @@
-//! The dispatchers of the system, as one process hears them.
+//! The dispatchers of the system as one process observes them.
 
 mod message;
 mod settings;
@@ -19,10 +19,11 @@
 
 use crate::hashing::{score, StableHash};
 
-/// A list of dispatchers with what was last heard of each.
+/// The known dispatchers and the last contact with each.
 ///
-/// Within the data centre everybody hears everybody (full mesh); of another data centre each process hears a few
-/// contacts. The view changes only with an input, so a reader between two inputs always sees the same one.
+/// Within the data centre every dispatcher exchanges heartbeats with every other (full mesh); with another data centre
+/// each process exchanges them with a few contacts. The view changes only with an input, so a reader between two inputs
+/// always sees the same view.
 #[derive(Clone, Debug)]
 pub struct MemberTable {
     own: OwnMember,
@@ -31,7 +32,7 @@
     remote_heartbeats_due: FastMap<DataCentreId, Instant>,
     last_input: Option<Instant>,
     revision: u64,
-    /// The revision of the last [`MemberAction::ViewChanged`].
+    /// The revision at the last [`MemberAction::ViewChanged`].
     reported_revision: u64,
 }
 
@@ -39,21 +40,22 @@
 struct Member {
     data_centre: DataCentreId,
     view: Option<MemberView>,
-    /// Named by the settings or by the VM list. Others are forgotten when they fall silent.
+    /// Named by the settings. Members that neither the settings nor the VM list name are removed after they fall
+    /// silent.
     seed: bool,
     listed: bool,
     leaving: bool,
     live: bool,
     last_heard: Option<Instant>,
     last_heartbeat_sent: Option<Instant>,
-    /// The first beat that nothing was heard after.
+    /// The time of the first heartbeat sent since the last contact.
     unanswered_since: Option<Instant>,
-    /// To be beaten at the next tick, whenever that was done last.
+    /// Whether a heartbeat is due at the next tick, regardless of when the last one was sent.
     heartbeat_due: bool,
 }
 
 impl MemberTable {
-    /// An empty table. `seeds` are dispatchers named by the settings; they are tried for ever.
+    /// Creates a table that contains only the `seeds`, dispatchers named by the settings, which are tried for ever.
     pub fn new(
         own: OwnMember,
         settings: MemberSettings,
@@ -79,8 +81,8 @@
         table
     }
 
-    /// Takes the platform's VM list. The list lags, so it only says whom to try: a listed VM counts as live when it
-    /// is heard, and an unlisted one that is heard stays live.
+    /// Applies the platform's VM list. The list lags, so it only says which VMs to contact: a listed VM counts as live
+    /// once it is heard, and an unlisted VM that is heard stays live.
     pub fn on_vm_list<'a>(&mut self, vms: impl IntoIterator<Item = &'a VmEntry>) {
         for member in self.members.values_mut() {
             member.listed = false;
@@ -96,10 +98,10 @@
         }
     }
 
-    /// Lets time pass: whom to beat now, and whether the view changed since the last tick.
+    /// Returns the heartbeats to send at `now`, and whether the view changed since the last tick.
     ///
-    /// To be called several times a beat period. Order: beats within the data centre, beats to others, then
-    /// [`MemberAction::ViewChanged`] at most once.
+    /// Must be called several times per heartbeat interval. The order of actions is: heartbeats within the data centre,
+    /// heartbeats to other data centres, then at most one [`MemberAction::ViewChanged`].
     pub fn tick(&mut self, now: Instant) -> Vec<MemberAction> {
         self.detect_own_pause(now);
         self.mark_silent_members(now);
@@ -114,7 +116,8 @@
         actions
     }
 
-    /// A heartbeat came. The answer counts as a heartbeat at the other side, so a pair needs one beat a period.
+    /// Handles a heartbeat. The answer counts as a heartbeat at the other side, so a pair needs one heartbeat per
+    /// period.
     pub fn on_heartbeat(&mut self, now: Instant, message: HeartbeatMessage) -> HeartbeatReply {
         self.detect_own_pause(now);
         self.record_contact(now, message.view);
@@ -123,17 +126,17 @@
         }
     }
 
-    /// The answer to a beat came.
+    /// Handles the answer to a heartbeat.
     pub fn on_reply(&mut self, now: Instant, reply: HeartbeatReply) {
         self.detect_own_pause(now);
         self.record_contact(now, reply.view);
     }
 
-    /// The member's VM refused a connection: nothing listens there.
+    /// Marks a member dead whose VM refused a connection: nothing listens there.
     ///
-    /// Failure: a process died while its VM lives. Symptom without this: its endpoints stay without an owner for the
-    /// suspect time. A refusal comes from the VM's own system and not from the network, so it is proof enough; the
-    /// next process there is live as soon as it is heard. A broken connection or a timeout is no such proof.
+    /// Without this, the endpoints of a process that died while its VM lives would stay without an owner for the
+    /// suspect time. A refusal comes from the operating system of the VM and not from the network, so it is sufficient
+    /// proof; the next process there is live as soon as it is heard. A broken connection or a timeout is no such proof.
     pub fn on_refused(&mut self, now: Instant, address: SocketAddr) {
         self.detect_own_pause(now);
         let Some(member) = self.members.get_mut(&address) else {
@@ -145,19 +148,20 @@
         }
     }
 
-    /// The beat to send, to whomever.
+    /// The heartbeat to send, the same for every member.
     pub fn heartbeat_message(&self) -> HeartbeatMessage {
         HeartbeatMessage {
             view: self.own_view(),
         }
     }
 
-    /// Sets the newest contract head that this process holds. It travels with the next beat of each pair.
+    /// Sets the newest contract head that this process holds. It is sent with the next heartbeat of each pair.
     pub fn set_head(&mut self, head: u64) {
         self.own.head = self.own.head.max(head);
     }
 
-    /// This process stops: the next tick tells everybody at once, so that others own its endpoints before it is gone.
+    /// Marks this process as stopping. The next tick announces it to the data centre at once, so that others own its
+    /// endpoints before it is gone.
     pub fn set_stopping(&mut self) {
         if self.own.stopping {
             return;
@@ -167,10 +171,11 @@
         self.announce();
     }
 
-    /// Makes a beat to each live member of the data centre due at the next tick.
+    /// Makes a heartbeat to each live member of the data centre due at the next tick.
     ///
-    /// For the one process of a data centre that read a new contract head from the store, and for one that stops.
-    /// Whoever hears of a head from a peer must not announce it again: that would be a message for every pair.
+    /// For the one process of a data centre that read a new contract head from the store, and for one that stops. A
+    /// process that hears of a head from a peer must not announce it again, as that would cost a message for every
+    /// pair.
     pub fn announce(&mut self) {
         for member in self.members.values_mut() {
             if member.live && member.data_centre == self.own.data_centre {
@@ -179,7 +184,7 @@
         }
     }
 
-    /// Every live dispatcher but this one: all of this data centre, and the contacts in others.
+    /// Every live dispatcher except this one: all of this data centre, and the contacts in others.
     pub fn live(&self) -> impl Iterator<Item = &MemberView> {
         self.members
             .values()
@@ -187,8 +192,8 @@
             .filter_map(|m| m.view.as_ref())
     }
 
-    /// The dispatchers of this data centre that may own endpoints or be a customer's home: live and not stopping,
-    /// this process among them unless it stops. In the order of addresses.
+    /// The dispatchers of this data centre that may own endpoints or be a customer's home: those that are live and not
+    /// stopping, including this process. Sorted by address.
     pub fn owners(&self) -> Vec<LiveOwner> {
         let own = self.own_view();
         let mut owners = Vec::new();
@@ -205,8 +210,8 @@
         owners
     }
 
-    /// The system's VMs of this data centre that the VM list or the settings name and that do not leave, this one
-    /// among them. Grants measure a view against it.
+    /// The system VMs of this data centre that the VM list or the settings name and that are not leaving, including
+    /// this one. Base shares and the reservation for unseen VMs are computed from this list.
     pub fn listed(&self) -> Vec<SocketAddr> {
         let mut listed = vec![self.own.address];
         for (address, member) in &self.members {
@@ -219,28 +224,28 @@
         listed
     }
 
-    /// The highest contract head heard of, this process's own included.
+    /// The highest known contract head, including this process's own.
     pub fn highest_head(&self) -> u64 {
         let heads = self.members.values().filter_map(|m| m.view.as_ref());
         heads.map(|v| v.head).fold(self.own.head, u64::max)
     }
 
-    /// The members known of, live or not.
+    /// The number of known members, live or not.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether no member is known of.
+    /// Whether no member is known.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// Goes up whenever the view changes: a member live or not, stopping, or restarted.
+    /// Increases whenever the view changes: a member became live or dead, is stopping, or was restarted.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The time between two beats of one pair in this data centre at the present number of members.
+    /// The interval between two heartbeats of one pair in this data centre at the present number of members.
     pub fn period(&self) -> Duration {
         let mut members: u32 = 0;
         for member in self.members.values() {
@@ -267,11 +272,11 @@
             .or_insert_with(|| Member::new(data_centre.clone()))
     }
 
-    /// Failure: this process was frozen (paused VM, long page fault) while beats lay unread in its sockets. Symptom
-    /// without this: on thawing it finds everybody silent, declares them all dead, and takes every endpoint for its
-    /// own. A gap in its own inputs longer than the suspect time shows that it was the one away; its live members
-    /// then get a full suspect time from now, in which the beats in the sockets are read. One that did die meanwhile
-    /// is found dead that much later, which costs only its endpoints' share of capacity.
+    /// Detects that this process was frozen (paused VM, long page fault) while heartbeats lay unread in its sockets.
+    /// Without this, it would find every peer silent after thawing, declare them all dead, and claim every endpoint. A
+    /// gap between its own inputs longer than the suspect time shows that this process was the one away. Its live
+    /// members then get a full suspect time from now, in which the heartbeats in the sockets are read. A member that
+    /// did die meanwhile is detected that much later, which costs only the capacity of its endpoints.
     fn detect_own_pause(&mut self, now: Instant) {
         let last = self.last_input.replace(now).unwrap_or(now);
         if now.saturating_duration_since(last) <= self.settings.suspect_after {
@@ -315,8 +320,8 @@
         }
     }
 
-    /// Silent members that no list names are forgotten, else a table grows with every VM that ever was (450 are
-    /// replaced a day at the target).
+    /// Removes silent members that no list names. Otherwise the table would grow with every VM that ever existed (450
+    /// are replaced per day at the target size).
     fn remove_stale_members(&mut self, now: Instant) {
         let forget_after = self.settings.forget_after;
         self.members.retain(|_, member| {
@@ -327,12 +332,12 @@
         });
     }
 
-    /// Full mesh within the data centre. Of a pair, the lower address beats; the higher one steps in when it has
-    /// heard nothing for half a period more, which covers a new member that the lower one does not know yet. So a
-    /// healthy pair costs one beat and one answer a period instead of two of each.
+    /// Sends heartbeats in a full mesh within the data centre. Of a pair, the lower address sends; the higher one steps
+    /// in after hearing nothing for half a period more, which covers a new member that the lower one does not know yet.
+    /// So a healthy pair costs one heartbeat and one answer per period instead of two of each.
     ///
-    /// A live member that leaves a beat unanswered is tried again at the shortest period, so that its death rests on
-    /// several beats and is known soon, also where the period is long.
+    /// A live member that leaves a heartbeat unanswered is tried again at the shortest interval, so that its death is
+    /// concluded from several heartbeats and is detected soon, also if the period is long.
     fn push_local_heartbeats(&mut self, now: Instant, actions: &mut Vec<MemberAction>) {
         let period = self.period();
         for (address, member) in &mut self.members {
@@ -355,8 +360,8 @@
         }
     }
 
-    /// A fixed number of beats to each other data centre, whatever its size: at 12 data centres of 60 VMs a full mesh
-    /// would be 719 pairs a process, two contacts each are 22 out and about 22 in.
+    /// Sends a fixed number of heartbeats to each other data centre, whatever its size. At 12 data centres of 60 VMs a
+    /// full mesh would be 719 pairs per process; two contacts per data centre are 22 outgoing and about 22 incoming.
     fn push_remote_heartbeats(&mut self, now: Instant, actions: &mut Vec<MemberAction>) {
         for (data_centre, addresses) in self.remote_members() {
             let due = self.remote_heartbeats_due.get(&data_centre);
@@ -388,9 +393,9 @@
         remote
     }
 
-    /// The contacts of one other data centre. Members that answer come first, by rendezvous with this process, so
-    /// that the callers of a data centre spread over it. Where too few answer, those that were tried longest ago
-    /// follow: a data centre that comes back from a cut is found at the usual number of beats.
+    /// The contacts in one other data centre. Members that answer come first, by rendezvous score with this process, so
+    /// that the processes of a data centre spread over the contacts. If too few answer, those that were tried longest
+    /// ago follow, so that a data centre that becomes reachable again is found at the usual number of heartbeats.
     fn contacts(&self, now: Instant, mut addresses: Vec<SocketAddr>) -> Vec<SocketAddr> {
         let own = self.own.address.stable_hash();
         addresses.sort_by_cached_key(|address| {
@@ -421,8 +426,8 @@
         }
     }
 
-    /// A leaving VM is heard until it falls silent, and not tried after that. A silent member that no list names is
-    /// not tried either.
+    /// Whether this member is sent heartbeats. A leaving VM gets them until it falls silent. A silent member that no
+    /// list names gets none.
     fn is_heartbeat_target(&self) -> bool {
         self.live || self.seed || (self.listed && !self.leaving)
     }
@@ -433,8 +438,8 @@
         self.unanswered_since.get_or_insert(now);
     }
 
-    /// Whether nothing was heard for the suspect time after a beat. A remote member that is no contact of ours is
-    /// not beaten; it beats us, so its own silence counts.
+    /// Whether nothing was heard for the suspect time after a heartbeat. This process sends no heartbeats to a remote
+    /// member that is not one of its contacts; such a member sends its own, so its silence counts instead.
     fn is_unresponsive(&self, now: Instant, remote: bool, settings: &MemberSettings) -> bool {
         let limit = match remote {
             true => settings.remote_suspect_after,
@@ -454,7 +459,7 @@
     }
 }
 
-/// The time from `from` to `to`; zero when `from` is later.
+/// The time from `from` to `to`; zero if `from` is later.
 fn time_between(to: Instant, from: Instant) -> Duration {
     to.saturating_duration_since(from)
 }
--- a/crates/membership/src/ownership.rs
+++ b/crates/membership/src/ownership.rs
@@ -6,24 +6,24 @@
 
 use crate::hashing::{score, StableHash};
 
-/// An endpoint that changed its owner.
+/// A change of an endpoint's owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OwnershipMove {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// The owner before; `None` for a new endpoint, or when there was no live dispatcher.
+    /// The previous owner; `None` for a new endpoint, or if no dispatcher was live.
     pub from: Option<SocketAddr>,
-    /// The owner now; `None` for an endpoint that is gone, or when there is no live dispatcher.
+    /// The new owner; `None` for a removed endpoint, or if no dispatcher is live.
     pub to: Option<SocketAddr>,
 }
 
-/// The owner of each endpoint by rendezvous hashing over the live dispatchers of the data centre.
+/// The owner of each endpoint, by rendezvous hashing over the live dispatchers of the data centre.
 ///
-/// Two processes whose views differ may name two owners for a while. That may overfill an endpoint, whose busy
-/// answer is a definite not-run; it never runs a task twice, as no safeguard rests on ownership.
+/// Two processes with different views may name different owners for a while. That can overfill an endpoint, which then
+/// answers busy, a definite "not run". It never runs a task twice, as no safeguard depends on ownership.
 ///
-/// Cost of [`OwnershipMap::update`]: a comparison of both sets, and only when one changed a mix per pair of endpoint
-/// and dispatcher (23,000 for 383 endpoints and 60 dispatchers). Look-ups are one hash look-up.
+/// [`OwnershipMap::update`] compares both sets, and only if one changed computes one hash mix per pair of endpoint and
+/// dispatcher (23,000 for 383 endpoints and 60 dispatchers). A look-up of an owner is one hash look-up.
 #[derive(Clone, Debug, Default)]
 pub struct OwnershipMap {
     members: Vec<SocketAddr>,
@@ -31,10 +31,10 @@
 }
 
 impl OwnershipMap {
-    /// Takes the view as it is now and returns what changed, in the order of endpoint ids.
+    /// Sets the current members and endpoints and returns the changes of owner, sorted by endpoint id.
     ///
-    /// `members` are the live dispatchers that do not stop: one that stops owns nothing, so that its endpoints have
-    /// their new owner while it still hands over its counts.
+    /// `members` are the live dispatchers that are not stopping. A stopping dispatcher owns nothing, so that its
+    /// endpoints have their new owner while it still hands over its counts.
     pub fn update(
         &mut self,
         members: impl IntoIterator<Item = SocketAddr>,
@@ -53,12 +53,12 @@
         self.reassign(endpoints)
     }
 
-    /// The owner of an endpoint; `None` when the endpoint is unknown or no dispatcher is live.
+    /// Returns the owner of an endpoint; `None` if the endpoint is unknown or no dispatcher is live.
     pub fn owner(&self, endpoint: &EndpointId) -> Option<SocketAddr> {
         self.owners.get(endpoint).copied().flatten()
     }
 
-    /// The endpoints that a dispatcher owns, in no order.
+    /// The endpoints that a dispatcher owns, in arbitrary order.
     pub fn owned_by(&self, member: SocketAddr) -> impl Iterator<Item = &EndpointId> {
         self.owners
             .iter()
@@ -101,7 +101,7 @@
     }
 }
 
-/// The place of the member hash with the highest score. The later wins a tie, as in [`crate::rendezvous`].
+/// Returns the index of the member hash with the highest score. The later one wins a tie, as in [`crate::rendezvous`].
 fn highest_scoring(key: u64, members: &[u64]) -> Option<usize> {
     (0..members.len()).max_by_key(|&i| (score(key, members[i]), i))
 }
