--- a/crates/ledger/src/action.rs
+++ b/crates/ledger/src/action.rs
@@ -1,4 +1,4 @@
-//! What comes out of the ledger.
+//! Actions that the ledger returns.
 
 use std::time::Duration;
 
@@ -6,17 +6,17 @@
 
 use crate::ClaimNumber;
 
-/// Something for the process around the ledger to do.
+/// An action that the process around the ledger has to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LedgerAction {
-    /// Run a task on an endpoint; the end comes back through [`crate::SlotLedger::on_task_ended`].
+    /// Run a task on an endpoint. Its end is passed to [`crate::SlotLedger::on_task_ended`].
     Start {
         /// The endpoint.
         endpoint: EndpointAddress,
         /// The task with its body.
         offer: TaskOffer,
     },
-    /// Ask an entry for the body of a queued attempt.
+    /// Claim the body of a queued attempt from its entry.
     Claim {
         /// The entry.
         entry: IncarnationId,
@@ -24,10 +24,10 @@
         session: SessionId,
         /// The attempt.
         attempt: AttemptId,
-        /// Comes back with the answer, so that a late one is known as late.
+        /// Returned with the answer, so that a late answer is recognised.
         claim: ClaimNumber,
     },
-    /// Tell an entry how an attempt ended. It is repeated on the next session until the entry has confirmed it.
+    /// Report to an entry how an attempt ended. Repeated on the next session until the entry has confirmed it.
     Report {
         /// The entry.
         entry: IncarnationId,
--- a/crates/ledger/src/endpoint.rs
+++ b/crates/ledger/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! The endpoints that this dispatcher owns, or owned while something still runs there.
+//! The endpoints that this dispatcher owns, or owned while a task still runs there.
 
 use std::{collections::BTreeMap, time::Instant};
 
@@ -9,13 +9,13 @@
 pub(crate) struct EndpointRecord {
     pub(crate) address: EndpointAddress,
     pub(crate) running: u32,
-    /// Slots that an earlier owner still uses.
+    /// The number of slots that previous owners still use.
     pub(crate) previous_owner_slots: u32,
     pub(crate) state: EndpointState,
     pub(crate) owned: bool,
-    /// What its tasks have shown.
+    /// The health derived from the ends of its tasks.
     pub(crate) health: EndpointHealth,
-    /// The limit that the health allowed when last looked at; at most its slots.
+    /// The limit that the health allowed at the last refresh; at most the endpoint's slots.
     pub(crate) limit: u32,
 }
 
@@ -50,7 +50,8 @@
     }
 }
 
-/// Endpoints with an index by free slots, so that finding the emptiest one does not cost more with more endpoints.
+/// Endpoints with an index by free slots, so that the search for the one with the most free slots does not grow with
+/// the number of endpoints.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EndpointTable {
     endpoints: FastMap<EndpointId, EndpointRecord>,
@@ -68,12 +69,13 @@
         self.endpoints.keys().cloned().collect()
     }
 
-    /// Slots that may be used now, and slots in use, over all endpoints.
+    /// The slots that may be used now, and the slots in use, over all endpoints.
     pub(crate) fn totals(&self) -> (u32, u32) {
         (self.limit, self.running)
     }
 
-    /// Puts an endpoint in place or changes it, and keeps the index and totals in step.
+    /// Changes an endpoint, if it is known, and updates the index and the totals. Removes it if it is no longer owned
+    /// and runs nothing.
     pub(crate) fn update(&mut self, id: &EndpointId, change: impl FnOnce(&mut EndpointRecord)) {
         let Some(record) = self.endpoints.get_mut(id) else {
             return;
@@ -101,7 +103,7 @@
         self.reindex(&id, 0, free);
     }
 
-    /// The endpoint with the most free, the first by id among equals.
+    /// Returns the endpoint with the most free slots, the first by id among equals.
     pub(crate) fn with_most_free_slots(&self) -> Option<EndpointId> {
         let (_, ids) = self.by_free_slots.last_key_value()?;
         ids.iter().min().cloned()
@@ -126,7 +128,7 @@
     }
 }
 
-/// Slots in use, by whomever. An earlier owner's count only where this dispatcher is the owner.
+/// The slots in use. Slots of previous owners count only if this dispatcher owns the endpoint.
 fn used(record: &EndpointRecord) -> u32 {
     match record.owned {
         true => record.running + record.previous_owner_slots,
--- a/crates/ledger/src/entry_link.rs
+++ b/crates/ledger/src/entry_link.rs
@@ -1,4 +1,4 @@
-//! The entries as this dispatcher sees them: sessions, and ends that wait to be confirmed.
+//! Sessions with entries, and ends that the entries have not confirmed.
 
 use std::{
     collections::BTreeSet,
@@ -8,7 +8,7 @@
 use model::{AttemptEnd, AttemptId, FastMap, IncarnationId, SessionId};
 use thiserror::Error;
 
-/// A session that a later one of the same entry has ended.
+/// The session was ended by a later one of the same entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("session {0} is over")]
 pub struct StaleSession(pub SessionId);
@@ -20,11 +20,12 @@
     pub(crate) at: Instant,
 }
 
-/// Batches seen, numbered from 1. The highest number seen is not enough: a batch that overtook the one before it would
-/// then vouch for that one, and a task still on its way would be told "not run" and start.
+/// Tracks the received batches, numbered from 1. The highest number is not enough: if a batch overtook the previous
+/// one, it would imply that the previous one was received as well, and a task still in flight would be answered "not
+/// run" and then start.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct BatchTracker {
-    /// Every batch up to this one was seen.
+    /// Every batch up to this one was received.
     contiguous: u64,
     out_of_order: BTreeSet<u64>,
 }
@@ -47,13 +48,14 @@
     pub(crate) session: SessionId,
     pub(crate) connected: bool,
     pub(crate) last_heard: Instant,
-    /// Which batches of offers were seen on this session.
+    /// The batches of offers that were received on this session.
     pub(crate) batches: BatchTracker,
-    /// Ends that the entry has not confirmed. An attempt is forgotten only after that: a withdrawal that crosses
-    /// the report would otherwise find nothing and be told "not run" of a task that ran.
+    /// Ends that the entry has not confirmed. An attempt is dropped only after that: a withdrawal that crosses the
+    /// report would otherwise not find the attempt and be answered "not run" although the task ran.
     pub(crate) unconfirmed: FastMap<AttemptId, UnconfirmedEnd>,
 }
 
-/// Links are never forgotten: the last session number is what turns away bytes of an old connection, however late
-/// they are read. A link costs about a hundred bytes, and a process sees a few dozen new entries a day.
+/// The link of each entry. Links are never removed: the last session number is what rejects messages of an old
+/// connection, however late they are read. A link takes about a hundred bytes, and a process sees a few dozen new
+/// entries a day.
 pub(crate) type LinkTable = FastMap<IncarnationId, EntryLink>;
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger: offers and withdrawals in, starts, asks and reports out.
+//! The ledger: takes offers and withdrawals, and returns starts, claims and reports.
 
 mod queueing;
 mod running;
@@ -16,11 +16,11 @@
     action::LedgerAction, endpoint::EndpointTable, entry_link::LinkTable, settings::LedgerSettings,
 };
 
-/// Counts the asks of one dispatcher.
+/// The number of a claim, unique within one dispatcher process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClaimNumber(pub u64);
 
-/// A task that waits without its body.
+/// A queued task without its body.
 #[derive(Clone, Debug)]
 struct Reservation {
     entry: IncarnationId,
@@ -29,7 +29,7 @@
     offer: TaskOffer,
 }
 
-/// A slot held for a body that was asked for.
+/// A slot that is occupied while the body of its task is claimed.
 #[derive(Clone, Debug)]
 struct PendingClaim {
     number: ClaimNumber,
@@ -37,7 +37,7 @@
     reservation: Reservation,
 }
 
-/// A task that runs.
+/// A running task.
 #[derive(Clone, Debug)]
 struct RunningTask {
     entry: IncarnationId,
@@ -49,11 +49,11 @@
     expected: std::time::Duration,
 }
 
-/// The slots of one dispatcher and everything that waits for them or runs in them.
+/// The slots of one dispatcher, the tasks that wait for them and the tasks that run in them.
 pub struct SlotLedger {
     settings: LedgerSettings,
     endpoints: EndpointTable,
-    /// Slots that earlier owners still use, also of endpoints that are not owned yet.
+    /// Slots that previous owners still use, also on endpoints that are not owned yet.
     previous_owner_slots: FastMap<EndpointId, u32>,
     queue: FairQueue,
     reservations: FastMap<AttemptId, Reservation>,
@@ -71,7 +71,7 @@
 }
 
 impl SlotLedger {
-    /// An empty ledger without endpoints.
+    /// Creates an empty ledger without endpoints.
     pub fn new(settings: LedgerSettings) -> Self {
         let queue = queueing::new_queue(&settings);
         Self {
@@ -94,12 +94,12 @@
         }
     }
 
-    /// Takes what has to be done, in order.
+    /// Returns the actions since the last call, in order.
     pub fn take_actions(&mut self) -> Vec<LedgerAction> {
         std::mem::take(&mut self.actions)
     }
 
-    /// The slots of all owned endpoints together.
+    /// The slots of all owned endpoints together. While stopping, the limit is 0.
     pub fn slots(&self) -> SlotCounts {
         let (limit, running) = self.endpoints.totals();
         let limit = if self.stopping { 0 } else { limit };
@@ -110,13 +110,13 @@
         }
     }
 
-    /// Takes nothing new from now on: what waits is handed back as not run, what runs is waited for.
+    /// Rejects all new tasks from now on. Waiting tasks are returned as not run; running tasks are allowed to end.
     pub fn stop(&mut self, now: Instant) {
         self.stopping = true;
         self.return_all_reservations(now);
     }
 
-    /// Whether nothing runs and every end has been confirmed.
+    /// Whether no task runs or waits and every connected entry has confirmed every end.
     pub fn is_drained(&self) -> bool {
         let confirmed = self
             .links
@@ -128,12 +128,13 @@
             && confirmed
     }
 
-    /// Tasks that run.
+    /// The number of running tasks.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Ends asks that stayed without an answer, hands back what is overdue, forgets old ends.
+    /// Closes silent sessions, expires claims, drops overdue reservations and old ends, refreshes limits and fills free
+    /// slots.
     pub fn tick(&mut self, now: Instant) {
         self.close_silent_sessions(now);
         self.expire_claims(now);
--- a/crates/ledger/src/ledger/queueing.rs
+++ b/crates/ledger/src/ledger/queueing.rs
@@ -1,4 +1,4 @@
-//! Offers, reservations, asks and withdrawals.
+//! Offers, reservations, claims and withdrawals.
 
 use std::time::{Duration, Instant};
 
@@ -22,7 +22,7 @@
 }
 
 impl SlotLedger {
-    /// An entry offers tasks with their bodies. The verdicts come in the order of the offers.
+    /// Handles tasks that an entry offers with their bodies. Returns one verdict per offer, in the same order.
     pub fn offer(
         &mut self,
         now: Instant,
@@ -32,8 +32,8 @@
         offers: Vec<TaskOffer>,
     ) -> Vec<TaskVerdict> {
         if !self.record_batch(now, entry, session, batch) {
-            // The session is over: the entry has counted these as lost or asked for their withdrawal since, so
-            // starting them now could run a task twice.
+            // The session is over. Since then the entry has counted these tasks as lost or withdrawn them, so starting
+            // them now could run a task twice.
             return vec![TaskVerdict::NotRun(RetryReason::DispatcherLost); offers.len()];
         }
         let mut verdicts = Vec::with_capacity(offers.len());
@@ -43,7 +43,8 @@
         verdicts
     }
 
-    /// An entry takes attempts back. `NotRun` is a promise: the attempt was not started and never will be.
+    /// Handles an entry's withdrawal of attempts. `NotRun` guarantees that the attempt was not started and never will
+    /// be.
     pub fn withdraw(
         &mut self,
         now: Instant,
@@ -61,7 +62,7 @@
         verdicts
     }
 
-    /// An entry has answered an ask: with the body, or that the attempt is gone.
+    /// Handles an entry's answer to a claim: the body, or `None` if the entry no longer has the attempt.
     pub fn on_claim_answered(
         &mut self,
         now: Instant,
@@ -74,8 +75,8 @@
             .get(&attempt)
             .is_some_and(|pending| pending.number == claim);
         if !current {
-            // The slot went to the next in line, or the attempt was withdrawn. A body that comes now must not
-            // start: it is certainly not run, and the entry is told so.
+            // The slot went to the next reservation, or the attempt was withdrawn. A body that arrives now must not
+            // start: the task has certainly not run, and the entry is told so.
             if body.is_some() {
                 self.report_not_run(now, attempt, RetryReason::ClaimLate);
             }
@@ -94,7 +95,7 @@
         self.start(now, entry, pending.endpoint, TaskOffer { payload, ..offer });
     }
 
-    /// An ask could not be sent or its answer was lost with the connection.
+    /// Handles a claim that could not be sent or whose answer was lost with the connection.
     pub fn on_claim_failed(&mut self, now: Instant, attempt: AttemptId, claim: ClaimNumber) {
         self.on_claim_answered(now, attempt, claim, None);
     }
@@ -112,8 +113,8 @@
         if self.endpoints.totals().0 == 0 {
             return TaskVerdict::NotRun(RetryReason::NoEndpoint);
         }
-        // A free slot with an empty queue starts the task at once. While others wait, a new task goes behind them
-        // in the fair order; it would otherwise take the slot of a customer whose turn it is.
+        // If the queue is empty, a free slot starts the task at once. Otherwise a new task joins the fair queue, as it
+        // would take the slot of a customer whose turn it is.
         if self.queue.is_empty() {
             if let Some(endpoint) = self.endpoints.with_most_free_slots() {
                 self.start(now, entry, endpoint, offer);
@@ -131,7 +132,7 @@
         offer: TaskOffer,
     ) -> TaskVerdict {
         let due = now + offer.time_left;
-        // What was measured here counts for more than what the entry expects, which may rest on a caller's word.
+        // Run times measured here take precedence over the entry's estimate, which may rest on a caller's declaration.
         let declared = Some(offer.expected_run_time);
         let expected = self
             .run_times
@@ -177,7 +178,7 @@
             return WithdrawalVerdict::NotRun;
         }
         if let Some(pending) = self.claims.remove(&attempt) {
-            // The body may be on its way; `on_claim_answered` will find no ask and turn it away.
+            // The body may be in flight; `on_claim_answered` will then find no claim and reject it.
             self.release(&pending.endpoint);
             self.refund(&pending.reservation);
             return WithdrawalVerdict::NotRun;
@@ -192,7 +193,7 @@
         WithdrawalVerdict::NotRun
     }
 
-    /// Gives free slots to the next in line.
+    /// Assigns free slots to the next reservations in the queue.
     pub(super) fn fill_slots(&mut self, now: Instant) {
         if self.stopping {
             return;
@@ -238,8 +239,9 @@
         });
     }
 
-    /// Load: an entry that is frozen or cut off while its tasks are next in line. Harm: slots stand still for its
-    /// sake. Reason: after the limit the slot goes on; the body, should it still come, is turned away as not run.
+    /// Expires claims that were not answered in time. A frozen or disconnected entry whose tasks are next in the queue
+    /// would otherwise keep slots idle. After the timeout the slot goes to the next reservation; a body that arrives
+    /// later is rejected as not run.
     pub(super) fn expire_claims(&mut self, now: Instant) {
         while let Some((limit, number, attempt)) = self.claim_deadlines.first().copied() {
             if limit > now {
@@ -261,8 +263,8 @@
         }
     }
 
-    /// Drops reservations whose answers are due. The entry gave them up by its own clock before, which started
-    /// earlier, so nothing has to be told.
+    /// Drops reservations whose deadline has passed. The entry has already given them up by its own clock, which
+    /// started earlier, so no report is needed.
     pub(super) fn drop_overdue(&mut self, now: Instant) {
         for entry in self.queue.drop_overdue(now) {
             self.reservations.remove(&entry.attempt);
@@ -277,7 +279,7 @@
         true
     }
 
-    /// Everything that waits goes back to its entry, which can place it elsewhere at once.
+    /// Returns every reservation to its entry, which can place the task elsewhere at once.
     pub(super) fn return_all_reservations(&mut self, now: Instant) {
         let mut attempts: Vec<_> = self.reservations.keys().copied().collect();
         attempts.sort_unstable();
@@ -287,7 +289,7 @@
         }
     }
 
-    /// The customer was billed for a slot that it did not use.
+    /// Refunds the queue charge of a customer that did not use its slot.
     fn refund(&mut self, reservation: &Reservation) {
         self.queue.charge(
             &reservation.offer.customer,
--- a/crates/ledger/src/ledger/running.rs
+++ b/crates/ledger/src/ledger/running.rs
@@ -1,4 +1,4 @@
-//! Starts and ends on endpoints, and which endpoints there are.
+//! Starts and ends of tasks on endpoints, and the set of endpoints.
 
 use std::time::{Duration, Instant};
 
@@ -15,7 +15,7 @@
 };
 
 impl SlotLedger {
-    /// A start has ended on its endpoint.
+    /// Handles the end of a task on its endpoint.
     pub fn on_task_ended(&mut self, now: Instant, attempt: AttemptId, end: AttemptEnd) {
         let Some(task) = self.running.remove(&attempt) else {
             return;
@@ -30,15 +30,15 @@
         };
         self.queue.charge(&task.customer, billed, task.expected);
         if matches!(end, AttemptEnd::NotRun(RetryReason::EndpointLeaving)) {
-            // The endpoint knows better than the VM list, which lags.
+            // The endpoint's own report takes precedence over the VM list, which lags.
             self.set_leaving(&task.endpoint);
         }
         self.report(now, task.entry, attempt, end, ran);
         self.fill_slots(now);
     }
 
-    /// The endpoints that this dispatcher owns now. One that is no longer owned gets nothing new and is forgotten
-    /// when its last task has ended.
+    /// Sets the endpoints that this dispatcher owns. An endpoint that is no longer owned gets no new tasks and is
+    /// removed when its last task has ended.
     pub fn set_endpoints(&mut self, now: Instant, owned: &[(EndpointAddress, EndpointState)]) {
         let mut kept = FastSet::default();
         for (address, state) in owned {
@@ -56,11 +56,11 @@
         self.fill_slots(now);
     }
 
-    /// Sets how many slots earlier owners still use. It holds for endpoints that come later as well: the report may be
-    /// here before the endpoint is.
+    /// Sets how many slots previous owners still use. The counts also apply to endpoints that are added later, since
+    /// the report may arrive before the endpoint.
     ///
-    /// Load: an owner leaves with its slots full. Harm: a start at a slot that is not free is turned away, and costs a
-    /// message and the caller's time.
+    /// When an owner leaves with its slots full, a start on a slot that is not free would be rejected, which costs a
+    /// message and delays the caller.
     pub fn set_previous_owner_slots(&mut self, now: Instant, used: FastMap<EndpointId, u32>) {
         if used == self.previous_owner_slots {
             return;
@@ -78,8 +78,8 @@
         self.fill_slots(now);
     }
 
-    /// The tasks that run at endpoints which this dispatcher does not own, with the time left of each until its
-    /// deadline. All endpoints when it stops.
+    /// The running tasks on endpoints that this dispatcher does not own, each with the time left until its deadline.
+    /// Covers all endpoints if this dispatcher is stopping.
     pub fn unowned_tasks(&self, now: Instant) -> FastMap<EndpointId, Vec<Duration>> {
         let mut tasks: FastMap<EndpointId, Vec<Duration>> = FastMap::default();
         for task in self.running.values() {
@@ -93,14 +93,14 @@
         tasks
     }
 
-    /// Tasks that run on an endpoint, with slots held for asked bodies.
+    /// The number of tasks that run on an endpoint, including slots held for claimed bodies.
     pub fn running_on(&self, endpoint: &EndpointId) -> u32 {
         self.endpoints
             .get(endpoint)
             .map_or(0, |record| record.running)
     }
 
-    /// The endpoint on which an attempt runs.
+    /// Returns the endpoint on which an attempt runs.
     pub fn endpoint_of(&self, attempt: &AttemptId) -> Option<&EndpointId> {
         self.running.get(attempt).map(|task| &task.endpoint)
     }
@@ -161,22 +161,25 @@
         let health = self.settings.health.clone();
         self.endpoints.update(&address.id, |record| {
             if record.address != *address {
-                // Another address under the same id is another process: it does not inherit what the old one showed.
+                // Another address under the same id is another process, which does not inherit the health of the old
+                // one.
                 record.health = EndpointHealth::new(health);
                 record.limit = address.slots;
                 record.state = EndpointState::Live;
             }
             record.address = address.clone();
             record.owned = true;
-            // The endpoint's own word that it is leaving stands, although the list does not say so yet.
+            // If the endpoint itself has reported that it is leaving, that stands although the list does not say so
+            // yet.
             if state == EndpointState::Leaving {
                 record.state = state;
             }
         });
     }
 
-    /// Load: one endpoint that fails or drags everything it starts. Harm: it is always free, so it draws more work than
-    /// the healthy ones. What its tasks show, against what such tasks do elsewhere, sets its limit.
+    /// Records the end of a task and updates the health of its endpoint. An endpoint that fails or slows down
+    /// everything it starts is always free, so it would attract more work than the healthy ones. The results of its
+    /// tasks, compared with those of such tasks elsewhere, set its limit.
     fn record_run(&mut self, now: Instant, task: &RunningTask, end: &AttemptEnd, ran: Duration) {
         let expected = self
             .run_times
@@ -204,7 +207,8 @@
         });
     }
 
-    /// Limits come back with time: a quarantine ends, a pause is over. A dispatcher owns a few dozen endpoints at most.
+    /// Recomputes the limits, which recover with time as a quarantine or pause ends. A dispatcher owns a few dozen
+    /// endpoints at most.
     pub(super) fn refresh_limits(&mut self, now: Instant) {
         for id in self.endpoints.ids() {
             self.endpoints
@@ -217,8 +221,8 @@
             .update(endpoint, |record| record.state = EndpointState::Leaving);
     }
 
-    /// Load: the last endpoint of this dispatcher went. Harm: tasks wait here for a slot that will not come while
-    /// other dispatchers have some.
+    /// Returns every reservation to its entry after the last endpoint was lost. The tasks would otherwise wait here for
+    /// a slot that will not come while other dispatchers have free ones.
     fn return_reservations_without_endpoint(&mut self, now: Instant) {
         let mut attempts: Vec<_> = self.reservations.keys().copied().collect();
         attempts.sort_unstable();
--- a/crates/ledger/src/ledger/sessions.rs
+++ b/crates/ledger/src/ledger/sessions.rs
@@ -11,12 +11,14 @@
 };
 
 impl SlotLedger {
-    /// An entry opens a session, which ends its older ones. What waited for the older one is dropped without a
-    /// word: the entry counts it as not run. What ran goes on, and ends that were not confirmed are repeated.
+    /// Opens a session with an entry, which ends its older sessions. Tasks that waited for the older session are
+    /// dropped without a report, as the entry counts them as not run. Running tasks go on, and unconfirmed ends are
+    /// reported again.
     ///
     /// # Errors
     ///
-    /// The session is older than one already open, as when a frozen entry's old connection is read late.
+    /// Returns [`StaleSession`] if the session is not newer than the last one of the entry, as when a frozen entry's
+    /// old connection is read late.
     pub fn open_session(
         &mut self,
         now: Instant,
@@ -60,7 +62,7 @@
         Ok(())
     }
 
-    /// The connection of a session broke.
+    /// Handles the loss of a session's connection.
     pub fn on_session_lost(&mut self, now: Instant, entry: IncarnationId, session: SessionId) {
         let Some(link) = self.links.get_mut(&entry) else {
             return;
@@ -72,7 +74,7 @@
         self.drop_waiting_attempts(now, entry);
     }
 
-    /// Something came on a session. `false` means that the session is over.
+    /// Records that a message arrived on a session. Returns `false` if the session is over.
     pub fn record_activity(
         &mut self,
         now: Instant,
@@ -89,8 +91,8 @@
         true
     }
 
-    /// Ends the sessions of entries that stay silent. After a pause of this process, messages lie unread in its own
-    /// sockets; every session then gets its full time again.
+    /// Closes the sessions of silent entries. After a pause of this process, messages lie unread in its own sockets, so
+    /// every session then gets its full timeout again.
     pub(super) fn close_silent_sessions(&mut self, now: Instant) {
         let paused = self
             .last_tick
@@ -113,14 +115,14 @@
         }
     }
 
-    /// An entry has confirmed the report of an end.
+    /// Handles an entry's confirmation of the report of an end.
     pub fn on_confirmed(&mut self, entry: IncarnationId, attempt: AttemptId) {
         if let Some(link) = self.links.get_mut(&entry) {
             link.unconfirmed.remove(&attempt);
         }
     }
 
-    /// Notes a batch of offers. `false` means that the session is over.
+    /// Records a batch of offers. Returns `false` if the session is over.
     pub(super) fn record_batch(
         &mut self,
         now: Instant,
@@ -137,7 +139,7 @@
         true
     }
 
-    /// Whether every batch up to this one has been seen, so that an attempt not found here is certainly not run.
+    /// Whether every batch up to this one was received, so that an attempt that is not found has certainly not run.
     pub(super) fn has_received_all(
         &self,
         entry: IncarnationId,
@@ -192,7 +194,8 @@
         }
     }
 
-    /// An entry out of reach for so long has given its submissions up; keeping more would only cost memory.
+    /// Drops ends that were not confirmed within the retention time. An entry that was out of reach for so long has
+    /// given up its submissions; keeping more would only cost memory.
     pub(super) fn drop_old_ends(&mut self, now: Instant) {
         while let Some((at, entry, attempt)) = self.ends_by_age.front().copied() {
             if at + self.settings.end_retention > now {
--- a/crates/ledger/src/settings.rs
+++ b/crates/ledger/src/settings.rs
@@ -7,18 +7,19 @@
 /// Limits of the dispatcher's state.
 #[derive(Clone, Debug)]
 pub struct LedgerSettings {
-    /// How endpoints are judged.
+    /// How the health of endpoints limits their slots.
     pub health: HealthSettings,
-    /// Reservations at once. One more is turned away as not run, so that memory and waits stay bounded.
+    /// The maximum number of reservations. Further tasks are rejected as not run, so that memory and waiting times stay
+    /// bounded.
     pub max_queue: usize,
-    /// How long an entry has to answer an ask before the slot goes to the next in line. An entry answers within a
-    /// round trip; one that does not is frozen or cut off, and must not hold a slot meanwhile.
+    /// How long an entry may take to answer a claim before the slot goes to the next reservation. An entry answers
+    /// within a round trip; one that does not is frozen or cut off, and must not occupy a slot meanwhile.
     pub claim_timeout: Duration,
-    /// The silence after which an entry's session is over. An entry with an open session pings several times a second,
-    /// with 60 sessions each 3 s; one that is frozen or cut off silently would hold up this process's stop and its
-    /// reservations the queue.
+    /// The silence after which an entry's session is closed. An entry with an open session sends several pings a
+    /// second, which with 60 sessions is one every 3 s on each. An entry that is frozen or silently cut off would
+    /// otherwise delay the stop of this process, and its reservations would delay the queue.
     pub session_timeout: Duration,
-    /// How long the end of an attempt is kept for an entry that is out of reach.
+    /// How long the end of an attempt is kept for an entry that cannot be reached.
     pub end_retention: Duration,
 }
 
