--- a/crates/ledger/tests/at_most_once/main.rs
+++ b/crates/ledger/tests/at_most_once/main.rs
@@ -1,9 +1,9 @@
 //! One authority and two ledgers with an unreliable network between them, under random interleavings.
 //!
-//! What a caller sees: a task that ran twice books two learners into one car; a "not run" of a task that ran leaves
-//! one at the roadside. What happens, in any order: messages are late or change places with the next one,
-//! connections break while bytes of the old one are still read, dispatchers die or freeze, endpoints answer busy or
-//! not at all, callers cancel, deadlines pass. Nothing here may start a task twice or tell an untrue answer.
+//! A task that runs twice books two learners into one car; a "not run" answer for a task that ran leaves one at the
+//! roadside. Events come in any order: messages are late or swapped with the next one, connections break while messages
+//! of the old one are still read, dispatchers die or freeze, endpoints answer busy or not at all, callers cancel,
+//! deadlines pass. No task may start twice and no answer may be untrue.
 
 mod world;
 
@@ -40,8 +40,8 @@
     ]
 }
 
-/// `INTERLEAVING_SEED` and `INTERLEAVING_CASES` take the place of the fixed seed and number, to search further. The fixed
-/// ones give the same verdict on every run.
+/// `INTERLEAVING_SEED` and `INTERLEAVING_CASES` override the fixed seed and number of cases, to search further. The
+/// fixed ones give the same result on every run.
 fn config() -> ProptestConfig {
     let number = |name, usual| {
         std::env::var(name)
--- a/crates/ledger/tests/at_most_once/world.rs
+++ b/crates/ledger/tests/at_most_once/world.rs
@@ -1,4 +1,4 @@
-//! The network and the endpoints around one authority and two ledgers.
+//! The simulated network and endpoints around one authority and two ledgers.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -14,14 +14,14 @@
     WithdrawalVerdict,
 };
 
-/// Something that happens.
+/// One event of the simulation.
 #[derive(Clone, Debug)]
 pub(crate) enum WorldStep {
     SubmitJob(u32),
     SubmitRequest,
-    /// The caller comes back with a submission that was refused.
+    /// The caller submits a refused submission again.
     SubmitAgain(u64),
-    /// The next message on the way to a dispatcher arrives, or the one behind it first.
+    /// The next message in flight to a dispatcher arrives, or the one behind it first.
     ToDispatcher {
         to: usize,
         second: bool,
@@ -30,7 +30,7 @@
         from: usize,
         second: bool,
     },
-    /// A message that was on a broken connection is read all the same.
+    /// A message of a broken connection is still read.
     DeliverStaleToDispatcher(usize),
     DeliverStaleToEntry(usize),
     EndTask {
@@ -94,7 +94,7 @@
     undetected_loss: Option<SessionId>,
 }
 
-/// What runs on an endpoint, and for which dispatcher's life.
+/// A task that runs on an endpoint, and the dispatcher incarnation that started it.
 struct RunningTask {
     dispatcher: usize,
     incarnation: IncarnationId,
@@ -106,12 +106,12 @@
     authority: TaskAuthority,
     dispatchers: Vec<Dispatcher>,
     stale_to_dispatcher: VecDeque<(usize, IncarnationId, ToDispatcher)>,
-    /// What the entry had taken off a connection before it gave the session up, and handles after.
+    /// Messages that the entry had received before it closed the session, and handles afterwards.
     stale_to_entry: VecDeque<(usize, ToEntry)>,
-    /// Attempts that a dispatcher has promised not to start.
+    /// Attempts whose withdrawal a dispatcher has confirmed, so that they must not start.
     withdrawn: BTreeSet<AttemptId>,
     running: Vec<RunningTask>,
-    /// Starts by (serial, task); one that the endpoint turned away as busy is taken out again.
+    /// The number of starts by (serial, task). A start that the endpoint rejected as busy is subtracted again.
     started: BTreeMap<(u64, u32), u32>,
     answers: BTreeMap<u64, SubmissionOutcome>,
     submissions: BTreeMap<u64, (bool, u32)>,
@@ -122,7 +122,7 @@
 
 const ENTRY: IncarnationId = IncarnationId(1);
 
-/// What each task is said to have run: far below the deadlines, so that none is refused for it.
+/// The reported run time of each task: far below the deadlines, so that no task is refused for it.
 const RUN_TIME: Duration = Duration::from_millis(50);
 
 fn customer() -> CustomerId {
@@ -130,7 +130,7 @@
 }
 
 fn new_ledger(now: Instant, number: usize) -> SlotLedger {
-    // Pings are not part of this world.
+    // Pings are not simulated.
     let session_timeout = Duration::from_secs(3600);
     let mut ledger = SlotLedger::new(LedgerSettings {
         session_timeout,
@@ -205,7 +205,7 @@
         self.flush();
     }
 
-    /// Lets everything come to rest, so that every submission has its answer.
+    /// Delivers all messages and ends all tasks, so that every submission gets its answer.
     pub(crate) fn run_to_completion(&mut self) {
         for _ in 0..400 {
             for number in 0..2 {
@@ -261,15 +261,16 @@
                 let ran = (0..tasks).any(|task| starts(task) > 0);
                 if ran {
                     self.violations
-                        .push(format!("submission {serial} was told not run and ran"));
+                        .push(format!("submission {serial} was answered not run but ran"));
                 }
             }
             SubmissionOutcome::Complete(results) => {
                 let want: Vec<TaskResult> =
                     (0..tasks).map(|task| result_of(serial, task)).collect();
                 if *results != want {
-                    self.violations
-                        .push(format!("submission {serial} got another answer"));
+                    self.violations.push(format!(
+                        "submission {serial} got the results of another submission"
+                    ));
                 }
             }
             SubmissionOutcome::Failed(FailureReason::TaskFailed | FailureReason::TaskUnknown)
@@ -441,7 +442,7 @@
         let attempt = offer.attempt;
         if offer.payload != result_of(attempt.submission.serial, attempt.task).payload {
             self.violations
-                .push(format!("{attempt} started with another body"));
+                .push(format!("{attempt} started with the body of another task"));
         }
         if self.withdrawn.contains(&attempt) {
             self.violations.push(format!(
@@ -454,7 +455,8 @@
             .or_default();
         *starts += 1;
         if *starts > 1 {
-            self.violations.push(format!("{attempt} is a second start"));
+            self.violations
+                .push(format!("{attempt} started a second time"));
         }
         self.running.push(RunningTask {
             dispatcher,
@@ -548,7 +550,7 @@
         }
     }
 
-    /// Gives what goes back on the connection, which for old mail is gone.
+    /// Returns the answer that is sent on the connection. For stale messages that connection is gone.
     fn handle_at_entry(&mut self, message: ToEntry) -> Option<ToDispatcher> {
         match message {
             ToEntry::Verdicts(verdicts) => {
@@ -596,7 +598,7 @@
         let Some((number, incarnation, message)) = self.stale_to_dispatcher.remove(index) else {
             return;
         };
-        // A confirmation or a body is the answer to a call, and goes with the connection of that call.
+        // A confirmation or a body answers a call and is lost with the connection of that call.
         let call = matches!(
             message,
             ToDispatcher::Offer { .. } | ToDispatcher::Withdraw { .. }
--- a/crates/ledger/tests/handover.rs
+++ b/crates/ledger/tests/handover.rs
@@ -52,8 +52,8 @@
     ledger
 }
 
-// The caller at the new owner waits for a slot and is not turned away by a full endpoint. The old owner's tasks fill
-// it; one slot goes free by a report, and the task that waited is asked for.
+// The previous owner's tasks fill the endpoint. A caller at the new owner must wait for a slot instead of being
+// rejected by a full endpoint; when a report frees one slot, the waiting task is claimed.
 #[test]
 fn slots_used_by_a_previous_owner_are_not_assigned() {
     let now = Instant::now();
@@ -72,8 +72,8 @@
     assert_eq!((slots.running, slots.limit), (1, 2));
 }
 
-// The caller's task waits, although the report came before the endpoint: the leaving owner sends it first, so that no
-// slot is given out between the two.
+// A leaving owner sends its report before the new owner gets the endpoint, so that no slot is assigned in between. The
+// caller's task must wait.
 #[test]
 fn a_report_may_arrive_before_the_endpoint() {
     let now = Instant::now();
@@ -91,8 +91,8 @@
     assert!(ledger.take_actions().is_empty());
 }
 
-// The new owner hears of exactly what runs and until when. The old one loses the endpoint while a task runs, and again
-// has nothing to report once that has ended.
+// The owner loses the endpoint while a task runs. It reports exactly the running tasks and their time left, and nothing
+// once they have ended.
 #[test]
 fn tasks_running_on_a_lost_endpoint_are_reported() {
     let now = Instant::now();
--- a/crates/ledger/tests/leaving.rs
+++ b/crates/ledger/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Endpoints that leave, by the VM list or by their own word.
+//! Endpoints that are leaving, according to the VM list or to the endpoint itself.
 
 use std::time::{Duration, Instant};
 
@@ -48,7 +48,7 @@
     ledger
 }
 
-/// The endpoints of the starts since the last look.
+/// The endpoints of the starts since the last call.
 fn starts(ledger: &mut SlotLedger) -> Vec<String> {
     let mut endpoints = Vec::new();
     for action in ledger.take_actions() {
@@ -61,8 +61,8 @@
 
 #[test]
 fn an_endpoint_listed_as_leaving_gets_no_new_tasks() {
-    // One of two endpoints leaves while a task runs there. Its slots are the emptier ones, and what comes next must
-    // still go to the other; when that is full, it waits.
+    // One of two endpoints leaves while a task runs there. It has more free slots, but new tasks must still go to the
+    // other endpoint, and wait if that is full.
     let now = Instant::now();
     let (leaving, live) = (address("e1"), address("e2"));
     let mut ledger = ledger(now, &[(leaving.clone(), EndpointState::Live)]);
@@ -88,8 +88,8 @@
 
 #[test]
 fn an_endpoint_that_reports_leaving_gets_no_new_tasks_while_the_list_lags() {
-    // The endpoint turns a task away as leaving; the VM list still calls it live when it is read next. With no other
-    // endpoint, what comes is turned away as not run, so that it can go to another dispatcher.
+    // The endpoint rejects a task as leaving, while the VM list still shows it as live at the next read. Without
+    // another endpoint, new tasks are rejected as not run, so that they can go to another dispatcher.
     let now = Instant::now();
     let endpoint = address("e1");
     let mut ledger = ledger(now, &[(endpoint.clone(), EndpointState::Live)]);
--- a/crates/ledger/tests/withdrawal.rs
+++ b/crates/ledger/tests/withdrawal.rs
@@ -1,4 +1,4 @@
-//! Withdrawals that cross or overtake what they withdraw.
+//! Withdrawals that cross or overtake the offers and reports of their attempts.
 
 use std::time::{Duration, Instant};
 
@@ -57,8 +57,8 @@
 
 #[test]
 fn a_withdrawal_that_overtakes_its_offer_is_not_confirmed() {
-    // The caller cancels a job while its offer is on the way. The library reads the withdrawal first; then the offer
-    // comes and starts. A "not run" would free the customer's concurrency while the task runs.
+    // The caller cancels a job while its offer is in flight. The ledger reads the withdrawal first; then the offer
+    // arrives and starts. Answering "not run" would free the customer's concurrency while the task runs.
     let now = Instant::now();
     let mut ledger = ledger(now);
     let attempt = offer(1).attempt;
@@ -78,8 +78,8 @@
 
 #[test]
 fn a_received_batch_does_not_imply_the_one_it_overtook() {
-    // Two offers are on the way and change places; the withdrawal of the first is read between them. "Not run" would
-    // be untrue a moment later, when the first offer comes and starts.
+    // Two offers are in flight and change places, and the withdrawal of the first is read between them. Answering "not
+    // run" would be untrue a moment later, when the first offer arrives and starts.
     let now = Instant::now();
     let mut ledger = ledger(now);
     ledger.offer(now, ENTRY, SESSION, 2, vec![offer(2)]);
@@ -89,8 +89,8 @@
 
 #[test]
 fn a_withdrawal_that_crosses_the_report_is_not_answered_not_run() {
-    // The task ends while the entry gives it up. The report and the withdrawal cross; forgotten too early, the
-    // attempt would be told "not run" and placed again, and run twice.
+    // The task ends while the entry withdraws it, so the report and the withdrawal cross. If the attempt were dropped
+    // too early, it would be answered "not run", placed again, and run twice.
     let now = Instant::now();
     let mut ledger = ledger(now);
     let attempt = offer(1).attempt;
@@ -106,8 +106,8 @@
 
 #[test]
 fn a_body_that_arrives_after_the_claim_timeout_does_not_start() {
-    // An entry freezes while its task is next in line. The slot goes to the next one after the limit; the entry
-    // thaws and its body comes. It must not start, and the entry is told so.
+    // An entry freezes while its task is next in the queue. After the claim timeout the slot goes to the next
+    // reservation; then the entry thaws and its body arrives. The body must not start, and the entry is told so.
     let now = Instant::now();
     let mut ledger = ledger(now);
     ledger.offer(now, ENTRY, SESSION, 1, vec![offer(1), offer(2), offer(3)]);
@@ -120,7 +120,7 @@
             LedgerAction::Claim { attempt, claim, .. } => Some((attempt, claim)),
             _ => None,
         });
-    let (attempt, claim) = claim.expect("the slot is offered to the next in line");
+    let (attempt, claim) = claim.expect("the slot goes to the next reservation");
     let late = now + LedgerSettings::default().claim_timeout;
     ledger.tick(late);
     ledger.take_actions();
@@ -141,8 +141,9 @@
 
 #[test]
 fn an_old_session_cannot_be_reopened() {
-    // An entry's connection hangs, and it opens a second session. The first one's opening is read after that. Taken in,
-    // it would end the second session, and offers that the entry has counted as lost since would start.
+    // An entry's connection hangs, and it opens a second session. The opening of the first session is read after that.
+    // If it were accepted, it would end the second session, and offers that the entry has since counted as lost would
+    // start.
     let now = Instant::now();
     let newer = SessionId(2);
     let mut ledger = ledger(now);
--- a/crates/membership/tests/grant_faults/fleet.rs
+++ b/crates/membership/tests/grant_faults/fleet.rs
@@ -1,6 +1,6 @@
-//! A few VMs, each with an entry and a dispatcher, that lease one customer's share over a bad network.
+//! A few VMs, each with an entry and a dispatcher, that lease one customer's share over an unreliable network.
 //!
-//! Time goes in steps of 50 ms. Each VM has its own clock, which starts elsewhere and runs up to 0.3% fast or slow.
+//! Time advances in steps of 50 ms. Each VM has its own clock, with its own start, that runs up to 0.3% fast or slow.
 
 use std::{
     net::SocketAddr,
@@ -14,7 +14,7 @@
 pub(crate) const STEP_MS: u64 = 50;
 const DETECTION_MS: u64 = 3000;
 
-/// One thing that goes wrong. Times in ms from the start of the run.
+/// One fault. Times in ms from the start of the run.
 #[derive(Clone, Debug)]
 pub(crate) struct Fault {
     pub(crate) at: u64,
@@ -26,21 +26,21 @@
 pub(crate) enum FaultKind {
     FreezeEntry(usize),
     FreezeDispatcher(usize),
-    /// The entry is gone for the time, and comes back with nothing.
+    /// The entry is gone for the duration and restarts without state.
     ReplaceEntry(usize),
-    /// The VM with both processes is gone for the time, and comes back with nothing.
+    /// The VM with both processes is gone for the duration and restarts without state.
     ReplaceVm(usize),
-    /// The VMs whose bits are set, and the others, cannot reach each other.
+    /// The VMs whose bits are set cannot reach the others.
     Cut(u8),
-    /// Per cent of the messages that are lost, and the most ms that the others take.
+    /// The percentage of messages that are lost, and the maximum delay of the others in ms.
     BadNetwork(u8, u64),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Views {
-    /// Everybody sees everybody, always.
+    /// Every VM always sees every other.
     Fixed,
-    /// A VM out of reach is dropped after 3 s and back at once.
+    /// A VM that cannot be reached is dropped after 3 s and added back at once.
     Detected,
 }
 
@@ -55,7 +55,7 @@
     at: u64,
     from: usize,
     to: usize,
-    /// The life of the entry that takes part; with it the connection is gone.
+    /// The incarnation of the entry that sent the ask; its connection is gone with it.
     entry: IncarnationId,
     body: Body,
 }
@@ -121,7 +121,7 @@
         fleet
     }
 
-    /// Runs until the time given, and calls `check` with the sum of the limits after each step.
+    /// Runs until `until` and calls `check` with the sum of the limits after each step.
     pub(crate) fn run(&mut self, until: u64, mut check: impl FnMut(&Self, u32)) {
         while self.now < until {
             self.step();
@@ -133,7 +133,7 @@
         self.now
     }
 
-    /// What each entry may have in use now, by its own clock.
+    /// The limit of each entry now, by its own clock.
     pub(crate) fn limits(&self) -> Vec<u32> {
         let mut limits = Vec::new();
         for vm in &self.vms {
@@ -159,7 +159,7 @@
         self.faults.clear();
     }
 
-    /// From now on every entry has this many tasks to run, in place of numbers that change.
+    /// Gives every entry this number of tasks to run from now on, instead of random numbers.
     pub(crate) fn set_demand(&mut self, demand: u32) {
         for vm in &mut self.vms {
             vm.demand = demand;
@@ -225,7 +225,7 @@
         vm.holder = GrantHolder::new(vm.address, vm.incarnation, self.settings.clone());
         vm.holder.set_share(&self.customer, self.share);
         vm.running = Vec::new();
-        // It asks the dispatcher beside it for the view; the next step gives it one.
+        // The entry gets its view from the dispatcher on its VM; the next step provides it.
         vm.view = Vec::new();
     }
 
@@ -275,7 +275,7 @@
         }
     }
 
-    /// Brings the view of one VM's processes up to date.
+    /// Updates the view of one VM's processes.
     fn update_view(&mut self, i: usize) {
         if !self.vms[i].up || self.frozen_dispatcher(i) {
             return;
@@ -307,7 +307,7 @@
         vm.allocator.set_view(clock, view, listed);
     }
 
-    /// Hands over what is due. What is for a frozen process waits in its socket.
+    /// Delivers the messages that are due. Messages for a frozen process wait in its socket.
     fn deliver(&mut self) {
         let mut in_flight = std::mem::take(&mut self.in_flight);
         in_flight.sort_by_key(|message| message.at);
@@ -365,7 +365,7 @@
         });
     }
 
-    /// Ends tasks, takes in new ones, starts what the grant allows.
+    /// Ends tasks, adds new ones, and starts what the grant allows.
     fn run_tasks(&mut self, i: usize) {
         let now = self.now;
         let steady = self.incarnations >> 32 != 0;
--- a/crates/membership/tests/grant_faults/main.rs
+++ b/crates/membership/tests/grant_faults/main.rs
@@ -1,4 +1,4 @@
-//! Grants under random faults: the sum of what entries may use, and what comes back when the faults end.
+//! Grants under random faults: the sum of what entries may use, and the recovery when the faults end.
 
 mod fleet;
 
@@ -9,10 +9,10 @@
 
 use crate::fleet::{Fault, FaultKind, Fleet, Views};
 
-/// When the faults are over, in ms.
+/// The time at which the faults end, in ms.
 const FAULTS_UNTIL: u64 = 40_000;
 
-/// Time for one lost view to heal, one term with its margin, and two renewals.
+/// The time for one lost view to heal, one term with its margin, and two renewals, in ms.
 const HEALING_MS: u64 = 3_000 + 12_600 + 16_000;
 
 fn fault(vms: usize, views: Views) -> impl Strategy<Value = Fault> {
@@ -42,8 +42,8 @@
     })
 }
 
-/// After the faults: everybody has work for more than the share, and all of it is out, in even parts. Then nobody has
-/// work, and all of it is back.
+/// Checks the recovery after the faults. First every entry has work for more than the share, and the whole share must
+/// be granted in even parts. Then no entry has work, and every grant must be returned.
 fn check_heals(mut fleet: Fleet) -> Result<(), TestCaseError> {
     fleet.heal();
     fleet.set_demand(100);
@@ -69,9 +69,9 @@
     Ok(())
 }
 
-// The callers of a busy customer see its limit kept but for a few tasks. Every entry has more work than its part when
-// the home is replaced, frozen or cut off. The next home confirms what entries hold, which under an even load is about
-// their base shares, and raises nothing for a term; a home that raised at once would give the share out twice.
+// Every entry has more work than its part when the home is replaced, frozen or cut off. The next home confirms what
+// entries hold, which under an even load is about their base shares, and raises nothing for a term; a home that raised
+// at once would grant the share twice. The limit of a busy customer is exceeded by a few tasks at most.
 #[test]
 fn an_even_load_overruns_by_less_than_one_task_per_entry() {
     let kinds = [
@@ -97,10 +97,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 96, failure_persistence: None, ..ProptestConfig::default() })]
 
-    // The caller sees its customer's limit kept, whatever happens to messages and processes. Asks and answers are
-    // lost, late and out of order; entries and homes freeze, and entries come back with nothing. The home stays the
-    // same process and entries use no base shares, so every start goes by a grant: the debit outlasts the holder's
-    // term, and an answer to any but the latest ask is ignored.
+    // The limit holds whatever happens to messages and processes. Asks and answers are lost, late and out of order;
+    // entries and homes freeze, and entries restart without state. The home stays the same process and entries use no
+    // base shares, so every start needs a grant: the lease outlasts the holder's term, and an answer to any but the
+    // latest ask is ignored.
     #[test]
     fn grants_never_exceed_the_share((vms, share, seed, faults) in case(Views::Fixed)) {
         let settings = GrantSettings {
@@ -114,10 +114,10 @@
         check_heals(fleet)?;
     }
 
-    // The caller is served on both sides of a cut and while a home is gone. Views differ, several dispatchers take
-    // themselves for the home, and entries go by base shares. All grants of a settled home are within the share, and
-    // all base shares together are the share once more; so the overrun is at most one share, until a term after the
-    // views agree.
+    // Callers are served on both sides of a partition and while a home is gone. Views differ, several dispatchers
+    // consider themselves the home, and entries use base shares. All grants of a home after recovery are within the
+    // share, and all base shares together are the share once more, so the overrun is at most one share, until a term
+    // after the views agree.
     #[test]
     fn overrun_is_at_most_one_share((vms, share, seed, faults) in case(Views::Detected)) {
         let settings = GrantSettings::default();
--- a/crates/membership/tests/grants.rs
+++ b/crates/membership/tests/grants.rs
@@ -1,4 +1,4 @@
-//! One home and a few entries, step by step.
+//! Grants between one home and a few entries, step by step.
 
 use std::{
     collections::BTreeSet,
@@ -12,7 +12,7 @@
 };
 use model::{CustomerId, IncarnationId};
 
-/// When a new home has waited out all earlier grants.
+/// The ms after which the recovery of a new home ends: all earlier grants have expired.
 const RECOVERY_MS: u64 = 12_600;
 
 fn address(n: u8) -> SocketAddr {
@@ -38,7 +38,7 @@
     unreachable!("some name hashes to address 1");
 }
 
-/// The home at address 1, alone live; the list names it and `others` more VMs.
+/// The home at address 1, the only live dispatcher. The VM list names it and `others` more VMs.
 struct Home {
     allocator: GrantAllocator,
     start: Instant,
@@ -63,7 +63,7 @@
         self.start + Duration::from_millis(millis)
     }
 
-    /// Ticks every second up to the time, as a process that is not frozen does.
+    /// Ticks every second up to `to`, as a process that is not frozen does.
     fn advance(&mut self, from: u64, to: u64) {
         for millis in (from..to).step_by(1000) {
             self.allocator.tick(self.at(millis));
@@ -92,7 +92,7 @@
     }
 }
 
-/// `asks`: (ms after the home settled, holder, want, held, in use, expected grant).
+/// Checks the grants of a home. `asks`: (ms after recovery ended, holder, want, held, in use, expected grant).
 fn check_home(share: u32, asks: &[(u64, u8, u32, u32, u32, u32)]) {
     let mut home = Home::new(share, 0);
     home.advance(0, RECOVERY_MS);
@@ -117,9 +117,9 @@
     check_home(0, &[(0, 2, 6, 0, 0, 0)]);
 }
 
-// The caller at the second entry waits for at most two asks of the first. The first holds everything; when the second
-// wants some, the first gets less at its next ask, and what it lost is free only when a further ask shows that it
-// knows: the answer may have been lost, and it would start tasks on the old number.
+// The first entry holds the whole share. When the second wants a part, the first gets less at its next ask. The part
+// that it lost is free only when a further ask confirms the smaller grant: the answer may have been lost, and the first
+// entry would start tasks on the old count. So a caller at the second entry waits for at most two asks of the first.
 #[test]
 fn a_reduced_part_is_free_once_the_holder_confirms_it() {
     let before = [
@@ -135,8 +135,8 @@
     check_home(10, &known);
 }
 
-// The callers at the living entry wait a term at most. An entry dies with its grant; the home takes it back after
-// term and margin by its own clock, no sooner.
+// An entry dies with its grant. The home frees the grant after term and margin by its own clock, no sooner, so callers
+// at the live entry wait a term at most.
 #[test]
 fn a_dead_holders_grant_comes_back_after_term_and_margin() {
     check_home(10, &[(0, 2, 60, 0, 0, 10), (12_599, 3, 4, 0, 0, 0)]);
@@ -155,9 +155,9 @@
     check_home(10, &asks);
 }
 
-// The caller sees its running work go on and new work wait. A dispatcher becomes the home and cannot know what the
-// one before granted a moment ago. It confirms what holders say they hold and lets an entry have its base share; it
-// raises only after a term and a margin.
+// A dispatcher becomes the home and cannot know what the previous home granted a moment ago. It confirms what holders
+// report to hold and lets an entry have its base share; it raises grants only after a term and a margin. So running
+// work goes on and new work waits.
 #[test]
 fn a_new_home_confirms_and_does_not_raise() {
     let check = |at: u64, want: u32, held: u32, expect: u32| {
@@ -179,8 +179,9 @@
     check(RECOVERY_MS, 60, 6, 10);
 }
 
-// The caller sees its limit kept. The home freezes for 3 s, the others take the next in line for the home, and that
-// one may grant. Thawed, the home must not grant from its old state: it confirms only, for a term and a margin.
+// The home freezes for longer than 2 s, the others choose another dispatcher as the home, and that one may grant. The
+// thawed home must not grant from its old state, or the customer's limit would be exceeded: it only confirms for a term
+// and a margin.
 #[test]
 fn a_thawed_home_recovers_like_a_new_one() {
     let check = |frozen: u64, expect: u32| {
@@ -195,9 +196,9 @@
     check(2001, 2);
 }
 
-// The caller sees its limit kept after a cut. VM 2 was out of sight and may have been home of the same customers on
-// its side; its holders come back one by one, so the home confirms only, for a term and a margin. A process that was
-// not there before has granted nothing, and the home goes on.
+// After a network partition VM 2 returns. It may have been the home of the same customers on its side, and its holders
+// come back one by one, so this home only confirms for a term and a margin; otherwise the limit would be exceeded. A
+// process that did not exist before has granted nothing, and the home goes on.
 #[test]
 fn a_home_recovers_when_a_lost_dispatcher_returns() {
     let check = |returned: LiveOwner, expect: u32| {
@@ -223,8 +224,8 @@
     check(restarted, 10);
 }
 
-// The operator's change binds an entry that has not heard of it within a term. The home has; at the entry's renewal it
-// grants by the lower share, and what is over it is free for nobody.
+// An operator lowers a share, and an entry has not heard of it. The home has: at the entry's renewal it grants by the
+// lower share, and the excess is free for nobody. So the change takes effect within a term.
 #[test]
 fn a_lower_share_binds_uninformed_holders_at_renewal() {
     let mut home = Home::new(10, 0);
@@ -239,8 +240,9 @@
     assert_eq!(home.ask(RECOVERY_MS + 5, 3, 60, 0, 0), granted(2));
 }
 
-// The callers on both sides of a cut are served. A home sees one of five VMs: it grants what the base shares of the
-// others leave, since each of those may be using its own. On the side with most VMs at least one task may run.
+// A home sees some of five VMs. It grants what the base shares of the others leave, since each of those may be using
+// its own, so that callers on both sides of a partition are served. On the side with most VMs at least one task may
+// run.
 #[test]
 fn a_home_reserves_the_base_shares_of_unseen_vms() {
     let check = |share: u32, seen: u8, expect: u32| {
@@ -289,7 +291,7 @@
         self.start + Duration::from_millis(millis)
     }
 
-    /// Wants ten tasks at `sent`, gets `count` in a reply that comes at `came`.
+    /// Wants ten tasks at `sent` and gets `count` in a reply that arrives at `came`.
     fn granted(share: u32, sent: u64, came: u64, count: u32) -> Self {
         let mut entry = Self::new(share);
         let now = entry.at(sent);
@@ -321,8 +323,9 @@
     }
 }
 
-// The caller at another entry waits a round trip and not a renewal. The home took a part back; it gives it to another
-// only when an ask of this entry shows that it knows, so the entry asks again at once.
+// The home took a part of the grant back and gives it to another entry only when an ask of this entry confirms the
+// smaller grant. So the entry asks again at once, and a caller at the other entry waits a round trip instead of a
+// renewal interval.
 #[test]
 fn a_smaller_grant_is_confirmed_at_once() {
     let mut entry = Entry::granted(40, 0, 1, 10);
@@ -336,8 +339,9 @@
     assert_eq!(entry.holder.tick(now), []);
 }
 
-// The caller of a burst waits one round trip more and not a second. The first task's ask is on its way while the rest
-// of the burst comes; the home gives all that was asked for, so there may be more, and the holder asks for that at once.
+// The ask for the first task is pending while the rest of the burst arrives. The home grants all that was asked for, so
+// there may be more, and the holder asks for it at once. The caller of the burst waits one more round trip instead of a
+// second.
 #[test]
 fn a_burst_during_a_pending_ask_is_asked_for_at_once() {
     let mut entry = Entry::new(40);
@@ -353,7 +357,7 @@
         .on_reply(entry.at(2), &answer(&first[0], want, 40));
     let second = entry.holder.tick(entry.at(2));
     assert_eq!(second[0].asks[0].want, 25);
-    // A home that is short is left alone for the usual time.
+    // If the home granted less than was wanted, the holder waits for the retry interval.
     entry
         .holder
         .on_reply(entry.at(3), &answer(&second[0], 10, 40));
@@ -385,8 +389,8 @@
     assert_eq!(entry.holder.limit(lapsed, &customer), 0);
 }
 
-// The home's debits must cover what entries hold. An ask that is on its way is not repeated before its time, as the
-// answer to the first would be ignored; and an answer of a home that is none any more is ignored.
+// The home's leases must cover what entries hold. A pending ask is not repeated before the retry interval, as the
+// answer to the first would be ignored. An answer of a dispatcher that is no longer the home is ignored as well.
 #[test]
 fn one_ask_at_a_time() {
     let mut entry = Entry::new(40);
@@ -416,8 +420,8 @@
     assert_eq!((asks[0].home, asks[0].asks.len()), (address(2), 2));
 }
 
-// The caller's task is refused or waits. The entry is paused with a grant in hand and resumes after the term, when the
-// home may have given the grant to another. The term is counted from before the ask, and checked at each start.
+// The entry is paused with a grant and resumes after the term, when the home may have given the grant to another entry.
+// The term is counted from before the ask and checked at each start, so the caller's task is refused or waits.
 #[test]
 fn a_paused_entry_starts_nothing_on_a_lapsed_grant() {
     let check = |at: u64, expect: Result<(), StartRefusal>| {
@@ -450,8 +454,8 @@
     );
 }
 
-// The operator's change binds within seconds. The contract's concurrency is lowered while grants are out; the entry
-// learns it with the contract and scales its grant down without waiting for the home or for the term's end.
+// An operator lowers a contract's concurrency while grants are out. The entry learns it with the contract and scales
+// its grant down without waiting for the home or for the end of the term.
 #[test]
 fn a_lower_share_binds_at_once() {
     let check = |share: u32, expect: u32| {
@@ -466,8 +470,8 @@
     check(0, 0);
 }
 
-// The caller is served in a small way while no home answers. The asks go out and nothing comes back; after 2 s the
-// entry uses its base share, half of the share with two VMs listed, until a home answers.
+// The asks go out and no home answers. After 2 s the entry uses its base share, half of the share with two VMs listed,
+// until a home answers, so that callers are still served at a reduced rate.
 #[test]
 fn the_base_share_holds_while_no_home_answers() {
     let mut entry = Entry::new(40);
@@ -507,14 +511,14 @@
 
 #[derive(Default)]
 struct BatchCount {
-    /// Dispatchers that are the home of some customer.
+    /// The number of dispatchers that are the home of some customer.
     homes: usize,
     batches: usize,
     asks: usize,
 }
 
-/// Counts the batches of 64 s, after the first 20, for an entry with 140 busy customers at `homes` dispatchers, of which each answers
-/// with `count`.
+/// Counts the batches in 64 s, after the first 20 s, of an entry with 140 busy customers at `homes` dispatchers, each
+/// of which grants `count`.
 fn count_batches(homes: u8, count: u32) -> BatchCount {
     let start = Instant::now();
     let mut holder = GrantHolder::new(address(1), IncarnationId(1), GrantSettings::default());
@@ -544,15 +548,15 @@
 
 #[test]
 fn batches_stay_within_the_byte_budget() {
-    // Content: a renewal every 8 s at each dispatcher that is home of a customer.
+    // Satisfied customers: one renewal every 8 s at each dispatcher that is the home of a customer.
     let counted = count_batches(60, 10);
     assert!((50..=60).contains(&counted.homes), "{}", counted.homes);
     assert_eq!(counted.batches, counted.homes * 8);
     assert_eq!(counted.asks, 140 * 8);
-    // With few homes a message carries many customers.
+    // With few homes, one message carries many customers.
     let counted = count_batches(8, 10);
     assert_eq!((counted.batches, counted.asks), (8 * 8, 140 * 8));
-    // Short everywhere, the customers ask as often as 6 KB/s let them.
+    // Customers that get less than they want ask as often as the budget of 6 KB/s allows.
     for homes in [8, 30, 60] {
         let counted = count_batches(homes, 2);
         let bytes = 568 * counted.batches + 96 * counted.asks;
--- a/crates/membership/tests/handover.rs
+++ b/crates/membership/tests/handover.rs
@@ -28,7 +28,7 @@
     }
 }
 
-/// Takes the reports at once and counts the slots of endpoint 1 used after `after` ms.
+/// Records the reports at once and checks the slots of endpoint 1 that count as used after `after` ms.
 fn check(reports: &[HandoverReport], after: u64, expect: usize) {
     let now = Instant::now();
     let mut tracker = HandoverTracker::default();
@@ -42,8 +42,8 @@
     assert!(expect == 0 || !nothing_left);
 }
 
-// The caller of a task at the new owner gets no busy answer more than needed. The old owner leaves with tasks running
-// and may be gone before they end; each slot is free when a report leaves it out, or at the task's deadline.
+// A new owner that assigned these slots would get busy answers, and the callers would wait. The old owner leaves with
+// running tasks and may be gone before they end; each slot is free once a report omits it, or at the task's deadline.
 #[test]
 fn slots_are_kept_until_a_later_report_or_the_deadline() {
     let first = report(1, 1, &[(1, &[100, 500]), (2, &[900])]);
--- a/crates/membership/tests/members.rs
+++ b/crates/membership/tests/members.rs
@@ -1,4 +1,4 @@
-//! Who counts as live: from heartbeats, the VM list, silence and the process's own freezes.
+//! Liveness of members: from heartbeats, the VM list, silence and pauses of the process itself.
 
 use std::{
     net::SocketAddr,
@@ -82,16 +82,16 @@
     Duration::from_millis(n)
 }
 
-/// One input to the table of member 3, whose neighbours are 1 to 9.
+/// One input to the table of member 3, whose peers are 1 to 9.
 #[derive(Clone, Copy)]
 enum Input {
-    /// This many ms pass, with a tick every 100.
+    /// This many ms pass, with a tick every 100 ms.
     Advance(u64),
     /// This many ms pass without a tick: the process is frozen.
     Freeze(u64),
-    /// The member beats; it does so every 500 ms of the following passes.
+    /// The member sends a heartbeat, and another one every 500 ms of the following advances.
     Heartbeat(u8),
-    /// The member stops beating and answering.
+    /// The member stops sending and answering heartbeats.
     FallSilent(u8),
     RefuseConnection(u8),
     Stop(u8),
@@ -104,7 +104,7 @@
     now: Instant,
     responsive: Vec<u8>,
     stopping: Vec<u8>,
-    /// The beats of the last pass.
+    /// The targets of the heartbeats sent in the last advance.
     heartbeats_sent: Vec<SocketAddr>,
 }
 
@@ -183,9 +183,9 @@
     check_live(&[Unlist, Heartbeat(40), Advance(5000)], &[40]);
 }
 
-// The caller's tasks go to dispatchers that may be dead for a while. A member falls silent; four beats go unanswered
-// in the suspect time of 2 s, and then its endpoints get another owner. The higher address of a pair starts beating
-// half a period later, so both find it within 3 s.
+// Until a dead member is detected, tasks go to it. A member falls silent; four heartbeats go unanswered in the suspect
+// time of 2 s, and then its endpoints get another owner. The higher address of a pair starts sending half a period
+// later, so both detect it within 3 s.
 #[test]
 fn a_silent_member_is_dead_after_the_suspect_time() {
     use Input::{Advance, FallSilent, Heartbeat};
@@ -211,9 +211,9 @@
     }
 }
 
-// The caller sees no change. This process is frozen for a minute while its neighbours' beats lie in its sockets. On
-// thawing it must not take the silence for theirs: it would own every endpoint. They get a full suspect time, in
-// which one that lives is heard and one that died meanwhile is found dead.
+// This process is frozen for a minute while heartbeats of its peers lie in its sockets. If it took that for silence of
+// the peers, it would claim every endpoint. After thawing, the peers get a full suspect time, in which live ones are
+// heard and one that died meanwhile is detected.
 #[test]
 fn a_frozen_process_does_not_declare_its_peers_dead() {
     use Input::{Advance, FallSilent, Freeze, Heartbeat};
@@ -227,7 +227,7 @@
         ],
         &[1, 9],
     );
-    // A beat was on its way when the process froze.
+    // A heartbeat was pending when the process froze.
     check_live(
         &[
             Heartbeat(1),
@@ -262,8 +262,8 @@
     );
 }
 
-// The caller's next task waits at most for a reconnect. A dispatcher process dies on a VM that lives; the VM refuses
-// the connection, and the endpoints move at once and not after the suspect time.
+// A dispatcher process dies on a VM that stays up. The VM refuses the connection, and the endpoints move at once
+// instead of after the suspect time, so that the caller's next task waits at most for a reconnect.
 #[test]
 fn a_refused_connection_marks_a_member_dead_at_once() {
     use Input::{Heartbeat, RefuseConnection};
@@ -378,9 +378,9 @@
     check(9, 500, 1);
 }
 
-// The callers of a dead dispatcher's endpoints wait 8.3 s at most at the target. The period of a pair is 4.2 s there,
-// so one lost beat must not be death, and four periods of silence would be 18 s. An unanswered beat is repeated every
-// 500 ms.
+// At the target size the period of a pair is 4.2 s, so one lost heartbeat must not mean death, and four periods of
+// silence would take 18 s. An unanswered heartbeat is repeated every 500 ms instead, so that callers of a dead
+// dispatcher's endpoints wait 8.3 s at most.
 #[test]
 fn an_unanswered_heartbeat_is_repeated_at_the_shortest_interval() {
     let mut now = Instant::now();
@@ -415,7 +415,7 @@
     assert_eq!(table.live().count(), 58);
 }
 
-/// Counts the beats and answers that the process spends in a minute in a healthy data centre of `count` VMs.
+/// Counts the heartbeats that a process sends and answers per minute in a healthy data centre of `count` VMs.
 fn heartbeats_per_minute(count: u8) -> usize {
     let mut now = Instant::now();
     let mut tables: Vec<MemberTable> = (1..=count).map(table).collect();
@@ -447,7 +447,7 @@
 
 #[test]
 fn full_mesh_heartbeats_stay_within_budget() {
-    // One beat a pair and period: 7 pairs at 0.5 s, 59 pairs at 4.21 s (at the next tick, so 4.3 s).
+    // One heartbeat per pair and period: 7 pairs at 0.5 s, 59 pairs at 4.21 s (4.3 s with the wait for the next tick).
     assert_eq!(heartbeats_per_minute(8), 7 * 120);
     assert_eq!(heartbeats_per_minute(60), 59 * 14);
 }
@@ -490,8 +490,9 @@
     );
 }
 
-// The caller's spare tasks reach another data centre again after a cut, at the usual number of beats. The contacts
-// fall silent, others are tried in turn, and when the data centre is back some contact answers soon.
+// After a network partition another data centre must be found again at the usual number of heartbeats, so that spare
+// tasks reach it. The contacts fall silent and other members are tried in turn, so that some contact answers soon after
+// the data centre is reachable again.
 #[test]
 fn contacts_of_an_unreachable_data_centre_are_tried_in_turn() {
     let mut now = Instant::now();
@@ -507,7 +508,7 @@
             tried.extend(heartbeats(&table.tick(now)));
         }
     }
-    // 40 beats at 10 members: the contacts twice before they are taken for dead, and then each in its turn.
+    // 40 heartbeats to 10 members: the contacts get two each before they count as dead, and then each member in turn.
     for n in 1..=10 {
         let heartbeats = tried
             .iter()
--- a/crates/membership/tests/ownership.rs
+++ b/crates/membership/tests/ownership.rs
@@ -1,4 +1,4 @@
-//! Owners of endpoints by rendezvous hashing.
+//! Ownership of endpoints by rendezvous hashing.
 
 use std::net::SocketAddr;
 
@@ -23,8 +23,8 @@
     (0..count).map(endpoint).collect()
 }
 
-// These values are the agreement between processes of different builds. A change here means that two builds name
-// different owners while a deployment runs.
+// Processes of different builds must agree on these values. If they change, two builds name different owners while a
+// deployment runs.
 #[test]
 fn the_hash_is_fixed() {
     let customer: CustomerId = "school-7".parse().unwrap();
@@ -69,7 +69,7 @@
     assert_eq!(map.owner(&endpoint(49)), None);
 }
 
-/// The most and the fewest endpoints of one member.
+/// Checks that every member owns between `least` and `most` endpoints.
 fn check_balance(members_count: u16, endpoints_count: u32, least: usize, most: usize) {
     let mut map = OwnershipMap::default();
     map.update(members(0..members_count), endpoints(endpoints_count));
@@ -81,7 +81,7 @@
 
 #[test]
 fn ownership_is_balanced_at_7_and_60_members() {
-    // Means of 7.1, 6.4 and 76.7.
+    // The means are 7.1, 6.4 and 76.7.
     check_balance(7, 50, 2, 13);
     check_balance(60, 384, 1, 14);
     check_balance(60, 4600, 50, 105);
@@ -124,8 +124,8 @@
         }
     }
 
-    // Each endpoint is one draw, so a member's number has a variance of about its mean: six deviations and three more
-    // for small means hold for every set of members tried.
+    // Each endpoint is one draw, so the count of a member has a variance of about its mean. A bound of six deviations,
+    // plus three for small means, holds for every set of members that was tried.
     #[test]
     fn balance_is_bounded(
         numbers in prop::collection::btree_set(any::<u16>(), 1..60),
--- a/crates/membership/tests/shares.rs
+++ b/crates/membership/tests/shares.rs
@@ -1,4 +1,4 @@
-//! How a customer's concurrency is divided.
+//! Division of a customer's concurrency.
 
 use std::net::SocketAddr;
 
@@ -38,7 +38,7 @@
     check_split(1_000_000, &[u32::MAX, u32::MAX], &[500_000, 500_000]);
 }
 
-/// What the first of `wants` gets; ties go by place.
+/// Checks the part of each of `wants` when it is the asker. Ties go to the earlier one.
 fn check_fair(share: u32, wants: &[u32], expect: &[u32]) {
     let numbered: Vec<(u32, u64)> = (0u64..).zip(wants).map(|(i, want)| (*want, i)).collect();
     for (i, target) in expect.iter().enumerate() {
