--- a/crates/membership/examples/cost/heap.rs
+++ b/crates/membership/examples/cost/heap.rs
@@ -1,4 +1,4 @@
-//! An allocator that counts the bytes held.
+//! An allocator that counts the allocated bytes.
 
 use std::{
     alloc::{GlobalAlloc, Layout, System},
@@ -12,7 +12,7 @@
 
 struct CountingHeap;
 
-/// The bytes held now.
+/// The bytes that are allocated now.
 pub(crate) fn used() -> usize {
     HELD.load(Ordering::Relaxed)
 }
--- a/crates/membership/examples/cost/main.rs
+++ b/crates/membership/examples/cost/main.rs
@@ -1,8 +1,9 @@
-//! Counts what membership and grants cost one VM: messages, bytes, memory and processor time.
+//! Measures the cost of membership and grants for one VM: messages, bytes, memory and processor time.
 //!
-//! `cargo run --release -p membership --example cost`. The figures of docs/design/0004-membership-and-grants.md come
-//! from here. Messages are counted on the state machines, bytes on messages built with the peer schema, memory by an
-//! allocator that counts. Only the bytes of TCP and IP headers are reckoned.
+//! Run with `cargo run --release -p membership --example cost`. The figures of
+//! docs/design/0004-membership-and-grants.md come from this example. Messages are counted on the state machines, bytes
+//! on messages built with the peer schema, and memory by a counting allocator. Only the bytes of TCP and IP headers are
+//! computed.
 
 mod heap;
 mod wire;
@@ -22,10 +23,10 @@
     CustomerId, DataCentreId, EndpointId, EndpointState, FastMap, IncarnationId, VmEntry, VmRole,
 };
 
-/// Teams with quotas at the target.
+/// The number of customers at the target size.
 const CUSTOMERS: usize = 140;
 
-/// Simulated time of each count, in steps of 50 ms.
+/// The number of simulated steps of 50 ms of each count.
 const STEPS: u32 = 2400;
 
 fn main() {
@@ -37,14 +38,14 @@
         );
         print_members(vms, centres);
         print_ownership(vms, endpoints);
-        for (load, count) in [("content", 10), ("short everywhere", 2)] {
+        for (load, count) in [("satisfied", 10), ("less than wanted", 2)] {
             print_holder(vms, load, count);
         }
         print_allocator(vms);
     }
 }
 
-/// The bytes of a batch without asks, and of each ask.
+/// Prints the bytes of a batch without asks, and of each ask.
 fn print_grant_sizes() {
     let bytes = |asks: usize| {
         let batch = ask_of(3, 1, &customers()[..asks]);
@@ -105,7 +106,8 @@
     list
 }
 
-/// The VM in the middle of the first data centre: half of its peers beat it, and it beats the other half.
+/// Prints the cost of heartbeats for the VM in the middle of the first data centre: half of its peers send it
+/// heartbeats, and it sends them to the other half.
 fn print_members(vms: u16, centres: u16) {
     let list = vm_list(vms, centres);
     let own = vms / 2;
@@ -118,7 +120,7 @@
     for _ in 0..STEPS {
         now += Duration::from_millis(50);
         let started = Instant::now();
-        // Those below in the order of addresses beat at the same period.
+        // Peers with lower addresses send heartbeats at the same period.
         for vm in 0..own {
             if now >= due[usize::from(vm)] {
                 due[usize::from(vm)] = now + table.period();
@@ -147,7 +149,7 @@
     let remote_rate =
         (f64::from(remote) + f64::from(received) * f64::from(remote_rounds())) / seconds;
     println!(
-        "  heartbeats: {local_rate:.1}/s here, {remote_rate:.1}/s to and from others, {:.2} KB/s; {} KB held, {:.4}% of a core",
+        "  heartbeats: {local_rate:.1}/s here, {remote_rate:.1}/s to and from others, {:.2} KB/s; {} KB allocated, {:.4}% of a core",
         (local_rate + remote_rate) * wire::heartbeat_bytes() as f64 / 1000.0,
         (heap::used() - held) / 1000,
         busy.as_secs_f64() / seconds * 100.0
@@ -159,7 +161,7 @@
     (Duration::from_millis(50) * STEPS).as_secs() as u32 / every.as_secs() as u32
 }
 
-/// How many processes of other data centres choose this one for a contact.
+/// The number of processes in other data centres that choose this one as a contact.
 fn remote_heartbeats_received(vms: u16, centres: u16, own: u16, list: &[VmEntry]) -> u32 {
     let here = &list[..usize::from(vms)];
     let mut received = 0;
@@ -194,7 +196,7 @@
     }
     let each = started.elapsed() / rounds;
     println!(
-        "  ownership: {each:?} for a change, {} KB held",
+        "  ownership: {each:?} for a change, {} KB allocated",
         (heap::used() - held) / 1000
     );
 }
@@ -221,7 +223,7 @@
     }
 }
 
-/// An entry with work of every customer, whose homes grant `count` of each.
+/// Prints the cost of an entry with work of every customer, whose homes grant `count` of each.
 fn print_holder(vms: u16, load: &str, count: u32) {
     let mut now = Instant::now();
     let held = heap::used();
@@ -252,7 +254,7 @@
     }
     let seconds = f64::from(STEPS) / 20.0;
     println!(
-        "  entry, {load}: {:.1} batches/s of {:.1} asks, {:.2} KB/s; {} KB held, {:.4}% of a core",
+        "  entry, {load}: {:.1} batches/s of {:.1} asks, {:.2} KB/s; {} KB allocated, {:.4}% of a core",
         f64::from(batches) / seconds,
         asks as f64 / f64::from(batches),
         bytes as f64 / seconds / 1000.0,
@@ -261,7 +263,7 @@
     );
 }
 
-/// A home that every entry of the data centre asks about all the customers that it is home of.
+/// Prints the cost of a home that every entry of the data centre asks about all its customers.
 fn print_allocator(vms: u16) {
     let mut now = Instant::now();
     let own = address(0, 0);
@@ -296,7 +298,7 @@
     }
     let asks = rounds * u64::from(vms) * own_customers.len() as u64;
     println!(
-        "  home of {} customers (most at one home: {}): {} KB held, {:?} an ask",
+        "  home of {} customers (most at one home: {}): {} KB allocated, {:?} an ask",
         own_customers.len(),
         most_at_one_home(vms),
         (heap::used() - held) / 1000,
--- a/crates/membership/examples/cost/wire.rs
+++ b/crates/membership/examples/cost/wire.rs
@@ -1,4 +1,4 @@
-//! The bytes that an exchange between two processes puts on the network.
+//! The bytes that an exchange between two processes sends over the network.
 
 use std::net::SocketAddr;
 
@@ -7,21 +7,21 @@
 use membership::{AskBatch, GrantDecision, ReplyBatch};
 use peer::peer_capnp::{dispatcher_port, member_view};
 
-/// TCP and IP headers with timestamps, in bytes. Reckoned, not measured.
+/// Bytes of the TCP and IP headers with timestamps.
 const HEADER: usize = 52;
 
-/// Segments of one exchange: call, return, finish, and a bare acknowledgement. Reckoned.
+/// Segments of one exchange: call, return, finish, and a bare acknowledgement.
 const SEGMENTS: usize = 4;
 
 pub(crate) fn print_sizes() {
     println!(
-        "one beat with its answer: {} bytes of messages, {} with headers",
+        "one heartbeat with its answer: {} bytes of messages, {} with headers",
         heartbeat_bytes() - HEADER * SEGMENTS,
         heartbeat_bytes()
     );
 }
 
-/// A heartbeat and its answer, headers included.
+/// The bytes of a heartbeat and its answer, headers included.
 pub(crate) fn heartbeat_bytes() -> usize {
     let call = call_bytes(|content| {
         write_view(
@@ -40,7 +40,7 @@
     call + answer + finish_bytes() + HEADER * SEGMENTS
 }
 
-/// A batch of asks and its answer, headers included.
+/// The bytes of a batch of asks and its answer, headers included.
 pub(crate) fn grant_bytes(batch: &AskBatch, reply: &ReplyBatch) -> usize {
     let call = call_bytes(|content| {
         write_asks(
