--- a/crates/membership/src/grant/allocator.rs
+++ b/crates/membership/src/grant/allocator.rs
@@ -153,9 +153,7 @@
     /// The sum of the leases on the customer's share; 0 if this dispatcher is not its home.
     pub fn leased(&self, customer: &CustomerId) -> u32 {
         let allocation = self.allocations.get(customer);
-        allocation.map_or(0, |allocation| {
-            allocation.leases.values().map(|lease| lease.count).sum()
-        })
+        allocation.map_or(0, |a| a.leases.values().map(|lease| lease.count).sum())
     }
 
     /// The customers whose home this dispatcher is.
