--- a/crates/ledger/src/ledger/queueing.rs
+++ b/crates/ledger/src/ledger/queueing.rs
@@ -243,8 +243,8 @@
     /// would otherwise keep slots idle. After the timeout the slot goes to the next reservation; a body that arrives
     /// later is rejected as not run.
     pub(super) fn expire_claims(&mut self, now: Instant) {
-        while let Some((limit, number, attempt)) = self.claim_deadlines.first().copied() {
-            if limit > now {
+        while let Some((deadline, number, attempt)) = self.claim_deadlines.first().copied() {
+            if deadline > now {
                 return;
             }
             self.claim_deadlines.pop_first();
--- a/crates/membership/src/grant/allocator.rs
+++ b/crates/membership/src/grant/allocator.rs
@@ -289,9 +289,9 @@
         wants
     }
 
-    /// Records the largest count that the holder can hold from now on: the count that it reports to hold, in case the
-    /// reply is lost, or the count that the reply grants. A part that the reply takes away becomes free only when a
-    /// later ask confirms that the holder has given it up.
+    /// Records the largest count that the holder can hold from now on: the maximum of the count that it reports to
+    /// hold, as the reply may be lost, its tasks in use, and the granted count. A part that the reply takes away
+    /// becomes free only when a later ask confirms that the holder has given it up.
     fn record_lease(&mut self, batch: &AskBatch, ask: &GrantAsk, granted: u32, until: Instant) {
         let count = granted.max(ask.held).max(ask.in_use);
         if count == 0 && ask.want == 0 {
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -332,9 +332,9 @@
         });
     }
 
-    /// Sends heartbeats in a full mesh within the data centre. Of a pair, the lower address sends; the higher one steps
-    /// in after hearing nothing for half a period more, which covers a new member that the lower one does not know yet.
-    /// So a healthy pair costs one heartbeat and one answer per period instead of two of each.
+    /// Adds the heartbeats that are due in the full mesh within the data centre. Of a pair, the lower address sends;
+    /// the higher one steps in after hearing nothing for half a period more, which covers a new member that the lower
+    /// one does not know yet. So a healthy pair costs one heartbeat and one answer per period instead of two of each.
     ///
     /// A live member that leaves a heartbeat unanswered is tried again at the shortest interval, so that its death is
     /// concluded from several heartbeats and is detected soon, also if the period is long.
@@ -360,8 +360,9 @@
         }
     }
 
-    /// Sends a fixed number of heartbeats to each other data centre, whatever its size. At 12 data centres of 60 VMs a
-    /// full mesh would be 719 pairs per process; two contacts per data centre are 22 outgoing and about 22 incoming.
+    /// Adds the heartbeats that are due to other data centres: a fixed number for each, whatever its size. At 12 data
+    /// centres of 60 VMs a full mesh would be 719 pairs per process; two contacts per data centre are 22 outgoing and
+    /// about 22 incoming.
     fn push_remote_heartbeats(&mut self, now: Instant, actions: &mut Vec<MemberAction>) {
         for (data_centre, addresses) in self.remote_members() {
             let due = self.remote_heartbeats_due.get(&data_centre);
