--- a/crates/dispatcher/src/control/membership.rs
+++ b/crates/dispatcher/src/control/membership.rs
@@ -171,13 +171,13 @@
         match reply {
             Ok(reply) => {
                 let head = reply.view.head;
-                self.members.on_reply(now, reply);
+                self.members.on_heartbeat_reply(now, reply);
                 self.hear_head(ctx, address, head);
             }
             Err(error) => {
                 self.peers.remove(&address);
                 if error == PeerError::Refused {
-                    self.members.on_refused(now, address);
+                    self.members.on_connection_refused(now, address);
                 }
             }
         }
--- a/crates/membership/examples/cost/main.rs
+++ b/crates/membership/examples/cost/main.rs
@@ -134,7 +134,7 @@
             };
             let peer = list.iter().position(|vm| vm.address == address).unwrap() as u16;
             let (c, vm) = (peer / vms, peer % vms);
-            table.on_reply(now, HeartbeatReply { view: view(c, vm) });
+            table.on_heartbeat_reply(now, HeartbeatReply { view: view(c, vm) });
             if c == 0 {
                 local += 1;
             } else {
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -127,7 +127,7 @@
     }
 
     /// Handles the answer to a heartbeat.
-    pub fn on_reply(&mut self, now: Instant, reply: HeartbeatReply) {
+    pub fn on_heartbeat_reply(&mut self, now: Instant, reply: HeartbeatReply) {
         self.detect_own_pause(now);
         self.record_contact(now, reply.view);
     }
@@ -137,7 +137,7 @@
     /// Without this, the endpoints of a process that died while its VM lives would stay without an owner for the
     /// suspect time. A refusal comes from the operating system of the VM and not from the network, so it is sufficient
     /// proof; the next process there is live as soon as it is heard. A broken connection or a timeout is no such proof.
-    pub fn on_refused(&mut self, now: Instant, address: SocketAddr) {
+    pub fn on_connection_refused(&mut self, now: Instant, address: SocketAddr) {
         self.detect_own_pause(now);
         let Some(member) = self.members.get_mut(&address) else {
             return;
@@ -323,11 +323,11 @@
     /// Removes silent members that no list names. Otherwise the table would grow with every VM that ever existed (450
     /// are replaced per day at the target size).
     fn remove_stale_members(&mut self, now: Instant) {
-        let forget_after = self.settings.forget_after;
+        let remove_after = self.settings.remove_after;
         self.members.retain(|_, member| {
             let heard = member
                 .last_heard
-                .is_some_and(|at| time_between(now, at) < forget_after);
+                .is_some_and(|at| time_between(now, at) < remove_after);
             member.live || member.seed || member.listed || heard
         });
     }
--- a/crates/membership/src/member/settings.rs
+++ b/crates/membership/src/member/settings.rs
@@ -24,7 +24,7 @@
     /// heartbeat may be lost with its connection.
     pub remote_suspect_after: Duration,
     /// The silence after which a member that no list names is removed.
-    pub forget_after: Duration,
+    pub remove_after: Duration,
 }
 
 impl Default for MemberSettings {
@@ -36,7 +36,7 @@
             contacts_per_data_centre: 2,
             suspect_after: Duration::from_secs(2),
             remote_suspect_after: Duration::from_secs(12),
-            forget_after: Duration::from_secs(60),
+            remove_after: Duration::from_secs(60),
         }
     }
 }
--- a/crates/membership/tests/members.rs
+++ b/crates/membership/tests/members.rs
@@ -130,7 +130,9 @@
                 self.receive_heartbeat(n);
             }
             Input::FallSilent(n) => self.responsive.retain(|m| *m != n),
-            Input::RefuseConnection(n) => self.table.on_refused(self.now, address(LOCAL_CENTRE, n)),
+            Input::RefuseConnection(n) => self
+                .table
+                .on_connection_refused(self.now, address(LOCAL_CENTRE, n)),
             Input::Stop(n) => self.stopping.push(n),
             Input::List(n, state) => self.table.on_vm_list(&[vm(LOCAL_CENTRE, n, state)]),
             Input::Unlist => self.table.on_vm_list(&[]),
@@ -338,7 +340,7 @@
     let mut member = view(LOCAL_CENTRE, 1);
     let mut check = |member: &MemberView, changed: bool| {
         let before = table.revision();
-        table.on_reply(
+        table.on_heartbeat_reply(
             now,
             HeartbeatReply {
                 view: member.clone(),
@@ -406,7 +408,7 @@
                     continue;
                 };
                 let view = view(LOCAL_CENTRE, v4.ip().octets()[3]);
-                table.on_reply(now, HeartbeatReply { view });
+                table.on_heartbeat_reply(now, HeartbeatReply { view });
             }
         }
     }
@@ -433,7 +435,7 @@
                 let j = j.unwrap();
                 let message = tables[i].heartbeat_message();
                 let reply = tables[j].on_heartbeat(now, message);
-                tables[i].on_reply(now, reply);
+                tables[i].on_heartbeat_reply(now, reply);
                 let watched = i == 0 || j == 0;
                 messages += usize::from(step >= 300 && watched);
             }
@@ -473,7 +475,7 @@
             } else {
                 "junagadh-dc"
             };
-            table.on_reply(
+            table.on_heartbeat_reply(
                 now,
                 HeartbeatReply {
                     view: view(name, n),
