--- a/crates/dispatcher/src/control/handover.rs
+++ b/crates/dispatcher/src/control/handover.rs
@@ -80,7 +80,7 @@
         let now = self.clock.now();
         self.handovers.tick(now);
         self.ledger
-            .set_previous_owner_slots(now, self.handovers.used(now));
+            .set_previous_owner_slots(now, self.handovers.used_slots(now));
     }
 }
 
--- a/crates/membership/src/grant/allocator.rs
+++ b/crates/membership/src/grant/allocator.rs
@@ -52,13 +52,13 @@
     /// The largest count that the holder can hold now, running tasks included.
     count: u32,
     want: u32,
-    until: Instant,
+    expires_at: Instant,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct LastBatch {
     serial: u64,
-    until: Instant,
+    expires_at: Instant,
 }
 
 impl GrantAllocator {
@@ -121,10 +121,10 @@
         if last.is_some_and(|last| batch.serial <= last.serial) {
             return None;
         }
-        let until = now + self.settings.reclaim_after();
+        let expires_at = now + self.settings.reclaim_after();
         let serial = batch.serial;
         self.last_batches
-            .insert(batch.holder, LastBatch { serial, until });
+            .insert(batch.holder, LastBatch { serial, expires_at });
         let mut replies = Vec::with_capacity(batch.asks.len());
         for ask in &batch.asks {
             replies.push(GrantReply {
@@ -142,7 +142,7 @@
     /// Removes expired leases. Must be called at least twice within [`GrantSettings::max_input_gap`].
     pub fn tick(&mut self, now: Instant) {
         self.detect_own_pause(now);
-        self.last_batches.retain(|_, last| now < last.until);
+        self.last_batches.retain(|_, last| now < last.expires_at);
         for allocation in self.allocations.values_mut() {
             allocation.expire(now);
         }
@@ -260,7 +260,7 @@
 
 impl CustomerAllocation {
     fn expire(&mut self, now: Instant) {
-        self.leases.retain(|_, lease| now < lease.until);
+        self.leases.retain(|_, lease| now < lease.expires_at);
     }
 
     fn leased_to_others(&self, holder: IncarnationId) -> u32 {
@@ -292,7 +292,13 @@
     /// Records the largest count that the holder can hold from now on: the maximum of the count that it reports to
     /// hold, as the reply may be lost, its tasks in use, and the granted count. A part that the reply takes away
     /// becomes free only when a later ask confirms that the holder has given it up.
-    fn record_lease(&mut self, batch: &AskBatch, ask: &GrantAsk, granted: u32, until: Instant) {
+    fn record_lease(
+        &mut self,
+        batch: &AskBatch,
+        ask: &GrantAsk,
+        granted: u32,
+        expires_at: Instant,
+    ) {
         let count = granted.max(ask.held).max(ask.in_use);
         if count == 0 && ask.want == 0 {
             self.leases.remove(&batch.holder);
@@ -302,7 +308,7 @@
             address: batch.holder_address,
             count,
             want: ask.want,
-            until,
+            expires_at,
         };
         self.leases.insert(batch.holder, lease);
     }
--- a/crates/membership/src/grant/holder.rs
+++ b/crates/membership/src/grant/holder.rs
@@ -71,7 +71,7 @@
     count: u32,
     /// The customer's share that the home based the grant on.
     share: u32,
-    until: Instant,
+    expires_at: Instant,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -202,7 +202,7 @@
     /// The time at which the grant behind [`Self::limit`] expires; `None` for a limit that does not expire by itself.
     pub fn expires_at(&self, now: Instant, customer: &CustomerId) -> Option<Instant> {
         let grant = self.customers.get(customer)?.grant?;
-        (now < grant.until).then_some(grant.until)
+        (now < grant.expires_at).then_some(grant.expires_at)
     }
 
     /// Sets the address that determines this entry's base shares, once it is known more exactly than at the start.
@@ -339,7 +339,7 @@
     /// The grant in force, scaled down if the share has fallen since, so that the sum over all holders falls with the
     /// share.
     fn granted(&self, now: Instant) -> Option<u32> {
-        let grant = self.grant.filter(|grant| now < grant.until)?;
+        let grant = self.grant.filter(|grant| now < grant.expires_at)?;
         if self.share >= grant.share {
             return Some(grant.count);
         }
@@ -405,7 +405,7 @@
             None if self.home_is_unresponsive(now, settings.base_share_after) => base,
             None => 0,
         };
-        if let Some(grant) = self.grant.as_mut().filter(|grant| now < grant.until) {
+        if let Some(grant) = self.grant.as_mut().filter(|grant| now < grant.expires_at) {
             grant.count = held;
             grant.share = grant.share.min(self.share);
         }
@@ -437,7 +437,7 @@
         self.grant = Some(Grant {
             count,
             share,
-            until: pending_ask.at + term,
+            expires_at: pending_ask.at + term,
         });
         let next = if count < pending_ask.held {
             // The home frees the part that it took back only when an ask confirms that the holder has given it up, and
--- a/crates/membership/src/handover.rs
+++ b/crates/membership/src/handover.rs
@@ -67,7 +67,7 @@
     }
 
     /// The number of slots of the endpoint that previous owners use at `now`.
-    pub fn outstanding(&self, now: Instant, endpoint: &EndpointId) -> usize {
+    pub fn used_slots_of(&self, now: Instant, endpoint: &EndpointId) -> usize {
         let mut used = 0;
         for report in self.reports.values() {
             let Some(deadlines) = report.deadlines.get(endpoint) else {
@@ -79,7 +79,7 @@
     }
 
     /// The number of slots that previous owners use at `now`, for every endpoint with at least one.
-    pub fn used(&self, now: Instant) -> FastMap<EndpointId, u32> {
+    pub fn used_slots(&self, now: Instant) -> FastMap<EndpointId, u32> {
         let mut used: FastMap<EndpointId, u32> = FastMap::default();
         for report in self.reports.values() {
             for (endpoint, deadlines) in &report.deadlines {
--- a/crates/membership/tests/handover.rs
+++ b/crates/membership/tests/handover.rs
@@ -36,9 +36,9 @@
         tracker.on_report(now, report.clone());
     }
     let later = now + Duration::from_millis(after);
-    assert_eq!(tracker.outstanding(later, &endpoint(1)), expect);
+    assert_eq!(tracker.used_slots_of(later, &endpoint(1)), expect);
     let nothing_left = tracker.tick(later);
-    assert_eq!(tracker.outstanding(later, &endpoint(1)), expect);
+    assert_eq!(tracker.used_slots_of(later, &endpoint(1)), expect);
     assert!(expect == 0 || !nothing_left);
 }
 
