--- a/crates/membership/tests/grant_faults/fleet.rs
+++ b/crates/membership/tests/grant_faults/fleet.rs
@@ -31,7 +31,7 @@
     /// The VM with both processes is gone for the duration and restarts without state.
     ReplaceVm(usize),
     /// The VMs whose bits are set cannot reach the others.
-    Cut(u8),
+    Partition(u8),
     /// The percentage of messages that are lost, and the maximum delay of the others in ms.
     BadNetwork(u8, u64),
 }
@@ -247,9 +247,9 @@
             .any(|kind| matches!(kind, FaultKind::FreezeDispatcher(vm) if *vm == i))
     }
 
-    fn cut(&self, a: usize, b: usize) -> bool {
+    fn partitioned(&self, a: usize, b: usize) -> bool {
         self.active().any(|kind| match kind {
-            FaultKind::Cut(side) => (side >> a) & 1 != (side >> b) & 1,
+            FaultKind::Partition(side) => (side >> a) & 1 != (side >> b) & 1,
             _ => false,
         })
     }
@@ -283,7 +283,7 @@
         let thawed = self.now - self.vms[i].last_heard[i] > STEP_MS;
         let mut view = Vec::new();
         for j in 0..self.vms.len() {
-            let reachable = self.vms[j].up && !self.cut(i, j) && !self.frozen_dispatcher(j);
+            let reachable = self.vms[j].up && !self.partitioned(i, j) && !self.frozen_dispatcher(j);
             if i == j || thawed || reachable || self.views == Views::Fixed {
                 self.vms[i].last_heard[j] = self.now;
             }
@@ -320,7 +320,7 @@
                 self.in_flight.push(message);
                 continue;
             }
-            if self.vms[message.to].up && !self.cut(message.from, message.to) {
+            if self.vms[message.to].up && !self.partitioned(message.from, message.to) {
                 self.receive(message);
             }
         }
--- a/crates/membership/tests/grant_faults/main.rs
+++ b/crates/membership/tests/grant_faults/main.rs
@@ -24,7 +24,7 @@
         1 => (0..vms).prop_map(FaultKind::FreezeEntry),
         1 => (0..vms).prop_map(FaultKind::FreezeDispatcher),
         1 => (0..vms).prop_map(replace),
-        1 => (1..(1u8 << vms) - 1).prop_map(FaultKind::Cut),
+        1 => (1..(1u8 << vms) - 1).prop_map(FaultKind::Partition),
         3 => (0..60u8, 1..4000u64).prop_map(|(loss, ms)| FaultKind::BadNetwork(loss, ms)),
     ];
     let at = 14_000..FAULTS_UNTIL;
@@ -77,7 +77,7 @@
     let kinds = [
         FaultKind::ReplaceVm as fn(usize) -> FaultKind,
         FaultKind::FreezeDispatcher,
-        |vm| FaultKind::Cut(1 << vm),
+        |vm| FaultKind::Partition(1 << vm),
     ];
     let mut worst: u32 = 0;
     for seed in 0..60 {
