--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -43,7 +43,7 @@
     entry: IncarnationId,
     endpoint: EndpointId,
     started: Instant,
-    due: Instant,
+    deadline: Instant,
     customer: model::CustomerId,
     kind: model::TaskKind,
     expected: std::time::Duration,
--- a/crates/ledger/src/ledger/running.rs
+++ b/crates/ledger/src/ledger/running.rs
@@ -87,7 +87,7 @@
             if !self.stopping && record.is_some_and(|record| record.owned) {
                 continue;
             }
-            let left = task.due.saturating_duration_since(now);
+            let left = task.deadline.saturating_duration_since(now);
             tasks.entry(task.endpoint.clone()).or_default().push(left);
         }
         tasks
@@ -135,7 +135,7 @@
             entry,
             endpoint,
             started: now,
-            due: now + offer.time_left,
+            deadline: now + offer.time_left,
             customer: offer.customer.clone(),
             kind: offer.kind.clone(),
             expected: offer.expected_run_time,
