--- a/crates/membership/src/centre.rs
+++ b/crates/membership/src/centre.rs
@@ -20,7 +20,7 @@
 }
 
 impl CentreView {
-    /// Replaces the view. The revision increases only if something differs, so that no entry is notified in vain.
+    /// Replaces the view. The revision increases only if something differs, so that no entry is notified needlessly.
     pub fn update(
         &mut self,
         owners: Vec<SocketAddr>,
