--- a/crates/membership/examples/cost/main.rs
+++ b/crates/membership/examples/cost/main.rs
@@ -111,7 +111,7 @@
 fn print_members(vms: u16, centres: u16) {
     let list = vm_list(vms, centres);
     let own = vms / 2;
-    let held = heap::used();
+    let allocated_before = heap::allocated_bytes();
     let mut table = table(0, own, &list);
     let mut now = Instant::now();
     let mut due = vec![now; usize::from(vms)];
@@ -151,7 +151,7 @@
     println!(
         "  heartbeats: {local_rate:.1}/s here, {remote_rate:.1}/s to and from others, {:.2} KB/s; {} KB allocated, {:.4}% of a core",
         (local_rate + remote_rate) * wire::heartbeat_bytes() as f64 / 1000.0,
-        (heap::used() - held) / 1000,
+        (heap::allocated_bytes() - allocated_before) / 1000,
         busy.as_secs_f64() / seconds * 100.0
     );
 }
@@ -179,7 +179,7 @@
 }
 
 fn print_ownership(vms: u16, endpoints: usize) {
-    let held = heap::used();
+    let allocated_before = heap::allocated_bytes();
     let mut map = OwnershipMap::default();
     let members: Vec<SocketAddr> = (0..vms).map(|vm| address(0, vm)).collect();
     let ids: Vec<EndpointId> = (0..endpoints)
@@ -197,7 +197,7 @@
     let each = started.elapsed() / rounds;
     println!(
         "  ownership: {each:?} for a change, {} KB allocated",
-        (heap::used() - held) / 1000
+        (heap::allocated_bytes() - allocated_before) / 1000
     );
 }
 
@@ -226,7 +226,7 @@
 /// Prints the cost of an entry with work of every customer, whose homes grant `count` of each.
 fn print_holder(vms: u16, load: &str, count: u32) {
     let mut now = Instant::now();
-    let held = heap::used();
+    let allocated_before = heap::allocated_bytes();
     let settings = GrantSettings::default();
     let mut holder = GrantHolder::new(address(0, 0), IncarnationId(1), settings);
     let live: Vec<SocketAddr> = (0..vms).map(|vm| address(0, vm)).collect();
@@ -258,7 +258,7 @@
         f64::from(batches) / seconds,
         asks as f64 / f64::from(batches),
         bytes as f64 / seconds / 1000.0,
-        (heap::used() - held) / 1000,
+        (heap::allocated_bytes() - allocated_before) / 1000,
         busy.as_secs_f64() / seconds * 100.0
     );
 }
@@ -267,7 +267,7 @@
 fn print_allocator(vms: u16) {
     let mut now = Instant::now();
     let own = address(0, 0);
-    let held = heap::used();
+    let allocated_before = heap::allocated_bytes();
     let mut allocator = GrantAllocator::new(own, GrantSettings::default());
     for customer in customers() {
         allocator.set_share(now, customer, 600);
@@ -301,7 +301,7 @@
         "  home of {} customers (most at one home: {}): {} KB allocated, {:?} an ask",
         own_customers.len(),
         most_at_one_home(vms),
-        (heap::used() - held) / 1000,
+        (heap::allocated_bytes() - allocated_before) / 1000,
         busy / asks.max(1) as u32
     );
 }
--- a/crates/membership/examples/cost/wire.rs
+++ b/crates/membership/examples/cost/wire.rs
@@ -8,7 +8,7 @@
 use peer::peer_capnp::{dispatcher_port, member_view};
 
 /// Bytes of the TCP and IP headers with timestamps.
-const HEADER: usize = 52;
+const HEADER_BYTES: usize = 52;
 
 /// Segments of one exchange: call, return, finish, and a bare acknowledgement.
 const SEGMENTS: usize = 4;
@@ -16,7 +16,7 @@
 pub(crate) fn print_sizes() {
     println!(
         "one heartbeat with its answer: {} bytes of messages, {} with headers",
-        heartbeat_bytes() - HEADER * SEGMENTS,
+        heartbeat_bytes() - HEADER_BYTES * SEGMENTS,
         heartbeat_bytes()
     );
 }
@@ -37,7 +37,7 @@
                 .init_view(),
         );
     });
-    call + answer + finish_bytes() + HEADER * SEGMENTS
+    call + answer + finish_bytes() + HEADER_BYTES * SEGMENTS
 }
 
 /// The bytes of a batch of asks and its answer, headers included.
@@ -54,7 +54,7 @@
             reply,
         );
     });
-    call + answer + finish_bytes() + HEADER * SEGMENTS
+    call + answer + finish_bytes() + HEADER_BYTES * SEGMENTS
 }
 
 fn call_bytes(write: impl FnOnce(capnp::any_pointer::Builder<'_>)) -> usize {
--- a/crates/membership/tests/grant_faults/main.rs
+++ b/crates/membership/tests/grant_faults/main.rs
@@ -10,7 +10,7 @@
 use crate::fleet::{Fault, FaultKind, Fleet, Views};
 
 /// The time at which the faults end, in ms.
-const FAULTS_UNTIL: u64 = 40_000;
+const FAULTS_END_MS: u64 = 40_000;
 
 /// The time for one lost view to heal, one term with its margin, and two renewals, in ms.
 const HEALING_MS: u64 = 3_000 + 12_600 + 16_000;
@@ -27,10 +27,10 @@
         1 => (1..(1u8 << vms) - 1).prop_map(FaultKind::Partition),
         3 => (0..60u8, 1..4000u64).prop_map(|(loss, ms)| FaultKind::BadNetwork(loss, ms)),
     ];
-    let at = 14_000..FAULTS_UNTIL;
+    let at = 14_000..FAULTS_END_MS;
     (at, 100..16_000u64, kind).prop_map(|(at, lasts, kind)| Fault {
         at,
-        lasts: lasts.min(FAULTS_UNTIL - at),
+        lasts: lasts.min(FAULTS_END_MS - at),
         kind,
     })
 }
@@ -89,7 +89,7 @@
         let settings = GrantSettings::default();
         let mut fleet = Fleet::new(5, 58, seed, Views::Detected, vec![fault], settings);
         fleet.set_demand(100);
-        fleet.run(FAULTS_UNTIL + 20_000, |_, sum| worst = worst.max(sum));
+        fleet.run(FAULTS_END_MS + 20_000, |_, sum| worst = worst.max(sum));
     }
     assert!(worst < 58 + 5, "{worst}");
 }
@@ -109,7 +109,7 @@
         };
         let mut fleet = Fleet::new(vms, share, seed, Views::Fixed, faults, settings);
         let mut worst = (0, 0);
-        fleet.run(FAULTS_UNTIL, |fleet, sum| worst = worst.max((sum, fleet.now())));
+        fleet.run(FAULTS_END_MS, |fleet, sum| worst = worst.max((sum, fleet.now())));
         prop_assert!(worst.0 <= share, "{:?} (sum, ms) of {}", worst, share);
         check_heals(fleet)?;
     }
@@ -123,7 +123,7 @@
         let settings = GrantSettings::default();
         let mut fleet = Fleet::new(vms, share, seed, Views::Detected, faults, settings);
         let mut worst = (0, 0);
-        fleet.run(FAULTS_UNTIL, |fleet, sum| worst = worst.max((sum, fleet.now())));
+        fleet.run(FAULTS_END_MS, |fleet, sum| worst = worst.max((sum, fleet.now())));
         prop_assert!(worst.0 <= 2 * share, "{:?} (sum, ms) of {}", worst, share);
         check_heals(fleet)?;
     }
