--- a/crates/ledger/src/entry_link.rs
+++ b/crates/ledger/src/entry_link.rs
@@ -8,7 +8,7 @@
 use model::{AttemptEnd, AttemptId, FastMap, IncarnationId, SessionId};
 use thiserror::Error;
 
-/// The session was ended by a later one of the same entry.
+/// The error for a session that a later one of the same entry has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("session {0} is over")]
 pub struct StaleSession(pub SessionId);
--- a/crates/ledger/tests/leaving.rs
+++ b/crates/ledger/tests/leaving.rs
@@ -61,8 +61,8 @@
 
 #[test]
 fn an_endpoint_listed_as_leaving_gets_no_new_tasks() {
-    // One of two endpoints leaves while a task runs there. It has more free slots, but new tasks must still go to the
-    // other endpoint, and wait if that is full.
+    // One of two endpoints leaves while a task runs there. It still has a free slot, but new tasks must go to the other
+    // endpoint, and wait once that is full.
     let now = Instant::now();
     let (leaving, live) = (address("e1"), address("e2"));
     let mut ledger = ledger(now, &[(leaving.clone(), EndpointState::Live)]);
--- a/crates/membership/src/grant/holder.rs
+++ b/crates/membership/src/grant/holder.rs
@@ -61,7 +61,7 @@
     /// The time since which the grant has been larger than needed.
     excess_since: Option<Instant>,
     pending_ask: Option<PendingAsk>,
-    /// The time of the first ask that no home has answered.
+    /// The time since which asks have gone unanswered or no home was known.
     unanswered_since: Option<Instant>,
     ask_due: Option<Instant>,
 }
--- a/crates/membership/src/hashing.rs
+++ b/crates/membership/src/hashing.rs
@@ -65,7 +65,8 @@
     mix_bits(key ^ member.rotate_left(32))
 }
 
-/// Hashes bytes in little-endian words of eight. The length goes first, so that trailing zero bytes change the hash.
+/// Hashes eight bytes at a time as a little-endian word. The length goes first, so that trailing zero bytes change the
+/// hash.
 fn hash_bytes(bytes: &[u8]) -> u64 {
     let mut state = mix_bits(bytes.len() as u64);
     for chunk in bytes.chunks(8) {
