--- a/crates/dispatcher/src/control.rs
+++ b/crates/dispatcher/src/control.rs
@@ -18,8 +18,8 @@
 
 use ::contracts::ContractView;
 use ::membership::{
-    CentreView, GrantLedger, GrantSettings, HandoverLedger, MemberSettings, MemberTable, OwnMember,
-    OwnershipMap,
+    CentreView, GrantAllocator, GrantSettings, HandoverTracker, MemberSettings, MemberTable,
+    OwnMember, OwnershipMap,
 };
 use actix::{Actor, Addr, AsyncContext as _, Context, Handler};
 use kernel::{ClockSource, ServiceName};
@@ -64,9 +64,9 @@
     ledger: SlotLedger,
     members: MemberTable,
     ownership: OwnershipMap,
-    grants: GrantLedger,
+    grants: GrantAllocator,
     centre: CentreView,
-    handovers: HandoverLedger,
+    handovers: HandoverTracker,
     reported: FastSet<SocketAddr>,
     next_report: u64,
     vms: Vec<VmEntry>,
@@ -117,7 +117,7 @@
             head: 0,
         };
         let member_settings = MemberSettings {
-            beat_every: settings.heartbeat_ms.duration(),
+            heartbeat_interval: settings.heartbeat_ms.duration(),
             suspect_after: settings.suspect_ms.duration(),
             ..MemberSettings::default()
         };
@@ -128,10 +128,10 @@
         let members = MemberTable::new(own, member_settings, seeds.collect::<Vec<_>>());
         let ledger = SlotLedger::new(LedgerSettings {
             max_queue: settings.queue_limit,
-            claim_limit: settings.claim_limit_ms.duration(),
+            claim_timeout: settings.claim_limit_ms.duration(),
             ..LedgerSettings::default()
         });
-        let grants = GrantLedger::new(parts.own_address, grant_settings(&settings));
+        let grants = GrantAllocator::new(parts.own_address, grant_settings(&settings));
         Self {
             clock: parts.clock,
             incarnation: parts.incarnation,
@@ -141,7 +141,7 @@
             ownership: OwnershipMap::default(),
             grants,
             centre: CentreView::default(),
-            handovers: HandoverLedger::default(),
+            handovers: HandoverTracker::default(),
             reported: FastSet::default(),
             next_report: 1,
             vms: Vec::new(),
@@ -272,7 +272,7 @@
     GrantSettings {
         term,
         margin: term / 20,
-        frozen_after: settings.suspect_ms.duration(),
+        max_input_gap: settings.suspect_ms.duration(),
         ..GrantSettings::default()
     }
 }
@@ -297,7 +297,8 @@
     type Result = ();
 
     fn handle(&mut self, ran: TaskRan, ctx: &mut Context<Self>) {
-        self.ledger.on_ran(self.clock.now(), ran.attempt, ran.end);
+        self.ledger
+            .on_task_ended(self.clock.now(), ran.attempt, ran.end);
         self.flush(ctx);
     }
 }
--- a/crates/dispatcher/src/control/membership.rs
+++ b/crates/dispatcher/src/control/membership.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use actix::{ActorFutureExt as _, AsyncContext as _, Context, Handler, WrapFuture as _};
-use membership::{BeatReply, MemberAction};
+use membership::{HeartbeatReply, MemberAction};
 use model::{EndpointAddress, EndpointId, EndpointState, VmEntry, VmRole};
 use peer::{PeerError, PingReply};
 use telemetry::CounterKind;
@@ -15,7 +15,7 @@
         let mut changed = false;
         for action in self.members.tick(self.clock.now()) {
             match action {
-                MemberAction::Beat { address } => self.beat(ctx, address),
+                MemberAction::SendHeartbeat { address } => self.beat(ctx, address),
                 MemberAction::ViewChanged => changed = true,
             }
         }
@@ -136,7 +136,7 @@
             Some(PeerSlot::Open(link)) => {
                 let reply = link
                     .client()
-                    .beat(&self.members.beat_message())
+                    .beat(&self.members.heartbeat_message())
                     .into_actor(self);
                 ctx.spawn(
                     reply
@@ -165,19 +165,19 @@
         &mut self,
         ctx: &mut Context<Self>,
         address: SocketAddr,
-        reply: Result<BeatReply, PeerError>,
+        reply: Result<HeartbeatReply, PeerError>,
     ) {
         let now = self.clock.now();
         match reply {
             Ok(reply) => {
                 let head = reply.view.head;
-                self.members.on_reply(now, reply);
+                self.members.on_heartbeat_reply(now, reply);
                 self.hear_head(ctx, address, head);
             }
             Err(error) => {
                 self.peers.remove(&address);
                 if error == PeerError::Refused {
-                    self.members.on_refused(now, address);
+                    self.members.on_connection_refused(now, address);
                 }
             }
         }
@@ -191,7 +191,7 @@
 
     fn handle(&mut self, taken: BeatTaken, ctx: &mut Context<Self>) {
         let (address, head) = (taken.message.view.address, taken.message.view.head);
-        let reply = self.members.on_beat(self.clock.now(), taken.message);
+        let reply = self.members.on_heartbeat(self.clock.now(), taken.message);
         self.hear_head(ctx, address, head);
         let _gone = taken.reply.send(Ok(reply));
         self.tick_members(ctx);
@@ -214,10 +214,10 @@
         let now = self.clock.now();
         let open = taken
             .session
-            .is_none_or(|(entry, session)| self.ledger.hear(now, entry, session));
+            .is_none_or(|(entry, session)| self.ledger.record_activity(now, entry, session));
         let answer = match open {
             true => Ok(PingReply {
-                view: self.members.beat_message().view,
+                view: self.members.heartbeat_message().view,
                 slots: self.ledger.slots(),
                 centre: (self.centre.revision != taken.revision).then(|| self.centre.clone()),
             }),
--- a/crates/ledger/tests/at_most_once/main.rs
+++ b/crates/ledger/tests/at_most_once/main.rs
@@ -1,9 +1,9 @@
 //! One authority and two ledgers with an unreliable network between them, under random interleavings.
 //!
-//! What a caller sees: a task that ran twice books two learners into one car; a "not run" of a task that ran leaves
-//! one at the roadside. What happens, in any order: messages are late or change places with the next one,
-//! connections break while bytes of the old one are still read, dispatchers die or freeze, endpoints answer busy or
-//! not at all, callers cancel, deadlines pass. Nothing here may start a task twice or tell an untrue answer.
+//! A task that runs twice books two learners into one car; a "not run" answer for a task that ran leaves one at the
+//! roadside. Events come in any order: messages are late or swapped with the next one, connections break while messages
+//! of the old one are still read, dispatchers die or freeze, endpoints answer busy or not at all, callers cancel,
+//! deadlines pass. No task may start twice and no answer may be untrue.
 
 mod world;
 
@@ -19,12 +19,12 @@
         4 => (1u64..5).prop_map(WorldStep::SubmitAgain),
         30 => (0usize..2, any::<bool>()).prop_map(|(to, second)| WorldStep::ToDispatcher { to, second }),
         30 => (0usize..2, any::<bool>()).prop_map(|(from, second)| WorldStep::ToEntry { from, second }),
-        4 => (0usize..4).prop_map(WorldStep::OldBytes),
-        4 => (0usize..4).prop_map(WorldStep::OldMail),
+        4 => (0usize..4).prop_map(WorldStep::DeliverStaleToDispatcher),
+        4 => (0usize..4).prop_map(WorldStep::DeliverStaleToEntry),
         16 => (0usize..8, fate()).prop_map(|(task, fate)| WorldStep::EndTask { task, fate }),
-        6 => (1u64..400).prop_map(WorldStep::Pass),
+        6 => (1u64..400).prop_map(WorldStep::Advance),
         4 => (0usize..2).prop_map(WorldStep::LoseConnection),
-        3 => (0usize..2).prop_map(WorldStep::DispatcherNotices),
+        3 => (0usize..2).prop_map(WorldStep::DispatcherDetectsLoss),
         6 => (0usize..2).prop_map(WorldStep::Connect),
         1 => (0usize..2).prop_map(WorldStep::Kill),
         8 => (1u64..5).prop_map(WorldStep::Cancel),
@@ -40,8 +40,8 @@
     ]
 }
 
-/// `INTERLEAVING_SEED` and `INTERLEAVING_CASES` take the place of the fixed seed and number, to search further. The fixed
-/// ones give the same verdict on every run.
+/// `INTERLEAVING_SEED` and `INTERLEAVING_CASES` override the fixed seed and number of cases, to search further. The
+/// fixed ones give the same result on every run.
 fn config() -> ProptestConfig {
     let number = |name, usual| {
         std::env::var(name)
@@ -63,12 +63,12 @@
     #![proptest_config(config())]
 
     #[test]
-    fn no_interleaving_starts_twice_or_lies(steps in prop::collection::vec(step(), 1..160)) {
+    fn no_interleaving_starts_a_task_twice_or_gives_an_untrue_answer(steps in prop::collection::vec(step(), 1..160)) {
         let mut world = World::new();
         for step in steps {
-            world.take(step);
+            world.apply(step);
         }
-        world.settle();
-        prop_assert!(world.faults().is_empty(), "{:#?}", world.faults());
+        world.run_to_completion();
+        prop_assert!(world.violations().is_empty(), "{:#?}", world.violations());
     }
 }
--- a/crates/membership/examples/cost/main.rs
+++ b/crates/membership/examples/cost/main.rs
@@ -1,8 +1,9 @@
-//! Counts what membership and grants cost one VM: messages, bytes, memory and processor time.
+//! Measures the cost of membership and grants for one VM: messages, bytes, memory and processor time.
 //!
-//! `cargo run --release -p membership --example cost`. The figures of docs/design/0004-membership-and-grants.md come
-//! from here. Messages are counted on the state machines, bytes on messages built with the peer schema, memory by an
-//! allocator that counts. Only the bytes of TCP and IP headers are reckoned.
+//! Run with `cargo run --release -p membership --example cost`. The figures of
+//! docs/design/0004-membership-and-grants.md come from this example. Messages are counted on the state machines, bytes
+//! on messages built with the peer schema, and memory by a counting allocator. Only the bytes of TCP and IP headers are
+//! computed.
 
 mod heap;
 mod wire;
@@ -14,18 +15,18 @@
 };
 
 use membership::{
-    rendezvous, AskBatch, BeatMessage, BeatReply, GrantHolder, GrantLedger, GrantReply,
-    GrantSettings, GrantVerdict, LiveOwner, MemberAction, MemberSettings, MemberTable, MemberView,
-    OwnMember, OwnershipMap, ReplyBatch,
+    rendezvous, AskBatch, GrantAllocator, GrantDecision, GrantHolder, GrantReply, GrantSettings,
+    HeartbeatMessage, HeartbeatReply, LiveOwner, MemberAction, MemberSettings, MemberTable,
+    MemberView, OwnMember, OwnershipMap, ReplyBatch,
 };
 use model::{
     CustomerId, DataCentreId, EndpointId, EndpointState, FastMap, IncarnationId, VmEntry, VmRole,
 };
 
-/// Teams with quotas at the target.
+/// The number of customers at the target size.
 const CUSTOMERS: usize = 140;
 
-/// Simulated time of each count, in steps of 50 ms.
+/// The number of simulated steps of 50 ms of each count.
 const STEPS: u32 = 2400;
 
 fn main() {
@@ -37,14 +38,14 @@
         );
         print_members(vms, centres);
         print_ownership(vms, endpoints);
-        for (load, count) in [("content", 10), ("short everywhere", 2)] {
+        for (load, count) in [("satisfied", 10), ("less than wanted", 2)] {
             print_holder(vms, load, count);
         }
-        print_ledger(vms);
+        print_allocator(vms);
     }
 }
 
-/// The bytes of a batch without asks, and of each ask.
+/// Prints the bytes of a batch without asks, and of each ask.
 fn print_grant_sizes() {
     let bytes = |asks: usize| {
         let batch = ask_of(3, 1, &customers()[..asks]);
@@ -105,11 +106,12 @@
     list
 }
 
-/// The VM in the middle of the first data centre: half of its peers beat it, and it beats the other half.
+/// Prints the cost of heartbeats for the VM in the middle of the first data centre: half of its peers send it
+/// heartbeats, and it sends them to the other half.
 fn print_members(vms: u16, centres: u16) {
     let list = vm_list(vms, centres);
     let own = vms / 2;
-    let held = heap::used();
+    let allocated_before = heap::allocated_bytes();
     let mut table = table(0, own, &list);
     let mut now = Instant::now();
     let mut due = vec![now; usize::from(vms)];
@@ -118,21 +120,21 @@
     for _ in 0..STEPS {
         now += Duration::from_millis(50);
         let started = Instant::now();
-        // Those below in the order of addresses beat at the same period.
+        // Peers with lower addresses send heartbeats at the same period.
         for vm in 0..own {
             if now >= due[usize::from(vm)] {
                 due[usize::from(vm)] = now + table.period();
-                black_box(table.on_beat(now, BeatMessage { view: view(0, vm) }));
+                black_box(table.on_heartbeat(now, HeartbeatMessage { view: view(0, vm) }));
                 local += 1;
             }
         }
         for action in table.tick(now) {
-            let MemberAction::Beat { address } = action else {
+            let MemberAction::SendHeartbeat { address } = action else {
                 continue;
             };
             let peer = list.iter().position(|vm| vm.address == address).unwrap() as u16;
             let (c, vm) = (peer / vms, peer % vms);
-            table.on_reply(now, BeatReply { view: view(c, vm) });
+            table.on_heartbeat_reply(now, HeartbeatReply { view: view(c, vm) });
             if c == 0 {
                 local += 1;
             } else {
@@ -142,41 +144,42 @@
         busy += started.elapsed();
     }
     let seconds = f64::from(STEPS) / 20.0;
-    let inward = remote_beats_in(vms, centres, own, &list);
-    let beats = f64::from(local) / seconds;
-    let far = (f64::from(remote) + f64::from(inward) * f64::from(remote_rounds())) / seconds;
+    let received = remote_heartbeats_received(vms, centres, own, &list);
+    let local_rate = f64::from(local) / seconds;
+    let remote_rate =
+        (f64::from(remote) + f64::from(received) * f64::from(remote_rounds())) / seconds;
     println!(
-        "  beats: {beats:.1}/s here, {far:.1}/s to and from others, {:.2} KB/s; {} KB held, {:.4}% of a core",
-        (beats + far) * wire::beat_bytes() as f64 / 1000.0,
-        (heap::used() - held) / 1000,
+        "  heartbeats: {local_rate:.1}/s here, {remote_rate:.1}/s to and from others, {:.2} KB/s; {} KB allocated, {:.4}% of a core",
+        (local_rate + remote_rate) * wire::heartbeat_bytes() as f64 / 1000.0,
+        (heap::allocated_bytes() - allocated_before) / 1000,
         busy.as_secs_f64() / seconds * 100.0
     );
 }
 
 fn remote_rounds() -> u32 {
-    let every = MemberSettings::default().remote_beat_every;
+    let every = MemberSettings::default().remote_heartbeat_interval;
     (Duration::from_millis(50) * STEPS).as_secs() as u32 / every.as_secs() as u32
 }
 
-/// How many processes of other data centres choose this one for a contact.
-fn remote_beats_in(vms: u16, centres: u16, own: u16, list: &[VmEntry]) -> u32 {
+/// The number of processes in other data centres that choose this one as a contact.
+fn remote_heartbeats_received(vms: u16, centres: u16, own: u16, list: &[VmEntry]) -> u32 {
     let here = &list[..usize::from(vms)];
-    let mut inward = 0;
+    let mut received = 0;
     for c in 1..centres {
         for vm in 0..vms {
             for action in table(c, vm, here).tick(Instant::now()) {
-                let target = MemberAction::Beat {
+                let target = MemberAction::SendHeartbeat {
                     address: address(0, own),
                 };
-                inward += u32::from(action == target);
+                received += u32::from(action == target);
             }
         }
     }
-    inward
+    received
 }
 
 fn print_ownership(vms: u16, endpoints: usize) {
-    let held = heap::used();
+    let allocated_before = heap::allocated_bytes();
     let mut map = OwnershipMap::default();
     let members: Vec<SocketAddr> = (0..vms).map(|vm| address(0, vm)).collect();
     let ids: Vec<EndpointId> = (0..endpoints)
@@ -193,8 +196,8 @@
     }
     let each = started.elapsed() / rounds;
     println!(
-        "  ownership: {each:?} for a change, {} KB held",
-        (heap::used() - held) / 1000
+        "  ownership: {each:?} for a change, {} KB allocated",
+        (heap::allocated_bytes() - allocated_before) / 1000
     );
 }
 
@@ -205,12 +208,12 @@
 }
 
 fn answer(batch: &AskBatch, count: u32) -> ReplyBatch {
-    let verdict = GrantVerdict::Granted { count, share: 600 };
+    let decision = GrantDecision::Granted { count, share: 600 };
     let mut replies = Vec::new();
     for ask in &batch.asks {
         replies.push(GrantReply {
             customer: ask.customer.clone(),
-            verdict,
+            decision,
         });
     }
     ReplyBatch {
@@ -220,10 +223,10 @@
     }
 }
 
-/// An entry with work of every customer, whose homes grant `count` of each.
+/// Prints the cost of an entry with work of every customer, whose homes grant `count` of each.
 fn print_holder(vms: u16, load: &str, count: u32) {
     let mut now = Instant::now();
-    let held = heap::used();
+    let allocated_before = heap::allocated_bytes();
     let settings = GrantSettings::default();
     let mut holder = GrantHolder::new(address(0, 0), IncarnationId(1), settings);
     let live: Vec<SocketAddr> = (0..vms).map(|vm| address(0, vm)).collect();
@@ -251,23 +254,23 @@
     }
     let seconds = f64::from(STEPS) / 20.0;
     println!(
-        "  entry, {load}: {:.1} batches/s of {:.1} asks, {:.2} KB/s; {} KB held, {:.4}% of a core",
+        "  entry, {load}: {:.1} batches/s of {:.1} asks, {:.2} KB/s; {} KB allocated, {:.4}% of a core",
         f64::from(batches) / seconds,
         asks as f64 / f64::from(batches),
         bytes as f64 / seconds / 1000.0,
-        (heap::used() - held) / 1000,
+        (heap::allocated_bytes() - allocated_before) / 1000,
         busy.as_secs_f64() / seconds * 100.0
     );
 }
 
-/// A home that every entry of the data centre asks about all the customers that it is home of.
-fn print_ledger(vms: u16) {
+/// Prints the cost of a home that every entry of the data centre asks about all its customers.
+fn print_allocator(vms: u16) {
     let mut now = Instant::now();
     let own = address(0, 0);
-    let held = heap::used();
-    let mut ledger = GrantLedger::new(own, GrantSettings::default());
+    let allocated_before = heap::allocated_bytes();
+    let mut allocator = GrantAllocator::new(own, GrantSettings::default());
     for customer in customers() {
-        ledger.set_share(now, customer, 600);
+        allocator.set_share(now, customer, 600);
     }
     let mut live = Vec::new();
     for vm in 0..vms {
@@ -277,28 +280,28 @@
         });
     }
     let listed = live.iter().map(|owner| owner.address).collect();
-    ledger.set_view(now, live, listed);
-    let mine: Vec<CustomerId> = ledger.customers().cloned().collect();
+    allocator.set_view(now, live, listed);
+    let own_customers: Vec<CustomerId> = allocator.customers().cloned().collect();
     for _ in 0..11 {
         now += Duration::from_secs(1);
-        ledger.tick(now);
+        allocator.tick(now);
     }
     let rounds: u64 = 20;
     let mut busy = Duration::ZERO;
     for round in 1..=rounds {
         for vm in 0..vms {
-            let batch = ask_of(vm, round, &mine);
+            let batch = ask_of(vm, round, &own_customers);
             let started = Instant::now();
-            black_box(ledger.on_ask(now, &batch));
+            black_box(allocator.on_ask(now, &batch));
             busy += started.elapsed();
         }
     }
-    let asks = rounds * u64::from(vms) * mine.len() as u64;
+    let asks = rounds * u64::from(vms) * own_customers.len() as u64;
     println!(
-        "  home of {} customers (most at one home: {}): {} KB held, {:?} an ask",
-        mine.len(),
+        "  home of {} customers (most at one home: {}): {} KB allocated, {:?} an ask",
+        own_customers.len(),
         most_at_one_home(vms),
-        (heap::used() - held) / 1000,
+        (heap::allocated_bytes() - allocated_before) / 1000,
         busy / asks.max(1) as u32
     );
 }
--- a/crates/membership/examples/cost/wire.rs
+++ b/crates/membership/examples/cost/wire.rs
@@ -1,28 +1,28 @@
-//! The bytes that an exchange between two processes puts on the network.
+//! The bytes that an exchange between two processes sends over the network.
 
 use std::net::SocketAddr;
 
 use capnp::{message::Builder, serialize::compute_serialized_size_in_words};
 use capnp_rpc::rpc_capnp;
-use membership::{AskBatch, GrantVerdict, ReplyBatch};
+use membership::{AskBatch, GrantDecision, ReplyBatch};
 use peer::peer_capnp::{dispatcher_port, member_view};
 
-/// TCP and IP headers with timestamps, in bytes. Reckoned, not measured.
-const HEADER: usize = 52;
+/// Bytes of the TCP and IP headers with timestamps.
+const HEADER_BYTES: usize = 52;
 
-/// Segments of one exchange: call, return, finish, and a bare acknowledgement. Reckoned.
+/// Segments of one exchange: call, return, finish, and a bare acknowledgement.
 const SEGMENTS: usize = 4;
 
 pub(crate) fn print_sizes() {
     println!(
-        "one beat with its answer: {} bytes of messages, {} with headers",
-        beat_bytes() - HEADER * SEGMENTS,
-        beat_bytes()
+        "one heartbeat with its answer: {} bytes of messages, {} with headers",
+        heartbeat_bytes() - HEADER_BYTES * SEGMENTS,
+        heartbeat_bytes()
     );
 }
 
-/// A heartbeat and its answer, headers included.
-pub(crate) fn beat_bytes() -> usize {
+/// The bytes of a heartbeat and its answer, headers included.
+pub(crate) fn heartbeat_bytes() -> usize {
     let call = call_bytes(|content| {
         write_view(
             content
@@ -37,10 +37,10 @@
                 .init_view(),
         );
     });
-    call + answer + finish_bytes() + HEADER * SEGMENTS
+    call + answer + finish_bytes() + HEADER_BYTES * SEGMENTS
 }
 
-/// A batch of asks and its answer, headers included.
+/// The bytes of a batch of asks and its answer, headers included.
 pub(crate) fn grant_bytes(batch: &AskBatch, reply: &ReplyBatch) -> usize {
     let call = call_bytes(|content| {
         write_asks(
@@ -54,7 +54,7 @@
             reply,
         );
     });
-    call + answer + finish_bytes() + HEADER * SEGMENTS
+    call + answer + finish_bytes() + HEADER_BYTES * SEGMENTS
 }
 
 fn call_bytes(write: impl FnOnce(capnp::any_pointer::Builder<'_>)) -> usize {
@@ -115,7 +115,7 @@
     for (i, reply) in batch.replies.iter().enumerate() {
         let mut builder = replies.reborrow().get(i as u32);
         builder.set_customer(reply.customer.as_str());
-        if let GrantVerdict::Granted { count, share } = reply.verdict {
+        if let GrantDecision::Granted { count, share } = reply.decision {
             let mut granted = builder.init_granted();
             granted.set_count(count);
             granted.set_share(share);
--- a/crates/membership/src/grant/holder.rs
+++ b/crates/membership/src/grant/holder.rs
@@ -9,32 +9,33 @@
 use model::{CustomerId, FastMap, IncarnationId};
 use thiserror::Error;
 
-use super::{base_share, AskBatch, GrantAsk, GrantReply, GrantSettings, GrantVerdict, ReplyBatch};
-use crate::mix::rendezvous;
+use super::{base_share, AskBatch, GrantAsk, GrantDecision, GrantReply, GrantSettings, ReplyBatch};
+use crate::hashing::rendezvous;
 
-/// What a batch without asks takes with its answer and all headers, in bytes; measured.
+/// Bytes of a batch without asks and its answer, headers included.
 const BATCH_BYTES: u32 = 568;
 
-/// What one ask and its answer add to that, in bytes, for a customer id of 18; measured.
+/// Bytes that one ask and its answer add to a batch, for a customer id of 18 bytes.
 const ASK_BYTES: u32 = 96;
 
-/// How far the budget may be overdrawn, so that the asks of a whole change of view go out at once.
-const MOST_OVERDRAWN: Duration = Duration::from_secs(2);
+/// How far the byte budget may be overdrawn, so that all asks that follow a change of view go out at once.
+const MAX_BUDGET_OVERDRAFT: Duration = Duration::from_secs(2);
 
-/// Why a task may not start now.
+/// The reason why a task may not start now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum StartRefusal {
     /// The customer has no share in this data centre that this entry knows of.
-    #[error("the customer has no share here")]
+    #[error("the customer has no share in this data centre")]
     NoShare,
-    /// As many tasks run as the grant allows, or there is no grant in force. An ask is on its way or due.
+    /// The grant is used up, or no grant is in force. An ask is pending or due.
     #[error("the customer's grant is used up or not in force")]
     NoGrant,
 }
 
-/// What one entry holds of each customer's share, and what it needs.
+/// The grants of one entry and its demand, for each customer.
 ///
-/// A customer without work, tasks or grant costs no message. All of an entry's customers at one home share a message.
+/// A customer without work, tasks or a grant costs no message. All customers of an entry with the same home share a
+/// message.
 #[derive(Clone, Debug)]
 pub struct GrantHolder {
     own: SocketAddr,
@@ -42,14 +43,14 @@
     settings: GrantSettings,
     live: Vec<SocketAddr>,
     listed: Vec<SocketAddr>,
-    holdings: FastMap<CustomerId, Holding>,
+    customers: FastMap<CustomerId, CustomerState>,
     serial: u64,
-    /// The time up to which the budget of bytes is spent.
-    spent_until: Option<Instant>,
+    /// The time up to which the byte budget is spent.
+    budget_spent_until: Option<Instant>,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Holding {
+struct CustomerState {
     share: u32,
     home: Option<SocketAddr>,
     grant: Option<Grant>,
@@ -57,24 +58,24 @@
     waiting: u32,
     /// The highest demand since the last ask.
     peak: u32,
-    /// Since when the grant is larger than needed.
+    /// The time since which the grant has been larger than needed.
     excess_since: Option<Instant>,
-    asked: Option<Asked>,
-    /// The first ask that no home answered.
-    silent_since: Option<Instant>,
-    due: Option<Instant>,
+    pending_ask: Option<PendingAsk>,
+    /// The time since which asks have gone unanswered or no home was known.
+    unanswered_since: Option<Instant>,
+    ask_due: Option<Instant>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Grant {
     count: u32,
-    /// The share that the home went by.
+    /// The customer's share that the home based the grant on.
     share: u32,
-    until: Instant,
+    expires_at: Instant,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct PendingAsk {
     serial: u64,
     at: Instant,
     want: u32,
@@ -82,7 +83,7 @@
 }
 
 impl GrantHolder {
-    /// A holder without grants. `own` is the peer address of the dispatcher on the same VM.
+    /// Creates a holder without grants. `own` is the peer address of the dispatcher on the same VM.
     pub fn new(own: SocketAddr, incarnation: IncarnationId, settings: GrantSettings) -> Self {
         Self {
             own,
@@ -90,82 +91,82 @@
             settings,
             live: Vec::new(),
             listed: Vec::new(),
-            holdings: FastMap::default(),
+            customers: FastMap::default(),
             serial: 0,
-            spent_until: None,
+            budget_spent_until: None,
         }
     }
 
-    /// Takes a new view: the addresses of [`crate::MemberTable::owners`], and [`crate::MemberTable::listed`]. A
-    /// customer with another home now is asked for there at the next tick; an answer of the old home is ignored.
+    /// Sets the view: the addresses of [`crate::MemberTable::owners`] and of [`crate::MemberTable::listed`]. A customer
+    /// whose home changed is asked for at the new home with the next tick; an answer of the old home is ignored.
     pub fn set_view(&mut self, now: Instant, live: Vec<SocketAddr>, listed: Vec<SocketAddr>) {
         self.live = live;
         self.listed = listed;
-        for (customer, holding) in &mut self.holdings {
+        for (customer, state) in &mut self.customers {
             let home = rendezvous(customer, self.live.iter().copied());
-            if home == holding.home {
+            if home == state.home {
                 continue;
             }
-            holding.home = home;
-            holding.asked = None;
-            if holding.is_active(now) {
-                holding.due = Some(now);
+            state.home = home;
+            state.pending_ask = None;
+            if state.is_active(now) {
+                state.ask_due = Some(now);
             }
         }
     }
 
-    /// Sets the customer's share in this data centre; 0 when the contract is retired. A lower one binds at once.
+    /// Sets the customer's share in this data centre; 0 if the contract is retired. A lower share takes effect at once.
     pub fn set_share(&mut self, customer: &CustomerId, share: u32) {
-        if let Some(holding) = self.holdings.get_mut(customer) {
-            holding.share = share;
+        if let Some(state) = self.customers.get_mut(customer) {
+            state.share = share;
             return;
         }
-        let holding = Holding {
+        let state = CustomerState {
             share,
             home: rendezvous(customer, self.live.iter().copied()),
-            ..Holding::default()
+            ..CustomerState::default()
         };
-        self.holdings.insert(customer.clone(), holding);
+        self.customers.insert(customer.clone(), state);
     }
 
     /// Counts a task that starts now.
     ///
     /// # Errors
     ///
-    /// Says why it may not. The term is checked here, at each start: a process that was paused finds a lapsed grant
-    /// lapsed, whatever lies in its queues.
+    /// Returns the reason why the task may not start. The term is checked at each start, so that a process that was
+    /// paused notices an expired grant, whatever waits in its queues.
     pub fn start(&mut self, now: Instant, customer: &CustomerId) -> Result<(), StartRefusal> {
         let limit = self.limit(now, customer);
-        let retry_every = self.settings.retry_every;
-        let holding = self
-            .holdings
+        let retry_interval = self.settings.retry_interval;
+        let state = self
+            .customers
             .get_mut(customer)
             .ok_or(StartRefusal::NoShare)?;
-        if holding.share == 0 {
+        if state.share == 0 {
             return Err(StartRefusal::NoShare);
         }
-        if holding.in_use >= limit {
-            holding.peak = holding.peak.max(holding.in_use + holding.waiting.max(1));
-            holding.ask_soon(now, retry_every);
+        if state.in_use >= limit {
+            state.peak = state.peak.max(state.in_use + state.waiting.max(1));
+            state.schedule_ask(now, retry_interval);
             return Err(StartRefusal::NoGrant);
         }
-        holding.in_use += 1;
-        holding.note_demand();
+        state.in_use += 1;
+        state.record_demand();
         Ok(())
     }
 
     /// Counts a task that ended, or that certainly did not start.
     pub fn finish(&mut self, customer: &CustomerId) {
-        if let Some(holding) = self.holdings.get_mut(customer) {
-            holding.in_use = holding.in_use.saturating_sub(1);
+        if let Some(state) = self.customers.get_mut(customer) {
+            state.in_use = state.in_use.saturating_sub(1);
         }
     }
 
-    /// Sets how many tasks of the customer run or may run, and how many wait for a grant, for callers that keep count
-    /// of both themselves.
+    /// Sets how many tasks of the customer run or may run, and how many wait for a grant, for callers that count both
+    /// themselves.
     pub fn set_demand(&mut self, now: Instant, customer: &CustomerId, in_use: u32, waiting: u32) {
-        if let Some(holding) = self.holdings.get_mut(customer) {
-            holding.in_use = in_use;
+        if let Some(state) = self.customers.get_mut(customer) {
+            state.in_use = in_use;
         }
         self.set_waiting(now, customer, waiting);
     }
@@ -173,94 +174,101 @@
     /// Sets how many tasks of the customer wait for a grant at this entry.
     pub fn set_waiting(&mut self, now: Instant, customer: &CustomerId, waiting: u32) {
         let limit = self.limit(now, customer);
-        let retry_every = self.settings.retry_every;
-        let Some(holding) = self.holdings.get_mut(customer) else {
+        let retry_interval = self.settings.retry_interval;
+        let Some(state) = self.customers.get_mut(customer) else {
             return;
         };
-        holding.waiting = waiting;
-        holding.note_demand();
-        if holding.demand() > limit {
-            holding.ask_soon(now, retry_every);
+        state.waiting = waiting;
+        state.record_demand();
+        if state.demand() > limit {
+            state.schedule_ask(now, retry_interval);
         }
     }
 
-    /// How many tasks of the customer may be in use at once now.
+    /// The number of tasks of the customer that may be in use at `now`.
     pub fn limit(&self, now: Instant, customer: &CustomerId) -> u32 {
-        let Some(holding) = self.holdings.get(customer) else {
+        let Some(state) = self.customers.get(customer) else {
             return 0;
         };
-        if let Some(count) = holding.granted(now) {
+        if let Some(count) = state.granted(now) {
             return count;
         }
-        if holding.home_is_silent(now, self.settings.base_after) {
-            return base_share(holding.share, customer, self.own, &self.listed);
+        if state.home_is_unresponsive(now, self.settings.base_share_after) {
+            return base_share(state.share, customer, self.own, &self.listed);
         }
         0
     }
 
-    /// When [`Self::limit`] ends to hold; `None` for one that does not lapse by itself.
-    pub fn lapses_at(&self, now: Instant, customer: &CustomerId) -> Option<Instant> {
-        let grant = self.holdings.get(customer)?.grant?;
-        (now < grant.until).then_some(grant.until)
+    /// The time at which the grant behind [`Self::limit`] expires; `None` for a limit that does not expire by itself.
+    pub fn expires_at(&self, now: Instant, customer: &CustomerId) -> Option<Instant> {
+        let grant = self.customers.get(customer)?.grant?;
+        (now < grant.expires_at).then_some(grant.expires_at)
     }
 
-    /// The address by which this entry's base shares are reckoned, once it is known better than at the start.
-    pub fn set_own(&mut self, own: SocketAddr) {
+    /// Sets the address that determines this entry's base shares, once it is known more exactly than at the start.
+    pub fn set_own_address(&mut self, own: SocketAddr) {
         self.own = own;
     }
 
-    /// The tasks of the customer that run or may run.
+    /// The number of tasks of the customer that run or may run.
     pub fn in_use(&self, customer: &CustomerId) -> u32 {
-        self.holdings.get(customer).map_or(0, |h| h.in_use)
+        self.customers.get(customer).map_or(0, |h| h.in_use)
     }
 
-    /// Lets time pass and returns the batches to send now, those due first first.
+    /// Returns the batches to send at `now`, the longest due first.
     ///
-    /// `now` must be read before anything is sent: the holder's terms count from it.
+    /// `now` must be read before anything is sent, as the holder counts its terms from it.
     pub fn tick(&mut self, now: Instant) -> Vec<AskBatch> {
         let mut batches = Vec::new();
         for home in self.homes_due(now) {
-            if self.spent_until.is_some_and(|at| at > now + MOST_OVERDRAWN) {
+            if self
+                .budget_spent_until
+                .is_some_and(|at| at > now + MAX_BUDGET_OVERDRAFT)
+            {
                 break;
             }
-            let batch = self.batch_for(now, home);
-            self.spend(now, batch.asks.len() as u32);
+            let batch = self.build_batch(now, home);
+            self.charge_budget(now, batch.asks.len() as u32);
             batches.push(batch);
         }
         batches
     }
 
-    /// A home answered. An answer to any but the latest ask about a customer is ignored: the home reckons with that.
+    /// Applies a home's answer. An answer to any but the latest ask about a customer is ignored; the home relies on
+    /// that.
     pub fn on_reply(&mut self, now: Instant, batch: &ReplyBatch) {
         for reply in &batch.replies {
-            let Some(holding) = self.holdings.get_mut(&reply.customer) else {
+            let Some(state) = self.customers.get_mut(&reply.customer) else {
                 continue;
             };
-            let Some(asked) = holding.asked.filter(|asked| asked.serial == batch.serial) else {
+            let Some(pending_ask) = state
+                .pending_ask
+                .filter(|pending_ask| pending_ask.serial == batch.serial)
+            else {
                 continue;
             };
-            holding.asked = None;
-            holding.obey(now, asked, reply, batch.term, &self.settings);
+            state.pending_ask = None;
+            state.apply_reply(now, pending_ask, reply, batch.term, &self.settings);
         }
     }
 
     /// The homes with a customer whose ask is due, the longest due first.
     fn homes_due(&mut self, now: Instant) -> Vec<SocketAddr> {
         let mut due: BTreeMap<SocketAddr, Instant> = BTreeMap::new();
-        for holding in self.holdings.values_mut() {
-            holding.note_excess(now, &self.settings);
-            let Some(at) = holding.due.filter(|at| *at <= now) else {
+        for state in self.customers.values_mut() {
+            state.check_excess(now, &self.settings);
+            let Some(at) = state.ask_due.filter(|at| *at <= now) else {
                 continue;
             };
-            if holding.awaits_reply(now, &self.settings) {
+            if state.awaits_reply(now, &self.settings) {
                 continue;
             }
-            if !holding.is_active(now) {
-                holding.rest();
+            if !state.is_active(now) {
+                state.clear();
                 continue;
             }
-            let Some(home) = holding.home else {
-                holding.silent_since.get_or_insert(now);
+            let Some(home) = state.home else {
+                state.unanswered_since.get_or_insert(now);
                 continue;
             };
             let earliest = due.entry(home).or_insert(at);
@@ -272,33 +280,34 @@
         homes.into_iter().map(|(_, home)| home).collect()
     }
 
-    /// Charges the budget with a batch of so many asks.
-    fn spend(&mut self, now: Instant, asks: u32) {
+    /// Charges the byte budget for a batch with this number of asks.
+    fn charge_budget(&mut self, now: Instant, asks: u32) {
         let bytes = BATCH_BYTES + ASK_BYTES * asks;
-        let spent = self.spent_until.map_or(now, |at| at.max(now));
-        let time = Duration::from_secs(1) * bytes / self.settings.bytes_per_second.max(1);
-        self.spent_until = Some(spent + time);
+        let spent = self.budget_spent_until.map_or(now, |at| at.max(now));
+        let time = Duration::from_secs(1) * bytes / self.settings.max_bytes_per_second.max(1);
+        self.budget_spent_until = Some(spent + time);
     }
 
-    /// One batch with every active customer of the home, due or not: one more costs some bytes, a message of its own
-    /// later several times that. Left out are those whose answer may be on its way, as it would be ignored.
-    fn batch_for(&mut self, now: Instant, home: SocketAddr) -> AskBatch {
+    /// Builds one batch with every active customer of the home, whether its ask is due or not: an additional ask costs
+    /// some bytes, a separate message later costs several times as many. Customers whose answer may still be on its way
+    /// are left out, as that answer would then be ignored.
+    fn build_batch(&mut self, now: Instant, home: SocketAddr) -> AskBatch {
         self.serial += 1;
         let mut asks = Vec::new();
-        for (customer, holding) in &mut self.holdings {
-            if holding.home != Some(home) || !holding.is_active(now) {
+        for (customer, state) in &mut self.customers {
+            if state.home != Some(home) || !state.is_active(now) {
                 continue;
             }
-            if holding.awaits_reply(now, &self.settings) {
+            if state.awaits_reply(now, &self.settings) {
                 continue;
             }
-            let base = base_share(holding.share, customer, self.own, &self.listed);
-            let (want, held) = holding.ask(now, self.serial, base, &self.settings);
+            let base = base_share(state.share, customer, self.own, &self.listed);
+            let (want, held) = state.prepare_ask(now, self.serial, base, &self.settings);
             asks.push(GrantAsk {
                 customer: customer.clone(),
                 want,
                 held,
-                in_use: holding.in_use,
+                in_use: state.in_use,
             });
         }
         asks.sort_unstable_by(|a, b| a.customer.cmp(&b.customer));
@@ -312,7 +321,7 @@
     }
 }
 
-impl Holding {
+impl CustomerState {
     fn demand(&self) -> u32 {
         self.in_use.saturating_add(self.waiting)
     }
@@ -322,13 +331,15 @@
     }
 
     fn awaits_reply(&self, now: Instant, settings: &GrantSettings) -> bool {
-        let limit = settings.retry_every;
-        self.asked.is_some_and(|asked| now < asked.at + limit)
+        let limit = settings.retry_interval;
+        self.pending_ask
+            .is_some_and(|pending_ask| now < pending_ask.at + limit)
     }
 
-    /// The grant in force, scaled down where the share has fallen since: the sum over all holders falls with it.
+    /// The grant in force, scaled down if the share has fallen since, so that the sum over all holders falls with the
+    /// share.
     fn granted(&self, now: Instant) -> Option<u32> {
-        let grant = self.grant.filter(|grant| now < grant.until)?;
+        let grant = self.grant.filter(|grant| now < grant.expires_at)?;
         if self.share >= grant.share {
             return Some(grant.count);
         }
@@ -336,12 +347,12 @@
         Some(scaled as u32)
     }
 
-    fn home_is_silent(&self, now: Instant, base_after: Duration) -> bool {
-        self.silent_since
-            .is_some_and(|since| now.saturating_duration_since(since) >= base_after)
+    fn home_is_unresponsive(&self, now: Instant, base_share_after: Duration) -> bool {
+        self.unanswered_since
+            .is_some_and(|since| now.saturating_duration_since(since) >= base_share_after)
     }
 
-    fn note_demand(&mut self) {
+    fn record_demand(&mut self) {
         let demand = self.demand();
         self.peak = self.peak.max(demand);
         let grant = self.grant.map_or(0, |grant| grant.count);
@@ -350,34 +361,35 @@
         }
     }
 
-    /// A grant of which less than half is used goes back after a while, so that others need not wait for its renewal.
-    /// Half leaves room for the ups and downs of short tasks without a message for each.
-    fn note_excess(&mut self, now: Instant, settings: &GrantSettings) {
+    /// Makes an ask due if less than half of the grant has been used for a while, which returns the rest so that other
+    /// entries need not wait for the renewal. A threshold of one half absorbs the fluctuation of short tasks without a
+    /// message for each.
+    fn check_excess(&mut self, now: Instant, settings: &GrantSettings) {
         let granted = self.granted(now).unwrap_or_default();
         if self.demand().saturating_mul(2) >= granted {
             self.excess_since = None;
             return;
         }
         let since = *self.excess_since.get_or_insert(now);
-        if now.saturating_duration_since(since) >= settings.return_after {
+        if now.saturating_duration_since(since) >= settings.return_unused_after {
             self.peak = self.demand();
-            self.due = Some(self.due.map_or(now, |due| due.min(now)));
+            self.ask_due = Some(self.ask_due.map_or(now, |due| due.min(now)));
         }
     }
 
-    /// Makes an ask due now, or when the last one has had its time.
-    fn ask_soon(&mut self, now: Instant, retry_every: Duration) {
-        let soonest = match self.asked {
-            Some(asked) => now.max(asked.at + retry_every),
-            // The answer to the last one set the time of the next.
-            None if self.due.is_some_and(|due| due <= now + retry_every) => return,
+    /// Makes an ask due now, or one retry interval after the pending one.
+    fn schedule_ask(&mut self, now: Instant, retry_interval: Duration) {
+        let soonest = match self.pending_ask {
+            Some(pending_ask) => now.max(pending_ask.at + retry_interval),
+            // The answer to the last ask has already set the time of the next.
+            None if self.ask_due.is_some_and(|due| due <= now + retry_interval) => return,
             None => now,
         };
-        self.due = Some(self.due.map_or(soonest, |due| due.min(soonest)));
+        self.ask_due = Some(self.ask_due.map_or(soonest, |due| due.min(soonest)));
     }
 
-    /// Gives up what is not needed, then says what it wants and holds.
-    fn ask(
+    /// Reduces the grant to what is needed, then returns the counts to ask for and to report as held.
+    fn prepare_ask(
         &mut self,
         now: Instant,
         serial: u64,
@@ -386,72 +398,73 @@
     ) -> (u32, u32) {
         let mut want = with_headroom(self.peak.max(self.demand()), settings.headroom_percent);
         if want > 0 && self.granted(now).is_none_or(|count| count == 0) {
-            want = want.max(base.min(settings.first_ask));
+            want = want.max(base.min(settings.min_initial_ask));
         }
         let held = match self.granted(now) {
             Some(granted) => granted.min(want),
-            None if self.home_is_silent(now, settings.base_after) => base,
+            None if self.home_is_unresponsive(now, settings.base_share_after) => base,
             None => 0,
         };
-        if let Some(grant) = self.grant.as_mut().filter(|grant| now < grant.until) {
+        if let Some(grant) = self.grant.as_mut().filter(|grant| now < grant.expires_at) {
             grant.count = held;
             grant.share = grant.share.min(self.share);
         }
         self.peak = self.demand();
         self.excess_since = None;
-        self.asked = Some(Asked {
+        self.pending_ask = Some(PendingAsk {
             serial,
             at: now,
             want,
             held,
         });
-        self.silent_since.get_or_insert(now);
-        self.due = Some(now + settings.retry_every);
+        self.unanswered_since.get_or_insert(now);
+        self.ask_due = Some(now + settings.retry_interval);
         (want, held)
     }
 
-    fn obey(
+    fn apply_reply(
         &mut self,
         now: Instant,
-        asked: Asked,
+        pending_ask: PendingAsk,
         reply: &GrantReply,
         term: Duration,
         settings: &GrantSettings,
     ) {
-        let GrantVerdict::Granted { count, share } = reply.verdict else {
+        let GrantDecision::Granted { count, share } = reply.decision else {
             return;
         };
-        self.silent_since = None;
+        self.unanswered_since = None;
         self.grant = Some(Grant {
             count,
             share,
-            until: asked.at + term,
+            expires_at: pending_ask.at + term,
         });
-        let next = if count < asked.held {
-            // The home frees what it took back only when an ask shows that it is given up, and others wait for it.
+        let next = if count < pending_ask.held {
+            // The home frees the part that it took back only when an ask confirms that the holder has given it up, and
+            // other entries wait for that part.
             now
-        } else if self.demand() > count && count >= asked.want {
-            // A burst that came while the ask was on its way: the home gave all that was asked for and may have more.
-            // Waiting here would hold the burst up for no one's sake; one ask a round trip is what it costs.
+        } else if self.demand() > count && count >= pending_ask.want {
+            // A burst arrived while the ask was pending. The home granted all that was asked for and may have more, so
+            // waiting would delay the burst for no one's benefit. The cost is one ask per round trip.
             now
         } else if self.demand() > count || (count == 0 && self.peak > 0) {
-            now + settings.retry_every
+            now + settings.retry_interval
         } else {
-            // A deployment with a shorter term has no use for a renewal after its end.
-            asked.at + settings.renew_every.min(term * 2 / 3)
+            // If a deployment sets a shorter term, a renewal after its end would be useless.
+            pending_ask.at + settings.renewal_interval.min(term * 2 / 3)
         };
-        self.due = Some(next);
+        self.ask_due = Some(next);
     }
 
-    fn rest(&mut self) {
-        self.due = None;
-        self.asked = None;
-        self.silent_since = None;
+    fn clear(&mut self) {
+        self.ask_due = None;
+        self.pending_ask = None;
+        self.unanswered_since = None;
         self.grant = None;
     }
 }
 
-/// The demand and some more, so that the next task finds room; nothing for no demand.
+/// The demand plus headroom, so that the next task needs no round trip; 0 if there is no demand.
 fn with_headroom(demand: u32, percent: u32) -> u32 {
     if demand == 0 {
         return 0;
--- a/crates/membership/tests/members.rs
+++ b/crates/membership/tests/members.rs
@@ -1,4 +1,4 @@
-//! Who counts as live: from heartbeats, the VM list, silence and the process's own freezes.
+//! Liveness of members: from heartbeats, the VM list, silence and pauses of the process itself.
 
 use std::{
     net::SocketAddr,
@@ -6,26 +6,27 @@
 };
 
 use membership::{
-    BeatMessage, BeatReply, MemberAction, MemberSettings, MemberTable, MemberView, OwnMember,
+    HeartbeatMessage, HeartbeatReply, MemberAction, MemberSettings, MemberTable, MemberView,
+    OwnMember,
 };
 use model::{DataCentreId, EndpointState, IncarnationId, VmEntry, VmRole};
 
-const HOME: &str = "rajkot-east";
-const AWAY: &str = "morbi-hall";
+const LOCAL_CENTRE: &str = "rajkot-east";
+const REMOTE_CENTRE: &str = "morbi-hall";
 
 fn centre(name: &str) -> DataCentreId {
     name.parse().unwrap()
 }
 
 fn address(centre: &str, n: u8) -> SocketAddr {
-    let net = u8::from(centre != HOME);
+    let net = u8::from(centre != LOCAL_CENTRE);
     SocketAddr::from(([10, net, 0, n], 7000))
 }
 
 fn own(n: u8) -> OwnMember {
     OwnMember {
-        address: address(HOME, n),
-        data_centre: centre(HOME),
+        address: address(LOCAL_CENTRE, n),
+        data_centre: centre(LOCAL_CENTRE),
         incarnation: IncarnationId(100 + u64::from(n)),
         stopping: false,
         head: 1,
@@ -61,10 +62,10 @@
     MemberTable::new(own(n), MemberSettings::default(), [])
 }
 
-fn beats(actions: &[MemberAction]) -> Vec<SocketAddr> {
+fn heartbeats(actions: &[MemberAction]) -> Vec<SocketAddr> {
     let mut addresses = Vec::new();
     for action in actions {
-        if let MemberAction::Beat { address } = action {
+        if let MemberAction::SendHeartbeat { address } = action {
             addresses.push(*address);
         }
     }
@@ -81,234 +82,267 @@
     Duration::from_millis(n)
 }
 
-/// One input to the table of member 3, whose neighbours are 1 to 9.
+/// One input to the table of member 3, whose peers are 1 to 9.
 #[derive(Clone, Copy)]
 enum Input {
-    /// This many ms pass, with a tick every 100.
-    Pass(u64),
+    /// This many ms pass, with a tick every 100 ms.
+    Advance(u64),
     /// This many ms pass without a tick: the process is frozen.
     Freeze(u64),
-    /// The member beats; it does so every 500 ms of the following passes.
-    Hear(u8),
-    /// The member stops beating and answering.
-    Silence(u8),
-    Refuse(u8),
+    /// The member sends a heartbeat, and another one every 500 ms of the following advances.
+    Heartbeat(u8),
+    /// The member stops sending and answering heartbeats.
+    FallSilent(u8),
+    RefuseConnection(u8),
     Stop(u8),
     List(u8, EndpointState),
     Unlist,
 }
 
-struct Run {
+struct Scenario {
     table: MemberTable,
     now: Instant,
-    speaking: Vec<u8>,
+    responsive: Vec<u8>,
     stopping: Vec<u8>,
-    /// The beats of the last pass.
-    beaten: Vec<SocketAddr>,
+    /// The targets of the heartbeats sent in the last advance.
+    heartbeats_sent: Vec<SocketAddr>,
 }
 
-impl Run {
+impl Scenario {
     fn new() -> Self {
         let mut table = table(3);
-        table.on_vm_list(&list(HOME, 1..=9));
+        table.on_vm_list(&list(LOCAL_CENTRE, 1..=9));
         Self {
             table,
             now: Instant::now(),
-            speaking: Vec::new(),
+            responsive: Vec::new(),
             stopping: Vec::new(),
-            beaten: Vec::new(),
+            heartbeats_sent: Vec::new(),
         }
     }
 
     fn apply(&mut self, input: Input) {
         match input {
-            Input::Pass(millis) => self.pass(millis),
+            Input::Advance(millis) => self.advance(millis),
             Input::Freeze(millis) => self.now += ms(millis),
-            Input::Hear(n) => {
-                self.speaking.push(n);
-                self.hear(n);
+            Input::Heartbeat(n) => {
+                self.responsive.push(n);
+                self.receive_heartbeat(n);
             }
-            Input::Silence(n) => self.speaking.retain(|m| *m != n),
-            Input::Refuse(n) => self.table.on_refused(self.now, address(HOME, n)),
+            Input::FallSilent(n) => self.responsive.retain(|m| *m != n),
+            Input::RefuseConnection(n) => self
+                .table
+                .on_connection_refused(self.now, address(LOCAL_CENTRE, n)),
             Input::Stop(n) => self.stopping.push(n),
-            Input::List(n, state) => self.table.on_vm_list(&[vm(HOME, n, state)]),
+            Input::List(n, state) => self.table.on_vm_list(&[vm(LOCAL_CENTRE, n, state)]),
             Input::Unlist => self.table.on_vm_list(&[]),
         }
     }
 
-    fn pass(&mut self, millis: u64) {
-        self.beaten.clear();
+    fn advance(&mut self, millis: u64) {
+        self.heartbeats_sent.clear();
         for step in 0..millis / 100 {
             self.now += ms(100);
-            self.beaten.extend(beats(&self.table.tick(self.now)));
+            self.heartbeats_sent
+                .extend(heartbeats(&self.table.tick(self.now)));
             if step % 5 == 0 {
-                for n in self.speaking.clone() {
-                    self.hear(n);
+                for n in self.responsive.clone() {
+                    self.receive_heartbeat(n);
                 }
             }
         }
     }
 
-    fn hear(&mut self, n: u8) {
-        let mut view = view(HOME, n);
+    fn receive_heartbeat(&mut self, n: u8) {
+        let mut view = view(LOCAL_CENTRE, n);
         view.stopping = self.stopping.contains(&n);
-        let reply = self.table.on_beat(self.now, BeatMessage { view });
-        assert_eq!(reply.view.address, address(HOME, 3));
+        let reply = self.table.on_heartbeat(self.now, HeartbeatMessage { view });
+        assert_eq!(reply.view.address, address(LOCAL_CENTRE, 3));
     }
 }
 
 fn check_live(inputs: &[Input], expect: &[u8]) {
-    let mut run = Run::new();
+    let mut scenario = Scenario::new();
     for input in inputs {
-        run.apply(*input);
+        scenario.apply(*input);
     }
-    let expect: Vec<SocketAddr> = expect.iter().map(|n| address(HOME, *n)).collect();
-    assert_eq!(live(&run.table), expect);
+    let expect: Vec<SocketAddr> = expect.iter().map(|n| address(LOCAL_CENTRE, *n)).collect();
+    assert_eq!(live(&scenario.table), expect);
 }
 
 #[test]
 fn listed_is_not_live_until_heard() {
-    use Input::{Hear, Pass};
+    use Input::{Advance, Heartbeat};
     check_live(&[], &[]);
-    check_live(&[Pass(1000)], &[]);
-    check_live(&[Hear(1), Pass(1000)], &[1]);
+    check_live(&[Advance(1000)], &[]);
+    check_live(&[Heartbeat(1), Advance(1000)], &[1]);
 }
 
 #[test]
 fn unlisted_is_live_when_heard() {
-    use Input::{Hear, Pass, Unlist};
-    check_live(&[Hear(1), Unlist, Pass(5000)], &[1]);
-    check_live(&[Unlist, Hear(40), Pass(5000)], &[40]);
+    use Input::{Advance, Heartbeat, Unlist};
+    check_live(&[Heartbeat(1), Unlist, Advance(5000)], &[1]);
+    check_live(&[Unlist, Heartbeat(40), Advance(5000)], &[40]);
 }
 
-// The caller's tasks go to dispatchers that may be dead for a while. A member falls silent; four beats go unanswered
-// in the suspect time of 2 s, and then its endpoints get another owner. The higher address of a pair starts beating
-// half a period later, so both find it within 3 s.
+// Until a dead member is detected, tasks go to it. A member falls silent; four heartbeats go unanswered in the suspect
+// time of 2 s, and then its endpoints get another owner. The higher address of a pair starts sending half a period
+// later, so both detect it within 3 s.
 #[test]
-fn silence_is_death_after_the_suspect_time() {
-    use Input::{Hear, Pass, Silence};
+fn a_silent_member_is_dead_after_the_suspect_time() {
+    use Input::{Advance, FallSilent, Heartbeat};
     for n in [1, 9] {
-        check_live(&[Hear(n), Pass(5000), Silence(n), Pass(2000)], &[n]);
-        check_live(&[Hear(n), Pass(5000), Silence(n), Pass(3200)], &[]);
-        check_live(&[Hear(n), Silence(n), Pass(5000), Hear(n), Pass(100)], &[n]);
+        check_live(
+            &[Heartbeat(n), Advance(5000), FallSilent(n), Advance(2000)],
+            &[n],
+        );
+        check_live(
+            &[Heartbeat(n), Advance(5000), FallSilent(n), Advance(3200)],
+            &[],
+        );
+        check_live(
+            &[
+                Heartbeat(n),
+                FallSilent(n),
+                Advance(5000),
+                Heartbeat(n),
+                Advance(100),
+            ],
+            &[n],
+        );
     }
 }
 
-// The caller sees no change. This process is frozen for a minute while its neighbours' beats lie in its sockets. On
-// thawing it must not take the silence for theirs: it would own every endpoint. They get a full suspect time, in
-// which one that lives is heard and one that died meanwhile is found dead.
+// This process is frozen for a minute while heartbeats of its peers lie in its sockets. If it took that for silence of
+// the peers, it would claim every endpoint. After thawing, the peers get a full suspect time, in which live ones are
+// heard and one that died meanwhile is detected.
 #[test]
-fn a_frozen_process_does_not_bury_the_others() {
-    use Input::{Freeze, Hear, Pass, Silence};
+fn a_frozen_process_does_not_declare_its_peers_dead() {
+    use Input::{Advance, FallSilent, Freeze, Heartbeat};
     check_live(
-        &[Hear(1), Hear(9), Pass(1000), Freeze(60_000), Pass(100)],
+        &[
+            Heartbeat(1),
+            Heartbeat(9),
+            Advance(1000),
+            Freeze(60_000),
+            Advance(100),
+        ],
         &[1, 9],
     );
-    // A beat was on its way when the process froze.
+    // A heartbeat was pending when the process froze.
     check_live(
-        &[Hear(1), Silence(1), Pass(1000), Freeze(60_000), Pass(1900)],
+        &[
+            Heartbeat(1),
+            FallSilent(1),
+            Advance(1000),
+            Freeze(60_000),
+            Advance(1900),
+        ],
         &[1],
     );
     check_live(
         &[
-            Hear(1),
-            Hear(9),
-            Pass(1000),
+            Heartbeat(1),
+            Heartbeat(9),
+            Advance(1000),
             Freeze(60_000),
-            Silence(9),
-            Pass(1900),
+            FallSilent(9),
+            Advance(1900),
         ],
         &[1, 9],
     );
     check_live(
         &[
-            Hear(1),
-            Hear(9),
-            Pass(1000),
+            Heartbeat(1),
+            Heartbeat(9),
+            Advance(1000),
             Freeze(60_000),
-            Silence(9),
-            Pass(3200),
+            FallSilent(9),
+            Advance(3200),
         ],
         &[1],
     );
 }
 
-// The caller's next task waits at most for a reconnect. A dispatcher process dies on a VM that lives; the VM refuses
-// the connection, and the endpoints move at once and not after the suspect time.
+// A dispatcher process dies on a VM that stays up. The VM refuses the connection, and the endpoints move at once
+// instead of after the suspect time, so that the caller's next task waits at most for a reconnect.
 #[test]
-fn a_refused_connection_is_death_at_once() {
-    use Input::{Hear, Refuse};
-    check_live(&[Hear(1), Hear(2), Refuse(1)], &[2]);
-    check_live(&[Hear(1), Refuse(1), Hear(1)], &[1]);
-    check_live(&[Refuse(8)], &[]);
+fn a_refused_connection_marks_a_member_dead_at_once() {
+    use Input::{Heartbeat, RefuseConnection};
+    check_live(&[Heartbeat(1), Heartbeat(2), RefuseConnection(1)], &[2]);
+    check_live(&[Heartbeat(1), RefuseConnection(1), Heartbeat(1)], &[1]);
+    check_live(&[RefuseConnection(8)], &[]);
 }
 
 #[test]
-fn a_leaving_member_is_beaten_while_heard_only() {
-    use Input::{Hear, List, Pass, Silence};
-    let mut run = Run::new();
-    run.apply(Hear(9));
-    run.apply(List(9, EndpointState::Leaving));
-    run.apply(Silence(9));
-    run.apply(Pass(600));
-    assert_eq!(run.beaten, [address(HOME, 9)]);
-    run.apply(Pass(10_000));
-    assert_eq!(live(&run.table), []);
-    run.apply(Pass(500));
-    assert_eq!(run.beaten, []);
+fn a_leaving_member_gets_heartbeats_only_while_it_responds() {
+    use Input::{Advance, FallSilent, Heartbeat, List};
+    let mut scenario = Scenario::new();
+    scenario.apply(Heartbeat(9));
+    scenario.apply(List(9, EndpointState::Leaving));
+    scenario.apply(FallSilent(9));
+    scenario.apply(Advance(600));
+    assert_eq!(scenario.heartbeats_sent, [address(LOCAL_CENTRE, 9)]);
+    scenario.apply(Advance(10_000));
+    assert_eq!(live(&scenario.table), []);
+    scenario.apply(Advance(500));
+    assert_eq!(scenario.heartbeats_sent, []);
 }
 
 #[test]
-fn who_owns() {
-    use Input::{Hear, Pass, Stop};
+fn owners_are_live_and_not_stopping() {
+    use Input::{Advance, Heartbeat, Stop};
     let check = |inputs: &[Input], expect: &[u8]| {
-        let mut run = Run::new();
+        let mut scenario = Scenario::new();
         for input in inputs {
-            run.apply(*input);
+            scenario.apply(*input);
         }
-        let owners = run.table.owners();
+        let owners = scenario.table.owners();
         let owners: Vec<SocketAddr> = owners.iter().map(|owner| owner.address).collect();
-        let expect: Vec<SocketAddr> = expect.iter().map(|n| address(HOME, *n)).collect();
+        let expect: Vec<SocketAddr> = expect.iter().map(|n| address(LOCAL_CENTRE, *n)).collect();
         assert_eq!(owners, expect);
     };
     check(&[], &[3]);
-    check(&[Hear(1), Hear(2)], &[1, 2, 3]);
-    check(&[Hear(1), Hear(2), Stop(2), Pass(600)], &[1, 3]);
+    check(&[Heartbeat(1), Heartbeat(2)], &[1, 2, 3]);
+    check(
+        &[Heartbeat(1), Heartbeat(2), Stop(2), Advance(600)],
+        &[1, 3],
+    );
 }
 
 #[test]
-fn stopping_is_told_at_once() {
+fn stopping_is_announced_at_once() {
     let now = Instant::now();
     let mut table = table(3);
     for n in [1, 9] {
-        table.on_beat(
+        table.on_heartbeat(
             now,
-            BeatMessage {
-                view: view(HOME, n),
+            HeartbeatMessage {
+                view: view(LOCAL_CENTRE, n),
             },
         );
     }
     assert_eq!(table.tick(now), [MemberAction::ViewChanged]);
     table.set_stopping();
-    let both = [address(HOME, 1), address(HOME, 9)];
-    assert_eq!(beats(&table.tick(now)), both);
-    assert!(table.beat_message().view.stopping);
+    let both = [address(LOCAL_CENTRE, 1), address(LOCAL_CENTRE, 9)];
+    assert_eq!(heartbeats(&table.tick(now)), both);
+    assert!(table.heartbeat_message().view.stopping);
     assert!(table
         .owners()
         .iter()
-        .all(|owner| owner.address != address(HOME, 3)));
+        .all(|owner| owner.address != address(LOCAL_CENTRE, 3)));
 }
 
 #[test]
 fn the_view_changes_only_with_what_decides_ownership() {
     let now = Instant::now();
     let mut table = table(3);
-    let mut member = view(HOME, 1);
+    let mut member = view(LOCAL_CENTRE, 1);
     let mut check = |member: &MemberView, changed: bool| {
         let before = table.revision();
-        table.on_reply(
+        table.on_heartbeat_reply(
             now,
-            BeatReply {
+            HeartbeatReply {
                 view: member.clone(),
             },
         );
@@ -326,18 +360,18 @@
 }
 
 #[test]
-fn the_higher_address_leaves_the_beat_to_the_lower() {
+fn the_lower_address_of_a_pair_sends_the_heartbeat() {
     let check = |n: u8, after: u64, expect: usize| {
         let now = Instant::now();
         let mut table = table(3);
-        table.on_beat(
+        table.on_heartbeat(
             now,
-            BeatMessage {
-                view: view(HOME, n),
+            HeartbeatMessage {
+                view: view(LOCAL_CENTRE, n),
             },
         );
         let actions = table.tick(now + ms(after));
-        assert_eq!(beats(&actions).len(), expect, "{n} after {after} ms");
+        assert_eq!(heartbeats(&actions).len(), expect, "{n} after {after} ms");
     };
     check(1, 500, 0);
     check(1, 749, 0);
@@ -346,62 +380,62 @@
     check(9, 500, 1);
 }
 
-// The callers of a dead dispatcher's endpoints wait 8.3 s at most at the target. The period of a pair is 4.2 s there,
-// so one lost beat must not be death, and four periods of silence would be 18 s. An unanswered beat is repeated every
-// 500 ms.
+// At the target size the period of a pair is 4.2 s, so one lost heartbeat must not mean death, and four periods of
+// silence would take 18 s. An unanswered heartbeat is repeated every 500 ms instead, so that callers of a dead
+// dispatcher's endpoints wait 8.3 s at most.
 #[test]
-fn an_unanswered_beat_is_repeated_soon() {
+fn an_unanswered_heartbeat_is_repeated_at_the_shortest_interval() {
     let mut now = Instant::now();
     let mut table = table(1);
-    table.on_vm_list(&list(HOME, 1..=60));
+    table.on_vm_list(&list(LOCAL_CENTRE, 1..=60));
     for n in 2..=60 {
-        table.on_beat(
+        table.on_heartbeat(
             now,
-            BeatMessage {
-                view: view(HOME, n),
+            HeartbeatMessage {
+                view: view(LOCAL_CENTRE, n),
             },
         );
     }
-    let silent = address(HOME, 60);
-    let mut beaten = 0;
+    let silent = address(LOCAL_CENTRE, 60);
+    let mut heartbeats_sent = 0;
     let start = now;
     while live(&table).contains(&silent) {
         now += ms(100);
-        for to in beats(&table.tick(now)) {
-            beaten += usize::from(to == silent);
+        for to in heartbeats(&table.tick(now)) {
+            heartbeats_sent += usize::from(to == silent);
             if to != silent {
                 let SocketAddr::V4(v4) = to else {
                     continue;
                 };
-                let view = view(HOME, v4.ip().octets()[3]);
-                table.on_reply(now, BeatReply { view });
+                let view = view(LOCAL_CENTRE, v4.ip().octets()[3]);
+                table.on_heartbeat_reply(now, HeartbeatReply { view });
             }
         }
     }
-    assert_eq!(beaten, 4);
+    assert_eq!(heartbeats_sent, 4);
     assert_eq!(now - start, ms(6300));
     assert_eq!(table.live().count(), 58);
 }
 
-/// Counts the beats and answers that the process spends in a minute in a healthy data centre of `count` VMs.
-fn beats_a_minute(count: u8) -> usize {
+/// Counts the heartbeats that a process sends and answers per minute in a healthy data centre of `count` VMs.
+fn heartbeats_per_minute(count: u8) -> usize {
     let mut now = Instant::now();
     let mut tables: Vec<MemberTable> = (1..=count).map(table).collect();
     for table in &mut tables {
-        table.on_vm_list(&list(HOME, 1..=count));
+        table.on_vm_list(&list(LOCAL_CENTRE, 1..=count));
     }
     let mut messages = 0;
     for step in 0..900 {
         now += ms(100);
         for i in 0..tables.len() {
-            for to in beats(&tables[i].tick(now)) {
+            for to in heartbeats(&tables[i].tick(now)) {
                 let j = tables
                     .iter()
-                    .position(|t| t.beat_message().view.address == to);
+                    .position(|t| t.heartbeat_message().view.address == to);
                 let j = j.unwrap();
-                let message = tables[i].beat_message();
-                let reply = tables[j].on_beat(now, message);
-                tables[i].on_reply(now, reply);
+                let message = tables[i].heartbeat_message();
+                let reply = tables[j].on_heartbeat(now, message);
+                tables[i].on_heartbeat_reply(now, reply);
                 let watched = i == 0 || j == 0;
                 messages += usize::from(step >= 300 && watched);
             }
@@ -414,38 +448,42 @@
 }
 
 #[test]
-fn the_full_mesh_keeps_its_budget() {
-    // One beat a pair and period: 7 pairs at 0.5 s, 59 pairs at 4.21 s (at the next tick, so 4.3 s).
-    assert_eq!(beats_a_minute(8), 7 * 120);
-    assert_eq!(beats_a_minute(60), 59 * 14);
+fn full_mesh_heartbeats_stay_within_budget() {
+    // One heartbeat per pair and period: 7 pairs at 0.5 s, 59 pairs at 4.21 s (4.3 s with the wait for the next tick).
+    assert_eq!(heartbeats_per_minute(8), 7 * 120);
+    assert_eq!(heartbeats_per_minute(60), 59 * 14);
 }
 
 #[test]
-fn other_data_centres_cost_two_beats_each() {
+fn each_remote_data_centre_costs_two_heartbeats() {
     let mut now = Instant::now();
     let mut table = table(3);
-    let mut vms = list(AWAY, 1..=60);
+    let mut vms = list(REMOTE_CENTRE, 1..=60);
     vms.extend(list("junagadh-dc", 61..=120));
     table.on_vm_list(&vms);
     let mut chosen = Vec::new();
     for _ in 0..4 {
-        let addresses = beats(&table.tick(now));
+        let addresses = heartbeats(&table.tick(now));
         assert_eq!(addresses.len(), 4);
         for address in &addresses {
             let SocketAddr::V4(v4) = address else {
                 continue;
             };
             let [.., n] = v4.ip().octets();
-            let name = if n <= 60 { AWAY } else { "junagadh-dc" };
-            table.on_reply(
+            let name = if n <= 60 {
+                REMOTE_CENTRE
+            } else {
+                "junagadh-dc"
+            };
+            table.on_heartbeat_reply(
                 now,
-                BeatReply {
+                HeartbeatReply {
                     view: view(name, n),
                 },
             );
         }
         chosen.push(addresses);
-        assert_eq!(beats(&table.tick(now + ms(9000))), []);
+        assert_eq!(heartbeats(&table.tick(now + ms(9000))), []);
         now += ms(10_000);
     }
     assert!(
@@ -454,42 +492,46 @@
     );
 }
 
-// The caller's spare tasks reach another data centre again after a cut, at the usual number of beats. The contacts
-// fall silent, others are tried in turn, and when the data centre is back some contact answers soon.
+// After a network partition another data centre must be found again at the usual number of heartbeats, so that spare
+// tasks reach it. The contacts fall silent and other members are tried in turn, so that some contact answers soon after
+// the data centre is reachable again.
 #[test]
-fn a_cut_data_centre_is_tried_in_turn() {
+fn contacts_of_an_unreachable_data_centre_are_tried_in_turn() {
     let mut now = Instant::now();
     let mut table = table(3);
-    table.on_vm_list(&list(AWAY, 1..=10));
+    table.on_vm_list(&list(REMOTE_CENTRE, 1..=10));
     let mut tried = Vec::new();
     for _ in 0..20 {
-        let addresses = beats(&table.tick(now));
+        let addresses = heartbeats(&table.tick(now));
         assert!(addresses.len() <= 2);
         tried.extend(addresses);
         for _ in 0..8 {
             now += ms(1000);
-            tried.extend(beats(&table.tick(now)));
+            tried.extend(heartbeats(&table.tick(now)));
         }
     }
-    // 40 beats at 10 members: the contacts twice before they are taken for dead, and then each in its turn.
+    // 40 heartbeats to 10 members: the contacts get two each before they count as dead, and then each member in turn.
     for n in 1..=10 {
-        let beats = tried.iter().filter(|a| **a == address(AWAY, n)).count();
-        assert!((3..=5).contains(&beats), "{n}: {beats}");
+        let heartbeats = tried
+            .iter()
+            .filter(|a| **a == address(REMOTE_CENTRE, n))
+            .count();
+        assert!((3..=5).contains(&heartbeats), "{n}: {heartbeats}");
     }
 }
 
 #[test]
-fn replaced_vms_are_forgotten() {
+fn replaced_vms_are_removed() {
     let mut now = Instant::now();
     let mut table = table(3);
     for n in 1..=60 {
         if n == 3 {
             continue;
         }
-        table.on_beat(
+        table.on_heartbeat(
             now,
-            BeatMessage {
-                view: view(HOME, n),
+            HeartbeatMessage {
+                view: view(LOCAL_CENTRE, n),
             },
         );
         for _ in 0..20 {
