--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -81,14 +81,14 @@
 
 async fn answer(state: Rc<NodeState>, request: Request) -> Response<BoxBody> {
     let _open = OpenRequest::new(&state);
-    state.traffic.call(TrafficKind::Customers);
+    state.traffic.record_call(TrafficKind::Customers);
     state
         .traffic
-        .receive(TrafficKind::Customers, head_bytes(&request));
+        .record_received(TrafficKind::Customers, head_bytes(&request));
     let mut response = route(&state, request).await;
     state
         .traffic
-        .send(TrafficKind::Customers, ANSWER_HEAD_BYTES);
+        .record_sent(TrafficKind::Customers, ANSWER_HEAD_BYTES);
     if state.leaving.get() {
         response
             .head_mut()
@@ -146,7 +146,9 @@
         Ok(body) => body,
         Err(status) => return plain(status, "{}"),
     };
-    state.traffic.receive(TrafficKind::Customers, body.len());
+    state
+        .traffic
+        .record_received(TrafficKind::Customers, body.len());
     submit(state, id, rule, &body, arrived, stated).await
 }
 
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -2,7 +2,9 @@
 
 use jobs::{EndCause, JobOutcome, RefusalKind};
 use pool::{CallFailure, PoolNote, RunLoss, StartAnswer, SuspensionCause};
-use telemetry::{CounterFamily, NodeMetrics, TelemetryError, TimeFamily, TrafficBook, TrafficKind};
+use telemetry::{
+    CounterFamily, NodeMetrics, TelemetryError, TimeFamily, TrafficCounters, TrafficKind,
+};
 
 use crate::listing::ListSource;
 
@@ -157,7 +159,7 @@
 }
 
 /// Takes over what the traffic book has counted.
-pub(crate) fn set_traffic(metrics: &NodeMetrics, book: &TrafficBook) {
+pub(crate) fn set_traffic(metrics: &NodeMetrics, book: &TrafficCounters) {
     for kind in TrafficKind::ALL {
         let count = book.count(*kind);
         metrics.set(CALLS, kind.as_str(), count.calls);
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -151,8 +151,10 @@
             if due[pace as usize] {
                 // A heartbeat that cannot be sent is one that is lost; the next one follows.
                 let _lost = self.socket.try_send_to(&bytes, member.address);
-                state.traffic.call(TrafficKind::Heartbeats);
-                state.traffic.send(TrafficKind::Heartbeats, bytes.len());
+                state.traffic.record_call(TrafficKind::Heartbeats);
+                state
+                    .traffic
+                    .record_sent(TrafficKind::Heartbeats, bytes.len());
             }
         }
     }
@@ -194,7 +196,9 @@
             actix_rt::time::sleep(SOCKET_PAUSE).await;
             continue;
         };
-        state.traffic.receive(TrafficKind::Heartbeats, length);
+        state
+            .traffic
+            .record_received(TrafficKind::Heartbeats, length);
         match decode_heartbeat(&buffer[..length]) {
             Ok(beat) => {
                 let now = state.now();
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -14,7 +14,7 @@
 use platform_adapter::{HttpCaller, RowWrite, StoreClient, StoreTable, Transaction, WorkerClient};
 use pool::PoolSettings;
 use settings::NodeSettings;
-use telemetry::{EventKind, EventLine, EventLog, TrafficBook};
+use telemetry::{EventKind, EventLine, EventLog, TrafficCounters};
 use tokio::{
     net::{TcpListener, UdpSocket},
     signal::unix::{signal, SignalKind},
@@ -182,7 +182,7 @@
     let (customer_address, ready_address) = (customers.local_addr()?, ready.local_addr()?);
     let socket = UdpSocket::bind(address).await;
     let socket = Rc::new(socket.map_err(|cause| NodeError::Listen { address, cause })?);
-    let traffic = Arc::new(TrafficBook::default());
+    let traffic = Arc::new(TrafficCounters::default());
     let http = HttpCaller::new(traffic.clone());
     let pool_settings = PoolSettings {
         lease: PoolSettings::default()
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -15,7 +15,7 @@
 use platform_adapter::{StoreClient, WorkerClient};
 use pool::EvacuationBook;
 use settings::NodeSettings;
-use telemetry::{EventKind, EventLine, EventLog, NodeMetrics, TrafficBook};
+use telemetry::{EventKind, EventLine, EventLog, NodeMetrics, TrafficCounters};
 use tokio::sync::Notify;
 
 use crate::{
@@ -65,7 +65,7 @@
     pub(crate) lost_peers: RefCell<FastMap<NodeId, Rc<Notify>>>,
     pub(crate) log: RefCell<EventLog>,
     pub(crate) metrics: NodeMetrics,
-    pub(crate) traffic: Arc<TrafficBook>,
+    pub(crate) traffic: Arc<TrafficCounters>,
     pub(crate) link_use: Cell<LinkUse>,
     pub(crate) leaving: Cell<bool>,
     /// A pool that is being handed over to a process that suits it better, and since when.
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -4,7 +4,7 @@
 
 use capnp_rpc::{rpc_twoparty_capnp::Side, twoparty::VatNetwork, RpcSystem};
 use kernel::accept_each;
-use telemetry::{TrafficBook, TrafficKind};
+use telemetry::{TrafficCounters, TrafficKind};
 use tokio::{
     io::{AsyncRead, AsyncWrite},
     net::{
@@ -133,15 +133,15 @@
 pub(crate) fn counted_network(
     stream: TcpStream,
     side: Side,
-    book: Arc<TrafficBook>,
+    traffic: Arc<TrafficCounters>,
 ) -> StreamNetwork<impl AsyncRead + Unpin> {
     let (reader, writer) = split(stream);
-    let received = book.clone();
+    let reader_traffic = traffic.clone();
     let reader = InspectReader::new(reader, move |bytes: &[u8]| {
-        received.receive(TrafficKind::Peers, bytes.len());
+        reader_traffic.record_received(TrafficKind::Peers, bytes.len());
     });
     let writer = InspectWriter::new(writer, move |bytes: &[u8]| {
-        book.send(TrafficKind::Peers, bytes.len());
+        traffic.record_sent(TrafficKind::Peers, bytes.len());
     });
     half_network(reader, writer, side)
 }
--- a/crates/peer/src/pool_link.rs
+++ b/crates/peer/src/pool_link.rs
@@ -7,7 +7,7 @@
 use futures::future::LocalBoxFuture;
 use jobs::{JobOutcome, JobRequest, JobTerms, PoolId};
 use kernel::accept_each;
-use telemetry::TrafficBook;
+use telemetry::TrafficCounters;
 use tokio::{net::TcpListener, task::JoinHandle};
 
 use crate::{
@@ -99,11 +99,14 @@
 /// Refused when nobody listens, otherwise lost or timed out.
 pub async fn connect_pool(
     address: SocketAddr,
-    book: Arc<TrafficBook>,
+    traffic: Arc<TrafficCounters>,
     on_closed: impl FnOnce() + 'static,
 ) -> Result<PoolLink, PeerError> {
     let stream = dial(address).await?;
-    let mut system = RpcSystem::new(Box::new(counted_network(stream, Side::Client, book)), None);
+    let mut system = RpcSystem::new(
+        Box::new(counted_network(stream, Side::Client, traffic)),
+        None,
+    );
     let port: pool_port::Client = system.bootstrap(Side::Server);
     let task = actix_rt::spawn(async move {
         let _ended = system.await;
@@ -115,12 +118,12 @@
 /// Accepts connections of entries for as long as the future is polled.
 pub async fn serve_pool(
     listener: TcpListener,
-    book: Arc<TrafficBook>,
+    traffic: Arc<TrafficCounters>,
     service: Rc<impl PoolService>,
 ) {
     accept_each(listener, move |stream| {
         let port: pool_port::Client = capnp_rpc::new_client(PoolGlue(service.clone()));
-        let network = counted_network(stream, Side::Server, book.clone());
+        let network = counted_network(stream, Side::Server, traffic.clone());
         let system = RpcSystem::new(Box::new(network), Some(port.client));
         async move {
             // A connection that breaks cancels its own jobs; there is nothing to do beside.
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -15,6 +15,6 @@
     metrics::{
         CounterFamily, CounterKind, GaugeKind, MetricSet, NodeMetrics, TimeFamily, TimeKind,
     },
-    traffic::{TrafficBook, TrafficCount, TrafficKind},
+    traffic::{TrafficCount, TrafficCounters, TrafficKind},
 };
 pub use settings::{LogLevel, LogPart, LogSettings};
--- a/crates/telemetry/src/traffic.rs
+++ b/crates/telemetry/src/traffic.rs
@@ -14,8 +14,8 @@
         Starts => "starts",
         /// Stops of runs at workers.
         Stops => "stops",
-        /// Looks at workers.
-        Looks => "looks",
+        /// Polls at workers.
+        Polls => "looks",
         /// Jobs between entries and owners of pools.
         Peers => "peers",
         /// Heartbeats between processes.
@@ -47,7 +47,7 @@
 }
 
 #[derive(Debug, Default)]
-struct TrafficCells {
+struct KindCounters {
     calls: AtomicU64,
     sent: AtomicU64,
     received: AtomicU64,
@@ -55,39 +55,39 @@
 
 /// The bytes and calls of one process.
 #[derive(Debug, Default)]
-pub struct TrafficBook {
-    cells: [TrafficCells; TrafficKind::ALL.len()],
+pub struct TrafficCounters {
+    by_kind: [KindCounters; TrafficKind::ALL.len()],
 }
 
-impl TrafficBook {
+impl TrafficCounters {
     /// Counts a call.
-    pub fn call(&self, kind: TrafficKind) {
-        self.cells[kind as usize]
+    pub fn record_call(&self, kind: TrafficKind) {
+        self.by_kind[kind as usize]
             .calls
             .fetch_add(1, Ordering::Relaxed);
     }
 
     /// Counts sent bytes.
-    pub fn send(&self, kind: TrafficKind, bytes: usize) {
-        self.cells[kind as usize]
+    pub fn record_sent(&self, kind: TrafficKind, bytes: usize) {
+        self.by_kind[kind as usize]
             .sent
             .fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
     /// Counts received bytes.
-    pub fn receive(&self, kind: TrafficKind, bytes: usize) {
-        self.cells[kind as usize]
+    pub fn record_received(&self, kind: TrafficKind, bytes: usize) {
+        self.by_kind[kind as usize]
             .received
             .fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
     /// What was counted so far.
     pub fn count(&self, kind: TrafficKind) -> TrafficCount {
-        let cells = &self.cells[kind as usize];
+        let counters = &self.by_kind[kind as usize];
         TrafficCount {
-            calls: cells.calls.load(Ordering::Relaxed),
-            sent: cells.sent.load(Ordering::Relaxed),
-            received: cells.received.load(Ordering::Relaxed),
+            calls: counters.calls.load(Ordering::Relaxed),
+            sent: counters.sent.load(Ordering::Relaxed),
+            received: counters.received.load(Ordering::Relaxed),
         }
     }
 
