--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -69,7 +69,7 @@
         Ok(server) => *current.borrow_mut() = (wanted, server),
         Err(error) => {
             let line = EventLine::new("limits_not_taken").text("error", error);
-            state.log(EventKind::Kept, line);
+            state.log(EventKind::Important, line);
         }
     }
 }
--- a/crates/node/src/feeds.rs
+++ b/crates/node/src/feeds.rs
@@ -109,7 +109,7 @@
             }
             Err(StoreError::HistoryGone) => {
                 let line = EventLine::new("history_gone").text("table", table.as_str());
-                state.log(EventKind::Kept, line);
+                state.log(EventKind::Important, line);
                 after = None;
             }
             Err(error) => {
@@ -154,14 +154,14 @@
         .text("table", table.as_str())
         .number("shown", shown.0)
         .number("known", known.0);
-    state.log(EventKind::Kept, line);
+    state.log(EventKind::Important, line);
 }
 
 fn note_lost(state: &NodeState, table: StoreTable, error: &StoreError) {
     let line = EventLine::new("store_lost")
         .text("table", table.as_str())
         .text("error", error);
-    state.log(EventKind::Kept, line);
+    state.log(EventKind::Important, line);
 }
 
 fn note_regained(state: &NodeState, table: StoreTable, since: std::time::Instant) {
@@ -169,7 +169,7 @@
     let line = EventLine::new("store_regained")
         .text("table", table.as_str())
         .millis("away_ms", now.saturating_duration_since(since));
-    state.log(EventKind::Kept, line);
+    state.log(EventKind::Important, line);
 }
 
 fn take_page(state: &Rc<NodeState>, table: StoreTable, page: FeedPage, whole: bool) {
@@ -195,7 +195,7 @@
         RowChange::Removed { .. } => None,
         RowChange::Unreadable { key, reason } => {
             let line = EventLine::new("row_unreadable").text("key", &key);
-            state.log(EventKind::Kept, line.text("error", &reason));
+            state.log(EventKind::Important, line.text("error", &reason));
             None
         }
     }
@@ -206,7 +206,7 @@
         .text("key", &row.key)
         .number("version", row.version.0)
         .text("error", error);
-    state.log(EventKind::Kept, line);
+    state.log(EventKind::Important, line);
 }
 
 fn take_members(state: &NodeState, page: FeedPage) {
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -166,7 +166,7 @@
     let line = EventLine::new("job_cancelled").text("job", id);
     match cancelled {
         Ok(found) => {
-            state.log(EventKind::Kept, line.text("found", found));
+            state.log(EventKind::Important, line.text("found", found));
             let status = if found {
                 StatusCode::OK
             } else {
@@ -183,7 +183,7 @@
     let line = EventLine::new("store_not_reached")
         .text("for", what)
         .text("error", error);
-    state.log(EventKind::Kept, line);
+    state.log(EventKind::Important, line);
     not_ready()
 }
 
@@ -202,7 +202,7 @@
             let line = EventLine::new("job_unreadable")
                 .text("job", id)
                 .text("error", error);
-            state.log(EventKind::Kept, line);
+            state.log(EventKind::Important, line);
             return plain(StatusCode::BAD_REQUEST, "{}");
         }
     };
@@ -212,7 +212,7 @@
         let line = EventLine::new("need_not_served")
             .text("job", id)
             .text("need", need.as_str());
-        state.log(EventKind::Kept, line);
+        state.log(EventKind::Important, line);
     }
     let age = match request.kept {
         true => Duration::ZERO,
@@ -265,7 +265,7 @@
 fn note_refused(state: &NodeState, reason: &'static str) {
     crate::metrics::count_refusal(&state.metrics, reason);
     state.log(
-        EventKind::Kept,
+        EventKind::Important,
         EventLine::new("request_refused").text("reason", reason),
     );
 }
--- a/crates/node/src/groups.rs
+++ b/crates/node/src/groups.rs
@@ -59,7 +59,7 @@
         .number("groups", row.groups)
         .number("former", former.map_or(0, |former| former.groups))
         .text("spread", row.spread.as_str());
-    state.log(EventKind::Kept, line);
+    state.log(EventKind::Important, line);
     let workers = state.directory.borrow().of_centre(&centre);
     let moved: Vec<_> = workers
         .iter()
--- a/crates/node/src/keeping.rs
+++ b/crates/node/src/keeping.rs
@@ -152,7 +152,7 @@
     let line = EventLine::new("jobs_not_stored")
         .number("jobs", batch.len() as u64)
         .text("error", error);
-    state.log(EventKind::Kept, line);
+    state.log(EventKind::Important, line);
 }
 
 /// Has a write done again. A new job that was surely not stored is refused after a while.
@@ -190,7 +190,7 @@
         Ok(value) => Some(value),
         Err(error) => {
             let line = EventLine::new("job_not_encoded").text("job", order.job);
-            state.log(EventKind::Kept, line.text("error", error));
+            state.log(EventKind::Important, line.text("error", error));
             None
         }
     }
--- a/crates/node/src/keeping/care.rs
+++ b/crates/node/src/keeping/care.rs
@@ -118,7 +118,7 @@
                 let line = EventLine::new("jobs_not_read")
                     .text("pool", &id)
                     .text("error", error);
-                state.log(EventKind::Kept, line);
+                state.log(EventKind::Important, line);
                 return;
             }
         };
@@ -145,7 +145,7 @@
             let line = EventLine::new("claim_not_read")
                 .text("pool", &id)
                 .text("error", error);
-            return state.log(EventKind::Kept, line);
+            return state.log(EventKind::Important, line);
         }
     };
     if row.version.0 == fence.0 {
@@ -156,7 +156,7 @@
 async fn publish(state: Rc<NodeState>, id: PoolId, pending: WaitingCounts) {
     let Ok(value) = serde_json::to_vec(&pending) else {
         let line = EventLine::new("pending_not_encoded").text("pool", &id);
-        return state.log(EventKind::Kept, line);
+        return state.log(EventKind::Important, line);
     };
     let write = RowWrite {
         table: StoreTable::PendingJobs,
@@ -169,7 +169,7 @@
         let line = EventLine::new("pending_not_published")
             .text("pool", &id)
             .text("error", error);
-        state.log(EventKind::Kept, line);
+        state.log(EventKind::Important, line);
     }
 }
 
--- a/crates/node/src/listing.rs
+++ b/crates/node/src/listing.rs
@@ -114,7 +114,7 @@
     let line = EventLine::new("worker_list")
         .text("source", source.as_str())
         .number("version", version);
-    state.log(EventKind::Kept, line);
+    state.log(EventKind::Important, line);
 }
 
 /// Waits until the next look after a confirmation.
--- a/crates/node/src/notes.rs
+++ b/crates/node/src/notes.rs
@@ -13,10 +13,10 @@
 /// Adds an outcome to a line, and says how much the line matters.
 pub(crate) fn outcome_line(line: EventLine, outcome: JobOutcome) -> (EventKind, EventLine) {
     match outcome {
-        JobOutcome::Completed => (EventKind::Plain, line.text("outcome", "completed")),
-        JobOutcome::Accepted => (EventKind::Plain, line.text("outcome", "accepted")),
-        JobOutcome::Failed => (EventKind::Kept, line.text("outcome", "failed")),
-        JobOutcome::GivenUp => (EventKind::Kept, line.text("outcome", "given_up")),
+        JobOutcome::Completed => (EventKind::Routine, line.text("outcome", "completed")),
+        JobOutcome::Accepted => (EventKind::Routine, line.text("outcome", "accepted")),
+        JobOutcome::Failed => (EventKind::Important, line.text("outcome", "failed")),
+        JobOutcome::GivenUp => (EventKind::Important, line.text("outcome", "given_up")),
         JobOutcome::Refused {
             kind,
             retry_after,
@@ -24,7 +24,10 @@
         } => {
             let line = line.number("fits", fits);
             let line = line.text("outcome", "refused").text("reason", kind);
-            (EventKind::Kept, line.millis("retry_after_ms", retry_after))
+            (
+                EventKind::Important,
+                line.millis("retry_after_ms", retry_after),
+            )
         }
     }
 }
@@ -50,9 +53,9 @@
         } => {
             let line = EventLine::new("job_admission").text("job", job);
             let kind = if refusal.is_some() {
-                EventKind::Kept
+                EventKind::Important
             } else {
-                EventKind::Plain
+                EventKind::Routine
             };
             let outcome = refusal.map_or("admitted", jobs::RefusalKind::as_str);
             let line = line
@@ -79,7 +82,7 @@
                 .millis("answer_ms", *smoothed)
                 .millis("least_ms", *least)
                 .number("window", *window as u64);
-            (EventKind::Kept, line)
+            (EventKind::Important, line)
         }
         PoolNote::WorkerReborn { life, born, runs } => {
             let line = EventLine::new("worker_reborn").text("worker", life);
@@ -87,7 +90,7 @@
                 Some(born) => line.text("born", born),
                 None => line,
             };
-            (EventKind::Kept, line.number("runs", *runs as u64))
+            (EventKind::Important, line.number("runs", *runs as u64))
         }
         PoolNote::WorkerResized {
             life,
@@ -102,7 +105,10 @@
                 .number("accelerators", room.accelerators)
                 .text("former_cpu", former.cpu)
                 .text("former_memory", former.memory);
-            (EventKind::Kept, line.number("withdrawn", *withdrawn as u64))
+            (
+                EventKind::Important,
+                line.number("withdrawn", *withdrawn as u64),
+            )
         }
         PoolNote::CrashSuspected {
             life,
@@ -114,15 +120,18 @@
                 .text("worker", life)
                 .text("died", died)
                 .text("common", common);
-            (EventKind::Kept, line.number("suspects", *suspects as u64))
+            (
+                EventKind::Important,
+                line.number("suspects", *suspects as u64),
+            )
         }
         PoolNote::CrashCleared { life } => {
             let line = EventLine::new("crash_cleared").text("worker", life);
-            (EventKind::Kept, line)
+            (EventKind::Important, line)
         }
         PoolNote::CrashCulprit { task } => {
             let line = EventLine::new("crash_culprit").text("task", task);
-            (EventKind::Kept, line)
+            (EventKind::Important, line)
         }
         PoolNote::Evacuation {
             evacuated,
@@ -132,21 +141,24 @@
             let line = EventLine::new("pool_evacuation")
                 .text("evacuated", evacuated)
                 .number("running", *running as u64);
-            (EventKind::Kept, line.number("withdrawn", *withdrawn as u64))
+            (
+                EventKind::Important,
+                line.number("withdrawn", *withdrawn as u64),
+            )
         }
         PoolNote::KeptStored { job, version } => {
             let line = EventLine::new("job_stored").text("job", job);
-            (EventKind::Plain, line.number("version", *version))
+            (EventKind::Routine, line.number("version", *version))
         }
         PoolNote::KeptFound { job, version } => {
             let line = EventLine::new("job_found").text("job", job);
-            (EventKind::Kept, line.number("version", *version))
+            (EventKind::Important, line.number("version", *version))
         }
         PoolNote::KeptEnded { job, state } => {
             let line = EventLine::new("kept_job_ended").text("job", job);
-            (EventKind::Plain, line.text("state", state.as_str()))
+            (EventKind::Routine, line.text("state", state.as_str()))
         }
-        PoolNote::KeptSuspended => (EventKind::Kept, EventLine::new("kept_jobs_suspended")),
+        PoolNote::KeptSuspended => (EventKind::Important, EventLine::new("kept_jobs_suspended")),
         PoolNote::Placed {
             task,
             run,
@@ -157,7 +169,7 @@
                 .text("task", task)
                 .number("run", run.0);
             (
-                EventKind::Plain,
+                EventKind::Routine,
                 line.text("worker", life).millis("waited_ms", *waited),
             )
         }
@@ -174,7 +186,7 @@
             let line = line
                 .text("worker", life)
                 .text("answer", start_answer(*answer));
-            (EventKind::Kept, line.number("tries", *tries))
+            (EventKind::Important, line.number("tries", *tries))
         }
         PoolNote::Ended {
             task,
@@ -187,7 +199,7 @@
                 .text("task", task)
                 .number("run", run.0);
             let line = line.text("worker", life).text("cause", cause.as_str());
-            (EventKind::Plain, line.millis("took_ms", *took))
+            (EventKind::Routine, line.millis("took_ms", *took))
         }
         PoolNote::RunLost {
             task,
@@ -199,7 +211,7 @@
                 .text("task", task)
                 .number("run", run.0);
             (
-                EventKind::Kept,
+                EventKind::Important,
                 line.text("worker", life).text("cause", loss.as_str()),
             )
         }
@@ -214,7 +226,7 @@
                 .text("task", task)
                 .number("run", run.0);
             let line = line.text("worker", life).millis("took_ms", *took);
-            (EventKind::Kept, line.number("percent", *percent))
+            (EventKind::Important, line.number("percent", *percent))
         }
         PoolNote::ForeignRun { task, run, life } => {
             let line = EventLine::new("foreign_run")
@@ -224,30 +236,30 @@
                 Some(task) => line.text("task", task),
                 None => line,
             };
-            (EventKind::Kept, line)
+            (EventKind::Important, line)
         }
         PoolNote::Suspended { life, cause, pause } => {
             let line = EventLine::new("worker_suspended").text("worker", life);
             (
-                EventKind::Kept,
+                EventKind::Important,
                 line.text("cause", cause.as_str())
                     .millis("pause_ms", *pause),
             )
         }
         PoolNote::WorkerSilent { life, runs } => {
             let line = EventLine::new("worker_silent").text("worker", life);
-            (EventKind::Kept, line.number("runs", *runs as u64))
+            (EventKind::Important, line.number("runs", *runs as u64))
         }
         PoolNote::WorkerAnswers { life, clock_offset } => {
             let line = EventLine::new("worker_answers").text("worker", life);
             (
-                EventKind::Kept,
+                EventKind::Important,
                 line.number("clock_offset_ms", *clock_offset),
             )
         }
         PoolNote::WorkerChanged { life, change } => {
             let line = EventLine::new("worker_changed").text("worker", life);
-            (EventKind::Kept, line.text("change", change.as_str()))
+            (EventKind::Important, line.text("change", change.as_str()))
         }
         PoolNote::JobEnded {
             job,
@@ -266,7 +278,7 @@
         PoolNote::JobAbandoned { job, stopped } => {
             let line = EventLine::new("job_abandoned").text("job", job);
             (
-                EventKind::Kept,
+                EventKind::Important,
                 line.number("stopped_runs", *stopped as u64),
             )
         }
@@ -293,5 +305,5 @@
             .text("why", why.as_str())
             .number("expected", *expected),
     };
-    state.log(EventKind::Kept, line);
+    state.log(EventKind::Important, line);
 }
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -32,7 +32,7 @@
             }
             OperatorRow::WrongEvacuation => {
                 let line = EventLine::new("evacuation_unusable").text("key", change.key());
-                state.log(EventKind::Kept, line);
+                state.log(EventKind::Important, line);
             }
             OperatorRow::Other => (),
         }
@@ -90,7 +90,7 @@
     let line = EventLine::new(event)
         .text("data_centre", centre)
         .number("workers", workers as u64);
-    state.log(EventKind::Kept, line);
+    state.log(EventKind::Important, line);
     let pools: Vec<PoolId> = state.pools.borrow().keys().cloned().collect();
     for pool in pools {
         if pool.data_centre == *centre {
@@ -119,7 +119,7 @@
         .number("version", table.version.0)
         .number("routes", table.routes.len() as u64)
         .number("former", known.unwrap_or_default().0);
-    state.log(EventKind::Kept, line);
+    state.log(EventKind::Important, line);
     *state.table.borrow_mut() = Some(Rc::new(table));
     workers::sort_again(state);
 }
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -138,7 +138,7 @@
         .number("fence", owned.pool.fence().0)
         .text("why", why)
         .number("open_jobs", owned.waiters.len() as u64);
-    state.log(EventKind::Kept, line);
+    state.log(EventKind::Important, line);
     for (_, sender) in owned.waiters {
         let _gone = sender.send(JobOutcome::GivenUp);
     }
@@ -201,7 +201,7 @@
         .text("pool", id)
         .number("fence", version.0)
         .number("workers", workers.len() as u64);
-    state.log(EventKind::Kept, line);
+    state.log(EventKind::Important, line);
     if !state.directory.borrow().is_current(state.now()) {
         state.unfilled.borrow_mut().push(id.clone());
         state.wake_workers.notify_one();
@@ -295,7 +295,7 @@
         let wanted = wanted.filter(|_| state.has(Mechanism::Yielding));
         if let Some(id) = wanted.filter(|id| state.pools.borrow().contains_key(id)) {
             state.log(
-                EventKind::Kept,
+                EventKind::Important,
                 EventLine::new("pool_yielded").text("pool", &id),
             );
             *state.yielding.borrow_mut() = Some((id.clone(), now));
@@ -351,7 +351,7 @@
                     let line = EventLine::new("pool_probed")
                         .text("pool", &pool)
                         .text("reachable", reachable);
-                    state.log(EventKind::Kept, line);
+                    state.log(EventKind::Important, line);
                 });
             }
             ClaimAction::Claim { pool, expected } => {
@@ -418,7 +418,7 @@
     }
     let now = state.now();
     state.keeper.borrow_mut().on_claim_end(now, pool, end);
-    state.log(EventKind::Kept, line);
+    state.log(EventKind::Important, line);
 }
 
 /// A job that waits for its outcome. Dropping it cancels the job.
@@ -533,5 +533,5 @@
     let line = EventLine::new("job_cancelled")
         .text("why", "entry_silent")
         .text("entry", entry);
-    state.log(EventKind::Kept, line);
+    state.log(EventKind::Important, line);
 }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -87,7 +87,7 @@
             state.links.open.borrow_mut().remove(&address);
             lost.notify_waiters();
             let line = EventLine::new("link_lost").text("peer", node);
-            state.log(EventKind::Kept, line);
+            state.log(EventKind::Important, line);
         }
     };
     let opened = connect_pool(address, state.traffic.clone(), closed).await;
@@ -95,7 +95,7 @@
     match opened {
         Ok(link) => {
             let line = EventLine::new("link_opened").text("peer", &node);
-            state.log(EventKind::Kept, line);
+            state.log(EventKind::Important, line);
             let link = Rc::new(OwnerLink { node, link, lost });
             state.links.open.borrow_mut().insert(address, link);
         }
@@ -106,7 +106,7 @@
             let line = EventLine::new("link_failed")
                 .text("peer", &node)
                 .text("error", error);
-            state.log(EventKind::Kept, line);
+            state.log(EventKind::Important, line);
         }
     }
 }
@@ -206,7 +206,7 @@
             }
             Err(error) => {
                 let line = EventLine::new("heartbeat_unreadable").text("error", error);
-                state.log(EventKind::Kept, line);
+                state.log(EventKind::Important, line);
             }
         }
     }
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -95,7 +95,7 @@
 
     /// The log lines that have not been written out.
     pub fn log_lines(&self) -> String {
-        self.state.log.borrow().gathered()
+        self.state.log.borrow().buffered_text()
     }
 
     /// Leaves without cutting a request: says "not ready", ends the jobs of its pools and lets go of them, and stays
@@ -109,7 +109,7 @@
         state.stop_limit.set(Some(limit));
         state.keeper.borrow_mut().leave();
         state.log(
-            EventKind::Kept,
+            EventKind::Important,
             EventLine::new("process_stopping").millis("grace_ms", grace),
         );
         while state.now() < limit {
@@ -134,7 +134,7 @@
         let line = EventLine::new("process_stopped")
             .number("cut_requests", cut as u64)
             .millis("took_ms", state.now().saturating_duration_since(begun));
-        state.log(EventKind::Kept, line);
+        state.log(EventKind::Important, line);
         state.log.borrow_mut().flush();
     }
 }
@@ -246,7 +246,7 @@
         started: clock.now(),
         clock,
     });
-    state.log(EventKind::Kept, line);
+    state.log(EventKind::Important, line);
     let beats = BeatSender::new(socket.clone());
     let mut tasks = vec![
         actix_rt::spawn(refresh_member(state.clone())),
@@ -296,7 +296,7 @@
 ) {
     if let Err(error) = serving.await {
         state.log(
-            EventKind::Kept,
+            EventKind::Important,
             EventLine::new("server_failed").text("error", error),
         );
     }
@@ -346,7 +346,7 @@
         if let Err(error) = &answer {
             if !failed {
                 let line = EventLine::new("member_row_not_written").text("error", error);
-                state.log(EventKind::Kept, line);
+                state.log(EventKind::Important, line);
             }
         }
         failed = answer.is_err();
@@ -372,7 +372,7 @@
                 "for_ms",
                 time_since_boot().saturating_sub(state.last_tick.get()),
             );
-            state.log(EventKind::Kept, line);
+            state.log(EventKind::Important, line);
             each_pool(&state, pool::WorkerPool::give_up_all);
             state.directory.borrow_mut().note_paused();
         }
@@ -464,7 +464,7 @@
                 // What the settings name stays for a process's life: addresses, its VM, its data centre. What changes
                 // while it runs is in the store.
                 _ = reload.recv() => process.state.log(
-                    EventKind::Kept,
+                    EventKind::Important,
                     EventLine::new("reload_ignored").text("why", "settings hold for a process's life"),
                 ),
             }
--- a/crates/node/src/ready.rs
+++ b/crates/node/src/ready.rs
@@ -66,7 +66,7 @@
             .map_into_boxed_body(),
         Err(error) => {
             let line = EventLine::new("metrics_not_written").text("error", error);
-            state.log(EventKind::Kept, line);
+            state.log(EventKind::Important, line);
             Response::new(StatusCode::INTERNAL_SERVER_ERROR).map_into_boxed_body()
         }
     }
--- a/crates/node/src/traffic.rs
+++ b/crates/node/src/traffic.rs
@@ -43,7 +43,7 @@
             line = line.text(kind.as_str(), rates);
             *told = count;
         }
-        state.log(EventKind::Kept, line);
+        state.log(EventKind::Important, line);
     }
 }
 
--- a/crates/node/src/workers.rs
+++ b/crates/node/src/workers.rs
@@ -141,7 +141,7 @@
         let line = EventLine::new("worker_unusable")
             .text("worker", &life)
             .text("why", fault);
-        state.log(EventKind::Kept, line);
+        state.log(EventKind::Important, line);
     }
     if let Some(former) = former {
         drop_worker(state, &former);
--- a/crates/telemetry/src/events.rs
+++ b/crates/telemetry/src/events.rs
@@ -12,25 +12,25 @@
 };
 
 /// From this size on plain lines are dropped, in bytes. A busy process writes some 60 KB a second.
-const PLAIN_LIMIT: usize = 192 * 1024;
+const ROUTINE_LIMIT_BYTES: usize = 192 * 1024;
 
 /// From this size on all lines are dropped, in bytes.
-const KEPT_LIMIT: usize = 256 * 1024;
+const BUFFER_LIMIT_BYTES: usize = 256 * 1024;
 
 /// Buffers on their way to the writer.
-const BUFFERS_UNDER_WAY: usize = 2;
+const WRITER_QUEUE_BUFFERS: usize = 2;
 
 /// The most that is written in one go, in bytes: what a pipe takes whole or not at all. A reader that takes lines from
 /// several processes would otherwise see them cut in the middle.
-const PIPE_PIECE: usize = 4 * 1024;
+const ATOMIC_WRITE_BYTES: usize = 4 * 1024;
 
 /// How much a line matters when there is no room for all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventKind {
     /// The usual course of a request.
-    Plain,
+    Routine,
     /// A refusal, a failure, or a change of what the process believes.
-    Kept,
+    Important,
 }
 
 /// Gathers lines and hands them to the writing thread.
@@ -43,13 +43,13 @@
 impl EventLog {
     /// A log that writes to standard output.
     pub fn to_stdout() -> Self {
-        let (sender, receiver) = sync_channel::<Vec<u8>>(BUFFERS_UNDER_WAY);
+        let (sender, receiver) = sync_channel::<Vec<u8>>(WRITER_QUEUE_BUFFERS);
         std::thread::spawn(move || {
             let mut out = std::io::stdout();
             for buffer in receiver {
-                for piece in whole_lines(&buffer) {
+                for chunk in split_at_line_ends(&buffer) {
                     // Where standard output is gone nobody reads, and there is nowhere else to say so.
-                    if out.write_all(piece).and_then(|()| out.flush()).is_err() {
+                    if out.write_all(chunk).and_then(|()| out.flush()).is_err() {
                         return;
                     }
                 }
@@ -74,8 +74,8 @@
     /// Takes a line, or counts it as dropped.
     pub fn add(&mut self, kind: EventKind, line: EventLine) {
         let limit = match kind {
-            EventKind::Plain => PLAIN_LIMIT,
-            EventKind::Kept => KEPT_LIMIT,
+            EventKind::Routine => ROUTINE_LIMIT_BYTES,
+            EventKind::Important => BUFFER_LIMIT_BYTES,
         };
         if self.buffer.len() + line.text.len() > limit {
             self.dropped += 1;
@@ -87,10 +87,10 @@
 
     /// Hands what has gathered to the writer. What the writer cannot take yet stays.
     pub fn flush(&mut self) {
-        if self.dropped > 0 && self.buffer.len() < PLAIN_LIMIT {
+        if self.dropped > 0 && self.buffer.len() < ROUTINE_LIMIT_BYTES {
             let dropped = std::mem::take(&mut self.dropped);
             let line = EventLine::new("log_lines_dropped").number("count", dropped);
-            self.add(EventKind::Kept, line);
+            self.add(EventKind::Important, line);
         }
         let Some(writer) = self.writer.as_ref().filter(|_| !self.buffer.is_empty()) else {
             return;
@@ -104,25 +104,25 @@
     }
 
     /// The lines that have gathered, as text.
-    pub fn gathered(&self) -> String {
+    pub fn buffered_text(&self) -> String {
         String::from_utf8_lossy(&self.buffer).into_owned()
     }
 }
 
 /// Cuts a buffer into pieces of whole lines that a pipe takes in one go.
-fn whole_lines(buffer: &[u8]) -> impl Iterator<Item = &[u8]> {
+fn split_at_line_ends(buffer: &[u8]) -> impl Iterator<Item = &[u8]> {
     let mut rest = buffer;
     std::iter::from_fn(move || {
         if rest.is_empty() {
             return None;
         }
-        let within = &rest[..rest.len().min(PIPE_PIECE)];
-        let end = within.iter().rposition(|byte| *byte == b'\n');
-        // A line longer than a piece goes out as it is.
+        let window = &rest[..rest.len().min(ATOMIC_WRITE_BYTES)];
+        let end = window.iter().rposition(|byte| *byte == b'\n');
+        // A line longer than a chunk goes out as it is.
         let end = end.or_else(|| rest.iter().position(|byte| *byte == b'\n'));
-        let (piece, after) = rest.split_at(end.map_or(rest.len(), |end| end + 1));
+        let (chunk, after) = rest.split_at(end.map_or(rest.len(), |end| end + 1));
         rest = after;
-        Some(piece)
+        Some(chunk)
     })
 }
 
