--- a/crates/entry/src/control/notes.rs
+++ b/crates/entry/src/control/notes.rs
@@ -5,7 +5,8 @@
 use authority::{AuthorityEvent, DispatcherKey};
 use model::{ByteSize, FastMap, SubmissionId, SubmissionOutcome, VmId};
 use telemetry::{
-    CounterKind, ExplainEvent, ExplainHistory, ExplainReport, MetricSet, SubmissionNote, TimeKind,
+    CounterKind, ExplainEvent, ExplainHistory, ExplainReport, MetricSet, SubmissionSummary,
+    TimeKind,
 };
 
 /// The memory for the histories of submissions, in bytes. A job of 40 tasks takes some 10 KB, so the last thousand or so
@@ -57,7 +58,7 @@
             self.metrics
                 .time(TimeKind::Response, now.saturating_duration_since(accepted));
         }
-        self.history.note(
+        self.history.record(
             id,
             ExplainEvent::Answered {
                 outcome: outcome.into(),
@@ -81,13 +82,13 @@
             } => {
                 self.metrics.submitted(&customer);
                 self.accepted.insert(id, now);
-                let note = SubmissionNote {
+                let note = SubmissionSummary {
                     customer,
                     contract: Some(version),
                     tasks,
                 };
                 self.history.accept(id, note, now);
-                self.history.note(id, ExplainEvent::Admitted, now);
+                self.history.record(id, ExplainEvent::Admitted, now);
             }
             AuthorityEvent::Refused { .. } | AuthorityEvent::Answered(_) => {}
             AuthorityEvent::Offered(attempt, dispatcher) => {
@@ -96,17 +97,17 @@
                     task: attempt.task,
                     dispatcher: address_of(dispatcher),
                 };
-                self.history.note(attempt.submission, offered, now);
+                self.history.record(attempt.submission, offered, now);
             }
             AuthorityEvent::Queued(attempt) => {
-                self.history.note(
+                self.history.record(
                     attempt.submission,
                     ExplainEvent::Queued { task: attempt.task },
                     now,
                 );
             }
             AuthorityEvent::Claimed(attempt) => {
-                self.history.note(
+                self.history.record(
                     attempt.submission,
                     ExplainEvent::Claimed { task: attempt.task },
                     now,
@@ -117,7 +118,7 @@
                     task: attempt.task,
                     attempt: attempt.attempt,
                 };
-                self.history.note(attempt.submission, started, now);
+                self.history.record(attempt.submission, started, now);
             }
             AuthorityEvent::Ended(attempt, end) => {
                 let end = (&end).into();
@@ -126,7 +127,7 @@
                     attempt: attempt.attempt,
                     end,
                 };
-                self.history.note(attempt.submission, ended, now);
+                self.history.record(attempt.submission, ended, now);
             }
             AuthorityEvent::Retried(attempt, reason) => {
                 self.metrics.retried(reason);
--- a/crates/telemetry/src/explain/event.rs
+++ b/crates/telemetry/src/explain/event.rs
@@ -8,7 +8,7 @@
 
 /// What is known of a submission when it is accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SubmissionNote {
+pub struct SubmissionSummary {
     /// Whose contract covers it.
     pub customer: CustomerId,
     /// The version of the contract that it was judged by; absent where there is none.
@@ -26,7 +26,7 @@
     /// It was refused; nothing of it ran.
     Refused {
         /// Why.
-        #[serde(serialize_with = "text")]
+        #[serde(serialize_with = "serialize_display")]
         reason: RefusalReason,
     },
     /// The same request came again and was not run again.
@@ -65,7 +65,7 @@
         attempt: u32,
         /// How.
         #[serde(flatten)]
-        end: AttemptNote,
+        end: AttemptSummary,
     },
     /// A withdrawal of the task was asked for.
     Withdrawn {
@@ -78,14 +78,14 @@
     Answered {
         /// What it said.
         #[serde(flatten)]
-        outcome: OutcomeNote,
+        outcome: OutcomeSummary,
     },
 }
 
 /// How an attempt ended, without the payload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(tag = "end", rename_all = "snake_case")]
-pub enum AttemptNote {
+pub enum AttemptSummary {
     /// The task ran and answered.
     Done,
     /// The task ran and said that it failed.
@@ -93,18 +93,18 @@
     /// The task did not start.
     NotRun {
         /// Why.
-        #[serde(serialize_with = "text")]
+        #[serde(serialize_with = "serialize_display")]
         reason: RetryReason,
     },
     /// Nobody can say.
     Unknown {
         /// Why.
-        #[serde(serialize_with = "text")]
+        #[serde(serialize_with = "serialize_display")]
         reason: UnknownReason,
     },
 }
 
-impl From<&AttemptEnd> for AttemptNote {
+impl From<&AttemptEnd> for AttemptSummary {
     fn from(end: &AttemptEnd) -> Self {
         match end {
             AttemptEnd::Done(_) => Self::Done,
@@ -118,30 +118,30 @@
 /// What an answer said, without the payloads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
-pub enum OutcomeNote {
+pub enum OutcomeSummary {
     /// Every task ran.
     Complete,
     /// The submission failed as a whole.
     Failed {
         /// Why.
-        #[serde(serialize_with = "text")]
+        #[serde(serialize_with = "serialize_display")]
         reason: FailureReason,
     },
     /// Nothing ran.
     Refused {
         /// Why.
-        #[serde(serialize_with = "text")]
+        #[serde(serialize_with = "serialize_display")]
         reason: RefusalReason,
     },
     /// It may or may not have run.
     Unknown {
         /// Why.
-        #[serde(serialize_with = "text")]
+        #[serde(serialize_with = "serialize_display")]
         reason: UnknownReason,
     },
 }
 
-impl From<&SubmissionOutcome> for OutcomeNote {
+impl From<&SubmissionOutcome> for OutcomeSummary {
     fn from(outcome: &SubmissionOutcome) -> Self {
         match outcome {
             SubmissionOutcome::Complete(_) => Self::Complete,
@@ -152,6 +152,9 @@
     }
 }
 
-fn text<T: std::fmt::Display, S: Serializer>(value: &T, serializer: S) -> Result<S::Ok, S::Error> {
+fn serialize_display<T: std::fmt::Display, S: Serializer>(
+    value: &T,
+    serializer: S,
+) -> Result<S::Ok, S::Error> {
     serializer.collect_str(value)
 }
--- a/crates/telemetry/src/explain/history.rs
+++ b/crates/telemetry/src/explain/history.rs
@@ -4,7 +4,7 @@
 
 use model::{ByteSize, FastMap, SubmissionId};
 
-use super::{ExplainEvent, ExplainLine, ExplainReport, SubmissionNote};
+use super::{ExplainEvent, ExplainLine, ExplainReport, SubmissionSummary};
 
 /// The most events kept of one submission. A job of 370 tasks has about 1500; a job that is placed over and over must
 /// not push everything else out, so further events are only counted. The answer is kept in any case.
@@ -24,10 +24,10 @@
 
 #[derive(Debug)]
 struct HistoryRecord {
-    note: SubmissionNote,
+    summary: SubmissionSummary,
     accepted: Instant,
     events: Vec<(Instant, ExplainEvent)>,
-    left_out: u32,
+    events_left_out: u32,
 }
 
 impl ExplainHistory {
@@ -43,15 +43,15 @@
     }
 
     /// Starts the record of a submission. A second start of the same one changes nothing.
-    pub fn accept(&mut self, id: SubmissionId, note: SubmissionNote, now: Instant) {
+    pub fn accept(&mut self, id: SubmissionId, summary: SubmissionSummary, now: Instant) {
         if self.records.contains_key(&id) {
             return;
         }
         let record = HistoryRecord {
-            note,
+            summary,
             accepted: now,
             events: Vec::new(),
-            left_out: 0,
+            events_left_out: 0,
         };
         self.used += record.bytes();
         self.records.insert(id, record);
@@ -60,14 +60,14 @@
     }
 
     /// Adds an event. One of a submission that is not known, or no more, is dropped.
-    pub fn note(&mut self, id: SubmissionId, event: ExplainEvent, now: Instant) {
+    pub fn record(&mut self, id: SubmissionId, event: ExplainEvent, now: Instant) {
         let Some(record) = self.records.get_mut(&id) else {
             return;
         };
-        let before = record.bytes();
+        let bytes_before = record.bytes();
         record.push(event, now);
         // An answer gives spare room back, so the record may have shrunk.
-        self.used = self.used + record.bytes() - before;
+        self.used = self.used + record.bytes() - bytes_before;
         self.evict();
     }
 
@@ -80,11 +80,11 @@
         });
         Some(ExplainReport {
             submission: id,
-            customer: record.note.customer.clone(),
-            contract_version: record.note.contract,
-            tasks: record.note.tasks,
+            customer: record.summary.customer.clone(),
+            contract_version: record.summary.contract,
+            tasks: record.summary.tasks,
             events: lines.collect(),
-            events_left_out: record.left_out,
+            events_left_out: record.events_left_out,
         })
     }
 
@@ -120,7 +120,7 @@
     fn push(&mut self, event: ExplainEvent, now: Instant) {
         let is_answer = matches!(event, ExplainEvent::Answered { .. });
         if self.events.len() >= MAX_EVENTS && !is_answer {
-            self.left_out += 1;
+            self.events_left_out += 1;
             return;
         }
         self.events.push((now, event));
@@ -134,7 +134,7 @@
     fn bytes(&self) -> usize {
         size_of::<Self>()
             + INDEX_BYTES
-            + self.note.customer.as_str().len()
+            + self.summary.customer.as_str().len()
             + self.events.capacity() * size_of::<(Instant, ExplainEvent)>()
     }
 }
--- a/crates/telemetry/src/explain/mod.rs
+++ b/crates/telemetry/src/explain/mod.rs
@@ -5,7 +5,7 @@
 mod report;
 
 pub use self::{
-    event::{AttemptNote, ExplainEvent, OutcomeNote, SubmissionNote},
+    event::{AttemptSummary, ExplainEvent, OutcomeSummary, SubmissionSummary},
     history::{ExplainHistory, MAX_EVENTS},
     report::{ExplainLine, ExplainReport},
 };
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -10,7 +10,7 @@
 pub use crate::{
     error::TelemetryError,
     events::{EventKind, EventLine, EventLog},
-    explain::{ExplainEvent, ExplainHistory, ExplainReport, SubmissionNote},
+    explain::{ExplainEvent, ExplainHistory, ExplainReport, SubmissionSummary},
     logs::{init_logs, LogControl},
     metrics::{
         CounterFamily, CounterKind, GaugeKind, MetricSet, NodeMetrics, TimeFamily, TimeKind,
--- a/crates/telemetry/tests/explain.rs
+++ b/crates/telemetry/tests/explain.rs
@@ -8,8 +8,8 @@
     SubmissionOutcome, UnknownReason,
 };
 use telemetry::{
-    explain::{AttemptNote, OutcomeNote, MAX_EVENTS},
-    ExplainEvent, ExplainHistory, SubmissionNote,
+    explain::{AttemptSummary, OutcomeSummary, MAX_EVENTS},
+    ExplainEvent, ExplainHistory, SubmissionSummary,
 };
 
 fn id(serial: u64) -> SubmissionId {
@@ -19,8 +19,8 @@
     }
 }
 
-fn note() -> SubmissionNote {
-    SubmissionNote {
+fn summary() -> SubmissionSummary {
+    SubmissionSummary {
         customer: "trust".parse().unwrap(),
         contract: Some(ContractVersion(3)),
         tasks: 2,
@@ -29,7 +29,7 @@
 
 fn answered(outcome: &SubmissionOutcome) -> ExplainEvent {
     ExplainEvent::Answered {
-        outcome: OutcomeNote::from(outcome),
+        outcome: OutcomeSummary::from(outcome),
     }
 }
 
@@ -38,7 +38,7 @@
     let mut history = ExplainHistory::new(ByteSize(1 << 20));
     let start = Instant::now();
     let dispatcher = "vm2".parse().unwrap();
-    let end = AttemptNote::from(&AttemptEnd::NotRun(RetryReason::EndpointBusy));
+    let end = AttemptSummary::from(&AttemptEnd::NotRun(RetryReason::EndpointBusy));
     let outcome = SubmissionOutcome::Unknown(UnknownReason::ConnectionLost);
     let events = [
         (0, ExplainEvent::Admitted),
@@ -68,9 +68,9 @@
         ),
         (90, answered(&outcome)),
     ];
-    history.accept(id(1), note(), start);
+    history.accept(id(1), summary(), start);
     for (ms, event) in events {
-        history.note(id(1), event, start + Duration::from_millis(ms));
+        history.record(id(1), event, start + Duration::from_millis(ms));
     }
     let report = history.explain(id(1)).unwrap();
     assert_snapshot!(serde_json::to_string_pretty(&report).unwrap());
@@ -84,14 +84,14 @@
     let mut history = ExplainHistory::new(limit);
     let now = Instant::now();
     for serial in 0..10_000 {
-        history.accept(id(serial), note(), now);
+        history.accept(id(serial), summary(), now);
         let reason = RefusalReason::Overloaded;
-        history.note(id(serial), ExplainEvent::Refused { reason }, now);
+        history.record(id(serial), ExplainEvent::Refused { reason }, now);
         let outcome = SubmissionOutcome::Refused {
             reason,
             retry_after: None,
         };
-        history.note(id(serial), answered(&outcome), now);
+        history.record(id(serial), answered(&outcome), now);
         assert!(history.used() <= limit, "{} at {serial}", history.used());
     }
     assert!(history.len() > 100, "{}", history.len());
@@ -105,11 +105,11 @@
 fn one_submission_cannot_take_everything() {
     let mut history = ExplainHistory::new(ByteSize(10 << 20));
     let now = Instant::now();
-    history.accept(id(1), note(), now);
+    history.accept(id(1), summary(), now);
     for task in 0..100_000 {
-        history.note(id(1), ExplainEvent::Queued { task }, now);
+        history.record(id(1), ExplainEvent::Queued { task }, now);
     }
-    history.note(
+    history.record(
         id(1),
         answered(&SubmissionOutcome::Complete(Vec::new())),
         now,
@@ -125,12 +125,12 @@
 fn what_is_unknown_or_gone_is_not_explained() {
     let mut history = ExplainHistory::new(ByteSize(1));
     let now = Instant::now();
-    history.note(id(1), ExplainEvent::Admitted, now);
+    history.record(id(1), ExplainEvent::Admitted, now);
     assert!(history.explain(id(1)).is_none());
-    history.accept(id(1), note(), now);
+    history.accept(id(1), summary(), now);
     assert!(history.is_empty());
     assert_eq!(history.used(), ByteSize(0));
-    history.note(id(1), ExplainEvent::Cancelled, now);
+    history.record(id(1), ExplainEvent::Cancelled, now);
     assert_eq!(history.used(), ByteSize(0));
 }
 
@@ -138,10 +138,10 @@
 fn a_second_start_keeps_the_first_record() {
     let mut history = ExplainHistory::new(ByteSize(1 << 20));
     let now = Instant::now();
-    history.accept(id(1), note(), now);
-    history.note(id(1), ExplainEvent::Admitted, now);
+    history.accept(id(1), summary(), now);
+    history.record(id(1), ExplainEvent::Admitted, now);
     let used = history.used();
-    history.accept(id(1), note(), now);
+    history.accept(id(1), summary(), now);
     assert_eq!(history.used(), used);
     assert_eq!(history.explain(id(1)).unwrap().events.len(), 1);
 }
