--- a/crates/telemetry/src/logs/control.rs
+++ b/crates/telemetry/src/logs/control.rs
@@ -15,8 +15,8 @@
 
 use super::{
     format::{write_json, write_text},
-    limiter::{LogLimiter, LogPlace, LogVerdict, SuppressedCount},
-    part::CRATES,
+    limiter::{CallSite, LogDecision, LogLimiter, SuppressedCount},
+    part::CRATE_PARTS,
 };
 use crate::TelemetryError;
 
@@ -35,13 +35,13 @@
 /// Fails when other code has set a logger that is not this one.
 pub fn init_logs(settings: &LogSettings) -> Result<&'static LogControl, TelemetryError> {
     static CONTROL: Mutex<Option<&'static LogControl>> = Mutex::new(None);
-    static STORE: OnceLock<LogControl> = OnceLock::new();
+    static LOGGER: OnceLock<LogControl> = OnceLock::new();
     let mut control = lock(&CONTROL);
     if let Some(control) = *control {
         return Ok(control);
     }
     let started = LogControl::start(settings)?;
-    let started = STORE.get_or_init(|| started);
+    let started = LOGGER.get_or_init(|| started);
     *control = Some(started);
     Ok(started)
 }
@@ -66,16 +66,16 @@
 
     /// Writes the counts of left-out messages that are still open. Called before the process ends.
     pub fn flush(&self) {
-        let counts = lock(&self.limiter).all_counts();
+        let counts = lock(&self.limiter).take_all_counts();
         for count in counts {
-            log::warn!(target: LogPart::Process.as_str(), "{}", suppressed_line(count));
+            log::warn!(target: LogPart::Process.as_str(), "{}", suppressed_message(count));
         }
         self.handle.flush();
     }
 
     fn start(settings: &LogSettings) -> Result<Self, TelemetryError> {
         let limiter = Arc::new(Mutex::new(LogLimiter::new(settings.per_kind_per_second)));
-        let filter = LimitFilter {
+        let filter = RateLimitFilter {
             limiter: Arc::clone(&limiter),
             clock: SystemClock,
         };
@@ -100,35 +100,35 @@
     }
 }
 
-struct LimitFilter {
+struct RateLimitFilter {
     limiter: Arc<Mutex<LogLimiter>>,
     clock: SystemClock,
 }
 
-impl LogLineFilter for LimitFilter {
+impl LogLineFilter for RateLimitFilter {
     fn write(
         &self,
         now: &mut DeferredNow,
         record: &Record<'_>,
         writer: &dyn LogLineWriter,
     ) -> io::Result<()> {
-        let (verdict, counts) = {
+        let (decision, counts) = {
             let mut limiter = lock(&self.limiter);
             let time = self.clock.now();
-            let counts = limiter.due_counts(time);
-            (limiter.admit(place_of(record), time), counts)
+            let counts = limiter.take_due_counts(time);
+            (limiter.admit(call_site_of(record), time), counts)
         };
         for count in counts {
-            write_count(now, count, writer)?;
+            write_suppressed_count(now, count, writer)?;
         }
-        match verdict {
-            LogVerdict::Write => writer.write(now, record),
-            LogVerdict::Suppress => Ok(()),
+        match decision {
+            LogDecision::Write => writer.write(now, record),
+            LogDecision::Suppress => Ok(()),
         }
     }
 }
 
-fn write_count(
+fn write_suppressed_count(
     now: &mut DeferredNow,
     count: SuppressedCount,
     writer: &dyn LogLineWriter,
@@ -138,21 +138,21 @@
         &Record::builder()
             .level(log::Level::Warn)
             .target(LogPart::Process.as_str())
-            .args(format_args!("{}", suppressed_line(count)))
+            .args(format_args!("{}", suppressed_message(count)))
             .build(),
     )
 }
 
-fn suppressed_line(count: SuppressedCount) -> String {
-    let SuppressedCount { place, messages } = count;
+fn suppressed_message(count: SuppressedCount) -> String {
+    let SuppressedCount { site, messages } = count;
     format!(
         "{messages} messages of {}:{} left out",
-        place.file, place.line
+        site.file, site.line
     )
 }
 
-fn place_of(record: &Record<'_>) -> LogPlace {
-    LogPlace {
+fn call_site_of(record: &Record<'_>) -> CallSite {
+    CallSite {
         file: record.file_static().unwrap_or_default(),
         line: record.line().unwrap_or_default(),
     }
@@ -165,7 +165,7 @@
     for part in LogPart::ALL {
         builder.module(part.as_str(), level_filter(settings.level_of(*part)));
     }
-    for (name, part) in CRATES {
+    for (name, part) in CRATE_PARTS {
         builder.module(name, level_filter(settings.level_of(*part)));
     }
     builder.build()
--- a/crates/telemetry/src/logs/format.rs
+++ b/crates/telemetry/src/logs/format.rs
@@ -26,7 +26,7 @@
         "{} {} {part}: {}",
         now.now_utc_owned().format(TIME_FORMAT),
         record.level(),
-        one_line(&message_of(record, part)),
+        escape_control_chars(&message_of(record, part)),
     )
 }
 
@@ -57,17 +57,17 @@
 /// The message without the prefix of its part, which some messages bring with them.
 fn message_of(record: &Record<'_>, part: LogPart) -> String {
     let text = record.args().to_string();
-    let own = text
+    let without_prefix = text
         .strip_prefix(part.as_str())
         .and_then(|rest| rest.strip_prefix(": "));
-    match own {
+    match without_prefix {
         Some(rest) => rest.to_owned(),
         None => text,
     }
 }
 
-/// Escapes control characters. A line break in an error's text would otherwise look like a message of its own.
-fn one_line(text: &str) -> String {
+/// Escapes control characters. A line break in an error's text would otherwise look like a separate message.
+fn escape_control_chars(text: &str) -> String {
     let mut line = String::with_capacity(text.len());
     for c in text.chars() {
         if !c.is_control() {
--- a/crates/telemetry/src/logs/limiter.rs
+++ b/crates/telemetry/src/logs/limiter.rs
@@ -13,11 +13,11 @@
 
 /// The most places that are told apart. Places are lines of code, so only a fault would go beyond; those share one
 /// limit then.
-const MAX_PLACES: usize = 4096;
+const MAX_CALL_SITES: usize = 4096;
 
 /// The place of a message in the code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct LogPlace {
+pub struct CallSite {
     /// The source file.
     pub file: &'static str,
     /// The line, from 1; 0 where the compiler gave none.
@@ -26,7 +26,7 @@
 
 /// Whether a message is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LogVerdict {
+pub enum LogDecision {
     /// It is written.
     Write,
     /// It is only counted.
@@ -36,8 +36,8 @@
 /// How many messages of one place were left out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SuppressedCount {
-    /// The place.
-    pub place: LogPlace,
+    /// The site.
+    pub site: CallSite,
     /// The messages left out since the last such count.
     pub messages: u64,
 }
@@ -45,14 +45,14 @@
 /// Counts messages by place and window.
 #[derive(Debug)]
 pub struct LogLimiter {
-    per_window: u32,
-    places: FastMap<LogPlace, PlaceCount>,
+    max_per_window: u32,
+    sites: FastMap<CallSite, SiteCount>,
     suppressed_total: u64,
     next_sweep: Option<Instant>,
 }
 
 #[derive(Debug)]
-struct PlaceCount {
+struct SiteCount {
     window_start: Instant,
     written: u32,
     suppressed: u64,
@@ -62,17 +62,17 @@
     /// Lets `per_second` messages of each place pass in a second.
     pub fn new(per_second: u32) -> Self {
         Self {
-            per_window: per_second,
-            places: FastMap::default(),
+            max_per_window: per_second,
+            sites: FastMap::default(),
             suppressed_total: 0,
             next_sweep: None,
         }
     }
 
     /// Takes one message in.
-    pub fn admit(&mut self, place: LogPlace, now: Instant) -> LogVerdict {
-        let place = self.known_place(place);
-        let count = self.places.entry(place).or_insert(PlaceCount {
+    pub fn admit(&mut self, site: CallSite, now: Instant) -> LogDecision {
+        let site = self.tracked_site(site);
+        let count = self.sites.entry(site).or_insert(SiteCount {
             window_start: now,
             written: 0,
             suppressed: 0,
@@ -81,17 +81,17 @@
             count.window_start = now;
             count.written = 0;
         }
-        if count.written < self.per_window {
+        if count.written < self.max_per_window {
             count.written += 1;
-            return LogVerdict::Write;
+            return LogDecision::Write;
         }
         count.suppressed += 1;
         self.suppressed_total += 1;
-        LogVerdict::Suppress
+        LogDecision::Suppress
     }
 
-    /// The counts of places whose window is over, at most once a window, in the order of places. They are told once.
-    pub fn due_counts(&mut self, now: Instant) -> Vec<SuppressedCount> {
+    /// The counts of places whose window is over, at most once a window, in the order of sites. They are told once.
+    pub fn take_due_counts(&mut self, now: Instant) -> Vec<SuppressedCount> {
         if self.next_sweep.is_some_and(|next| now < next) {
             return Vec::new();
         }
@@ -100,7 +100,7 @@
     }
 
     /// Every count not told yet, for the end of the process.
-    pub fn all_counts(&mut self) -> Vec<SuppressedCount> {
+    pub fn take_all_counts(&mut self) -> Vec<SuppressedCount> {
         self.take_counts(|_| true)
     }
 
@@ -109,25 +109,25 @@
         self.suppressed_total
     }
 
-    fn known_place(&self, place: LogPlace) -> LogPlace {
-        if self.places.len() < MAX_PLACES || self.places.contains_key(&place) {
-            return place;
+    fn tracked_site(&self, site: CallSite) -> CallSite {
+        if self.sites.len() < MAX_CALL_SITES || self.sites.contains_key(&site) {
+            return site;
         }
-        LogPlace { file: "", line: 0 }
+        CallSite { file: "", line: 0 }
     }
 
-    fn take_counts(&mut self, due: impl Fn(&PlaceCount) -> bool) -> Vec<SuppressedCount> {
+    fn take_counts(&mut self, due: impl Fn(&SiteCount) -> bool) -> Vec<SuppressedCount> {
         let mut counts = Vec::new();
-        for (place, count) in &mut self.places {
+        for (site, count) in &mut self.sites {
             if count.suppressed == 0 || !due(count) {
                 continue;
             }
             counts.push(SuppressedCount {
-                place: *place,
+                site: *site,
                 messages: std::mem::take(&mut count.suppressed),
             });
         }
-        counts.sort_by_key(|count| count.place);
+        counts.sort_by_key(|count| count.site);
         counts
     }
 }
--- a/crates/telemetry/src/logs/mod.rs
+++ b/crates/telemetry/src/logs/mod.rs
@@ -10,6 +10,6 @@
 
 pub use self::{
     control::{init_logs, LogControl},
-    limiter::{LogLimiter, LogPlace, LogVerdict, SuppressedCount},
+    limiter::{CallSite, LogDecision, LogLimiter, SuppressedCount},
     part::part_of,
 };
--- a/crates/telemetry/src/logs/part.rs
+++ b/crates/telemetry/src/logs/part.rs
@@ -3,7 +3,7 @@
 use settings::LogPart;
 
 /// The crates of the workspace, by the name that stands first in a message's target, and their parts.
-pub(super) const CRATES: &[(&str, LogPart)] = &[
+pub(super) const CRATE_PARTS: &[(&str, LogPart)] = &[
     ("authority", LogPart::Entry),
     ("cairnctl", LogPart::Ctl),
     ("cairnpaddle", LogPart::Process),
@@ -34,7 +34,7 @@
 /// The part of a message by its target: the path of a module, or the name of a part that a message gives itself.
 pub fn part_of(target: &str) -> LogPart {
     let first = target.split("::").next().unwrap_or(target);
-    for (name, part) in CRATES {
+    for (name, part) in CRATE_PARTS {
         if *name == first {
             return *part;
         }
--- a/crates/telemetry/src/metrics/catalogue.rs
+++ b/crates/telemetry/src/metrics/catalogue.rs
@@ -13,9 +13,9 @@
     Histogram,
 }
 
-/// One line of the catalogue.
+/// One entry of the catalogue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct MetricLine {
+pub struct MetricSpec {
     /// The name in the exposition.
     pub name: &'static str,
     /// What it is.
@@ -29,7 +29,7 @@
 }
 
 /// Every metric, in the order of the page.
-pub const CATALOGUE: &[MetricLine] = &[
+pub const CATALOGUE: &[MetricSpec] = &[
     labelled(
         SUBMISSIONS,
         "customer",
@@ -56,30 +56,30 @@
         "reason",
         "Submissions answered with outcome unknown",
     ),
-    CounterKind::AnswersUnderOldContracts.line(),
-    CounterKind::SecondArrivals.line(),
-    CounterKind::TaskOffers.line(),
-    CounterKind::Messages.line(),
-    CounterKind::WastedMessages.line(),
-    CounterKind::GrantAsks.line(),
-    CounterKind::PlatformErrors.line(),
-    CounterKind::ReadBacks.line(),
-    CounterKind::OwnerChanges.line(),
-    CounterKind::SessionsLost.line(),
-    CounterKind::LogLinesSuppressed.line(),
-    TimeKind::Response.line(),
-    TimeKind::QueueWait.line(),
-    TimeKind::RunTime.line(),
-    TimeKind::KeyCommit.line(),
-    GaugeKind::OpenSubmissions.line(),
-    GaugeKind::QueueLength.line(),
-    GaugeKind::SlotsRunning.line(),
-    GaugeKind::SlotsLimit.line(),
-    GaugeKind::ContractHead.line(),
-    GaugeKind::ContractAge.line(),
-    GaugeKind::OwnedEndpoints.line(),
-    GaugeKind::GrantsHeld.line(),
-    GaugeKind::Sessions.line(),
+    CounterKind::AnswersUnderOldContracts.spec(),
+    CounterKind::SecondArrivals.spec(),
+    CounterKind::TaskOffers.spec(),
+    CounterKind::Messages.spec(),
+    CounterKind::WastedMessages.spec(),
+    CounterKind::GrantAsks.spec(),
+    CounterKind::PlatformErrors.spec(),
+    CounterKind::ReadBacks.spec(),
+    CounterKind::OwnerChanges.spec(),
+    CounterKind::SessionsLost.spec(),
+    CounterKind::LogLinesSuppressed.spec(),
+    TimeKind::Response.spec(),
+    TimeKind::QueueWait.spec(),
+    TimeKind::RunTime.spec(),
+    TimeKind::KeyCommit.spec(),
+    GaugeKind::OpenSubmissions.spec(),
+    GaugeKind::QueueLength.spec(),
+    GaugeKind::SlotsRunning.spec(),
+    GaugeKind::SlotsLimit.spec(),
+    GaugeKind::ContractHead.spec(),
+    GaugeKind::ContractAge.spec(),
+    GaugeKind::OwnedEndpoints.spec(),
+    GaugeKind::GrantsHeld.spec(),
+    GaugeKind::Sessions.spec(),
 ];
 
 pub(super) const SUBMISSIONS: &str = "cairnpaddle_submissions_total";
@@ -101,10 +101,10 @@
             /// Every kind, in the order of declaration, so that `ALL[kind as usize] == kind`.
             pub const ALL: &'static [Self] = &[$(Self::$variant,)+];
 
-            /// Its line in the catalogue.
-            pub const fn line(self) -> MetricLine {
+            /// Its entry in the catalogue.
+            pub const fn spec(self) -> MetricSpec {
                 match self {
-                    $(Self::$variant => MetricLine {
+                    $(Self::$variant => MetricSpec {
                         name: $metric, kind: $kind, unit: $unit, label: None, meaning: $meaning,
                     },)+
                 }
@@ -183,25 +183,25 @@
 pub fn metric_page() -> String {
     let mut page =
         String::from("| name | kind | unit | label | meaning |\n|---|---|---|---|---|\n");
-    for line in CATALOGUE {
-        let kind = match line.kind {
+    for spec in CATALOGUE {
+        let kind = match spec.kind {
             MetricType::Counter => "counter",
             MetricType::Gauge => "gauge",
             MetricType::Histogram => "histogram",
         };
-        let label = line.label.unwrap_or("");
+        let label = spec.label.unwrap_or("");
         // Writing to a string cannot fail.
         let _ = writeln!(
             page,
             "| `{}` | {kind} | {} | {label} | {} |",
-            line.name, line.unit, line.meaning
+            spec.name, spec.unit, spec.meaning
         );
     }
     page
 }
 
-const fn labelled(name: &'static str, label: &'static str, meaning: &'static str) -> MetricLine {
-    MetricLine {
+const fn labelled(name: &'static str, label: &'static str, meaning: &'static str) -> MetricSpec {
+    MetricSpec {
         name,
         kind: MetricType::Counter,
         unit: "1",
--- a/crates/telemetry/src/metrics/mod.rs
+++ b/crates/telemetry/src/metrics/mod.rs
@@ -6,7 +6,7 @@
 mod set;
 
 pub use self::{
-    catalogue::{metric_page, CounterKind, GaugeKind, MetricLine, MetricType, TimeKind, CATALOGUE},
+    catalogue::{metric_page, CounterKind, GaugeKind, MetricSpec, MetricType, TimeKind, CATALOGUE},
     customers::{CustomerLabels, MAX_CUSTOMER_LABELS, OTHER_CUSTOMERS},
     node::{CounterFamily, NodeMetrics, TimeFamily},
     set::MetricSet,
--- a/crates/telemetry/src/metrics/node.rs
+++ b/crates/telemetry/src/metrics/node.rs
@@ -69,13 +69,13 @@
         let mut counted = Vec::new();
         for family in counters {
             let cells: Arc<[AtomicU64]> = family.values.iter().map(|_| AtomicU64::new(0)).collect();
-            let (shown, family) = (cells.clone(), family.clone());
+            let (observed, family) = (cells.clone(), family.clone());
             let (label, values) = (family.label, family.values.clone());
             let _reported_by_the_provider = meter
                 .u64_observable_counter(family.name)
                 .with_description(family.meaning)
                 .with_callback(move |observer| {
-                    for (value, cell) in values.iter().zip(shown.iter()) {
+                    for (value, cell) in values.iter().zip(observed.iter()) {
                         let label = KeyValue::new(label, *value);
                         observer.observe(cell.load(Ordering::Relaxed), &[label]);
                     }
@@ -112,9 +112,9 @@
         let found = self.counters.iter().find(|(family, _)| family.name == name);
         debug_assert!(found.is_some(), "no counter {name}");
         let (family, cells) = found?;
-        let place = family.values.iter().position(|known| *known == value);
-        debug_assert!(place.is_some(), "no value {value} of {name}");
-        cells.get(place?)
+        let index = family.values.iter().position(|known| *known == value);
+        debug_assert!(index.is_some(), "no value {value} of {name}");
+        cells.get(index?)
     }
 
     /// Sets a counter that is counted elsewhere.
--- a/crates/telemetry/src/metrics/set.rs
+++ b/crates/telemetry/src/metrics/set.rs
@@ -17,7 +17,7 @@
 
 use super::{
     catalogue::{ANSWERS, CATALOGUE, FAILURES, REFUSALS, RETRIES, SUBMISSIONS, UNKNOWNS},
-    CounterKind, CustomerLabels, GaugeKind, MetricLine, TimeKind,
+    CounterKind, CustomerLabels, GaugeKind, MetricSpec, TimeKind,
 };
 use crate::TelemetryError;
 
@@ -73,11 +73,11 @@
             retries: named_counter(&meter, RETRIES),
             failures: named_counter(&meter, FAILURES),
             unknowns: named_counter(&meter, UNKNOWNS),
-            counters: build(CounterKind::ALL, |kind| counter(&meter, &kind.line())),
-            times: build(TimeKind::ALL, |kind| histogram(&meter, &kind.line())),
-            gauges: build(GaugeKind::ALL, |kind| gauge(&meter, &kind.line())),
+            counters: build(CounterKind::ALL, |kind| counter(&meter, &kind.spec())),
+            times: build(TimeKind::ALL, |kind| histogram(&meter, &kind.spec())),
+            gauges: build(GaugeKind::ALL, |kind| gauge(&meter, &kind.spec())),
         };
-        set.start_at_zero();
+        set.init_series();
         Ok(set)
     }
 
@@ -140,7 +140,7 @@
         Ok(TextEncoder::new().encode_to_string(&self.registry.gather())?)
     }
 
-    fn start_at_zero(&self) {
+    fn init_series(&self) {
         for outcome in ["complete", "failed", "refused", "unknown"] {
             add(&self.answers, 0, "outcome", outcome);
         }
@@ -171,34 +171,34 @@
 }
 
 fn named_counter(meter: &Meter, name: &str) -> Counter<u64> {
-    let line = CATALOGUE
+    let spec = CATALOGUE
         .iter()
-        .find(|line| line.name == name)
+        .find(|spec| spec.name == name)
         .expect("the catalogue has every labelled counter");
-    counter(meter, line)
+    counter(meter, spec)
 }
 
-fn counter(meter: &Meter, line: &MetricLine) -> Counter<u64> {
+fn counter(meter: &Meter, spec: &MetricSpec) -> Counter<u64> {
     meter
-        .u64_counter(line.name)
-        .with_description(line.meaning)
-        .with_unit(line.unit)
+        .u64_counter(spec.name)
+        .with_description(spec.meaning)
+        .with_unit(spec.unit)
         .build()
 }
 
-fn histogram(meter: &Meter, line: &MetricLine) -> Histogram<f64> {
+fn histogram(meter: &Meter, spec: &MetricSpec) -> Histogram<f64> {
     meter
-        .f64_histogram(line.name)
-        .with_description(line.meaning)
-        .with_unit(line.unit)
+        .f64_histogram(spec.name)
+        .with_description(spec.meaning)
+        .with_unit(spec.unit)
         .with_boundaries(TIME_BUCKETS.to_vec())
         .build()
 }
 
-fn gauge(meter: &Meter, line: &MetricLine) -> Gauge<f64> {
+fn gauge(meter: &Meter, spec: &MetricSpec) -> Gauge<f64> {
     meter
-        .f64_gauge(line.name)
-        .with_description(line.meaning)
-        .with_unit(line.unit)
+        .f64_gauge(spec.name)
+        .with_description(spec.meaning)
+        .with_unit(spec.unit)
         .build()
 }
--- a/crates/telemetry/tests/explain.rs
+++ b/crates/telemetry/tests/explain.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_report_tells_the_whole_life() {
+fn a_report_lists_every_event() {
     let mut history = ExplainHistory::new(ByteSize(1 << 20));
     let start = Instant::now();
     let dispatcher = "vm2".parse().unwrap();
@@ -79,7 +79,7 @@
 /// A burst of refused submissions, then the memory bound: the newest can be explained, the oldest not, and the bytes
 /// never go beyond the limit.
 #[test]
-fn memory_is_bounded_and_the_oldest_goes_first() {
+fn memory_is_bounded_and_the_oldest_is_evicted_first() {
     let limit = ByteSize(100_000);
     let mut history = ExplainHistory::new(limit);
     let now = Instant::now();
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn one_submission_cannot_take_everything() {
+fn one_submission_cannot_fill_the_history() {
     let mut history = ExplainHistory::new(ByteSize(10 << 20));
     let now = Instant::now();
     history.accept(id(1), summary(), now);
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn what_is_unknown_or_gone_is_not_explained() {
+fn unknown_and_evicted_submissions_are_not_explained() {
     let mut history = ExplainHistory::new(ByteSize(1));
     let now = Instant::now();
     history.record(id(1), ExplainEvent::Admitted, now);
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_second_start_keeps_the_first_record() {
+fn accepting_a_submission_again_keeps_its_record() {
     let mut history = ExplainHistory::new(ByteSize(1 << 20));
     let now = Instant::now();
     history.accept(id(1), summary(), now);
--- a/crates/telemetry/tests/logs.rs
+++ b/crates/telemetry/tests/logs.rs
@@ -16,11 +16,11 @@
     }
     text_lines_carry_the_prefix_of_their_part();
     json_lines_carry_the_part();
-    levels_follow_the_part_and_change();
-    repeats_are_counted();
-    a_second_start_changes_nothing();
-    another_logger_is_an_error();
-    a_reader_that_leaves_does_no_harm();
+    levels_apply_per_part_and_can_change();
+    repeated_messages_are_limited_and_counted();
+    a_second_init_changes_nothing();
+    a_logger_set_by_other_code_is_an_error();
+    a_closed_stderr_does_not_end_the_process();
     println!("logs: 7 cases passed");
 }
 
@@ -143,11 +143,11 @@
     );
 }
 
-fn levels_follow_the_part_and_change() {
+fn levels_apply_per_part_and_can_change() {
     assert_eq!(lines_of("levels"), ["DEBUG keys: now written"]);
 }
 
-fn repeats_are_counted() {
+fn repeated_messages_are_limited_and_counted() {
     let lines = lines_of("repeats");
     assert_eq!(lines.len(), 5, "{lines:#?}");
     assert_eq!(lines[2], "WARN dispatcher: Endpoint refused task 2");
@@ -160,17 +160,17 @@
     assert!(lines[4].ends_with(" left out"), "{}", lines[4]);
 }
 
-fn a_second_start_changes_nothing() {
+fn a_second_init_changes_nothing() {
     assert_eq!(lines_of("twice"), ["INFO entry: still written"]);
 }
 
-fn another_logger_is_an_error() {
+fn a_logger_set_by_other_code_is_an_error() {
     assert!(lines_of("taken").is_empty());
 }
 
 /// The caller of the log sees nothing of it when the reader of standard error goes away: the lines are lost, the
 /// process goes on.
-fn a_reader_that_leaves_does_no_harm() {
+fn a_closed_stderr_does_not_end_the_process() {
     let mut running = child("reader_gone")
         .stderr(Stdio::piped())
         .stdout(Stdio::piped())
--- a/crates/telemetry/tests/metrics.rs
+++ b/crates/telemetry/tests/metrics.rs
@@ -38,22 +38,22 @@
 #[test]
 fn exposition_follows_the_catalogue() {
     let text = recorded().render().unwrap();
-    for line in CATALOGUE {
-        let kind = match line.kind {
+    for spec in CATALOGUE {
+        let kind = match spec.kind {
             MetricType::Counter => "counter",
             MetricType::Gauge => "gauge",
             MetricType::Histogram => "histogram",
         };
-        let name = line.name;
+        let name = spec.name;
         assert!(
             text.contains(&format!("# TYPE {name} {kind}\n")),
             "{name} in\n{text}"
         );
         assert!(
-            text.contains(&format!("# HELP {name} {}\n", line.meaning)),
+            text.contains(&format!("# HELP {name} {}\n", spec.meaning)),
             "{name}"
         );
-        let start = match line.label {
+        let start = match spec.label {
             Some(label) => format!("\n{name}{{{label}=\""),
             None => format!("\n{name}"),
         };
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn every_reason_is_there_from_the_start() {
+fn every_outcome_and_reason_starts_at_zero() {
     let text = MetricSet::new().unwrap().render().unwrap();
     let mut series = Vec::new();
     for reason in RefusalReason::ALL {
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn page_and_code_say_the_same() {
+fn metrics_page_matches_code() {
     let page = include_str!("../../../docs/METRICS.md");
     let table: Vec<&str> = page.lines().filter(|line| line.starts_with('|')).collect();
     let expected = metric_page();
