--- a/crates/dispatcher/src/control.rs
+++ b/crates/dispatcher/src/control.rs
@@ -214,7 +214,7 @@
         }
         self.told_limit = slots.limit;
         for client in self.entries.all() {
-            let told = client.slots(slots);
+            let told = client.report_slots(slots);
             // A connection that breaks meanwhile ends the session by itself.
             actix_rt::spawn(async move { drop(told.await) });
         }
--- a/crates/dispatcher/src/control/contracts.rs
+++ b/crates/dispatcher/src/control/contracts.rs
@@ -5,7 +5,7 @@
 use ::contracts::{ContractReader, ContractUpdate, HeadNumber, PollError};
 use actix::{ActorFutureExt as _, AsyncContext as _, Context, Handler, WrapFuture as _};
 use membership::rendezvous;
-use peer::ContractNews;
+use peer::ContractsReply;
 
 use super::{ContractsAsked, DispatcherControl, PeerSlot};
 
@@ -97,7 +97,7 @@
 
     fn handle(&mut self, asked: ContractsAsked, _: &mut Context<Self>) {
         let update = self.view.newer_than(asked.since);
-        let _gone = asked.reply.send(Ok(ContractNews {
+        let _gone = asked.reply.send(Ok(ContractsReply {
             loaded: self.view.is_ready(),
             update,
         }));
--- a/crates/dispatcher/src/control/membership.rs
+++ b/crates/dispatcher/src/control/membership.rs
@@ -136,7 +136,7 @@
             Some(PeerSlot::Open(link)) => {
                 let reply = link
                     .client()
-                    .beat(&self.members.beat_message())
+                    .heartbeat(&self.members.beat_message())
                     .into_actor(self);
                 ctx.spawn(
                     reply
--- a/crates/dispatcher/src/control/messages.rs
+++ b/crates/dispatcher/src/control/messages.rs
@@ -9,7 +9,7 @@
     AttemptId, IncarnationId, SessionId, SlotCounts, TaskOffer, TaskVerdict, VmEntry,
     WithdrawalVerdict,
 };
-use peer::{ContractNews, PeerError, PingReply};
+use peer::{ContractsReply, PeerError, PingReply};
 use tokio::sync::oneshot;
 
 pub(crate) type ReplyTo<T> = oneshot::Sender<Result<T, PeerError>>;
@@ -99,7 +99,7 @@
 #[rtype(result = "()")]
 pub(crate) struct ContractsAsked {
     pub(crate) since: HeadNumber,
-    pub(crate) reply: ReplyTo<ContractNews>,
+    pub(crate) reply: ReplyTo<ContractsReply>,
 }
 
 /// The process begins to stop.
--- a/crates/dispatcher/src/control/sessions.rs
+++ b/crates/dispatcher/src/control/sessions.rs
@@ -49,7 +49,9 @@
         let Some(client) = self.entries.get(entry, session) else {
             return;
         };
-        let confirmed = client.ended(&ends, self.ledger.slots()).into_actor(self);
+        let confirmed = client
+            .report_ends(&ends, self.ledger.slots())
+            .into_actor(self);
         ctx.spawn(confirmed.map(move |confirmed, control, _| {
             if let Err(error) = confirmed {
                 // The ledger repeats them on the entry's next session.
--- a/crates/dispatcher/src/port.rs
+++ b/crates/dispatcher/src/port.rs
@@ -10,8 +10,8 @@
     WithdrawalVerdict,
 };
 use peer::{
-    AcceptedPort, ContractNews, DispatcherService, EntryClient, PeerError, PingReply, ReplyFuture,
-    SessionService,
+    AcceptedPort, ContractsReply, DispatcherService, EntryClient, PeerError, PingReply,
+    ReplyFuture, SessionService,
 };
 use tokio::sync::oneshot;
 
@@ -60,7 +60,7 @@
 impl DispatcherService for ConnectionPort {
     type Session = SessionPort;
 
-    fn open(
+    fn open_session(
         &self,
         client: EntryClient,
         entry: IncarnationId,
@@ -88,12 +88,12 @@
         })
     }
 
-    fn find(&self, entry: IncarnationId) -> ReplyFuture<Option<EntryClient>> {
+    fn find_entry(&self, entry: IncarnationId) -> ReplyFuture<Option<EntryClient>> {
         let client = self.entries.find(entry);
         Box::pin(std::future::ready(Ok(client)))
     }
 
-    fn beat(&self, message: BeatMessage) -> ReplyFuture<BeatReply> {
+    fn heartbeat(&self, message: BeatMessage) -> ReplyFuture<BeatReply> {
         ask(&self.control, |reply| BeatTaken { message, reply })
     }
 
@@ -118,7 +118,7 @@
         ask(&self.control, |reply| VmsAsked { reply })
     }
 
-    fn contracts(&self, since: HeadNumber) -> ReplyFuture<ContractNews> {
+    fn contracts(&self, since: HeadNumber) -> ReplyFuture<ContractsReply> {
         ask(&self.control, |reply| ContractsAsked { since, reply })
     }
 }
--- a/crates/entry/src/control/contract_news.rs
+++ b/crates/entry/src/control/contract_news.rs
@@ -3,7 +3,7 @@
 use actix::{ActorFutureExt as _, AsyncContext as _, Context, WrapFuture as _};
 use authority::DispatcherKey;
 use contracts::HeadNumber;
-use peer::ContractNews;
+use peer::ContractsReply;
 
 use super::{EntryControl, LinkState};
 
@@ -46,7 +46,7 @@
         );
     }
 
-    fn take_contracts(&mut self, ctx: &mut Context<Self>, news: ContractNews) {
+    fn take_contracts(&mut self, ctx: &mut Context<Self>, news: ContractsReply) {
         if !news.loaded {
             return;
         }
--- a/crates/entry/src/control/forwarding.rs
+++ b/crates/entry/src/control/forwarding.rs
@@ -105,7 +105,7 @@
     incarnation: IncarnationId,
 ) -> Option<EntryClient> {
     for dispatcher in dispatchers {
-        if let Ok(Some(entry)) = dispatcher.find(incarnation).await {
+        if let Ok(Some(entry)) = dispatcher.find_entry(incarnation).await {
             return Some(entry);
         }
     }
--- a/crates/entry/src/control/sessions.rs
+++ b/crates/entry/src/control/sessions.rs
@@ -278,7 +278,7 @@
                 });
             })
             .await?;
-            let opened = link.client().open(port, incarnation, session);
+            let opened = link.client().open_session(port, incarnation, session);
             let opened = tokio::time::timeout(limit, opened)
                 .await
                 .map_err(|_| PeerError::TimedOut)??;
--- a/crates/entry/src/port.rs
+++ b/crates/entry/src/port.rs
@@ -44,7 +44,7 @@
         })
     }
 
-    fn ended(
+    fn report_ends(
         &self,
         ends: Vec<(AttemptId, AttemptEnd, Duration)>,
         slots: SlotCounts,
@@ -58,7 +58,7 @@
         })
     }
 
-    fn slots(&self, slots: SlotCounts) -> ReplyFuture<()> {
+    fn report_slots(&self, slots: SlotCounts) -> ReplyFuture<()> {
         self.control.do_send(SlotsTold {
             dispatcher: self.dispatcher,
             session: self.session,
--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -17,7 +17,7 @@
     },
     convert_grants::{read_centre, read_replies, write_asks, write_handover},
     peer_capnp::{claim_answer, dispatcher_port, entry_port, session_port},
-    service::{read_contract_news, ContractNews, ForwardedAnswer, PingReply},
+    service::{read_contracts_reply, ContractsReply, ForwardedAnswer, PingReply},
     PeerError,
 };
 
@@ -47,7 +47,7 @@
     /// # Errors
     ///
     /// The connection broke, or the session is older than one already open.
-    pub fn open(
+    pub fn open_session(
         &self,
         entry: entry_port::Client,
         incarnation: IncarnationId,
@@ -77,7 +77,7 @@
     /// # Errors
     ///
     /// The connection broke.
-    pub fn find(
+    pub fn find_entry(
         &self,
         incarnation: IncarnationId,
     ) -> impl Future<Output = Result<Option<EntryClient>, PeerError>> + 'static {
@@ -101,7 +101,7 @@
     /// # Errors
     ///
     /// The connection broke.
-    pub fn beat(
+    pub fn heartbeat(
         &self,
         message: &BeatMessage,
     ) -> impl Future<Output = Result<BeatReply, PeerError>> + 'static {
@@ -206,13 +206,13 @@
     pub fn contracts(
         &self,
         since: HeadNumber,
-    ) -> impl Future<Output = Result<ContractNews, PeerError>> + 'static {
+    ) -> impl Future<Output = Result<ContractsReply, PeerError>> + 'static {
         let mut request = self.port.contracts_request();
         request.get().set_since(since.0);
         let reply = request.send().promise;
         async move {
             let reply = reply.await?;
-            read_contract_news(reply.get()?, since)
+            read_contracts_reply(reply.get()?, since)
         }
     }
 }
@@ -324,7 +324,7 @@
     /// # Errors
     ///
     /// The connection broke: nothing is confirmed.
-    pub fn ended(
+    pub fn report_ends(
         &self,
         ends: &[(AttemptId, AttemptEnd, Duration)],
         slots: SlotCounts,
@@ -348,7 +348,7 @@
     /// # Errors
     ///
     /// The connection broke.
-    pub fn slots(
+    pub fn report_slots(
         &self,
         slots: SlotCounts,
     ) -> impl Future<Output = Result<(), PeerError>> + 'static {
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -28,7 +28,7 @@
     pool_link::{connect_pool, serve_pool, JobCall, PoolLink, PoolService},
     pool_message::{decode_heartbeat, encode_heartbeat},
     service::{
-        dispatcher_port, entry_port, ContractNews, DispatcherService, EntryService,
+        dispatcher_port, entry_port, ContractsReply, DispatcherService, EntryService,
         ForwardedAnswer, PingReply, ReplyFuture, SessionService,
     },
 };
--- a/crates/peer/src/pool_link.rs
+++ b/crates/peer/src/pool_link.rs
@@ -122,7 +122,7 @@
     service: Rc<impl PoolService>,
 ) {
     accept_each(listener, move |stream| {
-        let port: pool_port::Client = capnp_rpc::new_client(PoolGlue(service.clone()));
+        let port: pool_port::Client = capnp_rpc::new_client(PoolAdapter(service.clone()));
         let network = counted_network(stream, Side::Server, traffic.clone());
         let system = RpcSystem::new(Box::new(network), Some(port.client));
         async move {
@@ -133,9 +133,9 @@
     .await;
 }
 
-struct PoolGlue<S>(Rc<S>);
+struct PoolAdapter<S>(Rc<S>);
 
-impl<S: PoolService> pool_port::Server for PoolGlue<S> {
+impl<S: PoolService> pool_port::Server for PoolAdapter<S> {
     fn run(
         self: Rc<Self>,
         params: pool_port::RunParams,
--- a/crates/peer/src/service.rs
+++ b/crates/peer/src/service.rs
@@ -31,7 +31,7 @@
 
 /// What a dispatcher knows of the contracts beyond what the asker knows.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct ContractNews {
+pub struct ContractsReply {
     /// Whether the sender holds a complete set that is as new as its peers'. The update says nothing otherwise.
     pub loaded: bool,
     /// The rows.
@@ -67,7 +67,7 @@
     type Session: SessionService;
 
     /// Opens a session.
-    fn open(
+    fn open_session(
         &self,
         entry: EntryClient,
         incarnation: IncarnationId,
@@ -75,10 +75,10 @@
     ) -> ReplyFuture<(Self::Session, IncarnationId, SlotCounts)>;
 
     /// Finds an entry that has a session here.
-    fn find(&self, incarnation: IncarnationId) -> ReplyFuture<Option<EntryClient>>;
+    fn find_entry(&self, incarnation: IncarnationId) -> ReplyFuture<Option<EntryClient>>;
 
     /// Takes a heartbeat.
-    fn beat(&self, message: BeatMessage) -> ReplyFuture<BeatReply>;
+    fn heartbeat(&self, message: BeatMessage) -> ReplyFuture<BeatReply>;
 
     /// Says that this process is alive, how it sees itself and how its slots stand, and how it sees its data centre
     /// if that is another revision.
@@ -94,7 +94,7 @@
     fn vms(&self) -> ReplyFuture<Vec<VmEntry>>;
 
     /// Gives contract rows changed after a head number.
-    fn contracts(&self, since: HeadNumber) -> ReplyFuture<ContractNews>;
+    fn contracts(&self, since: HeadNumber) -> ReplyFuture<ContractsReply>;
 }
 
 /// A session of a dispatcher with an entry. It is over when the object is dropped.
@@ -120,14 +120,14 @@
     fn claim(&self, attempt: AttemptId) -> ReplyFuture<Option<Payload>>;
 
     /// Takes ends in.
-    fn ended(
+    fn report_ends(
         &self,
         ends: Vec<(AttemptId, AttemptEnd, Duration)>,
         slots: SlotCounts,
     ) -> ReplyFuture<()>;
 
     /// Takes a word on slots.
-    fn slots(&self, slots: SlotCounts) -> ReplyFuture<()>;
+    fn report_slots(&self, slots: SlotCounts) -> ReplyFuture<()>;
 
     /// Gives the caller-facing answer of a submission as it stands.
     fn outcome(&self, serial: u64) -> ReplyFuture<Option<ForwardedAnswer>>;
@@ -138,18 +138,18 @@
 
 /// Makes a port of a dispatcher's service.
 pub fn dispatcher_port<S: DispatcherService>(service: S) -> dispatcher_capnp::Client {
-    capnp_rpc::new_client(DispatcherGlue(service))
+    capnp_rpc::new_client(DispatcherAdapter(service))
 }
 
 /// Makes a port of an entry's service.
 pub fn entry_port<S: EntryService>(service: S) -> entry_capnp::Client {
-    capnp_rpc::new_client(EntryGlue(service))
+    capnp_rpc::new_client(EntryAdapter(service))
 }
 
-pub(crate) fn read_contract_news(
+pub(crate) fn read_contracts_reply(
     reader: dispatcher_capnp::contracts_results::Reader<'_>,
     since: HeadNumber,
-) -> Result<ContractNews, PeerError> {
+) -> Result<ContractsReply, PeerError> {
     let mut rows = Vec::new();
     for row in reader.get_rows()? {
         rows.push(ContractRow {
@@ -164,20 +164,20 @@
         head: HeadNumber(reader.get_head()),
         rows,
     };
-    Ok(ContractNews {
+    Ok(ContractsReply {
         loaded: reader.get_loaded(),
         update,
     })
 }
 
-fn write_contract_news(
+fn write_contracts_reply(
     mut results: dispatcher_capnp::contracts_results::Builder<'_>,
-    news: &ContractNews,
+    reply: &ContractsReply,
 ) -> Result<(), PeerError> {
-    results.set_loaded(news.loaded);
-    results.set_head(news.update.head.0);
-    let mut rows = results.init_rows(news.update.rows.len() as u32);
-    for (index, row) in news.update.rows.iter().enumerate() {
+    results.set_loaded(reply.loaded);
+    results.set_head(reply.update.head.0);
+    let mut rows = results.init_rows(reply.update.rows.len() as u32);
+    for (index, row) in reply.update.rows.iter().enumerate() {
         let mut builder = rows.reborrow().get(index as u32);
         builder.set_customer(row.customer.as_str());
         builder.set_version(row.version.0);
@@ -187,18 +187,18 @@
     Ok(())
 }
 
-struct DispatcherGlue<S>(S);
-struct SessionGlue<S>(S);
-struct EntryGlue<S>(S);
+struct DispatcherAdapter<S>(S);
+struct SessionAdapter<S>(S);
+struct EntryAdapter<S>(S);
 
 type CallResult = Result<(), capnp::Error>;
 
 /// Waits for an answer that could be asked for, or gives the error of a message that could not be read.
-async fn settle<T>(answer: Result<ReplyFuture<T>, PeerError>) -> Result<T, PeerError> {
+async fn await_reply<T>(answer: Result<ReplyFuture<T>, PeerError>) -> Result<T, PeerError> {
     answer?.await
 }
 
-impl<S: DispatcherService> dispatcher_capnp::Server for DispatcherGlue<S> {
+impl<S: DispatcherService> dispatcher_capnp::Server for DispatcherAdapter<S> {
     fn open(
         self: Rc<Self>,
         params: dispatcher_capnp::OpenParams,
@@ -206,16 +206,17 @@
     ) -> impl Future<Output = CallResult> + 'static {
         let answer = params.get().and_then(|params| {
             let entry = EntryClient::new(params.get_entry()?);
-            Ok(self.0.open(
+            Ok(self.0.open_session(
                 entry,
                 IncarnationId(params.get_incarnation()),
                 SessionId(params.get_session()),
             ))
         });
         async move {
-            let (session, incarnation, slots) = settle(answer.map_err(PeerError::from)).await?;
+            let (session, incarnation, slots) =
+                await_reply(answer.map_err(PeerError::from)).await?;
             let mut results = results.get();
-            results.set_session(capnp_rpc::new_client(SessionGlue(session)));
+            results.set_session(capnp_rpc::new_client(SessionAdapter(session)));
             results.set_dispatcher(incarnation.0);
             write_slots(results.init_slots(), slots);
             Ok(())
@@ -229,9 +230,9 @@
     ) -> impl Future<Output = CallResult> + 'static {
         let answer = params
             .get()
-            .map(|params| self.0.find(IncarnationId(params.get_incarnation())));
+            .map(|params| self.0.find_entry(IncarnationId(params.get_incarnation())));
         async move {
-            if let Some(entry) = settle(answer.map_err(PeerError::from)).await? {
+            if let Some(entry) = await_reply(answer.map_err(PeerError::from)).await? {
                 let mut results = results.get();
                 results.set_entry(entry.into_port());
                 results.set_found(true);
@@ -245,9 +246,9 @@
         params: dispatcher_capnp::BeatParams,
         mut results: dispatcher_capnp::BeatResults,
     ) -> impl Future<Output = CallResult> + 'static {
-        let answer = read_beat(&params).map(|message| self.0.beat(message));
+        let answer = read_heartbeat(&params).map(|message| self.0.heartbeat(message));
         async move {
-            let reply = settle(answer).await?;
+            let reply = await_reply(answer).await?;
             write_view(results.get().init_view(), &reply.view);
             Ok(())
         }
@@ -262,7 +263,7 @@
             .get()
             .map(|params| self.0.ping(params.get_revision()));
         async move {
-            let reply = settle(answer.map_err(PeerError::from)).await?;
+            let reply = await_reply(answer.map_err(PeerError::from)).await?;
             let mut results = results.get();
             write_slots(results.reborrow().init_slots(), reply.slots);
             write_view(results.reborrow().init_view(), &reply.view);
@@ -295,7 +296,7 @@
     ) -> impl Future<Output = CallResult> + 'static {
         let answer = read_grant(&params).map(|batch| self.0.grant(batch));
         async move {
-            if let Some(batch) = settle(answer).await? {
+            if let Some(batch) = await_reply(answer).await? {
                 let mut results = results.get();
                 results.set_answered(true);
                 write_replies(results.init_batch(), &batch);
@@ -310,7 +311,7 @@
         _results: dispatcher_capnp::HandoverResults,
     ) -> impl Future<Output = CallResult> + 'static {
         let answer = read_report(&params).map(|report| self.0.handover(report));
-        async move { Ok(settle(answer).await?) }
+        async move { Ok(await_reply(answer).await?) }
     }
 
     fn contracts(
@@ -322,14 +323,14 @@
             .get()
             .map(|params| self.0.contracts(HeadNumber(params.get_since())));
         async move {
-            let news = settle(answer.map_err(PeerError::from)).await?;
-            write_contract_news(results.get(), &news)?;
+            let reply = await_reply(answer.map_err(PeerError::from)).await?;
+            write_contracts_reply(results.get(), &reply)?;
             Ok(())
         }
     }
 }
 
-impl<S: SessionService> session_capnp::Server for SessionGlue<S> {
+impl<S: SessionService> session_capnp::Server for SessionAdapter<S> {
     fn offer(
         self: Rc<Self>,
         params: session_capnp::OfferParams,
@@ -337,7 +338,7 @@
     ) -> impl Future<Output = CallResult> + 'static {
         let answer = read_offer_batch(&params).map(|(batch, offers)| self.0.offer(batch, offers));
         async move {
-            let (verdicts, slots) = settle(answer).await?;
+            let (verdicts, slots) = await_reply(answer).await?;
             let mut results = results.get();
             write_slots(results.reborrow().init_slots(), slots);
             let mut builder = results.init_verdicts(verdicts.len() as u32);
@@ -361,7 +362,7 @@
             Ok(self.0.withdraw(params.get_after_batch(), attempts))
         });
         async move {
-            let (verdicts, slots) = settle(answer.map_err(PeerError::from)).await?;
+            let (verdicts, slots) = await_reply(answer.map_err(PeerError::from)).await?;
             let mut results = results.get();
             write_slots(results.reborrow().init_slots(), slots);
             let mut builder = results.init_withdrawals(verdicts.len() as u32);
@@ -373,7 +374,7 @@
     }
 }
 
-impl<S: EntryService> entry_capnp::Server for EntryGlue<S> {
+impl<S: EntryService> entry_capnp::Server for EntryAdapter<S> {
     fn claim(
         self: Rc<Self>,
         params: entry_capnp::ClaimParams,
@@ -383,7 +384,7 @@
             .get()
             .and_then(|params| Ok(self.0.claim(read_attempt(params.get_attempt()?))));
         async move {
-            let body = settle(answer.map_err(PeerError::from)).await?;
+            let body = await_reply(answer.map_err(PeerError::from)).await?;
             let mut answer = results.get().init_answer();
             match body {
                 Some(payload) => answer.set_body(&payload.0),
@@ -398,8 +399,8 @@
         params: entry_capnp::EndedParams,
         _results: entry_capnp::EndedResults,
     ) -> impl Future<Output = CallResult> + 'static {
-        let answer = read_ends(&params).map(|(ends, slots)| self.0.ended(ends, slots));
-        async move { Ok(settle(answer).await?) }
+        let answer = read_ends(&params).map(|(ends, slots)| self.0.report_ends(ends, slots));
+        async move { Ok(await_reply(answer).await?) }
     }
 
     fn slots(
@@ -409,8 +410,8 @@
     ) -> impl Future<Output = CallResult> + 'static {
         let answer = params
             .get()
-            .and_then(|params| Ok(self.0.slots(read_slots(params.get_slots()?))));
-        async move { Ok(settle(answer.map_err(PeerError::from)).await?) }
+            .and_then(|params| Ok(self.0.report_slots(read_slots(params.get_slots()?))));
+        async move { Ok(await_reply(answer.map_err(PeerError::from)).await?) }
     }
 
     fn outcome(
@@ -422,7 +423,7 @@
             .get()
             .map(|params| self.0.outcome(params.get_serial()));
         async move {
-            if let Some(answer) = settle(answer.map_err(PeerError::from)).await? {
+            if let Some(answer) = await_reply(answer.map_err(PeerError::from)).await? {
                 let mut results = results.get();
                 results.set_status(answer.status);
                 results.set_json(&answer.json);
@@ -441,7 +442,7 @@
             .get()
             .and_then(|params| Ok(self.0.run(params.get_serial(), params.get_json()?.to_vec())));
         async move {
-            let answer = settle(answer.map_err(PeerError::from)).await?;
+            let answer = await_reply(answer.map_err(PeerError::from)).await?;
             let mut results = results.get();
             results.set_status(answer.status);
             results.set_json(&answer.json);
@@ -450,7 +451,7 @@
     }
 }
 
-fn read_beat(params: &dispatcher_capnp::BeatParams) -> Result<BeatMessage, PeerError> {
+fn read_heartbeat(params: &dispatcher_capnp::BeatParams) -> Result<BeatMessage, PeerError> {
     Ok(BeatMessage {
         view: read_view(params.get()?.get_view()?)?,
     })
--- a/crates/peer/tests/border/fakes.rs
+++ b/crates/peer/tests/border/fakes.rs
@@ -12,7 +12,7 @@
     VmEntry, WithdrawalVerdict,
 };
 use peer::{
-    AcceptedPort, ContractNews, DispatcherService, EntryClient, EntryService, ForwardedAnswer,
+    AcceptedPort, ContractsReply, DispatcherService, EntryClient, EntryService, ForwardedAnswer,
     PeerError, PingReply, ReplyFuture, SessionService,
 };
 use tokio::net::TcpListener;
@@ -41,7 +41,7 @@
     pub(crate) slots: SlotCounts,
     pub(crate) verdicts: Vec<TaskVerdict>,
     pub(crate) withdrawals: Vec<WithdrawalVerdict>,
-    pub(crate) news: ContractNews,
+    pub(crate) news: ContractsReply,
     pub(crate) centre: Option<CentreView>,
     pub(crate) grants: Option<ReplyBatch>,
     pub(crate) vms: Vec<VmEntry>,
@@ -72,7 +72,7 @@
             slots: SlotCounts::default(),
             verdicts: Vec::new(),
             withdrawals: Vec::new(),
-            news: ContractNews::default(),
+            news: ContractsReply::default(),
             centre: None,
             grants: None,
             vms: Vec::new(),
@@ -119,7 +119,7 @@
 impl DispatcherService for FakeDispatcher {
     type Session = FakeSession;
 
-    fn open(
+    fn open_session(
         &self,
         entry: EntryClient,
         incarnation: IncarnationId,
@@ -138,11 +138,11 @@
         ready((session, answers.view.incarnation, answers.slots))
     }
 
-    fn find(&self, _: IncarnationId) -> ReplyFuture<Option<EntryClient>> {
+    fn find_entry(&self, _: IncarnationId) -> ReplyFuture<Option<EntryClient>> {
         ready(self.0.entry.borrow().clone())
     }
 
-    fn beat(&self, message: BeatMessage) -> ReplyFuture<BeatReply> {
+    fn heartbeat(&self, message: BeatMessage) -> ReplyFuture<BeatReply> {
         self.0.see(SeenCall::Beat(message.view));
         let view = self.0.answers.borrow().view.clone();
         ready(BeatReply { view })
@@ -169,7 +169,7 @@
         ready(())
     }
 
-    fn contracts(&self, since: HeadNumber) -> ReplyFuture<ContractNews> {
+    fn contracts(&self, since: HeadNumber) -> ReplyFuture<ContractsReply> {
         self.0.see(SeenCall::Contracts(since));
         ready(self.0.answers.borrow().news.clone())
     }
@@ -214,7 +214,7 @@
         ready(self.0.answers.borrow().body.clone())
     }
 
-    fn ended(
+    fn report_ends(
         &self,
         ends: Vec<(AttemptId, AttemptEnd, Duration)>,
         slots: SlotCounts,
@@ -223,7 +223,7 @@
         ready(())
     }
 
-    fn slots(&self, slots: SlotCounts) -> ReplyFuture<()> {
+    fn report_slots(&self, slots: SlotCounts) -> ReplyFuture<()> {
         self.0.see(SeenCall::Slots(slots));
         ready(())
     }
--- a/crates/peer/tests/border/faults.rs
+++ b/crates/peer/tests/border/faults.rs
@@ -60,7 +60,7 @@
     let port = peer::entry_port(FakeEntry(shared.clone()));
     let opened = link
         .client()
-        .open(port, IncarnationId(1), SessionId(session));
+        .open_session(port, IncarnationId(1), SessionId(session));
     timeout(LIMIT, opened).await.expect("an answer in time")
 }
 
@@ -182,7 +182,9 @@
     let shared = Shared::new();
     let link = peer::connect(address, || {}).await.expect("a connection");
     let port = peer::entry_port(FakeEntry(shared));
-    let opened = link.client().open(port, IncarnationId(1), SessionId(1));
+    let opened = link
+        .client()
+        .open_session(port, IncarnationId(1), SessionId(1));
     let answer = timeout(Duration::from_millis(200), opened).await;
     assert!(answer.is_err(), "an answer from nobody");
 }
@@ -249,7 +251,11 @@
     let (_link, _opened) = open(&shared, address, 1).await;
     // On the connection of the entry itself the port would be found at home, and nothing sent.
     let link = peer::connect(address, || {}).await.expect("a connection");
-    let found = link.client().find(IncarnationId(1)).await.expect("find");
+    let found = link
+        .client()
+        .find_entry(IncarnationId(1))
+        .await
+        .expect("find");
     let entry = found.expect("an entry");
     let largest = ForwardedAnswer {
         status: 200,
--- a/crates/peer/tests/border/round_trips.rs
+++ b/crates/peer/tests/border/round_trips.rs
@@ -50,7 +50,7 @@
     // The asker knows what it asked for; it does not travel back.
     let since = shared.answers.borrow().news.update.since;
     let message = membership::BeatMessage { view: view.clone() };
-    let beat = client.beat(&message).await.expect("beat");
+    let beat = client.heartbeat(&message).await.expect("beat");
     let (revision, ask, report) = (
         values.next(any::<u64>()),
         values.next(values::ask_batch()),
@@ -93,7 +93,7 @@
 ) {
     let incarnation = IncarnationId(values.next(any::<u64>()));
     let port = peer::entry_port(FakeEntry(shared.clone()));
-    let opened = link.client().open(port, incarnation, session);
+    let opened = link.client().open_session(port, incarnation, session);
     let opened = opened.await.expect("open");
     {
         let mut answers = shared.answers.borrow_mut();
@@ -122,7 +122,11 @@
 /// The calls of a dispatcher to an entry, and of another entry, which finds the port over a connection of its own: on
 /// that of the entry itself the port would be found at home, and nothing sent.
 async fn check_entry_calls(shared: &Rc<Shared>, link: &PeerLink, values: &mut Values) {
-    let found = link.client().find(IncarnationId(1)).await.expect("find");
+    let found = link
+        .client()
+        .find_entry(IncarnationId(1))
+        .await
+        .expect("find");
     let entry = found.expect("an entry");
     {
         let mut answers = shared.answers.borrow_mut();
@@ -135,8 +139,8 @@
     let serial = values.next(any::<u64>());
     let json = values.next(values::bytes());
     let body = entry.claim(attempt).await.expect("claim");
-    entry.ended(&ends, slots).await.expect("ended");
-    entry.slots(slots).await.expect("slots");
+    entry.report_ends(&ends, slots).await.expect("ended");
+    entry.report_slots(slots).await.expect("slots");
     let outcome = entry.outcome(serial).await.expect("outcome");
     let run = entry.run(serial, &json).await.expect("run");
     let answers = shared.answers.borrow();
@@ -160,7 +164,11 @@
     let shared = Shared::new();
     let (address, server) = fakes::serve(&shared).await;
     let link = peer::connect(address, || {}).await.expect("a connection");
-    let none = link.client().find(IncarnationId(1)).await.expect("find");
+    let none = link
+        .client()
+        .find_entry(IncarnationId(1))
+        .await
+        .expect("find");
     assert!(none.is_none());
     let finder = peer::connect(address, || {}).await.expect("a connection");
     let mut values = Values::new();
--- a/crates/peer/tests/border/values.rs
+++ b/crates/peer/tests/border/values.rs
@@ -12,7 +12,7 @@
     Payload, RetryReason, SlotCounts, SubmissionId, TaskOffer, TaskResult, TaskVerdict,
     UnknownReason, VmEntry, VmRole, WithdrawalVerdict,
 };
-use peer::{ContractNews, ForwardedAnswer};
+use peer::{ContractsReply, ForwardedAnswer};
 use proptest::{
     collection::vec,
     prelude::{any, prop_oneof, Just, Strategy},
@@ -192,7 +192,7 @@
     )
 }
 
-pub(crate) fn news() -> impl Strategy<Value = ContractNews> {
+pub(crate) fn news() -> impl Strategy<Value = ContractsReply> {
     let row = (NAME, any::<(u64, u64)>(), contract()).prop_map(
         |(customer, (version, head), contract)| ContractRow {
             customer: customer.parse().expect("a name"),
@@ -202,7 +202,7 @@
         },
     );
     (any::<(bool, u64, u64)>(), vec(row, 0..8)).prop_map(|((loaded, since, head), rows)| {
-        ContractNews {
+        ContractsReply {
             loaded,
             update: ContractUpdate {
                 since: HeadNumber(since),
--- a/crates/peer/tests/grants.rs
+++ b/crates/peer/tests/grants.rs
@@ -12,7 +12,7 @@
     WithdrawalVerdict,
 };
 use peer::{
-    AcceptedPort, ContractNews, DispatcherService, EntryClient, PeerError, PeerLink, PingReply,
+    AcceptedPort, ContractsReply, DispatcherService, EntryClient, PeerError, PeerLink, PingReply,
     ReplyFuture, SessionService,
 };
 use tokio::net::TcpListener;
@@ -89,7 +89,7 @@
 impl DispatcherService for FakeDispatcher {
     type Session = NoSession;
 
-    fn open(
+    fn open_session(
         &self,
         _: EntryClient,
         _: IncarnationId,
@@ -98,11 +98,11 @@
         unused()
     }
 
-    fn find(&self, _: IncarnationId) -> ReplyFuture<Option<EntryClient>> {
+    fn find_entry(&self, _: IncarnationId) -> ReplyFuture<Option<EntryClient>> {
         unused()
     }
 
-    fn beat(&self, _: BeatMessage) -> ReplyFuture<BeatReply> {
+    fn heartbeat(&self, _: BeatMessage) -> ReplyFuture<BeatReply> {
         unused()
     }
 
@@ -130,7 +130,7 @@
         now(())
     }
 
-    fn contracts(&self, _: HeadNumber) -> ReplyFuture<ContractNews> {
+    fn contracts(&self, _: HeadNumber) -> ReplyFuture<ContractsReply> {
         unused()
     }
 
