--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -194,7 +194,7 @@
         let reply = self.port.vms_request().send().promise;
         async move {
             let reply = reply.await?;
-            serde_json::from_slice(reply.get()?.get_json()?).map_err(crate::convert::bad)
+            serde_json::from_slice(reply.get()?.get_json()?).map_err(crate::convert::bad_message)
         }
     }
 
@@ -311,7 +311,7 @@
                 .get()?
                 .get_answer()?
                 .which()
-                .map_err(crate::convert::bad)?
+                .map_err(crate::convert::bad_message)?
             {
                 claim_answer::Body(body) => Ok(Some(Payload::from(body?))),
                 claim_answer::Gone(()) => Ok(None),
--- a/crates/peer/src/convert.rs
+++ b/crates/peer/src/convert.rs
@@ -18,14 +18,14 @@
     u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
 
-pub(crate) fn bad(what: impl ToString) -> PeerError {
+pub(crate) fn bad_message(what: impl ToString) -> PeerError {
     PeerError::BadMessage(what.to_string())
 }
 
-pub(crate) fn text<'a>(
+pub(crate) fn read_text<'a>(
     value: capnp::Result<capnp::text::Reader<'a>>,
 ) -> Result<&'a str, PeerError> {
-    value?.to_str().map_err(bad)
+    value?.to_str().map_err(bad_message)
 }
 
 pub(crate) fn write_attempt(mut builder: attempt::Builder<'_>, id: AttemptId) {
@@ -80,9 +80,11 @@
     for reader in reader {
         offers.push(TaskOffer {
             attempt: read_attempt(reader.get_attempt()?),
-            customer: text(reader.get_customer())?.parse().map_err(bad)?,
+            customer: read_text(reader.get_customer())?
+                .parse()
+                .map_err(bad_message)?,
             share: CustomerShare(reader.get_share()),
-            kind: text(reader.get_kind())?.parse().map_err(bad)?,
+            kind: read_text(reader.get_kind())?.parse().map_err(bad_message)?,
             time_left: Duration::from_micros(reader.get_time_left_micros()),
             expected_run_time: Duration::from_micros(reader.get_expected_micros()),
             payload: Payload::from(reader.get_payload()?),
@@ -114,10 +116,10 @@
 }
 
 pub(crate) fn read_verdict(reader: verdict::Reader<'_>) -> Result<TaskVerdict, PeerError> {
-    Ok(match reader.which().map_err(bad)? {
+    Ok(match reader.which().map_err(bad_message)? {
         verdict::Started(()) => TaskVerdict::Started,
         verdict::Queued(()) => TaskVerdict::Queued,
-        verdict::NotRun(reason) => TaskVerdict::NotRun(read_retry(text(reason)?)),
+        verdict::NotRun(reason) => TaskVerdict::NotRun(read_retry(read_text(reason)?)),
     })
 }
 
@@ -131,7 +133,7 @@
 pub(crate) fn read_withdrawal(
     reader: withdrawal::Reader<'_>,
 ) -> Result<WithdrawalVerdict, PeerError> {
-    Ok(match reader.which().map_err(bad)? {
+    Ok(match reader.which().map_err(bad_message)? {
         withdrawal::NotRun(()) => WithdrawalVerdict::NotRun,
         withdrawal::Running(()) => WithdrawalVerdict::Running,
     })
@@ -157,13 +159,15 @@
     reader: attempt_end::Reader<'_>,
 ) -> Result<(AttemptId, AttemptEnd, Duration), PeerError> {
     let attempt = read_attempt(reader.get_attempt()?);
-    let end = match reader.which().map_err(bad)? {
+    let end = match reader.which().map_err(bad_message)? {
         attempt_end::Done(bytes) => AttemptEnd::Done(TaskResult {
             payload: Payload::from(bytes?),
         }),
         attempt_end::Failed(()) => AttemptEnd::Failed,
-        attempt_end::NotRun(reason) => AttemptEnd::NotRun(read_retry(text(reason)?)),
-        attempt_end::Unknown(reason) => AttemptEnd::Unknown(text(reason)?.parse().map_err(bad)?),
+        attempt_end::NotRun(reason) => AttemptEnd::NotRun(read_retry(read_text(reason)?)),
+        attempt_end::Unknown(reason) => {
+            AttemptEnd::Unknown(read_text(reason)?.parse().map_err(bad_message)?)
+        }
     };
     Ok((attempt, end, Duration::from_micros(reader.get_ran_micros())))
 }
@@ -183,8 +187,12 @@
 
 pub(crate) fn read_view(reader: member_view::Reader<'_>) -> Result<MemberView, PeerError> {
     Ok(MemberView {
-        address: text(reader.get_address())?.parse().map_err(bad)?,
-        data_centre: text(reader.get_data_centre())?.parse().map_err(bad)?,
+        address: read_text(reader.get_address())?
+            .parse()
+            .map_err(bad_message)?,
+        data_centre: read_text(reader.get_data_centre())?
+            .parse()
+            .map_err(bad_message)?,
         incarnation: IncarnationId(reader.get_incarnation()),
         stopping: reader.get_stopping(),
         head: reader.get_head(),
--- a/crates/peer/src/convert_grants.rs
+++ b/crates/peer/src/convert_grants.rs
@@ -10,7 +10,7 @@
 use model::IncarnationId;
 
 use crate::{
-    convert::{bad, micros, text},
+    convert::{bad_message, micros, read_text},
     peer_capnp::{ask_batch, centre_view, grant_reply, handover_report, reply_batch},
     PeerError,
 };
@@ -34,16 +34,20 @@
     let mut asks = Vec::new();
     for ask in reader.get_asks()? {
         asks.push(GrantAsk {
-            customer: text(ask.get_customer())?.parse().map_err(bad)?,
+            customer: read_text(ask.get_customer())?
+                .parse()
+                .map_err(bad_message)?,
             want: ask.get_want(),
             held: ask.get_held(),
             in_use: ask.get_in_use(),
         });
     }
     Ok(AskBatch {
-        home: text(reader.get_home())?.parse().map_err(bad)?,
+        home: read_text(reader.get_home())?.parse().map_err(bad_message)?,
         holder: IncarnationId(reader.get_holder()),
-        holder_address: text(reader.get_holder_address())?.parse().map_err(bad)?,
+        holder_address: read_text(reader.get_holder_address())?
+            .parse()
+            .map_err(bad_message)?,
         serial: reader.get_serial(),
         asks,
     })
@@ -70,7 +74,7 @@
 pub(crate) fn read_replies(reader: reply_batch::Reader<'_>) -> Result<ReplyBatch, PeerError> {
     let mut replies = Vec::new();
     for reply in reader.get_replies()? {
-        let verdict = match reply.which().map_err(bad)? {
+        let verdict = match reply.which().map_err(bad_message)? {
             grant_reply::Granted(granted) => GrantVerdict::Granted {
                 count: granted.get_count(),
                 share: granted.get_share(),
@@ -78,7 +82,9 @@
             grant_reply::NotHome(()) => GrantVerdict::NotHome,
         };
         replies.push(GrantReply {
-            customer: text(reply.get_customer())?.parse().map_err(bad)?,
+            customer: read_text(reply.get_customer())?
+                .parse()
+                .map_err(bad_message)?,
             verdict,
         });
     }
@@ -109,9 +115,11 @@
 
 pub(crate) fn read_centre(reader: centre_view::Reader<'_>) -> Result<CentreView, PeerError> {
     let mut slots = Vec::new();
-    for counted in reader.get_slots()? {
-        let data_centre = text(counted.get_data_centre())?.parse().map_err(bad)?;
-        slots.push((data_centre, counted.get_slots()));
+    for centre_slots in reader.get_slots()? {
+        let data_centre = read_text(centre_slots.get_data_centre())?
+            .parse()
+            .map_err(bad_message)?;
+        slots.push((data_centre, centre_slots.get_slots()));
     }
     Ok(CentreView {
         revision: reader.get_revision(),
@@ -130,8 +138,8 @@
         let mut builder = counts.reborrow().get(index as u32);
         builder.set_endpoint(count.endpoint.as_str());
         let mut times = builder.init_time_left_micros(count.time_left.len() as u32);
-        for (index, left) in count.time_left.iter().enumerate() {
-            times.set(index as u32, micros(*left));
+        for (index, duration) in count.time_left.iter().enumerate() {
+            times.set(index as u32, micros(*duration));
         }
     }
 }
@@ -143,12 +151,14 @@
     for count in reader.get_counts()? {
         let times = count.get_time_left_micros()?;
         counts.push(HandoverCount {
-            endpoint: text(count.get_endpoint())?.parse().map_err(bad)?,
+            endpoint: read_text(count.get_endpoint())?
+                .parse()
+                .map_err(bad_message)?,
             time_left: times.iter().map(Duration::from_micros).collect(),
         });
     }
     Ok(HandoverReport {
-        from: text(reader.get_from())?.parse().map_err(bad)?,
+        from: read_text(reader.get_from())?.parse().map_err(bad_message)?,
         incarnation: IncarnationId(reader.get_incarnation()),
         serial: reader.get_serial(),
         counts,
@@ -164,7 +174,7 @@
 fn read_addresses(reader: text_list::Reader<'_>) -> Result<Vec<SocketAddr>, PeerError> {
     let mut addresses = Vec::with_capacity(reader.len() as usize);
     for address in reader {
-        addresses.push(text(address)?.parse().map_err(bad)?);
+        addresses.push(read_text(address)?.parse().map_err(bad_message)?);
     }
     Ok(addresses)
 }
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -22,7 +22,7 @@
 use crate::{client::DispatcherClient, peer_capnp, PeerError};
 
 /// How long a connect may take. Within a region a connect takes milliseconds; more means that the path is cut.
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// An open connection to a dispatcher. It is closed when this is dropped.
 pub struct PeerLink {
@@ -67,7 +67,7 @@
 
 /// Opens a connection to another process.
 pub(crate) async fn dial(address: SocketAddr) -> Result<TcpStream, PeerError> {
-    match timeout(CONNECT_LIMIT, TcpStream::connect(address)).await {
+    match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
         Err(_) => Err(PeerError::TimedOut),
         Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {
             Err(PeerError::Refused)
@@ -85,22 +85,22 @@
     pub on_closed: Box<dyn FnOnce()>,
 }
 
-/// Accepts connections for as long as the future is polled. `make` gives each one its port.
-pub async fn serve(listener: TcpListener, make: impl Fn() -> AcceptedPort) {
-    serve_each(listener, || {
-        let AcceptedPort { port, on_closed } = make();
+/// Accepts connections for as long as the future is polled. `make_port` gives each one its port.
+pub async fn serve(listener: TcpListener, make_port: impl Fn() -> AcceptedPort) {
+    serve_ports(listener, || {
+        let AcceptedPort { port, on_closed } = make_port();
         (port.client, on_closed)
     })
     .await;
 }
 
 /// Gives each accepted connection a port of its own, and says when it has ended.
-async fn serve_each(
+async fn serve_ports(
     listener: TcpListener,
-    make: impl Fn() -> (capnp::capability::Client, Box<dyn FnOnce()>),
+    make_port: impl Fn() -> (capnp::capability::Client, Box<dyn FnOnce()>),
 ) {
     accept_each(listener, |stream| {
-        let (port, on_closed) = make();
+        let (port, on_closed) = make_port();
         let system = RpcSystem::new(Box::new(network(stream, Side::Server)), Some(port));
         async move {
             let _ended = system.await;
@@ -114,19 +114,19 @@
 /// passes on for another cannot be parted, and that of a job of 1000 results of 64 KiB is 84 MiB of base64. The
 /// library's own limit, 64 MiB, would make such an answer fail each time that it is asked for. There still has to be a
 /// limit, since a message's head names the memory to set aside for it.
-const MAX_MESSAGE: usize = 128 * 1024 * 1024;
+const MAX_MESSAGE_BYTES: usize = 128 * 1024 * 1024;
 
 fn reader_options() -> capnp::message::ReaderOptions {
     let mut options = capnp::message::ReaderOptions::new();
-    options.traversal_limit_in_words(Some(MAX_MESSAGE / size_of::<u64>()));
+    options.traversal_limit_in_words(Some(MAX_MESSAGE_BYTES / size_of::<u64>()));
     options
 }
 
 type StreamNetwork<R> = VatNetwork<futures::io::BufReader<Compat<R>>>;
 
 pub(crate) fn network(stream: TcpStream, side: Side) -> StreamNetwork<impl AsyncRead + Unpin> {
-    let (reader, writer) = split(stream);
-    half_network(reader, writer, side)
+    let (reader, writer) = split_stream(stream);
+    network_from_halves(reader, writer, side)
 }
 
 /// A network whose bytes are counted.
@@ -135,7 +135,7 @@
     side: Side,
     traffic: Arc<TrafficCounters>,
 ) -> StreamNetwork<impl AsyncRead + Unpin> {
-    let (reader, writer) = split(stream);
+    let (reader, writer) = split_stream(stream);
     let reader_traffic = traffic.clone();
     let reader = InspectReader::new(reader, move |bytes: &[u8]| {
         reader_traffic.record_received(TrafficKind::Peers, bytes.len());
@@ -143,16 +143,16 @@
     let writer = InspectWriter::new(writer, move |bytes: &[u8]| {
         traffic.record_sent(TrafficKind::Peers, bytes.len());
     });
-    half_network(reader, writer, side)
+    network_from_halves(reader, writer, side)
 }
 
-fn split(stream: TcpStream) -> (OwnedReadHalf, OwnedWriteHalf) {
+fn split_stream(stream: TcpStream) -> (OwnedReadHalf, OwnedWriteHalf) {
     // Messages are small and answers are waited for; without this the kernel holds them back for up to 40 ms.
     let _best_effort = stream.set_nodelay(true);
     stream.into_split()
 }
 
-fn half_network<R, W>(reader: R, writer: W, side: Side) -> StreamNetwork<R>
+fn network_from_halves<R, W>(reader: R, writer: W, side: Side) -> StreamNetwork<R>
 where
     R: AsyncRead + Unpin + 'static,
     W: AsyncWrite + Unpin + 'static,
--- a/crates/peer/src/pool_message.rs
+++ b/crates/peer/src/pool_message.rs
@@ -21,37 +21,39 @@
 };
 
 /// Encodes a heartbeat as one datagram.
-pub fn encode_heartbeat(beat: &Heartbeat) -> Vec<u8> {
+pub fn encode_heartbeat(heartbeat: &Heartbeat) -> Vec<u8> {
     let mut message = Builder::new_default();
     let mut root: heartbeat::Builder<'_> = message.init_root();
-    root.set_node(&*beat.node.0);
-    root.set_incarnation(beat.incarnation);
-    root.set_leaving(beat.leaving);
-    root.set_cores(beat.cores);
-    root.set_link_bytes(beat.link.0);
-    root.set_data_centre(beat.data_centre.as_str());
-    let mut hears = root.reborrow().init_hears(length(beat.hears.len()));
-    for (place, node) in beat.hears.iter().enumerate() {
-        hears.set(length(place), node.0);
+    root.set_node(&*heartbeat.node.0);
+    root.set_incarnation(heartbeat.incarnation);
+    root.set_leaving(heartbeat.leaving);
+    root.set_cores(heartbeat.cores);
+    root.set_link_bytes(heartbeat.link.0);
+    root.set_data_centre(heartbeat.data_centre.as_str());
+    let mut hears = root
+        .reborrow()
+        .init_hears(list_length(heartbeat.hears.len()));
+    for (index, node) in heartbeat.hears.iter().enumerate() {
+        hears.set(list_length(index), node.0);
     }
-    if let Some(reading) = &beat.reading {
+    if let Some(reading) = &heartbeat.reading {
         let mut wire = root.reborrow().init_reading();
         wire.set_version(reading.version);
         wire.set_age_micros(micros(reading.age));
         wire.set_digest(reading.digest);
     }
-    let mut pools = root.init_pools(length(beat.pools.len()));
-    for (place, news) in beat.pools.iter().enumerate() {
-        let mut wire = pools.reborrow().get(length(place));
+    let mut pools = root.init_pools(list_length(heartbeat.pools.len()));
+    for (index, news) in heartbeat.pools.iter().enumerate() {
+        let mut wire = pools.reborrow().get(list_length(index));
         wire.set_pool(news.pool.to_string());
         wire.set_fence(news.fence.0);
         wire.set_capacity(news.load.capacity);
         wire.set_free(news.load.free);
         wire.set_backlog_micros(micros(news.load.backlog));
         wire.set_yielding(news.yielding);
-        let mut held = wire.init_held(length(news.held.len()));
-        for (place, life) in news.held.iter().enumerate() {
-            held.set(length(place), life.as_str());
+        let mut held = wire.init_held(list_length(news.held.len()));
+        for (index, life) in news.held.iter().enumerate() {
+            held.set(list_length(index), life.as_str());
         }
     }
     let mut bytes = Vec::new();
@@ -85,12 +87,12 @@
     for wire in root.get_pools()? {
         let mut held = Vec::new();
         for life in wire.get_held()? {
-            held.push(LifeId::from(text(life)?));
+            held.push(LifeId::from(read_text(life)?));
         }
         pools.push(PoolNews {
             held,
             yielding: wire.get_yielding(),
-            pool: pool_id(wire.get_pool())?,
+            pool: read_pool_id(wire.get_pool())?,
             fence: FenceToken(wire.get_fence()),
             load: PoolLoad {
                 capacity: wire.get_capacity(),
@@ -100,9 +102,9 @@
         });
     }
     Ok(Heartbeat {
-        node: NodeId::from(text(root.get_node())?),
+        node: NodeId::from(read_text(root.get_node())?),
         incarnation: root.get_incarnation(),
-        data_centre: centre_id(root.get_data_centre())?,
+        data_centre: read_centre_id(root.get_data_centre())?,
         cores: root.get_cores(),
         link: LinkRate(root.get_link_bytes()),
         leaving: root.get_leaving(),
@@ -133,9 +135,9 @@
     wire.set_waited_micros(micros(terms.waited));
     wire.set_firm(terms.firm);
     wire.set_kept(request.kept);
-    let mut steps = wire.init_steps(length(request.steps.len()));
-    for (place, spec) in request.steps.iter().enumerate() {
-        write_step(steps.reborrow().get(length(place)), spec);
+    let mut steps = wire.init_steps(list_length(request.steps.len()));
+    for (index, spec) in request.steps.iter().enumerate() {
+        write_step(steps.reborrow().get(list_length(index)), spec);
     }
 }
 
@@ -149,9 +151,9 @@
     wire.set_required_label(spec.required_label.as_deref().unwrap_or_default());
     wire.set_data_rack(spec.data_rack.as_deref().unwrap_or_default());
     wire.set_most_per_worker(spec.most_per_worker.unwrap_or(0));
-    let mut after = wire.init_after(length(spec.after.len()));
-    for (place, before) in spec.after.iter().enumerate() {
-        after.set(length(place), *before);
+    let mut after = wire.init_after(list_length(spec.after.len()));
+    for (index, prerequisite) in spec.after.iter().enumerate() {
+        after.set(list_length(index), *prerequisite);
     }
 }
 
@@ -162,14 +164,14 @@
     }
     let request = JobRequest {
         id: JobId(wire.get_id()),
-        text: Arc::from(text(wire.get_text())?),
+        text: Arc::from(read_text(wire.get_text())?),
         steps,
         kept: wire.get_kept(),
         unsupported: None,
     };
     let terms = JobTerms {
-        service: ServiceId::from(text(wire.get_service())?),
-        route: Arc::from(text(wire.get_route())?),
+        service: ServiceId::from(read_text(wire.get_service())?),
+        route: Arc::from(read_text(wire.get_route())?),
         priority: wire.get_priority(),
         attempts: wire.get_attempts(),
         stretch: wire.get_stretch(),
@@ -178,8 +180,8 @@
         waited: Duration::from_micros(wire.get_waited_micros()),
         firm: wire.get_firm(),
     };
-    let entry = NodeId::from(text(wire.get_entry())?);
-    let pool = pool_id(wire.get_pool())?;
+    let entry = NodeId::from(read_text(wire.get_entry())?);
+    let pool = read_pool_id(wire.get_pool())?;
     Ok(JobCall {
         entry,
         pool,
@@ -200,8 +202,8 @@
         },
         estimate: Duration::from_micros(wire.get_estimate_micros()),
         after: wire.get_after()?.iter().collect(),
-        required_label: optional(text(wire.get_required_label())?),
-        data_rack: optional(text(wire.get_data_rack())?),
+        required_label: optional(read_text(wire.get_required_label())?),
+        data_rack: optional(read_text(wire.get_data_rack())?),
         most_per_worker: Some(wire.get_most_per_worker()).filter(|most| *most > 0),
     })
 }
@@ -233,7 +235,7 @@
         outcome::GivenUp(()) => Ok(JobOutcome::GivenUp),
         outcome::Refused(refusal) => {
             let refusal = refusal?;
-            let kind = text(refusal.get_kind())?.parse();
+            let kind = read_text(refusal.get_kind())?.parse();
             let kind =
                 kind.map_err(|e: model::WrongReason| PeerError::BadMessage(e.to_string()))?;
             let retry_after = Duration::from_micros(refusal.get_retry_after_micros());
@@ -246,22 +248,22 @@
     }
 }
 
-fn text(read: Result<capnp::text::Reader<'_>, capnp::Error>) -> Result<&str, PeerError> {
+fn read_text(read: Result<capnp::text::Reader<'_>, capnp::Error>) -> Result<&str, PeerError> {
     let reader = read?;
     reader
         .to_str()
         .map_err(|e| PeerError::BadMessage(e.to_string()))
 }
 
-fn centre_id(
+fn read_centre_id(
     read: Result<capnp::text::Reader<'_>, capnp::Error>,
 ) -> Result<DataCentreId, PeerError> {
-    let parsed = text(read)?.parse();
+    let parsed = read_text(read)?.parse();
     parsed.map_err(|e: model::WrongId| PeerError::BadMessage(e.to_string()))
 }
 
-fn pool_id(read: Result<capnp::text::Reader<'_>, capnp::Error>) -> Result<PoolId, PeerError> {
-    let parsed = text(read)?.parse();
+fn read_pool_id(read: Result<capnp::text::Reader<'_>, capnp::Error>) -> Result<PoolId, PeerError> {
+    let parsed = read_text(read)?.parse();
     parsed.map_err(|e: jobs::WrongPoolId| PeerError::BadMessage(e.to_string()))
 }
 
@@ -270,6 +272,6 @@
 }
 
 /// List lengths of the protocol are 32 bits; what is sent is bounded far below.
-fn length(count: usize) -> u32 {
+fn list_length(count: usize) -> u32 {
     u32::try_from(count).unwrap_or(u32::MAX)
 }
--- a/crates/peer/src/service.rs
+++ b/crates/peer/src/service.rs
@@ -18,8 +18,8 @@
 use crate::{
     client::EntryClient,
     convert::{
-        bad, read_attempt, read_end, read_offers, read_slots, read_view, text, write_slots,
-        write_verdict, write_view, write_withdrawal,
+        bad_message, read_attempt, read_end, read_offers, read_slots, read_text, read_view,
+        write_slots, write_verdict, write_view, write_withdrawal,
     },
     convert_grants::{read_asks, read_handover, write_centre, write_replies},
     peer_capnp::{
@@ -153,10 +153,12 @@
     let mut rows = Vec::new();
     for row in reader.get_rows()? {
         rows.push(ContractRow {
-            customer: text(row.get_customer())?.parse().map_err(bad)?,
+            customer: read_text(row.get_customer())?
+                .parse()
+                .map_err(bad_message)?,
             version: ContractVersion(row.get_version()),
             head: HeadNumber(row.get_head()),
-            contract: serde_json::from_slice(row.get_json()?).map_err(bad)?,
+            contract: serde_json::from_slice(row.get_json()?).map_err(bad_message)?,
         });
     }
     let update = ContractUpdate {
@@ -182,7 +184,7 @@
         builder.set_customer(row.customer.as_str());
         builder.set_version(row.version.0);
         builder.set_head(row.head.0);
-        builder.set_json(&serde_json::to_vec(&row.contract).map_err(bad)?);
+        builder.set_json(&serde_json::to_vec(&row.contract).map_err(bad_message)?);
     }
     Ok(())
 }
--- a/crates/peer/tests/border/fakes.rs
+++ b/crates/peer/tests/border/fakes.rs
@@ -19,7 +19,7 @@
 
 /// What a side was called with, in order.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum SeenCall {
+pub(crate) enum ReceivedCall {
     Opened(IncarnationId, SessionId),
     Beat(MemberView),
     Ping(u64),
@@ -41,7 +41,7 @@
     pub(crate) slots: SlotCounts,
     pub(crate) verdicts: Vec<TaskVerdict>,
     pub(crate) withdrawals: Vec<WithdrawalVerdict>,
-    pub(crate) news: ContractsReply,
+    pub(crate) contracts: ContractsReply,
     pub(crate) centre: Option<CentreView>,
     pub(crate) grants: Option<ReplyBatch>,
     pub(crate) vms: Vec<VmEntry>,
@@ -52,14 +52,14 @@
 }
 
 /// What the two ends share with the test.
-pub(crate) struct Shared {
-    pub(crate) seen: RefCell<Vec<SeenCall>>,
+pub(crate) struct FakeState {
+    pub(crate) received: RefCell<Vec<ReceivedCall>>,
     pub(crate) answers: RefCell<Answers>,
     pub(crate) entry: RefCell<Option<EntryClient>>,
     latest: RefCell<Option<SessionId>>,
 }
 
-impl Shared {
+impl FakeState {
     pub(crate) fn new() -> Rc<Self> {
         let answers = Answers {
             view: MemberView {
@@ -72,7 +72,7 @@
             slots: SlotCounts::default(),
             verdicts: Vec::new(),
             withdrawals: Vec::new(),
-            news: ContractsReply::default(),
+            contracts: ContractsReply::default(),
             centre: None,
             grants: None,
             vms: Vec::new(),
@@ -81,30 +81,30 @@
             silent: false,
         };
         Rc::new(Self {
-            seen: RefCell::default(),
+            received: RefCell::default(),
             answers: RefCell::new(answers),
             entry: RefCell::default(),
             latest: RefCell::default(),
         })
     }
 
-    pub(crate) fn take_seen(&self) -> Vec<SeenCall> {
-        self.seen.take()
+    pub(crate) fn take_received(&self) -> Vec<ReceivedCall> {
+        self.received.take()
     }
 
-    fn see(&self, call: SeenCall) {
-        self.seen.borrow_mut().push(call);
+    fn record(&self, call: ReceivedCall) {
+        self.received.borrow_mut().push(call);
     }
 }
 
 /// Serves fake dispatchers on a port of the system's choice until the handle is aborted.
-pub(crate) async fn serve(shared: &Rc<Shared>) -> (SocketAddr, JoinHandle<()>) {
+pub(crate) async fn serve(state: &Rc<FakeState>) -> (SocketAddr, JoinHandle<()>) {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let listener = TcpListener::bind(any).await.expect("a port");
     let address = listener.local_addr().expect("an address");
-    let shared = shared.clone();
+    let state = state.clone();
     let server = actix_rt::spawn(peer::serve(listener, move || AcceptedPort {
-        port: peer::dispatcher_port(FakeDispatcher(shared.clone())),
+        port: peer::dispatcher_port(FakeDispatcher(state.clone())),
         on_closed: Box::new(|| {}),
     }));
     (address, server)
@@ -114,7 +114,7 @@
     Box::pin(std::future::ready(Ok(value)))
 }
 
-struct FakeDispatcher(Rc<Shared>);
+struct FakeDispatcher(Rc<FakeState>);
 
 impl DispatcherService for FakeDispatcher {
     type Session = FakeSession;
@@ -125,7 +125,7 @@
         incarnation: IncarnationId,
         session: SessionId,
     ) -> ReplyFuture<(FakeSession, IncarnationId, SlotCounts)> {
-        self.0.see(SeenCall::Opened(incarnation, session));
+        self.0.record(ReceivedCall::Opened(incarnation, session));
         let mut latest = self.0.latest.borrow_mut();
         if latest.is_some_and(|latest| latest >= session) {
             let stale = PeerError::Failed("stale session".to_owned());
@@ -143,13 +143,13 @@
     }
 
     fn heartbeat(&self, message: BeatMessage) -> ReplyFuture<BeatReply> {
-        self.0.see(SeenCall::Beat(message.view));
+        self.0.record(ReceivedCall::Beat(message.view));
         let view = self.0.answers.borrow().view.clone();
         ready(BeatReply { view })
     }
 
     fn ping(&self, revision: u64) -> ReplyFuture<PingReply> {
-        self.0.see(SeenCall::Ping(revision));
+        self.0.record(ReceivedCall::Ping(revision));
         let answers = self.0.answers.borrow();
         let (view, slots) = (answers.view.clone(), answers.slots);
         ready(PingReply {
@@ -160,18 +160,18 @@
     }
 
     fn grant(&self, batch: AskBatch) -> ReplyFuture<Option<ReplyBatch>> {
-        self.0.see(SeenCall::Grant(batch));
+        self.0.record(ReceivedCall::Grant(batch));
         ready(self.0.answers.borrow().grants.clone())
     }
 
     fn handover(&self, report: HandoverReport) -> ReplyFuture<()> {
-        self.0.see(SeenCall::Handover(report));
+        self.0.record(ReceivedCall::Handover(report));
         ready(())
     }
 
     fn contracts(&self, since: HeadNumber) -> ReplyFuture<ContractsReply> {
-        self.0.see(SeenCall::Contracts(since));
-        ready(self.0.answers.borrow().news.clone())
+        self.0.record(ReceivedCall::Contracts(since));
+        ready(self.0.answers.borrow().contracts.clone())
     }
 
     fn vms(&self) -> ReplyFuture<Vec<VmEntry>> {
@@ -179,7 +179,7 @@
     }
 }
 
-pub(crate) struct FakeSession(Rc<Shared>);
+pub(crate) struct FakeSession(Rc<FakeState>);
 
 impl SessionService for FakeSession {
     fn offer(
@@ -187,7 +187,7 @@
         batch: u64,
         offers: Vec<TaskOffer>,
     ) -> ReplyFuture<(Vec<TaskVerdict>, SlotCounts)> {
-        self.0.see(SeenCall::Offers(batch, offers));
+        self.0.record(ReceivedCall::Offers(batch, offers));
         let answers = self.0.answers.borrow();
         if answers.silent {
             return Box::pin(std::future::pending());
@@ -200,17 +200,18 @@
         after_batch: u64,
         attempts: Vec<AttemptId>,
     ) -> ReplyFuture<(Vec<WithdrawalVerdict>, SlotCounts)> {
-        self.0.see(SeenCall::Withdrawals(after_batch, attempts));
+        self.0
+            .record(ReceivedCall::Withdrawals(after_batch, attempts));
         let answers = self.0.answers.borrow();
         ready((answers.withdrawals.clone(), answers.slots))
     }
 }
 
-pub(crate) struct FakeEntry(pub(crate) Rc<Shared>);
+pub(crate) struct FakeEntry(pub(crate) Rc<FakeState>);
 
 impl EntryService for FakeEntry {
     fn claim(&self, attempt: AttemptId) -> ReplyFuture<Option<Payload>> {
-        self.0.see(SeenCall::Claim(attempt));
+        self.0.record(ReceivedCall::Claim(attempt));
         ready(self.0.answers.borrow().body.clone())
     }
 
@@ -219,22 +220,22 @@
         ends: Vec<(AttemptId, AttemptEnd, Duration)>,
         slots: SlotCounts,
     ) -> ReplyFuture<()> {
-        self.0.see(SeenCall::Ends(ends, slots));
+        self.0.record(ReceivedCall::Ends(ends, slots));
         ready(())
     }
 
     fn report_slots(&self, slots: SlotCounts) -> ReplyFuture<()> {
-        self.0.see(SeenCall::Slots(slots));
+        self.0.record(ReceivedCall::Slots(slots));
         ready(())
     }
 
     fn outcome(&self, serial: u64) -> ReplyFuture<Option<ForwardedAnswer>> {
-        self.0.see(SeenCall::Outcome(serial));
+        self.0.record(ReceivedCall::Outcome(serial));
         ready(self.0.answers.borrow().forwarded.clone())
     }
 
     fn run(&self, serial: u64, json: Vec<u8>) -> ReplyFuture<ForwardedAnswer> {
-        self.0.see(SeenCall::Run(serial, json));
+        self.0.record(ReceivedCall::Run(serial, json));
         let forwarded = self.0.answers.borrow().forwarded.clone();
         ready(forwarded.unwrap_or(ForwardedAnswer {
             status: 0,
--- a/crates/peer/tests/border/faults.rs
+++ b/crates/peer/tests/border/faults.rs
@@ -18,10 +18,10 @@
     time::timeout,
 };
 
-use crate::fakes::{self, FakeEntry, SeenCall, Shared};
+use crate::fakes::{self, FakeEntry, FakeState, ReceivedCall};
 
 /// How long anything here may take. Far more than it does, so that only a hang reaches it.
-const LIMIT: Duration = Duration::from_secs(30);
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn attempt(serial: u64) -> AttemptId {
     AttemptId {
@@ -46,28 +46,34 @@
     }
 }
 
-async fn open(shared: &Rc<Shared>, address: SocketAddr, session: u64) -> (PeerLink, OpenedSession) {
+async fn open(
+    state: &Rc<FakeState>,
+    address: SocketAddr,
+    session: u64,
+) -> (PeerLink, OpenedSession) {
     let link = peer::connect(address, || {}).await.expect("a connection");
-    let opened = try_open(shared, &link, session).await.expect("a session");
+    let opened = try_open(state, &link, session).await.expect("a session");
     (link, opened)
 }
 
 async fn try_open(
-    shared: &Rc<Shared>,
+    state: &Rc<FakeState>,
     link: &PeerLink,
     session: u64,
 ) -> Result<OpenedSession, PeerError> {
-    let port = peer::entry_port(FakeEntry(shared.clone()));
+    let port = peer::entry_port(FakeEntry(state.clone()));
     let opened = link
         .client()
         .open_session(port, IncarnationId(1), SessionId(session));
-    timeout(LIMIT, opened).await.expect("an answer in time")
+    timeout(TEST_TIMEOUT, opened)
+        .await
+        .expect("an answer in time")
 }
 
 async fn wait_for(holds: impl Fn() -> bool) {
-    let limit = Instant::now() + LIMIT;
+    let deadline = Instant::now() + TEST_TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < limit, "the condition never held");
+        assert!(Instant::now() < deadline, "the condition never held");
         actix_rt::time::sleep(Duration::from_millis(1)).await;
     }
 }
@@ -77,9 +83,9 @@
 // Why: a port scan, or an HTTP probe of the wrong port, must not end the sessions of a whole VM.
 #[actix_rt::test]
 async fn garbage_ends_only_its_own_connection() {
-    let shared = Shared::new();
-    let (address, server) = fakes::serve(&shared).await;
-    let (link, opened) = open(&shared, address, 1).await;
+    let state = FakeState::new();
+    let (address, server) = fakes::serve(&state).await;
+    let (link, opened) = open(&state, address, 1).await;
     let table: [(&str, &[u8]); 8] = [
         ("nothing", b""),
         ("HTTP", b"GET / HTTP/1.1\r\nhost: peer\r\n\r\n"),
@@ -99,23 +105,23 @@
         let _closed = stream.write_all(bytes).await;
         let _closed = stream.shutdown().await;
         let mut rest = Vec::new();
-        let read = timeout(LIMIT, stream.read_to_end(&mut rest)).await;
+        let read = timeout(TEST_TIMEOUT, stream.read_to_end(&mut rest)).await;
         assert!(read.is_ok(), "{what}: the connection stays");
         link.client().ping(0).await.expect(what);
         opened.session.offer(1, &[]).await.expect(what);
-        let (other, _) = open_next(&shared, address).await;
+        let (other, _) = open_next(&state, address).await;
         other.client().ping(0).await.expect(what);
     }
     server.abort();
 }
 
 /// Opens a session with a number above all before.
-async fn open_next(shared: &Rc<Shared>, address: SocketAddr) -> (PeerLink, OpenedSession) {
+async fn open_next(state: &Rc<FakeState>, address: SocketAddr) -> (PeerLink, OpenedSession) {
     thread_local! {
         static NEXT: Cell<u64> = const { Cell::new(100) };
     }
     let session = NEXT.with(|next| next.replace(next.get() + 1));
-    open(shared, address, session).await
+    open(state, address, session).await
 }
 
 // What the entry sees: its call is lost, and the connection is told to be closed, once.
@@ -123,21 +129,23 @@
 // Why: the task may have started, so the entry has to learn that nothing more will come.
 #[actix_rt::test]
 async fn a_connection_that_ends_during_a_call_gives_lost() {
-    let shared = Shared::new();
-    shared.answers.borrow_mut().silent = true;
-    let (address, server) = fakes::serve(&shared).await;
+    let state = FakeState::new();
+    state.answers.borrow_mut().silent = true;
+    let (address, server) = fakes::serve(&state).await;
     let closed = Rc::new(Cell::new(0));
     let count = closed.clone();
     let link = peer::connect(address, move || count.set(count.get() + 1));
     let link = link.await.expect("a connection");
-    let opened = try_open(&shared, &link, 1).await.expect("a session");
+    let opened = try_open(&state, &link, 1).await.expect("a session");
     let offered = opened.session.offer(1, &[offer(1, Payload::default())]);
-    wait_for(|| shared.seen.borrow().len() == 2).await;
+    wait_for(|| state.received.borrow().len() == 2).await;
     server.abort();
-    let lost = timeout(LIMIT, offered).await.expect("an answer in time");
+    let lost = timeout(TEST_TIMEOUT, offered)
+        .await
+        .expect("an answer in time");
     assert!(matches!(lost, Err(PeerError::Lost(_))), "{lost:?}");
     wait_for(|| closed.get() > 0).await;
-    let after = timeout(LIMIT, opened.session.offer(2, &[])).await;
+    let after = timeout(TEST_TIMEOUT, opened.session.offer(2, &[])).await;
     let after = after.expect("an answer in time");
     assert!(matches!(after, Err(PeerError::Lost(_))), "{after:?}");
     assert_eq!(closed.get(), 1);
@@ -179,9 +187,9 @@
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let listener = TcpListener::bind(any).await.expect("a port");
     let address = listener.local_addr().expect("an address");
-    let shared = Shared::new();
+    let state = FakeState::new();
     let link = peer::connect(address, || {}).await.expect("a connection");
-    let port = peer::entry_port(FakeEntry(shared));
+    let port = peer::entry_port(FakeEntry(state));
     let opened = link
         .client()
         .open_session(port, IncarnationId(1), SessionId(1));
@@ -194,11 +202,11 @@
 // Why: what is offered on the older session was given up; it must not start now.
 #[actix_rt::test]
 async fn a_stale_session_is_refused_and_the_newer_stays() {
-    let shared = Shared::new();
-    let (address, server) = fakes::serve(&shared).await;
-    let (_link, newer) = open(&shared, address, 5).await;
+    let state = FakeState::new();
+    let (address, server) = fakes::serve(&state).await;
+    let (_link, newer) = open(&state, address, 5).await;
     let link = peer::connect(address, || {}).await.expect("a connection");
-    let stale = try_open(&shared, &link, 4).await.err();
+    let stale = try_open(&state, &link, 4).await.err();
     assert!(matches!(stale, Some(PeerError::Failed(_))), "{stale:?}");
     newer.session.offer(1, &[]).await.expect("the newer one");
     server.abort();
@@ -209,26 +217,26 @@
 // Why: a withdrawal that overtook its offer would be confirmed as "not run", and the offer would start afterwards.
 #[actix_rt::test]
 async fn calls_of_a_session_come_in_the_order_of_sending() {
-    let shared = Shared::new();
+    let state = FakeState::new();
     {
-        let mut answers = shared.answers.borrow_mut();
+        let mut answers = state.answers.borrow_mut();
         answers.verdicts = vec![TaskVerdict::Queued];
         answers.withdrawals = vec![WithdrawalVerdict::NotRun];
     }
-    let (address, server) = fakes::serve(&shared).await;
-    let (_link, opened) = open(&shared, address, 1).await;
+    let (address, server) = fakes::serve(&state).await;
+    let (_link, opened) = open(&state, address, 1).await;
     let mut rng = fastrand::Rng::with_seed(9);
     let (mut offers, mut withdrawals) = (Vec::new(), Vec::new());
-    let mut sent = vec![SeenCall::Opened(IncarnationId(1), SessionId(1))];
+    let mut sent = vec![ReceivedCall::Opened(IncarnationId(1), SessionId(1))];
     for serial in 1..=10_000 {
         let payload = Payload::from(vec![0; rng.usize(0..2_000)]);
         let offer = offer(serial, payload);
         offers.push(opened.session.offer(serial, std::slice::from_ref(&offer)));
-        sent.push(SeenCall::Offers(serial, vec![offer]));
+        sent.push(ReceivedCall::Offers(serial, vec![offer]));
         if rng.bool() {
             let attempts = [attempt(serial)];
             withdrawals.push(opened.session.withdraw(serial, &attempts));
-            sent.push(SeenCall::Withdrawals(serial, attempts.to_vec()));
+            sent.push(ReceivedCall::Withdrawals(serial, attempts.to_vec()));
         }
     }
     for answer in offers {
@@ -237,7 +245,7 @@
     for answer in withdrawals {
         answer.await.expect("an answer");
     }
-    assert!(shared.take_seen() == sent, "another order");
+    assert!(state.take_received() == sent, "another order");
     server.abort();
 }
 
@@ -246,9 +254,9 @@
 // Why: over the reader's limit the call would fail each time, and the caller could never have its answer.
 #[actix_rt::test]
 async fn the_largest_answer_is_passed_on() {
-    let shared = Shared::new();
-    let (address, server) = fakes::serve(&shared).await;
-    let (_link, _opened) = open(&shared, address, 1).await;
+    let state = FakeState::new();
+    let (address, server) = fakes::serve(&state).await;
+    let (_link, _opened) = open(&state, address, 1).await;
     // On the connection of the entry itself the port would be found at home, and nothing sent.
     let link = peer::connect(address, || {}).await.expect("a connection");
     let found = link
@@ -261,8 +269,8 @@
         status: 200,
         json: vec![b'A'; 1_000 * 64 * 1024 * 4 / 3 + 100_000],
     };
-    shared.answers.borrow_mut().forwarded = Some(largest.clone());
-    let passed = timeout(LIMIT, entry.outcome(1)).await;
+    state.answers.borrow_mut().forwarded = Some(largest.clone());
+    let passed = timeout(TEST_TIMEOUT, entry.outcome(1)).await;
     let passed = passed.expect("an answer in time");
     assert!(passed == Ok(Some(largest)), "cut or refused");
     server.abort();
@@ -273,20 +281,23 @@
 // Why: over the reader's limit the call fails, the session is given up, and the same batch fails on the next one.
 #[actix_rt::test]
 async fn large_batches_pass() {
-    let shared = Shared::new();
-    let (address, server) = fakes::serve(&shared).await;
-    let (_link, opened) = open(&shared, address, 1).await;
+    let state = FakeState::new();
+    let (address, server) = fakes::serve(&state).await;
+    let (_link, opened) = open(&state, address, 1).await;
     let payload = Payload::from(vec![7; 64 * 1024]);
     for tasks in [1, 370, 1_000, 1_100] {
-        shared.take_seen();
+        state.take_received();
         let offers: Vec<TaskOffer> = (0..tasks)
             .map(|serial| offer(serial, payload.clone()))
             .collect();
-        let answer = timeout(LIMIT, opened.session.offer(1, &offers)).await;
+        let answer = timeout(TEST_TIMEOUT, opened.session.offer(1, &offers)).await;
         let answer = answer.expect("an answer in time");
         assert!(answer.is_ok(), "{tasks} tasks: {:?}", answer.err());
-        let seen = shared.take_seen();
-        assert!(seen == [SeenCall::Offers(1, offers)], "{tasks} tasks");
+        let received = state.take_received();
+        assert!(
+            received == [ReceivedCall::Offers(1, offers)],
+            "{tasks} tasks"
+        );
     }
     server.abort();
 }
--- a/crates/peer/tests/border/round_trips.rs
+++ b/crates/peer/tests/border/round_trips.rs
@@ -13,7 +13,7 @@
 };
 
 use crate::{
-    fakes::{self, FakeEntry, SeenCall, Shared},
+    fakes::{self, FakeEntry, FakeState, ReceivedCall},
     values,
 };
 
@@ -21,9 +21,9 @@
 const ROUNDS: u64 = 200;
 
 /// Values in a fixed order.
-struct Values(TestRunner);
+struct ValueSource(TestRunner);
 
-impl Values {
+impl ValueSource {
     fn new() -> Self {
         let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
         Self(TestRunner::new_with_rng(Config::default(), rng))
@@ -35,20 +35,20 @@
     }
 }
 
-async fn check_dispatcher_calls(shared: &Rc<Shared>, link: &PeerLink, values: &mut Values) {
+async fn check_dispatcher_calls(state: &Rc<FakeState>, link: &PeerLink, values: &mut ValueSource) {
     let client = link.client();
     {
-        let mut answers = shared.answers.borrow_mut();
+        let mut answers = state.answers.borrow_mut();
         answers.view = values.next(values::view());
         answers.slots = values.next(values::slots());
-        answers.news = values.next(values::news());
+        answers.contracts = values.next(values::contracts_reply());
         answers.centre = values.next(option::of(values::centre()));
         answers.grants = values.next(option::of(values::reply_batch()));
         answers.vms = values.next(vec(values::vm(), 0..8));
     }
     let view = values.next(values::view());
     // The asker knows what it asked for; it does not travel back.
-    let since = shared.answers.borrow().news.update.since;
+    let since = state.answers.borrow().contracts.update.since;
     let message = membership::BeatMessage { view: view.clone() };
     let beat = client.heartbeat(&message).await.expect("beat");
     let (revision, ask, report) = (
@@ -59,44 +59,44 @@
     let ping = client.ping(revision).await.expect("ping");
     let grants = client.grant(&ask).await.expect("grant");
     client.handover(&report).await.expect("handover");
-    let news = client.contracts(since).await.expect("contracts");
+    let contracts = client.contracts(since).await.expect("contracts");
     let vms = client.vms().await.expect("vms");
-    let answers = shared.answers.borrow();
+    let answers = state.answers.borrow();
     assert_eq!(beat.view, answers.view);
-    let (view_told, slots) = (answers.view.clone(), answers.slots);
+    let (dispatcher_view, slots) = (answers.view.clone(), answers.slots);
     assert_eq!(
         ping,
         PingReply {
-            view: view_told,
+            view: dispatcher_view,
             slots,
             centre: answers.centre.clone()
         }
     );
     assert_eq!(grants, answers.grants);
-    assert_eq!(news, answers.news);
+    assert_eq!(contracts, answers.contracts);
     assert_eq!(vms, answers.vms);
-    let seen = [
-        SeenCall::Beat(view),
-        SeenCall::Ping(revision),
-        SeenCall::Grant(ask),
-        SeenCall::Handover(report),
-        SeenCall::Contracts(since),
+    let received = [
+        ReceivedCall::Beat(view),
+        ReceivedCall::Ping(revision),
+        ReceivedCall::Grant(ask),
+        ReceivedCall::Handover(report),
+        ReceivedCall::Contracts(since),
     ];
-    assert_eq!(shared.take_seen(), seen);
+    assert_eq!(state.take_received(), received);
 }
 
 async fn check_session_calls(
-    shared: &Rc<Shared>,
+    state: &Rc<FakeState>,
     link: &PeerLink,
-    values: &mut Values,
+    values: &mut ValueSource,
     session: SessionId,
 ) {
     let incarnation = IncarnationId(values.next(any::<u64>()));
-    let port = peer::entry_port(FakeEntry(shared.clone()));
+    let port = peer::entry_port(FakeEntry(state.clone()));
     let opened = link.client().open_session(port, incarnation, session);
     let opened = opened.await.expect("open");
     {
-        let mut answers = shared.answers.borrow_mut();
+        let mut answers = state.answers.borrow_mut();
         assert_eq!(opened.dispatcher, answers.view.incarnation);
         assert_eq!(opened.slots, answers.slots);
         answers.verdicts = values.next(vec(values::verdict(), 0..8));
@@ -108,20 +108,20 @@
     let offered = opened.session.offer(batch, &offers).await.expect("offer");
     let withdrawn = opened.session.withdraw(after, &attempts);
     let withdrawn = withdrawn.await.expect("withdraw");
-    let answers = shared.answers.borrow();
+    let answers = state.answers.borrow();
     assert_eq!(offered, (answers.verdicts.clone(), answers.slots));
     assert_eq!(withdrawn, (answers.withdrawals.clone(), answers.slots));
-    let seen = [
-        SeenCall::Opened(incarnation, session),
-        SeenCall::Offers(batch, offers),
-        SeenCall::Withdrawals(after, attempts),
+    let received = [
+        ReceivedCall::Opened(incarnation, session),
+        ReceivedCall::Offers(batch, offers),
+        ReceivedCall::Withdrawals(after, attempts),
     ];
-    assert_eq!(shared.take_seen(), seen);
+    assert_eq!(state.take_received(), received);
 }
 
 /// The calls of a dispatcher to an entry, and of another entry, which finds the port over a connection of its own: on
 /// that of the entry itself the port would be found at home, and nothing sent.
-async fn check_entry_calls(shared: &Rc<Shared>, link: &PeerLink, values: &mut Values) {
+async fn check_entry_calls(state: &Rc<FakeState>, link: &PeerLink, values: &mut ValueSource) {
     let found = link
         .client()
         .find_entry(IncarnationId(1))
@@ -129,7 +129,7 @@
         .expect("find");
     let entry = found.expect("an entry");
     {
-        let mut answers = shared.answers.borrow_mut();
+        let mut answers = state.answers.borrow_mut();
         answers.body = values.next(proptest::option::of(values::payload()));
         answers.forwarded = values.next(proptest::option::of(values::forwarded()));
     }
@@ -143,26 +143,26 @@
     entry.report_slots(slots).await.expect("slots");
     let outcome = entry.outcome(serial).await.expect("outcome");
     let run = entry.run(serial, &json).await.expect("run");
-    let answers = shared.answers.borrow();
+    let answers = state.answers.borrow();
     assert_eq!(body, answers.body);
     assert_eq!(outcome, answers.forwarded);
     if answers.forwarded.is_some() {
         assert_eq!(Some(run), answers.forwarded);
     }
-    let seen = [
-        SeenCall::Claim(attempt),
-        SeenCall::Ends(ends, slots),
-        SeenCall::Slots(slots),
-        SeenCall::Outcome(serial),
-        SeenCall::Run(serial, json),
+    let received = [
+        ReceivedCall::Claim(attempt),
+        ReceivedCall::Ends(ends, slots),
+        ReceivedCall::Slots(slots),
+        ReceivedCall::Outcome(serial),
+        ReceivedCall::Run(serial, json),
     ];
-    assert_eq!(shared.take_seen(), seen);
+    assert_eq!(state.take_received(), received);
 }
 
 #[actix_rt::test]
 async fn every_call_carries_every_value() {
-    let shared = Shared::new();
-    let (address, server) = fakes::serve(&shared).await;
+    let state = FakeState::new();
+    let (address, server) = fakes::serve(&state).await;
     let link = peer::connect(address, || {}).await.expect("a connection");
     let none = link
         .client()
@@ -171,11 +171,11 @@
         .expect("find");
     assert!(none.is_none());
     let finder = peer::connect(address, || {}).await.expect("a connection");
-    let mut values = Values::new();
+    let mut values = ValueSource::new();
     for round in 1..=ROUNDS {
-        check_dispatcher_calls(&shared, &link, &mut values).await;
-        check_session_calls(&shared, &link, &mut values, SessionId(round)).await;
-        check_entry_calls(&shared, &finder, &mut values).await;
+        check_dispatcher_calls(&state, &link, &mut values).await;
+        check_session_calls(&state, &link, &mut values, SessionId(round)).await;
+        check_entry_calls(&state, &finder, &mut values).await;
     }
     server.abort();
 }
--- a/crates/peer/tests/border/values.rs
+++ b/crates/peer/tests/border/values.rs
@@ -192,7 +192,7 @@
     )
 }
 
-pub(crate) fn news() -> impl Strategy<Value = ContractsReply> {
+pub(crate) fn contracts_reply() -> impl Strategy<Value = ContractsReply> {
     let row = (NAME, any::<(u64, u64)>(), contract()).prop_map(
         |(customer, (version, head), contract)| ContractRow {
             customer: customer.parse().expect("a name"),
@@ -230,13 +230,15 @@
     let role = select(&[VmRole::System, VmRole::Endpoint][..]);
     let state = select(&[EndpointState::Live, EndpointState::Leaving][..]);
     let rest = (role, state, any::<u32>());
-    (NAME, NAME, address(), rest).prop_map(|(id, hall, address, (role, state, slots))| VmEntry {
-        id: id.parse().expect("a name"),
-        data_centre: hall.parse().expect("a name"),
-        role,
-        address,
-        slots,
-        state,
+    (NAME, NAME, address(), rest).prop_map(|(id, data_centre, address, (role, state, slots))| {
+        VmEntry {
+            id: id.parse().expect("a name"),
+            data_centre: data_centre.parse().expect("a name"),
+            role,
+            address,
+            slots,
+            state,
+        }
     })
 }
 
--- a/crates/peer/tests/grants.rs
+++ b/crates/peer/tests/grants.rs
@@ -19,17 +19,17 @@
 
 /// What a fake dispatcher was told.
 #[derive(Default)]
-struct Heard {
+struct ReceivedCalls {
     batches: Vec<AskBatch>,
     reports: Vec<HandoverReport>,
 }
 
 /// Answers the ask with serial 1 and no other.
-struct FakeDispatcher(Rc<RefCell<Heard>>);
+struct FakeDispatcher(Rc<RefCell<ReceivedCalls>>);
 
 struct NoSession;
 
-fn now<T: 'static>(answer: T) -> ReplyFuture<T> {
+fn ready<T: 'static>(answer: T) -> ReplyFuture<T> {
     Box::pin(std::future::ready(Ok(answer)))
 }
 
@@ -108,7 +108,7 @@
 
     fn ping(&self, revision: u64) -> ReplyFuture<PingReply> {
         let centre = centre();
-        now(PingReply {
+        ready(PingReply {
             view: own_view(),
             slots: SlotCounts {
                 limit: 3,
@@ -122,12 +122,12 @@
     fn grant(&self, batch: AskBatch) -> ReplyFuture<Option<ReplyBatch>> {
         let first = batch.serial == 1;
         self.0.borrow_mut().batches.push(batch);
-        now(first.then(reply))
+        ready(first.then(reply))
     }
 
     fn handover(&self, report: HandoverReport) -> ReplyFuture<()> {
         self.0.borrow_mut().reports.push(report);
-        now(())
+        ready(())
     }
 
     fn contracts(&self, _: HeadNumber) -> ReplyFuture<ContractsReply> {
@@ -153,16 +153,16 @@
     }
 }
 
-async fn connect() -> (PeerLink, Rc<RefCell<Heard>>) {
+async fn connect() -> (PeerLink, Rc<RefCell<ReceivedCalls>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let heard = Rc::<RefCell<Heard>>::default();
-    let service = heard.clone();
+    let received = Rc::<RefCell<ReceivedCalls>>::default();
+    let service = received.clone();
     actix_rt::spawn(peer::serve(listener, move || AcceptedPort {
         port: peer::dispatcher_port(FakeDispatcher(service.clone())),
         on_closed: Box::new(|| {}),
     }));
-    (peer::connect(address, || {}).await.unwrap(), heard)
+    (peer::connect(address, || {}).await.unwrap(), received)
 }
 
 #[actix_rt::test]
@@ -178,15 +178,15 @@
 
 #[actix_rt::test]
 async fn asks_and_their_answers_arrive_as_sent() {
-    let (link, heard) = connect().await;
+    let (link, received) = connect().await;
     assert_eq!(link.client().grant(&batch(1)).await.unwrap(), Some(reply()));
     assert_eq!(link.client().grant(&batch(2)).await.unwrap(), None);
-    assert_eq!(heard.borrow().batches, [batch(1), batch(2)]);
+    assert_eq!(received.borrow().batches, [batch(1), batch(2)]);
 }
 
 #[actix_rt::test]
 async fn a_report_arrives_as_sent() {
-    let (link, heard) = connect().await;
+    let (link, received) = connect().await;
     let report = HandoverReport {
         from: ([10, 0, 0, 1], 7000).into(),
         incarnation: IncarnationId(4),
@@ -197,5 +197,5 @@
         }],
     };
     link.client().handover(&report).await.unwrap();
-    assert_eq!(heard.borrow().reports, [report]);
+    assert_eq!(received.borrow().reports, [report]);
 }
