--- a/crates/telemetry/src/error.rs
+++ b/crates/telemetry/src/error.rs
@@ -1,19 +1,19 @@
-//! What can go wrong in telemetry.
+//! Errors of telemetry.
 
 use flexi_logger::FlexiLoggerError;
 use opentelemetry_sdk::error::OTelSdkError;
 use thiserror::Error;
 
-/// What can go wrong while telemetry is set up or read.
+/// An error while telemetry is set up or read.
 #[derive(Debug, Error)]
 pub enum TelemetryError {
-    /// Logging could not start, for example because other code of the process has set a logger.
+    /// Logging could not start, for example because other code in the process has set a logger.
     #[error("logging cannot start")]
     Logs(#[from] FlexiLoggerError),
-    /// The exporter of metrics could not be built.
+    /// The metrics exporter could not be built.
     #[error("metrics cannot start")]
     Exporter(#[from] OTelSdkError),
-    /// The metrics could not be written as text.
+    /// The metrics could not be encoded as text.
     #[error("metrics cannot be written")]
     Text(#[from] prometheus::Error),
 }
--- a/crates/telemetry/src/events.rs
+++ b/crates/telemetry/src/events.rs
@@ -1,8 +1,8 @@
-//! Structured log lines on standard output: one JSON object for each decision or change of belief.
+//! Structured log lines on standard output: one JSON object for each decision or change of the process's state.
 //!
-//! Writing never blocks the thread that decides: lines gather in a bounded buffer, which a thread of its own writes
-//! out a few times a second. When the reader is slow, plain lines are dropped first, then all; dropped lines are
-//! counted, and the count is the next line that gets through.
+//! Logging never blocks the caller: lines are collected in a bounded buffer, which is flushed a few times a second to
+//! a separate writer thread. If the reader of standard output is slow, routine lines are dropped first, then all
+//! lines. Dropped lines are counted, and the count is logged as soon as there is room again.
 
 use std::{
     fmt::{self, Write as _},
@@ -11,29 +11,29 @@
     time::{Duration, SystemTime, UNIX_EPOCH},
 };
 
-/// From this size on plain lines are dropped, in bytes. A busy process writes some 60 KB a second.
+/// Buffer size in bytes beyond which routine lines are dropped. A busy process writes about 60 KB per second.
 const ROUTINE_LIMIT_BYTES: usize = 192 * 1024;
 
-/// From this size on all lines are dropped, in bytes.
+/// Buffer size in bytes beyond which all lines are dropped.
 const BUFFER_LIMIT_BYTES: usize = 256 * 1024;
 
-/// Buffers on their way to the writer.
+/// Capacity of the queue to the writer thread, in buffers.
 const WRITER_QUEUE_BUFFERS: usize = 2;
 
-/// The most that is written in one go, in bytes: what a pipe takes whole or not at all. A reader that takes lines from
-/// several processes would otherwise see them cut in the middle.
+/// Maximum size of one write, in bytes: a pipe takes a write of this size atomically. Larger writes of several
+/// processes to one pipe could be interleaved in the middle of a line.
 const ATOMIC_WRITE_BYTES: usize = 4 * 1024;
 
-/// How much a line matters when there is no room for all.
+/// The importance of a line, which decides whether it is dropped when the buffer is nearly full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventKind {
-    /// The usual course of a request.
+    /// A step in the normal course of a request.
     Routine,
-    /// A refusal, a failure, or a change of what the process believes.
+    /// A refusal, a failure, or a change of the process's view of its surroundings.
     Important,
 }
 
-/// Gathers lines and hands them to the writing thread.
+/// Buffers log lines and passes them to the writer thread.
 pub struct EventLog {
     buffer: Vec<u8>,
     dropped: u64,
@@ -41,14 +41,14 @@
 }
 
 impl EventLog {
-    /// A log that writes to standard output.
+    /// Creates a log that writes to standard output, and starts its writer thread.
     pub fn to_stdout() -> Self {
         let (sender, receiver) = sync_channel::<Vec<u8>>(WRITER_QUEUE_BUFFERS);
         std::thread::spawn(move || {
             let mut out = std::io::stdout();
             for buffer in receiver {
                 for chunk in split_at_line_ends(&buffer) {
-                    // Where standard output is gone nobody reads, and there is nowhere else to say so.
+                    // Standard output is closed, and there is nowhere else to report the error.
                     if out.write_all(chunk).and_then(|()| out.flush()).is_err() {
                         return;
                     }
@@ -62,7 +62,7 @@
         }
     }
 
-    /// A log that only gathers, for tests and for processes without one.
+    /// Creates a log that only buffers lines, for tests and for processes without a log.
     pub fn in_memory() -> Self {
         Self {
             buffer: Vec::new(),
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Takes a line, or counts it as dropped.
+    /// Appends a line, or counts it as dropped if the buffer is too full for its kind.
     pub fn add(&mut self, kind: EventKind, line: EventLine) {
         let limit = match kind {
             EventKind::Routine => ROUTINE_LIMIT_BYTES,
@@ -85,7 +85,7 @@
         self.buffer.extend_from_slice(b"}\n");
     }
 
-    /// Hands what has gathered to the writer. What the writer cannot take yet stays.
+    /// Passes the buffered lines to the writer thread. If its queue is full, they stay buffered.
     pub fn flush(&mut self) {
         if self.dropped > 0 && self.buffer.len() < ROUTINE_LIMIT_BYTES {
             let dropped = std::mem::take(&mut self.dropped);
@@ -98,18 +98,18 @@
         match writer.try_send(std::mem::take(&mut self.buffer)) {
             Ok(()) => (),
             Err(TrySendError::Full(buffer)) => self.buffer = buffer,
-            // Standard output is gone; the lines have no reader.
+            // The writer thread ended because standard output is closed, so the lines are dropped.
             Err(TrySendError::Disconnected(_)) => self.writer = None,
         }
     }
 
-    /// The lines that have gathered, as text.
+    /// The buffered lines as text.
     pub fn buffered_text(&self) -> String {
         String::from_utf8_lossy(&self.buffer).into_owned()
     }
 }
 
-/// Cuts a buffer into pieces of whole lines that a pipe takes in one go.
+/// Splits a buffer at line ends into chunks that a pipe takes atomically.
 fn split_at_line_ends(buffer: &[u8]) -> impl Iterator<Item = &[u8]> {
     let mut rest = buffer;
     std::iter::from_fn(move || {
@@ -118,7 +118,7 @@
         }
         let window = &rest[..rest.len().min(ATOMIC_WRITE_BYTES)];
         let end = window.iter().rposition(|byte| *byte == b'\n');
-        // A line longer than a chunk goes out as it is.
+        // A line longer than the limit becomes a chunk of its own.
         let end = end.or_else(|| rest.iter().position(|byte| *byte == b'\n'));
         let (chunk, after) = rest.split_at(end.map_or(rest.len(), |end| end + 1));
         rest = after;
@@ -126,13 +126,13 @@
     })
 }
 
-/// One line under construction.
+/// Builder of one log line.
 pub struct EventLine {
     text: String,
 }
 
 impl EventLine {
-    /// A line of an event, with the time of day in milliseconds.
+    /// Starts the line of an event with the current time, in milliseconds since the Unix epoch.
     pub fn new(event: &'static str) -> Self {
         let millis = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -143,7 +143,7 @@
         Self { text }
     }
 
-    /// Adds a text.
+    /// Adds a text field.
     pub fn text(mut self, name: &'static str, value: impl fmt::Display) -> Self {
         let _infallible = write!(self.text, r#","{name}":""#);
         let _infallible = write!(EscapeWriter(&mut self.text), "{value}");
@@ -151,13 +151,13 @@
         self
     }
 
-    /// Adds a whole number.
+    /// Adds an integer field.
     pub fn number(mut self, name: &'static str, value: impl Into<i128>) -> Self {
         let _infallible = write!(self.text, r#","{name}":{}"#, value.into());
         self
     }
 
-    /// Adds a time in milliseconds, with tenths.
+    /// Adds a duration field in milliseconds, rounded to tenths.
     pub fn millis(mut self, name: &'static str, value: Duration) -> Self {
         let millis = value.as_secs_f64() * 1000.0;
         let _infallible = write!(self.text, r#","{name}":{millis:.1}"#);
@@ -165,7 +165,7 @@
     }
 }
 
-/// Escapes what JSON does not allow in a text.
+/// Escapes the characters that JSON does not allow in a string.
 struct EscapeWriter<'a>(&'a mut String);
 
 impl fmt::Write for EscapeWriter<'_> {
--- a/crates/telemetry/src/explain/event.rs
+++ b/crates/telemetry/src/explain/event.rs
@@ -1,4 +1,4 @@
-//! Events in the life of a submission.
+//! Events in the course of a submission.
 
 use model::{
     AttemptEnd, ContractVersion, CustomerId, FailureReason, RefusalReason, RetryReason,
@@ -6,32 +6,32 @@
 };
 use serde::{Serialize, Serializer};
 
-/// What is known of a submission when it is accepted.
+/// The data of a submission that is known when it is accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SubmissionSummary {
-    /// Whose contract covers it.
+    /// The customer whose contract covers the submission.
     pub customer: CustomerId,
-    /// The version of the contract that it was judged by; absent where there is none.
+    /// The contract version that admission was decided on; absent if there is none.
     pub contract: Option<ContractVersion>,
     /// The number of tasks.
     pub tasks: u32,
 }
 
-/// One event.
+/// An event of a submission.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum ExplainEvent {
-    /// It was admitted against the contract.
+    /// The submission was admitted under its contract.
     Admitted,
-    /// It was refused; nothing of it ran.
+    /// The submission was refused, and none of its tasks ran.
     Refused {
-        /// Why.
+        /// The reason.
         #[serde(serialize_with = "serialize_display")]
         reason: RefusalReason,
     },
-    /// The same request came again and was not run again.
+    /// The same request arrived again and was not run again.
     SecondArrival,
-    /// Its idempotency key was recorded.
+    /// The idempotency key was recorded.
     KeyRecorded,
     /// A task was offered to a dispatcher.
     Offered {
@@ -45,7 +45,7 @@
         /// The task.
         task: TaskIndex,
     },
-    /// The dispatcher asked for the task's body.
+    /// The dispatcher requested the task's body.
     Claimed {
         /// The task.
         task: TaskIndex,
@@ -54,29 +54,29 @@
     Started {
         /// The task.
         task: TaskIndex,
-        /// The try, from 0.
+        /// The number of the attempt, from 0.
         attempt: u32,
     },
     /// An attempt ended.
     Ended {
         /// The task.
         task: TaskIndex,
-        /// The try, from 0.
+        /// The number of the attempt, from 0.
         attempt: u32,
-        /// How.
+        /// How the attempt ended.
         #[serde(flatten)]
         end: AttemptSummary,
     },
-    /// A withdrawal of the task was asked for.
+    /// The entry asked the dispatcher to withdraw the task.
     Withdrawn {
         /// The task.
         task: TaskIndex,
     },
-    /// The caller cancelled.
+    /// The caller cancelled the submission.
     Cancelled,
-    /// The one answer was given.
+    /// The only answer to the caller was given.
     Answered {
-        /// What it said.
+        /// The outcome in the answer.
         #[serde(flatten)]
         outcome: OutcomeSummary,
     },
@@ -86,19 +86,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(tag = "end", rename_all = "snake_case")]
 pub enum AttemptSummary {
-    /// The task ran and answered.
+    /// The task ran and returned a result.
     Done,
-    /// The task ran and said that it failed.
+    /// The task ran and reported failure.
     Failed,
     /// The task did not start.
     NotRun {
-        /// Why.
+        /// The reason.
         #[serde(serialize_with = "serialize_display")]
         reason: RetryReason,
     },
-    /// Nobody can say.
+    /// It is unknown whether the task ran.
     Unknown {
-        /// Why.
+        /// The reason.
         #[serde(serialize_with = "serialize_display")]
         reason: UnknownReason,
     },
@@ -115,7 +115,7 @@
     }
 }
 
-/// What an answer said, without the payloads.
+/// The outcome in an answer, without the payloads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
 pub enum OutcomeSummary {
@@ -123,19 +123,19 @@
     Complete,
     /// The submission failed as a whole.
     Failed {
-        /// Why.
+        /// The reason.
         #[serde(serialize_with = "serialize_display")]
         reason: FailureReason,
     },
-    /// Nothing ran.
+    /// No task ran.
     Refused {
-        /// Why.
+        /// The reason.
         #[serde(serialize_with = "serialize_display")]
         reason: RefusalReason,
     },
-    /// It may or may not have run.
+    /// The submission may or may not have run.
     Unknown {
-        /// Why.
+        /// The reason.
         #[serde(serialize_with = "serialize_display")]
         reason: UnknownReason,
     },
--- a/crates/telemetry/src/explain/history.rs
+++ b/crates/telemetry/src/explain/history.rs
@@ -1,4 +1,4 @@
-//! The bounded history of submissions.
+//! A history of submissions with bounded memory.
 
 use std::{collections::VecDeque, mem::size_of, time::Instant};
 
@@ -6,14 +6,15 @@
 
 use super::{ExplainEvent, ExplainLine, ExplainReport, SubmissionSummary};
 
-/// The most events kept of one submission. A job of 370 tasks has about 1500; a job that is placed over and over must
-/// not push everything else out, so further events are only counted. The answer is kept in any case.
+/// The maximum number of events kept per submission; further events are only counted, but the answer is always kept.
+/// A job of 370 tasks has about 1500 events. Without the limit, a job that is placed over and over would evict all
+/// other submissions.
 pub const MAX_EVENTS: usize = 2048;
 
-/// What the map and the queue take for one submission besides its record.
+/// Bytes that the map and the queue use for one submission besides its record.
 const INDEX_BYTES: usize = 3 * size_of::<SubmissionId>();
 
-/// The last submissions of one entry, oldest out first once they take more than the limit.
+/// The most recent submissions of one entry. The oldest are evicted once the records exceed the memory limit.
 #[derive(Debug)]
 pub struct ExplainHistory {
     limit: ByteSize,
@@ -31,8 +32,8 @@
 }
 
 impl ExplainHistory {
-    /// An empty history that keeps its records within `limit`. Spare room of its index comes on top: at most twice
-    /// the ids.
+    /// Creates an empty history whose records use at most `limit` bytes. The unused capacity of its index comes on top:
+    /// at most twice the size of the ids.
     pub fn new(limit: ByteSize) -> Self {
         Self {
             limit,
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Starts the record of a submission. A second start of the same one changes nothing.
+    /// Starts the record of a submission. Does nothing if the submission is already recorded.
     pub fn accept(&mut self, id: SubmissionId, summary: SubmissionSummary, now: Instant) {
         if self.records.contains_key(&id) {
             return;
@@ -59,19 +60,19 @@
         self.evict();
     }
 
-    /// Adds an event. One of a submission that is not known, or no more, is dropped.
+    /// Adds an event. Events of unknown or evicted submissions are dropped.
     pub fn record(&mut self, id: SubmissionId, event: ExplainEvent, now: Instant) {
         let Some(record) = self.records.get_mut(&id) else {
             return;
         };
         let bytes_before = record.bytes();
         record.push(event, now);
-        // An answer gives spare room back, so the record may have shrunk.
+        // An answer releases unused capacity, so the record may have shrunk.
         self.used = self.used + record.bytes() - bytes_before;
         self.evict();
     }
 
-    /// What became of a submission; absent when it is not known, or no more.
+    /// Reports the events of a submission; `None` if it is unknown or evicted.
     pub fn explain(&self, id: SubmissionId) -> Option<ExplainReport> {
         let record = self.records.get(&id)?;
         let lines = record.events.iter().map(|(at, event)| ExplainLine {
@@ -88,17 +89,17 @@
         })
     }
 
-    /// The bytes that the records take.
+    /// The memory that the records use.
     pub fn used(&self) -> ByteSize {
         ByteSize(self.used as u64)
     }
 
-    /// The number of submissions that can be explained.
+    /// The number of recorded submissions.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether nothing can be explained.
+    /// Whether no submission is recorded.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
@@ -125,12 +126,12 @@
         }
         self.events.push((now, event));
         if is_answer {
-            // Little follows the answer, and most of the history is answered submissions.
+            // Few events follow the answer, and most submissions in the history have been answered.
             self.events.shrink_to_fit();
         }
     }
 
-    /// The record's size. Names of dispatchers are shared with the entry's own tables and are not counted.
+    /// The size of the record in bytes. Names of dispatchers are shared with the entry's own tables and not counted.
     fn bytes(&self) -> usize {
         size_of::<Self>()
             + INDEX_BYTES
--- a/crates/telemetry/src/explain/mod.rs
+++ b/crates/telemetry/src/explain/mod.rs
@@ -1,4 +1,4 @@
-//! What became of a submission and why, for the operators' `explain`.
+//! Records the events of each submission for the operators' `explain` command.
 
 mod event;
 mod history;
--- a/crates/telemetry/src/explain/report.rs
+++ b/crates/telemetry/src/explain/report.rs
@@ -1,31 +1,31 @@
-//! The answer to `explain`.
+//! The response to `explain`.
 
 use model::{ContractVersion, CustomerId, SubmissionId};
 use serde::Serialize;
 
 use super::ExplainEvent;
 
-/// What became of a submission.
+/// The recorded events of a submission.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ExplainReport {
     /// The submission.
     pub submission: SubmissionId,
-    /// Whose contract covers it.
+    /// The customer whose contract covers the submission.
     pub customer: CustomerId,
-    /// The version of the contract that it was judged by.
+    /// The contract version that admission was decided on; absent if there is none.
     pub contract_version: Option<ContractVersion>,
     /// The number of tasks.
     pub tasks: u32,
-    /// What happened, in order.
+    /// The events in order of recording.
     pub events: Vec<ExplainLine>,
-    /// Events that were only counted.
+    /// The number of events beyond the limit, which were counted but not kept.
     pub events_left_out: u32,
 }
 
-/// One event with its time.
+/// An event with its time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ExplainLine {
-    /// Milliseconds since the acceptance.
+    /// Milliseconds since the submission was accepted.
     pub after_ms: u64,
     /// The event.
     #[serde(flatten)]
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,4 +1,4 @@
-//! Logs, metrics and the explain history.
+//! Logs, metrics, traffic counters and the explain history.
 
 mod error;
 mod events;
--- a/crates/telemetry/src/logs/control.rs
+++ b/crates/telemetry/src/logs/control.rs
@@ -1,4 +1,4 @@
-//! Starting logging and changing levels while the process runs.
+//! Starts logging and changes log levels while the process runs.
 
 use std::{
     io,
@@ -27,12 +27,12 @@
     limiter: Arc<Mutex<LogLimiter>>,
 }
 
-/// Starts logging. A process has one logger: a later call, as when a demo runs several roles in one process, returns
-/// the first one's control and changes nothing.
+/// Starts logging. A process has one logger, so a later call, as when a demo runs several roles in one process, changes
+/// nothing and returns the control of the first call.
 ///
 /// # Errors
 ///
-/// Fails when other code has set a logger that is not this one.
+/// Fails if other code has already set a logger.
 pub fn init_logs(settings: &LogSettings) -> Result<&'static LogControl, TelemetryError> {
     static CONTROL: Mutex<Option<&'static LogControl>> = Mutex::new(None);
     static LOGGER: OnceLock<LogControl> = OnceLock::new();
@@ -47,24 +47,24 @@
 }
 
 impl LogControl {
-    /// Changes the level of one part.
+    /// Sets the log level of one part.
     pub fn set_level(&self, part: LogPart, level: LogLevel) {
         let mut settings = lock(&self.settings);
         settings.parts.insert(part, level);
         self.handle.set_new_spec(specification(&settings));
     }
 
-    /// The level of one part.
+    /// The log level of one part.
     pub fn level_of(&self, part: LogPart) -> LogLevel {
         lock(&self.settings).level_of(part)
     }
 
-    /// The messages left out since the start because their place wrote too many.
+    /// The number of messages suppressed since the start because their call site logged too many.
     pub fn suppressed_total(&self) -> u64 {
         lock(&self.limiter).suppressed_total()
     }
 
-    /// Writes the counts of left-out messages that are still open. Called before the process ends.
+    /// Logs the counts of suppressed messages that were not logged yet. Call it before the process ends.
     pub fn flush(&self) {
         let counts = lock(&self.limiter).take_all_counts();
         for count in counts {
@@ -84,7 +84,7 @@
         } else {
             write_text
         };
-        // A reader of standard error that goes away must not take the process with it.
+        // The process must keep running when the reader of standard error closes the pipe.
         let handle = Logger::with(specification(settings))
             .log_to_stderr()
             .format(format)
@@ -158,7 +158,7 @@
     }
 }
 
-/// The levels by module, as flexi_logger wants them. It matches a target by the longest prefix.
+/// Converts the settings into levels by module. flexi_logger applies the longest prefix that matches a target.
 fn specification(settings: &LogSettings) -> LogSpecification {
     let mut builder = LogSpecification::builder();
     builder.default(level_filter(settings.level_of(LogPart::Library)));
@@ -183,6 +183,6 @@
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    // Each use leaves the value whole, so a panic elsewhere while the lock is held does no harm.
+    // No use leaves the value half updated, so the lock can be used after a panic of a thread that held it.
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/telemetry/src/logs/format.rs
+++ b/crates/telemetry/src/logs/format.rs
@@ -1,4 +1,4 @@
-//! The two forms of a line.
+//! The text and JSON formats of log lines.
 
 use std::{
     fmt::Write as _,
@@ -14,7 +14,7 @@
 
 const TIME_FORMAT: &str = "%Y-%m-%dT%H:%M:%S%.3fZ";
 
-/// `2026-01-31T09:30:00.000Z INFO entry: message`.
+/// Writes a line such as `2026-01-31T09:30:00.000Z INFO entry: message`.
 pub(super) fn write_text(
     out: &mut dyn Write,
     now: &mut DeferredNow,
@@ -30,7 +30,7 @@
     )
 }
 
-/// One JSON object with `time`, `level`, `part` and `message`.
+/// Writes a JSON object with `time`, `level`, `part` and `message`.
 pub(super) fn write_json(
     out: &mut dyn Write,
     now: &mut DeferredNow,
@@ -54,7 +54,7 @@
     message: String,
 }
 
-/// The message without the prefix of its part, which some messages bring with them.
+/// The message without a leading `<part>: `, which some messages contain themselves.
 fn message_of(record: &Record<'_>, part: LogPart) -> String {
     let text = record.args().to_string();
     let without_prefix = text
@@ -66,7 +66,7 @@
     }
 }
 
-/// Escapes control characters. A line break in an error's text would otherwise look like a separate message.
+/// Escapes control characters, so that a line break in an error text does not look like a separate message.
 fn escape_control_chars(text: &str) -> String {
     let mut line = String::with_capacity(text.len());
     for c in text.chars() {
--- a/crates/telemetry/src/logs/limiter.rs
+++ b/crates/telemetry/src/logs/limiter.rs
@@ -1,48 +1,48 @@
-//! The bound on how much is logged.
+//! Limits the rate of log messages per call site.
 //!
-//! Load: under overload or a cut, one cause repeats thousands of times a second. Harm: the lines fill the VM's log
-//! pipe, and writing them takes the threads' time just when it is short. A limit for each place in the code keeps the
-//! rare messages, which tell what happened, from being lost among the frequent ones.
+//! Under overload or during a network partition, the same message can occur thousands of times a second. The lines
+//! would fill the VM's log pipe, and writing them would cost time on threads that have none to spare. A limit per call
+//! site keeps rare messages, which explain what happened, from being lost among frequent ones.
 
 use std::time::{Duration, Instant};
 
 use model::FastMap;
 
-/// The window in which lines are counted.
+/// The window in which the messages of a call site are counted.
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// The most places that are told apart. Places are lines of code, so only a fault would go beyond; those share one
-/// limit then.
+/// The maximum number of call sites with their own limit. Call sites are lines of code, so only a bug can exceed it;
+/// further call sites then share one limit.
 const MAX_CALL_SITES: usize = 4096;
 
-/// The place of a message in the code.
+/// The source location that logs a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallSite {
     /// The source file.
     pub file: &'static str,
-    /// The line, from 1; 0 where the compiler gave none.
+    /// The line, from 1; 0 if unknown.
     pub line: u32,
 }
 
 /// Whether a message is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogDecision {
-    /// It is written.
+    /// The message is written.
     Write,
-    /// It is only counted.
+    /// The message is only counted.
     Suppress,
 }
 
-/// How many messages of one place were left out.
+/// The number of suppressed messages of one call site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SuppressedCount {
-    /// The site.
+    /// The call site.
     pub site: CallSite,
-    /// The messages left out since the last such count.
+    /// The messages suppressed since the last count of this call site.
     pub messages: u64,
 }
 
-/// Counts messages by place and window.
+/// Counts messages by call site and window.
 #[derive(Debug)]
 pub struct LogLimiter {
     max_per_window: u32,
@@ -59,7 +59,7 @@
 }
 
 impl LogLimiter {
-    /// Lets `per_second` messages of each place pass in a second.
+    /// Creates a limiter that lets `per_second` messages of each call site pass per second.
     pub fn new(per_second: u32) -> Self {
         Self {
             max_per_window: per_second,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Takes one message in.
+    /// Counts a message and decides whether it is written.
     pub fn admit(&mut self, site: CallSite, now: Instant) -> LogDecision {
         let site = self.tracked_site(site);
         let count = self.sites.entry(site).or_insert(SiteCount {
@@ -90,7 +90,8 @@
         LogDecision::Suppress
     }
 
-    /// The counts of places whose window is over, at most once a window, in the order of sites. They are told once.
+    /// Takes the counts of call sites whose window is over, ordered by call site. Each count is returned once. A call
+    /// less than one window after the last sweep returns nothing.
     pub fn take_due_counts(&mut self, now: Instant) -> Vec<SuppressedCount> {
         if self.next_sweep.is_some_and(|next| now < next) {
             return Vec::new();
@@ -99,12 +100,12 @@
         self.take_counts(|count| now.saturating_duration_since(count.window_start) >= WINDOW)
     }
 
-    /// Every count not told yet, for the end of the process.
+    /// Takes every count that was not returned yet, for the end of the process.
     pub fn take_all_counts(&mut self) -> Vec<SuppressedCount> {
         self.take_counts(|_| true)
     }
 
-    /// The messages left out since the start.
+    /// The number of messages suppressed since the start.
     pub fn suppressed_total(&self) -> u64 {
         self.suppressed_total
     }
--- a/crates/telemetry/src/logs/mod.rs
+++ b/crates/telemetry/src/logs/mod.rs
@@ -1,7 +1,7 @@
-//! Logging to standard error, one line a message, with a fixed prefix for each part.
+//! Logs to standard error, one line per message, with a fixed prefix for each part of the system.
 //!
-//! A message belongs to the part of the crate that logs it. The time and volume of a line are bounded: each place in
-//! the code may write so many lines a second, and the rest is counted.
+//! A message belongs to the part of the crate that logs it. The log volume is bounded: each call site may write a
+//! limited number of lines per second, and further messages are only counted.
 
 mod control;
 mod format;
--- a/crates/telemetry/src/logs/part.rs
+++ b/crates/telemetry/src/logs/part.rs
@@ -1,8 +1,8 @@
-//! Which part a message belongs to.
+//! Maps log targets to the parts of the system.
 
 use settings::LogPart;
 
-/// The crates of the workspace, by the name that stands first in a message's target, and their parts.
+/// The parts of the workspace's crates, by the crate name that a log target starts with.
 pub(super) const CRATE_PARTS: &[(&str, LogPart)] = &[
     ("authority", LogPart::Entry),
     ("cairnctl", LogPart::Ctl),
@@ -31,7 +31,7 @@
     ("telemetry", LogPart::Process),
 ];
 
-/// The part of a message by its target: the path of a module, or the name of a part that a message gives itself.
+/// The part of a log target, which is a module path or the name of a part.
 pub fn part_of(target: &str) -> LogPart {
     let first = target.split("::").next().unwrap_or(target);
     for (name, part) in CRATE_PARTS {
--- a/crates/telemetry/src/metrics/catalogue.rs
+++ b/crates/telemetry/src/metrics/catalogue.rs
@@ -1,34 +1,34 @@
-//! Every metric: its name, kind, labels and meaning, in one table that the instruments and the docs page follow.
+//! The table of all metrics. The instruments and the docs page are made from it.
 
 use std::fmt::Write as _;
 
-/// What a metric is.
+/// The type of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MetricType {
-    /// Only goes up, from 0 at the start of the process.
+    /// Never decreases; starts at 0 with the process.
     Counter,
-    /// Goes up and down.
+    /// May rise and fall.
     Gauge,
-    /// Counts of times by bucket, in seconds.
+    /// Counts durations by bucket, in seconds.
     Histogram,
 }
 
-/// One entry of the catalogue.
+/// The description of one metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MetricSpec {
-    /// The name in the exposition.
+    /// The name in the Prometheus text.
     pub name: &'static str,
-    /// What it is.
+    /// The type of the metric.
     pub kind: MetricType,
-    /// The unit of its values; `1` for a plain count.
+    /// The unit of the values; `1` for a count.
     pub unit: &'static str,
-    /// Its label, if it has one.
+    /// The name of the label, if the metric has one.
     pub label: Option<&'static str>,
-    /// What it tells.
+    /// The help text.
     pub meaning: &'static str,
 }
 
-/// Every metric, in the order of the page.
+/// Every metric, in the order of the docs page.
 pub const CATALOGUE: &[MetricSpec] = &[
     labelled(
         SUBMISSIONS,
@@ -98,10 +98,10 @@
         }
 
         impl $name {
-            /// Every kind, in the order of declaration, so that `ALL[kind as usize] == kind`.
+            /// Every kind in order of declaration, so that `ALL[kind as usize] == kind`.
             pub const ALL: &'static [Self] = &[$(Self::$variant,)+];
 
-            /// Its entry in the catalogue.
+            /// The description of the metric.
             pub const fn spec(self) -> MetricSpec {
                 match self {
                     $(Self::$variant => MetricSpec {
@@ -142,7 +142,7 @@
 }
 
 metric_kinds! {
-    /// Histograms of times.
+    /// Histograms of durations.
     TimeKind, MetricType::Histogram, {
         Response => "cairnpaddle_response_seconds", "s",
             "From the acceptance of a submission to its answer";
@@ -179,7 +179,7 @@
     }
 }
 
-/// The catalogue as a Markdown table, the body of `docs/METRICS.md`.
+/// Formats the catalogue as a Markdown table, the body of `docs/METRICS.md`.
 pub fn metric_page() -> String {
     let mut page =
         String::from("| name | kind | unit | label | meaning |\n|---|---|---|---|---|\n");
--- a/crates/telemetry/src/metrics/customers.rs
+++ b/crates/telemetry/src/metrics/customers.rs
@@ -1,24 +1,24 @@
-//! Customers as labels, with a bound.
+//! Maps customers to a bounded number of label values.
 
 use model::{CustomerId, FastMap};
 use opentelemetry::StringValue;
 
-/// The most customers that have a label of their own. The rest share [`OTHER_CUSTOMERS`]. Each labelled customer
-/// costs one series for each metric that is split by customer.
+/// The maximum number of customers with their own label value; all others share [`OTHER_CUSTOMERS`]. Each label value
+/// costs one series per metric that is split by customer.
 pub const MAX_CUSTOMER_LABELS: usize = 64;
 
-/// The label of customers beyond the bound.
+/// The label value of customers beyond [`MAX_CUSTOMER_LABELS`].
 pub const OTHER_CUSTOMERS: &str = "other";
 
-/// Gives the first [`MAX_CUSTOMER_LABELS`] customers a label of their own for the life of the process. It is meant
-/// for customers that have a contract: what callers write without one never becomes a label.
+/// Gives the first [`MAX_CUSTOMER_LABELS`] customers their own label value for the life of the process. Pass only
+/// customers that have a contract, so that arbitrary names sent by callers never become label values.
 #[derive(Debug, Default)]
 pub struct CustomerLabels {
     labels: FastMap<CustomerId, StringValue>,
 }
 
 impl CustomerLabels {
-    /// The label of a customer.
+    /// The label value of a customer.
     pub fn label_of(&mut self, customer: &CustomerId) -> StringValue {
         if let Some(label) = self.labels.get(customer) {
             return label.clone();
--- a/crates/telemetry/src/metrics/mod.rs
+++ b/crates/telemetry/src/metrics/mod.rs
@@ -1,4 +1,4 @@
-//! Metrics: instruments of opentelemetry, written as Prometheus text.
+//! Metrics, recorded with OpenTelemetry and rendered as Prometheus text.
 
 mod catalogue;
 mod customers;
--- a/crates/telemetry/src/metrics/node.rs
+++ b/crates/telemetry/src/metrics/node.rs
@@ -1,7 +1,7 @@
-//! The instruments of a node.
+//! The metrics of a node.
 //!
-//! Counters are plain atomics that are read when the page is asked for: a count on a busy path costs nanoseconds and
-//! no allocation. Label sets are closed, and every series is there from the start with 0.
+//! Counters are atomics that are only read when the metrics are rendered, so counting on a hot path costs nanoseconds
+//! and no allocation. Label values are fixed in advance, and every series starts at 0.
 
 use std::{
     sync::{
@@ -18,39 +18,39 @@
 use super::set::TIME_BUCKETS;
 use crate::TelemetryError;
 
-/// A family of counters that differ by one label.
+/// A counter with one label and a fixed set of label values.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CounterFamily {
-    /// The name in the exposition.
+    /// The name in the Prometheus text.
     pub name: &'static str,
-    /// What it tells.
+    /// The help text.
     pub meaning: &'static str,
-    /// The label.
+    /// The name of the label.
     pub label: &'static str,
-    /// The label's values.
+    /// The values of the label.
     pub values: Vec<&'static str>,
 }
 
-/// A histogram of times, in seconds.
+/// A histogram of durations, in seconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimeFamily {
-    /// The name in the exposition.
+    /// The name in the Prometheus text.
     pub name: &'static str,
-    /// What it tells.
+    /// The help text.
     pub meaning: &'static str,
 }
 
 /// The metrics of one node.
 pub struct NodeMetrics {
     registry: Registry,
-    // The instruments report to the provider, so it lives as long as they do.
+    // The instruments report to the provider, so it has to live as long as they do.
     _provider: SdkMeterProvider,
     counters: Vec<(CounterFamily, Arc<[AtomicU64]>)>,
     times: Vec<(TimeFamily, Histogram<f64>)>,
 }
 
 impl NodeMetrics {
-    /// Builds the instruments.
+    /// Registers the given counters and histograms.
     ///
     /// # Errors
     ///
@@ -100,8 +100,8 @@
         })
     }
 
-    /// Counts one. A family or value that was not announced is a mistake in the code, which tests find; here it counts
-    /// nothing.
+    /// Increments a counter. A name or label value that was not passed to [`NodeMetrics::new`] is a bug: debug builds
+    /// panic, release builds ignore the call.
     pub fn count(&self, name: &str, value: &str) {
         if let Some(cell) = self.cell(name, value) {
             cell.fetch_add(1, Ordering::Relaxed);
@@ -117,7 +117,7 @@
         cells.get(index?)
     }
 
-    /// Sets a counter that is counted elsewhere.
+    /// Sets a counter to a total that is counted elsewhere.
     pub fn set(&self, name: &str, value: &str, count: u64) {
         let Some(cell) = self.cell(name, value) else {
             return;
@@ -125,7 +125,7 @@
         cell.store(count, Ordering::Relaxed);
     }
 
-    /// Records a time.
+    /// Records a duration in a histogram. An unknown name panics in debug builds and is ignored in release builds.
     pub fn time(&self, name: &str, span: Duration) {
         let found = self.times.iter().find(|(family, _)| family.name == name);
         debug_assert!(found.is_some(), "no histogram {name}");
@@ -134,7 +134,7 @@
         }
     }
 
-    /// The metrics as Prometheus text.
+    /// Renders the metrics as Prometheus text.
     ///
     /// # Errors
     ///
--- a/crates/telemetry/src/metrics/set.rs
+++ b/crates/telemetry/src/metrics/set.rs
@@ -1,4 +1,4 @@
-//! The instruments of one process.
+//! The metrics of one process that are listed in the catalogue.
 
 use std::{
     sync::{Mutex, PoisonError},
@@ -21,17 +21,17 @@
 };
 use crate::TelemetryError;
 
-/// Upper bounds of the histograms' buckets, in seconds: dense around the 50 ms to 1 s that most tasks take.
+/// Upper bounds of the histogram buckets, in seconds. They are dense from 50 ms to 1 s, where most task durations lie.
 pub(super) const TIME_BUCKETS: [f64; 16] = [
     0.001, 0.002_5, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.35, 0.5, 0.75, 1.0, 2.5, 5.0, 10.0, 60.0,
 ];
 
 /// The metrics of one process, safe to record from any thread.
 ///
-/// Every reason's series is there from the start with 0, so that a rate over it is right from its first count.
+/// The series of every reason starts at 0, so that a rate over a series is right from the first count on.
 pub struct MetricSet {
     registry: Registry,
-    // The instruments report to the provider, so it lives as long as they do.
+    // The instruments report to the provider, so it has to live as long as they do.
     _provider: SdkMeterProvider,
     customers: Mutex<CustomerLabels>,
     submissions: Counter<u64>,
@@ -46,14 +46,14 @@
 }
 
 impl MetricSet {
-    /// Builds the instruments.
+    /// Registers all metrics of the catalogue.
     ///
     /// # Errors
     ///
     /// Fails when the exporter cannot be registered.
     pub fn new() -> Result<Self, TelemetryError> {
         let registry = Registry::new();
-        // The catalogue gives the names as they appear, so the exporter adds nothing to them.
+        // The catalogue holds the names as exposed, so the exporter must not add suffixes.
         let exporter = opentelemetry_prometheus::exporter()
             .with_registry(registry.clone())
             .without_units()
@@ -81,7 +81,7 @@
         Ok(set)
     }
 
-    /// A submission of a customer that has a contract was taken in.
+    /// Counts a submission that was accepted from a customer with a contract.
     pub fn submitted(&self, customer: &CustomerId) {
         let label = self
             .customers
@@ -91,7 +91,7 @@
         self.submissions.add(1, &[KeyValue::new("customer", label)]);
     }
 
-    /// An answer was given. Counts the outcome and its reason.
+    /// Counts an answer by outcome, and the reason of a failure, refusal or unknown outcome.
     pub fn answered(&self, outcome: &SubmissionOutcome) {
         let name = match outcome {
             SubmissionOutcome::Complete(_) => "complete",
@@ -111,7 +111,7 @@
         add(&self.answers, 1, "outcome", name);
     }
 
-    /// A task is placed again after a definite not-run.
+    /// Counts a task that is placed again because it definitely did not run.
     pub fn retried(&self, reason: RetryReason) {
         add(&self.retries, 1, "reason", reason.as_str());
     }
@@ -121,7 +121,7 @@
         self.counters[kind as usize].add(by, &[]);
     }
 
-    /// Records a time.
+    /// Records a duration in a histogram.
     pub fn time(&self, kind: TimeKind, span: Duration) {
         self.times[kind as usize].record(span.as_secs_f64(), &[]);
     }
@@ -131,7 +131,7 @@
         self.gauges[kind as usize].record(value, &[]);
     }
 
-    /// The metrics as Prometheus text.
+    /// Renders the metrics as Prometheus text.
     ///
     /// # Errors
     ///
--- a/crates/telemetry/src/traffic.rs
+++ b/crates/telemetry/src/traffic.rs
@@ -1,48 +1,49 @@
-//! Bytes and calls of a process by what they are for.
+//! Counts the calls and bytes of a process by purpose.
 //!
-//! A VM's link can be the narrowest part of a fleet. Which purpose fills it shows only here: the platform counts bytes
-//! of a VM, not of a purpose.
+//! A VM's network link can be the bottleneck of a fleet. The platform counts bytes per VM only, so these counters are
+//! the only source that shows which purpose uses the link.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use model::{text_set, WrongReason};
 
 text_set! {
-    /// What bytes are sent or received for.
+    /// The purpose of a call or of bytes on the network.
     TrafficKind, "kind of traffic", WrongReason {
-        /// Starts of runs at workers.
+        /// Calls that start runs on workers.
         Starts => "starts",
-        /// Stops of runs at workers.
+        /// Calls that stop runs on workers.
         Stops => "stops",
-        /// Polls at workers.
+        /// Polls of workers.
         Polls => "looks",
-        /// Jobs between entries and owners of pools.
+        /// Jobs sent between entries and pool owners.
         Peers => "peers",
         /// Heartbeats between processes.
         Heartbeats => "heartbeats",
-        /// The store: what operators write.
+        /// Store: rows written by operators.
         StoreOperator => "store_operator",
-        /// The store: the list of workers.
+        /// Store: the list of workers.
         StoreWorkers => "store_workers",
-        /// The store: the processes of the system.
+        /// Store: the processes of the system.
         StoreMembers => "store_members",
-        /// The store: who owns which pool.
+        /// Store: claims of pools by their owners.
         StoreClaims => "store_claims",
-        /// The store: kept jobs.
+        /// Store: kept jobs.
         StoreJobs => "store_jobs",
-        /// Customers' requests.
+        /// Requests of customers.
         Customers => "customers",
     }
 }
 
-/// Bytes and calls of one kind since the process began.
+/// Calls and bytes of one kind since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TrafficCount {
-    /// Calls, datagrams or customers' requests. Those between entries and owners share connections and are not counted.
+    /// Calls, datagrams or requests of customers. Calls between entries and pool owners share connections and are not
+    /// counted.
     pub calls: u64,
-    /// Bytes sent: bodies and heads, without those of TCP and UDP.
+    /// Bytes sent: bodies and headers, without those of TCP and UDP.
     pub sent: u64,
-    /// Bytes received, likewise.
+    /// Bytes received, counted in the same way.
     pub received: u64,
 }
 
@@ -53,7 +54,7 @@
     received: AtomicU64,
 }
 
-/// The bytes and calls of one process.
+/// Calls and bytes of one process, by kind. Safe to update from any thread.
 #[derive(Debug, Default)]
 pub struct TrafficCounters {
     by_kind: [KindCounters; TrafficKind::ALL.len()],
@@ -81,7 +82,7 @@
             .fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// What was counted so far.
+    /// The counts of one kind so far.
     pub fn count(&self, kind: TrafficKind) -> TrafficCount {
         let counters = &self.by_kind[kind as usize];
         TrafficCount {
@@ -91,7 +92,7 @@
         }
     }
 
-    /// What was counted of all kinds.
+    /// The sum of the counts of all kinds.
     pub fn total(&self) -> TrafficCount {
         let mut total = TrafficCount::default();
         for kind in TrafficKind::ALL {
--- a/crates/telemetry/tests/explain.rs
+++ b/crates/telemetry/tests/explain.rs
@@ -1,4 +1,5 @@
-//! The explain history keeps its bound, loses the oldest first, and tells the truth about what it left out.
+//! The explain history stays within its memory limit, evicts the oldest submissions first, and reports how many events
+//! it left out.
 
 use std::time::{Duration, Instant};
 
@@ -76,8 +77,8 @@
     assert_snapshot!(serde_json::to_string_pretty(&report).unwrap());
 }
 
-/// A burst of refused submissions, then the memory bound: the newest can be explained, the oldest not, and the bytes
-/// never go beyond the limit.
+/// During a burst of refused submissions, memory must never exceed the limit: the newest submissions stay, the oldest
+/// are evicted.
 #[test]
 fn memory_is_bounded_and_the_oldest_is_evicted_first() {
     let limit = ByteSize(100_000);
--- a/crates/telemetry/tests/limiter.rs
+++ b/crates/telemetry/tests/limiter.rs
@@ -1,4 +1,4 @@
-//! The bound on log lines: places are limited apart from each other, and every message left out is counted once.
+//! The log rate limit applies to each call site separately, and every suppressed message is counted once.
 
 use std::time::{Duration, Instant};
 
@@ -49,7 +49,7 @@
     assert!(limiter.take_all_counts().is_empty());
 }
 
-/// The clock standing still or a site never seen again must not lose a count.
+/// No count may be lost while the clock stands still, nor for a call site that never logs again.
 #[test]
 fn call_sites_beyond_the_bound_share_one_limit() {
     let mut limiter = LogLimiter::new(1);
--- a/crates/telemetry/tests/logs.rs
+++ b/crates/telemetry/tests/logs.rs
@@ -1,5 +1,5 @@
-//! Log lines as a reader of standard error sees them. The program runs itself again as a child for each case, since
-//! a process has one logger.
+//! Checks log lines on standard error. Each case runs in a child process of this program, since a process has only one
+//! logger.
 
 use std::{
     env,
@@ -24,7 +24,7 @@
     println!("logs: 7 cases passed");
 }
 
-/// What the child does.
+/// Runs one case in the child process.
 fn log_case(case: &str) {
     let mut settings = LogSettings {
         per_kind_per_second: 3,
@@ -88,7 +88,7 @@
     }
 }
 
-/// A logger that other code has set.
+/// A logger set by other code.
 struct OtherLogger;
 
 impl log::Log for OtherLogger {
@@ -114,7 +114,7 @@
     command
 }
 
-/// Checks the form of the time, which stands first, and cuts it off.
+/// Checks the format of the timestamp and removes it.
 fn without_time(line: &str) -> String {
     let start = line.find("20").expect("a line has a time");
     let time = &line[start..start + 24];
@@ -168,8 +168,8 @@
     assert!(lines_of("taken").is_empty());
 }
 
-/// The caller of the log sees nothing of it when the reader of standard error goes away: the lines are lost, the
-/// process goes on.
+/// When the reader of standard error closes the pipe, log lines are lost but the process keeps running and logging
+/// returns no error.
 fn a_closed_stderr_does_not_end_the_process() {
     let mut running = child("reader_gone")
         .stderr(Stdio::piped())
--- a/crates/telemetry/tests/metrics.rs
+++ b/crates/telemetry/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! The exposition, the catalogue and the docs page say the same.
+//! The exposed metrics, the catalogue and the docs page agree.
 
 use std::time::Duration;
 
@@ -135,7 +135,7 @@
     );
 }
 
-/// Ten thousand customers must not become ten thousand series: the scraper and the process would run out of memory.
+/// With one series per customer, 10,000 customers would exhaust the memory of the process and of the scraper.
 #[test]
 fn customers_are_bounded() {
     let set = MetricSet::new().unwrap();
