--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -1,5 +1,5 @@
-//! The calling side of the ports. Each call is sent when the method is called, not when its future is first polled,
-//! so calls leave in the order in which they were made.
+//! Clients of the ports. A call is sent when the method is called, not when its future is first polled, so calls are
+//! sent in the order in which the methods were called.
 
 use std::{future::Future, time::Duration};
 
@@ -21,17 +21,17 @@
     PeerError,
 };
 
-/// An open session.
+/// A session that was opened with a dispatcher.
 pub struct OpenedSession {
-    /// Where offers go.
+    /// The client for calls on the session.
     pub session: SessionClient,
     /// The dispatcher's incarnation.
     pub dispatcher: IncarnationId,
-    /// Its slots.
+    /// The dispatcher's slot counts.
     pub slots: SlotCounts,
 }
 
-/// A dispatcher at the other end of a connection.
+/// Client of a dispatcher.
 #[derive(Clone)]
 pub struct DispatcherClient {
     port: dispatcher_port::Client,
@@ -42,11 +42,11 @@
         Self { port }
     }
 
-    /// Opens a session and hands over this entry's own port.
+    /// Opens a session and passes this entry's own port to the dispatcher.
     ///
     /// # Errors
     ///
-    /// The connection broke, or the session is older than one already open.
+    /// The connection broke, or a newer session of this entry is already open.
     pub fn open_session(
         &self,
         entry: entry_port::Client,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Finds the port of an entry that has a session with this dispatcher.
+    /// Finds an entry that has a session with this dispatcher; `None` if it has none.
     ///
     /// # Errors
     ///
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Sends a heartbeat and gives the answer's.
+    /// Sends a heartbeat and returns the dispatcher's heartbeat in reply.
     ///
     /// # Errors
     ///
@@ -116,8 +116,8 @@
         }
     }
 
-    /// Asks whether the dispatcher is alive, how it sees itself, how its slots stand, and how it sees its data centre
-    /// if that is another revision than the one given.
+    /// Checks that the dispatcher is alive, and returns its own state, its slot counts, and its view of its data centre
+    /// if the revision of that view differs from `revision`.
     ///
     /// # Errors
     ///
@@ -144,8 +144,8 @@
         }
     }
 
-    /// Asks for parts of customers' shares. `None` when the dispatcher does not answer such asks now, or had a later
-    /// one already.
+    /// Requests parts of customers' shares. `None` if the dispatcher does not answer such requests at present, or has
+    /// already received a later one.
     ///
     /// # Errors
     ///
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Reports what still runs at endpoints that are the other dispatcher's now.
+    /// Reports the tasks that still run at endpoints now owned by the other dispatcher.
     ///
     /// # Errors
     ///
@@ -185,11 +185,11 @@
         }
     }
 
-    /// The platform's VM list as the dispatcher last read it; empty when it never did.
+    /// Returns the platform's VM list as last read by the dispatcher; empty if it has not read the list yet.
     ///
     /// # Errors
     ///
-    /// The connection broke or the list is not readable.
+    /// The connection broke, or the list could not be decoded.
     pub fn vms(&self) -> impl Future<Output = Result<Vec<VmEntry>, PeerError>> + 'static {
         let reply = self.port.vms_request().send().promise;
         async move {
@@ -198,11 +198,11 @@
         }
     }
 
-    /// Contract rows changed after a head number.
+    /// Returns the contract rows changed after a head number.
     ///
     /// # Errors
     ///
-    /// The connection broke or a row is not readable.
+    /// The connection broke, or a row could not be decoded.
     pub fn contracts(
         &self,
         since: HeadNumber,
@@ -217,7 +217,7 @@
     }
 }
 
-/// A session with a dispatcher.
+/// Client of a session with a dispatcher.
 #[derive(Clone)]
 pub struct SessionClient {
     port: session_port::Client,
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Takes attempts back.
+    /// Withdraws attempts. `after_batch` is the number of the last batch of offers sent before.
     ///
     /// # Errors
     ///
@@ -278,7 +278,7 @@
     }
 }
 
-/// An entry that has a session with a dispatcher.
+/// Client of an entry.
 #[derive(Clone)]
 pub struct EntryClient {
     port: entry_port::Client,
@@ -293,7 +293,7 @@
         self.port
     }
 
-    /// Asks for the body of a queued attempt; `None` when the attempt is gone.
+    /// Requests the body of a queued attempt; `None` if the attempt no longer exists.
     ///
     /// # Errors
     ///
@@ -319,7 +319,7 @@
         }
     }
 
-    /// Reports ends. When the future is done, the entry has taken them in.
+    /// Reports how attempts ended. When the future completes, the entry has processed the report.
     ///
     /// # Errors
     ///
@@ -343,7 +343,7 @@
         }
     }
 
-    /// Tells the entry how the slots stand.
+    /// Reports the dispatcher's slot counts to the entry.
     ///
     /// # Errors
     ///
@@ -361,7 +361,7 @@
         }
     }
 
-    /// The caller-facing answer of a submission of this entry as it stands; `None` when it does not know it.
+    /// Returns the current answer to the caller of a submission of this entry; `None` if the entry does not know it.
     ///
     /// # Errors
     ///
@@ -386,7 +386,8 @@
         }
     }
 
-    /// Runs a request under a ticket or key whose authority this entry is, or gives the answer that it has.
+    /// Runs a request under a ticket or key whose authority is this entry, or returns the answer that the entry already
+    /// has.
     ///
     /// # Errors
     ///
--- a/crates/peer/src/convert.rs
+++ b/crates/peer/src/convert.rs
@@ -1,4 +1,4 @@
-//! Turns the model's types into messages and back.
+//! Converts between messages of the peer protocol and types of the model.
 
 use std::time::Duration;
 
@@ -172,7 +172,8 @@
     Ok((attempt, end, Duration::from_micros(reader.get_ran_micros())))
 }
 
-/// A newer dispatcher may know a reason that this process does not. What counts is that the task was not run.
+/// Parses the reason why a task did not run. A newer dispatcher may send a reason that this process does not know. It
+/// is read as `Withdrawn`, since what matters is that the task did not run.
 fn read_retry(reason: &str) -> RetryReason {
     reason.parse().unwrap_or(RetryReason::Withdrawn)
 }
--- a/crates/peer/src/convert_grants.rs
+++ b/crates/peer/src/convert_grants.rs
@@ -1,4 +1,4 @@
-//! Turns grants, views of data centres and reports of handed over endpoints into messages and back.
+//! Converts between messages and the types of grants, views of data centres and reports about handed-over endpoints.
 
 use std::{net::SocketAddr, time::Duration};
 
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,8 +1,8 @@
 //! The protocol between the system's own processes over capnp-rpc.
 //!
-//! The schema is in `schema/peer.capnp`; `cargo run -p xtask -- codegen` makes `peer_capnp.rs` from it. No type of
-//! the generated code leaves this crate except the ports themselves: everything else is turned into the model's
-//! types at this border.
+//! The schema is in `schema/peer.capnp`; `cargo run -p xtask -- codegen` generates `peer_capnp.rs` from it. The ports
+//! are the only generated types that other crates use: this crate converts all other messages to and from types of the
+//! model.
 
 mod client;
 mod convert;
@@ -35,22 +35,22 @@
 
 use thiserror::Error;
 
-/// What can go wrong between two processes of the system.
+/// An error in the communication between two processes of the system.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PeerError {
-    /// Nobody listens there: the process is gone.
+    /// No process listens at the address: the other process has ended.
     #[error("connection refused")]
     Refused,
-    /// The connection could not be made or broke.
+    /// The connection could not be opened, or it broke.
     #[error("connection lost: {0}")]
     Lost(String),
-    /// The other side turned the call away.
+    /// The other process rejected the call.
     #[error("call failed: {0}")]
     Failed(String),
-    /// A message does not hold what it should.
+    /// A message could not be decoded or has invalid content.
     #[error("bad message: {0}")]
     BadMessage(String),
-    /// No answer came in time.
+    /// No answer arrived in time.
     #[error("no answer in time")]
     TimedOut,
 }
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -1,4 +1,4 @@
-//! Connections: one TCP connection is one two-party capnp-rpc network.
+//! Connections between entries and dispatchers. Each TCP connection is one two-party capnp-rpc network.
 
 use std::{io, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -21,17 +21,18 @@
 
 use crate::{client::DispatcherClient, peer_capnp, PeerError};
 
-/// How long a connect may take. Within a region a connect takes milliseconds; more means that the path is cut.
+/// Timeout for opening a connection. Within a region this takes milliseconds, so a longer time means that the network
+/// path is interrupted.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// An open connection to a dispatcher. It is closed when this is dropped.
+/// An open connection to a dispatcher. Dropping it closes the connection.
 pub struct PeerLink {
     client: DispatcherClient,
     task: JoinHandle<()>,
 }
 
 impl PeerLink {
-    /// The dispatcher at the other end.
+    /// The client for calls to the dispatcher.
     pub fn client(&self) -> &DispatcherClient {
         &self.client
     }
@@ -43,11 +44,12 @@
     }
 }
 
-/// Connects to a dispatcher. `on_closed` is called once when the connection breaks by itself.
+/// Connects to a dispatcher. `on_closed` is called once if the connection ends before the link is dropped.
 ///
 /// # Errors
 ///
-/// Refused when nobody listens, otherwise lost or timed out.
+/// [`PeerError::Refused`] if no process listens at the address, otherwise [`PeerError::Lost`] or
+/// [`PeerError::TimedOut`].
 pub async fn connect(
     address: SocketAddr,
     on_closed: impl FnOnce() + 'static,
@@ -65,7 +67,7 @@
     })
 }
 
-/// Opens a connection to another process.
+/// Opens a TCP connection to another process.
 pub(crate) async fn dial(address: SocketAddr) -> Result<TcpStream, PeerError> {
     match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
         Err(_) => Err(PeerError::TimedOut),
@@ -77,15 +79,15 @@
     }
 }
 
-/// What serves one accepted connection.
+/// The port and the close callback of an accepted connection.
 pub struct AcceptedPort {
-    /// The port that the other side gets.
+    /// The port offered to the process that connected.
     pub port: peer_capnp::dispatcher_port::Client,
-    /// Called once when the connection has ended.
+    /// Called once after the connection has ended.
     pub on_closed: Box<dyn FnOnce()>,
 }
 
-/// Accepts connections for as long as the future is polled. `make_port` gives each one its port.
+/// Accepts connections for as long as the future is polled. `make_port` creates the port of each connection.
 pub async fn serve(listener: TcpListener, make_port: impl Fn() -> AcceptedPort) {
     serve_ports(listener, || {
         let AcceptedPort { port, on_closed } = make_port();
@@ -94,7 +96,7 @@
     .await;
 }
 
-/// Gives each accepted connection a port of its own, and says when it has ended.
+/// Serves each accepted connection with its own port, and calls its callback after the connection has ended.
 async fn serve_ports(
     listener: TcpListener,
     make_port: impl Fn() -> (capnp::capability::Client, Box<dyn FnOnce()>),
@@ -110,10 +112,10 @@
     .await;
 }
 
-/// The largest message that is read, in bytes. What processes send in parts stays far below; an answer that one entry
-/// passes on for another cannot be parted, and that of a job of 1000 results of 64 KiB is 84 MiB of base64. The
-/// library's own limit, 64 MiB, would make such an answer fail each time that it is asked for. There still has to be a
-/// limit, since a message's head names the memory to set aside for it.
+/// The largest message that is read, in bytes. Messages that processes send in parts are far smaller. An answer that
+/// one entry forwards for another cannot be split: for a job of 1000 results of 64 KiB it is 84 MiB of base64, and with
+/// the library's default limit of 64 MiB every request for it would fail. A limit is still needed, because the header
+/// of a message states how much memory to allocate for it.
 const MAX_MESSAGE_BYTES: usize = 128 * 1024 * 1024;
 
 fn reader_options() -> capnp::message::ReaderOptions {
@@ -129,7 +131,7 @@
     network_from_halves(reader, writer, side)
 }
 
-/// A network whose bytes are counted.
+/// A network that counts the bytes sent and received.
 pub(crate) fn counted_network(
     stream: TcpStream,
     side: Side,
@@ -147,7 +149,7 @@
 }
 
 fn split_stream(stream: TcpStream) -> (OwnedReadHalf, OwnedWriteHalf) {
-    // Messages are small and answers are waited for; without this the kernel holds them back for up to 40 ms.
+    // Messages are small and callers wait for the answers. Without `TCP_NODELAY` the kernel delays them by up to 40 ms.
     let _best_effort = stream.set_nodelay(true);
     stream.into_split()
 }
--- a/crates/peer/src/pool_link.rs
+++ b/crates/peer/src/pool_link.rs
@@ -1,4 +1,4 @@
-//! Connections between entries and owners of pools.
+//! Connections between entries and pool owners.
 
 use std::{future::Future, net::SocketAddr, rc::Rc, sync::Arc};
 
@@ -17,29 +17,29 @@
     PeerError,
 };
 
-/// A job handed to the owner of a pool.
+/// A job sent to the owner of a pool.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobCall {
-    /// The process that waits for the outcome.
+    /// The process that submitted the job and waits for its outcome.
     pub entry: NodeId,
-    /// The pool that is meant.
+    /// The pool that the job is sent to.
     pub pool: PoolId,
     /// The job.
     pub request: Arc<JobRequest>,
-    /// What its route asks, and how long its customer waits.
+    /// The terms of its route, and how long its customer waits.
     pub terms: JobTerms,
 }
 
-/// What an owner of pools offers. Dropping the returned future cancels the job.
+/// The calls that a pool owner answers.
 pub trait PoolService: 'static {
-    /// Runs a job to its end.
+    /// Runs a job to its end. Dropping the returned future cancels the job.
     fn run(&self, call: JobCall) -> LocalBoxFuture<'static, JobOutcome>;
 
-    /// How many of a job's tasks the pool could take in time now. Nothing is promised by it.
+    /// The number of the job's tasks that the pool could currently run in time. This reserves nothing.
     fn offer(&self, call: JobCall) -> u32;
 }
 
-/// An open connection to an owner. It is closed when this is dropped.
+/// An open connection to a pool owner. Dropping it closes the connection.
 pub struct PoolLink {
     port: pool_port::Client,
     task: JoinHandle<()>,
@@ -52,11 +52,11 @@
 }
 
 impl PoolLink {
-    /// Hands a job over and waits for its end. Dropping the future cancels the job.
+    /// Sends a job to the owner and waits for its outcome. Dropping the future cancels the job.
     ///
     /// # Errors
     ///
-    /// The connection broke: the job may have run, and its owner stops what runs of it.
+    /// The connection broke: the job may have run, and the owner stops its tasks that still run.
     pub fn run(&self, call: &JobCall) -> impl Future<Output = Result<JobOutcome, PeerError>> {
         let mut request = self.port.run_request();
         write_job(request.get().init_job(), call);
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Asks how many of a job's tasks the pool could take in time now. The job's text stays here.
+    /// Asks how many of a job's tasks the pool could currently run in time. The text of the job is not sent.
     ///
     /// # Errors
     ///
@@ -80,7 +80,7 @@
     }
 }
 
-/// A job without its text, which is most of its bytes and which only a worker needs.
+/// Copies a job without its text, which makes up most of its bytes and is only needed by workers.
 fn without_text(call: &JobCall) -> JobCall {
     let request = JobRequest {
         text: Arc::from(""),
@@ -92,11 +92,12 @@
     }
 }
 
-/// Connects to an owner. `on_closed` is called once when the connection breaks by itself.
+/// Connects to a pool owner. `on_closed` is called once if the connection ends before the link is dropped.
 ///
 /// # Errors
 ///
-/// Refused when nobody listens, otherwise lost or timed out.
+/// [`PeerError::Refused`] if no process listens at the address, otherwise [`PeerError::Lost`] or
+/// [`PeerError::TimedOut`].
 pub async fn connect_pool(
     address: SocketAddr,
     traffic: Arc<TrafficCounters>,
@@ -115,7 +116,7 @@
     Ok(PoolLink { port, task })
 }
 
-/// Accepts connections of entries for as long as the future is polled.
+/// Accepts connections from entries for as long as the future is polled.
 pub async fn serve_pool(
     listener: TcpListener,
     traffic: Arc<TrafficCounters>,
@@ -126,7 +127,7 @@
         let network = counted_network(stream, Side::Server, traffic.clone());
         let system = RpcSystem::new(Box::new(network), Some(port.client));
         async move {
-            // A connection that breaks cancels its own jobs; there is nothing to do beside.
+            // The end of the connection cancels its jobs by dropping their futures, so nothing else is left to do.
             let _ended = system.await;
         }
     })
--- a/crates/peer/src/pool_message.rs
+++ b/crates/peer/src/pool_message.rs
@@ -1,4 +1,4 @@
-//! Messages of the pool protocol, turned into the product's types and back.
+//! Converts between messages of the pool protocol and the types of the system.
 
 use std::{sync::Arc, time::Duration};
 
@@ -271,7 +271,7 @@
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// List lengths of the protocol are 32 bits; what is sent is bounded far below.
+/// Converts a list length to the 32 bits of the protocol. Lists that are sent are far shorter than that limit.
 fn list_length(count: usize) -> u32 {
     u32::try_from(count).unwrap_or(u32::MAX)
 }
--- a/crates/peer/src/service.rs
+++ b/crates/peer/src/service.rs
@@ -1,7 +1,7 @@
-//! The answering side of the ports: traits that a process implements, and the glue to the generated code.
+//! Servers of the ports: the traits that a process implements, and adapters that connect them to the generated code.
 //!
-//! Each trait method runs as soon as its message is read and returns a future for the answer. What it does before
-//! it returns therefore happens in the order in which the messages of a connection came.
+//! Each trait method runs as soon as its message is read, and returns a future for the answer. Whatever the method does
+//! before it returns therefore happens in the order in which the messages arrived on the connection.
 
 use std::{future::Future, rc::Rc, time::Duration};
 
@@ -29,16 +29,16 @@
     PeerError,
 };
 
-/// What a dispatcher knows of the contracts beyond what the asker knows.
+/// The reply to a request for changes of the contracts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ContractsReply {
-    /// Whether the sender holds a complete set that is as new as its peers'. The update says nothing otherwise.
+    /// Whether the sender holds a complete set that is as new as its peers'. Otherwise the update must be ignored.
     pub loaded: bool,
-    /// The rows.
+    /// The contract rows changed after the requested head number.
     pub update: ContractUpdate,
 }
 
-/// A caller-facing answer passed on by another entry.
+/// An answer to a caller that another entry forwards.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ForwardedAnswer {
     /// The HTTP status.
@@ -47,23 +47,23 @@
     pub json: Vec<u8>,
 }
 
-/// The answer to a ping.
+/// The reply to a ping.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PingReply {
-    /// How the dispatcher sees itself.
+    /// The dispatcher's own state.
     pub view: MemberView,
-    /// Its slots.
+    /// The dispatcher's slot counts.
     pub slots: SlotCounts,
-    /// How it sees its data centre, if that has changed since the revision that the ping named.
+    /// Its view of its data centre, if the revision differs from that in the ping.
     pub centre: Option<CentreView>,
 }
 
-/// An answer on its way.
+/// The future reply to a call.
 pub type ReplyFuture<T> = LocalBoxFuture<'static, Result<T, PeerError>>;
 
-/// What a dispatcher offers to entries and other dispatchers. One object a connection.
+/// The calls that a dispatcher answers for entries and other dispatchers. Each connection has its own object.
 pub trait DispatcherService: 'static {
-    /// The session type.
+    /// The type of its sessions.
     type Session: SessionService;
 
     /// Opens a session.
@@ -74,39 +74,39 @@
         session: SessionId,
     ) -> ReplyFuture<(Self::Session, IncarnationId, SlotCounts)>;
 
-    /// Finds an entry that has a session here.
+    /// Finds an entry that has a session with this dispatcher.
     fn find_entry(&self, incarnation: IncarnationId) -> ReplyFuture<Option<EntryClient>>;
 
-    /// Takes a heartbeat.
+    /// Handles a heartbeat.
     fn heartbeat(&self, message: BeatMessage) -> ReplyFuture<BeatReply>;
 
-    /// Says that this process is alive, how it sees itself and how its slots stand, and how it sees its data centre
-    /// if that is another revision.
+    /// Confirms that this process is alive, and returns its own state, its slot counts, and its view of its data centre
+    /// if the revision of that view differs from `revision`.
     fn ping(&self, revision: u64) -> ReplyFuture<PingReply>;
 
-    /// Answers asks for parts of customers' shares; `None` when it does not answer such now.
+    /// Answers requests for parts of customers' shares; `None` if this dispatcher does not answer them at present.
     fn grant(&self, batch: AskBatch) -> ReplyFuture<Option<ReplyBatch>>;
 
-    /// Takes in what an earlier owner still runs at endpoints of this dispatcher.
+    /// Handles the report of a former owner about tasks that it still runs at endpoints of this dispatcher.
     fn handover(&self, report: HandoverReport) -> ReplyFuture<()>;
 
-    /// Gives the platform's VM list as last read.
+    /// Returns the platform's VM list as last read.
     fn vms(&self) -> ReplyFuture<Vec<VmEntry>>;
 
-    /// Gives contract rows changed after a head number.
+    /// Returns the contract rows changed after a head number.
     fn contracts(&self, since: HeadNumber) -> ReplyFuture<ContractsReply>;
 }
 
-/// A session of a dispatcher with an entry. It is over when the object is dropped.
+/// The calls that a dispatcher answers on a session with an entry. Dropping the object ends the session.
 pub trait SessionService: 'static {
-    /// Takes offers.
+    /// Handles offered tasks.
     fn offer(
         &self,
         batch: u64,
         offers: Vec<TaskOffer>,
     ) -> ReplyFuture<(Vec<TaskVerdict>, SlotCounts)>;
 
-    /// Takes attempts back.
+    /// Withdraws attempts. `after_batch` is the number of the last batch of offers sent before.
     fn withdraw(
         &self,
         after_batch: u64,
@@ -114,34 +114,34 @@
     ) -> ReplyFuture<(Vec<WithdrawalVerdict>, SlotCounts)>;
 }
 
-/// What an entry offers to a dispatcher that it has a session with.
+/// The calls that an entry answers for a dispatcher that it has a session with.
 pub trait EntryService: 'static {
-    /// Gives the body of a queued attempt, once.
+    /// Returns the body of a queued attempt. The body may be sent only once.
     fn claim(&self, attempt: AttemptId) -> ReplyFuture<Option<Payload>>;
 
-    /// Takes ends in.
+    /// Handles the ends of attempts.
     fn report_ends(
         &self,
         ends: Vec<(AttemptId, AttemptEnd, Duration)>,
         slots: SlotCounts,
     ) -> ReplyFuture<()>;
 
-    /// Takes a word on slots.
+    /// Handles new slot counts of the dispatcher.
     fn report_slots(&self, slots: SlotCounts) -> ReplyFuture<()>;
 
-    /// Gives the caller-facing answer of a submission as it stands.
+    /// Returns the current answer to the caller of a submission.
     fn outcome(&self, serial: u64) -> ReplyFuture<Option<ForwardedAnswer>>;
 
-    /// Runs a request under a ticket or key, or gives the answer that it has.
+    /// Runs a request under a ticket or key, or returns the answer that the entry already has.
     fn run(&self, serial: u64, json: Vec<u8>) -> ReplyFuture<ForwardedAnswer>;
 }
 
-/// Makes a port of a dispatcher's service.
+/// Creates the port of a dispatcher's service.
 pub fn dispatcher_port<S: DispatcherService>(service: S) -> dispatcher_capnp::Client {
     capnp_rpc::new_client(DispatcherAdapter(service))
 }
 
-/// Makes a port of an entry's service.
+/// Creates the port of an entry's service.
 pub fn entry_port<S: EntryService>(service: S) -> entry_capnp::Client {
     capnp_rpc::new_client(EntryAdapter(service))
 }
@@ -195,7 +195,7 @@
 
 type CallResult = Result<(), capnp::Error>;
 
-/// Waits for an answer that could be asked for, or gives the error of a message that could not be read.
+/// Waits for the reply of a service, or returns the error if the request could not be decoded.
 async fn await_reply<T>(answer: Result<ReplyFuture<T>, PeerError>) -> Result<T, PeerError> {
     answer?.await
 }
