--- a/crates/peer/tests/border/fakes.rs
+++ b/crates/peer/tests/border/fakes.rs
@@ -1,4 +1,5 @@
-//! Small services at both ends of a loopback connection: they note what they get and give what they are told to.
+//! Fake services for both ends of a loopback connection. They record received calls and return the answers set by the
+//! test.
 
 use std::{cell::RefCell, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -17,7 +18,7 @@
 };
 use tokio::net::TcpListener;
 
-/// What a side was called with, in order.
+/// A received call with its arguments.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum ReceivedCall {
     Opened(IncarnationId, SessionId),
@@ -35,7 +36,7 @@
     Run(u64, Vec<u8>),
 }
 
-/// What both sides answer.
+/// The answers that the fakes return.
 pub(crate) struct Answers {
     pub(crate) view: MemberView,
     pub(crate) slots: SlotCounts,
@@ -47,11 +48,11 @@
     pub(crate) vms: Vec<VmEntry>,
     pub(crate) body: Option<Payload>,
     pub(crate) forwarded: Option<ForwardedAnswer>,
-    /// Offers get no answer at all.
+    /// Whether offers are never answered.
     pub(crate) silent: bool,
 }
 
-/// What the two ends share with the test.
+/// The state that the fakes share with the test.
 pub(crate) struct FakeState {
     pub(crate) received: RefCell<Vec<ReceivedCall>>,
     pub(crate) answers: RefCell<Answers>,
@@ -97,7 +98,7 @@
     }
 }
 
-/// Serves fake dispatchers on a port of the system's choice until the handle is aborted.
+/// Serves fake dispatchers on a free port until the returned task is aborted.
 pub(crate) async fn serve(state: &Rc<FakeState>) -> (SocketAddr, JoinHandle<()>) {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let listener = TcpListener::bind(any).await.expect("a port");
--- a/crates/peer/tests/border/faults.rs
+++ b/crates/peer/tests/border/faults.rs
@@ -1,4 +1,4 @@
-//! What a caller of the border sees when the other side, the connection or the bytes on it are not as they should be.
+//! The errors that a client sees when the peer process, the connection or the received bytes are faulty.
 
 use std::{
     cell::Cell,
@@ -20,7 +20,7 @@
 
 use crate::fakes::{self, FakeEntry, FakeState, ReceivedCall};
 
-/// How long anything here may take. Far more than it does, so that only a hang reaches it.
+/// Timeout of each step. It is far longer than any step takes, so only a hang reaches it.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn attempt(serial: u64) -> AttemptId {
@@ -78,11 +78,10 @@
     }
 }
 
-// What the entry sees: its session answers as before.
-// What happens: something that speaks another protocol, or nothing sensible, connects to the peer port.
-// Why: a port scan, or an HTTP probe of the wrong port, must not end the sessions of a whole VM.
+// A client that speaks another protocol, or sends garbage, connects to the peer port. The entry's session must keep
+// working: a port scan or an HTTP probe of the wrong port must not end all sessions of a VM.
 #[actix_rt::test]
-async fn garbage_ends_only_its_own_connection() {
+async fn garbage_closes_only_its_own_connection() {
     let state = FakeState::new();
     let (address, server) = fakes::serve(&state).await;
     let (link, opened) = open(&state, address, 1).await;
@@ -101,7 +100,7 @@
     ];
     for (what, bytes) in table {
         let mut stream = TcpStream::connect(address).await.expect("a connection");
-        // The other side may close before it has read everything.
+        // The server may close the connection before it has read everything.
         let _closed = stream.write_all(bytes).await;
         let _closed = stream.shutdown().await;
         let mut rest = Vec::new();
@@ -115,7 +114,7 @@
     server.abort();
 }
 
-/// Opens a session with a number above all before.
+/// Opens a session with a higher number than all earlier ones.
 async fn open_next(state: &Rc<FakeState>, address: SocketAddr) -> (PeerLink, OpenedSession) {
     thread_local! {
         static NEXT: Cell<u64> = const { Cell::new(100) };
@@ -124,11 +123,10 @@
     open(state, address, session).await
 }
 
-// What the entry sees: its call is lost, and the connection is told to be closed, once.
-// What happens: the dispatcher's process ends while it has an offer that it did not answer.
-// Why: the task may have started, so the entry has to learn that nothing more will come.
+// The dispatcher's process ends with an unanswered offer. The call must fail as lost and the connection be reported as
+// closed exactly once: the task may have started, so the entry has to learn that no answer will follow.
 #[actix_rt::test]
-async fn a_connection_that_ends_during_a_call_gives_lost() {
+async fn a_connection_that_ends_during_a_call_is_reported_as_lost() {
     let state = FakeState::new();
     state.answers.borrow_mut().silent = true;
     let (address, server) = fakes::serve(&state).await;
@@ -152,7 +150,7 @@
 }
 
 #[actix_rt::test]
-async fn a_port_without_listener_gives_refused() {
+async fn a_port_without_listener_is_reported_as_refused() {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let listener = TcpListener::bind(any).await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -161,11 +159,11 @@
     assert_eq!(refused.err(), Some(PeerError::Refused));
 }
 
-// What the entry sees: the connect times out, which is neither refused nor lost.
-// What happens: the peer's system drops what comes, as behind a cut path; here its queue of connections is full.
-// Why: only "refused" tells that the process is gone, so a cut path must not look like it.
+// The peer's system drops connection attempts, as on an interrupted network path; here its accept queue is full. The
+// connect must time out and be reported neither as refused nor as lost, since only "refused" proves that the process
+// has ended.
 #[actix_rt::test]
-async fn a_port_that_drops_connects_times_out() {
+async fn a_port_that_drops_connection_attempts_times_out() {
     let socket = TcpSocket::new_v4().expect("a socket");
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     socket.bind(any).expect("a port");
@@ -179,9 +177,9 @@
     assert_eq!(timed_out.err(), Some(PeerError::TimedOut));
 }
 
-// What the entry sees: no answer, for as long as it cares to wait, and no error either; its own limit ends it.
-// What happens: the peer's process is frozen: its system accepts the connection and nobody reads it.
-// Why: silence tells nothing of what the peer did, so it must not look like a refusal or a lost connection.
+// The peer's process is frozen: its system accepts the connection, but the process never reads from it. The call must
+// stay open, without answer or error, until the entry's own timeout ends it: silence does not show what the peer did,
+// so it must not look like a refusal or a lost connection.
 #[actix_rt::test]
 async fn a_silent_peer_leaves_the_call_open() {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -197,11 +195,11 @@
     assert!(answer.is_err(), "an answer from nobody");
 }
 
-// What the entry sees: the open of the older session fails, the newer session goes on.
-// What happens: an open that lay in a socket is read after a later one of the same entry.
-// Why: what is offered on the older session was given up; it must not start now.
+// An open call that was delayed in a socket is read after a later one of the same entry. The older session must be
+// refused and the newer one keep working: the entry has given up the tasks offered on the older session, so they must
+// not start any more.
 #[actix_rt::test]
-async fn a_stale_session_is_refused_and_the_newer_stays() {
+async fn a_stale_session_is_refused_and_the_newer_one_stays_open() {
     let state = FakeState::new();
     let (address, server) = fakes::serve(&state).await;
     let (_link, newer) = open(&state, address, 5).await;
@@ -212,11 +210,10 @@
     server.abort();
 }
 
-// What the dispatcher sees: each withdrawal right after the offer that it takes back.
-// What happens: 10,000 offers and withdrawals leave without waiting for answers.
-// Why: a withdrawal that overtook its offer would be confirmed as "not run", and the offer would start afterwards.
+// 10,000 offers, many with a withdrawal, are sent without waiting for answers. Each withdrawal must arrive right after
+// its offer: if it overtook the offer, it would be confirmed as "not run", and the offer would start afterwards.
 #[actix_rt::test]
-async fn calls_of_a_session_come_in_the_order_of_sending() {
+async fn calls_of_a_session_arrive_in_the_order_sent() {
     let state = FakeState::new();
     {
         let mut answers = state.answers.borrow_mut();
@@ -249,15 +246,15 @@
     server.abort();
 }
 
-// What the caller sees: the whole answer of its job, asked for through another entry.
-// What happens: 1000 results of 64 KiB go in one message, in base64.
-// Why: over the reader's limit the call would fail each time, and the caller could never have its answer.
+// A caller requests the answer of its job through another entry: 1000 results of 64 KiB in one message, in base64. The
+// whole answer must arrive: beyond the reader's size limit every such call would fail, and the caller could never get
+// its answer.
 #[actix_rt::test]
-async fn the_largest_answer_is_passed_on() {
+async fn the_largest_answer_is_forwarded() {
     let state = FakeState::new();
     let (address, server) = fakes::serve(&state).await;
     let (_link, _opened) = open(&state, address, 1).await;
-    // On the connection of the entry itself the port would be found at home, and nothing sent.
+    // On the connection that the entry itself opened, capnp-rpc would resolve the port locally and send nothing.
     let link = peer::connect(address, || {}).await.expect("a connection");
     let found = link
         .client()
@@ -276,11 +273,11 @@
     server.abort();
 }
 
-// What the entry sees: verdicts for a batch as large as any job, and for one that is larger.
-// What happens: a session opens while jobs of the largest payloads wait; they leave together.
-// Why: over the reader's limit the call fails, the session is given up, and the same batch fails on the next one.
+// A session opens while jobs with the largest payloads wait, so all their tasks are offered in one batch. Batches as
+// large as the largest job, and one that is larger, must be answered: beyond the reader's size limit the call would
+// fail, the session be given up, and the same batch fail again on the next session.
 #[actix_rt::test]
-async fn large_batches_pass() {
+async fn large_batches_are_answered() {
     let state = FakeState::new();
     let (address, server) = fakes::serve(&state).await;
     let (_link, opened) = open(&state, address, 1).await;
--- a/crates/peer/tests/border/main.rs
+++ b/crates/peer/tests/border/main.rs
@@ -1,4 +1,4 @@
-//! The border between the system's own processes, over TCP on the loopback.
+//! Tests of the peer protocol between two processes, over loopback TCP.
 
 mod fakes;
 mod faults;
--- a/crates/peer/tests/border/round_trips.rs
+++ b/crates/peer/tests/border/round_trips.rs
@@ -1,4 +1,4 @@
-//! Every call carries every value there and back unchanged.
+//! Every call carries its arguments and its reply unchanged.
 
 use std::rc::Rc;
 
@@ -17,10 +17,10 @@
     values,
 };
 
-/// How many rounds of values each call carries.
+/// The number of random values that each call is tested with.
 const ROUNDS: u64 = 200;
 
-/// Values in a fixed order.
+/// A source of random values that is the same in every run.
 struct ValueSource(TestRunner);
 
 impl ValueSource {
@@ -47,7 +47,7 @@
         answers.vms = values.next(vec(values::vm(), 0..8));
     }
     let view = values.next(values::view());
-    // The asker knows what it asked for; it does not travel back.
+    // The reply does not carry `since`: the client fills in the value that it requested.
     let since = state.answers.borrow().contracts.update.since;
     let message = membership::BeatMessage { view: view.clone() };
     let beat = client.heartbeat(&message).await.expect("beat");
@@ -119,8 +119,8 @@
     assert_eq!(state.take_received(), received);
 }
 
-/// The calls of a dispatcher to an entry, and of another entry, which finds the port over a connection of its own: on
-/// that of the entry itself the port would be found at home, and nothing sent.
+/// Checks the calls to an entry. The port is found over a second connection: on the connection that the entry itself
+/// opened, capnp-rpc would resolve the port locally and send nothing.
 async fn check_entry_calls(state: &Rc<FakeState>, link: &PeerLink, values: &mut ValueSource) {
     let found = link
         .client()
@@ -160,7 +160,7 @@
 }
 
 #[actix_rt::test]
-async fn every_call_carries_every_value() {
+async fn every_call_carries_its_values_unchanged() {
     let state = FakeState::new();
     let (address, server) = fakes::serve(&state).await;
     let link = peer::connect(address, || {}).await.expect("a connection");
--- a/crates/peer/tests/border/values.rs
+++ b/crates/peer/tests/border/values.rs
@@ -1,4 +1,4 @@
-//! Any value that may cross the border.
+//! Strategies for every value that the peer protocol carries.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -29,7 +29,7 @@
     bytes().prop_map(Payload::from)
 }
 
-/// The border counts microseconds.
+/// The protocol carries durations in microseconds.
 fn span() -> impl Strategy<Value = Duration> {
     any::<u64>().prop_map(Duration::from_micros)
 }
--- a/crates/peer/tests/grants.rs
+++ b/crates/peer/tests/grants.rs
@@ -1,4 +1,4 @@
-//! Pings, grants and reports of handed over endpoints, over a real connection.
+//! Pings, grants and handover reports over a TCP connection.
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
@@ -17,14 +17,14 @@
 };
 use tokio::net::TcpListener;
 
-/// What a fake dispatcher was told.
+/// The batches and reports that a fake dispatcher received.
 #[derive(Default)]
 struct ReceivedCalls {
     batches: Vec<AskBatch>,
     reports: Vec<HandoverReport>,
 }
 
-/// Answers the ask with serial 1 and no other.
+/// A dispatcher that only answers the grant request with serial 1.
 struct FakeDispatcher(Rc<RefCell<ReceivedCalls>>);
 
 struct NoSession;
@@ -166,7 +166,7 @@
 }
 
 #[actix_rt::test]
-async fn a_ping_brings_the_view_only_where_it_is_new() {
+async fn a_ping_returns_the_centre_view_only_if_it_has_changed() {
     let (link, _) = connect().await;
     let first = link.client().ping(0).await.unwrap();
     assert_eq!(first.view, own_view());
@@ -177,7 +177,7 @@
 }
 
 #[actix_rt::test]
-async fn asks_and_their_answers_arrive_as_sent() {
+async fn grant_requests_and_replies_arrive_as_sent() {
     let (link, received) = connect().await;
     assert_eq!(link.client().grant(&batch(1)).await.unwrap(), Some(reply()));
     assert_eq!(link.client().grant(&batch(2)).await.unwrap(), None);
@@ -185,7 +185,7 @@
 }
 
 #[actix_rt::test]
-async fn a_report_arrives_as_sent() {
+async fn a_handover_report_arrives_as_sent() {
     let (link, received) = connect().await;
     let report = HandoverReport {
         from: ([10, 0, 0, 1], 7000).into(),
