--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -333,8 +333,13 @@
         let mut params = request.get();
         write_slots(params.reborrow().init_slots(), slots);
         let mut builder = params.init_ends(ends.len() as u32);
-        for (index, (attempt, end, ran)) in ends.iter().enumerate() {
-            write_end(builder.reborrow().get(index as u32), *attempt, end, *ran);
+        for (index, (attempt, end, run_time)) in ends.iter().enumerate() {
+            write_end(
+                builder.reborrow().get(index as u32),
+                *attempt,
+                end,
+                *run_time,
+            );
         }
         let reply = request.send().promise;
         async move {
--- a/crates/peer/src/convert.rs
+++ b/crates/peer/src/convert.rs
@@ -18,8 +18,8 @@
     u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
 
-pub(crate) fn bad_message(what: impl ToString) -> PeerError {
-    PeerError::BadMessage(what.to_string())
+pub(crate) fn bad_message(reason: impl ToString) -> PeerError {
+    PeerError::BadMessage(reason.to_string())
 }
 
 pub(crate) fn read_text<'a>(
@@ -143,10 +143,10 @@
     mut builder: attempt_end::Builder<'_>,
     attempt: AttemptId,
     end: &AttemptEnd,
-    ran: Duration,
+    run_time: Duration,
 ) {
     write_attempt(builder.reborrow().init_attempt(), attempt);
-    builder.set_ran_micros(micros(ran));
+    builder.set_ran_micros(micros(run_time));
     match end {
         AttemptEnd::Done(result) => builder.set_done(&result.payload.0),
         AttemptEnd::Failed => builder.set_failed(()),
--- a/crates/peer/tests/border/values.rs
+++ b/crates/peer/tests/border/values.rs
@@ -230,15 +230,13 @@
     let role = select(&[VmRole::System, VmRole::Endpoint][..]);
     let state = select(&[EndpointState::Live, EndpointState::Leaving][..]);
     let rest = (role, state, any::<u32>());
-    (NAME, NAME, address(), rest).prop_map(|(id, data_centre, address, (role, state, slots))| {
-        VmEntry {
-            id: id.parse().expect("a name"),
-            data_centre: data_centre.parse().expect("a name"),
-            role,
-            address,
-            slots,
-            state,
-        }
+    (NAME, NAME, address(), rest).prop_map(|(id, centre, address, (role, state, slots))| VmEntry {
+        id: id.parse().expect("a name"),
+        data_centre: centre.parse().expect("a name"),
+        role,
+        address,
+        slots,
+        state,
     })
 }
 
