--- a/crates/node/src/feeds.rs
+++ b/crates/node/src/feeds.rs
@@ -114,7 +114,7 @@
             }
             Err(StoreError::HistoryGone) => {
                 let line = EventLine::new("history_gone").text("table", table.as_str());
-                state.log(EventKind::Kept, line);
+                state.log(EventKind::Important, line);
                 after = None;
             }
             Err(error) => {
@@ -159,14 +159,14 @@
         .text("table", table.as_str())
         .number("shown", shown.0)
         .number("known", known.0);
-    state.log(EventKind::Kept, line);
+    state.log(EventKind::Important, line);
 }
 
 fn log_store_lost(state: &NodeState, table: StoreTable, error: &StoreError) {
     let line = EventLine::new("store_lost")
         .text("table", table.as_str())
         .text("error", error);
-    state.log(EventKind::Kept, line);
+    state.log(EventKind::Important, line);
 }
 
 fn log_store_regained(state: &NodeState, table: StoreTable, since: std::time::Instant) {
@@ -174,7 +174,7 @@
     let line = EventLine::new("store_regained")
         .text("table", table.as_str())
         .millis("away_ms", now.saturating_duration_since(since));
-    state.log(EventKind::Kept, line);
+    state.log(EventKind::Important, line);
 }
 
 fn apply_page(state: &Rc<NodeState>, table: StoreTable, page: FeedPage, is_snapshot: bool) {
@@ -200,7 +200,7 @@
         RowChange::Removed { .. } => None,
         RowChange::Unreadable { key, reason } => {
             let line = EventLine::new("row_unreadable").text("key", &key);
-            state.log(EventKind::Kept, line.text("error", &reason));
+            state.log(EventKind::Important, line.text("error", &reason));
             None
         }
     }
@@ -211,7 +211,7 @@
         .text("key", &row.key)
         .number("version", row.version.0)
         .text("error", error);
-    state.log(EventKind::Kept, line);
+    state.log(EventKind::Important, line);
 }
 
 fn apply_members(state: &NodeState, page: FeedPage) {
--- a/crates/node/src/groups.rs
+++ b/crates/node/src/groups.rs
@@ -61,7 +61,7 @@
         .number("groups", row.groups)
         .number("former", former.map_or(0, |former| former.groups))
         .text("spread", row.spread.as_str());
-    state.log(EventKind::Kept, line);
+    state.log(EventKind::Important, line);
     let workers = state.directory.borrow().workers_of_centre(&centre);
     let former_pools: Vec<_> = workers
         .iter()
--- a/crates/node/src/kept_jobs/maintenance.rs
+++ b/crates/node/src/kept_jobs/maintenance.rs
@@ -119,7 +119,7 @@
                 let line = EventLine::new("jobs_not_read")
                     .text("pool", &id)
                     .text("error", error);
-                state.log(EventKind::Kept, line);
+                state.log(EventKind::Important, line);
                 return;
             }
         };
@@ -146,7 +146,7 @@
             let line = EventLine::new("claim_not_read")
                 .text("pool", &id)
                 .text("error", error);
-            return state.log(EventKind::Kept, line);
+            return state.log(EventKind::Important, line);
         }
     };
     if row.version.0 == fence.0 {
@@ -157,7 +157,7 @@
 async fn publish_pending(state: Rc<NodeState>, id: PoolId, pending: PendingCounts) {
     let Ok(value) = serde_json::to_vec(&pending) else {
         let line = EventLine::new("pending_not_encoded").text("pool", &id);
-        return state.log(EventKind::Kept, line);
+        return state.log(EventKind::Important, line);
     };
     let write = RowWrite {
         table: StoreTable::PendingJobs,
@@ -170,7 +170,7 @@
         let line = EventLine::new("pending_not_published")
             .text("pool", &id)
             .text("error", error);
-        state.log(EventKind::Kept, line);
+        state.log(EventKind::Important, line);
     }
 }
 
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -142,7 +142,7 @@
         .number("fence", owned.pool.fence().0)
         .text("why", reason)
         .number("open_jobs", owned.waiters.len() as u64);
-    state.log(EventKind::Kept, line);
+    state.log(EventKind::Important, line);
     for (_, sender) in owned.waiters {
         let _gone = sender.send(JobOutcome::GivenUp);
     }
@@ -212,7 +212,7 @@
         .text("pool", id)
         .number("fence", version.0)
         .number("workers", workers.len() as u64);
-    state.log(EventKind::Kept, line);
+    state.log(EventKind::Important, line);
     if !state.directory.borrow().is_current(state.now()) {
         state.unpopulated_pools.borrow_mut().push(id.clone());
         state.worker_list_needed.notify_one();
@@ -311,7 +311,7 @@
         let wanted = wanted.filter(|_| state.has(Mechanism::Yielding));
         if let Some(id) = wanted.filter(|id| state.pools.borrow().contains_key(id)) {
             state.log(
-                EventKind::Kept,
+                EventKind::Important,
                 EventLine::new("pool_yielded").text("pool", &id),
             );
             *state.yielding_pool.borrow_mut() = Some((id.clone(), now));
@@ -370,7 +370,7 @@
                     let line = EventLine::new("pool_probed")
                         .text("pool", &pool)
                         .text("reachable", reachable);
-                    state.log(EventKind::Kept, line);
+                    state.log(EventKind::Important, line);
                 });
             }
             ClaimAction::Claim { pool, expected } => {
@@ -437,7 +437,7 @@
     }
     let now = state.now();
     state.keeper.borrow_mut().on_claim_outcome(now, pool, end);
-    state.log(EventKind::Kept, line);
+    state.log(EventKind::Important, line);
 }
 
 /// Cancels a job if it is dropped before the job's outcome has arrived.
@@ -553,5 +553,5 @@
     let line = EventLine::new("job_cancelled")
         .text("why", "entry_silent")
         .text("entry", entry);
-    state.log(EventKind::Kept, line);
+    state.log(EventKind::Important, line);
 }
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -14,7 +14,7 @@
 use platform_adapter::{HttpClient, RowWrite, StoreClient, StoreTable, Transaction, WorkerClient};
 use pool::PoolSettings;
 use settings::NodeSettings;
-use telemetry::{EventKind, EventLine, EventLog, TrafficBook};
+use telemetry::{EventKind, EventLine, EventLog, TrafficCounters};
 use tokio::{
     net::{TcpListener, UdpSocket},
     signal::unix::{signal, SignalKind},
@@ -98,7 +98,7 @@
 
     /// The log lines that have not been written out.
     pub fn log_lines(&self) -> String {
-        self.state.log.borrow().gathered()
+        self.state.log.borrow().buffered_text()
     }
 
     /// Stops without cutting requests: reports "not ready", ends the jobs of its pools and releases the pools, and
@@ -112,7 +112,7 @@
         state.stop_deadline.set(Some(limit));
         state.keeper.borrow_mut().leave();
         state.log(
-            EventKind::Kept,
+            EventKind::Important,
             EventLine::new("process_stopping").millis("grace_ms", grace),
         );
         while state.now() < limit {
@@ -139,7 +139,7 @@
         let line = EventLine::new("process_stopped")
             .number("cut_requests", cut as u64)
             .millis("took_ms", state.now().saturating_duration_since(started));
-        state.log(EventKind::Kept, line);
+        state.log(EventKind::Important, line);
         state.log.borrow_mut().flush();
     }
 }
@@ -189,7 +189,7 @@
     let (customer_address, ready_address) = (customers.local_addr()?, ready.local_addr()?);
     let socket = UdpSocket::bind(address).await;
     let socket = Rc::new(socket.map_err(|cause| NodeError::Listen { address, cause })?);
-    let traffic = Arc::new(TrafficBook::default());
+    let traffic = Arc::new(TrafficCounters::default());
     let http = HttpClient::new(traffic.clone());
     let pool_settings = PoolSettings {
         lease: PoolSettings::default()
@@ -257,7 +257,7 @@
         started: clock.now(),
         clock,
     });
-    state.log(EventKind::Kept, line);
+    state.log(EventKind::Important, line);
     let heartbeats = HeartbeatSender::new(socket.clone());
     let mut tasks = vec![
         actix_rt::spawn(refresh_member(state.clone())),
@@ -310,7 +310,7 @@
 ) {
     if let Err(error) = server.await {
         state.log(
-            EventKind::Kept,
+            EventKind::Important,
             EventLine::new("server_failed").text("error", error),
         );
     }
@@ -362,7 +362,7 @@
         if let Err(error) = &answer {
             if !failed {
                 let line = EventLine::new("member_row_not_written").text("error", error);
-                state.log(EventKind::Kept, line);
+                state.log(EventKind::Important, line);
             }
         }
         failed = answer.is_err();
@@ -388,7 +388,7 @@
                 "for_ms",
                 time_since_boot().saturating_sub(state.last_tick.get()),
             );
-            state.log(EventKind::Kept, line);
+            state.log(EventKind::Important, line);
             for_each_pool(&state, pool::WorkerPool::give_up_all);
             state.directory.borrow_mut().forget_reads();
         }
@@ -481,7 +481,7 @@
                 // The settings (addresses, VM, data centre) are fixed while the process runs. Configuration that
                 // changes at run time is in the store.
                 _ = reload.recv() => process.state.log(
-                    EventKind::Kept,
+                    EventKind::Important,
                     EventLine::new("reload_ignored").text("why", "settings are read only at the start of the process"),
                 ),
             }
--- a/crates/node/src/traffic.rs
+++ b/crates/node/src/traffic.rs
@@ -44,7 +44,7 @@
             line = line.text(kind.as_str(), rates);
             *logged = count;
         }
-        state.log(EventKind::Kept, line);
+        state.log(EventKind::Important, line);
     }
 }
 
--- a/crates/peer/src/service.rs
+++ b/crates/peer/src/service.rs
@@ -1,7 +1,7 @@
-//! The answering side of the ports: traits that a process implements, and the glue to the generated code.
+//! Servers of the ports: the traits that a process implements, and adapters that connect them to the generated code.
 //!
-//! Each trait method runs as soon as its message is read and returns a future for the answer. What it does before
-//! it returns therefore happens in the order in which the messages of a connection came.
+//! Each trait method runs as soon as its message is read, and returns a future for the answer. Whatever the method does
+//! before it returns therefore happens in the order in which the messages arrived on the connection.
 
 use std::{future::Future, rc::Rc, time::Duration};
 
@@ -18,7 +18,7 @@
 use crate::{
     client::EntryClient,
     convert::{
-        bad, read_attempt, read_end, read_offers, read_slots, read_view, text, write_slots,
+        bad_message, read_attempt, read_end, read_offers, read_slots, read_text, read_view, write_slots,
         write_verdict, write_view, write_withdrawal,
     },
     convert_grants::{read_asks, read_handover, write_centre, write_replies},
@@ -29,16 +29,16 @@
     PeerError,
 };
 
-/// What a dispatcher knows of the contracts beyond what the asker knows.
+/// The reply to a request for changes of the contracts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct ContractNews {
-    /// Whether the sender holds a complete set that is as new as its peers'. The update says nothing otherwise.
+pub struct ContractsReply {
+    /// Whether the sender holds a complete set that is as new as its peers'. Otherwise the update must be ignored.
     pub loaded: bool,
-    /// The rows.
+    /// The contract rows changed after the requested head number.
     pub update: ContractUpdate,
 }
 
-/// A caller-facing answer passed on by another entry.
+/// An answer to a caller that another entry forwards.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ForwardedAnswer {
     /// The HTTP status.
@@ -47,66 +47,66 @@
     pub json: Vec<u8>,
 }
 
-/// The answer to a ping.
+/// The reply to a ping.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PingReply {
-    /// How the dispatcher sees itself.
+    /// The dispatcher's own state.
     pub view: MemberView,
-    /// Its slots.
+    /// The dispatcher's slot counts.
     pub slots: SlotCounts,
-    /// How it sees its data centre, if that has changed since the revision that the ping named.
+    /// Its view of its data centre, if the revision differs from that in the ping.
     pub centre: Option<CentreView>,
 }
 
-/// An answer on its way.
+/// The future reply to a call.
 pub type ReplyFuture<T> = LocalBoxFuture<'static, Result<T, PeerError>>;
 
-/// What a dispatcher offers to entries and other dispatchers. One object a connection.
+/// The calls that a dispatcher answers for entries and other dispatchers. Each connection has its own object.
 pub trait DispatcherService: 'static {
-    /// The session type.
+    /// The type of its sessions.
     type Session: SessionService;
 
     /// Opens a session.
-    fn open(
+    fn open_session(
         &self,
         entry: EntryClient,
         incarnation: IncarnationId,
         session: SessionId,
     ) -> ReplyFuture<(Self::Session, IncarnationId, SlotCounts)>;
 
-    /// Finds an entry that has a session here.
-    fn find(&self, incarnation: IncarnationId) -> ReplyFuture<Option<EntryClient>>;
+    /// Finds an entry that has a session with this dispatcher.
+    fn find_entry(&self, incarnation: IncarnationId) -> ReplyFuture<Option<EntryClient>>;
 
-    /// Takes a heartbeat.
-    fn beat(&self, message: HeartbeatMessage) -> ReplyFuture<HeartbeatReply>;
+    /// Handles a heartbeat.
+    fn heartbeat(&self, message: HeartbeatMessage) -> ReplyFuture<HeartbeatReply>;
 
-    /// Says that this process is alive, how it sees itself and how its slots stand, and how it sees its data centre
-    /// if that is another revision.
+    /// Confirms that this process is alive, and returns its own state, its slot counts, and its view of its data centre
+    /// if the revision of that view differs from `revision`.
     fn ping(&self, revision: u64) -> ReplyFuture<PingReply>;
 
-    /// Answers asks for parts of customers' shares; `None` when it does not answer such now.
+    /// Answers requests for parts of customers' shares; `None` if this dispatcher does not answer them at present.
     fn grant(&self, batch: AskBatch) -> ReplyFuture<Option<ReplyBatch>>;
 
-    /// Takes in what an earlier owner still runs at endpoints of this dispatcher.
+    /// Handles the report of a former owner about tasks that it still runs at endpoints of this dispatcher.
     fn handover(&self, report: HandoverReport) -> ReplyFuture<()>;
 
-    /// Gives the platform's VM list as last read.
+    /// Returns the platform's VM list as last read.
     fn vms(&self) -> ReplyFuture<Vec<VmEntry>>;
 
-    /// Gives contract rows changed after a head number.
-    fn contracts(&self, since: HeadNumber) -> ReplyFuture<ContractNews>;
+    /// Returns the contract rows changed after a head number.
+    fn contracts(&self, since: HeadNumber) -> ReplyFuture<ContractsReply>;
 }
 
-/// A session of a dispatcher with an entry. It is over when the object is dropped.
+/// The calls that a dispatcher answers on a session with an entry. Dropping the object ends the session.
 pub trait SessionService: 'static {
-    /// Takes offers.
+    /// Handles offered tasks.
     fn offer(
         &self,
         batch: u64,
         offers: Vec<TaskOffer>,
     ) -> ReplyFuture<(Vec<TaskVerdict>, SlotCounts)>;
 
-    /// Takes attempts back.
+    /// Withdraws attempts. `after_batch` is the number of the last batch of offers sent before.
     fn withdraw(
         &self,
         after_batch: u64,
@@ -114,49 +114,49 @@
     ) -> ReplyFuture<(Vec<WithdrawalVerdict>, SlotCounts)>;
 }
 
-/// What an entry offers to a dispatcher that it has a session with.
+/// The calls that an entry answers for a dispatcher that it has a session with.
 pub trait EntryService: 'static {
-    /// Gives the body of a queued attempt, once.
+    /// Returns the body of a queued attempt. The body may be sent only once.
     fn claim(&self, attempt: AttemptId) -> ReplyFuture<Option<Payload>>;
 
-    /// Takes ends in.
-    fn ended(
+    /// Handles the ends of attempts.
+    fn report_ends(
         &self,
         ends: Vec<(AttemptId, AttemptEnd, Duration)>,
         slots: SlotCounts,
     ) -> ReplyFuture<()>;
 
-    /// Takes a word on slots.
-    fn slots(&self, slots: SlotCounts) -> ReplyFuture<()>;
+    /// Handles new slot counts of the dispatcher.
+    fn report_slots(&self, slots: SlotCounts) -> ReplyFuture<()>;
 
-    /// Gives the caller-facing answer of a submission as it stands.
+    /// Returns the current answer to the caller of a submission.
     fn outcome(&self, serial: u64) -> ReplyFuture<Option<ForwardedAnswer>>;
 
-    /// Runs a request under a ticket or key, or gives the answer that it has.
+    /// Runs a request under a ticket or key, or returns the answer that the entry already has.
     fn run(&self, serial: u64, json: Vec<u8>) -> ReplyFuture<ForwardedAnswer>;
 }
 
-/// Makes a port of a dispatcher's service.
+/// Creates the port of a dispatcher's service.
 pub fn dispatcher_port<S: DispatcherService>(service: S) -> dispatcher_capnp::Client {
-    capnp_rpc::new_client(DispatcherGlue(service))
+    capnp_rpc::new_client(DispatcherAdapter(service))
 }
 
-/// Makes a port of an entry's service.
+/// Creates the port of an entry's service.
 pub fn entry_port<S: EntryService>(service: S) -> entry_capnp::Client {
-    capnp_rpc::new_client(EntryGlue(service))
+    capnp_rpc::new_client(EntryAdapter(service))
 }
 
-pub(crate) fn read_contract_news(
+pub(crate) fn read_contracts_reply(
     reader: dispatcher_capnp::contracts_results::Reader<'_>,
     since: HeadNumber,
-) -> Result<ContractNews, PeerError> {
+) -> Result<ContractsReply, PeerError> {
     let mut rows = Vec::new();
     for row in reader.get_rows()? {
         rows.push(ContractRow {
-            customer: text(row.get_customer())?.parse().map_err(bad)?,
+            customer: read_text(row.get_customer())?.parse().map_err(bad_message)?,
             version: ContractVersion(row.get_version()),
             head: HeadNumber(row.get_head()),
-            contract: serde_json::from_slice(row.get_json()?).map_err(bad)?,
+            contract: serde_json::from_slice(row.get_json()?).map_err(bad_message)?,
         });
     }
     let update = ContractUpdate {
@@ -164,41 +164,41 @@
         head: HeadNumber(reader.get_head()),
         rows,
     };
-    Ok(ContractNews {
+    Ok(ContractsReply {
         loaded: reader.get_loaded(),
         update,
     })
 }
 
-fn write_contract_news(
+fn write_contracts_reply(
     mut results: dispatcher_capnp::contracts_results::Builder<'_>,
-    news: &ContractNews,
+    reply: &ContractsReply,
 ) -> Result<(), PeerError> {
-    results.set_loaded(news.loaded);
-    results.set_head(news.update.head.0);
-    let mut rows = results.init_rows(news.update.rows.len() as u32);
-    for (index, row) in news.update.rows.iter().enumerate() {
+    results.set_loaded(reply.loaded);
+    results.set_head(reply.update.head.0);
+    let mut rows = results.init_rows(reply.update.rows.len() as u32);
+    for (index, row) in reply.update.rows.iter().enumerate() {
         let mut builder = rows.reborrow().get(index as u32);
         builder.set_customer(row.customer.as_str());
         builder.set_version(row.version.0);
         builder.set_head(row.head.0);
-        builder.set_json(&serde_json::to_vec(&row.contract).map_err(bad)?);
+        builder.set_json(&serde_json::to_vec(&row.contract).map_err(bad_message)?);
     }
     Ok(())
 }
 
-struct DispatcherGlue<S>(S);
-struct SessionGlue<S>(S);
-struct EntryGlue<S>(S);
+struct DispatcherAdapter<S>(S);
+struct SessionAdapter<S>(S);
+struct EntryAdapter<S>(S);
 
 type CallResult = Result<(), capnp::Error>;
 
-/// Waits for an answer that could be asked for, or gives the error of a message that could not be read.
-async fn settle<T>(answer: Result<ReplyFuture<T>, PeerError>) -> Result<T, PeerError> {
+/// Waits for the reply of a service, or returns the error if the request could not be decoded.
+async fn await_reply<T>(answer: Result<ReplyFuture<T>, PeerError>) -> Result<T, PeerError> {
     answer?.await
 }
 
-impl<S: DispatcherService> dispatcher_capnp::Server for DispatcherGlue<S> {
+impl<S: DispatcherService> dispatcher_capnp::Server for DispatcherAdapter<S> {
     fn open(
         self: Rc<Self>,
         params: dispatcher_capnp::OpenParams,
@@ -206,16 +206,17 @@
     ) -> impl Future<Output = CallResult> + 'static {
         let answer = params.get().and_then(|params| {
             let entry = EntryClient::new(params.get_entry()?);
-            Ok(self.0.open(
+            Ok(self.0.open_session(
                 entry,
                 IncarnationId(params.get_incarnation()),
                 SessionId(params.get_session()),
             ))
         });
         async move {
-            let (session, incarnation, slots) = settle(answer.map_err(PeerError::from)).await?;
+            let (session, incarnation, slots) =
+                await_reply(answer.map_err(PeerError::from)).await?;
             let mut results = results.get();
-            results.set_session(capnp_rpc::new_client(SessionGlue(session)));
+            results.set_session(capnp_rpc::new_client(SessionAdapter(session)));
             results.set_dispatcher(incarnation.0);
             write_slots(results.init_slots(), slots);
             Ok(())
@@ -229,9 +230,9 @@
     ) -> impl Future<Output = CallResult> + 'static {
         let answer = params
             .get()
-            .map(|params| self.0.find(IncarnationId(params.get_incarnation())));
+            .map(|params| self.0.find_entry(IncarnationId(params.get_incarnation())));
         async move {
-            if let Some(entry) = settle(answer.map_err(PeerError::from)).await? {
+            if let Some(entry) = await_reply(answer.map_err(PeerError::from)).await? {
                 let mut results = results.get();
                 results.set_entry(entry.into_port());
                 results.set_found(true);
@@ -245,9 +246,9 @@
         params: dispatcher_capnp::BeatParams,
         mut results: dispatcher_capnp::BeatResults,
     ) -> impl Future<Output = CallResult> + 'static {
-        let answer = read_beat(&params).map(|message| self.0.beat(message));
+        let answer = read_heartbeat(&params).map(|message| self.0.heartbeat(message));
         async move {
-            let reply = settle(answer).await?;
+            let reply = await_reply(answer).await?;
             write_view(results.get().init_view(), &reply.view);
             Ok(())
         }
@@ -262,7 +263,7 @@
             .get()
             .map(|params| self.0.ping(params.get_revision()));
         async move {
-            let reply = settle(answer.map_err(PeerError::from)).await?;
+            let reply = await_reply(answer.map_err(PeerError::from)).await?;
             let mut results = results.get();
             write_slots(results.reborrow().init_slots(), reply.slots);
             write_view(results.reborrow().init_view(), &reply.view);
@@ -295,7 +296,7 @@
     ) -> impl Future<Output = CallResult> + 'static {
         let answer = read_grant(&params).map(|batch| self.0.grant(batch));
         async move {
-            if let Some(batch) = settle(answer).await? {
+            if let Some(batch) = await_reply(answer).await? {
                 let mut results = results.get();
                 results.set_answered(true);
                 write_replies(results.init_batch(), &batch);
@@ -310,7 +311,7 @@
         _results: dispatcher_capnp::HandoverResults,
     ) -> impl Future<Output = CallResult> + 'static {
         let answer = read_report(&params).map(|report| self.0.handover(report));
-        async move { Ok(settle(answer).await?) }
+        async move { Ok(await_reply(answer).await?) }
     }
 
     fn contracts(
@@ -322,14 +323,14 @@
             .get()
             .map(|params| self.0.contracts(HeadNumber(params.get_since())));
         async move {
-            let news = settle(answer.map_err(PeerError::from)).await?;
-            write_contract_news(results.get(), &news)?;
+            let reply = await_reply(answer.map_err(PeerError::from)).await?;
+            write_contracts_reply(results.get(), &reply)?;
             Ok(())
         }
     }
 }
 
-impl<S: SessionService> session_capnp::Server for SessionGlue<S> {
+impl<S: SessionService> session_capnp::Server for SessionAdapter<S> {
     fn offer(
         self: Rc<Self>,
         params: session_capnp::OfferParams,
@@ -337,7 +338,7 @@
     ) -> impl Future<Output = CallResult> + 'static {
         let answer = read_offer_batch(&params).map(|(batch, offers)| self.0.offer(batch, offers));
         async move {
-            let (verdicts, slots) = settle(answer).await?;
+            let (verdicts, slots) = await_reply(answer).await?;
             let mut results = results.get();
             write_slots(results.reborrow().init_slots(), slots);
             let mut builder = results.init_verdicts(verdicts.len() as u32);
@@ -361,7 +362,7 @@
             Ok(self.0.withdraw(params.get_after_batch(), attempts))
         });
         async move {
-            let (verdicts, slots) = settle(answer.map_err(PeerError::from)).await?;
+            let (verdicts, slots) = await_reply(answer.map_err(PeerError::from)).await?;
             let mut results = results.get();
             write_slots(results.reborrow().init_slots(), slots);
             let mut builder = results.init_withdrawals(verdicts.len() as u32);
@@ -373,7 +374,7 @@
     }
 }
 
-impl<S: EntryService> entry_capnp::Server for EntryGlue<S> {
+impl<S: EntryService> entry_capnp::Server for EntryAdapter<S> {
     fn claim(
         self: Rc<Self>,
         params: entry_capnp::ClaimParams,
@@ -383,7 +384,7 @@
             .get()
             .and_then(|params| Ok(self.0.claim(read_attempt(params.get_attempt()?))));
         async move {
-            let body = settle(answer.map_err(PeerError::from)).await?;
+            let body = await_reply(answer.map_err(PeerError::from)).await?;
             let mut answer = results.get().init_answer();
             match body {
                 Some(payload) => answer.set_body(&payload.0),
@@ -398,8 +399,8 @@
         params: entry_capnp::EndedParams,
         _results: entry_capnp::EndedResults,
     ) -> impl Future<Output = CallResult> + 'static {
-        let answer = read_ends(&params).map(|(ends, slots)| self.0.ended(ends, slots));
-        async move { Ok(settle(answer).await?) }
+        let answer = read_ends(&params).map(|(ends, slots)| self.0.report_ends(ends, slots));
+        async move { Ok(await_reply(answer).await?) }
     }
 
     fn slots(
@@ -409,8 +410,8 @@
     ) -> impl Future<Output = CallResult> + 'static {
         let answer = params
             .get()
-            .and_then(|params| Ok(self.0.slots(read_slots(params.get_slots()?))));
-        async move { Ok(settle(answer.map_err(PeerError::from)).await?) }
+            .and_then(|params| Ok(self.0.report_slots(read_slots(params.get_slots()?))));
+        async move { Ok(await_reply(answer.map_err(PeerError::from)).await?) }
     }
 
     fn outcome(
@@ -422,7 +423,7 @@
             .get()
             .map(|params| self.0.outcome(params.get_serial()));
         async move {
-            if let Some(answer) = settle(answer.map_err(PeerError::from)).await? {
+            if let Some(answer) = await_reply(answer.map_err(PeerError::from)).await? {
                 let mut results = results.get();
                 results.set_status(answer.status);
                 results.set_json(&answer.json);
@@ -441,7 +442,7 @@
             .get()
             .and_then(|params| Ok(self.0.run(params.get_serial(), params.get_json()?.to_vec())));
         async move {
-            let answer = settle(answer.map_err(PeerError::from)).await?;
+            let answer = await_reply(answer.map_err(PeerError::from)).await?;
             let mut results = results.get();
             results.set_status(answer.status);
             results.set_json(&answer.json);
@@ -450,7 +451,7 @@
     }
 }
 
-fn read_beat(params: &dispatcher_capnp::BeatParams) -> Result<HeartbeatMessage, PeerError> {
+fn read_heartbeat(params: &dispatcher_capnp::BeatParams) -> Result<HeartbeatMessage, PeerError> {
     Ok(HeartbeatMessage {
         view: read_view(params.get()?.get_view()?)?,
     })
--- a/crates/peer/tests/border/values.rs
+++ b/crates/peer/tests/border/values.rs
@@ -1,4 +1,4 @@
-//! Any value that may cross the border.
+//! Strategies for every value that the peer protocol carries.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -12,7 +12,7 @@
     Payload, RetryReason, SlotCounts, SubmissionId, TaskOffer, TaskResult, TaskVerdict,
     UnknownReason, VmEntry, VmRole, WithdrawalVerdict,
 };
-use peer::{ContractNews, ForwardedAnswer};
+use peer::{ContractsReply, ForwardedAnswer};
 use proptest::{
     collection::vec,
     prelude::{any, prop_oneof, Just, Strategy},
@@ -29,7 +29,7 @@
     bytes().prop_map(Payload::from)
 }
 
-/// The border counts microseconds.
+/// The protocol carries durations in microseconds.
 fn span() -> impl Strategy<Value = Duration> {
     any::<u64>().prop_map(Duration::from_micros)
 }
@@ -192,7 +192,7 @@
     )
 }
 
-pub(crate) fn news() -> impl Strategy<Value = ContractNews> {
+pub(crate) fn contracts_reply() -> impl Strategy<Value = ContractsReply> {
     let row = (NAME, any::<(u64, u64)>(), contract()).prop_map(
         |(customer, (version, head), contract)| ContractRow {
             customer: customer.parse().expect("a name"),
@@ -202,7 +202,7 @@
         },
     );
     (any::<(bool, u64, u64)>(), vec(row, 0..8)).prop_map(|((loaded, since, head), rows)| {
-        ContractNews {
+        ContractsReply {
             loaded,
             update: ContractUpdate {
                 since: HeadNumber(since),
@@ -230,9 +230,9 @@
     let role = select(&[VmRole::System, VmRole::Endpoint][..]);
     let state = select(&[EndpointState::Live, EndpointState::Leaving][..]);
     let rest = (role, state, any::<u32>());
-    (NAME, NAME, address(), rest).prop_map(|(id, hall, address, (role, state, slots))| VmEntry {
+    (NAME, NAME, address(), rest).prop_map(|(id, centre, address, (role, state, slots))| VmEntry {
         id: id.parse().expect("a name"),
-        data_centre: hall.parse().expect("a name"),
+        data_centre: centre.parse().expect("a name"),
         role,
         address,
         slots,
--- a/crates/telemetry/src/logs/control.rs
+++ b/crates/telemetry/src/logs/control.rs
@@ -1,4 +1,4 @@
-//! Starting logging and changing levels while the process runs.
+//! Starts logging and changes log levels while the process runs.
 
 use std::{
     io,
@@ -15,8 +15,8 @@
 
 use super::{
     format::{write_json, write_text},
-    limiter::{LogLimiter, LogPlace, LogVerdict, SuppressedCount},
-    part::CRATES,
+    limiter::{CallSite, LogDecision, LogLimiter, SuppressedCount},
+    part::CRATE_PARTS,
 };
 use crate::TelemetryError;
 
@@ -27,55 +27,55 @@
     limiter: Arc<Mutex<LogLimiter>>,
 }
 
-/// Starts logging. A process has one logger: a later call, as when a demo runs several roles in one process, returns
-/// the first one's control and changes nothing.
+/// Starts logging. A process has one logger, so a later call, as when a demo runs several roles in one process, changes
+/// nothing and returns the control of the first call.
 ///
 /// # Errors
 ///
-/// Fails when other code has set a logger that is not this one.
+/// Fails if other code has already set a logger.
 pub fn init_logs(settings: &LogSettings) -> Result<&'static LogControl, TelemetryError> {
     static CONTROL: Mutex<Option<&'static LogControl>> = Mutex::new(None);
-    static STORE: OnceLock<LogControl> = OnceLock::new();
+    static LOGGER: OnceLock<LogControl> = OnceLock::new();
     let mut control = lock(&CONTROL);
     if let Some(control) = *control {
         return Ok(control);
     }
     let started = LogControl::start(settings)?;
-    let started = STORE.get_or_init(|| started);
+    let started = LOGGER.get_or_init(|| started);
     *control = Some(started);
     Ok(started)
 }
 
 impl LogControl {
-    /// Changes the level of one part.
+    /// Sets the log level of one part.
     pub fn set_level(&self, part: LogPart, level: LogLevel) {
         let mut settings = lock(&self.settings);
         settings.parts.insert(part, level);
         self.handle.set_new_spec(specification(&settings));
     }
 
-    /// The level of one part.
+    /// The log level of one part.
     pub fn level_of(&self, part: LogPart) -> LogLevel {
         lock(&self.settings).level_of(part)
     }
 
-    /// The messages left out since the start because their place wrote too many.
+    /// The number of messages suppressed since the start because their call site logged too many.
     pub fn suppressed_total(&self) -> u64 {
         lock(&self.limiter).suppressed_total()
     }
 
-    /// Writes the counts of left-out messages that are still open. Called before the process ends.
+    /// Logs the counts of suppressed messages that were not logged yet. Call it before the process ends.
     pub fn flush(&self) {
-        let counts = lock(&self.limiter).all_counts();
+        let counts = lock(&self.limiter).take_all_counts();
         for count in counts {
-            log::warn!(target: LogPart::Process.as_str(), "{}", suppressed_line(count));
+            log::warn!(target: LogPart::Process.as_str(), "{}", suppressed_message(count));
         }
         self.handle.flush();
     }
 
     fn start(settings: &LogSettings) -> Result<Self, TelemetryError> {
         let limiter = Arc::new(Mutex::new(LogLimiter::new(settings.per_kind_per_second)));
-        let filter = LimitFilter {
+        let filter = RateLimitFilter {
             limiter: Arc::clone(&limiter),
             clock: SystemClock,
         };
@@ -84,7 +84,7 @@
         } else {
             write_text
         };
-        // A reader of standard error that goes away must not take the process with it.
+        // The process must keep running when the reader of standard error closes the pipe.
         let handle = Logger::with(specification(settings))
             .log_to_stderr()
             .format(format)
@@ -100,35 +100,35 @@
     }
 }
 
-struct LimitFilter {
+struct RateLimitFilter {
     limiter: Arc<Mutex<LogLimiter>>,
     clock: SystemClock,
 }
 
-impl LogLineFilter for LimitFilter {
+impl LogLineFilter for RateLimitFilter {
     fn write(
         &self,
         now: &mut DeferredNow,
         record: &Record<'_>,
         writer: &dyn LogLineWriter,
     ) -> io::Result<()> {
-        let (verdict, counts) = {
+        let (decision, counts) = {
             let mut limiter = lock(&self.limiter);
             let time = self.clock.now();
-            let counts = limiter.due_counts(time);
-            (limiter.admit(place_of(record), time), counts)
+            let counts = limiter.take_due_counts(time);
+            (limiter.admit(call_site_of(record), time), counts)
         };
         for count in counts {
-            write_count(now, count, writer)?;
+            write_suppressed_count(now, count, writer)?;
         }
-        match verdict {
-            LogVerdict::Write => writer.write(now, record),
-            LogVerdict::Suppress => Ok(()),
+        match decision {
+            LogDecision::Write => writer.write(now, record),
+            LogDecision::Suppress => Ok(()),
         }
     }
 }
 
-fn write_count(
+fn write_suppressed_count(
     now: &mut DeferredNow,
     count: SuppressedCount,
     writer: &dyn LogLineWriter,
@@ -138,34 +138,34 @@
         &Record::builder()
             .level(log::Level::Warn)
             .target(LogPart::Process.as_str())
-            .args(format_args!("{}", suppressed_line(count)))
+            .args(format_args!("{}", suppressed_message(count)))
             .build(),
     )
 }
 
-fn suppressed_line(count: SuppressedCount) -> String {
-    let SuppressedCount { place, messages } = count;
+fn suppressed_message(count: SuppressedCount) -> String {
+    let SuppressedCount { site, messages } = count;
     format!(
         "{messages} messages of {}:{} left out",
-        place.file, place.line
+        site.file, site.line
     )
 }
 
-fn place_of(record: &Record<'_>) -> LogPlace {
-    LogPlace {
+fn call_site_of(record: &Record<'_>) -> CallSite {
+    CallSite {
         file: record.file_static().unwrap_or_default(),
         line: record.line().unwrap_or_default(),
     }
 }
 
-/// The levels by module, as flexi_logger wants them. It matches a target by the longest prefix.
+/// Converts the settings into levels by module. flexi_logger applies the longest prefix that matches a target.
 fn specification(settings: &LogSettings) -> LogSpecification {
     let mut builder = LogSpecification::builder();
     builder.default(level_filter(settings.level_of(LogPart::Library)));
     for part in LogPart::ALL {
         builder.module(part.as_str(), level_filter(settings.level_of(*part)));
     }
-    for (name, part) in CRATES {
+    for (name, part) in CRATE_PARTS {
         builder.module(name, level_filter(settings.level_of(*part)));
     }
     builder.build()
@@ -183,6 +183,6 @@
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    // Each use leaves the value whole, so a panic elsewhere while the lock is held does no harm.
+    // No use leaves the value half updated, so the lock can be used after a panic of a thread that held it.
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/telemetry/src/traffic.rs
+++ b/crates/telemetry/src/traffic.rs
@@ -1,97 +1,98 @@
-//! Bytes and calls of a process by what they are for.
+//! Counts the calls and bytes of a process by purpose.
 //!
-//! A VM's link can be the narrowest part of a fleet. Which purpose fills it shows only here: the platform counts bytes
-//! of a VM, not of a purpose.
+//! A VM's network link can be the bottleneck of a fleet. The platform counts bytes per VM only, so these counters are
+//! the only source that shows which purpose uses the link.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use model::{text_set, WrongReason};
 
 text_set! {
-    /// What bytes are sent or received for.
+    /// The purpose of a call or of bytes on the network.
     TrafficKind, "kind of traffic", WrongReason {
-        /// Starts of runs at workers.
+        /// Calls that start runs on workers.
         Starts => "starts",
-        /// Stops of runs at workers.
+        /// Calls that stop runs on workers.
         Stops => "stops",
-        /// Looks at workers.
-        Looks => "looks",
-        /// Jobs between entries and owners of pools.
+        /// Polls of workers.
+        Polls => "looks",
+        /// Jobs sent between entries and pool owners.
         Peers => "peers",
         /// Heartbeats between processes.
         Heartbeats => "heartbeats",
-        /// The store: what operators write.
+        /// Store: rows written by operators.
         StoreOperator => "store_operator",
-        /// The store: the list of workers.
+        /// Store: the list of workers.
         StoreWorkers => "store_workers",
-        /// The store: the processes of the system.
+        /// Store: the processes of the system.
         StoreMembers => "store_members",
-        /// The store: who owns which pool.
+        /// Store: claims of pools by their owners.
         StoreClaims => "store_claims",
-        /// The store: kept jobs.
+        /// Store: kept jobs.
         StoreJobs => "store_jobs",
-        /// Customers' requests.
+        /// Requests of customers.
         Customers => "customers",
     }
 }
 
-/// Bytes and calls of one kind since the process began.
+/// Calls and bytes of one kind since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TrafficCount {
-    /// Calls, datagrams or customers' requests. Those between entries and owners share connections and are not counted.
+    /// Calls, datagrams or requests of customers. Calls between entries and pool owners share connections and are not
+    /// counted.
     pub calls: u64,
-    /// Bytes sent: bodies and heads, without those of TCP and UDP.
+    /// Bytes sent: bodies and headers, without those of TCP and UDP.
     pub sent: u64,
-    /// Bytes received, likewise.
+    /// Bytes received, counted in the same way.
     pub received: u64,
 }
 
 #[derive(Debug, Default)]
-struct TrafficCells {
+struct KindCounters {
     calls: AtomicU64,
     sent: AtomicU64,
     received: AtomicU64,
 }
 
-/// The bytes and calls of one process.
+/// Calls and bytes of one process, by kind. Safe to update from any thread.
 #[derive(Debug, Default)]
-pub struct TrafficBook {
-    cells: [TrafficCells; TrafficKind::ALL.len()],
+pub struct TrafficCounters {
+    by_kind: [KindCounters; TrafficKind::ALL.len()],
 }
 
-impl TrafficBook {
+impl TrafficCounters {
     /// Counts a call.
-    pub fn call(&self, kind: TrafficKind) {
-        self.cells[kind as usize]
+    pub fn record_call(&self, kind: TrafficKind) {
+        self.by_kind[kind as usize]
             .calls
             .fetch_add(1, Ordering::Relaxed);
     }
 
     /// Counts sent bytes.
-    pub fn send(&self, kind: TrafficKind, bytes: usize) {
-        self.cells[kind as usize]
+    pub fn record_sent(&self, kind: TrafficKind, bytes: usize) {
+        self.by_kind[kind as usize]
             .sent
             .fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
     /// Counts received bytes.
-    pub fn receive(&self, kind: TrafficKind, bytes: usize) {
-        self.cells[kind as usize]
+    pub fn record_received(&self, kind: TrafficKind, bytes: usize) {
+        self.by_kind[kind as usize]
             .received
             .fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// What was counted so far.
+    /// The counts of one kind so far.
     pub fn count(&self, kind: TrafficKind) -> TrafficCount {
-        let cells = &self.cells[kind as usize];
+        let counters = &self.by_kind[kind as usize];
         TrafficCount {
-            calls: cells.calls.load(Ordering::Relaxed),
-            sent: cells.sent.load(Ordering::Relaxed),
-            received: cells.received.load(Ordering::Relaxed),
+            calls: counters.calls.load(Ordering::Relaxed),
+            sent: counters.sent.load(Ordering::Relaxed),
+            received: counters.received.load(Ordering::Relaxed),
         }
     }
 
-    /// What was counted of all kinds.
+    /// The sum of the counts of all kinds.
     pub fn total(&self) -> TrafficCount {
         let mut total = TrafficCount::default();
         for kind in TrafficKind::ALL {
