--- a/crates/entry/src/control/keys.rs
+++ b/crates/entry/src/control/keys.rs
@@ -56,11 +56,11 @@
             body_digest: BodyDigest(keyed.digest),
         };
         // Half of the time is left for the run itself.
-        let give_up = now + time_left / 2;
+        let deadline = now + time_left / 2;
         let request = KeyRequest {
             key: RequestKey { customer, key },
             record,
-            give_up,
+            deadline,
         };
         let recorder = self.recorder.clone();
         let arrived = now;
--- a/crates/request-keys/src/lib.rs
+++ b/crates/request-keys/src/lib.rs
@@ -8,7 +8,10 @@
 mod recorder;
 
 pub use crate::{
-    batcher::{BatchEnd, BatcherSettings, EntryId, KeyAction, KeyBatcher, ReadEnd, TurnEnd},
+    batcher::{
+        BatchOutcome, BatcherSettings, KeyAction, KeyBatcher, PendingKeyId, ReadOutcome,
+        TurnOutcome,
+    },
     record::{BodyDigest, KeyRecord, KeyRequest, KeyResult, RequestKey},
     recorder::KeyRecorder,
 };
--- a/crates/request-keys/src/record.rs
+++ b/crates/request-keys/src/record.rs
@@ -81,7 +81,7 @@
     /// What to record.
     pub record: KeyRecord,
     /// When the request has no time left to wait.
-    pub give_up: Instant,
+    pub deadline: Instant,
 }
 
 /// What became of a key.
--- a/crates/request-keys/src/recorder.rs
+++ b/crates/request-keys/src/recorder.rs
@@ -10,12 +10,15 @@
 use tokio::sync::oneshot;
 
 use crate::{
-    batcher::{BatchEnd, BatcherSettings, EntryId, KeyAction, KeyBatcher, ReadEnd, TurnEnd},
+    batcher::{
+        BatchOutcome, BatcherSettings, KeyAction, KeyBatcher, PendingKeyId, ReadOutcome,
+        TurnOutcome,
+    },
     KeyRecord, KeyRequest, KeyResult, RequestKey,
 };
 
 /// How often time limits are looked at while something waits.
-const TICK: Duration = Duration::from_millis(10);
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Records keys. Clones share one queue.
 #[derive(Clone)]
@@ -30,7 +33,7 @@
 
 struct State {
     batcher: KeyBatcher,
-    waiting: FastMap<EntryId, oneshot::Sender<KeyResult>>,
+    waiters: FastMap<PendingKeyId, oneshot::Sender<KeyResult>>,
     /// A turn that the batcher took. One whose batch turned out empty is kept for the next.
     turn: Option<WriteTurn>,
     ticking: bool,
@@ -44,7 +47,7 @@
                 client,
                 state: RefCell::new(State {
                     batcher: KeyBatcher::new(settings),
-                    waiting: FastMap::default(),
+                    waiters: FastMap::default(),
                     turn: None,
                     ticking: false,
                 }),
@@ -60,11 +63,11 @@
             let mut state = self.inner.state.borrow_mut();
             let now = self.inner.client.clock().now();
             let (id, actions) = state.batcher.submit(now, request);
-            state.waiting.insert(id, sender);
+            state.waiters.insert(id, sender);
             actions
         };
         self.run(actions);
-        self.keep_ticking();
+        self.ensure_ticking();
         // A sender is dropped only with the recorder itself, on shutdown.
         receiver.await.unwrap_or(KeyResult::Uncertain)
     }
@@ -79,8 +82,8 @@
             let recorder = self.clone();
             match action {
                 KeyAction::Answer(id, result) => self.answer(id, result),
-                KeyAction::TakeTurn => {
-                    actix_rt::spawn(async move { recorder.take_turn().await });
+                KeyAction::AcquireTurn => {
+                    actix_rt::spawn(async move { recorder.acquire_turn().await });
                 }
                 KeyAction::Commit(records) => {
                     actix_rt::spawn(async move { recorder.commit(records).await });
@@ -92,24 +95,24 @@
         }
     }
 
-    fn answer(&self, id: EntryId, result: KeyResult) {
-        let sender = self.inner.state.borrow_mut().waiting.remove(&id);
+    fn answer(&self, id: PendingKeyId, result: KeyResult) {
+        let sender = self.inner.state.borrow_mut().waiters.remove(&id);
         if let Some(sender) = sender {
             // The request may be gone; its record stays and names it.
             let _ = sender.send(result);
         }
     }
 
-    async fn take_turn(&self) {
-        let end = match self.next_turn().await {
+    async fn acquire_turn(&self) {
+        let outcome = match self.next_turn().await {
             Ok(turn) => {
                 self.inner.state.borrow_mut().turn = Some(turn);
-                TurnEnd::Taken
+                TurnOutcome::Acquired
             }
-            Err(CallFailure::OverRate { retry_after }) => TurnEnd::Refused(retry_after),
-            Err(_) => TurnEnd::Refused(TICK),
+            Err(CallFailure::OverRate { retry_after }) => TurnOutcome::Refused(retry_after),
+            Err(_) => TurnOutcome::Refused(TICK_INTERVAL),
         };
-        self.feed(|batcher, now| batcher.turn_ended(now, end));
+        self.advance(|batcher, now| batcher.turn_ended(now, outcome));
     }
 
     async fn next_turn(&self) -> Result<WriteTurn, CallFailure> {
@@ -137,54 +140,54 @@
             Ok(turn) => self.inner.client.commit_in(turn, writes).await,
             Err(failure) => Err(failure.into()),
         };
-        let end = match result {
-            Ok(_) => BatchEnd::Committed,
+        let outcome = match result {
+            Ok(_) => BatchOutcome::Committed,
             Err(CommitError::Conflict(conflicts)) => {
                 let taken = conflicts.iter().filter_map(|c| keys.remove(&c.key));
-                BatchEnd::Conflict(taken.collect())
+                BatchOutcome::Conflict(taken.collect())
             }
             Err(CommitError::NotSent(failure)) => {
                 log::warn!("request-keys: batch not sent: {failure}");
-                BatchEnd::NotSent
+                BatchOutcome::NotSent
             }
             Err(CommitError::Uncertain(failure)) => {
                 log::warn!("request-keys: batch in doubt: {failure}");
-                BatchEnd::Uncertain
+                BatchOutcome::Uncertain
             }
         };
-        self.feed(|batcher, now| batcher.batch_ended(now, end));
+        self.advance(|batcher, now| batcher.batch_ended(now, outcome));
     }
 
-    async fn read(&self, id: EntryId, key: RequestKey) {
+    async fn read(&self, id: PendingKeyId, key: RequestKey) {
         let store_key = StoreKey::of_request(&key.customer, &key.key);
         let row = self
             .inner
             .client
             .get_row(TableName::RequestKeys, &store_key);
-        let end = match row.await {
-            Ok(None) => ReadEnd::Absent,
+        let outcome = match row.await {
+            Ok(None) => ReadOutcome::Absent,
             Ok(Some(row)) => match serde_json::from_value(row.value) {
-                Ok(record) => ReadEnd::Found(record),
+                Ok(record) => ReadOutcome::Found(record),
                 Err(e) => {
                     log::error!("request-keys: row {store_key} cannot be read: {e}");
-                    ReadEnd::Failed
+                    ReadOutcome::Failed
                 }
             },
             Err(e) => {
                 log::warn!("request-keys: no read-back: {e}");
-                ReadEnd::Failed
+                ReadOutcome::Failed
             }
         };
-        self.feed(|batcher, now| batcher.read_ended(now, id, end));
+        self.advance(|batcher, now| batcher.read_ended(now, id, outcome));
     }
 
-    fn feed(&self, input: impl FnOnce(&mut KeyBatcher, std::time::Instant) -> Vec<KeyAction>) {
+    fn advance(&self, input: impl FnOnce(&mut KeyBatcher, std::time::Instant) -> Vec<KeyAction>) {
         let now = self.inner.client.clock().now();
         let actions = input(&mut self.inner.state.borrow_mut().batcher, now);
         self.run(actions);
     }
 
-    fn keep_ticking(&self) {
+    fn ensure_ticking(&self) {
         if std::mem::replace(&mut self.inner.state.borrow_mut().ticking, true) {
             return;
         }
@@ -194,8 +197,8 @@
 
     async fn tick_until_idle(&self) {
         loop {
-            actix_rt::time::sleep(TICK).await;
-            self.feed(KeyBatcher::tick);
+            actix_rt::time::sleep(TICK_INTERVAL).await;
+            self.advance(KeyBatcher::tick);
             let state = &mut *self.inner.state.borrow_mut();
             if state.batcher.is_idle() {
                 state.ticking = false;
--- a/crates/request-keys/tests/batcher.rs
+++ b/crates/request-keys/tests/batcher.rs
@@ -5,8 +5,8 @@
 use fastrand::Rng;
 use model::{FastMap, FastSet, IncarnationId};
 use request_keys::{
-    BatchEnd, BatcherSettings, BodyDigest, EntryId, KeyAction, KeyBatcher, KeyRecord, KeyRequest,
-    KeyResult, ReadEnd, RequestKey, TurnEnd,
+    BatchOutcome, BatcherSettings, BodyDigest, KeyAction, KeyBatcher, KeyRecord, KeyRequest,
+    KeyResult, PendingKeyId, ReadOutcome, RequestKey, TurnOutcome,
 };
 
 fn ms(n: u64) -> Duration {
@@ -28,25 +28,25 @@
     }
 }
 
-fn request(key_number: u64, serial: u64, give_up: Instant) -> KeyRequest {
+fn request(key_number: u64, serial: u64, deadline: Instant) -> KeyRequest {
     KeyRequest {
         key: key(key_number),
         record: record(1, serial),
-        give_up,
+        deadline,
     }
 }
 
 /// Something that a batcher hears later.
 enum Event {
     Turn(usize),
-    Land(Vec<(RequestKey, KeyRecord)>),
-    Batch(usize, Vec<(RequestKey, KeyRecord)>, BatchFate),
-    Read(usize, EntryId, RequestKey, bool),
+    LateCommit(Vec<(RequestKey, KeyRecord)>),
+    Batch(usize, Vec<(RequestKey, KeyRecord)>, SimulatedCommit),
+    Read(usize, PendingKeyId, RequestKey, bool),
 }
 
 /// What happens to a batch.
 #[derive(Clone, Copy)]
-enum BatchFate {
+enum SimulatedCommit {
     Answered,
     AnswerLost,
     RequestLost,
@@ -61,7 +61,7 @@
     batchers: [KeyBatcher; 2],
     events: Vec<(Instant, Event)>,
     rows: FastMap<RequestKey, KeyRecord>,
-    requests: FastMap<(usize, EntryId), KeyRequest>,
+    requests: FastMap<(usize, PendingKeyId), KeyRequest>,
     results: Vec<(KeyRequest, KeyResult)>,
     fault_percent: u32,
 }
@@ -72,7 +72,7 @@
         let settings = BatcherSettings {
             max_batch: rng.usize(1..6),
             max_queue: 30,
-            longest_wait: ms(400),
+            max_wait: ms(400),
             ..BatcherSettings::default()
         };
         Self {
@@ -96,11 +96,11 @@
                 self.submit(serial);
             }
             for event in self.due_events() {
-                self.happen(event);
+                self.handle_event(event);
             }
-            for who in 0..2 {
-                let actions = self.batchers[who].tick(self.now);
-                self.perform(who, actions);
+            for batcher in 0..2 {
+                let actions = self.batchers[batcher].tick(self.now);
+                self.perform(batcher, actions);
             }
         }
         assert!(self.events.is_empty() && self.requests.is_empty());
@@ -108,15 +108,15 @@
     }
 
     fn submit(&mut self, serial: u64) {
-        let who = self.rng.usize(0..2);
+        let batcher = self.rng.usize(0..2);
         let request = KeyRequest {
             key: key(self.rng.u64(0..25)),
-            record: record(who as u64, serial),
-            give_up: self.now + ms(self.rng.u64(1..500)),
+            record: record(batcher as u64, serial),
+            deadline: self.now + ms(self.rng.u64(1..500)),
         };
-        let (id, actions) = self.batchers[who].submit(self.now, request.clone());
-        self.requests.insert((who, id), request);
-        self.perform(who, actions);
+        let (id, actions) = self.batchers[batcher].submit(self.now, request.clone());
+        self.requests.insert((batcher, id), request);
+        self.perform(batcher, actions);
     }
 
     fn due_events(&mut self) -> Vec<Event> {
@@ -130,94 +130,98 @@
         due
     }
 
-    fn later(&mut self, delay: u64, event: Event) {
+    fn schedule(&mut self, delay: u64, event: Event) {
         self.events.push((self.now + ms(delay), event));
     }
 
-    fn faulty(&mut self) -> bool {
+    fn draw_fault(&mut self) -> bool {
         self.rng.u32(0..100) < self.fault_percent
     }
 
-    fn perform(&mut self, who: usize, actions: Vec<KeyAction>) {
+    fn perform(&mut self, batcher: usize, actions: Vec<KeyAction>) {
         for action in actions {
             match action {
-                KeyAction::TakeTurn => self.later(1, Event::Turn(who)),
+                KeyAction::AcquireTurn => self.schedule(1, Event::Turn(batcher)),
                 KeyAction::Commit(records) => {
-                    let fate = self.fate();
-                    self.later(4, Event::Batch(who, records, fate));
+                    let simulated = self.draw_commit();
+                    self.schedule(4, Event::Batch(batcher, records, simulated));
                 }
                 KeyAction::Read(id, key) => {
-                    let failed = self.faulty();
-                    self.later(1, Event::Read(who, id, key, failed));
+                    let failed = self.draw_fault();
+                    self.schedule(1, Event::Read(batcher, id, key, failed));
                 }
                 KeyAction::Answer(id, result) => {
-                    let request = self.requests.remove(&(who, id)).expect("answered once");
+                    let request = self.requests.remove(&(batcher, id)).expect("answered once");
                     self.results.push((request, result));
                 }
             }
         }
     }
 
-    fn fate(&mut self) -> BatchFate {
-        if !self.faulty() {
-            return BatchFate::Answered;
+    fn draw_commit(&mut self) -> SimulatedCommit {
+        if !self.draw_fault() {
+            return SimulatedCommit::Answered;
         }
         match self.rng.u8(0..4) {
-            0 => BatchFate::AnswerLost,
-            1 => BatchFate::RequestLost,
-            2 => BatchFate::LandsLater(self.rng.u64(1..300)),
-            _ => BatchFate::NotSent,
+            0 => SimulatedCommit::AnswerLost,
+            1 => SimulatedCommit::RequestLost,
+            2 => SimulatedCommit::LandsLater(self.rng.u64(1..300)),
+            _ => SimulatedCommit::NotSent,
         }
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let now = self.now;
-        let (who, actions) = match event {
-            Event::Land(records) => {
+        let (batcher, actions) = match event {
+            Event::LateCommit(records) => {
                 self.insert(&records);
                 return;
             }
-            Event::Turn(who) => {
-                let end = match self.faulty() {
-                    true => TurnEnd::Refused(ms(9)),
-                    false => TurnEnd::Taken,
+            Event::Turn(batcher) => {
+                let outcome = match self.draw_fault() {
+                    true => TurnOutcome::Refused(ms(9)),
+                    false => TurnOutcome::Acquired,
                 };
-                (who, self.batchers[who].turn_ended(now, end))
+                (batcher, self.batchers[batcher].turn_ended(now, outcome))
             }
-            Event::Batch(who, records, fate) => {
-                let end = self.batch_end(records, fate);
-                (who, self.batchers[who].batch_ended(now, end))
+            Event::Batch(batcher, records, simulated) => {
+                let outcome = self.commit_outcome(records, simulated);
+                (batcher, self.batchers[batcher].batch_ended(now, outcome))
             }
-            Event::Read(who, id, key, failed) => {
-                let end = match self.rows.get(&key) {
-                    _ if failed => ReadEnd::Failed,
-                    Some(record) => ReadEnd::Found(*record),
-                    None => ReadEnd::Absent,
+            Event::Read(batcher, id, key, failed) => {
+                let outcome = match self.rows.get(&key) {
+                    _ if failed => ReadOutcome::Failed,
+                    Some(record) => ReadOutcome::Found(*record),
+                    None => ReadOutcome::Absent,
                 };
-                (who, self.batchers[who].read_ended(now, id, end))
+                (batcher, self.batchers[batcher].read_ended(now, id, outcome))
             }
         };
-        self.perform(who, actions);
+        self.perform(batcher, actions);
     }
 
-    fn batch_end(&mut self, records: Vec<(RequestKey, KeyRecord)>, fate: BatchFate) -> BatchEnd {
-        match fate {
-            BatchFate::Answered => self.insert(&records),
-            BatchFate::AnswerLost => {
+    fn commit_outcome(
+        &mut self,
+        records: Vec<(RequestKey, KeyRecord)>,
+        simulated: SimulatedCommit,
+    ) -> BatchOutcome {
+        match simulated {
+            SimulatedCommit::Answered => self.insert(&records),
+            SimulatedCommit::AnswerLost => {
                 self.insert(&records);
-                BatchEnd::Uncertain
+                BatchOutcome::Uncertain
             }
-            BatchFate::RequestLost => BatchEnd::Uncertain,
-            BatchFate::LandsLater(delay) => {
-                self.later(delay, Event::Land(records));
-                BatchEnd::Uncertain
+            SimulatedCommit::RequestLost => BatchOutcome::Uncertain,
+            SimulatedCommit::LandsLater(delay) => {
+                self.schedule(delay, Event::LateCommit(records));
+                BatchOutcome::Uncertain
             }
-            BatchFate::NotSent => BatchEnd::NotSent,
+            SimulatedCommit::NotSent => BatchOutcome::NotSent,
         }
     }
 
     /// All or nothing, like the platform's transaction.
-    fn insert(&mut self, records: &[(RequestKey, KeyRecord)]) -> BatchEnd {
+    fn insert(&mut self, records: &[(RequestKey, KeyRecord)]) -> BatchOutcome {
         let keys: FastSet<_> = records.iter().map(|(key, _)| key).collect();
         assert_eq!(keys.len(), records.len(), "a key twice in one batch");
         let mut taken = Vec::new();
@@ -227,19 +231,19 @@
             }
         }
         if !taken.is_empty() {
-            return BatchEnd::Conflict(taken);
+            return BatchOutcome::Conflict(taken);
         }
         self.rows.extend(records.iter().cloned());
-        BatchEnd::Committed
+        BatchOutcome::Committed
     }
 }
 
 #[test]
-fn no_key_starts_twice_and_every_answer_is_true_under_seeded_faults() {
+fn no_key_is_recorded_twice_and_every_result_matches_the_store_under_seeded_faults() {
     // Two entries take requests with the same few keys while the store loses requests and answers, lets writes land
     // late and refuses connections. Each caller hears once. "Recorded" has the request start, so it may be said to
     // one request a key; "not recorded" tells the caller that nothing started, so its record may never appear.
-    let mut kinds = [0; 4];
+    let mut counts = [0; 4];
     for seed in 0..400 {
         let mut simulation = Simulation::new(seed);
         simulation.run();
@@ -264,42 +268,42 @@
                 }
                 KeyResult::Uncertain => 3,
             };
-            kinds[kind] += 1;
+            counts[kind] += 1;
         }
     }
-    println!("recorded, exists, not recorded, uncertain: {kinds:?}");
-    assert!(kinds.iter().all(|count| *count > 100), "{kinds:?}");
+    println!("recorded, exists, not recorded, uncertain: {counts:?}");
+    assert!(counts.iter().all(|count| *count > 100), "{counts:?}");
 }
 
 /// A batcher with keys 1, 2 and 3 in flight, and their ids.
-fn three_in_flight(now: Instant) -> (KeyBatcher, Vec<EntryId>) {
+fn three_in_flight(now: Instant) -> (KeyBatcher, Vec<PendingKeyId>) {
     let mut batcher = KeyBatcher::new(BatcherSettings::default());
     let mut ids = Vec::new();
     for n in 1..=3 {
         ids.push(batcher.submit(now, request(n, n, now + ms(300))).0);
     }
-    let actions = batcher.turn_ended(now, TurnEnd::Taken);
+    let actions = batcher.turn_ended(now, TurnOutcome::Acquired);
     assert!(matches!(&actions[..], [KeyAction::Commit(records)] if records.len() == 3));
     (batcher, ids)
 }
 
 #[test]
-fn a_taken_key_leaves_the_batch_and_the_rest_goes_at_once() {
+fn a_conflicting_key_leaves_the_batch_and_the_rest_is_retried_at_once() {
     let now = Instant::now();
     let (mut batcher, ids) = three_in_flight(now);
-    let actions = batcher.batch_ended(now, BatchEnd::Conflict(vec![key(2)]));
-    let expected = [KeyAction::Read(ids[1], key(2)), KeyAction::TakeTurn];
+    let actions = batcher.batch_ended(now, BatchOutcome::Conflict(vec![key(2)]));
+    let expected = [KeyAction::Read(ids[1], key(2)), KeyAction::AcquireTurn];
     assert_eq!(actions, expected);
     let rest = vec![(key(1), record(1, 1)), (key(3), record(1, 3))];
-    let actions = batcher.turn_ended(now, TurnEnd::Taken);
+    let actions = batcher.turn_ended(now, TurnOutcome::Acquired);
     assert_eq!(actions, [KeyAction::Commit(rest)]);
     let other = record(9, 9);
-    let actions = batcher.read_ended(now, ids[1], ReadEnd::Found(other));
+    let actions = batcher.read_ended(now, ids[1], ReadOutcome::Found(other));
     assert_eq!(
         actions,
         [KeyAction::Answer(ids[1], KeyResult::Exists(other))]
     );
-    let actions = batcher.batch_ended(now, BatchEnd::Committed);
+    let actions = batcher.batch_ended(now, BatchOutcome::Committed);
     let expected = [ids[0], ids[2]].map(|id| KeyAction::Answer(id, KeyResult::Recorded));
     assert_eq!(actions, expected);
     assert!(batcher.is_idle());
@@ -314,52 +318,54 @@
     let (mut batcher, ids) = three_in_flight(now);
     let (fourth, actions) = batcher.submit(now, request(4, 4, now + ms(300)));
     assert_eq!(actions, []);
-    let actions = batcher.batch_ended(now, BatchEnd::Uncertain);
+    let actions = batcher.batch_ended(now, BatchOutcome::Uncertain);
     assert_eq!(actions, [KeyAction::Read(ids[0], key(1))]);
-    let actions = batcher.read_ended(now, ids[0], ReadEnd::Absent);
-    assert_eq!(actions, [KeyAction::TakeTurn]);
-    let again = batcher.turn_ended(now, TurnEnd::Taken);
+    let actions = batcher.read_ended(now, ids[0], ReadOutcome::Absent);
+    assert_eq!(actions, [KeyAction::AcquireTurn]);
+    let again = batcher.turn_ended(now, TurnOutcome::Acquired);
     assert!(matches!(&again[..], [KeyAction::Commit(records)] if records.len() == 3));
-    batcher.batch_ended(now, BatchEnd::Uncertain);
-    let actions = batcher.read_ended(now, ids[0], ReadEnd::Found(record(1, 1)));
+    batcher.batch_ended(now, BatchOutcome::Uncertain);
+    let actions = batcher.read_ended(now, ids[0], ReadOutcome::Found(record(1, 1)));
     let mut expected: Vec<_> = ids
         .iter()
         .map(|id| KeyAction::Answer(*id, KeyResult::Recorded))
         .collect();
-    expected.push(KeyAction::TakeTurn);
+    expected.push(KeyAction::AcquireTurn);
     assert_eq!(actions, expected);
-    let next = batcher.turn_ended(now, TurnEnd::Taken);
+    let next = batcher.turn_ended(now, TurnOutcome::Acquired);
     assert_eq!(next, [KeyAction::Commit(vec![(key(4), record(1, 4))])]);
-    let actions = batcher.batch_ended(now, BatchEnd::Committed);
+    let actions = batcher.batch_ended(now, BatchOutcome::Committed);
     assert_eq!(actions, [KeyAction::Answer(fourth, KeyResult::Recorded)]);
 }
 
 #[test]
-fn an_outage_costs_one_call_a_pause_and_every_wait_ends() {
+fn an_outage_costs_one_call_per_backoff_and_every_request_is_answered() {
     // The store refuses connections for ten seconds while a key comes every 10 ms. Each caller hears "not recorded"
     // within its own time, with when to come back, and the store sees a call only once a pause; a call for each key
     // would make its return the worst moment of the day.
     let start = Instant::now();
     let mut batcher = KeyBatcher::new(BatcherSettings::default());
-    let mut give_ups = FastMap::default();
+    let mut deadlines = FastMap::default();
     let (mut calls, mut answers) = (0, 0);
     for step in 0..1_000 {
         let now = start + ms(step * 10);
         let mut actions = batcher.tick(now);
         let (id, more) = batcher.submit(now, request(step, step, now + ms(300)));
-        give_ups.insert(id, now + ms(300));
+        deadlines.insert(id, now + ms(300));
         actions.extend(more);
         while let Some(action) = actions.pop() {
             match action {
-                KeyAction::TakeTurn => actions.extend(batcher.turn_ended(now, TurnEnd::Taken)),
+                KeyAction::AcquireTurn => {
+                    actions.extend(batcher.turn_ended(now, TurnOutcome::Acquired))
+                }
                 KeyAction::Commit(_) => {
                     calls += 1;
-                    actions.extend(batcher.batch_ended(now, BatchEnd::NotSent));
+                    actions.extend(batcher.batch_ended(now, BatchOutcome::NotSent));
                 }
                 KeyAction::Answer(id, KeyResult::NotRecorded { retry_after }) => {
                     answers += 1;
-                    assert!(retry_after >= BatcherSettings::default().least_retry_after);
-                    assert!(now <= give_ups[&id] + ms(10));
+                    assert!(retry_after >= BatcherSettings::default().min_retry_after);
+                    assert!(now <= deadlines[&id] + ms(10));
                 }
                 other => panic!("{other:?}"),
             }
@@ -382,7 +388,7 @@
         batcher.submit(now, request(n, n, now + ms(300)));
     }
     let (id, actions) = batcher.submit(now, request(2, 2, now + ms(300)));
-    let retry_after = settings.least_retry_after;
+    let retry_after = settings.min_retry_after;
     let refused = KeyAction::Answer(id, KeyResult::NotRecorded { retry_after });
     assert_eq!(actions, [refused]);
     assert_eq!(batcher.queue_len(), 2);
--- a/crates/request-keys/tests/offered/mod.rs
+++ b/crates/request-keys/tests/offered/mod.rs
@@ -40,6 +40,6 @@
             serial,
             body_digest: BodyDigest(7),
         },
-        give_up: Instant::now() + Duration::from_secs(20),
+        deadline: Instant::now() + Duration::from_secs(20),
     }
 }
--- a/crates/request-keys/tests/recorder.rs
+++ b/crates/request-keys/tests/recorder.rs
@@ -22,7 +22,7 @@
 
 use crate::offered::offer_evenly;
 
-const FAST: u32 = 100_000;
+const UNLIMITED_RATE: u32 = 100_000;
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
@@ -37,13 +37,13 @@
         address: stand_in.address(),
         timeout: ms(300),
         longest_turn_wait: Duration::from_secs(10),
-        read_rate: CallRate::per_second(FAST),
+        read_rate: CallRate::per_second(UNLIMITED_RATE),
         write_rate: CallRate::per_second(write_rate),
         ..ClientSettings::default()
     };
     let batching = BatcherSettings {
         max_batch,
-        longest_wait: Duration::from_secs(30),
+        max_wait: Duration::from_secs(30),
         ..BatcherSettings::default()
     };
     let client = PlatformClient::new(settings, Arc::new(SystemClock));
@@ -65,7 +65,7 @@
             key: key.parse().unwrap(),
         },
         record,
-        give_up: Instant::now() + time_left,
+        deadline: Instant::now() + time_left,
     }
 }
 
@@ -80,14 +80,14 @@
     join_all(calls).await
 }
 
-fn names(keys: std::ops::Range<u64>) -> Vec<String> {
+fn numbered_keys(keys: std::ops::Range<u64>) -> Vec<String> {
     keys.map(|n| format!("k{n}")).collect()
 }
 
 #[actix_rt::test]
-async fn a_record_is_in_the_store_before_its_request_hears_so() {
+async fn a_record_is_stored_before_its_request_gets_recorded() {
     let stand_in = stand_in();
-    let recorder = recorder(&stand_in, FAST, 500);
+    let recorder = recorder(&stand_in, UNLIMITED_RATE, 500);
     let own = record(1, 5);
     let result = recorder.record(request("hold-7", own, ms(1000))).await;
     assert_eq!(result, KeyResult::Recorded);
@@ -114,9 +114,9 @@
     ];
     for (name, faults) in cases {
         let stand_in = stand_in();
-        let recorder = recorder(&stand_in, FAST, 500);
+        let recorder = recorder(&stand_in, UNLIMITED_RATE, 500);
         stand_in.set_faults(faults);
-        let results = record_all(&recorder, 1, &names(0..40)).await;
+        let results = record_all(&recorder, 1, &numbered_keys(0..40)).await;
         assert!(
             results.iter().all(|r| *r == KeyResult::Recorded),
             "{name}: {results:?}"
@@ -133,16 +133,16 @@
 }
 
 #[actix_rt::test]
-async fn a_taken_key_in_a_batch_does_not_fail_the_others() {
+async fn a_conflicting_key_in_a_batch_does_not_fail_the_others() {
     // Fifty keys go in one batch and three were used before. Those three requests hear who has their key; the other
     // 47 are recorded as if the three had not been there.
     let stand_in = stand_in();
-    let earlier = recorder(&stand_in, FAST, 500);
+    let earlier = recorder(&stand_in, UNLIMITED_RATE, 500);
     let taken = ["k3".to_owned(), "k20".to_owned(), "k49".to_owned()];
     record_all(&earlier, 9, &taken).await;
 
-    let recorder = recorder(&stand_in, FAST, 500);
-    let results = record_all(&recorder, 1, &names(0..50)).await;
+    let recorder = recorder(&stand_in, UNLIMITED_RATE, 500);
+    let results = record_all(&recorder, 1, &numbered_keys(0..50)).await;
     for (n, result) in results.iter().enumerate() {
         let expected = match n {
             3 => KeyResult::Exists(record(9, 0)),
@@ -158,30 +158,30 @@
 }
 
 #[actix_rt::test]
-async fn of_arrivals_of_one_key_one_is_recorded() {
+async fn only_one_of_several_requests_with_one_key_is_recorded() {
     // A caller resends a hold at once, to the same entry and to another, with answers lost in between. One arrival
     // hears "recorded" and starts; each other hears of that one's record. Two "recorded" would be a doubled booking.
     for seed in 0..5 {
         let stand_in = stand_in();
         let recorders = [
-            recorder(&stand_in, FAST, 500),
-            recorder(&stand_in, FAST, 500),
+            recorder(&stand_in, UNLIMITED_RATE, 500),
+            recorder(&stand_in, UNLIMITED_RATE, 500),
         ];
         stand_in.set_faults(FaultSettings::losing_part(0.4, seed));
         let calls = (0..12).map(|serial| {
-            let who = serial % 2;
-            let own = record(who, serial);
-            let recorder = recorders[usize::from(who == 1)].clone();
+            let incarnation = serial % 2;
+            let own = record(incarnation, serial);
+            let recorder = recorders[usize::from(incarnation == 1)].clone();
             async move { (own, recorder.record(request("hold", own, ms(10_000))).await) }
         });
-        let ends = join_all(calls).await;
-        let winners: Vec<_> = ends
+        let results = join_all(calls).await;
+        let winners: Vec<_> = results
             .iter()
             .filter(|(_, r)| *r == KeyResult::Recorded)
             .collect();
-        assert_eq!(winners.len(), 1, "seed {seed}: {ends:?}");
+        assert_eq!(winners.len(), 1, "seed {seed}: {results:?}");
         let winner = winners[0].0;
-        for (own, result) in &ends {
+        for (own, result) in &results {
             if *own != winner {
                 assert_eq!(*result, KeyResult::Exists(winner), "seed {seed}");
             }
@@ -190,11 +190,11 @@
 }
 
 #[actix_rt::test]
-async fn a_store_that_is_down_refuses_in_time_and_takes_keys_when_it_is_back() {
+async fn keys_are_refused_in_time_during_an_outage_and_recorded_after_it() {
     // The store refuses connections, or answers 503. A request with 200 ms left hears in time that it may not start
     // and, where nothing was sent, that nothing was recorded. When the store is back the next key is recorded.
     let stand_in = stand_in();
-    let recorder = recorder(&stand_in, FAST, 500);
+    let recorder = recorder(&stand_in, UNLIMITED_RATE, 500);
     stand_in.stop().await;
     let start = Instant::now();
     let result = recorder.record(request("a", record(1, 1), ms(200))).await;
@@ -205,8 +205,8 @@
     assert!(start.elapsed() < ms(400), "{:?}", start.elapsed());
 
     let stand_in = stand_in.start_again().unwrap();
-    let up_again = recorder.record(request("up", record(1, 2), ms(3000))).await;
-    assert_eq!(up_again, KeyResult::Recorded);
+    let after_restart = recorder.record(request("up", record(1, 2), ms(3000))).await;
+    assert_eq!(after_restart, KeyResult::Recorded);
     stand_in.set_faults(FaultSettings::down(DownMode::Unavailable));
     let first = recorder.record(request("b", record(1, 3), ms(600)));
     let second = async {
@@ -230,22 +230,22 @@
 }
 
 #[actix_rt::test]
-async fn a_record_that_lands_after_its_request_gave_up_names_that_request() {
+async fn a_record_written_after_its_request_timed_out_names_that_request() {
     // A request gives up while its record is in doubt and hears "uncertain", so it does not start. The record lands
     // afterwards. A retry hears of it, and the incarnation that it names knows that nothing ran.
     let stand_in = stand_in();
-    let recorder = recorder(&stand_in, FAST, 500);
+    let recorder = recorder(&stand_in, UNLIMITED_RATE, 500);
     stand_in.set_faults(FaultSettings::losing(1, LossTime::LandsLater(300)));
     let own = record(1, 1);
     let call = recorder.record(request("late", own, ms(60)));
-    let cut_off = async {
+    let cut_connections = async {
         // After the write left, nothing more gets through until the request has given up.
         while stand_in.faults().answer_loss.next > 0 {
             actix_rt::time::sleep(ms(1)).await;
         }
         stand_in.set_faults(FaultSettings::down(DownMode::Closed));
     };
-    let (result, ()) = futures::future::join(call, cut_off).await;
+    let (result, ()) = futures::future::join(call, cut_connections).await;
     assert_ne!(result, KeyResult::Recorded);
     stand_in.set_faults(FaultSettings::default());
     while stand_in.row("request-keys", "trust/late").is_none() {
@@ -258,7 +258,7 @@
 }
 
 #[actix_rt::test]
-async fn a_row_that_cannot_be_read_starts_nothing() {
+async fn an_unreadable_row_gives_an_uncertain_result() {
     // The key's row holds something else than a record. The request hears that it may not start, within its time.
     let stand_in = stand_in();
     let row = WriteRequest {
@@ -268,7 +268,7 @@
         value: json!({"serial": "x"}),
     };
     stand_in.write_now(vec![row]).unwrap();
-    let recorder = recorder(&stand_in, FAST, 500);
+    let recorder = recorder(&stand_in, UNLIMITED_RATE, 500);
     let result = recorder.record(request("odd", record(1, 1), ms(200))).await;
     assert_eq!(result, KeyResult::Uncertain);
 }
@@ -278,8 +278,8 @@
     // A morning rush brings a thousand keyed requests within a moment, or within a second at a process that may write
     // 30 times a second. At one write a key the last would wait for seconds; in batches all go in a few transactions.
     let cases = [
-        (FAST, 500, 1_000_000, 1_000, 1..=8),
-        (FAST, 1, 1_000_000, 200, 200..=200),
+        (UNLIMITED_RATE, 500, 1_000_000, 1_000, 1..=8),
+        (UNLIMITED_RATE, 1, 1_000_000, 200, 200..=200),
         (30, 500, 1_000, 1_000, 2..=50),
     ];
     for (write_rate, max_batch, per_second, keys, expected) in cases {
