--- a/crates/dispatcher/src/control.rs
+++ b/crates/dispatcher/src/control.rs
@@ -32,12 +32,12 @@
 
 use crate::{
     entry_directory::EntryDirectory,
-    traffic::{EndpointTraffic, RunTask, TaskRan},
+    traffic::{EndpointTraffic, RunTask, TaskEnded},
 };
 
 pub(crate) use messages::{
-    BeatTaken, ContractsAsked, GrantsAsked, HandoverTaken, OffersMade, PingTaken, SessionEnded,
-    SessionOpened, StopBegun, StopState, VmsAsked, WithdrawalsMade,
+    ContractRequest, GrantRequest, HandoverRequest, HeartbeatRequest, OfferRequest, PingRequest,
+    SessionClosed, SessionRequest, StopQuery, StopRequest, VmListRequest, WithdrawalRequest,
 };
 
 /// The time between two looks at what has become due. It bounds how late a slot goes on after an ask stayed
@@ -293,27 +293,28 @@
     }
 }
 
-impl Handler<TaskRan> for DispatcherControl {
+impl Handler<TaskEnded> for DispatcherControl {
     type Result = ();
 
-    fn handle(&mut self, ran: TaskRan, ctx: &mut Context<Self>) {
-        self.ledger.on_ran(self.clock.now(), ran.attempt, ran.end);
+    fn handle(&mut self, ended: TaskEnded, ctx: &mut Context<Self>) {
+        self.ledger
+            .on_ran(self.clock.now(), ended.attempt, ended.end);
         self.flush(ctx);
     }
 }
 
-impl Handler<StopBegun> for DispatcherControl {
+impl Handler<StopRequest> for DispatcherControl {
     type Result = ();
 
-    fn handle(&mut self, _: StopBegun, ctx: &mut Context<Self>) {
+    fn handle(&mut self, _: StopRequest, ctx: &mut Context<Self>) {
         self.begin_stop(ctx);
     }
 }
 
-impl Handler<StopState> for DispatcherControl {
+impl Handler<StopQuery> for DispatcherControl {
     type Result = usize;
 
-    fn handle(&mut self, _: StopState, ctx: &mut Context<Self>) -> usize {
+    fn handle(&mut self, _: StopQuery, ctx: &mut Context<Self>) -> usize {
         if self.ledger.is_drained() {
             // The new owners' slots need not wait for the deadlines of what has ended.
             self.tick_handovers(ctx);
--- a/crates/dispatcher/src/control/contracts.rs
+++ b/crates/dispatcher/src/control/contracts.rs
@@ -7,7 +7,7 @@
 use membership::rendezvous;
 use peer::ContractNews;
 
-use super::{ContractsAsked, DispatcherControl, PeerSlot};
+use super::{ContractRequest, DispatcherControl, PeerSlot};
 
 /// What the reader of a data centre is chosen by, as endpoints choose owners.
 const READER_KEY: &str = "contract-reader";
@@ -92,12 +92,12 @@
     }
 }
 
-impl Handler<ContractsAsked> for DispatcherControl {
+impl Handler<ContractRequest> for DispatcherControl {
     type Result = ();
 
-    fn handle(&mut self, asked: ContractsAsked, _: &mut Context<Self>) {
-        let update = self.view.newer_than(asked.since);
-        let _gone = asked.reply.send(Ok(ContractNews {
+    fn handle(&mut self, request: ContractRequest, _: &mut Context<Self>) {
+        let update = self.view.newer_than(request.since);
+        let _gone = request.reply.send(Ok(ContractNews {
             loaded: self.view.is_ready(),
             update,
         }));
--- a/crates/dispatcher/src/control/grants.rs
+++ b/crates/dispatcher/src/control/grants.rs
@@ -5,7 +5,7 @@
 use actix::{Context, Handler};
 use model::{CustomerId, DataCentreId, EndpointState, VmEntry, VmRole};
 
-use super::{DispatcherControl, GrantsAsked};
+use super::{DispatcherControl, GrantRequest};
 
 impl DispatcherControl {
     /// Takes the members and the VM list as they are now. Nothing is told or granted before the list has been read:
@@ -44,15 +44,15 @@
     }
 }
 
-impl Handler<GrantsAsked> for DispatcherControl {
+impl Handler<GrantRequest> for DispatcherControl {
     type Result = ();
 
-    fn handle(&mut self, asked: GrantsAsked, _: &mut Context<Self>) {
+    fn handle(&mut self, request: GrantRequest, _: &mut Context<Self>) {
         let reply = match self.centre.revision {
             0 => None,
-            _ => self.grants.on_ask(self.clock.now(), &asked.batch),
+            _ => self.grants.on_ask(self.clock.now(), &request.batch),
         };
-        let _gone = asked.reply.send(Ok(reply));
+        let _gone = request.reply.send(Ok(reply));
     }
 }
 
--- a/crates/dispatcher/src/control/handover.rs
+++ b/crates/dispatcher/src/control/handover.rs
@@ -6,7 +6,7 @@
 use membership::{HandoverCount, HandoverReport};
 use model::FastMap;
 
-use super::{DispatcherControl, HandoverTaken, PeerSlot};
+use super::{DispatcherControl, HandoverRequest, PeerSlot};
 
 impl DispatcherControl {
     /// Reports what this dispatcher still runs at endpoints of others, and lets the slots that others reported go
@@ -83,13 +83,13 @@
     }
 }
 
-impl Handler<HandoverTaken> for DispatcherControl {
+impl Handler<HandoverRequest> for DispatcherControl {
     type Result = ();
 
-    fn handle(&mut self, taken: HandoverTaken, ctx: &mut Context<Self>) {
-        self.handovers.on_report(self.clock.now(), taken.report);
+    fn handle(&mut self, request: HandoverRequest, ctx: &mut Context<Self>) {
+        self.handovers.on_report(self.clock.now(), request.report);
         self.count_outside();
-        let _gone = taken.reply.send(Ok(()));
+        let _gone = request.reply.send(Ok(()));
         self.flush(ctx);
     }
 }
--- a/crates/dispatcher/src/control/membership.rs
+++ b/crates/dispatcher/src/control/membership.rs
@@ -8,7 +8,7 @@
 use peer::{PeerError, PingReply};
 use telemetry::CounterKind;
 
-use super::{BeatTaken, DispatcherControl, PeerSlot, PingTaken, VmsAsked};
+use super::{DispatcherControl, HeartbeatRequest, PeerSlot, PingRequest, VmListRequest};
 
 impl DispatcherControl {
     pub(super) fn tick_members(&mut self, ctx: &mut Context<Self>) {
@@ -186,44 +186,44 @@
     }
 }
 
-impl Handler<BeatTaken> for DispatcherControl {
+impl Handler<HeartbeatRequest> for DispatcherControl {
     type Result = ();
 
-    fn handle(&mut self, taken: BeatTaken, ctx: &mut Context<Self>) {
-        let (address, head) = (taken.message.view.address, taken.message.view.head);
-        let reply = self.members.on_beat(self.clock.now(), taken.message);
+    fn handle(&mut self, request: HeartbeatRequest, ctx: &mut Context<Self>) {
+        let (address, head) = (request.message.view.address, request.message.view.head);
+        let reply = self.members.on_beat(self.clock.now(), request.message);
         self.hear_head(ctx, address, head);
-        let _gone = taken.reply.send(Ok(reply));
+        let _gone = request.reply.send(Ok(reply));
         self.tick_members(ctx);
         self.flush(ctx);
     }
 }
 
-impl Handler<VmsAsked> for DispatcherControl {
+impl Handler<VmListRequest> for DispatcherControl {
     type Result = ();
 
-    fn handle(&mut self, asked: VmsAsked, _: &mut Context<Self>) {
-        let _gone = asked.reply.send(Ok(self.vms.clone()));
+    fn handle(&mut self, request: VmListRequest, _: &mut Context<Self>) {
+        let _gone = request.reply.send(Ok(self.vms.clone()));
     }
 }
 
-impl Handler<PingTaken> for DispatcherControl {
+impl Handler<PingRequest> for DispatcherControl {
     type Result = ();
 
-    fn handle(&mut self, taken: PingTaken, _: &mut Context<Self>) {
+    fn handle(&mut self, request: PingRequest, _: &mut Context<Self>) {
         let now = self.clock.now();
-        let open = taken
+        let open = request
             .session
             .is_none_or(|(entry, session)| self.ledger.hear(now, entry, session));
         let answer = match open {
             true => Ok(PingReply {
                 view: self.members.beat_message().view,
                 slots: self.ledger.slots(),
-                centre: (self.centre.revision != taken.revision).then(|| self.centre.clone()),
+                centre: (self.centre.revision != request.revision).then(|| self.centre.clone()),
             }),
             // The entry opens another one, and learns what became of its attempts.
             false => Err(PeerError::Failed("the session is over".to_owned())),
         };
-        let _gone = taken.reply.send(answer);
+        let _gone = request.reply.send(answer);
     }
 }
--- a/crates/dispatcher/src/control/messages.rs
+++ b/crates/dispatcher/src/control/messages.rs
@@ -17,7 +17,7 @@
 /// An entry opens a session.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct SessionOpened {
+pub(crate) struct SessionRequest {
     pub(crate) entry: IncarnationId,
     pub(crate) session: SessionId,
     pub(crate) reply: ReplyTo<(IncarnationId, SlotCounts)>,
@@ -26,7 +26,7 @@
 /// The connection of a session broke.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct SessionEnded {
+pub(crate) struct SessionClosed {
     pub(crate) entry: IncarnationId,
     pub(crate) session: SessionId,
 }
@@ -34,7 +34,7 @@
 /// An entry offers tasks.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct OffersMade {
+pub(crate) struct OfferRequest {
     pub(crate) entry: IncarnationId,
     pub(crate) session: SessionId,
     pub(crate) batch: u64,
@@ -45,7 +45,7 @@
 /// An entry takes attempts back.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct WithdrawalsMade {
+pub(crate) struct WithdrawalRequest {
     pub(crate) entry: IncarnationId,
     pub(crate) session: SessionId,
     pub(crate) after_batch: u64,
@@ -56,7 +56,7 @@
 /// A heartbeat of another dispatcher.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct BeatTaken {
+pub(crate) struct HeartbeatRequest {
     pub(crate) message: BeatMessage,
     pub(crate) reply: ReplyTo<BeatReply>,
 }
@@ -64,7 +64,7 @@
 /// An entry asks whether this dispatcher is alive.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct PingTaken {
+pub(crate) struct PingRequest {
     pub(crate) session: Option<(IncarnationId, SessionId)>,
     /// The revision of the view of the data centre that the entry has.
     pub(crate) revision: u64,
@@ -74,7 +74,7 @@
 /// An entry asks for parts of customers' shares.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct GrantsAsked {
+pub(crate) struct GrantRequest {
     pub(crate) batch: AskBatch,
     pub(crate) reply: ReplyTo<Option<ReplyBatch>>,
 }
@@ -82,7 +82,7 @@
 /// An earlier owner of endpoints tells what it still runs there.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct HandoverTaken {
+pub(crate) struct HandoverRequest {
     pub(crate) report: HandoverReport,
     pub(crate) reply: ReplyTo<()>,
 }
@@ -90,14 +90,14 @@
 /// Somebody asks for the VM list.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct VmsAsked {
+pub(crate) struct VmListRequest {
     pub(crate) reply: ReplyTo<Vec<VmEntry>>,
 }
 
 /// Somebody asks for contract rows.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct ContractsAsked {
+pub(crate) struct ContractRequest {
     pub(crate) since: HeadNumber,
     pub(crate) reply: ReplyTo<ContractNews>,
 }
@@ -105,9 +105,9 @@
 /// The process begins to stop.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct StopBegun;
+pub(crate) struct StopRequest;
 
 /// What still holds the process: 0 when it may end.
 #[derive(Message)]
 #[rtype(result = "usize")]
-pub(crate) struct StopState;
+pub(crate) struct StopQuery;
--- a/crates/dispatcher/src/control/sessions.rs
+++ b/crates/dispatcher/src/control/sessions.rs
@@ -8,7 +8,7 @@
 use peer::PeerError;
 use telemetry::CounterKind;
 
-use super::{DispatcherControl, OffersMade, SessionEnded, SessionOpened, WithdrawalsMade};
+use super::{DispatcherControl, OfferRequest, SessionClosed, SessionRequest, WithdrawalRequest};
 
 impl DispatcherControl {
     pub(super) fn ask_for_body(
@@ -66,15 +66,15 @@
     }
 }
 
-impl Handler<SessionOpened> for DispatcherControl {
+impl Handler<SessionRequest> for DispatcherControl {
     type Result = ();
 
-    fn handle(&mut self, opened: SessionOpened, ctx: &mut Context<Self>) {
-        let SessionOpened {
+    fn handle(&mut self, request: SessionRequest, ctx: &mut Context<Self>) {
+        let SessionRequest {
             entry,
             session,
             reply,
-        } = opened;
+        } = request;
         if let Err(error) = self.ledger.open_session(self.clock.now(), entry, session) {
             let _gone = reply.send(Err(PeerError::Failed(error.to_string())));
             return;
@@ -85,11 +85,11 @@
     }
 }
 
-impl Handler<SessionEnded> for DispatcherControl {
+impl Handler<SessionClosed> for DispatcherControl {
     type Result = ();
 
-    fn handle(&mut self, ended: SessionEnded, ctx: &mut Context<Self>) {
-        let SessionEnded { entry, session } = ended;
+    fn handle(&mut self, closed: SessionClosed, ctx: &mut Context<Self>) {
+        let SessionClosed { entry, session } = closed;
         self.entries.remove(entry, session);
         log::info!("dispatcher: session {session} of entry {entry} ended");
         self.ledger
@@ -98,32 +98,36 @@
     }
 }
 
-impl Handler<OffersMade> for DispatcherControl {
+impl Handler<OfferRequest> for DispatcherControl {
     type Result = ();
 
-    fn handle(&mut self, made: OffersMade, ctx: &mut Context<Self>) {
+    fn handle(&mut self, request: OfferRequest, ctx: &mut Context<Self>) {
         let now = self.clock.now();
-        let verdicts = self
-            .ledger
-            .offer(now, made.entry, made.session, made.batch, made.offers);
-        let _gone = made.reply.send(Ok((verdicts, self.ledger.slots())));
+        let verdicts = self.ledger.offer(
+            now,
+            request.entry,
+            request.session,
+            request.batch,
+            request.offers,
+        );
+        let _gone = request.reply.send(Ok((verdicts, self.ledger.slots())));
         self.flush(ctx);
     }
 }
 
-impl Handler<WithdrawalsMade> for DispatcherControl {
+impl Handler<WithdrawalRequest> for DispatcherControl {
     type Result = ();
 
-    fn handle(&mut self, made: WithdrawalsMade, ctx: &mut Context<Self>) {
+    fn handle(&mut self, request: WithdrawalRequest, ctx: &mut Context<Self>) {
         let now = self.clock.now();
         let verdicts = self.ledger.withdraw(
             now,
-            made.entry,
-            made.session,
-            made.after_batch,
-            &made.attempts,
+            request.entry,
+            request.session,
+            request.after_batch,
+            &request.attempts,
         );
-        let _gone = made.reply.send(Ok((verdicts, self.ledger.slots())));
+        let _gone = request.reply.send(Ok((verdicts, self.ledger.slots())));
         self.flush(ctx);
     }
 }
--- a/crates/dispatcher/src/port.rs
+++ b/crates/dispatcher/src/port.rs
@@ -17,8 +17,8 @@
 
 use crate::{
     control::{
-        BeatTaken, ContractsAsked, GrantsAsked, HandoverTaken, OffersMade, PingTaken, SessionEnded,
-        SessionOpened, VmsAsked, WithdrawalsMade,
+        ContractRequest, GrantRequest, HandoverRequest, HeartbeatRequest, OfferRequest,
+        PingRequest, SessionClosed, SessionRequest, VmListRequest, WithdrawalRequest,
     },
     entry_directory::EntryDirectory,
     DispatcherControl,
@@ -44,7 +44,7 @@
     });
     let on_closed = Box::new(move || {
         if let Some((entry, session)) = opened.get() {
-            closing.do_send(SessionEnded { entry, session });
+            closing.do_send(SessionClosed { entry, session });
         }
     });
     AcceptedPort { port, on_closed }
@@ -69,7 +69,7 @@
         let control = self.control.clone();
         self.session.set(Some((entry, session)));
         self.entries.put(entry, session, client);
-        let answer = ask(&control, |reply| SessionOpened {
+        let answer = ask(&control, |reply| SessionRequest {
             entry,
             session,
             reply,
@@ -94,12 +94,12 @@
     }
 
     fn beat(&self, message: BeatMessage) -> ReplyFuture<BeatReply> {
-        ask(&self.control, |reply| BeatTaken { message, reply })
+        ask(&self.control, |reply| HeartbeatRequest { message, reply })
     }
 
     fn ping(&self, revision: u64) -> ReplyFuture<PingReply> {
         let session = self.session.get();
-        ask(&self.control, |reply| PingTaken {
+        ask(&self.control, |reply| PingRequest {
             session,
             revision,
             reply,
@@ -107,19 +107,19 @@
     }
 
     fn grant(&self, batch: AskBatch) -> ReplyFuture<Option<ReplyBatch>> {
-        ask(&self.control, |reply| GrantsAsked { batch, reply })
+        ask(&self.control, |reply| GrantRequest { batch, reply })
     }
 
     fn handover(&self, report: HandoverReport) -> ReplyFuture<()> {
-        ask(&self.control, |reply| HandoverTaken { report, reply })
+        ask(&self.control, |reply| HandoverRequest { report, reply })
     }
 
     fn vms(&self) -> ReplyFuture<Vec<VmEntry>> {
-        ask(&self.control, |reply| VmsAsked { reply })
+        ask(&self.control, |reply| VmListRequest { reply })
     }
 
     fn contracts(&self, since: HeadNumber) -> ReplyFuture<ContractNews> {
-        ask(&self.control, |reply| ContractsAsked { since, reply })
+        ask(&self.control, |reply| ContractRequest { since, reply })
     }
 }
 
@@ -130,7 +130,7 @@
         offers: Vec<TaskOffer>,
     ) -> ReplyFuture<(Vec<TaskVerdict>, SlotCounts)> {
         let (entry, session) = (self.entry, self.session);
-        ask(&self.control, |reply| OffersMade {
+        ask(&self.control, |reply| OfferRequest {
             entry,
             session,
             batch,
@@ -145,7 +145,7 @@
         attempts: Vec<AttemptId>,
     ) -> ReplyFuture<(Vec<WithdrawalVerdict>, SlotCounts)> {
         let (entry, session) = (self.entry, self.session);
-        ask(&self.control, |reply| WithdrawalsMade {
+        ask(&self.control, |reply| WithdrawalRequest {
             entry,
             session,
             after_batch,
--- a/crates/dispatcher/src/process.rs
+++ b/crates/dispatcher/src/process.rs
@@ -18,7 +18,7 @@
 
 use crate::{
     admin,
-    control::{ControlParts, DispatcherControl, StopBegun, StopState, CONTROL_SERVICE},
+    control::{ControlParts, DispatcherControl, StopQuery, StopRequest, CONTROL_SERVICE},
     entry_directory::EntryDirectory,
     port::accept,
     traffic::EndpointTraffic,
@@ -53,12 +53,12 @@
     /// Leaves: takes nothing new, hands back what waits, waits for what runs, at most for the drain limit.
     /// Returns how many tasks were cut.
     pub async fn stop(self) -> usize {
-        self.control.do_send(StopBegun);
+        self.control.do_send(StopRequest);
         let limit = Instant::now() + self.drain.limit_ms.duration();
         let mut left = usize::MAX;
         while left > 0 && Instant::now() < limit {
             actix_rt::time::sleep(DRAIN_LOOK).await;
-            left = self.control.send(StopState).await.unwrap_or(0);
+            left = self.control.send(StopQuery).await.unwrap_or(0);
         }
         if left > 0 {
             log::warn!("dispatcher: stop limit reached, {left} tasks cut");
--- a/crates/dispatcher/src/traffic.rs
+++ b/crates/dispatcher/src/traffic.rs
@@ -18,7 +18,7 @@
 /// A task has ended on its endpoint.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct TaskRan {
+pub(crate) struct TaskEnded {
     pub(crate) attempt: AttemptId,
     pub(crate) end: AttemptEnd,
 }
@@ -57,7 +57,7 @@
         };
         let call = async move {
             let end = client.run(&task.endpoint, &task.offer, || {}).await;
-            control.do_send(TaskRan {
+            control.do_send(TaskEnded {
                 attempt: task.offer.attempt,
                 end,
             });
--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -42,7 +42,8 @@
 use self::{grants::UsableGrant, notes::EventNotes};
 
 pub(crate) use messages::{
-    BodyClaimed, EndsReported, OutcomeAsked, RequestPassed, SlotsTold, StopBegun, StopState,
+    AttemptReport, ClaimRequest, ForwardedRequest, OutcomeRequest, SlotUpdate, StopQuery,
+    StopRequest,
 };
 
 /// The time between two looks at what has become due. It bounds how late an answer leaves after its deadline.
@@ -294,20 +295,20 @@
     }
 }
 
-impl Handler<StopBegun> for EntryControl {
+impl Handler<StopRequest> for EntryControl {
     type Result = ();
 
-    fn handle(&mut self, _: StopBegun, _: &mut Context<Self>) {
+    fn handle(&mut self, _: StopRequest, _: &mut Context<Self>) {
         self.begin_stop();
     }
 }
 
-impl Handler<StopState> for EntryControl {
+impl Handler<StopQuery> for EntryControl {
     type Result = usize;
 
-    fn handle(&mut self, state: StopState, ctx: &mut Context<Self>) -> usize {
+    fn handle(&mut self, query: StopQuery, ctx: &mut Context<Self>) -> usize {
         let open = self.authority.open_submissions();
-        if state.cut && open > 0 {
+        if query.answer_open && open > 0 {
             self.authority.stop(self.clock.now());
             self.flush(ctx);
         }
--- a/crates/entry/src/control/forwarding.rs
+++ b/crates/entry/src/control/forwarding.rs
@@ -7,7 +7,7 @@
 
 use super::{
     callers::{unknown, AnswerFuture},
-    EntryControl, LinkState, OutcomeAsked, RequestPassed,
+    EntryControl, ForwardedRequest, LinkState, OutcomeRequest,
 };
 
 impl EntryControl {
@@ -51,27 +51,27 @@
     }
 }
 
-impl Handler<OutcomeAsked> for EntryControl {
+impl Handler<OutcomeRequest> for EntryControl {
     type Result = ();
 
-    fn handle(&mut self, asked: OutcomeAsked, _: &mut Context<Self>) {
-        let known = self.authority.outcome(asked.serial).is_some();
-        let answer = known.then(|| to_forward(&self.outcome_now(asked.serial)));
-        let _gone = asked.reply.send(Ok(answer));
+    fn handle(&mut self, request: OutcomeRequest, _: &mut Context<Self>) {
+        let known = self.authority.outcome(request.serial).is_some();
+        let answer = known.then(|| to_forward(&self.outcome_now(request.serial)));
+        let _gone = request.reply.send(Ok(answer));
     }
 }
 
-impl Handler<RequestPassed> for EntryControl {
+impl Handler<ForwardedRequest> for EntryControl {
     type Result = ();
 
-    fn handle(&mut self, passed: RequestPassed, ctx: &mut Context<Self>) {
-        let RequestPassed {
+    fn handle(&mut self, request: ForwardedRequest, ctx: &mut Context<Self>) {
+        let ForwardedRequest {
             serial,
             json,
             reply,
-        } = passed;
+        } = request;
         let answer = match read_request(&json, None) {
-            Ok((body, digest)) => self.run_passed(serial, body, digest),
+            Ok((body, digest)) => self.run_forwarded(serial, body, digest),
             Err(error) => {
                 let _gone = reply.send(Err(PeerError::BadMessage(error.to_string())));
                 return;
@@ -85,7 +85,7 @@
 }
 
 impl EntryControl {
-    fn run_passed(&mut self, serial: u64, body: SubmissionBody, digest: u64) -> AnswerFuture {
+    fn run_forwarded(&mut self, serial: u64, body: SubmissionBody, digest: u64) -> AnswerFuture {
         match &body.kind {
             SubmissionKind::Request(KeyedRun::Ticket(ticket)) => {
                 self.run_ticket(*ticket, body, digest)
--- a/crates/entry/src/control/messages.rs
+++ b/crates/entry/src/control/messages.rs
@@ -15,7 +15,7 @@
 /// A dispatcher asks for the body of a queued attempt.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct BodyClaimed {
+pub(crate) struct ClaimRequest {
     pub(crate) session: SessionId,
     pub(crate) attempt: AttemptId,
     pub(crate) reply: ReplyTo<Option<Payload>>,
@@ -24,7 +24,7 @@
 /// A dispatcher reports ends.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct EndsReported {
+pub(crate) struct AttemptReport {
     pub(crate) dispatcher: DispatcherKey,
     pub(crate) ends: Vec<(AttemptId, AttemptEnd, Duration)>,
     pub(crate) slots: SlotCounts,
@@ -34,7 +34,7 @@
 /// A dispatcher tells how its slots stand.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct SlotsTold {
+pub(crate) struct SlotUpdate {
     pub(crate) dispatcher: DispatcherKey,
     pub(crate) session: SessionId,
     pub(crate) slots: SlotCounts,
@@ -43,7 +43,7 @@
 /// Another entry asks for an answer.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct OutcomeAsked {
+pub(crate) struct OutcomeRequest {
     pub(crate) serial: u64,
     pub(crate) reply: ReplyTo<Option<ForwardedAnswer>>,
 }
@@ -51,7 +51,7 @@
 /// Another entry passes on a request with a ticket or key whose authority this one is.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct RequestPassed {
+pub(crate) struct ForwardedRequest {
     pub(crate) serial: u64,
     pub(crate) json: Vec<u8>,
     pub(crate) reply: ReplyTo<ForwardedAnswer>,
@@ -68,11 +68,11 @@
 /// The process begins to stop.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct StopBegun;
+pub(crate) struct StopRequest;
 
 /// How many submissions are still open. With `cut`, they are answered now as they stand.
 #[derive(Message)]
 #[rtype(result = "usize")]
-pub(crate) struct StopState {
-    pub(crate) cut: bool,
+pub(crate) struct StopQuery {
+    pub(crate) answer_open: bool,
 }
--- a/crates/entry/src/control/sessions.rs
+++ b/crates/entry/src/control/sessions.rs
@@ -13,8 +13,8 @@
 use telemetry::CounterKind;
 
 use super::{
-    messages::LinkBroken, BodyClaimed, DispatcherSlot, EndsReported, EntryControl, LinkState,
-    OpenLink, SlotsTold,
+    messages::LinkBroken, AttemptReport, ClaimRequest, DispatcherSlot, EntryControl, LinkState,
+    OpenLink, SlotUpdate,
 };
 use crate::port::EntryPort;
 
@@ -340,15 +340,15 @@
 
     /// A word on slots that overtook the answer to its session's opening is newer than that answer. Passed over, it would
     /// leave the entry with the slots of before until the next ping: tasks queue elsewhere while these stand free.
-    fn take_slots(&mut self, told: SlotsTold) {
-        if let Some(slot) = self.dispatchers.get_mut(&told.dispatcher) {
+    fn take_slots(&mut self, update: SlotUpdate) {
+        if let Some(slot) = self.dispatchers.get_mut(&update.dispatcher) {
             if matches!(slot.link, LinkState::Connecting) {
-                slot.early_slots = Some((told.session, told.slots));
+                slot.early_slots = Some((update.session, update.slots));
                 return;
             }
         }
         self.authority
-            .on_slots(self.clock.now(), told.dispatcher, told.slots);
+            .on_slots(self.clock.now(), update.dispatcher, update.slots);
     }
 
     fn take_early_slots(&mut self, key: DispatcherKey, session: SessionId) {
@@ -356,7 +356,7 @@
             .dispatchers
             .get_mut(&key)
             .and_then(|slot| slot.early_slots.take());
-        let Some((_, slots)) = early.filter(|(told, _)| *told == session) else {
+        let Some((_, slots)) = early.filter(|(opening, _)| *opening == session) else {
             return;
         };
         self.authority.on_slots(self.clock.now(), key, slots);
@@ -435,39 +435,39 @@
     }
 }
 
-impl Handler<BodyClaimed> for EntryControl {
+impl Handler<ClaimRequest> for EntryControl {
     type Result = ();
 
-    fn handle(&mut self, claimed: BodyClaimed, ctx: &mut Context<Self>) {
+    fn handle(&mut self, request: ClaimRequest, ctx: &mut Context<Self>) {
         let now = self.clock.now();
         let body = self
             .authority
-            .on_claim(now, claimed.session, claimed.attempt);
-        let _gone = claimed.reply.send(Ok(body));
+            .on_claim(now, request.session, request.attempt);
+        let _gone = request.reply.send(Ok(body));
         self.flush(ctx);
     }
 }
 
-impl Handler<EndsReported> for EntryControl {
+impl Handler<AttemptReport> for EntryControl {
     type Result = ();
 
-    fn handle(&mut self, reported: EndsReported, ctx: &mut Context<Self>) {
+    fn handle(&mut self, report: AttemptReport, ctx: &mut Context<Self>) {
         let now = self.clock.now();
         self.authority
-            .on_slots(now, reported.dispatcher, reported.slots);
-        for (attempt, end, ran) in reported.ends {
+            .on_slots(now, report.dispatcher, report.slots);
+        for (attempt, end, ran) in report.ends {
             self.authority.on_ended(now, attempt, end, ran);
         }
-        let _gone = reported.reply.send(Ok(()));
+        let _gone = report.reply.send(Ok(()));
         self.flush(ctx);
     }
 }
 
-impl Handler<SlotsTold> for EntryControl {
+impl Handler<SlotUpdate> for EntryControl {
     type Result = ();
 
-    fn handle(&mut self, told: SlotsTold, ctx: &mut Context<Self>) {
-        self.take_slots(told);
+    fn handle(&mut self, update: SlotUpdate, ctx: &mut Context<Self>) {
+        self.take_slots(update);
         self.flush(ctx);
     }
 }
--- a/crates/entry/src/port.rs
+++ b/crates/entry/src/port.rs
@@ -9,7 +9,7 @@
 use tokio::sync::oneshot;
 
 use crate::{
-    control::{BodyClaimed, EndsReported, OutcomeAsked, RequestPassed, SlotsTold},
+    control::{AttemptReport, ClaimRequest, ForwardedRequest, OutcomeRequest, SlotUpdate},
     EntryControl,
 };
 
@@ -37,7 +37,7 @@
 impl EntryService for EntryPort {
     fn claim(&self, attempt: AttemptId) -> ReplyFuture<Option<Payload>> {
         let session = self.session;
-        ask(&self.control, |reply| BodyClaimed {
+        ask(&self.control, |reply| ClaimRequest {
             session,
             attempt,
             reply,
@@ -50,7 +50,7 @@
         slots: SlotCounts,
     ) -> ReplyFuture<()> {
         let dispatcher = self.dispatcher;
-        ask(&self.control, |reply| EndsReported {
+        ask(&self.control, |reply| AttemptReport {
             dispatcher,
             ends,
             slots,
@@ -59,7 +59,7 @@
     }
 
     fn slots(&self, slots: SlotCounts) -> ReplyFuture<()> {
-        self.control.do_send(SlotsTold {
+        self.control.do_send(SlotUpdate {
             dispatcher: self.dispatcher,
             session: self.session,
             slots,
@@ -68,11 +68,11 @@
     }
 
     fn outcome(&self, serial: u64) -> ReplyFuture<Option<ForwardedAnswer>> {
-        ask(&self.control, |reply| OutcomeAsked { serial, reply })
+        ask(&self.control, |reply| OutcomeRequest { serial, reply })
     }
 
     fn run(&self, serial: u64, json: Vec<u8>) -> ReplyFuture<ForwardedAnswer> {
-        ask(&self.control, |reply| RequestPassed {
+        ask(&self.control, |reply| ForwardedRequest {
             serial,
             json,
             reply,
--- a/crates/entry/src/process.rs
+++ b/crates/entry/src/process.rs
@@ -20,7 +20,7 @@
 use telemetry::MetricSet;
 
 use crate::{
-    control::{ControlParts, EntryControl, StopBegun, StopState},
+    control::{ControlParts, EntryControl, StopQuery, StopRequest},
     EntryError,
 };
 
@@ -51,14 +51,14 @@
     /// balancer turns away; then waits for the answers of what was accepted, at most for the drain limit. Returns how
     /// many submissions were cut, each answered with how it stood.
     pub async fn stop(self) -> usize {
-        self.control.do_send(StopBegun);
+        self.control.do_send(StopRequest);
         actix_rt::time::sleep(self.drain.notice_ms.duration()).await;
         let limit = Instant::now() + self.drain.limit_ms.duration();
         let mut open = usize::MAX;
         while open > 0 && Instant::now() < limit {
             open = self
                 .control
-                .send(StopState { cut: false })
+                .send(StopQuery { answer_open: false })
                 .await
                 .unwrap_or(0);
             if open > 0 {
@@ -67,7 +67,7 @@
         }
         if open > 0 {
             log::warn!("entry: stop limit reached, {open} submissions cut");
-            self.control.do_send(StopState { cut: true });
+            self.control.do_send(StopQuery { answer_open: true });
         }
         self.server.stop(true).await;
         open
