--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -1,12 +1,12 @@
 //! The control state of an entry.
 
 mod callers;
-mod contract_news;
+mod contract_updates;
+mod event_recorder;
 mod forwarding;
 mod grants;
 mod keys;
 mod messages;
-mod notes;
 mod operators;
 mod sessions;
 mod status;
@@ -39,7 +39,7 @@
 use telemetry::{GaugeKind, MetricSet};
 use tokio::sync::oneshot;
 
-use self::{grants::UsableGrant, notes::EventNotes};
+use self::{event_recorder::EventRecorder, grants::UsableGrant};
 
 pub(crate) use messages::{
     AttemptReport, ClaimRequest, ForwardedRequest, OutcomeRequest, SlotUpdate, StopQuery,
@@ -47,7 +47,7 @@
 };
 
 /// The time between two looks at what has become due. It bounds how late an answer leaves after its deadline.
-const TICK: Duration = Duration::from_millis(10);
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The control state of an entry: submissions, sessions, contracts. It lives on the control thread.
 pub struct EntryControl {
@@ -55,20 +55,20 @@
     clock: Arc<dyn ClockSource>,
     authority: TaskAuthority,
     contracts: ContractView,
-    contracts_heard: Option<Instant>,
+    contracts_confirmed_at: Option<Instant>,
     grants: GrantHolder,
-    centre: CentreView,
+    centre_view: CentreView,
     own_dispatcher: SocketAddr,
-    usable: FastMap<CustomerId, UsableGrant>,
+    usable_grants: FastMap<CustomerId, UsableGrant>,
     asks_due: bool,
-    dispatchers: FastMap<DispatcherKey, DispatcherSlot>,
-    keys: FastMap<SocketAddr, DispatcherKey>,
-    next_key: u64,
+    dispatchers: FastMap<DispatcherKey, DispatcherRecord>,
+    dispatcher_keys: FastMap<SocketAddr, DispatcherKey>,
+    next_dispatcher_key: u64,
     next_session: u64,
     last_tick: Instant,
     waiters: FastMap<u64, Vec<oneshot::Sender<SubmissionAnswer>>>,
     platform: PlatformClient,
-    notes: EventNotes,
+    events: EventRecorder,
     recorder: KeyRecorder,
     editor: Rc<ContractEditor>,
     ready: Arc<AtomicBool>,
@@ -76,14 +76,14 @@
 }
 
 /// A dispatcher that this entry knows of.
-struct DispatcherSlot {
+struct DispatcherRecord {
     address: SocketAddr,
     data_centre: DataCentreId,
     link: LinkState,
     /// What was told of slots on a session whose opening is not answered yet.
     early_slots: Option<(SessionId, SlotCounts)>,
     /// The data centre as it sees it, since the session opened.
-    centre: Option<CentreView>,
+    centre_view: Option<CentreView>,
 }
 
 /// How the connection to a dispatcher stands.
@@ -98,8 +98,8 @@
     link: PeerLink,
     client: SessionClient,
     session: SessionId,
-    heard: Instant,
-    pinged: bool,
+    last_heard: Instant,
+    ping_in_flight: bool,
 }
 
 /// What a control actor is made from.
@@ -130,24 +130,24 @@
         };
         let data_centre = settings.data_centre.clone();
         let seed = parts.incarnation.0;
-        let own_dispatcher = grants::first_dispatcher(&settings);
+        let own_dispatcher = grants::initial_own_dispatcher(&settings);
         let now = parts.clock.now();
         let mut control = Self {
             authority: TaskAuthority::new(authority_settings, data_centre, parts.incarnation, seed),
             contracts: ContractView::default(),
-            contracts_heard: None,
+            contracts_confirmed_at: None,
             grants: GrantHolder::new(own_dispatcher, parts.incarnation, GrantSettings::default()),
-            centre: CentreView::default(),
+            centre_view: CentreView::default(),
             own_dispatcher,
-            usable: FastMap::default(),
+            usable_grants: FastMap::default(),
             asks_due: false,
             dispatchers: FastMap::default(),
-            keys: FastMap::default(),
-            next_key: 1,
+            dispatcher_keys: FastMap::default(),
+            next_dispatcher_key: 1,
             next_session: 1,
             last_tick: now,
             waiters: FastMap::default(),
-            notes: EventNotes::new(parts.metrics),
+            events: EventRecorder::new(parts.metrics),
             recorder: KeyRecorder::new(parts.platform.clone(), BatcherSettings::default()),
             editor: Rc::new(ContractEditor::new(
                 parts.platform.clone(),
@@ -161,7 +161,7 @@
             settings,
         };
         for peer in control.settings.dispatchers.clone() {
-            control.know_dispatcher(peer.address, peer.data_centre);
+            control.add_dispatcher(peer.address, peer.data_centre);
         }
         control
     }
@@ -190,24 +190,26 @@
                     self.send_withdrawal(ctx, dispatcher, session, after_batch, attempts);
                 }
                 AuthorityAction::Answer { id, outcome } => self.answer(id, outcome),
-                AuthorityAction::Note(event) => self.take_note(event),
+                AuthorityAction::Note(event) => self.record_event(event),
             }
         }
     }
 
     fn answer(&mut self, id: SubmissionId, outcome: Arc<SubmissionOutcome>) {
-        self.notes.answered(self.clock.now(), id, &outcome);
+        self.events.record_answer(self.clock.now(), id, &outcome);
         let answer = self.own_answer(id, outcome);
         for waiter in self.waiters.remove(&id.serial).into_iter().flatten() {
             let _gone = waiter.send(answer.clone());
         }
     }
 
-    fn take_note(&mut self, event: AuthorityEvent) {
+    fn record_event(&mut self, event: AuthorityEvent) {
         let now = self.clock.now();
         let dispatchers = &self.dispatchers;
-        self.notes.take(now, event, |key| {
-            let address = dispatchers.get(&key).map(|slot| slot.address.to_string());
+        self.events.record(now, event, |key| {
+            let address = dispatchers
+                .get(&key)
+                .map(|record| record.address.to_string());
             // An address holds only characters that a VM id may have.
             address
                 .and_then(|text| text.parse().ok())
@@ -227,21 +229,21 @@
 
     fn tick(&mut self, ctx: &mut Context<Self>) {
         let now = self.clock.now();
-        self.note_own_pause(now);
-        self.tend_sessions(ctx, now);
+        self.detect_own_pause(now);
+        self.maintain_sessions(ctx, now);
         self.authority.tick(now);
         self.tick_grants(ctx, now);
         self.flush(ctx);
-        self.become_ready();
+        self.update_readiness();
         self.set_gauges();
     }
 
     fn set_gauges(&self) {
-        let metrics = self.notes.metrics();
+        let metrics = self.events.metrics();
         let open = self
             .dispatchers
             .values()
-            .filter(|slot| matches!(slot.link, LinkState::Open(_)));
+            .filter(|record| matches!(record.link, LinkState::Open(_)));
         metrics.gauge(GaugeKind::Sessions, open.count() as f64);
         metrics.gauge(
             GaugeKind::OpenSubmissions,
@@ -249,17 +251,18 @@
         );
         metrics.gauge(GaugeKind::GrantsHeld, f64::from(self.grants_held()));
         metrics.gauge(GaugeKind::ContractHead, self.contracts.head().0 as f64);
-        if let Some(heard) = self.contracts_heard {
-            let age = self.clock.now().saturating_duration_since(heard);
+        if let Some(confirmed_at) = self.contracts_confirmed_at {
+            let age = self.clock.now().saturating_duration_since(confirmed_at);
             metrics.gauge(GaugeKind::ContractAge, age.as_secs_f64());
         }
     }
 
     /// Ready once contracts, slots and the customers' homes are known, until the stop begins. Losing every slot later does not take the
     /// entry out of the balancer: its callers get a refusal with when to come back, and not no answer at all.
-    fn become_ready(&mut self) {
-        let known =
-            self.contracts.is_ready() && self.centre.revision > 0 && self.authority.has_capacity();
+    fn update_readiness(&mut self) {
+        let known = self.contracts.is_ready()
+            && self.centre_view.revision > 0
+            && self.authority.has_capacity();
         if known && !self.leaving.load(Ordering::Relaxed) {
             self.ready.store(true, Ordering::Relaxed);
         }
@@ -287,7 +290,7 @@
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Context<Self>) {
-        ctx.run_interval(TICK, Self::tick);
+        ctx.run_interval(TICK_INTERVAL, Self::tick);
         self.read_vm_list(ctx);
         // New VMs come and old ones go within minutes; a second is soon enough, and one read a second an entry is
         // little for the platform.
--- a/crates/entry/src/control/callers.rs
+++ b/crates/entry/src/control/callers.rs
@@ -20,7 +20,7 @@
 
 /// When to come back after a refusal whose end cannot be told better: long enough for a VM to be found gone and for
 /// its endpoints to have another owner.
-const COME_BACK: Duration = Duration::from_secs(1);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// An answer on its way.
 pub(super) type AnswerFuture = LocalBoxFuture<'static, CallerAnswer>;
@@ -35,23 +35,23 @@
     ) -> AnswerFuture {
         match self.accept(body, digest, serial) {
             Ok(id) => self.wait_for(id.serial),
-            Err(refusal) => ready(self.refuse_for(refusal)),
+            Err(refusal) => ready(self.refuse_submission(refusal)),
         }
     }
 
     /// Refuses before there is a submission, and counts it.
     pub(super) fn refuse(&self, reason: RefusalReason) -> CallerAnswer {
-        let retry_after = come_back(reason);
-        self.refuse_for(SubmissionRefusal {
+        let retry_after = default_retry_after(reason);
+        self.refuse_submission(SubmissionRefusal {
             reason,
             retry_after,
         })
     }
 
-    fn refuse_for(&self, cause: SubmissionRefusal) -> CallerAnswer {
-        let answer = refused(cause);
+    fn refuse_submission(&self, cause: SubmissionRefusal) -> CallerAnswer {
+        let answer = refusal_answer(cause);
         if let CallerAnswer::Own(own) = &answer {
-            self.notes.refused(&own.outcome);
+            self.events.count_refusal(&own.outcome);
         }
         answer
     }
@@ -64,7 +64,7 @@
     ) -> Result<SubmissionId, SubmissionRefusal> {
         if !self.contracts.is_ready() {
             let reason = RefusalReason::ConfigNotReady;
-            return Err(SubmissionRefusal::not_now(reason, COME_BACK));
+            return Err(SubmissionRefusal::not_now(reason, DEFAULT_RETRY_AFTER));
         }
         let contract = self
             .contracts
@@ -81,7 +81,7 @@
         let now = self.clock.now();
         let customer = body.customer.clone();
         let admitted = self.authority.submit(now, body, digest, contract, serial)?;
-        self.note_demand(now, &customer);
+        self.update_demand(now, &customer);
         Ok(admitted.id)
     }
 
@@ -107,7 +107,7 @@
             serial,
         };
         match self.authority.outcome(serial) {
-            None => ready(unknown(Some(id))),
+            None => ready(unknown_answer(Some(id))),
             Some(Some(outcome)) => ready(CallerAnswer::Own(self.own_answer(id, outcome))),
             Some(None) => {
                 let (waiter, answer) = oneshot::channel();
@@ -115,7 +115,7 @@
                 Box::pin(async move {
                     match answer.await {
                         Ok(answer) => CallerAnswer::Own(answer),
-                        Err(_) => unknown(Some(id)),
+                        Err(_) => unknown_answer(Some(id)),
                     }
                 })
             }
@@ -135,15 +135,15 @@
             .look_at_ticket(self.clock.now(), serial, &body.customer)
         {
             TicketUse::Fresh => self.run(body, digest, Some(serial)),
-            TicketUse::Used => self.run_again(serial, body, digest),
+            TicketUse::Used => self.run_repeat(serial, body, digest),
             TicketUse::WrongCustomer => ready(self.refuse(RefusalReason::KeyReused)),
-            TicketUse::Forgotten => ready(unknown(Some(ticket.0))),
+            TicketUse::Forgotten => ready(unknown_answer(Some(ticket.0))),
         }
     }
 
     /// A later arrival of a request: it gets the first one's answer, if it has the same body. Where the first was
     /// refused, nothing ran, and the request runs now under the same authority.
-    pub(super) fn run_again(
+    pub(super) fn run_repeat(
         &mut self,
         serial: u64,
         body: SubmissionBody,
@@ -159,7 +159,7 @@
         if self.authority.is_refused(serial) {
             return self.run(body, digest, Some(serial));
         }
-        self.notes.metrics().count(CounterKind::SecondArrivals, 1);
+        self.events.metrics().count(CounterKind::SecondArrivals, 1);
         self.wait_for(serial)
     }
 }
@@ -217,7 +217,7 @@
             serial,
         };
         match self.authority.outcome(serial) {
-            None => unknown(Some(id)),
+            None => unknown_answer(Some(id)),
             Some(None) => CallerAnswer::Pending(id),
             Some(Some(outcome)) => CallerAnswer::Own(self.own_answer(id, outcome)),
         }
@@ -247,14 +247,14 @@
 
 /// A refusal before there was a submission. Nothing ran.
 pub(super) fn refusal(reason: RefusalReason) -> CallerAnswer {
-    refused(SubmissionRefusal {
+    refusal_answer(SubmissionRefusal {
         reason,
-        retry_after: come_back(reason),
+        retry_after: default_retry_after(reason),
     })
 }
 
 /// A refusal with what its cause told of when to come back.
-fn refused(refusal: SubmissionRefusal) -> CallerAnswer {
+fn refusal_answer(refusal: SubmissionRefusal) -> CallerAnswer {
     let SubmissionRefusal {
         reason,
         retry_after,
@@ -272,20 +272,20 @@
 }
 
 /// When to come back after a refusal whose end cannot be told better.
-pub(super) fn come_back(reason: RefusalReason) -> Option<Duration> {
+pub(super) fn default_retry_after(reason: RefusalReason) -> Option<Duration> {
     match reason {
         // Another VM takes it at once.
         RefusalReason::Stopping => Some(Duration::ZERO),
         RefusalReason::Overloaded
         | RefusalReason::NoCapacity
         | RefusalReason::KeyNotRecorded
-        | RefusalReason::ConfigNotReady => Some(COME_BACK),
+        | RefusalReason::ConfigNotReady => Some(DEFAULT_RETRY_AFTER),
         _ => None,
     }
 }
 
 /// The entry that could tell is gone, or has forgotten.
-pub(super) fn unknown(id: Option<SubmissionId>) -> CallerAnswer {
+pub(super) fn unknown_answer(id: Option<SubmissionId>) -> CallerAnswer {
     CallerAnswer::Own(SubmissionAnswer {
         id,
         job: false,
--- a/crates/entry/src/control/contract_news.rs
+++ b/crates/entry/src/control/contract_updates.rs
@@ -9,7 +9,12 @@
 
 impl EntryControl {
     /// A dispatcher has named its head. A newer one, or none read yet, is a reason to ask for the rows.
-    pub(super) fn hear_head(&mut self, ctx: &mut Context<Self>, key: DispatcherKey, head: u64) {
+    pub(super) fn on_dispatcher_head(
+        &mut self,
+        ctx: &mut Context<Self>,
+        key: DispatcherKey,
+        head: u64,
+    ) {
         let head = HeadNumber(head);
         self.contracts.note_peer_head(head);
         if self
@@ -17,7 +22,7 @@
             .loaded_head()
             .is_some_and(|known| known >= head)
         {
-            self.contracts_heard = Some(self.clock.now());
+            self.contracts_confirmed_at = Some(self.clock.now());
             return;
         }
         self.fetch_contracts(ctx, key);
@@ -26,13 +31,14 @@
     /// Whether nothing has been heard of the contracts for longer than the freshness bound.
     pub(super) fn is_stale(&self) -> bool {
         let age = self
-            .contracts_heard
+            .contracts_confirmed_at
             .map(|heard| self.clock.now().saturating_duration_since(heard));
         age.is_none_or(|age| age > self.settings.freshness_ms.duration())
     }
 
     fn fetch_contracts(&mut self, ctx: &mut Context<Self>, key: DispatcherKey) {
-        let Some(LinkState::Open(open)) = self.dispatchers.get(&key).map(|slot| &slot.link) else {
+        let Some(LinkState::Open(open)) = self.dispatchers.get(&key).map(|record| &record.link)
+        else {
             return;
         };
         let since = self.contracts.loaded_head().unwrap_or_default();
@@ -40,17 +46,17 @@
         ctx.spawn(
             news.into_actor(self)
                 .map(move |news, control, ctx| match news {
-                    Ok(news) => control.take_contracts(ctx, news),
+                    Ok(news) => control.apply_contracts(ctx, news),
                     Err(error) => log::warn!("entry: contracts not read from {key}: {error}"),
                 }),
         );
     }
 
-    fn take_contracts(&mut self, ctx: &mut Context<Self>, news: ContractNews) {
+    fn apply_contracts(&mut self, ctx: &mut Context<Self>, news: ContractNews) {
         if !news.loaded {
             return;
         }
-        self.contracts_heard = Some(self.clock.now());
+        self.contracts_confirmed_at = Some(self.clock.now());
         for customer in self.contracts.apply(news.update) {
             self.set_share(&customer);
         }
--- a/crates/entry/src/control/notes.rs
+++ b/crates/entry/src/control/event_recorder.rs
@@ -13,13 +13,13 @@
 const HISTORY_LIMIT: ByteSize = ByteSize(8 * 1024 * 1024);
 
 /// Counters and histories of one entry.
-pub(crate) struct EventNotes {
+pub(crate) struct EventRecorder {
     metrics: Arc<MetricSet>,
     history: ExplainHistory,
     accepted: FastMap<SubmissionId, Instant>,
 }
 
-impl EventNotes {
+impl EventRecorder {
     pub(crate) fn new(metrics: Arc<MetricSet>) -> Self {
         Self {
             metrics,
@@ -37,21 +37,26 @@
     }
 
     /// A submission was refused before it had an id.
-    pub(crate) fn refused(&self, outcome: &SubmissionOutcome) {
+    pub(crate) fn count_refusal(&self, outcome: &SubmissionOutcome) {
         self.metrics.answered(outcome);
     }
 
     /// A message about tasks left this process.
-    pub(crate) fn sent(&self, messages: u64) {
+    pub(crate) fn count_sent(&self, messages: u64) {
         self.metrics.count(CounterKind::Messages, messages);
     }
 
     /// A message that led to no start.
-    pub(crate) fn wasted(&self, messages: u64) {
+    pub(crate) fn count_wasted(&self, messages: u64) {
         self.metrics.count(CounterKind::WastedMessages, messages);
     }
 
-    pub(crate) fn answered(&mut self, now: Instant, id: SubmissionId, outcome: &SubmissionOutcome) {
+    pub(crate) fn record_answer(
+        &mut self,
+        now: Instant,
+        id: SubmissionId,
+        outcome: &SubmissionOutcome,
+    ) {
         self.metrics.answered(outcome);
         if let Some(accepted) = self.accepted.remove(&id) {
             self.metrics
@@ -66,7 +71,7 @@
         );
     }
 
-    pub(crate) fn take(
+    pub(crate) fn record(
         &mut self,
         now: Instant,
         event: AuthorityEvent,
@@ -131,7 +136,7 @@
             AuthorityEvent::Retried(attempt, reason) => {
                 self.metrics.retried(reason);
                 // The offer that came to nothing, and its answer.
-                self.wasted(2);
+                self.count_wasted(2);
                 log::debug!("entry: {attempt} is placed again: {reason}");
             }
         }
--- a/crates/entry/src/control/forwarding.rs
+++ b/crates/entry/src/control/forwarding.rs
@@ -6,7 +6,7 @@
 use peer::{DispatcherClient, EntryClient, ForwardedAnswer, PeerError};
 
 use super::{
-    callers::{unknown, AnswerFuture},
+    callers::{unknown_answer, AnswerFuture},
     EntryControl, ForwardedRequest, LinkState, OutcomeRequest,
 };
 
@@ -16,12 +16,12 @@
         let dispatchers = self.open_dispatchers();
         Box::pin(async move {
             let Some(entry) = find_entry(&dispatchers, id.incarnation).await else {
-                return unknown(Some(id));
+                return unknown_answer(Some(id));
             };
             match entry.run(id.serial, &raw).await {
                 Ok(answer) => forwarded(answer),
                 // It may have run there before the connection broke.
-                Err(_) => unknown(Some(id)),
+                Err(_) => unknown_answer(Some(id)),
             }
         })
     }
@@ -31,19 +31,19 @@
         let dispatchers = self.open_dispatchers();
         Box::pin(async move {
             let Some(entry) = find_entry(&dispatchers, id.incarnation).await else {
-                return unknown(Some(id));
+                return unknown_answer(Some(id));
             };
             match entry.outcome(id.serial).await {
                 Ok(Some(answer)) => forwarded(answer),
-                Ok(None) | Err(_) => unknown(Some(id)),
+                Ok(None) | Err(_) => unknown_answer(Some(id)),
             }
         })
     }
 
     fn open_dispatchers(&self) -> Vec<DispatcherClient> {
         let mut clients = Vec::new();
-        for slot in self.dispatchers.values() {
-            if let LinkState::Open(open) = &slot.link {
+        for record in self.dispatchers.values() {
+            if let LinkState::Open(open) = &record.link {
                 clients.push(open.link.client().clone());
             }
         }
@@ -92,7 +92,7 @@
             }
             // A key: its first arrival came here, or its record would not name this entry.
             SubmissionKind::Request(_) | SubmissionKind::Job => {
-                self.run_again(serial, body, digest)
+                self.run_repeat(serial, body, digest)
             }
         }
     }
--- a/crates/entry/src/control/grants.rs
+++ b/crates/entry/src/control/grants.rs
@@ -24,7 +24,7 @@
 }
 
 /// The dispatcher that counts as this VM's own until the VM list says which it is.
-pub(super) fn first_dispatcher(settings: &EntrySettings) -> SocketAddr {
+pub(super) fn initial_own_dispatcher(settings: &EntrySettings) -> SocketAddr {
     let mut own_centre = settings
         .dispatchers
         .iter()
@@ -37,7 +37,7 @@
 
 impl EntryControl {
     /// Looks up this VM's own dispatcher, by which its base shares are reckoned.
-    pub(super) fn note_own_dispatcher(&mut self, vms: &[VmEntry]) {
+    pub(super) fn update_own_dispatcher(&mut self, vms: &[VmEntry]) {
         let own = vms
             .iter()
             .find(|vm| vm.role == VmRole::System && vm.id == self.settings.vm);
@@ -46,31 +46,31 @@
         };
         self.own_dispatcher = own.address;
         self.grants.set_own(own.address);
-        self.choose_centre();
+        self.select_centre_view();
     }
 
     /// A dispatcher has told how it sees its data centre.
-    pub(super) fn take_centre(&mut self, key: DispatcherKey, view: CentreView) {
-        let Some(slot) = self.dispatchers.get_mut(&key) else {
+    pub(super) fn set_centre_view(&mut self, key: DispatcherKey, view: CentreView) {
+        let Some(record) = self.dispatchers.get_mut(&key) else {
             return;
         };
-        slot.centre = Some(view);
-        self.choose_centre();
+        record.centre_view = Some(view);
+        self.select_centre_view();
     }
 
     /// Goes by the view of this VM's own dispatcher, else by that of the lowest address with one: views of several
     /// dispatchers differ for moments, and customers would change homes with each ping. Without any, the last one
     /// stays; grants and base shares go on by it.
-    pub(super) fn choose_centre(&mut self) {
+    pub(super) fn select_centre_view(&mut self) {
         let mut best: Option<(bool, SocketAddr, &CentreView)> = None;
-        for slot in self.dispatchers.values() {
-            if slot.data_centre != self.settings.data_centre {
+        for record in self.dispatchers.values() {
+            if record.data_centre != self.settings.data_centre {
                 continue;
             }
-            let Some(view) = &slot.centre else {
+            let Some(view) = &record.centre_view else {
                 continue;
             };
-            let rank = (slot.address != self.own_dispatcher, slot.address);
+            let rank = (record.address != self.own_dispatcher, record.address);
             if best.is_none_or(|(other, address, _)| rank < (other, address)) {
                 best = Some((rank.0, rank.1, view));
             }
@@ -78,14 +78,14 @@
         let Some(view) = best.map(|(_, _, view)| view.clone()) else {
             return;
         };
-        let resized = view.slots != self.centre.slots;
+        let resized = view.slots != self.centre_view.slots;
         let now = self.clock.now();
         self.grants
             .set_view(now, view.owners.clone(), view.listed.clone());
         // One entry a VM, and the VMs that are listed place on the same slots.
         self.authority
             .set_entries(u32::try_from(view.listed.len()).unwrap_or(u32::MAX));
-        self.centre = view;
+        self.centre_view = view;
         if resized {
             let customers: Vec<_> = self
                 .contracts
@@ -108,34 +108,34 @@
             .get(customer)
             .map_or(0, |(_, contract)| contract.concurrency);
         let share = self
-            .centre
+            .centre_view
             .share_of(&self.settings.data_centre, concurrency);
         self.grants.set_share(customer, share);
-        if self.centre.revision != 0 {
+        if self.centre_view.revision != 0 {
             self.authority.set_share(customer, share);
         }
-        self.use_grant(self.clock.now(), customer);
+        self.sync_grant(self.clock.now(), customer);
     }
 
     /// Tells the holder how much of a customer is in use and waits. To be called when a submission has come; what
     /// ends is seen at the next tick.
-    pub(super) fn note_demand(&mut self, now: Instant, customer: &CustomerId) {
+    pub(super) fn update_demand(&mut self, now: Instant, customer: &CustomerId) {
         let (in_flight, waiting) = self.authority.usage(customer);
         let waiting = u32::try_from(waiting).unwrap_or(u32::MAX);
         self.grants.set_demand(now, customer, in_flight, waiting);
-        self.usable.entry(customer.clone()).or_default();
-        self.use_grant(now, customer);
+        self.usable_grants.entry(customer.clone()).or_default();
+        self.sync_grant(now, customer);
         self.asks_due |= waiting > 0;
     }
 
     /// Keeps the authority's limits in step with the grants. Only customers with work or with a grant are looked at.
     pub(super) fn tick_grants(&mut self, ctx: &mut Context<Self>, now: Instant) {
-        let customers: Vec<CustomerId> = self.usable.keys().cloned().collect();
+        let customers: Vec<CustomerId> = self.usable_grants.keys().cloned().collect();
         for customer in customers {
-            self.note_demand(now, &customer);
+            self.update_demand(now, &customer);
             let idle = self.authority.usage(&customer) == (0, 0);
             if idle && self.grants.limit(now, &customer) == 0 {
-                self.usable.remove(&customer);
+                self.usable_grants.remove(&customer);
             }
         }
         self.send_asks(ctx);
@@ -147,7 +147,7 @@
         let now = self.clock.now();
         for batch in self.grants.tick(now) {
             for ask in &batch.asks {
-                self.use_grant(now, &ask.customer);
+                self.sync_grant(now, &ask.customer);
             }
             self.send_batch(ctx, &batch);
         }
@@ -155,52 +155,56 @@
 
     /// Tasks that the grants in force let this entry run at once, over all customers.
     pub(super) fn grants_held(&self) -> u32 {
-        let limits = self.usable.values().map(|usable| usable.limit);
+        let limits = self.usable_grants.values().map(|grant| grant.limit);
         limits.fold(0, u32::saturating_add)
     }
 
     fn send_batch(&mut self, ctx: &mut Context<Self>, batch: &AskBatch) {
-        let key = self.keys.get(&batch.home);
-        let slot = key.and_then(|key| self.dispatchers.get(key));
-        let Some(LinkState::Open(open)) = slot.map(|slot| &slot.link) else {
+        let key = self.dispatcher_keys.get(&batch.home);
+        let record = key.and_then(|key| self.dispatchers.get(key));
+        let Some(LinkState::Open(open)) = record.map(|record| &record.link) else {
             // The holder asks again, and falls back to its base share when the home stays out of reach.
             return;
         };
         let reply = open.link.client().grant(batch);
-        self.notes.metrics().count(CounterKind::GrantAsks, 1);
+        self.events.metrics().count(CounterKind::GrantAsks, 1);
         let home = batch.home;
         ctx.spawn(
             reply
                 .into_actor(self)
                 .map(move |reply, control, ctx| match reply {
-                    Ok(Some(reply)) => control.take_grants(ctx, &reply),
+                    Ok(Some(reply)) => control.apply_grants(ctx, &reply),
                     Ok(None) => {}
                     Err(error) => log::debug!("entry: no grants from {home}: {error}"),
                 }),
         );
     }
 
-    fn take_grants(&mut self, ctx: &mut Context<Self>, batch: &ReplyBatch) {
+    fn apply_grants(&mut self, ctx: &mut Context<Self>, batch: &ReplyBatch) {
         let now = self.clock.now();
         self.grants.on_reply(now, batch);
         for reply in &batch.replies {
-            self.use_grant(now, &reply.customer);
+            self.sync_grant(now, &reply.customer);
         }
         self.flush(ctx);
     }
 
     /// Passes on what the holder allows, if it is something else than before.
-    fn use_grant(&mut self, now: Instant, customer: &CustomerId) {
-        let usable = UsableGrant {
+    fn sync_grant(&mut self, now: Instant, customer: &CustomerId) {
+        let grant = UsableGrant {
             limit: self.grants.limit(now, customer),
             until: self.grants.lapses_at(now, customer),
         };
-        let before = self.usable.get(customer).copied().unwrap_or_default();
-        if usable == before {
+        let before = self
+            .usable_grants
+            .get(customer)
+            .copied()
+            .unwrap_or_default();
+        if grant == before {
             return;
         }
-        self.usable.insert(customer.clone(), usable);
+        self.usable_grants.insert(customer.clone(), grant);
         self.authority
-            .set_limit_until(now, customer, usable.limit, usable.until);
+            .set_limit_until(now, customer, grant.limit, grant.until);
     }
 }
--- a/crates/entry/src/control/keys.rs
+++ b/crates/entry/src/control/keys.rs
@@ -9,7 +9,7 @@
 use tokio::sync::oneshot;
 
 use super::{
-    callers::{come_back, ready, refusal, AnswerFuture},
+    callers::{default_retry_after, ready, refusal, AnswerFuture},
     EntryControl,
 };
 
@@ -25,7 +25,7 @@
 struct KeyedRequest {
     keyed: KeyedBody,
     serial: u64,
-    due: Instant,
+    deadline: Instant,
     waiter: oneshot::Sender<AnswerFuture>,
 }
 
@@ -68,16 +68,16 @@
         let request_state = KeyedRequest {
             keyed,
             serial,
-            due: now + time_left,
+            deadline: now + time_left,
             waiter,
         };
         let recorded = async move { recorder.record(request).await }.into_actor(self);
         ctx.spawn(recorded.map(move |result, control, ctx| {
             if result == KeyResult::Recorded {
                 let took = control.clock.now().saturating_duration_since(arrived);
-                control.notes.metrics().time(TimeKind::KeyCommit, took);
+                control.events.metrics().time(TimeKind::KeyCommit, took);
             }
-            control.on_recorded(request_state, result);
+            control.on_key_result(request_state, result);
             control.flush(ctx);
         }));
         Box::pin(async move {
@@ -88,16 +88,16 @@
         })
     }
 
-    fn on_recorded(&mut self, request: KeyedRequest, result: KeyResult) {
+    fn on_key_result(&mut self, request: KeyedRequest, result: KeyResult) {
         let KeyedRequest {
             keyed,
             serial,
-            due,
+            deadline,
             waiter,
         } = request;
         let answer = match result {
-            KeyResult::Recorded => self.run_recorded(serial, keyed, due),
-            KeyResult::Exists(first) => self.answer_of_first(first, keyed),
+            KeyResult::Recorded => self.run_recorded(serial, keyed, deadline),
+            KeyResult::Exists(first) => self.answer_existing(first, keyed),
             KeyResult::NotRecorded { retry_after } => self.refuse_keyed(
                 serial,
                 keyed,
@@ -108,15 +108,15 @@
             // reads the row that nothing ran.
             KeyResult::Uncertain => {
                 let reason = RefusalReason::KeyNotRecorded;
-                self.refuse_keyed(serial, keyed, reason, come_back(reason))
+                self.refuse_keyed(serial, keyed, reason, default_retry_after(reason))
             }
         };
         // The caller may have gone; the answer stays under the key.
         let _gone = waiter.send(answer);
     }
 
-    fn run_recorded(&mut self, serial: u64, keyed: KeyedBody, due: Instant) -> AnswerFuture {
-        let time_left = due.saturating_duration_since(self.clock.now());
+    fn run_recorded(&mut self, serial: u64, keyed: KeyedBody, deadline: Instant) -> AnswerFuture {
+        let time_left = deadline.saturating_duration_since(self.clock.now());
         if time_left.is_zero() {
             return self.refuse_keyed(serial, keyed, RefusalReason::DeadlinePassed, None);
         }
@@ -131,12 +131,12 @@
     }
 
     /// The key is taken: its record names the submission that has the answer.
-    fn answer_of_first(&mut self, first: KeyRecord, keyed: KeyedBody) -> AnswerFuture {
+    fn answer_existing(&mut self, first: KeyRecord, keyed: KeyedBody) -> AnswerFuture {
         if first.body_digest != BodyDigest(keyed.digest) {
             return ready(self.refuse(RefusalReason::KeyReused));
         }
         if first.incarnation == self.authority.incarnation() {
-            return self.run_again(first.serial, keyed.body, keyed.digest);
+            return self.run_repeat(first.serial, keyed.body, keyed.digest);
         }
         self.forward_request(first.submission(), keyed.raw)
     }
--- a/crates/entry/src/control/sessions.rs
+++ b/crates/entry/src/control/sessions.rs
@@ -13,37 +13,37 @@
 use telemetry::CounterKind;
 
 use super::{
-    messages::LinkBroken, AttemptReport, ClaimRequest, DispatcherSlot, EntryControl, LinkState,
+    messages::LinkBroken, AttemptReport, ClaimRequest, DispatcherRecord, EntryControl, LinkState,
     OpenLink, SlotUpdate,
 };
 use crate::port::EntryPort;
 
 /// The time between two tries to connect to a dispatcher that did not answer.
-const RECONNECT_PAUSE: Duration = Duration::from_millis(200);
+const RECONNECT_DELAY: Duration = Duration::from_millis(200);
 
 /// The most pings a second that an entry spends on all its sessions together.
-const PINGS_PER_SECOND: u32 = 20;
+const MAX_PINGS_PER_SECOND: u32 = 20;
 
 /// How many ping periods a session may stay silent: one ping lost on the way is no cut.
-const UNANSWERED_PERIODS: u32 = 3;
+const TIMEOUT_PING_INTERVALS: u32 = 3;
 
 impl EntryControl {
     /// Notes a dispatcher; a known one stays as it is.
-    pub(super) fn know_dispatcher(&mut self, address: SocketAddr, data_centre: DataCentreId) {
-        if self.keys.contains_key(&address) {
+    pub(super) fn add_dispatcher(&mut self, address: SocketAddr, data_centre: DataCentreId) {
+        if self.dispatcher_keys.contains_key(&address) {
             return;
         }
-        let key = DispatcherKey(self.next_key);
-        self.next_key += 1;
-        self.keys.insert(address, key);
+        let key = DispatcherKey(self.next_dispatcher_key);
+        self.next_dispatcher_key += 1;
+        self.dispatcher_keys.insert(address, key);
         let link = LinkState::Idle(self.clock.now());
         self.dispatchers.insert(
             key,
-            DispatcherSlot {
+            DispatcherRecord {
                 address,
                 data_centre,
                 link,
-                centre: None,
+                centre_view: None,
                 early_slots: None,
             },
         );
@@ -53,72 +53,72 @@
         let platform = self.platform.clone();
         let list = async move { platform.vm_list().await }.into_actor(self);
         ctx.spawn(list.map(|list, control, _| match list {
-            Ok(vms) => control.take_vm_list(&vms),
+            Ok(vms) => control.apply_vm_list(&vms),
             // What is known goes on: sessions speak for themselves meanwhile.
             Err(error) => log::debug!("entry: VM list not read: {error}"),
         }));
     }
 
-    fn take_vm_list(&mut self, vms: &[VmEntry]) {
+    fn apply_vm_list(&mut self, vms: &[VmEntry]) {
         for vm in vms {
             if vm.role == VmRole::System && vm.state == EndpointState::Live {
-                self.know_dispatcher(vm.address, vm.data_centre.clone());
+                self.add_dispatcher(vm.address, vm.data_centre.clone());
             }
         }
-        self.forget_unlisted(vms);
-        self.note_own_dispatcher(vms);
+        self.remove_unlisted_dispatchers(vms);
+        self.update_own_dispatcher(vms);
     }
 
     /// VMs are replaced all the time, so an address that no list names and that does not answer is forgotten.
-    fn forget_unlisted(&mut self, vms: &[VmEntry]) {
+    fn remove_unlisted_dispatchers(&mut self, vms: &[VmEntry]) {
         let mut gone = Vec::new();
-        for (key, slot) in &self.dispatchers {
-            let listed = vms.iter().any(|vm| vm.address == slot.address);
+        for (key, record) in &self.dispatchers {
+            let listed = vms.iter().any(|vm| vm.address == record.address);
             let seed = self
                 .settings
                 .dispatchers
                 .iter()
-                .any(|peer| peer.address == slot.address);
-            if !listed && !seed && matches!(slot.link, LinkState::Idle(_)) {
-                gone.push((*key, slot.address));
+                .any(|peer| peer.address == record.address);
+            if !listed && !seed && matches!(record.link, LinkState::Idle(_)) {
+                gone.push((*key, record.address));
             }
         }
         for (key, address) in gone {
             self.dispatchers.remove(&key);
-            self.keys.remove(&address);
+            self.dispatcher_keys.remove(&address);
         }
     }
 
     /// Failure: this process was frozen while answers lay unread in its sockets. Symptom without this: on thawing it
     /// takes every dispatcher for silent and gives up sessions that are fine. A gap in its own ticks shows that it
     /// was the one away, so every session gets its full time again.
-    pub(super) fn note_own_pause(&mut self, now: Instant) {
+    pub(super) fn detect_own_pause(&mut self, now: Instant) {
         let gap = now.saturating_duration_since(self.last_tick);
         self.last_tick = now;
         if gap * 2 < self.settings.session_timeout_ms.duration() {
             return;
         }
         log::warn!("entry: paused for {} ms", gap.as_millis());
-        for slot in self.dispatchers.values_mut() {
-            if let LinkState::Open(open) = &mut slot.link {
-                open.heard = now;
+        for record in self.dispatchers.values_mut() {
+            if let LinkState::Open(open) = &mut record.link {
+                open.last_heard = now;
             }
         }
     }
 
     /// Connects what is not connected, pings what is, and gives up what stays silent.
-    pub(super) fn tend_sessions(&mut self, ctx: &mut Context<Self>, now: Instant) {
-        let (beat, timeout) = self.ping_times();
+    pub(super) fn maintain_sessions(&mut self, ctx: &mut Context<Self>, now: Instant) {
+        let (ping_interval, timeout) = self.ping_timing();
         let (mut connect, mut ping, mut lost) = (Vec::new(), Vec::new(), Vec::new());
-        for (key, slot) in &self.dispatchers {
-            match &slot.link {
+        for (key, record) in &self.dispatchers {
+            match &record.link {
                 LinkState::Idle(due) if *due <= now => connect.push(*key),
                 LinkState::Idle(_) | LinkState::Connecting => {}
                 LinkState::Open(open) => {
-                    let silent = now.saturating_duration_since(open.heard);
+                    let silent = now.saturating_duration_since(open.last_heard);
                     if silent >= timeout {
                         lost.push((*key, open.session));
-                    } else if silent >= beat && !open.pinged {
+                    } else if silent >= ping_interval && !open.ping_in_flight {
                         ping.push(*key);
                     }
                 }
@@ -132,7 +132,7 @@
         }
         for (key, session) in lost {
             log::warn!("entry: dispatcher {key} silent, session {session} given up");
-            self.lose_session(now, key, session);
+            self.close_session(now, key, session);
         }
     }
 
@@ -141,20 +141,20 @@
     /// Load: an entry with many sessions. Harm: each pinged as often as one alone, 60 of them take 191 KB/s of the 27
     /// that a node may spend on control. The period grows with the sessions instead, to 20 pings a second at most; a
     /// dispatcher that dies is told of by its broken connection, so only a silent cut is found later by that.
-    fn ping_times(&self) -> (Duration, Duration) {
+    fn ping_timing(&self) -> (Duration, Duration) {
         let open = self
             .dispatchers
             .values()
-            .filter(|slot| matches!(slot.link, LinkState::Open(_)));
+            .filter(|record| matches!(record.link, LinkState::Open(_)));
         let sessions = u32::try_from(open.count()).unwrap_or(u32::MAX);
-        let spread = Duration::from_secs(1).saturating_mul(sessions) / PINGS_PER_SECOND;
-        let beat = self.settings.heartbeat_ms.duration().max(spread);
+        let spread = Duration::from_secs(1).saturating_mul(sessions) / MAX_PINGS_PER_SECOND;
+        let ping_interval = self.settings.heartbeat_ms.duration().max(spread);
         let timeout = self
             .settings
             .session_timeout_ms
             .duration()
-            .max(beat * UNANSWERED_PERIODS);
-        (beat, timeout)
+            .max(ping_interval * TIMEOUT_PING_INTERVALS);
+        (ping_interval, timeout)
     }
 
     pub(super) fn send_offers(
@@ -169,14 +169,14 @@
             return;
         };
         let reply = open.client.offer(batch, &offers);
-        self.notes.sent(1);
+        self.events.count_sent(1);
         let attempts: Vec<AttemptId> = offers.iter().map(|offer| offer.attempt).collect();
         ctx.spawn(
             reply
                 .into_actor(self)
                 .map(move |reply, control, ctx| match reply {
                     Ok((verdicts, slots)) => {
-                        control.hear(dispatcher, session);
+                        control.record_activity(dispatcher, session);
                         let verdicts: Vec<_> = attempts.into_iter().zip(verdicts).collect();
                         control
                             .authority
@@ -203,14 +203,14 @@
             return;
         };
         let reply = open.client.withdraw(after_batch, &attempts);
-        self.notes.sent(1);
-        self.notes.wasted(1);
+        self.events.count_sent(1);
+        self.events.count_wasted(1);
         ctx.spawn(
             reply
                 .into_actor(self)
                 .map(move |reply, control, ctx| match reply {
                     Ok((verdicts, slots)) => {
-                        control.hear(dispatcher, session);
+                        control.record_activity(dispatcher, session);
                         let verdicts: Vec<_> = attempts.into_iter().zip(verdicts).collect();
                         control
                             .authority
@@ -232,14 +232,14 @@
         }
     }
 
-    fn hear(&mut self, dispatcher: DispatcherKey, session: SessionId) {
+    fn record_activity(&mut self, dispatcher: DispatcherKey, session: SessionId) {
         let now = self.clock.now();
-        let Some(slot) = self.dispatchers.get_mut(&dispatcher) else {
+        let Some(record) = self.dispatchers.get_mut(&dispatcher) else {
             return;
         };
-        if let LinkState::Open(open) = &mut slot.link {
+        if let LinkState::Open(open) = &mut record.link {
             if open.session == session {
-                open.heard = now;
+                open.last_heard = now;
             }
         }
     }
@@ -254,16 +254,16 @@
         error: &PeerError,
     ) {
         log::debug!("entry: call to dispatcher {dispatcher} failed: {error}");
-        self.lose_session(self.clock.now(), dispatcher, session);
+        self.close_session(self.clock.now(), dispatcher, session);
         self.flush(ctx);
     }
 
     fn connect(&mut self, ctx: &mut Context<Self>, key: DispatcherKey) {
-        let Some(slot) = self.dispatchers.get_mut(&key) else {
+        let Some(record) = self.dispatchers.get_mut(&key) else {
             return;
         };
-        slot.link = LinkState::Connecting;
-        let address = slot.address;
+        record.link = LinkState::Connecting;
+        let address = record.address;
         let session = SessionId(self.next_session);
         self.next_session += 1;
         let control = ctx.address();
@@ -299,24 +299,24 @@
         opened: Result<(PeerLink, OpenedSession), PeerError>,
     ) {
         let now = self.clock.now();
-        let Some(slot) = self.dispatchers.get_mut(&key) else {
+        let Some(record) = self.dispatchers.get_mut(&key) else {
             return;
         };
         match opened {
             Ok((link, opened)) => {
                 log::info!(
                     "entry: session {session} with dispatcher {key} at {} open",
-                    slot.address
+                    record.address
                 );
                 let client = opened.session;
-                slot.link = LinkState::Open(OpenLink {
+                record.link = LinkState::Open(OpenLink {
                     link,
                     client,
                     session,
-                    heard: now,
-                    pinged: false,
+                    last_heard: now,
+                    ping_in_flight: false,
                 });
-                let data_centre = slot.data_centre.clone();
+                let data_centre = record.data_centre.clone();
                 self.authority.on_session_opened(
                     now,
                     key,
@@ -325,10 +325,10 @@
                     session,
                     opened.slots,
                 );
-                self.take_early_slots(key, session);
+                self.apply_early_slots(key, session);
             }
             Err(error) => {
-                slot.link = LinkState::Idle(now + RECONNECT_PAUSE);
+                record.link = LinkState::Idle(now + RECONNECT_DELAY);
                 if error == PeerError::Refused {
                     // Its VM's own system says that nothing listens there: the process is gone, and what it may
                     // have started is answered as unknown now rather than at the deadline.
@@ -340,10 +340,10 @@
 
     /// A word on slots that overtook the answer to its session's opening is newer than that answer. Passed over, it would
     /// leave the entry with the slots of before until the next ping: tasks queue elsewhere while these stand free.
-    fn take_slots(&mut self, update: SlotUpdate) {
-        if let Some(slot) = self.dispatchers.get_mut(&update.dispatcher) {
-            if matches!(slot.link, LinkState::Connecting) {
-                slot.early_slots = Some((update.session, update.slots));
+    fn apply_slot_update(&mut self, update: SlotUpdate) {
+        if let Some(record) = self.dispatchers.get_mut(&update.dispatcher) {
+            if matches!(record.link, LinkState::Connecting) {
+                record.early_slots = Some((update.session, update.slots));
                 return;
             }
         }
@@ -351,42 +351,42 @@
             .on_slots(self.clock.now(), update.dispatcher, update.slots);
     }
 
-    fn take_early_slots(&mut self, key: DispatcherKey, session: SessionId) {
+    fn apply_early_slots(&mut self, key: DispatcherKey, session: SessionId) {
         let early = self
             .dispatchers
             .get_mut(&key)
-            .and_then(|slot| slot.early_slots.take());
+            .and_then(|record| record.early_slots.take());
         let Some((_, slots)) = early.filter(|(opening, _)| *opening == session) else {
             return;
         };
         self.authority.on_slots(self.clock.now(), key, slots);
     }
 
-    fn lose_session(&mut self, now: Instant, key: DispatcherKey, session: SessionId) {
-        let Some(slot) = self.dispatchers.get_mut(&key) else {
+    fn close_session(&mut self, now: Instant, key: DispatcherKey, session: SessionId) {
+        let Some(record) = self.dispatchers.get_mut(&key) else {
             return;
         };
-        match &slot.link {
+        match &record.link {
             LinkState::Open(open) if open.session == session => {}
             _ => return,
         }
-        slot.link = LinkState::Idle(now);
-        slot.centre = None;
-        self.notes.metrics().count(CounterKind::SessionsLost, 1);
+        record.link = LinkState::Idle(now);
+        record.centre_view = None;
+        self.events.metrics().count(CounterKind::SessionsLost, 1);
         self.authority.on_session_lost(now, key, session);
-        self.choose_centre();
+        self.select_centre_view();
     }
 
     fn ping(&mut self, ctx: &mut Context<Self>, key: DispatcherKey) {
-        let Some(slot) = self.dispatchers.get_mut(&key) else {
+        let Some(record) = self.dispatchers.get_mut(&key) else {
             return;
         };
-        let LinkState::Open(open) = &mut slot.link else {
+        let LinkState::Open(open) = &mut record.link else {
             return;
         };
-        open.pinged = true;
+        open.ping_in_flight = true;
         let session = open.session;
-        let revision = slot.centre.as_ref().map_or(0, |view| view.revision);
+        let revision = record.centre_view.as_ref().map_or(0, |view| view.revision);
         let reply = open.link.client().ping(revision);
         ctx.spawn(
             reply
@@ -396,7 +396,7 @@
                         let now = control.clock.now();
                         control.authority.on_slots(now, key, reply.slots);
                         if let Some(view) = reply.centre {
-                            control.take_centre(key, view);
+                            control.set_centre_view(key, view);
                         }
                         control.on_ping_reply(ctx, key, session, &reply.view);
                     }
@@ -412,16 +412,16 @@
         session: SessionId,
         view: &MemberView,
     ) {
-        self.hear(key, session);
-        if let Some(slot) = self.dispatchers.get_mut(&key) {
-            if let LinkState::Open(open) = &mut slot.link {
-                open.pinged = false;
+        self.record_activity(key, session);
+        if let Some(record) = self.dispatchers.get_mut(&key) {
+            if let LinkState::Open(open) = &mut record.link {
+                open.ping_in_flight = false;
             }
         }
         if view.stopping {
             self.authority.on_dispatcher_stopping(key);
         }
-        self.hear_head(ctx, key, view.head);
+        self.on_dispatcher_head(ctx, key, view.head);
         self.flush(ctx);
     }
 }
@@ -430,7 +430,7 @@
     type Result = ();
 
     fn handle(&mut self, broken: LinkBroken, ctx: &mut Context<Self>) {
-        self.lose_session(self.clock.now(), broken.dispatcher, broken.session);
+        self.close_session(self.clock.now(), broken.dispatcher, broken.session);
         self.flush(ctx);
     }
 }
@@ -467,7 +467,7 @@
     type Result = ();
 
     fn handle(&mut self, update: SlotUpdate, ctx: &mut Context<Self>) {
-        self.take_slots(update);
+        self.apply_slot_update(update);
         self.flush(ctx);
     }
 }
--- a/crates/entry/src/control/status.rs
+++ b/crates/entry/src/control/status.rs
@@ -15,7 +15,7 @@
         let age = self
             .clock
             .now()
-            .saturating_duration_since(self.contracts_heard?);
+            .saturating_duration_since(self.contracts_confirmed_at?);
         u64::try_from(age.as_millis()).ok()
     }
 }
@@ -24,7 +24,7 @@
     type Result = Option<serde_json::Value>;
 
     fn handle(&mut self, command: ExplainCommand, _: &mut Context<Self>) -> Self::Result {
-        serde_json::to_value(self.notes.explain(command.id)?).ok()
+        serde_json::to_value(self.events.explain(command.id)?).ok()
     }
 }
 
@@ -53,13 +53,13 @@
 
     fn handle(&mut self, _: StatusCommand, _: &mut Context<Self>) -> EntryStatus {
         let mut dispatchers = Vec::new();
-        for slot in self.dispatchers.values() {
-            let session = match slot.link {
+        for record in self.dispatchers.values() {
+            let session = match record.link {
                 LinkState::Idle(_) => "idle",
                 LinkState::Connecting => "connecting",
                 LinkState::Open(_) => "open",
             };
-            let (address, data_centre) = (slot.address, slot.data_centre.clone());
+            let (address, data_centre) = (record.address, record.data_centre.clone());
             dispatchers.push(DispatcherStatus {
                 address,
                 data_centre,
--- a/crates/entry/src/process.rs
+++ b/crates/entry/src/process.rs
@@ -28,10 +28,10 @@
 const CONTROL_SERVICE: ServiceName = ServiceName("entry.control");
 
 /// The time between two looks at whether a stopping process may end.
-const DRAIN_LOOK: Duration = Duration::from_millis(50);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The time that answers have to leave after the last submission has its answer, in seconds.
-const LAST_ANSWERS_SECS: u64 = 5;
+const SHUTDOWN_TIMEOUT_SECS: u64 = 5;
 
 /// A running entry.
 pub struct EntryProcess {
@@ -62,7 +62,7 @@
                 .await
                 .unwrap_or(0);
             if open > 0 {
-                actix_rt::time::sleep(DRAIN_LOOK).await;
+                actix_rt::time::sleep(DRAIN_POLL_INTERVAL).await;
             }
         }
         if open > 0 {
@@ -126,13 +126,13 @@
         let metrics = web::Data::from(metrics.clone());
         App::new()
             .app_data(metrics)
-            .route("/metrics", web::get().to(show_metrics))
+            .route("/metrics", web::get().to(serve_metrics))
             .configure(move |config| caller_routes(config, api, max_body))
             .configure(move |config| operators::configure(config, operators))
     })
     .workers(threads)
     .disable_signals()
-    .shutdown_timeout(LAST_ANSWERS_SECS)
+    .shutdown_timeout(SHUTDOWN_TIMEOUT_SECS)
     .listen(listener)?
     .run();
     let handle = server.handle();
@@ -150,7 +150,7 @@
     })
 }
 
-async fn show_metrics(metrics: web::Data<MetricSet>) -> HttpResponse {
+async fn serve_metrics(metrics: web::Data<MetricSet>) -> HttpResponse {
     match metrics.render() {
         Ok(page) => HttpResponse::Ok()
             .content_type("text/plain; version=0.0.4")
