--- a/crates/dispatcher/src/admin.rs
+++ b/crates/dispatcher/src/admin.rs
@@ -26,8 +26,8 @@
         App::new()
             .app_data(state.clone())
             .app_data(metrics.clone())
-            .route("/metrics", web::get().to(show_metrics))
-            .route("/ready", web::get().to(answer_ready))
+            .route("/metrics", web::get().to(serve_metrics))
+            .route("/ready", web::get().to(serve_readiness))
             .route("/live", web::get().to(HttpResponse::NoContent))
     })
     .workers(1)
@@ -44,14 +44,14 @@
     Ok(handle)
 }
 
-async fn answer_ready(ready: web::Data<AtomicBool>) -> HttpResponse {
+async fn serve_readiness(ready: web::Data<AtomicBool>) -> HttpResponse {
     if ready.load(Ordering::Relaxed) {
         return HttpResponse::Ok().body("ready\n");
     }
     HttpResponse::ServiceUnavailable().body("not ready\n")
 }
 
-async fn show_metrics(metrics: web::Data<MetricSet>) -> HttpResponse {
+async fn serve_metrics(metrics: web::Data<MetricSet>) -> HttpResponse {
     match metrics.render() {
         Ok(page) => HttpResponse::Ok()
             .content_type("text/plain; version=0.0.4")
--- a/crates/dispatcher/src/control.rs
+++ b/crates/dispatcher/src/control.rs
@@ -42,15 +42,15 @@
 
 /// The time between two looks at what has become due. It bounds how late a slot goes on after an ask stayed
 /// unanswered, and is small against the shortest tasks of 50 ms.
-const TICK: Duration = Duration::from_millis(40);
+const TICK_INTERVAL: Duration = Duration::from_millis(40);
 
 /// The time between two looks at the grants. The ledger takes a gap of the suspect time for a freeze of this process;
 /// the shortest that the settings' defaults allow is five of these.
-const GRANT_TICK: Duration = Duration::from_millis(200);
+const GRANT_TICK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The time between two reports to the new owners of endpoints. It bounds how long a slot that a task has left stays
 /// counted there, and is of the size of the shortest tasks.
-const HANDOVER_TICK: Duration = Duration::from_millis(50);
+const HANDOVER_TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The name under which a dispatcher's control actor is found.
 pub(crate) const CONTROL_SERVICE: ServiceName = ServiceName("dispatcher.control");
@@ -65,29 +65,29 @@
     members: MemberTable,
     ownership: OwnershipMap,
     grants: GrantLedger,
-    centre: CentreView,
+    centre_view: CentreView,
     handovers: HandoverLedger,
-    reported: FastSet<SocketAddr>,
+    reported_peers: FastSet<SocketAddr>,
     next_report: u64,
     vms: Vec<VmEntry>,
-    peers: FastMap<SocketAddr, PeerSlot>,
+    peers: FastMap<SocketAddr, PeerConnection>,
     entries: EntryDirectory,
     traffic: Vec<Addr<EndpointTraffic>>,
-    next_traffic: usize,
+    next_traffic_thread: usize,
     platform: PlatformClient,
-    view: ContractView,
-    polls: u32,
-    polling: bool,
-    told_limit: u32,
-    started: Instant,
-    settled: bool,
+    contract_view: ContractView,
+    poll_ticks: u32,
+    poll_in_flight: bool,
+    announced_limit: u32,
+    started_at: Instant,
+    membership_settled: bool,
     metrics: Arc<MetricSet>,
     ready: Arc<AtomicBool>,
     stopping: bool,
 }
 
 /// A connection to another dispatcher.
-enum PeerSlot {
+enum PeerConnection {
     Connecting,
     Open(PeerLink),
 }
@@ -140,25 +140,25 @@
             members,
             ownership: OwnershipMap::default(),
             grants,
-            centre: CentreView::default(),
+            centre_view: CentreView::default(),
             handovers: HandoverLedger::default(),
-            reported: FastSet::default(),
+            reported_peers: FastSet::default(),
             next_report: 1,
             vms: Vec::new(),
             peers: FastMap::default(),
             entries: parts.entries,
             traffic: parts.traffic,
-            next_traffic: 0,
+            next_traffic_thread: 0,
             platform: parts.platform,
-            told_limit: 0,
-            started: now,
-            settled: false,
+            announced_limit: 0,
+            started_at: now,
+            membership_settled: false,
             metrics: parts.metrics,
             ready: parts.ready,
             stopping: false,
-            view: ContractView::default(),
-            polls: 0,
-            polling: false,
+            contract_view: ContractView::default(),
+            poll_ticks: 0,
+            poll_in_flight: false,
             settings,
         }
     }
@@ -175,7 +175,7 @@
                     attempt,
                     claim,
                 } => {
-                    self.ask_for_body(ctx, entry, session, attempt, claim);
+                    self.request_body(ctx, entry, session, attempt, claim);
                 }
                 LedgerAction::Report {
                     entry,
@@ -201,28 +201,28 @@
                 self.report_ends(ctx, entry, session, part);
             }
         }
-        self.tell_limit();
+        self.announce_limit();
     }
 
     /// Load: endpoints that change owner. Harm: until the next ping or answer, entries place by the slots that this
     /// dispatcher had, so tasks queue here while the new owner's slots stand free. Limits change rarely, so telling every
     /// entry at once costs little.
-    fn tell_limit(&mut self) {
+    fn announce_limit(&mut self) {
         let slots = self.ledger.slots();
-        if slots.limit == self.told_limit {
+        if slots.limit == self.announced_limit {
             return;
         }
-        self.told_limit = slots.limit;
+        self.announced_limit = slots.limit;
         for client in self.entries.all() {
-            let told = client.slots(slots);
+            let sent = client.slots(slots);
             // A connection that breaks meanwhile ends the session by itself.
-            actix_rt::spawn(async move { drop(told.await) });
+            actix_rt::spawn(async move { drop(sent.await) });
         }
     }
 
     fn start_task(&mut self, endpoint: model::EndpointAddress, offer: model::TaskOffer) {
-        self.next_traffic = (self.next_traffic + 1) % self.traffic.len();
-        let traffic = &self.traffic[self.next_traffic];
+        self.next_traffic_thread = (self.next_traffic_thread + 1) % self.traffic.len();
+        let traffic = &self.traffic[self.next_traffic_thread];
         traffic.do_send(RunTask { endpoint, offer });
     }
 
@@ -244,7 +244,7 @@
         self.metrics
             .gauge(GaugeKind::Sessions, self.entries.len() as f64);
         self.metrics
-            .gauge(GaugeKind::ContractHead, self.view.head().0 as f64);
+            .gauge(GaugeKind::ContractHead, self.contract_view.head().0 as f64);
         let owned = self.ownership.owned_by(self.own_address).count();
         self.metrics.gauge(GaugeKind::OwnedEndpoints, owned as f64);
     }
@@ -281,11 +281,11 @@
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Context<Self>) {
-        ctx.run_interval(TICK, Self::tick);
-        ctx.run_interval(GRANT_TICK, |control, _| {
+        ctx.run_interval(TICK_INTERVAL, Self::tick);
+        ctx.run_interval(GRANT_TICK_INTERVAL, |control, _| {
             control.grants.tick(control.clock.now());
         });
-        ctx.run_interval(HANDOVER_TICK, Self::tick_handovers);
+        ctx.run_interval(HANDOVER_TICK_INTERVAL, Self::tick_handovers);
         self.read_vm_list(ctx);
         ctx.run_interval(self.settings.vm_list_ms.duration(), Self::read_vm_list);
         self.poll_contracts(ctx);
--- a/crates/dispatcher/src/control/contracts.rs
+++ b/crates/dispatcher/src/control/contracts.rs
@@ -7,48 +7,51 @@
 use membership::rendezvous;
 use peer::ContractNews;
 
-use super::{ContractRequest, DispatcherControl, PeerSlot};
+use super::{ContractRequest, DispatcherControl, PeerConnection};
 
 /// What the reader of a data centre is chosen by, as endpoints choose owners.
-const READER_KEY: &str = "contract-reader";
+const READER_HASH_KEY: &str = "contract-reader";
 
 /// How many poll intervals pass between two polls of a dispatcher that is not its data centre's reader. It covers a
 /// reader that is cut off from the platform alone; at 720 VMs, a poll each 5 s is 144 reads a second.
-const STANDBY_POLLS: u32 = 5;
+const STANDBY_POLL_INTERVAL_TICKS: u32 = 5;
 
 impl DispatcherControl {
     /// Called once each poll interval.
     pub(super) fn poll_contracts(&mut self, ctx: &mut Context<Self>) {
-        self.polls = self.polls.wrapping_add(1);
+        self.poll_ticks = self.poll_ticks.wrapping_add(1);
         let due = self.is_reader()
-            || self.view.loaded_head().is_none()
-            || self.polls.is_multiple_of(STANDBY_POLLS);
-        if !due || self.polling {
+            || self.contract_view.loaded_head().is_none()
+            || self.poll_ticks.is_multiple_of(STANDBY_POLL_INTERVAL_TICKS);
+        if !due || self.poll_in_flight {
             return;
         }
-        self.polling = true;
+        self.poll_in_flight = true;
         let reader = ContractReader::new(self.platform.clone());
-        let known = self.view.loaded_head();
+        let known = self.contract_view.loaded_head();
         let update = async move { reader.poll(known).await }.into_actor(self);
         ctx.spawn(update.map(|update, control, ctx| control.on_polled(ctx, update)));
     }
 
     /// A peer has named its head: a newer one is a reason to ask it for the rows.
-    pub(super) fn hear_head(&mut self, ctx: &mut Context<Self>, address: SocketAddr, head: u64) {
+    pub(super) fn on_peer_head(&mut self, ctx: &mut Context<Self>, address: SocketAddr, head: u64) {
         let head = HeadNumber(head);
-        self.view.note_peer_head(head);
-        if self.view.loaded_head().is_some_and(|known| known >= head)
+        self.contract_view.note_peer_head(head);
+        if self
+            .contract_view
+            .loaded_head()
+            .is_some_and(|known| known >= head)
             || head == HeadNumber::default()
         {
             return;
         }
-        let Some(PeerSlot::Open(link)) = self.peers.get(&address) else {
+        let Some(PeerConnection::Open(link)) = self.peers.get(&address) else {
             return;
         };
-        let since = self.view.loaded_head().unwrap_or_default();
+        let since = self.contract_view.loaded_head().unwrap_or_default();
         let news = link.client().contracts(since).into_actor(self);
         ctx.spawn(news.map(move |news, control, _| match news {
-            Ok(news) if news.loaded => control.apply(news.update),
+            Ok(news) if news.loaded => control.apply_contracts(news.update),
             Ok(_) => {}
             Err(error) => log::warn!("dispatcher: contracts not read from {address}: {error}"),
         }));
@@ -57,7 +60,7 @@
     fn is_reader(&self) -> bool {
         let owners = self.members.owners();
         let addresses: Vec<SocketAddr> = owners.iter().map(|owner| owner.address).collect();
-        rendezvous(&READER_KEY, addresses) == Some(self.own_address)
+        rendezvous(&READER_HASH_KEY, addresses) == Some(self.own_address)
     }
 
     fn on_polled(
@@ -65,10 +68,10 @@
         ctx: &mut Context<Self>,
         update: Result<Option<ContractUpdate>, PollError>,
     ) {
-        self.polling = false;
+        self.poll_in_flight = false;
         match update {
             Ok(Some(update)) => {
-                self.apply(update);
+                self.apply_contracts(update);
                 // Only the reader tells at once; whoever hears of it from a peer leaves it at the usual beats.
                 self.members.announce();
                 self.tick_members(ctx);
@@ -78,17 +81,17 @@
         }
     }
 
-    fn apply(&mut self, update: ContractUpdate) {
-        let changed = self.view.apply(update);
+    fn apply_contracts(&mut self, update: ContractUpdate) {
+        let changed = self.contract_view.apply(update);
         if !changed.is_empty() {
             log::info!(
                 "dispatcher: {} contracts changed, head {}",
                 changed.len(),
-                self.view.head()
+                self.contract_view.head()
             );
         }
         self.update_shares(&changed);
-        self.members.set_head(self.view.head().0);
+        self.members.set_head(self.contract_view.head().0);
     }
 }
 
@@ -96,9 +99,9 @@
     type Result = ();
 
     fn handle(&mut self, request: ContractRequest, _: &mut Context<Self>) {
-        let update = self.view.newer_than(request.since);
+        let update = self.contract_view.newer_than(request.since);
         let _gone = request.reply.send(Ok(ContractNews {
-            loaded: self.view.is_ready(),
+            loaded: self.contract_view.is_ready(),
             update,
         }));
     }
--- a/crates/dispatcher/src/control/grants.rs
+++ b/crates/dispatcher/src/control/grants.rs
@@ -11,19 +11,23 @@
     /// Takes the members and the VM list as they are now. Nothing is told or granted before the list has been read:
     /// without it every share would be 0, and a home that says so stops its customers. An entry whose home does not
     /// answer has its base share.
-    pub(super) fn update_centre(&mut self) {
+    pub(super) fn update_centre_view(&mut self) {
         if self.vms.is_empty() {
             return;
         }
         let owners = self.members.owners();
         let listed = self.members.listed();
         let slots = count_slots(&self.vms);
-        let resized = slots != self.centre.slots;
+        let resized = slots != self.centre_view.slots;
         let addresses = owners.iter().map(|owner| owner.address).collect();
-        self.centre.update(addresses, listed.clone(), slots);
+        self.centre_view.update(addresses, listed.clone(), slots);
         self.grants.set_view(self.clock.now(), owners, listed);
         if resized {
-            let customers: Vec<_> = self.view.rows().map(|row| row.customer.clone()).collect();
+            let customers: Vec<_> = self
+                .contract_view
+                .rows()
+                .map(|row| row.customer.clone())
+                .collect();
             self.update_shares(&customers);
         }
     }
@@ -33,11 +37,11 @@
     pub(super) fn update_shares(&mut self, customers: &[CustomerId]) {
         let now = self.clock.now();
         for customer in customers {
-            let Some((_, contract)) = self.view.get(customer) else {
+            let Some((_, contract)) = self.contract_view.get(customer) else {
                 continue;
             };
             let share = self
-                .centre
+                .centre_view
                 .share_of(&self.settings.data_centre, contract.concurrency);
             self.grants.set_share(now, customer.clone(), share);
         }
@@ -48,7 +52,7 @@
     type Result = ();
 
     fn handle(&mut self, request: GrantRequest, _: &mut Context<Self>) {
-        let reply = match self.centre.revision {
+        let reply = match self.centre_view.revision {
             0 => None,
             _ => self.grants.on_ask(self.clock.now(), &request.batch),
         };
--- a/crates/dispatcher/src/control/handover.rs
+++ b/crates/dispatcher/src/control/handover.rs
@@ -6,7 +6,7 @@
 use membership::{HandoverCount, HandoverReport};
 use model::FastMap;
 
-use super::{DispatcherControl, HandoverRequest, PeerSlot};
+use super::{DispatcherControl, HandoverRequest, PeerConnection};
 
 impl DispatcherControl {
     /// Reports what this dispatcher still runs at endpoints of others, and lets the slots that others reported go
@@ -17,13 +17,13 @@
     /// run, so a move of an idle endpoint costs nothing.
     pub(super) fn tick_handovers(&mut self, ctx: &mut Context<Self>) {
         let mut reports = self.collect_reports();
-        for address in self.reported.clone() {
+        for address in self.reported_peers.clone() {
             reports.entry(address).or_default();
         }
         for (address, counts) in reports {
-            self.report_to(ctx, address, counts);
+            self.send_handover_report(ctx, address, counts);
         }
-        self.count_outside();
+        self.update_outside_tasks();
         self.flush(ctx);
     }
 
@@ -45,21 +45,21 @@
         reports
     }
 
-    fn report_to(
+    fn send_handover_report(
         &mut self,
         ctx: &mut Context<Self>,
         address: SocketAddr,
         counts: Vec<HandoverCount>,
     ) {
         let link = match self.peers.get(&address) {
-            Some(PeerSlot::Open(link)) => link,
-            Some(PeerSlot::Connecting) => return,
+            Some(PeerConnection::Open(link)) => link,
+            Some(PeerConnection::Connecting) => return,
             // Of a pair only one side needs a connection for heartbeats, and it may be the other one.
             None => return self.connect_peer(ctx, address),
         };
         match counts.is_empty() {
-            true => self.reported.remove(&address),
-            false => self.reported.insert(address),
+            true => self.reported_peers.remove(&address),
+            false => self.reported_peers.insert(address),
         };
         let report = HandoverReport {
             from: self.own_address,
@@ -68,15 +68,15 @@
             counts,
         };
         self.next_report += 1;
-        let told = link.client().handover(&report).into_actor(self);
-        ctx.spawn(told.map(move |told, _, _| {
-            if let Err(error) = told {
+        let sent = link.client().handover(&report).into_actor(self);
+        ctx.spawn(sent.map(move |sent, _, _| {
+            if let Err(error) = sent {
                 log::debug!("dispatcher: report not taken by {address}: {error}");
             }
         }));
     }
 
-    fn count_outside(&mut self) {
+    fn update_outside_tasks(&mut self) {
         let now = self.clock.now();
         self.handovers.tick(now);
         self.ledger.set_outside(now, self.handovers.used(now));
@@ -88,7 +88,7 @@
 
     fn handle(&mut self, request: HandoverRequest, ctx: &mut Context<Self>) {
         self.handovers.on_report(self.clock.now(), request.report);
-        self.count_outside();
+        self.update_outside_tasks();
         let _gone = request.reply.send(Ok(()));
         self.flush(ctx);
     }
--- a/crates/dispatcher/src/control/membership.rs
+++ b/crates/dispatcher/src/control/membership.rs
@@ -8,24 +8,24 @@
 use peer::{PeerError, PingReply};
 use telemetry::CounterKind;
 
-use super::{DispatcherControl, HeartbeatRequest, PeerSlot, PingRequest, VmListRequest};
+use super::{DispatcherControl, HeartbeatRequest, PeerConnection, PingRequest, VmListRequest};
 
 impl DispatcherControl {
     pub(super) fn tick_members(&mut self, ctx: &mut Context<Self>) {
         let mut changed = false;
         for action in self.members.tick(self.clock.now()) {
             match action {
-                MemberAction::Beat { address } => self.beat(ctx, address),
+                MemberAction::Beat { address } => self.send_heartbeat(ctx, address),
                 MemberAction::ViewChanged => changed = true,
             }
         }
-        if !self.settled && self.is_settled() {
-            self.settled = true;
+        if !self.membership_settled && self.is_membership_settled() {
+            self.membership_settled = true;
             changed = true;
         }
         if changed {
             self.update_ownership();
-            self.update_centre();
+            self.update_centre_view();
         }
     }
 
@@ -33,8 +33,8 @@
     /// for its own, as do its peers, and a burst overfills them; each busy answer is a wasted message. So it owns nothing
     /// until everybody on the lists has answered, or the suspect time has passed, in which a live one would have. A
     /// refused connection does not count as gone here: a peer that starts at the same time does not listen yet.
-    fn is_settled(&self) -> bool {
-        let waited = self.clock.now().saturating_duration_since(self.started);
+    fn is_membership_settled(&self) -> bool {
+        let waited = self.clock.now().saturating_duration_since(self.started_at);
         if waited >= self.settings.suspect_ms.duration() {
             return true;
         }
@@ -50,29 +50,29 @@
         let platform = self.platform.clone();
         let list = async move { platform.vm_list().await }.into_actor(self);
         ctx.spawn(list.map(|list, control, ctx| match list {
-            Ok(vms) => control.take_vm_list(ctx, vms),
+            Ok(vms) => control.apply_vm_list(ctx, vms),
             // What is known goes on: endpoints and peers speak for themselves meanwhile.
             Err(error) => {
                 log::debug!("dispatcher: VM list not read: {error}");
-                control.ask_peers_for_vms(ctx);
+                control.request_peer_vm_lists(ctx);
             }
         }));
     }
 
     /// Failure: this VM started while the platform is down. Symptom without this: it knows no endpoint and serves nothing
     /// for the length of the outage. A peer's list is as old as the platform's last answer, which lags anyway.
-    fn ask_peers_for_vms(&mut self, ctx: &mut Context<Self>) {
+    fn request_peer_vm_lists(&mut self, ctx: &mut Context<Self>) {
         if !self.vms.is_empty() {
             return;
         }
-        for slot in self.peers.values() {
-            let PeerSlot::Open(link) = slot else {
+        for connection in self.peers.values() {
+            let PeerConnection::Open(link) = connection else {
                 continue;
             };
             let vms = link.client().vms().into_actor(self);
             ctx.spawn(vms.map(|vms, control, ctx| match vms {
                 Ok(vms) if control.vms.is_empty() && !vms.is_empty() => {
-                    control.take_vm_list(ctx, vms)
+                    control.apply_vm_list(ctx, vms)
                 }
                 Ok(_) => {}
                 Err(error) => log::debug!("dispatcher: VM list not read from a peer: {error}"),
@@ -80,11 +80,11 @@
         }
     }
 
-    fn take_vm_list(&mut self, ctx: &mut Context<Self>, vms: Vec<VmEntry>) {
+    fn apply_vm_list(&mut self, ctx: &mut Context<Self>, vms: Vec<VmEntry>) {
         self.members.on_vm_list(&vms);
         self.vms = vms;
         self.update_ownership();
-        self.update_centre();
+        self.update_centre_view();
         self.flush(ctx);
     }
 
@@ -124,44 +124,44 @@
         let owned: Vec<(EndpointAddress, EndpointState)> = endpoints
             .into_iter()
             .filter(|(address, _)| {
-                self.settled && self.ownership.owner(&address.id) == Some(self.own_address)
+                self.membership_settled
+                    && self.ownership.owner(&address.id) == Some(self.own_address)
             })
             .collect();
         self.ledger.set_endpoints(self.clock.now(), &owned);
     }
 
-    fn beat(&mut self, ctx: &mut Context<Self>, address: SocketAddr) {
+    fn send_heartbeat(&mut self, ctx: &mut Context<Self>, address: SocketAddr) {
         match self.peers.get(&address) {
-            Some(PeerSlot::Connecting) => {}
-            Some(PeerSlot::Open(link)) => {
+            Some(PeerConnection::Connecting) => {}
+            Some(PeerConnection::Open(link)) => {
                 let reply = link
                     .client()
                     .beat(&self.members.beat_message())
                     .into_actor(self);
-                ctx.spawn(
-                    reply
-                        .map(move |reply, control, ctx| control.on_beat_reply(ctx, address, reply)),
-                );
+                ctx.spawn(reply.map(move |reply, control, ctx| {
+                    control.on_heartbeat_reply(ctx, address, reply)
+                }));
             }
             None => self.connect_peer(ctx, address),
         }
     }
 
     pub(super) fn connect_peer(&mut self, ctx: &mut Context<Self>, address: SocketAddr) {
-        self.peers.insert(address, PeerSlot::Connecting);
+        self.peers.insert(address, PeerConnection::Connecting);
         let link = peer::connect(address, || {}).into_actor(self);
         ctx.spawn(link.map(move |link, control, ctx| match link {
             Ok(link) => {
-                control.peers.insert(address, PeerSlot::Open(link));
+                control.peers.insert(address, PeerConnection::Open(link));
                 // What still runs goes before the beat that tells of a stop, so that the new owner counts it first.
                 control.tick_handovers(ctx);
-                control.beat(ctx, address);
+                control.send_heartbeat(ctx, address);
             }
-            Err(error) => control.on_beat_reply(ctx, address, Err(error)),
+            Err(error) => control.on_heartbeat_reply(ctx, address, Err(error)),
         }));
     }
 
-    fn on_beat_reply(
+    fn on_heartbeat_reply(
         &mut self,
         ctx: &mut Context<Self>,
         address: SocketAddr,
@@ -172,7 +172,7 @@
             Ok(reply) => {
                 let head = reply.view.head;
                 self.members.on_reply(now, reply);
-                self.hear_head(ctx, address, head);
+                self.on_peer_head(ctx, address, head);
             }
             Err(error) => {
                 self.peers.remove(&address);
@@ -192,7 +192,7 @@
     fn handle(&mut self, request: HeartbeatRequest, ctx: &mut Context<Self>) {
         let (address, head) = (request.message.view.address, request.message.view.head);
         let reply = self.members.on_beat(self.clock.now(), request.message);
-        self.hear_head(ctx, address, head);
+        self.on_peer_head(ctx, address, head);
         let _gone = request.reply.send(Ok(reply));
         self.tick_members(ctx);
         self.flush(ctx);
@@ -219,7 +219,8 @@
             true => Ok(PingReply {
                 view: self.members.beat_message().view,
                 slots: self.ledger.slots(),
-                centre: (self.centre.revision != request.revision).then(|| self.centre.clone()),
+                centre: (self.centre_view.revision != request.revision)
+                    .then(|| self.centre_view.clone()),
             }),
             // The entry opens another one, and learns what became of its attempts.
             false => Err(PeerError::Failed("the session is over".to_owned())),
--- a/crates/dispatcher/src/control/sessions.rs
+++ b/crates/dispatcher/src/control/sessions.rs
@@ -11,7 +11,7 @@
 use super::{DispatcherControl, OfferRequest, SessionClosed, SessionRequest, WithdrawalRequest};
 
 impl DispatcherControl {
-    pub(super) fn ask_for_body(
+    pub(super) fn request_body(
         &mut self,
         ctx: &mut Context<Self>,
         entry: IncarnationId,
--- a/crates/dispatcher/src/entry_directory.rs
+++ b/crates/dispatcher/src/entry_directory.rs
@@ -11,10 +11,10 @@
 /// Entry ports by incarnation. Clones share the same table.
 #[derive(Clone, Default)]
 pub(crate) struct EntryDirectory {
-    entries: Rc<RefCell<FastMap<IncarnationId, EntrySlot>>>,
+    entries: Rc<RefCell<FastMap<IncarnationId, EntryRecord>>>,
 }
 
-struct EntrySlot {
+struct EntryRecord {
     session: SessionId,
     client: EntryClient,
 }
@@ -25,11 +25,11 @@
         let mut entries = self.entries.borrow_mut();
         if entries
             .get(&entry)
-            .is_some_and(|slot| slot.session >= session)
+            .is_some_and(|record| record.session >= session)
         {
             return;
         }
-        entries.insert(entry, EntrySlot { session, client });
+        entries.insert(entry, EntryRecord { session, client });
     }
 
     /// The port of an entry's session, unless the session is over.
@@ -37,8 +37,8 @@
         let entries = self.entries.borrow();
         entries
             .get(&entry)
-            .filter(|slot| slot.session == session)
-            .map(|slot| slot.client.clone())
+            .filter(|record| record.session == session)
+            .map(|record| record.client.clone())
     }
 
     /// The port of an entry, whatever its session.
@@ -46,7 +46,7 @@
         self.entries
             .borrow()
             .get(&entry)
-            .map(|slot| slot.client.clone())
+            .map(|record| record.client.clone())
     }
 
     /// The ports of all entries with a session.
@@ -54,7 +54,7 @@
         self.entries
             .borrow()
             .values()
-            .map(|slot| slot.client.clone())
+            .map(|record| record.client.clone())
             .collect()
     }
 
@@ -68,7 +68,7 @@
         let mut entries = self.entries.borrow_mut();
         if entries
             .get(&entry)
-            .is_some_and(|slot| slot.session == session)
+            .is_some_and(|record| record.session == session)
         {
             entries.remove(&entry);
         }
--- a/crates/dispatcher/src/process.rs
+++ b/crates/dispatcher/src/process.rs
@@ -26,7 +26,7 @@
 };
 
 /// The time between two looks at whether a stopping process may end.
-const DRAIN_LOOK: Duration = Duration::from_millis(50);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A running dispatcher.
 pub struct DispatcherProcess {
@@ -57,18 +57,18 @@
         let limit = Instant::now() + self.drain.limit_ms.duration();
         let mut left = usize::MAX;
         while left > 0 && Instant::now() < limit {
-            actix_rt::time::sleep(DRAIN_LOOK).await;
+            actix_rt::time::sleep(DRAIN_POLL_INTERVAL).await;
             left = self.control.send(StopQuery).await.unwrap_or(0);
         }
         if left > 0 {
             log::warn!("dispatcher: stop limit reached, {left} tasks cut");
         }
-        self.end().await;
+        self.abort().await;
         left
     }
 
     /// Ends at once, as a killed process would.
-    pub async fn end(self) {
+    pub async fn abort(self) {
         self.port.abort();
         self.admin.stop(false).await;
         for arbiter in self.arbiters {
--- a/crates/entry/src/process.rs
+++ b/crates/entry/src/process.rs
@@ -74,7 +74,7 @@
     }
 
     /// Ends at once, as a killed process would.
-    pub async fn end(self) {
+    pub async fn abort(self) {
         self.server.stop(false).await;
     }
 }
