--- a/crates/request-keys/examples/group_commit.rs
+++ b/crates/request-keys/examples/group_commit.rs
@@ -1,6 +1,6 @@
-//! Measures keys a second and the added latency of group commit against the platform's stand-in.
+//! Measures the throughput in keys per second and the added latency of group commit against the platform's stand-in.
 //!
-//! `cargo run --release -p request-keys --example group_commit`, some 100 s.
+//! Run with `cargo run --release -p request-keys --example group_commit`; it takes about 100 s.
 
 #[path = "../tests/offered/mod.rs"]
 mod offered;
@@ -18,10 +18,10 @@
 
 use crate::offered::offer_evenly;
 
-/// A rate that never holds a process back.
+/// A write rate, in writes per second, that never limits a process.
 const UNLIMITED_RATE: u32 = 100_000;
 
-/// One measurement.
+/// The settings of one measurement.
 struct Measurement {
     name: &'static str,
     vms: u64,
@@ -91,7 +91,7 @@
     }
 }
 
-/// Offers keys for four seconds, spread evenly over the VMs.
+/// Submits keys for four seconds, spread evenly over the VMs, and prints throughput and latency.
 async fn measure(measurement: &Measurement, per_second: u64) {
     let stand_in = PlatformStandIn::start(PlatformSettings::default()).unwrap();
     let start = Instant::now();
--- a/crates/request-keys/src/batcher.rs
+++ b/crates/request-keys/src/batcher.rs
@@ -1,7 +1,8 @@
-//! Gathers keys into batches and decides what each outcome means. No I/O and no clock of its own.
+//! State machine that groups keys into batches and interprets the outcome of each write and read. It does no I/O and
+//! reads no clock.
 //!
-//! One batch is in flight at a time; the keys that come meanwhile make up the next one. So a batch grows with the
-//! load, and a lone key waits for no other.
+//! One batch is in flight at a time, and the keys that arrive meanwhile form the next one. Batches therefore grow with
+//! the load, and a single key does not wait for others.
 
 use std::{
     collections::VecDeque,
@@ -12,21 +13,22 @@
 
 use crate::{KeyRecord, KeyRequest, KeyResult, RequestKey};
 
-/// Limits of a batcher.
+/// Limits of a [`KeyBatcher`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BatcherSettings {
-    /// Keys in one transaction. 500 rows of some 200 bytes are 100 KB, a few ms more than one row.
+    /// Maximum number of keys in one transaction. 500 rows of about 200 bytes are 100 KB, which takes a few ms more
+    /// than one row.
     pub max_batch: usize,
-    /// Keys that wait for a batch. Past it a key is refused at once: at one batch of 500 in each turn of 50 ms a
-    /// queue of 5,000 is drained in half a second, and what is behind it would be late for most requests.
+    /// Maximum number of keys that wait for a batch; further keys are refused at once. With one batch of 500 per write
+    /// turn of 50 ms, a queue of 5,000 drains in half a second. Keys behind that would be too late for most requests.
     pub max_queue: usize,
-    /// The longest wait of a key, also when its request has more time: an outage is better heard of early.
+    /// Maximum wait of a key, even if its request has more time, so that callers learn of an outage early.
     pub max_wait: Duration,
-    /// The first pause after the platform failed. It doubles with each further failure.
+    /// Backoff after the first failure of the platform. It doubles with each further failure.
     pub initial_backoff: Duration,
-    /// The longest pause after the platform failed.
+    /// Upper limit of the backoff.
     pub max_backoff: Duration,
-    /// What a refused request hears at least about when to come back.
+    /// Lower limit of the retry time that a refused request is given.
     pub min_retry_after: Duration,
 }
 
@@ -43,66 +45,66 @@
     }
 }
 
-/// A key on its way through the batcher.
+/// Identifies a key from its submission to its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PendingKeyId(u64);
 
-/// What the caller of a [`KeyBatcher`] has to do.
+/// An action that the caller of a [`KeyBatcher`] has to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyAction {
-    /// Take a turn to write and report by [`KeyBatcher::turn_ended`].
+    /// Acquire a write turn from the rate limiter and report to [`KeyBatcher::turn_ended`].
     AcquireTurn,
-    /// Insert these records, all or nothing, and report by [`KeyBatcher::batch_ended`].
+    /// Insert these records in one transaction and report to [`KeyBatcher::batch_ended`].
     Commit(Vec<(RequestKey, KeyRecord)>),
-    /// Read a record and report by [`KeyBatcher::read_ended`].
+    /// Read the key's record and report to [`KeyBatcher::read_ended`].
     Read(PendingKeyId, RequestKey),
-    /// Tell the request.
+    /// Deliver the result to the request.
     Answer(PendingKeyId, KeyResult),
 }
 
-/// How taking a turn ended.
+/// Outcome of acquiring a write turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TurnOutcome {
-    /// It is this process's turn.
+    /// This process may write now.
     Acquired,
-    /// There is no turn for so long.
+    /// The rate limiter allows no write for this long.
     Refused(Duration),
 }
 
-/// How a commit ended.
+/// Outcome of committing a batch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BatchOutcome {
     /// Every record was inserted.
     Committed,
-    /// None was, since there are rows of these keys already.
+    /// No record was inserted because rows for these keys already exist.
     Conflict(Vec<RequestKey>),
-    /// None was, and none will be.
+    /// The transaction was not sent, so no record was or will be inserted.
     NotSent,
-    /// Nobody can say.
+    /// It is unknown whether the records were or will be inserted.
     Uncertain,
 }
 
-/// How a read ended.
+/// Outcome of reading a key's row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// The record that is there.
+    /// The row exists and holds this record.
     Found(KeyRecord),
-    /// No row.
+    /// The row does not exist.
     Absent,
-    /// No answer.
+    /// The read failed, or the row could not be decoded.
     Failed,
 }
 
-/// The state machine. Every input gives the actions that follow from it.
+/// The state machine. Every input returns the actions that follow from it.
 #[derive(Debug)]
 pub struct KeyBatcher {
     settings: BatcherSettings,
     queue: VecDeque<PendingKey>,
-    /// The keys in flight or in doubt. While in doubt it may lose entries but never gains any: it is then part of
-    /// every batch in doubt before it, and one row tells of all.
+    /// The keys in flight or in doubt. A batch in doubt may lose keys but never gains any, so it is a subset of every
+    /// earlier attempt in doubt, and reading one row shows whether all of its rows were inserted.
     batch: Vec<PendingKey>,
     phase: BatchPhase,
-    /// Keys that are taken, until it is known by whom.
+    /// Keys that already have a row, until the row has been read.
     conflicting: FastMap<PendingKeyId, ConflictingKey>,
     failures: u32,
     next_id: u64,
@@ -112,14 +114,14 @@
 struct PendingKey {
     id: PendingKeyId,
     request: KeyRequest,
-    /// Set when the request was told already, while its record was in flight.
+    /// Set when the request was answered while its record was still in flight.
     answered: bool,
 }
 
 #[derive(Debug)]
 struct ConflictingKey {
     pending: PendingKey,
-    /// When to read again; nothing while a read is under way.
+    /// When to read the row again; `None` while a read is in flight.
     read_at: Option<Instant>,
 }
 
@@ -127,18 +129,18 @@
 enum BatchPhase {
     /// Nothing is in flight.
     Idle,
-    /// A turn is being waited for.
+    /// A write turn is being acquired.
     AcquiringTurn { in_doubt: bool },
     /// The batch is being committed.
     Committing { in_doubt: bool },
-    /// The row of the batch's first key is being read, to learn what became of a batch in doubt.
+    /// The row of the batch's first key is being read to find out whether a batch in doubt was inserted.
     Probing(PendingKeyId),
-    /// The platform failed; it is left alone for a while.
+    /// The platform failed or the rate limiter refused a turn; nothing is sent until the time given.
     BackingOff { until: Instant, in_doubt: bool },
 }
 
 impl KeyBatcher {
-    /// An idle batcher.
+    /// Creates an idle batcher.
     pub fn new(settings: BatcherSettings) -> Self {
         Self {
             settings,
@@ -156,12 +158,12 @@
         self.phase == BatchPhase::Idle && self.queue.is_empty() && self.conflicting.is_empty()
     }
 
-    /// Keys that wait for a batch.
+    /// Number of keys that wait for a batch.
     pub fn queue_len(&self) -> usize {
         self.queue.len()
     }
 
-    /// Takes in a key.
+    /// Queues a key, or refuses it if the queue is full.
     pub fn submit(
         &mut self,
         now: Instant,
@@ -181,7 +183,7 @@
         (id, self.start_batch())
     }
 
-    /// Hears how taking a turn ended.
+    /// Handles the outcome of [`KeyAction::AcquireTurn`].
     pub fn turn_ended(&mut self, now: Instant, outcome: TurnOutcome) -> Vec<KeyAction> {
         let BatchPhase::AcquiringTurn { in_doubt } = self.phase else {
             return Vec::new();
@@ -203,7 +205,7 @@
         }
     }
 
-    /// Hears how the commit ended.
+    /// Handles the outcome of [`KeyAction::Commit`].
     pub fn batch_ended(&mut self, now: Instant, outcome: BatchOutcome) -> Vec<KeyAction> {
         let BatchPhase::Committing { in_doubt } = self.phase else {
             return Vec::new();
@@ -220,7 +222,7 @@
         }
     }
 
-    /// Hears how a read ended.
+    /// Handles the outcome of [`KeyAction::Read`].
     pub fn read_ended(
         &mut self,
         now: Instant,
@@ -251,7 +253,8 @@
         }
     }
 
-    /// Ends what has run out of time and goes on after a pause. To be called every few milliseconds while not idle.
+    /// Answers requests past their deadline, repeats failed reads and resumes after a backoff. To be called every few
+    /// milliseconds while not idle.
     pub fn tick(&mut self, now: Instant) -> Vec<KeyAction> {
         let mut actions = self.expire(now);
         for (id, conflicting) in &mut self.conflicting {
@@ -277,7 +280,7 @@
         actions
     }
 
-    /// Asks for a turn when nothing is in flight and something waits.
+    /// Asks for a write turn if nothing is in flight and keys are queued.
     fn start_batch(&mut self) -> Vec<KeyAction> {
         if self.phase != BatchPhase::Idle || self.queue.is_empty() {
             return Vec::new();
@@ -286,7 +289,7 @@
         vec![KeyAction::AcquireTurn]
     }
 
-    /// Moves waiting keys into the batch. A key that is in it already has to wait: two inserts of one key in one
+    /// Moves queued keys into the batch. A second request with the same key stays queued: two inserts of one key in one
     /// transaction would both find no row, and both requests would start.
     fn fill_batch(&mut self) {
         let mut keys = FastSet::default();
@@ -328,8 +331,8 @@
         self.resume(actions)
     }
 
-    /// Reads the keys that are taken, and lets the others go first in the next batch. None of these is in doubt any
-    /// longer: every earlier batch held the taken keys too, and so can no longer be inserted.
+    /// Reads the rows of the conflicting keys and requeues the others in front. The others are no longer in doubt:
+    /// every earlier attempt contained the conflicting keys too, so it can no longer be inserted.
     fn finish_conflict(&mut self, keys: &[RequestKey]) -> Vec<KeyAction> {
         let keys: FastSet<_> = keys.iter().collect();
         let mut actions = Vec::new();
@@ -356,8 +359,8 @@
         actions
     }
 
-    /// Reads one row of a batch in doubt: all rows are there or none is, so one read tells of 500 keys. Entries that
-    /// nobody waits for any more leave the batch.
+    /// Reads one row of a batch in doubt: a transaction is all or nothing, so one read decides up to 500 keys. Keys
+    /// whose request was already answered are dropped from the batch.
     fn probe(&mut self) -> Vec<KeyAction> {
         self.batch.retain(|pending| !pending.answered);
         let Some(first) = self.batch.first() else {
@@ -373,14 +376,15 @@
             ReadOutcome::Found(record) if self.batch[0].request.record == record => {
                 self.finish_recorded()
             }
-            // The batch can no longer be inserted, whatever was lost on the way.
+            // Another submission has the key, so no lost or delayed attempt of this batch can be inserted any more.
             ReadOutcome::Found(record) => {
                 let first = self.batch.remove(0);
                 self.requeue_batch();
                 let actions = first.answer(KeyResult::Exists(record));
                 self.resume(actions)
             }
-            // The batch may yet land. The same one is sent again: whichever comes second finds the rows of the first.
+            // A delayed attempt may still be inserted. The same batch is sent again, and whichever attempt arrives
+            // second conflicts with the rows of the first.
             ReadOutcome::Absent => {
                 self.phase = BatchPhase::AcquiringTurn { in_doubt: true };
                 vec![KeyAction::AcquireTurn]
@@ -389,8 +393,8 @@
         }
     }
 
-    /// Leaves the platform alone for a while. Without the pause every key that comes during an outage would cost a
-    /// call, and the calls of all VMs would meet the platform the moment it comes back.
+    /// Starts an exponential backoff. Without it every key that arrives during an outage would cost a call, and the
+    /// calls of all VMs would hit the platform the moment it recovers.
     fn back_off(&mut self, now: Instant, in_doubt: bool) -> Vec<KeyAction> {
         let doublings = self.failures.min(10);
         let backoff = self.settings.initial_backoff * 2u32.pow(doublings);
@@ -400,7 +404,7 @@
         Vec::new()
     }
 
-    /// Puts a batch that certainly had no effect back in front of the queue.
+    /// Puts the keys of a batch that certainly had no effect back at the front of the queue.
     fn requeue_batch(&mut self) {
         for pending in std::mem::take(&mut self.batch).into_iter().rev() {
             if !pending.answered {
@@ -409,8 +413,8 @@
         }
     }
 
-    /// Tells requests without time left. One that waits was never sent; one in flight, in doubt or taken cannot say
-    /// that its key is free.
+    /// Answers requests past their deadline. A queued key has no write that could still take effect, so it is not
+    /// recorded; for a key that is in flight, in doubt or conflicting, the result is uncertain.
     fn expire(&mut self, now: Instant) -> Vec<KeyAction> {
         let mut actions = Vec::new();
         let not_recorded = self.not_recorded(now);
@@ -438,7 +442,7 @@
         actions
     }
 
-    /// The refusal with when to come back: after the pause, and after what waits already.
+    /// The refusal, with a retry time that covers the rest of the backoff.
     fn not_recorded(&self, now: Instant) -> KeyResult {
         let backoff = match self.phase {
             BatchPhase::BackingOff { until, .. } => until.saturating_duration_since(now),
@@ -451,7 +455,7 @@
 }
 
 impl PendingKey {
-    /// What a row that is there means for this entry.
+    /// The result for this key when its row holds `record`.
     fn result_for(&self, record: KeyRecord) -> KeyResult {
         if record == self.request.record {
             return KeyResult::Recorded;
--- a/crates/request-keys/src/lib.rs
+++ b/crates/request-keys/src/lib.rs
@@ -1,7 +1,7 @@
-//! Idempotency keys that callers choose, recorded in the platform before their requests start.
+//! Records idempotency keys chosen by callers in the platform's table before their requests start.
 //!
-//! [`KeyBatcher`] decides what is written and read and when; [`KeyRecorder`] does the I/O.
-//! `docs/design/0003-contracts-and-keys.md` gives the ways weighed and the figures.
+//! [`KeyBatcher`] is a state machine that decides what is written and read and when; [`KeyRecorder`] does the I/O.
+//! `docs/design/0003-contracts-and-keys.md` compares the alternatives and gives the measurements.
 
 mod batcher;
 mod record;
--- a/crates/request-keys/src/record.rs
+++ b/crates/request-keys/src/record.rs
@@ -1,4 +1,4 @@
-//! What is recorded for a key and what its request hears.
+//! The row stored for a key, the request to store it and the result.
 
 use std::{
     fmt,
@@ -10,7 +10,9 @@
 use model::{CustomerId, IdempotencyKey, IncarnationId, SubmissionId};
 use serde::{Deserialize, Serialize};
 
-/// Digest of a request's body, by which a key that comes again with another body is known.
+/// Digest of a request's body; it detects a key that is reused with a different body.
+///
+/// Written as 16 hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct BodyDigest(pub u64);
@@ -43,19 +45,19 @@
     }
 }
 
-/// The content of a key's row: the one submission that may run the request.
+/// The value of a key's row: the only submission that may run the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyRecord {
     /// The entry process that has authority over the request.
     pub incarnation: IncarnationId,
-    /// The submission's number there.
+    /// The submission's serial number within that incarnation.
     pub serial: u64,
     /// The digest of the request's body.
     pub body_digest: BodyDigest,
 }
 
 impl KeyRecord {
-    /// The submission that the record names.
+    /// The id of the submission that the record names.
     pub fn submission(&self) -> SubmissionId {
         SubmissionId {
             incarnation: self.incarnation,
@@ -64,40 +66,40 @@
     }
 }
 
-/// A key is a customer's own: two customers may choose the same.
+/// An idempotency key, scoped to its customer: two customers may choose the same key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RequestKey {
-    /// Whose key.
+    /// The customer that owns the key.
     pub customer: CustomerId,
-    /// The key.
+    /// The key as the caller chose it.
     pub key: IdempotencyKey,
 }
 
-/// A key to be recorded.
+/// A request to record a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyRequest {
     /// The key.
     pub key: RequestKey,
-    /// What to record.
+    /// The value to store in the key's row.
     pub record: KeyRecord,
-    /// When the request has no time left to wait.
+    /// The latest time at which the request still waits for the result.
     pub deadline: Instant,
 }
 
-/// What became of a key.
+/// The result of recording a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyResult {
-    /// The record is in the platform. Only now may the request start.
+    /// The record is stored in the platform. The request may start only after this result.
     Recorded,
-    /// The key was recorded before, by this submission or another: the record says who decides.
+    /// The key was recorded before by another submission, which the record names and which has the answer.
     Exists(KeyRecord),
-    /// Nothing was written for this submission, nor will be.
+    /// No record was written for this submission, and none will be.
     NotRecorded {
-        /// When it is worth coming back.
+        /// The time after which the caller should retry.
         retry_after: Duration,
     },
-    /// The record may be in the platform or may yet come to be there, or the key is taken and by whom is not known.
-    /// The request must not start. A record that lands late names this submission, whose process knows that it
-    /// never started.
+    /// The record may be stored now or later, or the key exists but its record could not be read.
+    /// The request must not start. A record that is stored late names this submission, and its process knows that the
+    /// submission never started.
     Uncertain,
 }
--- a/crates/request-keys/src/recorder.rs
+++ b/crates/request-keys/src/recorder.rs
@@ -1,4 +1,4 @@
-//! Runs a batcher against the platform. It is not `Send`: it lives on the control thread.
+//! Runs a [`KeyBatcher`] against the platform. The recorder is not `Send`: it lives on the control thread.
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
@@ -17,10 +17,10 @@
     KeyRecord, KeyRequest, KeyResult, RequestKey,
 };
 
-/// How often time limits are looked at while something waits.
+/// Interval at which deadlines and backoffs are checked while keys are pending.
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Records keys. Clones share one queue.
+/// Records keys in the platform's table. Clones share one queue.
 #[derive(Clone)]
 pub struct KeyRecorder {
     inner: Rc<Inner>,
@@ -34,13 +34,13 @@
 struct State {
     batcher: KeyBatcher,
     waiters: FastMap<PendingKeyId, oneshot::Sender<KeyResult>>,
-    /// A turn that the batcher took. One whose batch turned out empty is kept for the next.
+    /// A write turn acquired for the batcher. If its batch turned out empty, the turn is kept for the next batch.
     turn: Option<WriteTurn>,
     ticking: bool,
 }
 
 impl KeyRecorder {
-    /// A recorder over a client, to be used within an actix system.
+    /// Creates a recorder over a client, to be used within an actix system.
     pub fn new(client: PlatformClient, settings: BatcherSettings) -> Self {
         Self {
             inner: Rc::new(Inner {
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Records a key and says what became of it, at the latest when the request gives up. When the future is
-    /// dropped the record may still be written; it names a submission that never started.
+    /// Records a key and returns the result, at the latest at the request's deadline. If the future is dropped, the
+    /// record may still be written; it then names a submission that never started.
     pub async fn record(&self, request: KeyRequest) -> KeyResult {
         let (sender, receiver) = oneshot::channel();
         let actions = {
@@ -68,11 +68,11 @@
         };
         self.run(actions);
         self.ensure_ticking();
-        // A sender is dropped only with the recorder itself, on shutdown.
+        // The sender is dropped only with the recorder itself, on shutdown.
         receiver.await.unwrap_or(KeyResult::Uncertain)
     }
 
-    /// Keys that wait for a batch.
+    /// Number of keys that wait for a batch.
     pub fn queue_len(&self) -> usize {
         self.inner.state.borrow().batcher.queue_len()
     }
@@ -98,7 +98,7 @@
     fn answer(&self, id: PendingKeyId, result: KeyResult) {
         let sender = self.inner.state.borrow_mut().waiters.remove(&id);
         if let Some(sender) = sender {
-            // The request may be gone; its record stays and names it.
+            // The request may have been dropped; its record stays in the table and names it.
             let _ = sender.send(result);
         }
     }
@@ -151,7 +151,7 @@
                 BatchOutcome::NotSent
             }
             Err(CommitError::Uncertain(failure)) => {
-                log::warn!("request-keys: batch in doubt: {failure}");
+                log::warn!("request-keys: outcome of batch unknown: {failure}");
                 BatchOutcome::Uncertain
             }
         };
@@ -169,12 +169,12 @@
             Ok(Some(row)) => match serde_json::from_value(row.value) {
                 Ok(record) => ReadOutcome::Found(record),
                 Err(e) => {
-                    log::error!("request-keys: row {store_key} cannot be read: {e}");
+                    log::error!("request-keys: row {store_key} cannot be decoded: {e}");
                     ReadOutcome::Failed
                 }
             },
             Err(e) => {
-                log::warn!("request-keys: no read-back: {e}");
+                log::warn!("request-keys: cannot read row {store_key}: {e}");
                 ReadOutcome::Failed
             }
         };
--- a/crates/request-keys/tests/batcher.rs
+++ b/crates/request-keys/tests/batcher.rs
@@ -1,4 +1,4 @@
-//! Tests of the state machine alone: simulated time, a simulated store, seeded faults.
+//! Tests of the batcher's state machine with simulated time, a simulated store and seeded faults.
 
 use std::time::{Duration, Instant};
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// Something that a batcher hears later.
+/// A delayed event: an outcome that a batcher receives, or a late commit.
 enum Event {
     Turn(usize),
     LateCommit(Vec<(RequestKey, KeyRecord)>),
@@ -44,7 +44,7 @@
     Read(usize, PendingKeyId, RequestKey, bool),
 }
 
-/// What happens to a batch.
+/// What the simulated store does with a batch.
 #[derive(Clone, Copy)]
 enum SimulatedCommit {
     Answered,
@@ -54,7 +54,7 @@
     NotSent,
 }
 
-/// Two entries' batchers over one store.
+/// The batchers of two entries over one store.
 struct Simulation {
     rng: Rng,
     now: Instant,
@@ -220,7 +220,7 @@
         }
     }
 
-    /// All or nothing, like the platform's transaction.
+    /// Inserts all records or none, like the platform's transaction.
     fn insert(&mut self, records: &[(RequestKey, KeyRecord)]) -> BatchOutcome {
         let keys: FastSet<_> = records.iter().map(|(key, _)| key).collect();
         assert_eq!(keys.len(), records.len(), "a key twice in one batch");
@@ -240,9 +240,9 @@
 
 #[test]
 fn no_key_is_recorded_twice_and_every_result_matches_the_store_under_seeded_faults() {
-    // Two entries take requests with the same few keys while the store loses requests and answers, lets writes land
-    // late and refuses connections. Each caller hears once. "Recorded" has the request start, so it may be said to
-    // one request a key; "not recorded" tells the caller that nothing started, so its record may never appear.
+    // Two entries receive requests with the same few keys while the store loses requests and answers, applies writes
+    // late and refuses connections. Each request is answered once. A request starts when it is answered "recorded", so
+    // only one request per key may be; "not recorded" promises that nothing started, so its record may never appear.
     let mut counts = [0; 4];
     for seed in 0..400 {
         let mut simulation = Simulation::new(seed);
@@ -275,7 +275,7 @@
     assert!(counts.iter().all(|count| *count > 100), "{counts:?}");
 }
 
-/// A batcher with keys 1, 2 and 3 in flight, and their ids.
+/// Returns a batcher with keys 1, 2 and 3 in flight, and their ids.
 fn three_in_flight(now: Instant) -> (KeyBatcher, Vec<PendingKeyId>) {
     let mut batcher = KeyBatcher::new(BatcherSettings::default());
     let mut ids = Vec::new();
@@ -311,8 +311,8 @@
 
 #[test]
 fn a_batch_in_doubt_costs_one_read_and_gains_no_key() {
-    // The answer to a batch of three is lost and its rows are not there yet. A fourth key comes. The three are sent
-    // again as they were: had the fourth joined them, a first batch that lands late would look like the second, and
+    // The answer to a batch of three is lost, its rows do not exist yet, and a fourth key arrives. The three must be
+    // sent again unchanged: if the fourth joined them, a late insert of the first batch would look like the second, and
     // the fourth request would start without a record.
     let now = Instant::now();
     let (mut batcher, ids) = three_in_flight(now);
@@ -340,9 +340,9 @@
 
 #[test]
 fn an_outage_costs_one_call_per_backoff_and_every_request_is_answered() {
-    // The store refuses connections for ten seconds while a key comes every 10 ms. Each caller hears "not recorded"
-    // within its own time, with when to come back, and the store sees a call only once a pause; a call for each key
-    // would make its return the worst moment of the day.
+    // The store refuses connections for ten seconds while a key arrives every 10 ms. Each request is answered "not
+    // recorded" by its deadline, with a retry time, and the store gets one call per backoff; a call for each key would
+    // overload it when it recovers.
     let start = Instant::now();
     let mut batcher = KeyBatcher::new(BatcherSettings::default());
     let mut deadlines = FastMap::default();
--- a/crates/request-keys/tests/offered/mod.rs
+++ b/crates/request-keys/tests/offered/mod.rs
@@ -1,4 +1,4 @@
-//! Keys offered at an even rate.
+//! Load generator that records keys at an even rate.
 
 use std::time::{Duration, Instant};
 
@@ -6,7 +6,7 @@
 use model::IncarnationId;
 use request_keys::{BodyDigest, KeyRecord, KeyRecorder, KeyRequest, KeyResult, RequestKey};
 
-/// Records keys at an even rate, expects that each is recorded, and gives how long each took, shortest first.
+/// Records keys at an even rate, asserts that each is recorded, and returns the latencies in ascending order.
 pub(crate) async fn offer_evenly(
     recorder: &KeyRecorder,
     incarnation: u64,
--- a/crates/request-keys/tests/recorder.rs
+++ b/crates/request-keys/tests/recorder.rs
@@ -100,9 +100,9 @@
 
 #[actix_rt::test]
 async fn a_lost_answer_is_read_back_and_each_key_recorded_once() {
-    // Forty requests hear that their keys are recorded, although the answer to the batch was lost: after its effect,
-    // before it, or with the batch landing while it is read back or sent again. Each batch is all or nothing, so one
-    // row tells of all; whichever of two equal batches comes second finds the rows of the first.
+    // Forty requests are answered "recorded" although the answer to their batch was lost: after the write, before it,
+    // or with the write applied while the batch is read back or sent again. A batch is all or nothing, so one row
+    // decides for all; whichever of two equal batches arrives second conflicts with the rows of the first.
     use LossTime::{AfterWrite, BeforeWrite, LandsLater};
     let lose = FaultSettings::losing;
     let cases = [
@@ -134,8 +134,8 @@
 
 #[actix_rt::test]
 async fn a_conflicting_key_in_a_batch_does_not_fail_the_others() {
-    // Fifty keys go in one batch and three were used before. Those three requests hear who has their key; the other
-    // 47 are recorded as if the three had not been there.
+    // Fifty keys go in one batch and three were used before. Those three requests get the existing record; the other 47
+    // are recorded as if the three had not been in the batch.
     let stand_in = stand_in();
     let earlier = recorder(&stand_in, UNLIMITED_RATE, 500);
     let taken = ["k3".to_owned(), "k20".to_owned(), "k49".to_owned()];
@@ -159,8 +159,8 @@
 
 #[actix_rt::test]
 async fn only_one_of_several_requests_with_one_key_is_recorded() {
-    // A caller resends a hold at once, to the same entry and to another, with answers lost in between. One arrival
-    // hears "recorded" and starts; each other hears of that one's record. Two "recorded" would be a doubled booking.
+    // A caller resends a request at once, to the same entry and to another, while answers are lost. One arrival is
+    // answered "recorded" and starts; the others get its record. Two "recorded" answers would run the request twice.
     for seed in 0..5 {
         let stand_in = stand_in();
         let recorders = [
@@ -191,8 +191,8 @@
 
 #[actix_rt::test]
 async fn keys_are_refused_in_time_during_an_outage_and_recorded_after_it() {
-    // The store refuses connections, or answers 503. A request with 200 ms left hears in time that it may not start
-    // and, where nothing was sent, that nothing was recorded. When the store is back the next key is recorded.
+    // The store refuses connections, or answers 503. A request with 200 ms left is refused in time, and where nothing
+    // was sent the result is "not recorded". Once the store has recovered, the next key is recorded.
     let stand_in = stand_in();
     let recorder = recorder(&stand_in, UNLIMITED_RATE, 500);
     stand_in.stop().await;
@@ -210,7 +210,7 @@
     stand_in.set_faults(FaultSettings::down(DownMode::Unavailable));
     let first = recorder.record(request("b", record(1, 3), ms(600)));
     let second = async {
-        // Behind the batch in doubt, so never sent.
+        // This key is queued behind the batch in doubt, so it is never sent.
         while recorder.queue_len() > 0 {
             actix_rt::time::sleep(ms(1)).await;
         }
@@ -231,15 +231,15 @@
 
 #[actix_rt::test]
 async fn a_record_written_after_its_request_timed_out_names_that_request() {
-    // A request gives up while its record is in doubt and hears "uncertain", so it does not start. The record lands
-    // afterwards. A retry hears of it, and the incarnation that it names knows that nothing ran.
+    // A request times out while its record is in doubt and is answered "uncertain", so it does not start. The record is
+    // written afterwards. A retry gets that record, and the incarnation it names knows that nothing ran.
     let stand_in = stand_in();
     let recorder = recorder(&stand_in, UNLIMITED_RATE, 500);
     stand_in.set_faults(FaultSettings::losing(1, LossTime::LandsLater(300)));
     let own = record(1, 1);
     let call = recorder.record(request("late", own, ms(60)));
     let cut_connections = async {
-        // After the write left, nothing more gets through until the request has given up.
+        // Once the write has been sent, the store refuses connections until the request has timed out.
         while stand_in.faults().answer_loss.next > 0 {
             actix_rt::time::sleep(ms(1)).await;
         }
@@ -259,7 +259,7 @@
 
 #[actix_rt::test]
 async fn an_unreadable_row_gives_an_uncertain_result() {
-    // The key's row holds something else than a record. The request hears that it may not start, within its time.
+    // The key's row does not hold a valid record. The request is answered by its deadline that it may not start.
     let stand_in = stand_in();
     let row = WriteRequest {
         table: "request-keys".into(),
@@ -275,8 +275,8 @@
 
 #[actix_rt::test]
 async fn batches_grow_with_the_load() {
-    // A morning rush brings a thousand keyed requests within a moment, or within a second at a process that may write
-    // 30 times a second. At one write a key the last would wait for seconds; in batches all go in a few transactions.
+    // A thousand keyed requests arrive within a moment, or within a second at a process limited to 30 writes a second.
+    // With one write per key the last request would wait for seconds; with batches a few transactions suffice.
     let cases = [
         (UNLIMITED_RATE, 500, 1_000_000, 1_000, 1..=8),
         (UNLIMITED_RATE, 1, 1_000_000, 200, 200..=200),
