--- a/crates/dispatcher/src/admin.rs
+++ b/crates/dispatcher/src/admin.rs
@@ -14,7 +14,7 @@
 
 use crate::DispatcherError;
 
-/// Starts the admin server on a thread of its own.
+/// Starts the admin server with one worker thread.
 pub(crate) fn start(
     listener: TcpListener,
     ready: Arc<AtomicBool>,
--- a/crates/dispatcher/src/control.rs
+++ b/crates/dispatcher/src/control.rs
@@ -40,22 +40,22 @@
     SessionClosed, SessionRequest, StopQuery, StopRequest, VmListRequest, WithdrawalRequest,
 };
 
-/// The time between two looks at what has become due. It bounds how late a slot goes on after an ask stayed
-/// unanswered, and is small against the shortest tasks of 50 ms.
+/// Interval of the control tick. It bounds how late a slot is used again after a claim timed out, and is shorter than
+/// the shortest tasks of 50 ms.
 const TICK_INTERVAL: Duration = Duration::from_millis(40);
 
-/// The time between two looks at the grants. The ledger takes a gap of the suspect time for a freeze of this process;
-/// the shortest that the settings' defaults allow is five of these.
+/// Interval of the grant tick. The grant ledger treats a gap of the suspect time between ticks as a freeze of this
+/// process; the shortest suspect time that the settings' defaults allow is five intervals.
 const GRANT_TICK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The time between two reports to the new owners of endpoints. It bounds how long a slot that a task has left stays
-/// counted there, and is of the size of the shortest tasks.
+/// Interval of the reports to the new owners of endpoints. It bounds how long the new owner counts a slot as used after
+/// its task has ended, and is about as long as the shortest tasks.
 const HANDOVER_TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The name under which a dispatcher's control actor is found.
+/// The name under which the dispatcher's control actor is registered.
 pub(crate) const CONTROL_SERVICE: ServiceName = ServiceName("dispatcher.control");
 
-/// The control state of a dispatcher: slots, members, sessions. It lives on the control thread.
+/// The control state of a dispatcher: slots, members and sessions. The actor runs on the control thread.
 pub struct DispatcherControl {
     settings: DispatcherSettings,
     clock: Arc<dyn ClockSource>,
@@ -92,7 +92,7 @@
     Open(PeerLink),
 }
 
-/// What a control actor is made from.
+/// Parameters of [`DispatcherControl::new`].
 pub(crate) struct ControlParts {
     pub(crate) settings: DispatcherSettings,
     pub(crate) clock: Arc<dyn ClockSource>,
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Carries out what the ledger wants done. To be called at the end of each input.
+    /// Carries out the ledger's pending actions. To be called at the end of each message handler.
     fn flush(&mut self, ctx: &mut Context<Self>) {
         let mut reports = FastMap::default();
         for action in self.ledger.take_actions() {
@@ -193,9 +193,9 @@
             for (_, _, ran) in &ends {
                 self.metrics.time(TimeKind::RunTime, *ran);
             }
-            // Failure: a session comes back after many large results. Symptom without the split: a report over the
-            // reader's limit fails, is not repeated while the session stands, and the tasks' answers come as unknown.
-            // Parts are enough, since ends do not depend on each other.
+            // After a reconnect a session may have many large results to report. A report over the reader's size limit
+            // would fail and not be repeated while the session is open, and its tasks would be answered as unknown. So
+            // reports are split; the ends do not depend on each other.
             for part in split_for_messages(ends, |(_, end, _)| end.size()) {
                 self.metrics.count(CounterKind::Messages, 1);
                 self.report_ends(ctx, entry, session, part);
@@ -204,9 +204,9 @@
         self.announce_limit();
     }
 
-    /// Load: endpoints that change owner. Harm: until the next ping or answer, entries place by the slots that this
-    /// dispatcher had, so tasks queue here while the new owner's slots stand free. Limits change rarely, so telling every
-    /// entry at once costs little.
+    /// Sends a changed slot limit to all entries at once. When endpoints change owner, entries would otherwise place by
+    /// this dispatcher's former slots until the next ping or answer, and tasks would queue here while the new owner's
+    /// slots are free. Limits change rarely, so this costs little.
     fn announce_limit(&mut self) {
         let slots = self.ledger.slots();
         if slots.limit == self.announced_limit {
@@ -215,7 +215,7 @@
         self.announced_limit = slots.limit;
         for client in self.entries.all() {
             let sent = client.slots(slots);
-            // A connection that breaks meanwhile ends the session by itself.
+            // The error can be ignored: a broken connection ends the session anyway.
             actix_rt::spawn(async move { drop(sent.await) });
         }
     }
@@ -257,16 +257,20 @@
         self.ready.store(false, Ordering::Relaxed);
         self.members.set_stopping();
         self.ledger.stop(self.clock.now());
-        // The new owners have to count what runs here before they hear that the endpoints are theirs.
+        // The new owners have to count the tasks that run here before they learn that they own the endpoints.
         self.update_ownership();
         self.tick_handovers(ctx);
         self.tick(ctx);
-        log::info!("dispatcher: stopping, {} tasks run", self.ledger.running());
+        log::info!(
+            "dispatcher: stopping, {} tasks running",
+            self.ledger.running()
+        );
     }
 }
 
-/// `grant_term_ms` has to be the same for all dispatchers of a data centre: a new home waits out the old one's grants
-/// by its own term. Entries take the term from each answer.
+/// Derives the grant settings. `grant_term_ms` has to be the same for all dispatchers of a data centre: a new home
+/// dispatcher waits for its own term until the previous home's grants have expired. Entries take the term from each
+/// answer.
 fn grant_settings(settings: &DispatcherSettings) -> GrantSettings {
     let term = settings.grant_term_ms.duration();
     GrantSettings {
@@ -316,7 +320,8 @@
 
     fn handle(&mut self, _: StopQuery, ctx: &mut Context<Self>) -> usize {
         if self.ledger.is_drained() {
-            // The new owners' slots need not wait for the deadlines of what has ended.
+            // Reports that nothing is left, so that the new owners free the slots without waiting for the tasks'
+            // deadlines.
             self.tick_handovers(ctx);
             return 0;
         }
--- a/crates/dispatcher/src/control/contracts.rs
+++ b/crates/dispatcher/src/control/contracts.rs
@@ -1,4 +1,5 @@
-//! Contracts: one dispatcher of a data centre reads them often, the others hear of changes in heartbeats.
+//! Contract polling: one dispatcher per data centre polls the platform each interval, and the others learn of changes
+//! from heartbeats.
 
 use std::net::SocketAddr;
 
@@ -9,15 +10,16 @@
 
 use super::{ContractRequest, DispatcherControl, PeerConnection};
 
-/// What the reader of a data centre is chosen by, as endpoints choose owners.
+/// The rendezvous hash key that selects the polling dispatcher of a data centre, as endpoint ids select owners.
 const READER_HASH_KEY: &str = "contract-reader";
 
-/// How many poll intervals pass between two polls of a dispatcher that is not its data centre's reader. It covers a
-/// reader that is cut off from the platform alone; at 720 VMs, a poll each 5 s is 144 reads a second.
+/// Poll intervals between two polls of a dispatcher that is not its data centre's reader. These polls cover a reader
+/// that alone has lost the platform; at 720 VMs, one poll per 5 s is 144 reads a second.
 const STANDBY_POLL_INTERVAL_TICKS: u32 = 5;
 
 impl DispatcherControl {
-    /// Called once each poll interval.
+    /// Polls the contracts if this dispatcher is the reader, has none loaded, or its standby poll is due. Called once
+    /// per poll interval.
     pub(super) fn poll_contracts(&mut self, ctx: &mut Context<Self>) {
         self.poll_ticks = self.poll_ticks.wrapping_add(1);
         let due = self.is_reader()
@@ -33,7 +35,7 @@
         ctx.spawn(update.map(|update, control, ctx| control.on_polled(ctx, update)));
     }
 
-    /// A peer has named its head: a newer one is a reason to ask it for the rows.
+    /// Handles the contract head that a peer reported and fetches the rows from it if its head is newer.
     pub(super) fn on_peer_head(&mut self, ctx: &mut Context<Self>, address: SocketAddr, head: u64) {
         let head = HeadNumber(head);
         self.contract_view.note_peer_head(head);
@@ -53,7 +55,7 @@
         ctx.spawn(news.map(move |news, control, _| match news {
             Ok(news) if news.loaded => control.apply_contracts(news.update),
             Ok(_) => {}
-            Err(error) => log::warn!("dispatcher: contracts not read from {address}: {error}"),
+            Err(error) => log::warn!("dispatcher: cannot read contracts from {address}: {error}"),
         }));
     }
 
@@ -72,12 +74,13 @@
         match update {
             Ok(Some(update)) => {
                 self.apply_contracts(update);
-                // Only the reader tells at once; whoever hears of it from a peer leaves it at the usual beats.
+                // Only a dispatcher that polled a change announces it at once; one that got it from a peer passes it on
+                // with its regular heartbeats.
                 self.members.announce();
                 self.tick_members(ctx);
             }
             Ok(None) => {}
-            Err(error) => log::debug!("dispatcher: contracts not polled: {error}"),
+            Err(error) => log::debug!("dispatcher: contract poll failed: {error}"),
         }
     }
 
--- a/crates/dispatcher/src/control/grants.rs
+++ b/crates/dispatcher/src/control/grants.rs
@@ -1,4 +1,4 @@
-//! The home's side of grants, and what entries are told about the data centre.
+//! Grants that this dispatcher gives as the home of customers, and the view of the data centre sent to entries.
 
 use std::collections::BTreeMap;
 
@@ -8,9 +8,9 @@
 use super::{DispatcherControl, GrantRequest};
 
 impl DispatcherControl {
-    /// Takes the members and the VM list as they are now. Nothing is told or granted before the list has been read:
-    /// without it every share would be 0, and a home that says so stops its customers. An entry whose home does not
-    /// answer has its base share.
+    /// Updates the data-centre view from the current members and VM list. Nothing is sent or granted before the list
+    /// has been read: without it every share would be 0, and granting that would stop the customers. An entry whose
+    /// home does not answer uses its base share.
     pub(super) fn update_centre_view(&mut self) {
         if self.vms.is_empty() {
             return;
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Sets the shares of customers whose contract, or whose data centres, have changed. A retired contract keeps its
-    /// share: what was accepted before runs to its end.
+    /// Sets the shares of customers after a change of their contracts or of the data centres' slots. A retired contract
+    /// keeps its share, so that work accepted before can finish.
     pub(super) fn update_shares(&mut self, customers: &[CustomerId]) {
         let now = self.clock.now();
         for customer in customers {
@@ -60,8 +60,8 @@
     }
 }
 
-/// What each data centre counts for: its endpoints' slots. One with VMs of the system and no endpoint counts 1, since
-/// its entries still have callers, whose tasks go to other data centres.
+/// Returns the weight of each data centre: the slots of its endpoints. A data centre with system VMs but no endpoint
+/// counts 1, since its entries still have callers, whose tasks go to other data centres. Leaving VMs do not count.
 fn count_slots(vms: &[VmEntry]) -> Vec<(DataCentreId, u32)> {
     let mut slots: BTreeMap<DataCentreId, u32> = BTreeMap::new();
     for vm in vms {
--- a/crates/dispatcher/src/control/handover.rs
+++ b/crates/dispatcher/src/control/handover.rs
@@ -1,4 +1,4 @@
-//! Tasks that run at endpoints of which another dispatcher is the owner now.
+//! Tasks that still run at endpoints now owned by another dispatcher.
 
 use std::net::SocketAddr;
 
@@ -9,12 +9,13 @@
 use super::{DispatcherControl, HandoverRequest, PeerConnection};
 
 impl DispatcherControl {
-    /// Reports what this dispatcher still runs at endpoints of others, and lets the slots that others reported go
-    /// free with time. A new owner is told once more when nothing is left, so that it need not wait for deadlines.
+    /// Reports the tasks that this dispatcher still runs at endpoints of other owners, and frees the slots that others
+    /// reported once their time is over. A new owner gets a last, empty report when nothing is left, so that it need
+    /// not wait for the tasks' deadlines.
     ///
-    /// Load: a planned stop, or an endpoint that moves to a dispatcher that came up, at full slots. Harm: the new
-    /// owner takes the slots for free, and each task it sends there is turned away. Reports go only while such tasks
-    /// run, so a move of an idle endpoint costs nothing.
+    /// Without reports, after a planned stop or when a busy endpoint moves to a dispatcher that came up, the new owner
+    /// would take its slots for free, and the endpoint would refuse each task sent there. Reports are sent only while
+    /// such tasks run, so moving an idle endpoint costs nothing.
     pub(super) fn tick_handovers(&mut self, ctx: &mut Context<Self>) {
         let mut reports = self.collect_reports();
         for address in self.reported_peers.clone() {
@@ -54,7 +55,7 @@
         let link = match self.peers.get(&address) {
             Some(PeerConnection::Open(link)) => link,
             Some(PeerConnection::Connecting) => return,
-            // Of a pair only one side needs a connection for heartbeats, and it may be the other one.
+            // Heartbeats need a connection from only one side of a pair, which may be the other dispatcher's.
             None => return self.connect_peer(ctx, address),
         };
         match counts.is_empty() {
@@ -71,7 +72,7 @@
         let sent = link.client().handover(&report).into_actor(self);
         ctx.spawn(sent.map(move |sent, _, _| {
             if let Err(error) = sent {
-                log::debug!("dispatcher: report not taken by {address}: {error}");
+                log::debug!("dispatcher: handover report to {address} failed: {error}");
             }
         }));
     }
--- a/crates/dispatcher/src/control/membership.rs
+++ b/crates/dispatcher/src/control/membership.rs
@@ -1,4 +1,4 @@
-//! Heartbeats, the VM list, and which endpoints this dispatcher owns.
+//! Heartbeats, the VM list and the ownership of endpoints.
 
 use std::net::SocketAddr;
 
@@ -29,10 +29,11 @@
         }
     }
 
-    /// Failure: a dispatcher has just started and has heard of nobody yet. Symptom without this: it takes every endpoint
-    /// for its own, as do its peers, and a burst overfills them; each busy answer is a wasted message. So it owns nothing
-    /// until everybody on the lists has answered, or the suspect time has passed, in which a live one would have. A
-    /// refused connection does not count as gone here: a peer that starts at the same time does not listen yet.
+    /// Whether the VM list is known and all listed dispatchers have answered, or the suspect time has passed, in which
+    /// a live one would have answered. Until then this dispatcher owns no endpoints: a newly started one that knows no
+    /// peers would claim every endpoint, as would its peers, and a burst would overfill the endpoints; each busy answer
+    /// is a wasted message. A refused connection does not count as an answer, since a peer that starts at the same time
+    /// does not listen yet.
     fn is_membership_settled(&self) -> bool {
         let waited = self.clock.now().saturating_duration_since(self.started_at);
         if waited >= self.settings.suspect_ms.duration() {
@@ -51,16 +52,17 @@
         let list = async move { platform.vm_list().await }.into_actor(self);
         ctx.spawn(list.map(|list, control, ctx| match list {
             Ok(vms) => control.apply_vm_list(ctx, vms),
-            // What is known goes on: endpoints and peers speak for themselves meanwhile.
+            // The last known list stays in use; endpoints and peers show by their answers whether they are alive.
             Err(error) => {
-                log::debug!("dispatcher: VM list not read: {error}");
+                log::debug!("dispatcher: cannot read VM list: {error}");
                 control.request_peer_vm_lists(ctx);
             }
         }));
     }
 
-    /// Failure: this VM started while the platform is down. Symptom without this: it knows no endpoint and serves nothing
-    /// for the length of the outage. A peer's list is as old as the platform's last answer, which lags anyway.
+    /// Requests the VM list from the peers if none is known. A VM that starts while the platform is down would
+    /// otherwise know no endpoint and serve nothing for the whole outage. A peer's list is as old as the platform's
+    /// last answer to it; the platform's own list lags as well.
     fn request_peer_vm_lists(&mut self, ctx: &mut Context<Self>) {
         if !self.vms.is_empty() {
             return;
@@ -75,7 +77,7 @@
                     control.apply_vm_list(ctx, vms)
                 }
                 Ok(_) => {}
-                Err(error) => log::debug!("dispatcher: VM list not read from a peer: {error}"),
+                Err(error) => log::debug!("dispatcher: cannot read VM list from a peer: {error}"),
             }));
         }
     }
@@ -88,8 +90,9 @@
         self.flush(ctx);
     }
 
-    /// Load: dispatchers come and go, endpoints come and go. Harm: an endpoint without an owner stands idle. Two
-    /// owners for a moment only overfill it, which its busy answer makes a definite not-run.
+    /// Reassigns the endpoints of this data centre to the live dispatchers. An endpoint without an owner would stay
+    /// idle. Two owners for a moment can only overfill an endpoint, whose busy answer says definitely that the task did
+    /// not run.
     pub(super) fn update_ownership(&mut self) {
         let owners = self.members.owners();
         let mut endpoints = Vec::new();
@@ -153,7 +156,8 @@
         ctx.spawn(link.map(move |link, control, ctx| match link {
             Ok(link) => {
                 control.peers.insert(address, PeerConnection::Open(link));
-                // What still runs goes before the beat that tells of a stop, so that the new owner counts it first.
+                // The handover report goes before the heartbeat that announces a stop, so that the new owner counts the
+                // running tasks first.
                 control.tick_handovers(ctx);
                 control.send_heartbeat(ctx, address);
             }
@@ -222,7 +226,7 @@
                 centre: (self.centre_view.revision != request.revision)
                     .then(|| self.centre_view.clone()),
             }),
-            // The entry opens another one, and learns what became of its attempts.
+            // On this error the entry opens a new session and learns the state of its attempts.
             false => Err(PeerError::Failed("the session is over".to_owned())),
         };
         let _gone = request.reply.send(answer);
--- a/crates/dispatcher/src/control/messages.rs
+++ b/crates/dispatcher/src/control/messages.rs
@@ -1,6 +1,7 @@
 //! Messages to the control actor from the peer port and from the process around it.
 //!
-//! The port sends them with `do_send`, which keeps their order, and waits for the answer on a channel inside.
+//! The port sends them with `do_send`, which preserves their order, and receives the answer on a channel in the
+//! message.
 
 use actix::Message;
 use contracts::HeadNumber;
@@ -23,7 +24,7 @@
     pub(crate) reply: ReplyTo<(IncarnationId, SlotCounts)>,
 }
 
-/// The connection of a session broke.
+/// The connection of a session has closed.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(crate) struct SessionClosed {
@@ -42,7 +43,7 @@
     pub(crate) reply: ReplyTo<(Vec<TaskVerdict>, SlotCounts)>,
 }
 
-/// An entry takes attempts back.
+/// An entry withdraws attempts.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(crate) struct WithdrawalRequest {
@@ -53,7 +54,7 @@
     pub(crate) reply: ReplyTo<(Vec<WithdrawalVerdict>, SlotCounts)>,
 }
 
-/// A heartbeat of another dispatcher.
+/// A heartbeat from another dispatcher.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(crate) struct HeartbeatRequest {
@@ -61,17 +62,17 @@
     pub(crate) reply: ReplyTo<BeatReply>,
 }
 
-/// An entry asks whether this dispatcher is alive.
+/// An entry pings this dispatcher, with or without an open session.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(crate) struct PingRequest {
     pub(crate) session: Option<(IncarnationId, SessionId)>,
-    /// The revision of the view of the data centre that the entry has.
+    /// The revision of the data-centre view that the entry has.
     pub(crate) revision: u64,
     pub(crate) reply: ReplyTo<PingReply>,
 }
 
-/// An entry asks for parts of customers' shares.
+/// An entry requests grants, which are parts of customers' shares.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(crate) struct GrantRequest {
@@ -79,7 +80,7 @@
     pub(crate) reply: ReplyTo<Option<ReplyBatch>>,
 }
 
-/// An earlier owner of endpoints tells what it still runs there.
+/// The previous owner of endpoints reports the tasks that it still runs there.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(crate) struct HandoverRequest {
@@ -87,14 +88,14 @@
     pub(crate) reply: ReplyTo<()>,
 }
 
-/// Somebody asks for the VM list.
+/// A peer requests the VM list.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(crate) struct VmListRequest {
     pub(crate) reply: ReplyTo<Vec<VmEntry>>,
 }
 
-/// Somebody asks for contract rows.
+/// A peer or an entry requests the contract rows changed after a head number.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(crate) struct ContractRequest {
@@ -102,12 +103,12 @@
     pub(crate) reply: ReplyTo<ContractNews>,
 }
 
-/// The process begins to stop.
+/// Starts a graceful stop.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(crate) struct StopRequest;
 
-/// What still holds the process: 0 when it may end.
+/// Returns the number of running tasks, at least 1 until the ledger is drained; 0 means that the process may exit.
 #[derive(Message)]
 #[rtype(result = "usize")]
 pub(crate) struct StopQuery;
--- a/crates/dispatcher/src/control/sessions.rs
+++ b/crates/dispatcher/src/control/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions with entries: offers, asks, reports, withdrawals.
+//! Sessions with entries: offers, claims, reports and withdrawals.
 
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
             match answer {
                 Ok(body) => control.ledger.on_claimed(now, attempt, claim, body),
                 Err(error) => {
-                    log::debug!("dispatcher: ask for {attempt} failed: {error}");
+                    log::debug!("dispatcher: claim of {attempt} failed: {error}");
                     control.ledger.on_claim_failed(now, attempt, claim);
                 }
             }
@@ -52,9 +52,9 @@
         let confirmed = client.ended(&ends, self.ledger.slots()).into_actor(self);
         ctx.spawn(confirmed.map(move |confirmed, control, _| {
             if let Err(error) = confirmed {
-                // The ledger repeats them on the entry's next session.
+                // The ledger repeats the reports on the entry's next session.
                 log::debug!(
-                    "dispatcher: {} ends not confirmed by {entry}: {error}",
+                    "dispatcher: {} ends not confirmed by entry {entry}: {error}",
                     ends.len()
                 );
                 return;
@@ -79,7 +79,7 @@
             let _gone = reply.send(Err(PeerError::Failed(error.to_string())));
             return;
         }
-        log::info!("dispatcher: session {session} of entry {entry} open");
+        log::info!("dispatcher: session {session} of entry {entry} opened");
         let _gone = reply.send(Ok((self.incarnation, self.ledger.slots())));
         self.flush(ctx);
     }
--- a/crates/dispatcher/src/entry_directory.rs
+++ b/crates/dispatcher/src/entry_directory.rs
@@ -1,14 +1,14 @@
-//! The ports of the entries that have a session here.
+//! The ports of the entries that have a session with this dispatcher.
 //!
-//! A port cannot leave the control thread, and actor messages must be able to, so the ports are kept beside the
-//! control actor: the peer port puts them in, the actor takes them out.
+//! Ports are not `Send`, but actor messages have to be. So the ports are kept beside the control actor on its thread:
+//! the peer port inserts them, and the actor looks them up.
 
 use std::{cell::RefCell, rc::Rc};
 
 use model::{FastMap, IncarnationId, SessionId};
 use peer::EntryClient;
 
-/// Entry ports by incarnation. Clones share the same table.
+/// Entry ports by incarnation. Clones share one table.
 #[derive(Clone, Default)]
 pub(crate) struct EntryDirectory {
     entries: Rc<RefCell<FastMap<IncarnationId, EntryRecord>>>,
@@ -20,7 +20,7 @@
 }
 
 impl EntryDirectory {
-    /// Puts a port in, unless a later session of the same entry is there.
+    /// Inserts a port, unless the same or a later session of the entry is present.
     pub(crate) fn put(&self, entry: IncarnationId, session: SessionId, client: EntryClient) {
         let mut entries = self.entries.borrow_mut();
         if entries
@@ -32,7 +32,7 @@
         entries.insert(entry, EntryRecord { session, client });
     }
 
-    /// The port of an entry's session, unless the session is over.
+    /// Returns the port of an entry's session, or `None` if the session is over.
     pub(crate) fn get(&self, entry: IncarnationId, session: SessionId) -> Option<EntryClient> {
         let entries = self.entries.borrow();
         entries
@@ -41,7 +41,7 @@
             .map(|record| record.client.clone())
     }
 
-    /// The port of an entry, whatever its session.
+    /// Returns the port of an entry, whatever its session.
     pub(crate) fn find(&self, entry: IncarnationId) -> Option<EntryClient> {
         self.entries
             .borrow()
@@ -49,7 +49,7 @@
             .map(|record| record.client.clone())
     }
 
-    /// The ports of all entries with a session.
+    /// Returns the ports of all entries with a session.
     pub(crate) fn all(&self) -> Vec<EntryClient> {
         self.entries
             .borrow()
@@ -58,12 +58,12 @@
             .collect()
     }
 
-    /// Entries with a session.
+    /// Number of entries with a session.
     pub(crate) fn len(&self) -> usize {
         self.entries.borrow().len()
     }
 
-    /// Forgets a session that is over.
+    /// Removes a session that is over; a later session of the entry stays.
     pub(crate) fn remove(&self, entry: IncarnationId, session: SessionId) {
         let mut entries = self.entries.borrow_mut();
         if entries
--- a/crates/dispatcher/src/error.rs
+++ b/crates/dispatcher/src/error.rs
@@ -1,24 +1,24 @@
-//! What can end or hinder a dispatcher.
+//! Errors of starting a dispatcher.
 
 use std::{io, net::SocketAddr};
 
 use thiserror::Error;
 
-/// What can end or hinder a dispatcher.
+/// An error that keeps a dispatcher from starting.
 #[derive(Debug, Error)]
 pub enum DispatcherError {
-    /// An address could not be listened on.
+    /// A listener could not be bound to its address.
     #[error("cannot listen on {address}: {cause}")]
     Listen {
-        /// The address.
+        /// The address to listen on.
         address: SocketAddr,
-        /// Why.
+        /// The error of the operating system.
         cause: io::Error,
     },
     /// The metrics could not be set up.
     #[error(transparent)]
     Metrics(#[from] telemetry::TelemetryError),
-    /// A thread or signal handler could not be set up.
+    /// A thread, listener or signal handler could not be set up.
     #[error("cannot set up the process: {0}")]
     SetUp(#[from] io::Error),
 }
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -1,4 +1,4 @@
-//! The dispatcher process: owns endpoints, their slots and connections.
+//! The dispatcher process: owns endpoints with their slots and connections.
 //!
 //! One thread holds the control state (the [`control::DispatcherControl`] actor and the peer connections); other
 //! threads call endpoints.
--- a/crates/dispatcher/src/port.rs
+++ b/crates/dispatcher/src/port.rs
@@ -1,4 +1,4 @@
-//! The peer port: turns calls of entries and dispatchers into messages to the control actor.
+//! The peer port: converts calls from entries and dispatchers into messages to the control actor.
 
 use std::{cell::Cell, rc::Rc};
 
@@ -31,8 +31,8 @@
     session: Rc<Cell<Option<(IncarnationId, SessionId)>>>,
 }
 
-/// Makes the port of a new connection. The session on it ends with the connection, and not with the port object: what
-/// the library still holds of a broken connection would keep that alive.
+/// Creates the port of a new connection. Its session ends with the connection and not with the port object, because the
+/// RPC library may keep the object of a broken connection alive.
 pub(crate) fn accept(control: Addr<DispatcherControl>, entries: EntryDirectory) -> AcceptedPort {
     let session = Rc::<Cell<Option<_>>>::default();
     let opened = session.clone();
@@ -50,7 +50,7 @@
     AcceptedPort { port, on_closed }
 }
 
-/// A session of one connection.
+/// The port of the session on a connection.
 pub(crate) struct SessionPort {
     control: Addr<DispatcherControl>,
     entry: IncarnationId,
@@ -155,8 +155,8 @@
     }
 }
 
-/// Sends a message now and gives a future of its answer. `do_send` and not `send`: a full mailbox would otherwise
-/// put the message behind later ones, and a withdrawal could be handled before the offer it withdraws.
+/// Sends a message immediately and returns a future of its answer. With `send` instead of `do_send`, a full mailbox
+/// could put the message behind later ones, and a withdrawal could be handled before the offer it withdraws.
 fn ask<M, T>(
     control: &Addr<DispatcherControl>,
     make: impl FnOnce(oneshot::Sender<Result<T, PeerError>>) -> M,
--- a/crates/dispatcher/src/process.rs
+++ b/crates/dispatcher/src/process.rs
@@ -25,7 +25,7 @@
     DispatcherError,
 };
 
-/// The time between two looks at whether a stopping process may end.
+/// Interval at which a stopping process checks whether its tasks have ended.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A running dispatcher.
@@ -40,18 +40,18 @@
 }
 
 impl DispatcherProcess {
-    /// Where entries and dispatchers connect.
+    /// The address that entries and dispatchers connect to.
     pub fn peer_address(&self) -> SocketAddr {
         self.peer_address
     }
 
-    /// Where readiness and metrics are.
+    /// The address of the admin server: readiness, liveness and metrics.
     pub fn admin_address(&self) -> SocketAddr {
         self.admin_address
     }
 
-    /// Leaves: takes nothing new, hands back what waits, waits for what runs, at most for the drain limit.
-    /// Returns how many tasks were cut.
+    /// Stops gracefully: accepts nothing new, hands back queued tasks and waits for running tasks, at most for the
+    /// drain limit. Returns the number of tasks that were cut off at the limit.
     pub async fn stop(self) -> usize {
         self.control.do_send(StopRequest);
         let limit = Instant::now() + self.drain.limit_ms.duration();
@@ -61,13 +61,13 @@
             left = self.control.send(StopQuery).await.unwrap_or(0);
         }
         if left > 0 {
-            log::warn!("dispatcher: stop limit reached, {left} tasks cut");
+            log::warn!("dispatcher: drain limit reached, {left} tasks cut off");
         }
         self.abort().await;
         left
     }
 
-    /// Ends at once, as a killed process would.
+    /// Stops at once, as a killed process would.
     pub async fn abort(self) {
         self.port.abort();
         self.admin.stop(false).await;
@@ -77,11 +77,11 @@
     }
 }
 
-/// Starts a dispatcher within the running actix system. Port 0 takes any free port.
+/// Starts a dispatcher within the running actix system. Port 0 selects any free port.
 ///
 /// # Errors
 ///
-/// An address cannot be listened on.
+/// A listener cannot be bound to its address, or a thread, listener or the metrics cannot be set up.
 pub fn start(
     settings: DispatcherSettings,
     clock: Arc<dyn ClockSource>,
@@ -136,7 +136,7 @@
     })
 }
 
-/// Runs a dispatcher until a signal ends it.
+/// Runs a dispatcher until a signal stops it.
 ///
 /// # Errors
 ///
@@ -147,9 +147,9 @@
         let process = start(settings, Arc::new(SystemClock))?;
         signals.wait().await;
         match signals.wait_beside(process.stop()).await {
-            Some(0) => log::info!("dispatcher: stopped, nothing cut"),
-            Some(cut) => log::warn!("dispatcher: stopped, {cut} tasks cut"),
-            None => log::warn!("dispatcher: second signal, stopped at once"),
+            Some(0) => log::info!("dispatcher: stopped, all tasks finished"),
+            Some(cut) => log::warn!("dispatcher: stopped, {cut} tasks cut off"),
+            None => log::warn!("dispatcher: stopped at once on a second signal"),
         }
         Ok(())
     })
--- a/crates/dispatcher/src/traffic.rs
+++ b/crates/dispatcher/src/traffic.rs
@@ -1,4 +1,4 @@
-//! The traffic threads: each calls endpoints with its own connections.
+//! The traffic threads, each of which calls endpoints over its own connections.
 
 use actix::{Actor, AsyncContext as _, Context, Handler, Message};
 use endpoint_client::{ClientSettings, EndpointClient};
@@ -7,7 +7,7 @@
 
 use crate::{control::CONTROL_SERVICE, DispatcherControl};
 
-/// Runs a task on an endpoint.
+/// Requests that a task run on an endpoint.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(crate) struct RunTask {
@@ -23,7 +23,7 @@
     pub(crate) end: AttemptEnd,
 }
 
-/// One traffic thread's caller of endpoints.
+/// Actor of one traffic thread that sends tasks to endpoints.
 pub(crate) struct EndpointTraffic {
     client: EndpointClient,
     services: ServiceDirectory,
@@ -47,11 +47,11 @@
 
     fn handle(&mut self, task: RunTask, ctx: &mut Context<Self>) {
         let client = self.client.clone();
-        // Looked up before the start: without anybody to tell the end to, the task must not run.
+        // Looked up before the start: without a control actor to report the end to, the task must not run.
         let control = match self.services.find::<DispatcherControl>(CONTROL_SERVICE) {
             Ok(control) => control,
             Err(error) => {
-                log::error!("dispatcher: {} not started: {error}", task.offer.attempt);
+                log::error!("dispatcher: cannot start {}: {error}", task.offer.attempt);
                 return;
             }
         };
