--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -46,10 +46,10 @@
     StopRequest,
 };
 
-/// The time between two looks at what has become due. It bounds how late an answer leaves after its deadline.
+/// Interval of the control tick. It bounds how late an answer is sent after its deadline.
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The control state of an entry: submissions, sessions, contracts. It lives on the control thread.
+/// The control state of an entry: submissions, sessions and contracts. The actor runs on the control thread.
 pub struct EntryControl {
     settings: EntrySettings,
     clock: Arc<dyn ClockSource>,
@@ -75,20 +75,20 @@
     leaving: Arc<AtomicBool>,
 }
 
-/// A dispatcher that this entry knows of.
+/// A known dispatcher and the state of the connection to it.
 struct DispatcherRecord {
     address: SocketAddr,
     data_centre: DataCentreId,
     link: LinkState,
-    /// What was told of slots on a session whose opening is not answered yet.
+    /// A slot update that arrived on a session before the answer to its opening.
     early_slots: Option<(SessionId, SlotCounts)>,
-    /// The data centre as it sees it, since the session opened.
+    /// The dispatcher's view of its data centre; `None` until it has sent one on the current session.
     centre_view: Option<CentreView>,
 }
 
-/// How the connection to a dispatcher stands.
+/// The state of the connection to a dispatcher.
 enum LinkState {
-    /// Not connected; the next try is due at the time.
+    /// Not connected; the next attempt is due at this time.
     Idle(Instant),
     Connecting,
     Open(OpenLink),
@@ -102,7 +102,7 @@
     ping_in_flight: bool,
 }
 
-/// What a control actor is made from.
+/// Parameters of [`EntryControl::new`].
 pub(crate) struct ControlParts {
     pub(crate) settings: EntrySettings,
     pub(crate) clock: Arc<dyn ClockSource>,
@@ -166,7 +166,7 @@
         control
     }
 
-    /// Carries out what the authority wants done. To be called at the end of each input.
+    /// Carries out the authority's pending actions. To be called at the end of each message handler.
     fn flush(&mut self, ctx: &mut Context<Self>) {
         if self.asks_due {
             self.send_asks(ctx);
@@ -210,7 +210,7 @@
             let address = dispatchers
                 .get(&key)
                 .map(|record| record.address.to_string());
-            // An address holds only characters that a VM id may have.
+            // An address contains only characters that are valid in a VM id.
             address
                 .and_then(|text| text.parse().ok())
                 .unwrap_or_else(|| self.settings.vm.clone())
@@ -257,8 +257,9 @@
         }
     }
 
-    /// Ready once contracts, slots and the customers' homes are known, until the stop begins. Losing every slot later does not take the
-    /// entry out of the balancer: its callers get a refusal with when to come back, and not no answer at all.
+    /// Sets the entry ready once contracts, slots and the customers' home dispatchers are known, unless a stop has
+    /// begun. Losing all slots later does not take the entry out of the load balancer, so that its callers still get a
+    /// refusal with a retry time instead of no answer.
     fn update_readiness(&mut self) {
         let known = self.contracts.is_ready()
             && self.centre_view.revision > 0
@@ -292,8 +293,8 @@
     fn started(&mut self, ctx: &mut Context<Self>) {
         ctx.run_interval(TICK_INTERVAL, Self::tick);
         self.read_vm_list(ctx);
-        // New VMs come and old ones go within minutes; a second is soon enough, and one read a second an entry is
-        // little for the platform.
+        // VMs come and go within minutes, so a read per second is often enough, and one per second and entry is a small
+        // load for the platform.
         ctx.run_interval(Duration::from_secs(1), Self::read_vm_list);
     }
 }
--- a/crates/entry/src/control/callers.rs
+++ b/crates/entry/src/control/callers.rs
@@ -1,4 +1,4 @@
-//! Commands of callers.
+//! Handlers of callers' commands.
 
 use std::{sync::Arc, time::Duration};
 
@@ -18,15 +18,15 @@
 
 use super::{keys::KeyedBody, EntryControl};
 
-/// When to come back after a refusal whose end cannot be told better: long enough for a VM to be found gone and for
-/// its endpoints to have another owner.
+/// Retry time for a refusal whose end cannot be estimated better: long enough for a lost VM to be detected and for its
+/// endpoints to get another owner.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// An answer on its way.
+/// The future of an answer.
 pub(super) type AnswerFuture = LocalBoxFuture<'static, CallerAnswer>;
 
 impl EntryControl {
-    /// Accepts or refuses a submission and waits for its answer. The caller of this flushes.
+    /// Accepts or refuses a submission and waits for its answer. The caller of this function has to call `flush`.
     pub(super) fn run(
         &mut self,
         body: SubmissionBody,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Refuses before there is a submission, and counts it.
+    /// Refuses a request before there is a submission, and counts the refusal.
     pub(super) fn refuse(&self, reason: RefusalReason) -> CallerAnswer {
         let retry_after = default_retry_after(reason);
         self.refuse_submission(SubmissionRefusal {
@@ -71,7 +71,7 @@
             .get(&body.customer)
             .map(|(version, contract)| (contract, version));
         if let Some((contract, _)) = contract {
-            // The answer has to be with the caller by the deadline, so it leaves a little earlier.
+            // The answer has to reach the caller by the deadline, so it is sent a margin earlier.
             let deadline = body.deadline.unwrap_or_else(|| contract.answer_within());
             if deadline <= contract.answer_within() && !deadline.is_zero() {
                 let margin = self.settings.answer_margin_ms.duration().min(deadline / 2);
@@ -85,7 +85,7 @@
         Ok(admitted.id)
     }
 
-    /// The contract of a customer whose work may be accepted.
+    /// Returns the contract of a customer whose work may be accepted, or the reason to refuse it.
     pub(super) fn check_customer(&self, customer: &CustomerId) -> Result<&Contract, RefusalReason> {
         if !self.contracts.is_ready() {
             return Err(RefusalReason::ConfigNotReady);
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Waits for the answer of a submission of this entry.
+    /// Waits for the answer to a submission of this entry.
     pub(super) fn wait_for(&mut self, serial: u64) -> AnswerFuture {
         let id = SubmissionId {
             incarnation: self.authority.incarnation(),
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Runs a request under a ticket of this entry, or gives a second arrival the first one's answer.
+    /// Runs a request under a ticket of this entry, or answers a repeat with the first arrival's answer.
     pub(super) fn run_ticket(
         &mut self,
         ticket: TicketId,
@@ -141,8 +141,8 @@
         }
     }
 
-    /// A later arrival of a request: it gets the first one's answer, if it has the same body. Where the first was
-    /// refused, nothing ran, and the request runs now under the same authority.
+    /// Handles a repeat of a request: it gets the first arrival's answer if it has the same body, and is refused
+    /// otherwise. If the first was refused, nothing ran, and the request runs now under the same serial.
     pub(super) fn run_repeat(
         &mut self,
         serial: u64,
@@ -210,7 +210,7 @@
 }
 
 impl EntryControl {
-    /// How a submission of this entry stands now.
+    /// Returns the current state of a submission of this entry.
     pub(super) fn outcome_now(&self, serial: u64) -> CallerAnswer {
         let id = SubmissionId {
             incarnation: self.authority.incarnation(),
@@ -245,7 +245,7 @@
     Box::pin(std::future::ready(answer))
 }
 
-/// A refusal before there was a submission. Nothing ran.
+/// The answer to a request refused before there was a submission. Nothing ran.
 pub(super) fn refusal(reason: RefusalReason) -> CallerAnswer {
     refusal_answer(SubmissionRefusal {
         reason,
@@ -253,7 +253,7 @@
     })
 }
 
-/// A refusal with what its cause told of when to come back.
+/// The answer for a refusal, with its reason and retry time.
 fn refusal_answer(refusal: SubmissionRefusal) -> CallerAnswer {
     let SubmissionRefusal {
         reason,
@@ -271,10 +271,10 @@
     })
 }
 
-/// When to come back after a refusal whose end cannot be told better.
+/// The retry time for a refusal whose end cannot be estimated better; `None` for reasons without one.
 pub(super) fn default_retry_after(reason: RefusalReason) -> Option<Duration> {
     match reason {
-        // Another VM takes it at once.
+        // Another VM can take the request at once.
         RefusalReason::Stopping => Some(Duration::ZERO),
         RefusalReason::Overloaded
         | RefusalReason::NoCapacity
@@ -284,7 +284,7 @@
     }
 }
 
-/// The entry that could tell is gone, or has forgotten.
+/// The answer when the entry that knew the outcome cannot be reached or no longer has it.
 pub(super) fn unknown_answer(id: Option<SubmissionId>) -> CallerAnswer {
     CallerAnswer::Own(SubmissionAnswer {
         id,
--- a/crates/entry/src/control/contract_updates.rs
+++ b/crates/entry/src/control/contract_updates.rs
@@ -1,4 +1,4 @@
-//! Contracts as dispatchers pass them on.
+//! Contract updates received from dispatchers.
 
 use actix::{ActorFutureExt as _, AsyncContext as _, Context, WrapFuture as _};
 use authority::DispatcherKey;
@@ -8,7 +8,8 @@
 use super::{EntryControl, LinkState};
 
 impl EntryControl {
-    /// A dispatcher has named its head. A newer one, or none read yet, is a reason to ask for the rows.
+    /// Handles the contract head that a dispatcher reported, and fetches the rows from it if its head is newer or no
+    /// contracts are loaded yet.
     pub(super) fn on_dispatcher_head(
         &mut self,
         ctx: &mut Context<Self>,
@@ -28,7 +29,7 @@
         self.fetch_contracts(ctx, key);
     }
 
-    /// Whether nothing has been heard of the contracts for longer than the freshness bound.
+    /// Whether the contracts have not been confirmed as current for longer than the freshness bound.
     pub(super) fn is_stale(&self) -> bool {
         let age = self
             .contracts_confirmed_at
@@ -47,7 +48,9 @@
             news.into_actor(self)
                 .map(move |news, control, ctx| match news {
                     Ok(news) => control.apply_contracts(ctx, news),
-                    Err(error) => log::warn!("entry: contracts not read from {key}: {error}"),
+                    Err(error) => {
+                        log::warn!("entry: cannot read contracts from dispatcher {key}: {error}")
+                    }
                 }),
         );
     }
--- a/crates/entry/src/control/event_recorder.rs
+++ b/crates/entry/src/control/event_recorder.rs
@@ -1,4 +1,4 @@
-//! What the authority notes, as metrics and as the history that `explain` shows.
+//! Records the authority's events as metrics and as the history that `explain` shows.
 
 use std::{sync::Arc, time::Instant};
 
@@ -8,11 +8,11 @@
     CounterKind, ExplainEvent, ExplainHistory, ExplainReport, MetricSet, SubmissionNote, TimeKind,
 };
 
-/// The memory for the histories of submissions, in bytes. A job of 40 tasks takes some 10 KB, so the last thousand or so
-/// can be explained.
+/// Memory limit for the histories of submissions, in bytes. A job of 40 tasks takes about 10 KB, so about the last
+/// thousand can be explained.
 const HISTORY_LIMIT: ByteSize = ByteSize(8 * 1024 * 1024);
 
-/// Counters and histories of one entry.
+/// Metrics and submission histories of one entry.
 pub(crate) struct EventRecorder {
     metrics: Arc<MetricSet>,
     history: ExplainHistory,
@@ -36,17 +36,17 @@
         self.history.explain(id)
     }
 
-    /// A submission was refused before it had an id.
+    /// Counts a refusal of a submission that had no id yet.
     pub(crate) fn count_refusal(&self, outcome: &SubmissionOutcome) {
         self.metrics.answered(outcome);
     }
 
-    /// A message about tasks left this process.
+    /// Counts messages about tasks sent by this process.
     pub(crate) fn count_sent(&self, messages: u64) {
         self.metrics.count(CounterKind::Messages, messages);
     }
 
-    /// A message that led to no start.
+    /// Counts messages that did not lead to a start.
     pub(crate) fn count_wasted(&self, messages: u64) {
         self.metrics.count(CounterKind::WastedMessages, messages);
     }
@@ -135,9 +135,9 @@
             }
             AuthorityEvent::Retried(attempt, reason) => {
                 self.metrics.retried(reason);
-                // The offer that came to nothing, and its answer.
+                // The offer that led to no start, and its answer.
                 self.count_wasted(2);
-                log::debug!("entry: {attempt} is placed again: {reason}");
+                log::debug!("entry: retrying {attempt}: {reason}");
             }
         }
     }
--- a/crates/entry/src/control/forwarding.rs
+++ b/crates/entry/src/control/forwarding.rs
@@ -1,4 +1,4 @@
-//! Requests whose authority is another entry. Any dispatcher that has a session with both passes them on.
+//! Forwards requests to the entry that has authority over them, through any dispatcher that has a session with both.
 
 use actix::{Context, Handler};
 use caller_api::{read_request, render_answer, CallerAnswer};
@@ -11,7 +11,7 @@
 };
 
 impl EntryControl {
-    /// Passes a request on to the entry that has authority over its ticket or key.
+    /// Forwards a request to the entry that has authority over its ticket or key.
     pub(super) fn forward_request(&self, id: SubmissionId, raw: Vec<u8>) -> AnswerFuture {
         let dispatchers = self.open_dispatchers();
         Box::pin(async move {
@@ -20,13 +20,13 @@
             };
             match entry.run(id.serial, &raw).await {
                 Ok(answer) => forwarded(answer),
-                // It may have run there before the connection broke.
+                // The request may have run there before the connection broke.
                 Err(_) => unknown_answer(Some(id)),
             }
         })
     }
 
-    /// Asks the entry of a submission how it stands.
+    /// Asks the entry that owns a submission for its outcome.
     pub(super) fn forward_outcome(&self, id: SubmissionId) -> AnswerFuture {
         let dispatchers = self.open_dispatchers();
         Box::pin(async move {
@@ -90,7 +90,7 @@
             SubmissionKind::Request(KeyedRun::Ticket(ticket)) => {
                 self.run_ticket(*ticket, body, digest)
             }
-            // A key: its first arrival came here, or its record would not name this entry.
+            // A request with a key: its first arrival came here, otherwise its record would not name this entry.
             SubmissionKind::Request(_) | SubmissionKind::Job => {
                 self.run_repeat(serial, body, digest)
             }
@@ -98,8 +98,8 @@
     }
 }
 
-/// Asks the dispatchers one after another. Each has sessions with all entries of its data centre, so the first one
-/// of the right data centre knows.
+/// Asks the dispatchers one after another for the entry. Each has sessions with all entries of its data centre, so the
+/// first one of the right data centre finds it.
 async fn find_entry(
     dispatchers: &[DispatcherClient],
     incarnation: IncarnationId,
--- a/crates/entry/src/control/grants.rs
+++ b/crates/entry/src/control/grants.rs
@@ -1,6 +1,6 @@
-//! What this entry may use of each customer's concurrency.
+//! The part of each customer's concurrency that this entry may use.
 //!
-//! The holder of grants decides; the authority places by what it allows, and keeps count of what is in use.
+//! The grant holder decides the limits; the authority places tasks within them and counts the tasks in flight.
 
 use std::{
     net::{Ipv4Addr, SocketAddr},
@@ -16,14 +16,15 @@
 
 use super::{EntryControl, LinkState};
 
-/// What the authority was last told of a customer.
+/// The limit of a customer that the authority was last given, and when it expires.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct UsableGrant {
     limit: u32,
     until: Option<Instant>,
 }
 
-/// The dispatcher that counts as this VM's own until the VM list says which it is.
+/// The dispatcher that is treated as this VM's own until the VM list names the right one: the first one of
+/// this data centre in the settings.
 pub(super) fn initial_own_dispatcher(settings: &EntrySettings) -> SocketAddr {
     let mut own_centre = settings
         .dispatchers
@@ -36,7 +37,7 @@
 }
 
 impl EntryControl {
-    /// Looks up this VM's own dispatcher, by which its base shares are reckoned.
+    /// Looks up this VM's own dispatcher, on which its base shares depend.
     pub(super) fn update_own_dispatcher(&mut self, vms: &[VmEntry]) {
         let own = vms
             .iter()
@@ -49,7 +50,7 @@
         self.select_centre_view();
     }
 
-    /// A dispatcher has told how it sees its data centre.
+    /// Stores a dispatcher's view of its data centre.
     pub(super) fn set_centre_view(&mut self, key: DispatcherKey, view: CentreView) {
         let Some(record) = self.dispatchers.get_mut(&key) else {
             return;
@@ -58,9 +59,9 @@
         self.select_centre_view();
     }
 
-    /// Goes by the view of this VM's own dispatcher, else by that of the lowest address with one: views of several
-    /// dispatchers differ for moments, and customers would change homes with each ping. Without any, the last one
-    /// stays; grants and base shares go on by it.
+    /// Selects the view of this VM's own dispatcher, or else that of the lowest address that has one. The choice is
+    /// fixed because views of several dispatchers differ for moments, and customers would change homes with each ping.
+    /// If there is no view, the last one stays in use for grants and base shares.
     pub(super) fn select_centre_view(&mut self) {
         let mut best: Option<(bool, SocketAddr, &CentreView)> = None;
         for record in self.dispatchers.values() {
@@ -82,7 +83,7 @@
         let now = self.clock.now();
         self.grants
             .set_view(now, view.owners.clone(), view.listed.clone());
-        // One entry a VM, and the VMs that are listed place on the same slots.
+        // There is one entry per VM, and the entries of all listed VMs place tasks on the same slots.
         self.authority
             .set_entries(u32::try_from(view.listed.len()).unwrap_or(u32::MAX));
         self.centre_view = view;
@@ -96,12 +97,12 @@
                 self.set_share(&customer);
             }
         }
-        // A customer whose home changed is asked for there at once.
+        // Grants of a customer whose home changed are requested from the new home at once.
         self.asks_due = true;
     }
 
-    /// Sets a customer's share after its contract or the data centres have changed. A retired contract keeps its
-    /// share: what was accepted before runs to its end.
+    /// Sets a customer's share after a change of its contract or of the data centres' slots. A retired contract keeps
+    /// its share, so that work accepted before can finish.
     pub(super) fn set_share(&mut self, customer: &CustomerId) {
         let concurrency = self
             .contracts
@@ -117,8 +118,8 @@
         self.sync_grant(self.clock.now(), customer);
     }
 
-    /// Tells the holder how much of a customer is in use and waits. To be called when a submission has come; what
-    /// ends is seen at the next tick.
+    /// Updates the grant holder with a customer's tasks in flight and waiting. To be called after a submission arrives;
+    /// tasks that end are counted at the next tick.
     pub(super) fn update_demand(&mut self, now: Instant, customer: &CustomerId) {
         let (in_flight, waiting) = self.authority.usage(customer);
         let waiting = u32::try_from(waiting).unwrap_or(u32::MAX);
@@ -128,7 +129,7 @@
         self.asks_due |= waiting > 0;
     }
 
-    /// Keeps the authority's limits in step with the grants. Only customers with work or with a grant are looked at.
+    /// Updates the authority's limits from the grants, only for customers with work or with a grant.
     pub(super) fn tick_grants(&mut self, ctx: &mut Context<Self>, now: Instant) {
         let customers: Vec<CustomerId> = self.usable_grants.keys().cloned().collect();
         for customer in customers {
@@ -141,7 +142,7 @@
         self.send_asks(ctx);
     }
 
-    /// Sends what the holder wants to ask. What it gives up with that is no longer used from here on.
+    /// Sends the holder's requests for grants. A grant that a request gives up is no longer used from here on.
     pub(super) fn send_asks(&mut self, ctx: &mut Context<Self>) {
         self.asks_due = false;
         let now = self.clock.now();
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Tasks that the grants in force let this entry run at once, over all customers.
+    /// Number of tasks that the current grants let this entry run at once, over all customers.
     pub(super) fn grants_held(&self) -> u32 {
         let limits = self.usable_grants.values().map(|grant| grant.limit);
         limits.fold(0, u32::saturating_add)
@@ -163,7 +164,7 @@
         let key = self.dispatcher_keys.get(&batch.home);
         let record = key.and_then(|key| self.dispatchers.get(key));
         let Some(LinkState::Open(open)) = record.map(|record| &record.link) else {
-            // The holder asks again, and falls back to its base share when the home stays out of reach.
+            // The holder asks again, and falls back to its base share if the home stays unreachable.
             return;
         };
         let reply = open.link.client().grant(batch);
@@ -175,7 +176,7 @@
                 .map(move |reply, control, ctx| match reply {
                     Ok(Some(reply)) => control.apply_grants(ctx, &reply),
                     Ok(None) => {}
-                    Err(error) => log::debug!("entry: no grants from {home}: {error}"),
+                    Err(error) => log::debug!("entry: grant request to {home} failed: {error}"),
                 }),
         );
     }
@@ -189,7 +190,7 @@
         self.flush(ctx);
     }
 
-    /// Passes on what the holder allows, if it is something else than before.
+    /// Passes the holder's limit for a customer to the authority if it has changed.
     fn sync_grant(&mut self, now: Instant, customer: &CustomerId) {
         let grant = UsableGrant {
             limit: self.grants.limit(now, customer),
--- a/crates/entry/src/control/keys.rs
+++ b/crates/entry/src/control/keys.rs
@@ -1,4 +1,4 @@
-//! Requests with a key that the caller chose: the key is recorded in the platform's table before the start.
+//! Requests with an idempotency key: the key is recorded in the platform's table before the request starts.
 
 use std::time::{Duration, Instant};
 
@@ -13,15 +13,15 @@
     EntryControl,
 };
 
-/// A request with a key as it came.
+/// The content of a request with a key.
 pub(super) struct KeyedBody {
     pub(super) body: SubmissionBody,
     pub(super) digest: u64,
-    /// For the entry that has authority over the key, should that be another one.
+    /// The request as received, to be forwarded if another entry has authority over the key.
     pub(super) raw: Vec<u8>,
 }
 
-/// A keyed request between its arrival and its start.
+/// A keyed request whose key is being recorded.
 struct KeyedRequest {
     keyed: KeyedBody,
     serial: u64,
@@ -30,7 +30,7 @@
 }
 
 impl EntryControl {
-    /// Records the key and runs the request, or gives a later arrival the first one's answer.
+    /// Records the key and runs the request, or answers a repeat with the first arrival's answer.
     pub(super) fn run_keyed(
         &mut self,
         ctx: &mut Context<Self>,
@@ -38,7 +38,7 @@
         keyed: KeyedBody,
     ) -> AnswerFuture {
         let customer = keyed.body.customer.clone();
-        // A request that would be refused anyway need not cost the store a write.
+        // A request that would be refused anyway should not cost a write to the store.
         let contract = match self.check_customer(&customer) {
             Ok(contract) => contract,
             Err(reason) => return ready(self.refuse(reason)),
@@ -55,7 +55,7 @@
             serial,
             body_digest: BodyDigest(keyed.digest),
         };
-        // Half of the time is left for the run itself.
+        // Recording may take half of the time; the other half is for the run itself.
         let deadline = now + time_left / 2;
         let request = KeyRequest {
             key: RequestKey { customer, key },
@@ -104,14 +104,14 @@
                 RefusalReason::KeyNotRecorded,
                 Some(retry_after),
             ),
-            // The row may be there or land later. It names this serial, and the refusal kept under it tells whoever
-            // reads the row that nothing ran.
+            // The row may exist or be written later. It names this serial, and the refusal stored under the serial
+            // shows a repeat that reads the row that nothing ran.
             KeyResult::Uncertain => {
                 let reason = RefusalReason::KeyNotRecorded;
                 self.refuse_keyed(serial, keyed, reason, default_retry_after(reason))
             }
         };
-        // The caller may have gone; the answer stays under the key.
+        // The caller may have disconnected; the answer stays available under the key.
         let _gone = waiter.send(answer);
     }
 
@@ -130,7 +130,7 @@
         }
     }
 
-    /// The key is taken: its record names the submission that has the answer.
+    /// Answers a request whose key was recorded before: the record names the submission that has the answer.
     fn answer_existing(&mut self, first: KeyRecord, keyed: KeyedBody) -> AnswerFuture {
         if first.body_digest != BodyDigest(keyed.digest) {
             return ready(self.refuse(RefusalReason::KeyReused));
@@ -141,8 +141,8 @@
         self.forward_request(first.submission(), keyed.raw)
     }
 
-    /// Keeps the refusal under the serial that the key's row may name, so that a later arrival finds out that nothing
-    /// ran and can run then.
+    /// Stores the refusal under the serial that the key's row may name, so that a repeat learns that nothing ran and
+    /// can run itself.
     fn refuse_keyed(
         &mut self,
         serial: u64,
--- a/crates/entry/src/control/messages.rs
+++ b/crates/entry/src/control/messages.rs
@@ -1,6 +1,7 @@
-//! Messages to the control actor from its port at the dispatchers and from the process around it.
+//! Messages to the control actor from its ports at dispatchers and from the process around it.
 //!
-//! The port sends them with `do_send`, which keeps their order, and waits for the answer on a channel inside.
+//! The port sends them with `do_send`, which preserves their order, and receives the answer on a channel in the
+//! message.
 
 use std::time::Duration;
 
@@ -12,7 +13,7 @@
 
 pub(crate) type ReplyTo<T> = oneshot::Sender<Result<T, PeerError>>;
 
-/// A dispatcher asks for the body of a queued attempt.
+/// A dispatcher claims the body of a queued attempt.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(crate) struct ClaimRequest {
@@ -21,7 +22,7 @@
     pub(crate) reply: ReplyTo<Option<Payload>>,
 }
 
-/// A dispatcher reports ends.
+/// A dispatcher reports ended attempts.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(crate) struct AttemptReport {
@@ -31,7 +32,7 @@
     pub(crate) reply: ReplyTo<()>,
 }
 
-/// A dispatcher tells how its slots stand.
+/// A dispatcher sends its current slot counts.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(crate) struct SlotUpdate {
@@ -40,7 +41,7 @@
     pub(crate) slots: SlotCounts,
 }
 
-/// Another entry asks for an answer.
+/// Another entry asks for the outcome of a submission of this entry.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(crate) struct OutcomeRequest {
@@ -48,7 +49,7 @@
     pub(crate) reply: ReplyTo<Option<ForwardedAnswer>>,
 }
 
-/// Another entry passes on a request with a ticket or key whose authority this one is.
+/// Another entry forwards a request with a ticket or key over which this entry has authority.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(crate) struct ForwardedRequest {
@@ -57,7 +58,7 @@
     pub(crate) reply: ReplyTo<ForwardedAnswer>,
 }
 
-/// A connection to a dispatcher broke.
+/// The connection to a dispatcher has closed.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(crate) struct LinkBroken {
@@ -65,12 +66,12 @@
     pub(crate) session: SessionId,
 }
 
-/// The process begins to stop.
+/// Starts a graceful stop.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(crate) struct StopRequest;
 
-/// How many submissions are still open. With `cut`, they are answered now as they stand.
+/// Returns the number of open submissions. With `answer_open`, they are answered now with their current state.
 #[derive(Message)]
 #[rtype(result = "usize")]
 pub(crate) struct StopQuery {
--- a/crates/entry/src/control/operators.rs
+++ b/crates/entry/src/control/operators.rs
@@ -1,4 +1,4 @@
-//! Commands of operators. Any entry takes them; the platform's table decides between two.
+//! Handler of operators' commands. Any entry accepts them; of two conflicting ones the platform's table accepts one.
 
 use actix::{Context, Handler, ResponseFuture};
 use caller_api::operators::{run_command, OperatorCommand, OperatorError, OperatorReply};
--- a/crates/entry/src/control/sessions.rs
+++ b/crates/entry/src/control/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions with dispatchers: finding, opening, watching and using them.
+//! Sessions with dispatchers: discovery, opening, liveness checks, offers and withdrawals.
 
 use std::{
     net::SocketAddr,
@@ -18,17 +18,17 @@
 };
 use crate::port::EntryPort;
 
-/// The time between two tries to connect to a dispatcher that did not answer.
+/// Delay before the next connection attempt to a dispatcher after a failed one.
 const RECONNECT_DELAY: Duration = Duration::from_millis(200);
 
-/// The most pings a second that an entry spends on all its sessions together.
+/// Maximum number of pings per second over all sessions of an entry.
 const MAX_PINGS_PER_SECOND: u32 = 20;
 
-/// How many ping periods a session may stay silent: one ping lost on the way is no cut.
+/// Minimum session timeout in ping intervals, so that one lost ping does not close a session.
 const TIMEOUT_PING_INTERVALS: u32 = 3;
 
 impl EntryControl {
-    /// Notes a dispatcher; a known one stays as it is.
+    /// Adds a dispatcher; a known one is left unchanged.
     pub(super) fn add_dispatcher(&mut self, address: SocketAddr, data_centre: DataCentreId) {
         if self.dispatcher_keys.contains_key(&address) {
             return;
@@ -54,8 +54,8 @@
         let list = async move { platform.vm_list().await }.into_actor(self);
         ctx.spawn(list.map(|list, control, _| match list {
             Ok(vms) => control.apply_vm_list(&vms),
-            // What is known goes on: sessions speak for themselves meanwhile.
-            Err(error) => log::debug!("entry: VM list not read: {error}"),
+            // The known dispatchers stay in use; their sessions show whether they are alive.
+            Err(error) => log::debug!("entry: cannot read VM list: {error}"),
         }));
     }
 
@@ -69,7 +69,8 @@
         self.update_own_dispatcher(vms);
     }
 
-    /// VMs are replaced all the time, so an address that no list names and that does not answer is forgotten.
+    /// Removes dispatchers that are neither in the VM list nor in the settings and have no connection, since VMs are
+    /// replaced all the time.
     fn remove_unlisted_dispatchers(&mut self, vms: &[VmEntry]) {
         let mut gone = Vec::new();
         for (key, record) in &self.dispatchers {
@@ -89,9 +90,9 @@
         }
     }
 
-    /// Failure: this process was frozen while answers lay unread in its sockets. Symptom without this: on thawing it
-    /// takes every dispatcher for silent and gives up sessions that are fine. A gap in its own ticks shows that it
-    /// was the one away, so every session gets its full time again.
+    /// Restarts the timeout of every session after this process was frozen, which a gap between its own ticks shows.
+    /// Answers lay unread in its sockets meanwhile, so without this it would take every dispatcher for silent and close
+    /// healthy sessions.
     pub(super) fn detect_own_pause(&mut self, now: Instant) {
         let gap = now.saturating_duration_since(self.last_tick);
         self.last_tick = now;
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Connects what is not connected, pings what is, and gives up what stays silent.
+    /// Connects to unconnected dispatchers, pings quiet sessions and closes those that timed out.
     pub(super) fn maintain_sessions(&mut self, ctx: &mut Context<Self>, now: Instant) {
         let (ping_interval, timeout) = self.ping_timing();
         let (mut connect, mut ping, mut lost) = (Vec::new(), Vec::new(), Vec::new());
@@ -131,16 +132,17 @@
             self.ping(ctx, key);
         }
         for (key, session) in lost {
-            log::warn!("entry: dispatcher {key} silent, session {session} given up");
+            log::warn!("entry: session {session} closed: no answer from dispatcher {key} in time");
             self.close_session(now, key, session);
         }
     }
 
-    /// How long a session may be silent before it is pinged, and before it is given up.
+    /// Returns how long a session may be silent before it is pinged, and before it is closed.
     ///
-    /// Load: an entry with many sessions. Harm: each pinged as often as one alone, 60 of them take 191 KB/s of the 27
-    /// that a node may spend on control. The period grows with the sessions instead, to 20 pings a second at most; a
-    /// dispatcher that dies is told of by its broken connection, so only a silent cut is found later by that.
+    /// The ping interval grows with the number of sessions, so that the entry sends at most 20 pings per second. With
+    /// the interval of a single session, 60 sessions would take 191 KB/s, while a node may spend 27 KB/s on control
+    /// traffic. The death of a dispatcher is detected by its broken connection, so only a silent network cut is
+    /// detected later.
     fn ping_timing(&self) -> (Duration, Duration) {
         let open = self
             .dispatchers
@@ -244,8 +246,8 @@
         }
     }
 
-    /// A call that failed on a connection that stands would leave its tasks without a verdict for ever. Ending the
-    /// session is enough: the next one asks what became of them.
+    /// Closes the session after a failed call. If the connection is still open, the call's tasks would otherwise never
+    /// get a verdict; the next session finds out what became of them.
     fn on_call_failed(
         &mut self,
         ctx: &mut Context<Self>,
@@ -286,7 +288,7 @@
         };
         ctx.spawn(opened.into_actor(self).map(move |opened, control, ctx| {
             control.on_connected(key, session, opened);
-            // Its view of the data centre is needed before the first grant can be asked for.
+            // The dispatcher's view of the data centre is needed before the first grant can be requested.
             control.ping(ctx, key);
             control.flush(ctx);
         }));
@@ -305,7 +307,7 @@
         match opened {
             Ok((link, opened)) => {
                 log::info!(
-                    "entry: session {session} with dispatcher {key} at {} open",
+                    "entry: session {session} with dispatcher {key} at {} opened",
                     record.address
                 );
                 let client = opened.session;
@@ -330,16 +332,17 @@
             Err(error) => {
                 record.link = LinkState::Idle(now + RECONNECT_DELAY);
                 if error == PeerError::Refused {
-                    // Its VM's own system says that nothing listens there: the process is gone, and what it may
-                    // have started is answered as unknown now rather than at the deadline.
+                    // The operating system of the VM reports that nothing listens at the address, so the process is
+                    // gone. Tasks that it may have started are answered as unknown now rather than at the deadline.
                     self.authority.on_dispatcher_gone(now, key);
                 }
             }
         }
     }
 
-    /// A word on slots that overtook the answer to its session's opening is newer than that answer. Passed over, it would
-    /// leave the entry with the slots of before until the next ping: tasks queue elsewhere while these stand free.
+    /// Applies a slot update, or keeps it while the session is being opened. An update that overtook the answer to its
+    /// session's opening is newer than that answer. Dropping it would leave the entry with outdated slots until the
+    /// next ping, and tasks would queue elsewhere while these slots are free.
     fn apply_slot_update(&mut self, update: SlotUpdate) {
         if let Some(record) = self.dispatchers.get_mut(&update.dispatcher) {
             if matches!(record.link, LinkState::Connecting) {
--- a/crates/entry/src/control/status.rs
+++ b/crates/entry/src/control/status.rs
@@ -1,4 +1,4 @@
-//! How the entry stands, for operators.
+//! Status of the entry for operators.
 
 use std::sync::atomic::Ordering;
 
--- a/crates/entry/src/error.rs
+++ b/crates/entry/src/error.rs
@@ -1,27 +1,27 @@
-//! What can end or hinder an entry.
+//! Errors of starting an entry.
 
 use std::{io, net::SocketAddr};
 
 use thiserror::Error;
 
-/// What can end or hinder an entry.
+/// An error that keeps an entry from starting.
 #[derive(Debug, Error)]
 pub enum EntryError {
-    /// An address could not be listened on.
+    /// The listener could not be bound to its address.
     #[error("cannot listen on {address}: {cause}")]
     Listen {
-        /// The address.
+        /// The address to listen on.
         address: SocketAddr,
-        /// Why.
+        /// The error of the operating system.
         cause: io::Error,
     },
     /// The metrics could not be set up.
     #[error(transparent)]
     Metrics(#[from] telemetry::TelemetryError),
-    /// A part of the process was not found.
+    /// A service of the process was not found in its directory.
     #[error(transparent)]
     Service(#[from] kernel::KernelError),
-    /// A thread or signal handler could not be set up.
+    /// A thread, listener or signal handler could not be set up.
     #[error("cannot set up the process: {0}")]
     SetUp(#[from] io::Error),
 }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,4 +1,4 @@
-//! The entry process: callers and operators on one side, dispatchers on the other.
+//! The entry process: accepts requests from callers and operators and places tasks on dispatchers.
 //!
 //! One thread holds the control state (the [`control::EntryControl`] actor and the sessions with dispatchers); other
 //! threads serve HTTP.
--- a/crates/entry/src/port.rs
+++ b/crates/entry/src/port.rs
@@ -1,4 +1,4 @@
-//! The port that this entry hands to a dispatcher: turns calls into messages to the control actor.
+//! The port that this entry gives to a dispatcher: converts its calls into messages to the control actor.
 
 use std::time::Duration;
 
@@ -80,8 +80,8 @@
     }
 }
 
-/// Sends a message now and gives a future of its answer. `do_send` and not `send`: a full mailbox would otherwise
-/// put the message behind later ones.
+/// Sends a message immediately and returns a future of its answer. With `send` instead of `do_send`, a full mailbox
+/// could put the message behind later ones.
 fn ask<M, T>(
     control: &Addr<EntryControl>,
     make: impl FnOnce(oneshot::Sender<Result<T, PeerError>>) -> M,
--- a/crates/entry/src/process.rs
+++ b/crates/entry/src/process.rs
@@ -24,13 +24,13 @@
     EntryError,
 };
 
-/// The name under which an entry's control actor is found.
+/// The name under which the entry's control actor is registered.
 const CONTROL_SERVICE: ServiceName = ServiceName("entry.control");
 
-/// The time between two looks at whether a stopping process may end.
+/// Interval at which a stopping process checks whether all submissions have been answered.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The time that answers have to leave after the last submission has its answer, in seconds.
+/// Time for the HTTP server to send the last answers once every submission has been answered, in seconds.
 const SHUTDOWN_TIMEOUT_SECS: u64 = 5;
 
 /// A running entry.
@@ -42,14 +42,14 @@
 }
 
 impl EntryProcess {
-    /// Where callers connect.
+    /// The address that callers connect to.
     pub fn caller_address(&self) -> SocketAddr {
         self.caller_address
     }
 
-    /// Leaves without cutting a request: says "not ready" while the listener still takes connections, so that the
-    /// balancer turns away; then waits for the answers of what was accepted, at most for the drain limit. Returns how
-    /// many submissions were cut, each answered with how it stood.
+    /// Stops gracefully: reports "not ready" while the listener still accepts connections, so that the load balancer
+    /// stops sending requests, and then waits for accepted submissions to be answered, at most for the drain limit.
+    /// Returns the number of submissions that were cut off at the limit; each is answered with its state at that time.
     pub async fn stop(self) -> usize {
         self.control.do_send(StopRequest);
         actix_rt::time::sleep(self.drain.notice_ms.duration()).await;
@@ -66,24 +66,24 @@
             }
         }
         if open > 0 {
-            log::warn!("entry: stop limit reached, {open} submissions cut");
+            log::warn!("entry: drain limit reached, {open} submissions cut off");
             self.control.do_send(StopQuery { answer_open: true });
         }
         self.server.stop(true).await;
         open
     }
 
-    /// Ends at once, as a killed process would.
+    /// Stops at once, as a killed process would.
     pub async fn abort(self) {
         self.server.stop(false).await;
     }
 }
 
-/// Starts an entry within the running actix system. Port 0 takes any free port.
+/// Starts an entry within the running actix system. Port 0 selects any free port.
 ///
 /// # Errors
 ///
-/// The address cannot be listened on.
+/// The listener cannot be bound to its address, or the server or the metrics cannot be set up.
 pub fn start(
     settings: EntrySettings,
     clock: Arc<dyn ClockSource>,
@@ -159,7 +159,7 @@
     }
 }
 
-/// Runs an entry until a signal ends it.
+/// Runs an entry until a signal stops it.
 ///
 /// # Errors
 ///
@@ -170,9 +170,9 @@
         let process = start(settings, Arc::new(SystemClock))?;
         signals.wait().await;
         match signals.wait_beside(process.stop()).await {
-            Some(0) => log::info!("entry: stopped, nothing cut"),
-            Some(cut) => log::warn!("entry: stopped, {cut} submissions cut"),
-            None => log::warn!("entry: second signal, stopped at once"),
+            Some(0) => log::info!("entry: stopped, all submissions answered"),
+            Some(cut) => log::warn!("entry: stopped, {cut} submissions cut off"),
+            None => log::warn!("entry: stopped at once on a second signal"),
         }
         Ok(())
     })
