--- a/crates/dispatcher/src/control/contracts.rs
+++ b/crates/dispatcher/src/control/contracts.rs
@@ -51,9 +51,9 @@
             return;
         };
         let since = self.contract_view.loaded_head().unwrap_or_default();
-        let news = link.client().contracts(since).into_actor(self);
-        ctx.spawn(news.map(move |news, control, _| match news {
-            Ok(news) if news.loaded => control.apply_contracts(news.update),
+        let reply = link.client().contracts(since).into_actor(self);
+        ctx.spawn(reply.map(move |reply, control, _| match reply {
+            Ok(reply) if reply.loaded => control.apply_contracts(reply.update),
             Ok(_) => {}
             Err(error) => log::warn!("dispatcher: cannot read contracts from {address}: {error}"),
         }));
--- a/crates/dispatcher/src/control/handover.rs
+++ b/crates/dispatcher/src/control/handover.rs
@@ -17,7 +17,7 @@
     /// would take its slots for free, and the endpoint would refuse each task sent there. Reports are sent only while
     /// such tasks run, so moving an idle endpoint costs nothing.
     pub(super) fn tick_handovers(&mut self, ctx: &mut Context<Self>) {
-        let mut reports = self.collect_reports();
+        let mut reports = self.collect_handover_counts();
         for address in self.reported_peers.clone() {
             reports.entry(address).or_default();
         }
@@ -28,7 +28,7 @@
         self.flush(ctx);
     }
 
-    fn collect_reports(&self) -> FastMap<SocketAddr, Vec<HandoverCount>> {
+    fn collect_handover_counts(&self) -> FastMap<SocketAddr, Vec<HandoverCount>> {
         let mut reports: FastMap<SocketAddr, Vec<HandoverCount>> = FastMap::default();
         for (endpoint, time_left) in self.ledger.unowned_tasks(self.clock.now()) {
             let Some(owner) = self.ownership.owner(&endpoint) else {
--- a/crates/dispatcher/src/control/membership.rs
+++ b/crates/dispatcher/src/control/membership.rs
@@ -43,8 +43,8 @@
             return false;
         }
         let owners = self.members.owners();
-        let heard = |address: &SocketAddr| owners.iter().any(|owner| owner.address == *address);
-        self.members.listed().iter().all(heard)
+        let answered = |address: &SocketAddr| owners.iter().any(|owner| owner.address == *address);
+        self.members.listed().iter().all(answered)
     }
 
     pub(super) fn read_vm_list(&mut self, ctx: &mut Context<Self>) {
--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -259,7 +259,7 @@
 
     /// Sets the entry ready once contracts, slots and the customers' home dispatchers are known, unless a stop has
     /// begun. Losing all slots later does not take the entry out of the load balancer, so that its callers still get a
-    /// refusal with a retry time instead of no answer.
+    /// refusal with a retry delay instead of no answer.
     fn update_readiness(&mut self) {
         let known = self.contracts.is_ready()
             && self.centre_view.revision > 0
--- a/crates/entry/src/control/callers.rs
+++ b/crates/entry/src/control/callers.rs
@@ -18,7 +18,7 @@
 
 use super::{keys::KeyedBody, EntryControl};
 
-/// Retry time for a refusal whose end cannot be estimated better: long enough for a lost VM to be detected and for its
+/// Retry delay for a refusal whose end cannot be estimated better: long enough for a lost VM to be detected and for its
 /// endpoints to get another owner.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
@@ -253,7 +253,7 @@
     })
 }
 
-/// The answer for a refusal, with its reason and retry time.
+/// The answer for a refusal, with its reason and retry delay.
 fn refusal_answer(refusal: SubmissionRefusal) -> CallerAnswer {
     let SubmissionRefusal {
         reason,
@@ -271,7 +271,7 @@
     })
 }
 
-/// The retry time for a refusal whose end cannot be estimated better; `None` for reasons without one.
+/// The retry delay for a refusal whose end cannot be estimated better; `None` for reasons without one.
 pub(super) fn default_retry_after(reason: RefusalReason) -> Option<Duration> {
     match reason {
         // Another VM can take the request at once.
--- a/crates/entry/src/control/contract_updates.rs
+++ b/crates/entry/src/control/contract_updates.rs
@@ -43,11 +43,12 @@
             return;
         };
         let since = self.contracts.loaded_head().unwrap_or_default();
-        let news = open.link.client().contracts(since);
+        let reply = open.link.client().contracts(since);
         ctx.spawn(
-            news.into_actor(self)
-                .map(move |news, control, ctx| match news {
-                    Ok(news) => control.apply_contracts(ctx, news),
+            reply
+                .into_actor(self)
+                .map(move |reply, control, ctx| match reply {
+                    Ok(reply) => control.apply_contracts(ctx, reply),
                     Err(error) => {
                         log::warn!("entry: cannot read contracts from dispatcher {key}: {error}")
                     }
@@ -55,12 +56,12 @@
         );
     }
 
-    fn apply_contracts(&mut self, ctx: &mut Context<Self>, news: ContractNews) {
-        if !news.loaded {
+    fn apply_contracts(&mut self, ctx: &mut Context<Self>, reply: ContractNews) {
+        if !reply.loaded {
             return;
         }
         self.contracts_confirmed_at = Some(self.clock.now());
-        for customer in self.contracts.apply(news.update) {
+        for customer in self.contracts.apply(reply.update) {
             self.set_share(&customer);
         }
         self.flush(ctx);
--- a/crates/entry/src/control/grants.rs
+++ b/crates/entry/src/control/grants.rs
@@ -23,8 +23,8 @@
     until: Option<Instant>,
 }
 
-/// The dispatcher that is treated as this VM's own until the VM list names the right one: the first one of
-/// this data centre in the settings.
+/// The dispatcher that is treated as this VM's own until the VM list names the right one: the first one of this data
+/// centre in the settings, or an unspecified address if there is none.
 pub(super) fn initial_own_dispatcher(settings: &EntrySettings) -> SocketAddr {
     let mut own_centre = settings
         .dispatchers
--- a/crates/entry/src/control/keys.rs
+++ b/crates/entry/src/control/keys.rs
@@ -65,7 +65,7 @@
         let recorder = self.recorder.clone();
         let arrived = now;
         let (waiter, answer) = oneshot::channel();
-        let request_state = KeyedRequest {
+        let pending = KeyedRequest {
             keyed,
             serial,
             deadline: now + time_left,
@@ -77,7 +77,7 @@
                 let took = control.clock.now().saturating_duration_since(arrived);
                 control.events.metrics().time(TimeKind::KeyCommit, took);
             }
-            control.on_key_result(request_state, result);
+            control.on_key_result(pending, result);
             control.flush(ctx);
         }));
         Box::pin(async move {
--- a/crates/request-keys/src/batcher.rs
+++ b/crates/request-keys/src/batcher.rs
@@ -28,7 +28,7 @@
     pub initial_backoff: Duration,
     /// Upper limit of the backoff.
     pub max_backoff: Duration,
-    /// Lower limit of the retry time that a refused request is given.
+    /// Lower limit of the retry delay that a refused request is given.
     pub min_retry_after: Duration,
 }
 
@@ -442,7 +442,7 @@
         actions
     }
 
-    /// The refusal, with a retry time that covers the rest of the backoff.
+    /// The refusal, with a retry delay that covers the rest of the backoff.
     fn not_recorded(&self, now: Instant) -> KeyResult {
         let backoff = match self.phase {
             BatchPhase::BackingOff { until, .. } => until.saturating_duration_since(now),
--- a/crates/request-keys/tests/batcher.rs
+++ b/crates/request-keys/tests/batcher.rs
@@ -341,7 +341,7 @@
 #[test]
 fn an_outage_costs_one_call_per_backoff_and_every_request_is_answered() {
     // The store refuses connections for ten seconds while a key arrives every 10 ms. Each request is answered "not
-    // recorded" by its deadline, with a retry time, and the store gets one call per backoff; a call for each key would
+    // recorded" by its deadline, with a retry delay, and the store gets one call per backoff; a call for each key would
     // overload it when it recovers.
     let start = Instant::now();
     let mut batcher = KeyBatcher::new(BatcherSettings::default());
