--- a/crates/entry/src/control/keys.rs
+++ b/crates/entry/src/control/keys.rs
@@ -56,11 +56,11 @@
             body_digest: BodyDigest(keyed.digest),
         };
         // Recording may take half of the time; the other half is for the run itself.
-        let deadline = now + time_left / 2;
+        let record_deadline = now + time_left / 2;
         let request = KeyRequest {
             key: RequestKey { customer, key },
             record,
-            deadline,
+            deadline: record_deadline,
         };
         let recorder = self.recorder.clone();
         let arrived = now;
--- a/crates/request-keys/examples/group_commit.rs
+++ b/crates/request-keys/examples/group_commit.rs
@@ -16,7 +16,7 @@
 use request_keys::{BatcherSettings, KeyRecorder};
 use stand_ins::platform::{PlatformSettings, PlatformStandIn};
 
-use crate::offered::offer_evenly;
+use crate::offered::record_at_even_rate;
 
 /// A write rate, in writes per second, that never limits a process.
 const UNLIMITED_RATE: u32 = 100_000;
@@ -98,7 +98,7 @@
     let vms = (0..measurement.vms).map(|vm| {
         let recorder = recorder(&stand_in, measurement);
         async move {
-            offer_evenly(
+            record_at_even_rate(
                 &recorder,
                 vm,
                 per_second / measurement.vms,
--- a/crates/request-keys/src/batcher.rs
+++ b/crates/request-keys/src/batcher.rs
@@ -106,7 +106,7 @@
     phase: BatchPhase,
     /// Keys that already have a row, until the row has been read.
     conflicting: FastMap<PendingKeyId, ConflictingKey>,
-    failures: u32,
+    consecutive_failures: u32,
     next_id: u64,
 }
 
@@ -148,7 +148,7 @@
             batch: Vec::new(),
             phase: BatchPhase::Idle,
             conflicting: FastMap::default(),
-            failures: 0,
+            consecutive_failures: 0,
             next_id: 0,
         }
     }
@@ -237,7 +237,7 @@
         };
         match outcome {
             ReadOutcome::Found(record) => {
-                self.failures = 0;
+                self.consecutive_failures = 0;
                 let result = conflicting.pending.result_for(record);
                 conflicting.pending.answer(result)
             }
@@ -353,7 +353,7 @@
     }
 
     fn resume(&mut self, mut actions: Vec<KeyAction>) -> Vec<KeyAction> {
-        self.failures = 0;
+        self.consecutive_failures = 0;
         self.phase = BatchPhase::Idle;
         actions.extend(self.start_batch());
         actions
@@ -396,9 +396,9 @@
     /// Starts an exponential backoff. Without it every key that arrives during an outage would cost a call, and the
     /// calls of all VMs would hit the platform the moment it recovers.
     fn back_off(&mut self, now: Instant, in_doubt: bool) -> Vec<KeyAction> {
-        let doublings = self.failures.min(10);
+        let doublings = self.consecutive_failures.min(10);
         let backoff = self.settings.initial_backoff * 2u32.pow(doublings);
-        self.failures += 1;
+        self.consecutive_failures += 1;
         let until = now + backoff.min(self.settings.max_backoff);
         self.phase = BatchPhase::BackingOff { until, in_doubt };
         Vec::new()
--- a/crates/request-keys/tests/offered/mod.rs
+++ b/crates/request-keys/tests/offered/mod.rs
@@ -7,7 +7,7 @@
 use request_keys::{BodyDigest, KeyRecord, KeyRecorder, KeyRequest, KeyResult, RequestKey};
 
 /// Records keys at an even rate, asserts that each is recorded, and returns the latencies in ascending order.
-pub(crate) async fn offer_evenly(
+pub(crate) async fn record_at_even_rate(
     recorder: &KeyRecorder,
     incarnation: u64,
     per_second: u64,
--- a/crates/request-keys/tests/recorder.rs
+++ b/crates/request-keys/tests/recorder.rs
@@ -20,7 +20,7 @@
     WriteRequest,
 };
 
-use crate::offered::offer_evenly;
+use crate::offered::record_at_even_rate;
 
 const UNLIMITED_RATE: u32 = 100_000;
 
@@ -285,7 +285,7 @@
     for (write_rate, max_batch, per_second, keys, expected) in cases {
         let stand_in = stand_in();
         let recorder = recorder(&stand_in, write_rate, max_batch);
-        offer_evenly(&recorder, 1, per_second, keys).await;
+        record_at_even_rate(&recorder, 1, per_second, keys).await;
         let transactions = stand_in.stats().transactions;
         assert!(
             expected.contains(&transactions),
