--- a/crates/dispatcher/src/control/membership.rs
+++ b/crates/dispatcher/src/control/membership.rs
@@ -1,4 +1,4 @@
-//! Heartbeats, the VM list, and which endpoints this dispatcher owns.
+//! Heartbeats, the VM list and the ownership of endpoints.
 
 use std::net::SocketAddr;
 
@@ -8,33 +8,34 @@
 use peer::{PeerError, PingReply};
 use telemetry::CounterKind;
 
-use super::{BeatTaken, DispatcherControl, PeerSlot, PingTaken, VmsAsked};
+use super::{ DispatcherControl, HeartbeatRequest, PeerConnection, PingRequest, VmListRequest};
 
 impl DispatcherControl {
     pub(super) fn tick_members(&mut self, ctx: &mut Context<Self>) {
         let mut changed = false;
         for action in self.members.tick(self.clock.now()) {
             match action {
-                MemberAction::SendHeartbeat { address } => self.beat(ctx, address),
+                MemberAction::SendHeartbeat { address } => self.send_heartbeat(ctx, address),
                 MemberAction::ViewChanged => changed = true,
             }
         }
-        if !self.settled && self.is_settled() {
-            self.settled = true;
+        if !self.membership_settled && self.is_membership_settled() {
+            self.membership_settled = true;
             changed = true;
         }
         if changed {
             self.update_ownership();
-            self.update_centre();
+            self.update_centre_view();
         }
     }
 
-    /// Failure: a dispatcher has just started and has heard of nobody yet. Symptom without this: it takes every endpoint
-    /// for its own, as do its peers, and a burst overfills them; each busy answer is a wasted message. So it owns nothing
-    /// until everybody on the lists has answered, or the suspect time has passed, in which a live one would have. A
-    /// refused connection does not count as gone here: a peer that starts at the same time does not listen yet.
-    fn is_settled(&self) -> bool {
-        let waited = self.clock.now().saturating_duration_since(self.started);
+    /// Whether the VM list is known and all listed dispatchers have answered, or the suspect time has passed, in which
+    /// a live one would have answered. Until then this dispatcher owns no endpoints: a newly started one that knows no
+    /// peers would claim every endpoint, as would its peers, and a burst would overfill the endpoints; each busy answer
+    /// is a wasted message. A refused connection does not count as an answer, since a peer that starts at the same time
+    /// does not listen yet.
+    fn is_membership_settled(&self) -> bool {
+        let waited = self.clock.now().saturating_duration_since(self.started_at);
         if waited >= self.settings.suspect_ms.duration() {
             return true;
         }
@@ -42,54 +43,56 @@
             return false;
         }
         let owners = self.members.owners();
-        let heard = |address: &SocketAddr| owners.iter().any(|owner| owner.address == *address);
-        self.members.listed().iter().all(heard)
+        let answered = |address: &SocketAddr| owners.iter().any(|owner| owner.address == *address);
+        self.members.listed().iter().all(answered)
     }
 
     pub(super) fn read_vm_list(&mut self, ctx: &mut Context<Self>) {
         let platform = self.platform.clone();
         let list = async move { platform.vm_list().await }.into_actor(self);
         ctx.spawn(list.map(|list, control, ctx| match list {
-            Ok(vms) => control.take_vm_list(ctx, vms),
-            // What is known goes on: endpoints and peers speak for themselves meanwhile.
+            Ok(vms) => control.apply_vm_list(ctx, vms),
+            // The last known list stays in use; endpoints and peers show by their answers whether they are alive.
             Err(error) => {
-                log::debug!("dispatcher: VM list not read: {error}");
-                control.ask_peers_for_vms(ctx);
+                log::debug!("dispatcher: cannot read VM list: {error}");
+                control.request_peer_vm_lists(ctx);
             }
         }));
     }
 
-    /// Failure: this VM started while the platform is down. Symptom without this: it knows no endpoint and serves nothing
-    /// for the length of the outage. A peer's list is as old as the platform's last answer, which lags anyway.
-    fn ask_peers_for_vms(&mut self, ctx: &mut Context<Self>) {
+    /// Requests the VM list from the peers if none is known. A VM that starts while the platform is down would
+    /// otherwise know no endpoint and serve nothing for the whole outage. A peer's list is as old as the platform's
+    /// last answer to it; the platform's own list lags as well.
+    fn request_peer_vm_lists(&mut self, ctx: &mut Context<Self>) {
         if !self.vms.is_empty() {
             return;
         }
-        for slot in self.peers.values() {
-            let PeerSlot::Open(link) = slot else {
+        for connection in self.peers.values() {
+            let PeerConnection::Open(link) = connection else {
                 continue;
             };
             let vms = link.client().vms().into_actor(self);
             ctx.spawn(vms.map(|vms, control, ctx| match vms {
                 Ok(vms) if control.vms.is_empty() && !vms.is_empty() => {
-                    control.take_vm_list(ctx, vms)
+                    control.apply_vm_list(ctx, vms)
                 }
                 Ok(_) => {}
-                Err(error) => log::debug!("dispatcher: VM list not read from a peer: {error}"),
+                Err(error) => log::debug!("dispatcher: cannot read VM list from a peer: {error}"),
             }));
         }
     }
 
-    fn take_vm_list(&mut self, ctx: &mut Context<Self>, vms: Vec<VmEntry>) {
+    fn apply_vm_list(&mut self, ctx: &mut Context<Self>, vms: Vec<VmEntry>) {
         self.members.on_vm_list(&vms);
         self.vms = vms;
         self.update_ownership();
-        self.update_centre();
+        self.update_centre_view();
         self.flush(ctx);
     }
 
-    /// Load: dispatchers come and go, endpoints come and go. Harm: an endpoint without an owner stands idle. Two
-    /// owners for a moment only overfill it, which its busy answer makes a definite not-run.
+    /// Reassigns the endpoints of this data centre to the live dispatchers. An endpoint without an owner would stay
+    /// idle. Two owners for a moment can only overfill an endpoint, whose busy answer says definitely that the task did
+    /// not run.
     pub(super) fn update_ownership(&mut self) {
         let owners = self.members.owners();
         let mut endpoints = Vec::new();
@@ -124,23 +127,24 @@
         let owned: Vec<(EndpointAddress, EndpointState)> = endpoints
             .into_iter()
             .filter(|(address, _)| {
-                self.settled && self.ownership.owner(&address.id) == Some(self.own_address)
+                self.membership_settled && self.ownership.owner(&address.id) == Some(self.own_address)
             })
             .collect();
         self.ledger.set_endpoints(self.clock.now(), &owned);
     }
 
-    fn beat(&mut self, ctx: &mut Context<Self>, address: SocketAddr) {
+    fn send_heartbeat(&mut self, ctx: &mut Context<Self>, address: SocketAddr) {
         match self.peers.get(&address) {
-            Some(PeerSlot::Connecting) => {}
-            Some(PeerSlot::Open(link)) => {
+            Some(PeerConnection::Connecting) => {}
+            Some(PeerConnection::Open(link)) => {
                 let reply = link
                     .client()
                     .heartbeat(&self.members.heartbeat_message())
                     .into_actor(self);
                 ctx.spawn(
                     reply
-                        .map(move |reply, control, ctx| control.on_beat_reply(ctx, address, reply)),
+                        .map(move |reply, control, ctx| { control.on_heartbeat_reply(ctx, address, reply)
+                }),
                 );
             }
             None => self.connect_peer(ctx, address),
@@ -148,20 +152,21 @@
     }
 
     pub(super) fn connect_peer(&mut self, ctx: &mut Context<Self>, address: SocketAddr) {
-        self.peers.insert(address, PeerSlot::Connecting);
+        self.peers.insert(address, PeerConnection::Connecting);
         let link = peer::connect(address, || {}).into_actor(self);
         ctx.spawn(link.map(move |link, control, ctx| match link {
             Ok(link) => {
-                control.peers.insert(address, PeerSlot::Open(link));
-                // What still runs goes before the beat that tells of a stop, so that the new owner counts it first.
+                control.peers.insert(address, PeerConnection::Open(link));
+                // The handover report goes before the heartbeat that announces a stop, so that the new owner counts the
+                // running tasks first.
                 control.tick_handovers(ctx);
-                control.beat(ctx, address);
+                control.send_heartbeat(ctx, address);
             }
-            Err(error) => control.on_beat_reply(ctx, address, Err(error)),
+            Err(error) => control.on_heartbeat_reply(ctx, address, Err(error)),
         }));
     }
 
-    fn on_beat_reply(
+    fn on_heartbeat_reply(
         &mut self,
         ctx: &mut Context<Self>,
         address: SocketAddr,
@@ -172,7 +177,7 @@
             Ok(reply) => {
                 let head = reply.view.head;
                 self.members.on_heartbeat_reply(now, reply);
-                self.hear_head(ctx, address, head);
+                self.on_peer_head(ctx, address, head);
             }
             Err(error) => {
                 self.peers.remove(&address);
@@ -186,44 +191,44 @@
     }
 }
 
-impl Handler<BeatTaken> for DispatcherControl {
+impl Handler<HeartbeatRequest> for DispatcherControl {
     type Result = ();
 
-    fn handle(&mut self, taken: BeatTaken, ctx: &mut Context<Self>) {
-        let (address, head) = (taken.message.view.address, taken.message.view.head);
-        let reply = self.members.on_heartbeat(self.clock.now(), taken.message);
-        self.hear_head(ctx, address, head);
-        let _gone = taken.reply.send(Ok(reply));
+    fn handle(&mut self, request: HeartbeatRequest, ctx: &mut Context<Self>) {
+        let (address, head) = (request.message.view.address, request.message.view.head);
+        let reply = self.members.on_heartbeat(self.clock.now(), request.message);
+        self.on_peer_head(ctx, address, head);
+        let _gone = request.reply.send(Ok(reply));
         self.tick_members(ctx);
         self.flush(ctx);
     }
 }
 
-impl Handler<VmsAsked> for DispatcherControl {
+impl Handler<VmListRequest> for DispatcherControl {
     type Result = ();
 
-    fn handle(&mut self, asked: VmsAsked, _: &mut Context<Self>) {
-        let _gone = asked.reply.send(Ok(self.vms.clone()));
+    fn handle(&mut self, request: VmListRequest, _: &mut Context<Self>) {
+        let _gone = request.reply.send(Ok(self.vms.clone()));
     }
 }
 
-impl Handler<PingTaken> for DispatcherControl {
+impl Handler<PingRequest> for DispatcherControl {
     type Result = ();
 
-    fn handle(&mut self, taken: PingTaken, _: &mut Context<Self>) {
+    fn handle(&mut self, request: PingRequest, _: &mut Context<Self>) {
         let now = self.clock.now();
-        let open = taken
+        let open = request
             .session
             .is_none_or(|(entry, session)| self.ledger.record_activity(now, entry, session));
         let answer = match open {
             true => Ok(PingReply {
                 view: self.members.heartbeat_message().view,
                 slots: self.ledger.slots(),
-                centre: (self.centre.revision != taken.revision).then(|| self.centre.clone()),
+                centre: (self.centre_view.revision != request.revision).then(|| self.centre_view.clone()),
             }),
-            // The entry opens another one, and learns what became of its attempts.
+            // On this error the entry opens a new session and learns the state of its attempts.
             false => Err(PeerError::Failed("the session is over".to_owned())),
         };
-        let _gone = taken.reply.send(answer);
+        let _gone = request.reply.send(answer);
     }
 }
--- a/crates/dispatcher/src/entry_directory.rs
+++ b/crates/dispatcher/src/entry_directory.rs
@@ -1,74 +1,74 @@
-//! The ports of the entries that have a session here.
+//! The ports of the entries that have a session with this dispatcher.
 //!
-//! A port cannot leave the control thread, and actor messages must be able to, so the ports are kept beside the
-//! control actor: the peer port puts them in, the actor takes them out.
+//! Ports are not `Send`, but actor messages have to be. So the ports are kept beside the control actor on its thread:
+//! the peer port inserts them, and the actor looks them up.
 
 use std::{cell::RefCell, rc::Rc};
 
 use model::{FastMap, IncarnationId, SessionId};
 use peer::EntryClient;
 
-/// Entry ports by incarnation. Clones share the same table.
+/// Entry ports by incarnation. Clones share one table.
 #[derive(Clone, Default)]
 pub(crate) struct EntryDirectory {
-    entries: Rc<RefCell<FastMap<IncarnationId, EntrySlot>>>,
+    entries: Rc<RefCell<FastMap<IncarnationId, EntryRecord>>>,
 }
 
-struct EntrySlot {
+struct EntryRecord {
     session: SessionId,
     client: EntryClient,
 }
 
 impl EntryDirectory {
-    /// Puts a port in, unless a later session of the same entry is there.
+    /// Inserts a port, unless the same or a later session of the entry is present.
     pub(crate) fn put(&self, entry: IncarnationId, session: SessionId, client: EntryClient) {
         let mut entries = self.entries.borrow_mut();
         if entries
             .get(&entry)
-            .is_some_and(|slot| slot.session >= session)
+            .is_some_and(|record| record.session >= session)
         {
             return;
         }
-        entries.insert(entry, EntrySlot { session, client });
+        entries.insert(entry, EntryRecord { session, client });
     }
 
-    /// The port of an entry's session, unless the session is over.
+    /// Returns the port of an entry's session, or `None` if the session is over.
     pub(crate) fn get(&self, entry: IncarnationId, session: SessionId) -> Option<EntryClient> {
         let entries = self.entries.borrow();
         entries
             .get(&entry)
-            .filter(|slot| slot.session == session)
-            .map(|slot| slot.client.clone())
+            .filter(|record| record.session == session)
+            .map(|record| record.client.clone())
     }
 
-    /// The port of an entry, whatever its session.
+    /// Returns the port of an entry, whatever its session.
     pub(crate) fn find(&self, entry: IncarnationId) -> Option<EntryClient> {
         self.entries
             .borrow()
             .get(&entry)
-            .map(|slot| slot.client.clone())
+            .map(|record| record.client.clone())
     }
 
-    /// The ports of all entries with a session.
+    /// Returns the ports of all entries with a session.
     pub(crate) fn all(&self) -> Vec<EntryClient> {
         self.entries
             .borrow()
             .values()
-            .map(|slot| slot.client.clone())
+            .map(|record| record.client.clone())
             .collect()
     }
 
-    /// Entries with a session.
+    /// Number of entries with a session.
     pub(crate) fn len(&self) -> usize {
         self.entries.borrow().len()
     }
 
-    /// Forgets a session that is over.
+    /// Removes a session that is over; a later session of the entry stays.
     pub(crate) fn remove(&self, entry: IncarnationId, session: SessionId) {
         let mut entries = self.entries.borrow_mut();
         if entries
             .get(&entry)
-            .is_some_and(|slot| slot.session == session)
+            .is_some_and(|record| record.session == session)
         {
             entries.remove(&entry);
         }
--- a/crates/entry/src/control/notes.rs
+++ b/crates/entry/src/control/event_recorder.rs
@@ -1,4 +1,4 @@
-//! What the authority notes, as metrics and as the history that `explain` shows.
+//! Records the authority's events as metrics and as the history that `explain` shows.
 
 use std::{sync::Arc, time::Instant};
 
@@ -9,18 +9,18 @@
     TimeKind,
 };
 
-/// The memory for the histories of submissions, in bytes. A job of 40 tasks takes some 10 KB, so the last thousand or so
-/// can be explained.
+/// Memory limit for the histories of submissions, in bytes. A job of 40 tasks takes about 10 KB, so about the last
+/// thousand can be explained.
 const HISTORY_LIMIT: ByteSize = ByteSize(8 * 1024 * 1024);
 
-/// Counters and histories of one entry.
-pub(crate) struct EventNotes {
+/// Metrics and submission histories of one entry.
+pub(crate) struct EventRecorder {
     metrics: Arc<MetricSet>,
     history: ExplainHistory,
     accepted: FastMap<SubmissionId, Instant>,
 }
 
-impl EventNotes {
+impl EventRecorder {
     pub(crate) fn new(metrics: Arc<MetricSet>) -> Self {
         Self {
             metrics,
@@ -37,22 +37,27 @@
         self.history.explain(id)
     }
 
-    /// A submission was refused before it had an id.
-    pub(crate) fn refused(&self, outcome: &SubmissionOutcome) {
+    /// Counts a refusal of a submission that had no id yet.
+    pub(crate) fn count_refusal(&self, outcome: &SubmissionOutcome) {
         self.metrics.answered(outcome);
     }
 
-    /// A message about tasks left this process.
-    pub(crate) fn sent(&self, messages: u64) {
+    /// Counts messages about tasks sent by this process.
+    pub(crate) fn count_sent(&self, messages: u64) {
         self.metrics.count(CounterKind::Messages, messages);
     }
 
-    /// A message that led to no start.
-    pub(crate) fn wasted(&self, messages: u64) {
+    /// Counts messages that did not lead to a start.
+    pub(crate) fn count_wasted(&self, messages: u64) {
         self.metrics.count(CounterKind::WastedMessages, messages);
     }
 
-    pub(crate) fn answered(&mut self, now: Instant, id: SubmissionId, outcome: &SubmissionOutcome) {
+    pub(crate) fn record_answer(
+        &mut self,
+        now: Instant,
+        id: SubmissionId,
+        outcome: &SubmissionOutcome,
+    ) {
         self.metrics.answered(outcome);
         if let Some(accepted) = self.accepted.remove(&id) {
             self.metrics
@@ -67,7 +72,7 @@
         );
     }
 
-    pub(crate) fn take(
+    pub(crate) fn record(
         &mut self,
         now: Instant,
         event: AuthorityEvent,
@@ -131,9 +136,9 @@
             }
             AuthorityEvent::Retried(attempt, reason) => {
                 self.metrics.retried(reason);
-                // The offer that came to nothing, and its answer.
-                self.wasted(2);
-                log::debug!("entry: {attempt} is placed again: {reason}");
+                // The offer that led to no start, and its answer.
+                self.count_wasted(2);
+                log::debug!("entry: retrying {attempt}: {reason}");
             }
         }
     }
--- a/crates/entry/src/control/forwarding.rs
+++ b/crates/entry/src/control/forwarding.rs
@@ -1,4 +1,4 @@
-//! Requests whose authority is another entry. Any dispatcher that has a session with both passes them on.
+//! Forwards requests to the entry that has authority over them, through any dispatcher that has a session with both.
 
 use actix::{Context, Handler};
 use caller_api::{read_request, render_answer, CallerAnswer};
@@ -6,44 +6,44 @@
 use peer::{DispatcherClient, EntryClient, ForwardedAnswer, PeerError};
 
 use super::{
-    callers::{unknown, AnswerFuture},
-    EntryControl, LinkState, OutcomeAsked, RequestPassed,
+    callers::{unknown_answer, AnswerFuture},
+    EntryControl, ForwardedRequest, LinkState, OutcomeRequest,
 };
 
 impl EntryControl {
-    /// Passes a request on to the entry that has authority over its ticket or key.
+    /// Forwards a request to the entry that has authority over its ticket or key.
     pub(super) fn forward_request(&self, id: SubmissionId, raw: Vec<u8>) -> AnswerFuture {
         let dispatchers = self.open_dispatchers();
         Box::pin(async move {
             let Some(entry) = find_entry(&dispatchers, id.incarnation).await else {
-                return unknown(Some(id));
+                return unknown_answer(Some(id));
             };
             match entry.run(id.serial, &raw).await {
                 Ok(answer) => forwarded(answer),
-                // It may have run there before the connection broke.
-                Err(_) => unknown(Some(id)),
+                // The request may have run there before the connection broke.
+                Err(_) => unknown_answer(Some(id)),
             }
         })
     }
 
-    /// Asks the entry of a submission how it stands.
+    /// Asks the entry that owns a submission for its outcome.
     pub(super) fn forward_outcome(&self, id: SubmissionId) -> AnswerFuture {
         let dispatchers = self.open_dispatchers();
         Box::pin(async move {
             let Some(entry) = find_entry(&dispatchers, id.incarnation).await else {
-                return unknown(Some(id));
+                return unknown_answer(Some(id));
             };
             match entry.outcome(id.serial).await {
                 Ok(Some(answer)) => forwarded(answer),
-                Ok(None) | Err(_) => unknown(Some(id)),
+                Ok(None) | Err(_) => unknown_answer(Some(id)),
             }
         })
     }
 
     fn open_dispatchers(&self) -> Vec<DispatcherClient> {
         let mut clients = Vec::new();
-        for slot in self.dispatchers.values() {
-            if let LinkState::Open(open) = &slot.link {
+        for record in self.dispatchers.values() {
+            if let LinkState::Open(open) = &record.link {
                 clients.push(open.link.client().clone());
             }
         }
@@ -51,27 +51,27 @@
     }
 }
 
-impl Handler<OutcomeAsked> for EntryControl {
+impl Handler<OutcomeRequest> for EntryControl {
     type Result = ();
 
-    fn handle(&mut self, asked: OutcomeAsked, _: &mut Context<Self>) {
-        let known = self.authority.outcome(asked.serial).is_some();
-        let answer = known.then(|| to_forward(&self.outcome_now(asked.serial)));
-        let _gone = asked.reply.send(Ok(answer));
+    fn handle(&mut self, request: OutcomeRequest, _: &mut Context<Self>) {
+        let known = self.authority.outcome(request.serial).is_some();
+        let answer = known.then(|| to_forward(&self.outcome_now(request.serial)));
+        let _gone = request.reply.send(Ok(answer));
     }
 }
 
-impl Handler<RequestPassed> for EntryControl {
+impl Handler<ForwardedRequest> for EntryControl {
     type Result = ();
 
-    fn handle(&mut self, passed: RequestPassed, ctx: &mut Context<Self>) {
-        let RequestPassed {
+    fn handle(&mut self, request: ForwardedRequest, ctx: &mut Context<Self>) {
+        let ForwardedRequest {
             serial,
             json,
             reply,
-        } = passed;
+        } = request;
         let answer = match read_request(&json, None) {
-            Ok((body, digest)) => self.run_passed(serial, body, digest),
+            Ok((body, digest)) => self.run_forwarded(serial, body, digest),
             Err(error) => {
                 let _gone = reply.send(Err(PeerError::BadMessage(error.to_string())));
                 return;
@@ -85,21 +85,21 @@
 }
 
 impl EntryControl {
-    fn run_passed(&mut self, serial: u64, body: SubmissionBody, digest: u64) -> AnswerFuture {
+    fn run_forwarded(&mut self, serial: u64, body: SubmissionBody, digest: u64) -> AnswerFuture {
         match &body.kind {
             SubmissionKind::Request(KeyedRun::Ticket(ticket)) => {
                 self.run_ticket(*ticket, body, digest)
             }
-            // A key: its first arrival came here, or its record would not name this entry.
+            // A request with a key: its first arrival came here, otherwise its record would not name this entry.
             SubmissionKind::Request(_) | SubmissionKind::Job => {
-                self.run_again(serial, body, digest)
+                self.run_repeat(serial, body, digest)
             }
         }
     }
 }
 
-/// Asks the dispatchers one after another. Each has sessions with all entries of its data centre, so the first one
-/// of the right data centre knows.
+/// Asks the dispatchers one after another for the entry. Each has sessions with all entries of its data centre, so the
+/// first one of the right data centre finds it.
 async fn find_entry(
     dispatchers: &[DispatcherClient],
     incarnation: IncarnationId,
--- a/crates/entry/src/control/keys.rs
+++ b/crates/entry/src/control/keys.rs
@@ -1,4 +1,4 @@
-//! Requests with a key that the caller chose: the key is recorded in the platform's table before the start.
+//! Requests with an idempotency key: the key is recorded in the platform's table before the request starts.
 
 use std::time::{Duration, Instant};
 
@@ -9,28 +9,28 @@
 use tokio::sync::oneshot;
 
 use super::{
-    callers::{come_back, ready, refusal, AnswerFuture},
+    callers::{default_retry_after, ready, refusal, AnswerFuture},
     EntryControl,
 };
 
-/// A request with a key as it came.
+/// The content of a request with a key.
 pub(super) struct KeyedBody {
     pub(super) body: SubmissionBody,
     pub(super) digest: u64,
-    /// For the entry that has authority over the key, should that be another one.
+    /// The request as received, to be forwarded if another entry has authority over the key.
     pub(super) raw: Vec<u8>,
 }
 
-/// A keyed request between its arrival and its start.
+/// A keyed request whose key is being recorded.
 struct KeyedRequest {
     keyed: KeyedBody,
     serial: u64,
-    due: Instant,
+    deadline: Instant,
     waiter: oneshot::Sender<AnswerFuture>,
 }
 
 impl EntryControl {
-    /// Records the key and runs the request, or gives a later arrival the first one's answer.
+    /// Records the key and runs the request, or answers a repeat with the first arrival's answer.
     pub(super) fn run_keyed(
         &mut self,
         ctx: &mut Context<Self>,
@@ -38,7 +38,7 @@
         keyed: KeyedBody,
     ) -> AnswerFuture {
         let customer = keyed.body.customer.clone();
-        // A request that would be refused anyway need not cost the store a write.
+        // A request that would be refused anyway should not cost a write to the store.
         let contract = match self.check_customer(&customer) {
             Ok(contract) => contract,
             Err(reason) => return ready(self.refuse(reason)),
@@ -55,29 +55,29 @@
             serial,
             body_digest: BodyDigest(keyed.digest),
         };
-        // Half of the time is left for the run itself.
-        let give_up = now + time_left / 2;
+        // Recording may take half of the time; the other half is for the run itself.
+        let record_deadline = now + time_left / 2;
         let request = KeyRequest {
             key: RequestKey { customer, key },
             record,
-            give_up,
+            deadline: record_deadline,
         };
         let recorder = self.recorder.clone();
         let arrived = now;
         let (waiter, answer) = oneshot::channel();
-        let request_state = KeyedRequest {
+        let pending = KeyedRequest {
             keyed,
             serial,
-            due: now + time_left,
+            deadline: now + time_left,
             waiter,
         };
         let recorded = async move { recorder.record(request).await }.into_actor(self);
         ctx.spawn(recorded.map(move |result, control, ctx| {
             if result == KeyResult::Recorded {
                 let took = control.clock.now().saturating_duration_since(arrived);
-                control.notes.metrics().time(TimeKind::KeyCommit, took);
+                control.events.metrics().time(TimeKind::KeyCommit, took);
             }
-            control.on_recorded(request_state, result);
+            control.on_key_result(pending, result);
             control.flush(ctx);
         }));
         Box::pin(async move {
@@ -88,35 +88,35 @@
         })
     }
 
-    fn on_recorded(&mut self, request: KeyedRequest, result: KeyResult) {
+    fn on_key_result(&mut self, request: KeyedRequest, result: KeyResult) {
         let KeyedRequest {
             keyed,
             serial,
-            due,
+            deadline,
             waiter,
         } = request;
         let answer = match result {
-            KeyResult::Recorded => self.run_recorded(serial, keyed, due),
-            KeyResult::Exists(first) => self.answer_of_first(first, keyed),
+            KeyResult::Recorded => self.run_recorded(serial, keyed, deadline),
+            KeyResult::Exists(first) => self.answer_existing(first, keyed),
             KeyResult::NotRecorded { retry_after } => self.refuse_keyed(
                 serial,
                 keyed,
                 RefusalReason::KeyNotRecorded,
                 Some(retry_after),
             ),
-            // The row may be there or land later. It names this serial, and the refusal kept under it tells whoever
-            // reads the row that nothing ran.
+            // The row may exist or be written later. It names this serial, and the refusal stored under the serial
+            // shows a repeat that reads the row that nothing ran.
             KeyResult::Uncertain => {
                 let reason = RefusalReason::KeyNotRecorded;
-                self.refuse_keyed(serial, keyed, reason, come_back(reason))
+                self.refuse_keyed(serial, keyed, reason, default_retry_after(reason))
             }
         };
-        // The caller may have gone; the answer stays under the key.
+        // The caller may have disconnected; the answer stays available under the key.
         let _gone = waiter.send(answer);
     }
 
-    fn run_recorded(&mut self, serial: u64, keyed: KeyedBody, due: Instant) -> AnswerFuture {
-        let time_left = due.saturating_duration_since(self.clock.now());
+    fn run_recorded(&mut self, serial: u64, keyed: KeyedBody, deadline: Instant) -> AnswerFuture {
+        let time_left = deadline.saturating_duration_since(self.clock.now());
         if time_left.is_zero() {
             return self.refuse_keyed(serial, keyed, RefusalReason::DeadlinePassed, None);
         }
@@ -130,19 +130,19 @@
         }
     }
 
-    /// The key is taken: its record names the submission that has the answer.
-    fn answer_of_first(&mut self, first: KeyRecord, keyed: KeyedBody) -> AnswerFuture {
+    /// Answers a request whose key was recorded before: the record names the submission that has the answer.
+    fn answer_existing(&mut self, first: KeyRecord, keyed: KeyedBody) -> AnswerFuture {
         if first.body_digest != BodyDigest(keyed.digest) {
             return ready(self.refuse(RefusalReason::KeyReused));
         }
         if first.incarnation == self.authority.incarnation() {
-            return self.run_again(first.serial, keyed.body, keyed.digest);
+            return self.run_repeat(first.serial, keyed.body, keyed.digest);
         }
         self.forward_request(first.submission(), keyed.raw)
     }
 
-    /// Keeps the refusal under the serial that the key's row may name, so that a later arrival finds out that nothing
-    /// ran and can run then.
+    /// Stores the refusal under the serial that the key's row may name, so that a repeat learns that nothing ran and
+    /// can run itself.
     fn refuse_keyed(
         &mut self,
         serial: u64,
--- a/crates/entry/src/control/messages.rs
+++ b/crates/entry/src/control/messages.rs
@@ -1,6 +1,7 @@
-//! Messages to the control actor from its port at the dispatchers and from the process around it.
+//! Messages to the control actor from its ports at dispatchers and from the process around it.
 //!
-//! The port sends them with `do_send`, which keeps their order, and waits for the answer on a channel inside.
+//! The port sends them with `do_send`, which preserves their order, and receives the answer on a channel in the
+//! message.
 
 use std::time::Duration;
 
@@ -12,52 +13,52 @@
 
 pub(crate) type ReplyTo<T> = oneshot::Sender<Result<T, PeerError>>;
 
-/// A dispatcher asks for the body of a queued attempt.
+/// A dispatcher claims the body of a queued attempt.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct BodyClaimed {
+pub(crate) struct ClaimRequest {
     pub(crate) session: SessionId,
     pub(crate) attempt: AttemptId,
     pub(crate) reply: ReplyTo<Option<Payload>>,
 }
 
-/// A dispatcher reports ends.
+/// A dispatcher reports ended attempts.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct EndsReported {
+pub(crate) struct AttemptReport {
     pub(crate) dispatcher: DispatcherKey,
     pub(crate) ends: Vec<(AttemptId, AttemptEnd, Duration)>,
     pub(crate) slots: SlotCounts,
     pub(crate) reply: ReplyTo<()>,
 }
 
-/// A dispatcher tells how its slots stand.
+/// A dispatcher sends its current slot counts.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct SlotsTold {
+pub(crate) struct SlotUpdate {
     pub(crate) dispatcher: DispatcherKey,
     pub(crate) session: SessionId,
     pub(crate) slots: SlotCounts,
 }
 
-/// Another entry asks for an answer.
+/// Another entry asks for the outcome of a submission of this entry.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct OutcomeAsked {
+pub(crate) struct OutcomeRequest {
     pub(crate) serial: u64,
     pub(crate) reply: ReplyTo<Option<ForwardedAnswer>>,
 }
 
-/// Another entry passes on a request with a ticket or key whose authority this one is.
+/// Another entry forwards a request with a ticket or key over which this entry has authority.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct RequestPassed {
+pub(crate) struct ForwardedRequest {
     pub(crate) serial: u64,
     pub(crate) json: Vec<u8>,
     pub(crate) reply: ReplyTo<ForwardedAnswer>,
 }
 
-/// A connection to a dispatcher broke.
+/// The connection to a dispatcher has closed.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(crate) struct LinkBroken {
@@ -65,14 +66,14 @@
     pub(crate) session: SessionId,
 }
 
-/// The process begins to stop.
+/// Starts a graceful stop.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct StopBegun;
+pub(crate) struct StopRequest;
 
-/// How many submissions are still open. With `cut`, they are answered now as they stand.
+/// Returns the number of open submissions. With `answer_open`, they are answered now with their current state.
 #[derive(Message)]
 #[rtype(result = "usize")]
-pub(crate) struct StopState {
-    pub(crate) cut: bool,
+pub(crate) struct StopQuery {
+    pub(crate) answer_open: bool,
 }
--- a/crates/request-keys/src/lib.rs
+++ b/crates/request-keys/src/lib.rs
@@ -1,14 +1,17 @@
-//! Idempotency keys that callers choose, recorded in the platform before their requests start.
+//! Records idempotency keys chosen by callers in the platform's table before their requests start.
 //!
-//! [`KeyBatcher`] decides what is written and read and when; [`KeyRecorder`] does the I/O.
-//! `docs/design/0003-contracts-and-keys.md` gives the ways weighed and the figures.
+//! [`KeyBatcher`] is a state machine that decides what is written and read and when; [`KeyRecorder`] does the I/O.
+//! `docs/design/0003-contracts-and-keys.md` compares the alternatives and gives the measurements.
 
 mod batcher;
 mod record;
 mod recorder;
 
 pub use crate::{
-    batcher::{BatchEnd, BatcherSettings, EntryId, KeyAction, KeyBatcher, ReadEnd, TurnEnd},
+    batcher::{
+        BatchOutcome, BatcherSettings, KeyAction, KeyBatcher, PendingKeyId, ReadOutcome,
+        TurnOutcome,
+    },
     record::{BodyDigest, KeyRecord, KeyRequest, KeyResult, RequestKey},
     recorder::KeyRecorder,
 };
