--- a/crates/dispatcher/src/control.rs
+++ b/crates/dispatcher/src/control.rs
@@ -262,7 +262,9 @@
         self.tick_handovers(ctx);
         self.tick(ctx);
         log::info!(
-            "dispatcher: stopping, {} tasks running", self.ledger.running());
+            "dispatcher: stopping, {} tasks running",
+            self.ledger.running()
+        );
     }
 }
 
--- a/crates/dispatcher/src/control/contracts.rs
+++ b/crates/dispatcher/src/control/contracts.rs
@@ -39,7 +39,10 @@
     pub(super) fn on_peer_head(&mut self, ctx: &mut Context<Self>, address: SocketAddr, head: u64) {
         let head = HeadNumber(head);
         self.contract_view.note_peer_head(head);
-        if self.contract_view.loaded_head().is_some_and(|known| known >= head)
+        if self
+            .contract_view
+            .loaded_head()
+            .is_some_and(|known| known >= head)
             || head == HeadNumber::default()
         {
             return;
--- a/crates/dispatcher/src/control/membership.rs
+++ b/crates/dispatcher/src/control/membership.rs
@@ -8,7 +8,7 @@
 use peer::{PeerError, PingReply};
 use telemetry::CounterKind;
 
-use super::{ DispatcherControl, HeartbeatRequest, PeerConnection, PingRequest, VmListRequest};
+use super::{DispatcherControl, HeartbeatRequest, PeerConnection, PingRequest, VmListRequest};
 
 impl DispatcherControl {
     pub(super) fn tick_members(&mut self, ctx: &mut Context<Self>) {
@@ -127,7 +127,8 @@
         let owned: Vec<(EndpointAddress, EndpointState)> = endpoints
             .into_iter()
             .filter(|(address, _)| {
-                self.membership_settled && self.ownership.owner(&address.id) == Some(self.own_address)
+                self.membership_settled
+                    && self.ownership.owner(&address.id) == Some(self.own_address)
             })
             .collect();
         self.ledger.set_endpoints(self.clock.now(), &owned);
@@ -141,11 +142,9 @@
                     .client()
                     .heartbeat(&self.members.heartbeat_message())
                     .into_actor(self);
-                ctx.spawn(
-                    reply
-                        .map(move |reply, control, ctx| { control.on_heartbeat_reply(ctx, address, reply)
-                }),
-                );
+                ctx.spawn(reply.map(move |reply, control, ctx| {
+                    control.on_heartbeat_reply(ctx, address, reply)
+                }));
             }
             None => self.connect_peer(ctx, address),
         }
@@ -224,7 +223,8 @@
             true => Ok(PingReply {
                 view: self.members.heartbeat_message().view,
                 slots: self.ledger.slots(),
-                centre: (self.centre_view.revision != request.revision).then(|| self.centre_view.clone()),
+                centre: (self.centre_view.revision != request.revision)
+                    .then(|| self.centre_view.clone()),
             }),
             // On this error the entry opens a new session and learns the state of its attempts.
             false => Err(PeerError::Failed("the session is over".to_owned())),
--- a/crates/dispatcher/src/port.rs
+++ b/crates/dispatcher/src/port.rs
@@ -10,8 +10,8 @@
     WithdrawalVerdict,
 };
 use peer::{
-    AcceptedPort, ContractsReply, DispatcherService, EntryClient, PeerError, PingReply, ReplyFuture,
-    SessionService,
+    AcceptedPort, ContractsReply, DispatcherService, EntryClient, PeerError, PingReply,
+    ReplyFuture, SessionService,
 };
 use tokio::sync::oneshot;
 
--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -39,7 +39,7 @@
 use telemetry::{GaugeKind, MetricSet};
 use tokio::sync::oneshot;
 
-use self::{event_recorder::EventRecorder,grants::UsableGrant};
+use self::{event_recorder::EventRecorder, grants::UsableGrant};
 
 pub(crate) use messages::{
     AttemptReport, ClaimRequest, ForwardedRequest, OutcomeRequest, SlotUpdate, StopQuery,
@@ -207,7 +207,9 @@
         let now = self.clock.now();
         let dispatchers = &self.dispatchers;
         self.events.record(now, event, |key| {
-            let address = dispatchers.get(&key).map(|record| record.address.to_string());
+            let address = dispatchers
+                .get(&key)
+                .map(|record| record.address.to_string());
             // An address contains only characters that are valid in a VM id.
             address
                 .and_then(|text| text.parse().ok())
@@ -259,8 +261,9 @@
     /// begun. Losing all slots later does not take the entry out of the load balancer, so that its callers still get a
     /// refusal with a retry delay instead of no answer.
     fn update_readiness(&mut self) {
-        let known =
-            self.contracts.is_ready() && self.centre_view.revision > 0 && self.authority.has_capacity();
+        let known = self.contracts.is_ready()
+            && self.centre_view.revision > 0
+            && self.authority.has_capacity();
         if known && !self.leaving.load(Ordering::Relaxed) {
             self.ready.store(true, Ordering::Relaxed);
         }
--- a/crates/entry/src/control/contract_updates.rs
+++ b/crates/entry/src/control/contract_updates.rs
@@ -10,7 +10,12 @@
 impl EntryControl {
     /// Handles the contract head that a dispatcher reported, and fetches the rows from it if its head is newer or no
     /// contracts are loaded yet.
-    pub(super) fn on_dispatcher_head(&mut self, ctx: &mut Context<Self>, key: DispatcherKey, head: u64) {
+    pub(super) fn on_dispatcher_head(
+        &mut self,
+        ctx: &mut Context<Self>,
+        key: DispatcherKey,
+        head: u64,
+    ) {
         let head = HeadNumber(head);
         self.contracts.note_peer_head(head);
         if self
@@ -33,17 +38,20 @@
     }
 
     fn fetch_contracts(&mut self, ctx: &mut Context<Self>, key: DispatcherKey) {
-        let Some(LinkState::Open(open)) = self.dispatchers.get(&key).map(|record| &record.link) else {
+        let Some(LinkState::Open(open)) = self.dispatchers.get(&key).map(|record| &record.link)
+        else {
             return;
         };
         let since = self.contracts.loaded_head().unwrap_or_default();
         let reply = open.link.client().contracts(since);
         ctx.spawn(
-            reply.into_actor(self)
+            reply
+                .into_actor(self)
                 .map(move |reply, control, ctx| match reply {
                     Ok(reply) => control.apply_contracts(ctx, reply),
-                    Err(error) => { log::warn!("entry: cannot read contracts from dispatcher {key}: {error}")
-                    },
+                    Err(error) => {
+                        log::warn!("entry: cannot read contracts from dispatcher {key}: {error}")
+                    }
                 }),
         );
     }
--- a/crates/entry/src/control/grants.rs
+++ b/crates/entry/src/control/grants.rs
@@ -196,7 +196,11 @@
             limit: self.grants.limit(now, customer),
             until: self.grants.expires_at(now, customer),
         };
-        let before = self.usable_grants.get(customer).copied().unwrap_or_default();
+        let before = self
+            .usable_grants
+            .get(customer)
+            .copied()
+            .unwrap_or_default();
         if grant == before {
             return;
         }
--- a/crates/node/src/customer_server.rs
+++ b/crates/node/src/customer_server.rs
@@ -90,7 +90,9 @@
         .traffic
         .record_received(TrafficKind::Customers, head_bytes(&request));
     let mut response = route_request(&state, request).await;
-    state.traffic.record_sent(TrafficKind::Customers, ANSWER_BYTES);
+    state
+        .traffic
+        .record_sent(TrafficKind::Customers, ANSWER_BYTES);
     if state.leaving.get() {
         response
             .head_mut()
@@ -148,7 +150,9 @@
         Ok(body) => body,
         Err(status) => return json_response(status, "{}"),
     };
-    state.traffic.record_received(TrafficKind::Customers, body.len());
+    state
+        .traffic
+        .record_received(TrafficKind::Customers, body.len());
     submit(state, id, rule, &body, arrived, stated_deadline).await
 }
 
--- a/crates/node/src/event_lines.rs
+++ b/crates/node/src/event_lines.rs
@@ -24,7 +24,10 @@
         } => {
             let line = line.number("fits", fits);
             let line = line.text("outcome", "refused").text("reason", kind);
-            (EventKind::Important, line.millis("retry_after_ms", retry_after))
+            (
+                EventKind::Important,
+                line.millis("retry_after_ms", retry_after),
+            )
         }
     }
 }
@@ -102,7 +105,10 @@
                 .number("accelerators", room.accelerators)
                 .text("former_cpu", former_room.cpu)
                 .text("former_memory", former_room.memory);
-            (EventKind::Important, line.number("withdrawn", *withdrawn as u64))
+            (
+                EventKind::Important,
+                line.number("withdrawn", *withdrawn as u64),
+            )
         }
         PoolNote::CrashSuspected {
             life,
@@ -114,7 +120,10 @@
                 .text("worker", life)
                 .text("died", died)
                 .text("common", common);
-            (EventKind::Important, line.number("suspects", *suspects as u64))
+            (
+                EventKind::Important,
+                line.number("suspects", *suspects as u64),
+            )
         }
         PoolNote::CrashCleared { life } => {
             let line = EventLine::new("crash_cleared").text("worker", life);
@@ -132,7 +141,10 @@
             let line = EventLine::new("pool_evacuation")
                 .text("evacuated", evacuated)
                 .number("running", *running as u64);
-            (EventKind::Important, line.number("withdrawn", *withdrawn as u64))
+            (
+                EventKind::Important,
+                line.number("withdrawn", *withdrawn as u64),
+            )
         }
         PoolNote::KeptStored { job, version } => {
             let line = EventLine::new("job_stored").text("job", job);
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -2,7 +2,9 @@
 
 use jobs::{EndCause, JobOutcome, RefusalKind};
 use pool::{CallFailure, PoolNote, RunLoss, StartAnswer, SuspensionCause};
-use telemetry::{CounterFamily, NodeMetrics, TelemetryError, TimeFamily, TrafficCounters, TrafficKind};
+use telemetry::{
+    CounterFamily, NodeMetrics, TelemetryError, TimeFamily, TrafficCounters, TrafficKind,
+};
 
 use crate::list_schedule::ListSource;
 
--- a/crates/peer/src/convert_grants.rs
+++ b/crates/peer/src/convert_grants.rs
@@ -34,7 +34,9 @@
     let mut asks = Vec::new();
     for ask in reader.get_asks()? {
         asks.push(GrantAsk {
-            customer: read_text(ask.get_customer())?.parse().map_err(bad_message)?,
+            customer: read_text(ask.get_customer())?
+                .parse()
+                .map_err(bad_message)?,
             want: ask.get_want(),
             held: ask.get_held(),
             in_use: ask.get_in_use(),
@@ -43,7 +45,9 @@
     Ok(AskBatch {
         home: read_text(reader.get_home())?.parse().map_err(bad_message)?,
         holder: IncarnationId(reader.get_holder()),
-        holder_address: read_text(reader.get_holder_address())?.parse().map_err(bad_message)?,
+        holder_address: read_text(reader.get_holder_address())?
+            .parse()
+            .map_err(bad_message)?,
         serial: reader.get_serial(),
         asks,
     })
@@ -78,7 +82,9 @@
             grant_reply::NotHome(()) => GrantDecision::NotHome,
         };
         replies.push(GrantReply {
-            customer: read_text(reply.get_customer())?.parse().map_err(bad_message)?,
+            customer: read_text(reply.get_customer())?
+                .parse()
+                .map_err(bad_message)?,
             decision,
         });
     }
@@ -110,7 +116,9 @@
 pub(crate) fn read_centre(reader: centre_view::Reader<'_>) -> Result<CentreView, PeerError> {
     let mut slots = Vec::new();
     for centre_slots in reader.get_slots()? {
-        let data_centre = read_text(centre_slots.get_data_centre())?.parse().map_err(bad_message)?;
+        let data_centre = read_text(centre_slots.get_data_centre())?
+            .parse()
+            .map_err(bad_message)?;
         slots.push((data_centre, centre_slots.get_slots()));
     }
     Ok(CentreView {
@@ -143,7 +151,9 @@
     for count in reader.get_counts()? {
         let times = count.get_time_left_micros()?;
         counts.push(HandoverCount {
-            endpoint: read_text(count.get_endpoint())?.parse().map_err(bad_message)?,
+            endpoint: read_text(count.get_endpoint())?
+                .parse()
+                .map_err(bad_message)?,
             time_left: times.iter().map(Duration::from_micros).collect(),
         });
     }
--- a/crates/peer/src/pool_message.rs
+++ b/crates/peer/src/pool_message.rs
@@ -30,7 +30,9 @@
     root.set_cores(heartbeat.cores);
     root.set_link_bytes(heartbeat.link.0);
     root.set_data_centre(heartbeat.data_centre.as_str());
-    let mut hears = root.reborrow().init_hears(list_length(heartbeat.hears.len()));
+    let mut hears = root
+        .reborrow()
+        .init_hears(list_length(heartbeat.hears.len()));
     for (index, node) in heartbeat.hears.iter().enumerate() {
         hears.set(list_length(index), node.0);
     }
--- a/crates/peer/src/service.rs
+++ b/crates/peer/src/service.rs
@@ -18,8 +18,8 @@
 use crate::{
     client::EntryClient,
     convert::{
-        bad_message, read_attempt, read_end, read_offers, read_slots, read_text, read_view, write_slots,
-        write_verdict, write_view, write_withdrawal,
+        bad_message, read_attempt, read_end, read_offers, read_slots, read_text, read_view,
+        write_slots, write_verdict, write_view, write_withdrawal,
     },
     convert_grants::{read_asks, read_handover, write_centre, write_replies},
     peer_capnp::{
@@ -153,7 +153,9 @@
     let mut rows = Vec::new();
     for row in reader.get_rows()? {
         rows.push(ContractRow {
-            customer: read_text(row.get_customer())?.parse().map_err(bad_message)?,
+            customer: read_text(row.get_customer())?
+                .parse()
+                .map_err(bad_message)?,
             version: ContractVersion(row.get_version()),
             head: HeadNumber(row.get_head()),
             contract: serde_json::from_slice(row.get_json()?).map_err(bad_message)?,
--- a/crates/peer/tests/border/fakes.rs
+++ b/crates/peer/tests/border/fakes.rs
@@ -201,7 +201,8 @@
         after_batch: u64,
         attempts: Vec<AttemptId>,
     ) -> ReplyFuture<(Vec<WithdrawalVerdict>, SlotCounts)> {
-        self.0.record(ReceivedCall::Withdrawals(after_batch, attempts));
+        self.0
+            .record(ReceivedCall::Withdrawals(after_batch, attempts));
         let answers = self.0.answers.borrow();
         ready((answers.withdrawals.clone(), answers.slots))
     }
--- a/crates/peer/tests/border/round_trips.rs
+++ b/crates/peer/tests/border/round_trips.rs
@@ -122,7 +122,11 @@
 /// Checks the calls to an entry. The port is found over a second connection: on the connection that the entry itself
 /// opened, capnp-rpc would resolve the port locally and send nothing.
 async fn check_entry_calls(state: &Rc<FakeState>, link: &PeerLink, values: &mut ValueSource) {
-    let found = link.client().find_entry(IncarnationId(1)).await.expect("find");
+    let found = link
+        .client()
+        .find_entry(IncarnationId(1))
+        .await
+        .expect("find");
     let entry = found.expect("an entry");
     {
         let mut answers = state.answers.borrow_mut();
@@ -160,7 +164,11 @@
     let state = FakeState::new();
     let (address, server) = fakes::serve(&state).await;
     let link = peer::connect(address, || {}).await.expect("a connection");
-    let none = link.client().find_entry(IncarnationId(1)).await.expect("find");
+    let none = link
+        .client()
+        .find_entry(IncarnationId(1))
+        .await
+        .expect("find");
     assert!(none.is_none());
     let finder = peer::connect(address, || {}).await.expect("a connection");
     let mut values = ValueSource::new();
