--- a/crates/authority/benches/authority.rs
+++ b/crates/authority/benches/authority.rs
@@ -10,13 +10,13 @@
     TaskVerdict,
 };
 
-const OPEN: [usize; 3] = [10, 1_000, 10_000];
-const CUSTOMERS: [usize; 3] = [14, 140, 1_400];
-const TASKS: usize = 40;
+const OPEN_SUBMISSIONS: [usize; 3] = [10, 1_000, 10_000];
+const CUSTOMER_COUNTS: [usize; 3] = [14, 140, 1_400];
+const TASKS_PER_JOB: usize = 40;
 const RUN_TIME: Duration = Duration::from_millis(200);
 const DISPATCHERS: u64 = 3;
 
-/// An authority with submissions that are open and whose tasks run.
+/// An authority with open submissions whose tasks run.
 struct LoadedEntry {
     authority: TaskAuthority,
     now: Instant,
@@ -30,8 +30,8 @@
     fn new(home: &DataCentreId, kind: &TaskKind, customers: usize, open: usize) -> Self {
         let now = Instant::now();
         let settings = AuthoritySettings {
-            max_open: usize::MAX,
-            max_kept: 1_000,
+            max_open_submissions: usize::MAX,
+            max_kept_answers: 1_000,
             ..AuthoritySettings::default()
         };
         let mut authority = TaskAuthority::new(settings, home.clone(), IncarnationId(1), 7);
@@ -79,7 +79,7 @@
         let admitted = self.authority.submit(self.now, body, 0, terms, None);
         assert!(
             admitted.is_ok(),
-            "a refusal costs less than what is measured"
+            "the submission was refused, which costs less than the work to measure"
         );
         let mut attempts = Vec::with_capacity(tasks);
         for action in self.authority.take_actions() {
@@ -91,12 +91,12 @@
             .iter()
             .map(|attempt| (*attempt, TaskVerdict::Started))
             .collect();
-        self.authority.on_verdicts(self.now, &verdicts);
+        self.authority.on_offer_replies(self.now, &verdicts);
         attempts
     }
 
-    fn whole_job(&mut self) -> usize {
-        let attempts = self.submit(TASKS);
+    fn run_job(&mut self) -> usize {
+        let attempts = self.submit(TASKS_PER_JOB);
         for attempt in attempts {
             let payload = Payload::default();
             let end = AttemptEnd::Done(TaskResult { payload });
@@ -113,13 +113,13 @@
         return;
     };
     let mut group = criterion.benchmark_group("job_of_40");
-    for customers in CUSTOMERS {
-        for open in OPEN {
+    for customers in CUSTOMER_COUNTS {
+        for open in OPEN_SUBMISSIONS {
             let mut entry = LoadedEntry::new(&home, &kind, customers, open);
             let id = format!("{customers}-customers/{open}-open");
             group.bench_function(BenchmarkId::from_parameter(id), |b| {
-                // Time stands still, so the open submissions stay open.
-                b.iter(|| entry.whole_job());
+                // The clock does not advance, so the open submissions stay open.
+                b.iter(|| entry.run_job());
             });
         }
     }
--- a/crates/authority/src/authority.rs
+++ b/crates/authority/src/authority.rs
@@ -1,10 +1,10 @@
-//! The authority: submissions in, offers and answers out.
+//! The authority: takes submissions and emits offers and answers.
 
-mod admitting;
-mod giving_up;
-mod hopeless;
-mod placing;
+mod admission;
+mod placement;
+mod predicted_late;
 mod replies;
+mod termination;
 
 use std::{
     collections::{BTreeSet, VecDeque},
@@ -12,7 +12,7 @@
     time::{Duration, Instant},
 };
 
-use decisions::{AdmissionPolicy, LastingSaturation, PlacementTable, RetryBudget, RunTimeTable};
+use decisions::{AdmissionPolicy, PlacementTable, RetryBudget, RunTimeTable, SmoothedSaturation};
 use model::{
     AttemptId, Contract, ContractVersion, CustomerId, DataCentreId, FastMap, IncarnationId,
     RefusalReason, SubmissionBody, SubmissionId, SubmissionKind, SubmissionOutcome, TaskIndex,
@@ -21,15 +21,15 @@
 
 use crate::{
     action::{AuthorityAction, AuthorityEvent},
-    authority::admitting::ExpectedWork,
+    attempt::{AttemptPhase, AttemptTable},
+    authority::admission::ExpectedWork,
     customer_load::LoadTable,
-    flight::{FlightPhase, FlightTable},
-    held::HeldBytes,
-    record::{RecordState, SubmissionRecord, SubmissionShape, TaskPhase, TaskRecord},
+    memory_usage::MemoryUsage,
+    record::{RecordState, SubmissionClass, SubmissionRecord, TaskPhase, TaskRecord},
     refusal::SubmissionRefusal,
     session::{DispatcherKey, SessionTable},
     settings::AuthoritySettings,
-    ticket::{TicketTable, TicketUse},
+    ticket::{TicketStatus, TicketTable},
     waiting::{WaitingTable, WaitingTask},
 };
 
@@ -42,51 +42,53 @@
     pub due: Instant,
 }
 
-/// What a cancellation did.
+/// Result of a cancellation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelReply {
-    /// The submission has its answer: cancelled.
+    /// The submission was answered as cancelled.
     Cancelled,
-    /// A request that may have started runs on to its own answer.
+    /// The submission is a request that may have started. It runs on to its own answer.
     TooLate,
     /// There is no such open submission.
     NotOpen,
 }
 
-/// The authority over all submissions of one entry.
+/// The authority that decides on all submissions of one entry.
 pub struct TaskAuthority {
     settings: AuthoritySettings,
     incarnation: IncarnationId,
     next_serial: u64,
     records: FastMap<u64, SubmissionRecord>,
-    open: usize,
-    held: HeldBytes,
-    due: BTreeSet<(Instant, u64)>,
-    /// When a submission of which tasks wait is looked at next.
-    looks: BTreeSet<(Instant, u64)>,
-    kept: VecDeque<(Instant, u64)>,
+    open_count: usize,
+    memory: MemoryUsage,
+    /// The deadline and serial of each open submission.
+    deadlines: BTreeSet<(Instant, u64)>,
+    /// The next deadline check of each submission with waiting tasks, by time.
+    deadline_checks: BTreeSet<(Instant, u64)>,
+    /// The answer time and serial of each answered submission that is kept, the oldest first.
+    kept_answers: VecDeque<(Instant, u64)>,
     tickets: TicketTable,
-    flights: FlightTable,
+    attempts: AttemptTable,
     waiting: WaitingTable,
     sessions: SessionTable,
-    places: PlacementTable,
-    /// Whether tasks wait that no dispatcher could be chosen for.
+    placement: PlacementTable,
+    /// Whether tasks wait because no dispatcher could be chosen.
     unplaced: bool,
-    /// The mean run time of the tasks that ended lately, whosever they were.
+    /// Mean run time of the tasks completed lately, over all customers.
     mean_run_time: Duration,
-    budget: RetryBudget,
-    times: RunTimeTable,
+    retry_budget: RetryBudget,
+    run_times: RunTimeTable,
     admission: AdmissionPolicy,
     load: LoadTable,
-    saturation: LastingSaturation,
+    saturation: SmoothedSaturation,
     entries: u32,
-    last_capacity: Option<Instant>,
+    last_capacity_at: Option<Instant>,
     rng: fastrand::Rng,
     actions: Vec<AuthorityAction>,
 }
 
 impl TaskAuthority {
-    /// An empty authority. The seed decides between equally good dispatchers.
+    /// Creates an empty authority. `seed` feeds the random choices, such as the one between equally good dispatchers.
     pub fn new(
         settings: AuthoritySettings,
         data_centre: DataCentreId,
@@ -98,25 +100,25 @@
             incarnation,
             next_serial: 1,
             records: FastMap::default(),
-            open: 0,
-            held: HeldBytes::default(),
-            due: BTreeSet::new(),
-            looks: BTreeSet::new(),
-            kept: VecDeque::new(),
+            open_count: 0,
+            memory: MemoryUsage::default(),
+            deadlines: BTreeSet::new(),
+            deadline_checks: BTreeSet::new(),
+            kept_answers: VecDeque::new(),
             tickets: TicketTable::default(),
-            flights: FlightTable::default(),
+            attempts: AttemptTable::default(),
             waiting: WaitingTable::default(),
             sessions: SessionTable::default(),
-            places: PlacementTable::new(settings.placement.clone(), data_centre, rng.fork()),
+            placement: PlacementTable::new(settings.placement.clone(), data_centre, rng.fork()),
             unplaced: false,
             mean_run_time: settings.run_times.assumed,
-            budget: RetryBudget::new(settings.retries.clone()),
-            times: RunTimeTable::new(settings.run_times.clone()),
+            retry_budget: RetryBudget::new(settings.retries.clone()),
+            run_times: RunTimeTable::new(settings.run_times.clone()),
             admission: AdmissionPolicy::new(settings.admission.clone()),
             load: LoadTable::default(),
-            saturation: LastingSaturation::default(),
+            saturation: SmoothedSaturation::default(),
             entries: 1,
-            last_capacity: None,
+            last_capacity_at: None,
             rng,
             actions: Vec::new(),
             settings,
@@ -128,17 +130,17 @@
         self.incarnation
     }
 
-    /// Takes what has to be done, in order.
+    /// Removes and returns the pending actions, in order.
     pub fn take_actions(&mut self) -> Vec<AuthorityAction> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Accepts a submission or refuses it. `digest` identifies its body; `serial` is that of a ticket or of a
-    /// recorded key, set aside before.
+    /// Accepts or refuses a submission. `digest` identifies its body. `serial` is the reserved serial of a ticket or of
+    /// a recorded key, if any.
     ///
     /// # Errors
     ///
-    /// The refusal, with when to come back, when nothing of the submission will run.
+    /// Returns the refusal, with a retry-after if another try can succeed. Nothing of the submission runs.
     pub fn submit(
         &mut self,
         now: Instant,
@@ -152,7 +154,7 @@
             Ok(terms) => terms,
             Err(refusal) => {
                 let reason = refusal.reason;
-                self.note(AuthorityEvent::Refused { customer, reason });
+                self.emit_event(AuthorityEvent::Refused { customer, reason });
                 return Err(refusal);
             }
         };
@@ -160,18 +162,18 @@
         let first_attempt = match self.records.get(&serial) {
             None => 0,
             Some(earlier) if earlier.is_refused() => earlier.next_attempt,
-            Some(_) => return Err(SubmissionRefusal::never(RefusalReason::KeyReused)),
+            Some(_) => return Err(SubmissionRefusal::permanent(RefusalReason::KeyReused)),
         };
         self.tickets.take(serial);
-        let id = self.id(serial);
+        let id = self.submission_id(serial);
         let due = now + body.deadline.unwrap_or_else(|| contract.answer_within());
         let mut record = new_record(body, digest, due, first_attempt);
-        record.take_terms(contract, version);
+        record.apply_terms(contract, version);
         let tasks = record.tasks.len() as u32;
-        let total = take_work(&mut record, work);
+        let total = assign_run_times(&mut record, work);
         self.load
             .accept(now, &customer, contract.share, tasks, total);
-        self.note(AuthorityEvent::Admitted {
+        self.emit_event(AuthorityEvent::Admitted {
             id,
             customer: customer.clone(),
             version,
@@ -181,24 +183,24 @@
             self.waiting
                 .push(&customer, WaitingTask { due, serial, task });
         }
-        self.held.add_open(&record);
+        self.memory.add_open(&record);
         self.records.insert(serial, record);
-        self.open += 1;
-        self.due.insert((due, serial));
+        self.open_count += 1;
+        self.deadlines.insert((due, serial));
         self.place(now);
-        self.look_later(now, serial);
+        self.schedule_deadline_check(now, serial);
         Ok(AdmittedSubmission { id, due })
     }
 
-    /// Sets a serial aside, for a key that has to be recorded before its request may start.
+    /// Reserves a serial for a key that has to be recorded before its request may start.
     pub fn reserve_serial(&mut self) -> u64 {
         let serial = self.next_serial;
         self.next_serial += 1;
         serial
     }
 
-    /// Gives a serial that was set aside the answer "refused", and keeps it like any other: a second arrival, or a
-    /// key's row that reaches the store late, finds out here that nothing ran and nothing will.
+    /// Answers a reserved serial with `refusal` and keeps the answer like any other. A duplicate, or a key whose row
+    /// reaches the store late, then finds that nothing ran and nothing will run.
     pub fn refuse_reserved(
         &mut self,
         now: Instant,
@@ -217,14 +219,14 @@
             at: now,
         };
         self.records.insert(serial, record);
-        self.kept.push_back((now, serial));
+        self.kept_answers.push_back((now, serial));
     }
 
     /// Issues a ticket.
     ///
     /// # Errors
     ///
-    /// Overloaded, when too many tickets are out.
+    /// [`RefusalReason::Overloaded`] if too many tickets are unused.
     pub fn issue_ticket(
         &mut self,
         now: Instant,
@@ -236,28 +238,28 @@
         }
         let serial = self.reserve_serial();
         self.tickets.issue(now, serial, customer.clone());
-        Ok(TicketId(self.id(serial)))
+        Ok(TicketId(self.submission_id(serial)))
     }
 
-    /// Says what a ticket of this incarnation is good for now.
-    pub fn look_at_ticket(
+    /// Returns the status of a ticket of this incarnation.
+    pub fn check_ticket(
         &mut self,
         now: Instant,
         serial: u64,
         customer: &CustomerId,
-    ) -> TicketUse {
+    ) -> TicketStatus {
         if self.records.contains_key(&serial) {
-            return TicketUse::Used;
+            return TicketStatus::Used;
         }
         self.tickets.expire(now, self.settings.ticket_term);
         match self.tickets.customer(serial) {
-            Some(owner) if owner == customer => TicketUse::Fresh,
-            Some(_) => TicketUse::WrongCustomer,
-            None => TicketUse::Forgotten,
+            Some(owner) if owner == customer => TicketStatus::Unused,
+            Some(_) => TicketStatus::WrongCustomer,
+            None => TicketStatus::Unknown,
         }
     }
 
-    /// The answer of a submission: `None` when it is not known here, `Some(None)` while it is open.
+    /// The answer of a submission: `None` if the submission is unknown here, `Some(None)` while it is open.
     pub fn outcome(&self, serial: u64) -> Option<Option<Arc<SubmissionOutcome>>> {
         match &self.records.get(&serial)?.state {
             RecordState::Open => Some(None),
@@ -269,7 +271,7 @@
     pub fn is_job(&self, serial: u64) -> bool {
         self.records
             .get(&serial)
-            .is_some_and(|record| record.shape == SubmissionShape::Job)
+            .is_some_and(|record| record.class == SubmissionClass::Job)
     }
 
     /// Whether a submission was refused: nothing of it ran, and it may be submitted again under the same serial.
@@ -279,12 +281,12 @@
             .is_some_and(|record| record.is_refused())
     }
 
-    /// The digest of a submission's body, to tell a second arrival from another request under the same name.
+    /// The digest of a submission's body, which tells a duplicate from another request under the same ticket or key.
     pub fn digest(&self, serial: u64) -> Option<u64> {
         self.records.get(&serial).map(|record| record.digest)
     }
 
-    /// The contract version under which a submission was accepted; none when it never was.
+    /// The contract version under which a submission was accepted; `None` if it never was.
     pub fn version(&self, serial: u64) -> Option<ContractVersion> {
         let version = self.records.get(&serial)?.version;
         (version != ContractVersion::default()).then_some(version)
@@ -296,16 +298,16 @@
         self.place(now);
     }
 
-    /// Sets the most that a customer's limit can grow to. Admission reckons with it, placement with the limit.
-    pub fn set_share(&mut self, customer: &CustomerId, share: u32) {
-        self.waiting.set_share(customer, share);
+    /// Sets the most that a customer's limit can grow to. Admission uses this maximum, placement the limit.
+    pub fn set_max_limit(&mut self, customer: &CustomerId, max_limit: u32) {
+        self.waiting.set_max_limit(customer, max_limit);
     }
 
     /// Like [`Self::set_limit`], for a limit that lapses: from `until` on nothing of the customer is placed.
     ///
-    /// Failure: this process is paused while a lease on concurrency lapses and goes to others. Symptom without this:
-    /// on thawing it places by the old limit, and the customer runs more than its contract allows. The time is
-    /// compared at each placement, so nothing that lies in the queues gets past it.
+    /// This process may be paused while a lease on concurrency lapses and goes to other entries. If it placed by the
+    /// old limit after the pause, the customer would run more than its contract allows. The time is compared at each
+    /// placement, so that inputs queued during the pause cannot bypass it.
     pub fn set_limit_until(
         &mut self,
         now: Instant,
@@ -317,14 +319,14 @@
         self.place(now);
     }
 
-    /// Sets how many entries place on the same slots, this one included. Until it is told otherwise, an entry takes
-    /// itself for the only one: it then predicts too short a wait and refuses too little, and what it accepted too
-    /// much ends in the dispatchers' queues at its deadline.
+    /// Sets how many entries place tasks on the same slots, including this one. Until this is called, the entry assumes
+    /// that it is the only one. It then predicts too short a wait and refuses too little, and the excess that it
+    /// accepted stays in the dispatchers' queues until its deadline.
     pub fn set_entries(&mut self, entries: u32) {
         self.entries = entries.max(1);
     }
 
-    /// Attempts at dispatchers and tasks waiting here, of one customer.
+    /// Number of attempts at dispatchers and of tasks waiting here, for one customer.
     pub fn usage(&self, customer: &CustomerId) -> (u32, usize) {
         self.waiting.usage(customer)
     }
@@ -334,38 +336,38 @@
         self.waiting.customers()
     }
 
-    /// Submissions without an answer.
+    /// Number of submissions without an answer.
     pub fn open_submissions(&self) -> usize {
-        self.open
+        self.open_count
     }
 
-    /// Attempts that dispatchers may hold, with those of answered submissions.
+    /// Number of attempts that dispatchers may hold, including those of answered submissions.
     pub fn attempts_in_flight(&self) -> usize {
-        self.flights.len()
+        self.attempts.len()
     }
 
-    /// The attempts that dispatchers may hold, each with its dispatcher and how far it has come, in order.
-    pub fn attempts(&self) -> Vec<(AttemptId, DispatcherKey, FlightPhase)> {
-        self.flights.list()
+    /// The attempts that dispatchers may hold, each with its dispatcher and phase, sorted by id.
+    pub fn attempts(&self) -> Vec<(AttemptId, DispatcherKey, AttemptPhase)> {
+        self.attempts.list()
     }
 
-    /// When [`Self::tick`] has something to do next.
+    /// When [`Self::tick`] has to be called next; `None` if nothing is pending.
     pub fn next_tick(&self) -> Option<Instant> {
-        let due = self.due.first().map(|(due, _)| *due);
-        let wake = self.waiting.next_wake();
-        let look = self.looks.first().map(|(look_at, _)| *look_at);
-        due.into_iter().chain(wake).chain(look).min()
+        let due = self.deadlines.first().map(|(due, _)| *due);
+        let resume = self.waiting.next_resume();
+        let check = self.deadline_checks.first().map(|(check_at, _)| *check_at);
+        due.into_iter().chain(resume).chain(check).min()
     }
 
-    fn id(&self, serial: u64) -> SubmissionId {
+    fn submission_id(&self, serial: u64) -> SubmissionId {
         SubmissionId {
             incarnation: self.incarnation,
             serial,
         }
     }
 
-    fn note(&mut self, event: AuthorityEvent) {
-        self.actions.push(AuthorityAction::Note(event));
+    fn emit_event(&mut self, event: AuthorityEvent) {
+        self.actions.push(AuthorityAction::Event(event));
     }
 }
 
@@ -375,30 +377,30 @@
     due: Instant,
     first_attempt: u32,
 ) -> SubmissionRecord {
-    let shape = match body.kind {
-        SubmissionKind::Job => SubmissionShape::Job,
-        SubmissionKind::Request(_) => SubmissionShape::Request,
+    let class = match body.kind {
+        SubmissionKind::Job => SubmissionClass::Job,
+        SubmissionKind::Request(_) => SubmissionClass::Request,
     };
     let mut tasks = Vec::with_capacity(body.tasks.len());
     for body in body.tasks {
         tasks.push(TaskRecord {
             body,
-            expected: Duration::ZERO,
+            expected_run_time: Duration::ZERO,
             started: false,
-            attempts: first_attempt,
+            attempt_count: first_attempt,
             phase: TaskPhase::Waiting,
         });
     }
     SubmissionRecord {
         customer: body.customer,
-        shape,
+        class,
         version: ContractVersion::default(),
         share: model::CustomerShare::default(),
         retry_percent: 0,
         move_queued: false,
         digest,
         due,
-        look_at: None,
+        check_at: None,
         tasks,
         done: 0,
         first_attempt,
@@ -407,11 +409,11 @@
     }
 }
 
-/// Gives the tasks their expected run times and returns the sum.
-fn take_work(record: &mut SubmissionRecord, work: ExpectedWork) -> Duration {
+/// Stores the expected run times in the tasks and returns their sum.
+fn assign_run_times(record: &mut SubmissionRecord, work: ExpectedWork) -> Duration {
     let mut total = Duration::ZERO;
     for (task, expected) in record.tasks.iter_mut().zip(work.run_times) {
-        task.expected = expected;
+        task.expected_run_time = expected;
         total = total.saturating_add(expected);
     }
     total
--- a/crates/authority/src/authority/placing.rs
+++ b/crates/authority/src/authority/placement.rs
@@ -1,4 +1,4 @@
-//! Offers waiting tasks to dispatchers.
+//! Placement: offers waiting tasks to dispatchers.
 
 use std::{collections::BTreeMap, time::Instant};
 
@@ -7,32 +7,33 @@
 
 use crate::{
     action::{AuthorityAction, AuthorityEvent},
+    attempt::{AttemptPhase, InFlightAttempt},
     authority::TaskAuthority,
-    flight::{FlightPhase, FlightRecord},
     record::TaskPhase,
     session::DispatcherKey,
     waiting::WaitingTask,
 };
 
 impl TaskAuthority {
-    /// Whether any reachable dispatcher takes work.
+    /// Whether any reachable dispatcher accepts tasks.
     pub fn has_capacity(&self) -> bool {
         self.sessions
             .values()
-            .any(|session| session.open().is_some() && takes_work(session))
+            .any(|session| session.open_session().is_some() && takes_work(session))
     }
 
-    /// Whether slots are in reach or were a moment ago.
-    pub(super) fn had_capacity(&mut self, now: Instant) -> bool {
+    /// Whether a reachable dispatcher accepts tasks or did within the capacity grace.
+    pub(super) fn had_recent_capacity(&mut self, now: Instant) -> bool {
         if self.has_capacity() {
-            self.last_capacity = Some(now);
+            self.last_capacity_at = Some(now);
         }
         let grace = self.settings.capacity_grace;
-        self.last_capacity
+        self.last_capacity_at
             .is_some_and(|last| now.saturating_duration_since(last) <= grace)
     }
 
-    /// Offers what may be offered. Costs what changed since the last call, not what waits.
+    /// Offers the tasks that may be offered. The cost grows with the changes since the last call, not with the waiting
+    /// tasks.
     pub(super) fn place(&mut self, now: Instant) {
         if !self.has_capacity() {
             return;
@@ -40,7 +41,7 @@
         let mut batches = BTreeMap::new();
         for customer in self.waiting.take_changed() {
             if !self.place_customer(now, &customer, &mut batches) {
-                // Nobody can be chosen just now. All wait for the next word of a dispatcher.
+                // No dispatcher can be chosen at present. All tasks wait for the next report of a dispatcher.
                 self.unplaced = true;
                 break;
             }
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Places what one customer may have in flight; `false` when there is nobody to choose.
+    /// Places the tasks that one customer may have in flight; `false` if no dispatcher can be chosen.
     fn place_customer(
         &mut self,
         now: Instant,
@@ -58,14 +59,14 @@
         batches: &mut BTreeMap<DispatcherKey, Vec<TaskOffer>>,
     ) -> bool {
         while let Some(task) = self.waiting.pop(now, customer) {
-            if !self.place_one(now, customer, task, batches) {
+            if !self.place_task(now, customer, task, batches) {
                 return false;
             }
         }
         true
     }
 
-    fn place_one(
+    fn place_task(
         &mut self,
         now: Instant,
         customer: &CustomerId,
@@ -73,39 +74,39 @@
         batches: &mut BTreeMap<DispatcherKey, Vec<TaskOffer>>,
     ) -> bool {
         let avoided = self.waiting.take_avoided(task);
-        let wanted = self
+        let is_placeable = self
             .records
             .get(&task.serial)
             .is_some_and(|record| record.is_open() && record.is_waiting(task.task));
-        if !wanted {
+        if !is_placeable {
             self.waiting.release(customer);
             return true;
         }
-        if self.is_hopeless(now, task.serial, task.task) {
+        if self.is_predicted_late(now, task.serial, task.task) {
             self.waiting.release(customer);
-            self.refuse_hopeless(now, task.serial);
+            self.refuse_predicted_late(now, task.serial);
             return true;
         }
-        let Some(dispatcher) = self.choose(now, avoided) else {
+        let Some(dispatcher) = self.choose_dispatcher(now, avoided) else {
             self.waiting.release(customer);
             self.waiting.push(customer, task);
             return false;
         };
-        match self.take_off(now, task, dispatcher) {
+        match self.create_offer(now, task, dispatcher) {
             Some(offer) => batches.entry(dispatcher).or_default().push(offer),
             None => self.waiting.release(customer),
         }
         true
     }
 
-    /// Marks a task as in flight to a dispatcher and makes its offer.
-    fn take_off(
+    /// Marks a task as in flight to a dispatcher and creates its offer.
+    fn create_offer(
         &mut self,
         now: Instant,
         task: WaitingTask,
         dispatcher: DispatcherKey,
     ) -> Option<TaskOffer> {
-        let submission = self.id(task.serial);
+        let submission = self.submission_id(task.serial);
         let record = self
             .records
             .get_mut(&task.serial)
@@ -113,35 +114,37 @@
         let (customer, share) = (record.customer.clone(), record.share);
         let (first_attempt, retry_percent) = (record.first_attempt, record.retry_percent);
         let time_left = record.due.saturating_duration_since(now);
-        let entry = record.task_mut(task.task)?;
+        let task_record = record.task_mut(task.task)?;
         let attempt = AttemptId {
             submission,
             task: task.task,
-            attempt: entry.attempts,
+            attempt: task_record.attempt_count,
         };
-        entry.attempts += 1;
-        entry.phase = TaskPhase::InFlight;
-        let body = entry.body.clone();
+        task_record.attempt_count += 1;
+        task_record.phase = TaskPhase::InFlight;
+        let body = task_record.body.clone();
         let session = self.sessions.get_mut(&dispatcher)?;
-        session.unanswered += 1;
-        let (session, _) = session.open()?;
-        let flight = FlightRecord {
+        session.unanswered_offers += 1;
+        let (session, _) = session.open_session()?;
+        let in_flight = InFlightAttempt {
             customer: customer.clone(),
             kind: body.kind.clone(),
             dispatcher,
             session,
-            phase: FlightPhase::Offered,
+            phase: AttemptPhase::Offered,
         };
-        self.flights.insert(attempt, flight);
+        self.attempts.insert(attempt, in_flight);
         if attempt.attempt == first_attempt {
-            self.budget.on_placed(now, &customer, 1, retry_percent);
+            self.retry_budget
+                .on_placed(now, &customer, 1, retry_percent);
         }
-        self.note(AuthorityEvent::Offered(attempt, dispatcher));
-        // Load: run times declared a hundred times too long or too short. Harm: by such a word the dispatcher's fair
-        // queue bills the customer wrongly and keeps a slot's worth of work back for nothing.
-        let expected = self
-            .times
-            .expect(now, &customer, &body.kind, body.declared_run_time);
+        self.emit_event(AuthorityEvent::Offered(attempt, dispatcher));
+        // The offer carries the estimate, because callers may declare run times a hundred times too long or too short.
+        // By such a value the dispatcher's fair queue would charge the customer wrongly and hold back a slot's worth of
+        // work for nothing.
+        let expected =
+            self.run_times
+                .expected_run_time(now, &customer, &body.kind, body.declared_run_time);
         Some(TaskOffer {
             attempt,
             customer,
@@ -153,9 +156,12 @@
         })
     }
 
-    /// Load: jobs of large payloads, offered together when a session opens or a limit rises. Harm: in one message they
-    /// would pass the reader's limit, and the call fail on each session again; below it, the first task would wait for
-    /// the last one's bytes. Each part is a batch of its own, so that a withdrawal names the last part sent.
+    /// Sends offers in batches of bounded size.
+    ///
+    /// Jobs of large payloads are offered together when a session opens or a limit rises. In one message they would
+    /// exceed the reader's limit, and the call would fail on each session again; below that limit, the first task would
+    /// wait for the bytes of the last one. Each part is a batch of its own, so that a withdrawal names the last part
+    /// sent.
     fn send_batches(&mut self, dispatcher: DispatcherKey, offers: Vec<TaskOffer>) {
         for part in split_for_messages(offers, |offer| offer.payload.size()) {
             self.send_batch(dispatcher, part);
@@ -178,8 +184,9 @@
         });
     }
 
-    /// Takes what a dispatcher said of its slots into the choice. One that is stopping or lost is not in the table.
-    pub(super) fn hint(&mut self, now: Instant, dispatcher: DispatcherKey) {
+    /// Passes the last slot counts of a dispatcher to the placement table, which contains no stopping or lost
+    /// dispatchers.
+    pub(super) fn update_placement(&mut self, now: Instant, dispatcher: DispatcherKey) {
         let Some(session) = self.sessions.get(&dispatcher) else {
             return;
         };
@@ -188,28 +195,34 @@
             running: session.slots.running,
             queued: session.slots.queued,
         };
-        self.places
-            .on_hint(now, dispatcher, hint, session.unanswered);
+        self.placement
+            .on_hint(now, dispatcher, hint, session.unanswered_offers);
     }
 
-    /// A dispatcher has answered an offer, in one way or another.
-    pub(super) fn on_answered(&mut self, dispatcher: DispatcherKey) {
+    /// Counts an offer to the dispatcher as answered, whatever the answer.
+    pub(super) fn on_offer_answered(&mut self, dispatcher: DispatcherKey) {
         if let Some(session) = self.sessions.get_mut(&dispatcher) {
-            session.unanswered = session.unanswered.saturating_sub(1);
+            session.unanswered_offers = session.unanswered_offers.saturating_sub(1);
         }
-        self.places.on_answer(dispatcher);
+        self.placement.on_answer(dispatcher);
     }
 
-    /// Load: bursts of jobs over dispatchers with unequal room. Harm: a task queued behind a full dispatcher while
-    /// another has free slots answers late. Stopping dispatchers and those without an open session are not in the
-    /// table; the one that has just turned the task away is passed over where there is another.
-    fn choose(&mut self, now: Instant, avoided: Option<DispatcherKey>) -> Option<DispatcherKey> {
+    /// Chooses a dispatcher for a task.
+    ///
+    /// In bursts of jobs over dispatchers of unequal size, a task queued behind a full dispatcher is answered late
+    /// although another has free slots. Stopping dispatchers and those without an open session are not in the table.
+    /// `avoided`, which has just refused the task, is chosen only if there is no other.
+    fn choose_dispatcher(
+        &mut self,
+        now: Instant,
+        avoided: Option<DispatcherKey>,
+    ) -> Option<DispatcherKey> {
         let query = PlacementQuery {
             mean_run_time: self.mean_run_time,
         };
         match avoided {
-            Some(avoided) => self.places.choose_other(now, query, avoided),
-            None => self.places.choose(now, query),
+            Some(avoided) => self.placement.choose_avoiding(now, query, avoided),
+            None => self.placement.choose(now, query),
         }
     }
 }
--- a/crates/authority/src/authority/giving_up.rs
+++ b/crates/authority/src/authority/termination.rs
@@ -1,4 +1,4 @@
-//! Deadlines, cancellations, lost dispatchers: how submissions end without all their results.
+//! Deadlines, cancellations and lost dispatchers: how submissions end without all their results.
 
 use std::{
     collections::BTreeMap,
@@ -13,31 +13,33 @@
 
 use crate::{
     action::{AuthorityAction, AuthorityEvent},
+    attempt::AttemptPhase,
     authority::{waiting_task, CancelReply, TaskAuthority},
-    flight::FlightPhase,
-    record::{RecordState, SubmissionShape, TaskPhase},
+    record::{RecordState, SubmissionClass, TaskPhase},
     session::{DispatcherKey, DispatcherSession, SessionState},
 };
 
-/// When to come back after the deadline passed in a queue: long enough for a queue of usual tasks to move.
-const COME_BACK: Duration = Duration::from_secs(1);
+/// Retry-after of a submission whose deadline passed in a queue or whose task could not be placed: long enough for a
+/// queue of usual tasks to move.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl TaskAuthority {
-    /// Answers what is due, wakes paused tasks, gives up dispatchers that stayed away, forgets old answers.
+    /// Does the work that is due: terminates submissions at their deadline, removes dispatchers that did not reconnect,
+    /// runs deadline checks, resumes tasks after their backoff, drops old answers and places tasks.
     pub fn tick(&mut self, now: Instant) {
-        while let Some((due, serial)) = self.due.first().copied() {
+        while let Some((due, serial)) = self.deadlines.first().copied() {
             if due > now {
                 break;
             }
-            self.give_up(now, serial, GiveUpCause::Deadline);
+            self.terminate(now, serial, TerminationCause::Deadline);
         }
-        self.give_up_lost(now);
-        self.look_at_waiting(now);
-        for (customer, serial, task) in self.waiting.wake(now) {
+        self.remove_lost_dispatchers(now);
+        self.run_deadline_checks(now);
+        for (customer, serial, task) in self.waiting.take_resumed(now) {
             let Some(record) = self.records.get(&serial).filter(|record| record.is_open()) else {
                 continue;
             };
-            // The pause may be one of an earlier run of a submission that was refused in between; its task may be in
+            // The backoff may be one of an earlier run of a submission that was refused in between. Its task may be in
             // flight again by now, and placing it once more would run it twice.
             if !record.is_waiting(task) {
                 continue;
@@ -45,26 +47,26 @@
             let waiting = waiting_task(record, serial, task);
             self.waiting.push(&customer, waiting);
         }
-        self.forget_old(now);
-        self.saturation.see(now, self.places.saturation(now));
-        self.had_capacity(now);
+        self.evict_kept_answers(now);
+        self.saturation.record(now, self.placement.saturation(now));
+        self.had_recent_capacity(now);
         self.place(now);
     }
 
-    /// A caller takes a submission back.
+    /// Cancels a submission for a caller.
     pub fn cancel(&mut self, now: Instant, serial: u64) -> CancelReply {
         let Some(record) = self.records.get(&serial).filter(|record| record.is_open()) else {
             return CancelReply::NotOpen;
         };
-        if record.shape == SubmissionShape::Request && self.may_have_started(serial) {
+        if record.class == SubmissionClass::Request && self.may_have_started(serial) {
             return CancelReply::TooLate;
         }
-        self.give_up(now, serial, GiveUpCause::Cancelled);
+        self.terminate(now, serial, TerminationCause::Cancelled);
         self.place(now);
         CancelReply::Cancelled
     }
 
-    /// A session to a dispatcher stands.
+    /// Handles a new session with a dispatcher.
     pub fn on_session_opened(
         &mut self,
         now: Instant,
@@ -79,85 +81,87 @@
             .get(&dispatcher)
             .map(|session| session.incarnation);
         if before.is_some_and(|before| before != incarnation) {
-            // The process that may have started them is gone, and its memory with it.
-            self.give_up_dispatcher(now, dispatcher, UnknownReason::DispatcherGone);
+            // The process that may have started the attempts is gone, together with its memory.
+            self.abandon_attempts_at(now, dispatcher, UnknownReason::DispatcherGone);
         }
         let state = SessionState::Open { session, batch: 0 };
-        let attempts = self.flights.at(dispatcher);
+        let attempts = self.attempts.ids_at(dispatcher);
         let opened = DispatcherSession {
             incarnation,
             state,
             stopping: false,
             slots,
-            unanswered: self.count_offered(&attempts),
+            unanswered_offers: self.count_offered(&attempts),
         };
         self.sessions.insert(dispatcher, opened);
-        self.places.remove_dispatcher(dispatcher);
-        self.places.add_dispatcher(dispatcher, &data_centre);
-        self.hint(now, dispatcher);
+        self.placement.remove_dispatcher(dispatcher);
+        self.placement.add_dispatcher(dispatcher, &data_centre);
+        self.update_placement(now, dispatcher);
         for attempt in &attempts {
-            if let Some(flight) = self.flights.get_mut(attempt) {
-                flight.session = session;
+            if let Some(in_flight) = self.attempts.get_mut(attempt) {
+                in_flight.session = session;
             }
         }
         self.send_withdraw(dispatcher, session, 0, attempts);
-        self.waiting.mark_all();
+        self.waiting.mark_all_changed();
         self.place(now);
     }
 
-    /// The connection of a session broke or stayed silent.
+    /// Handles a session whose connection broke or stayed silent.
     pub fn on_session_lost(&mut self, now: Instant, dispatcher: DispatcherKey, session: SessionId) {
-        let until = now + self.settings.reconnect_wait;
+        let reconnect_by = now + self.settings.reconnect_wait;
         let Some(lost) = self.sessions.get_mut(&dispatcher) else {
             return;
         };
-        if lost.open().is_none_or(|(open, _)| open != session) {
+        if lost.open_session().is_none_or(|(open, _)| open != session) {
             return;
         }
-        lost.state = SessionState::Lost { until };
-        self.places.remove_dispatcher(dispatcher);
-        for attempt in self.flights.at(dispatcher) {
+        lost.state = SessionState::Lost { reconnect_by };
+        self.placement.remove_dispatcher(dispatcher);
+        for attempt in self.attempts.ids_at(dispatcher) {
             let queued = self
-                .flights
+                .attempts
                 .get(&attempt)
-                .is_some_and(|flight| !flight.phase.may_have_started());
+                .is_some_and(|in_flight| !in_flight.phase.may_have_started());
             if !queued {
                 continue;
             }
-            self.land(attempt);
+            self.remove_attempt(attempt);
             self.on_not_run(now, attempt, RetryReason::DispatcherLost, dispatcher);
         }
         self.place(now);
     }
 
-    /// A dispatcher's process is known to be gone.
+    /// Removes a dispatcher whose process is gone, and gives up its attempts.
     pub fn on_dispatcher_gone(&mut self, now: Instant, dispatcher: DispatcherKey) {
-        self.give_up_dispatcher(now, dispatcher, UnknownReason::DispatcherGone);
+        self.abandon_attempts_at(now, dispatcher, UnknownReason::DispatcherGone);
         self.sessions.remove(&dispatcher);
-        self.places.remove_dispatcher(dispatcher);
+        self.placement.remove_dispatcher(dispatcher);
         self.place(now);
     }
 
-    /// A dispatcher is stopping: it finishes what runs and takes nothing new.
+    /// Stops placing tasks at a dispatcher that is stopping: it finishes its running tasks and accepts no new ones.
     pub fn on_dispatcher_stopping(&mut self, dispatcher: DispatcherKey) {
         if let Some(session) = self.sessions.get_mut(&dispatcher) {
             session.stopping = true;
         }
-        self.places.remove_dispatcher(dispatcher);
+        self.placement.remove_dispatcher(dispatcher);
     }
 
-    /// This process ends now: everything open is answered as it stands.
+    /// Answers all open submissions as they stand, because this process ends.
     pub fn stop(&mut self, now: Instant) {
-        while let Some((_, serial)) = self.due.first().copied() {
-            self.give_up(now, serial, GiveUpCause::Stopped);
+        while let Some((_, serial)) = self.deadlines.first().copied() {
+            self.terminate(now, serial, TerminationCause::Stopped);
         }
     }
 
     fn count_offered(&self, attempts: &[AttemptId]) -> u32 {
         let mut offered = 0;
         for attempt in attempts {
-            let flight = self.flights.get(attempt);
-            offered += u32::from(flight.is_some_and(|flight| flight.phase == FlightPhase::Offered));
+            let in_flight = self.attempts.get(attempt);
+            offered += u32::from(
+                in_flight.is_some_and(|in_flight| in_flight.phase == AttemptPhase::Offered),
+            );
         }
         offered
     }
@@ -172,7 +176,7 @@
                 TaskPhase::Waiting => false,
                 TaskPhase::Done(_) => true,
                 TaskPhase::InFlight => {
-                    self.flight_may_have_started(serial, index as u32, task.attempts)
+                    self.attempt_may_have_started(serial, index as u32, task.attempt_count)
                 }
             };
             if started {
@@ -182,46 +186,47 @@
         false
     }
 
-    fn flight_may_have_started(&self, serial: u64, task: u32, attempts: u32) -> bool {
+    fn attempt_may_have_started(&self, serial: u64, task: u32, attempt_count: u32) -> bool {
         let attempt = AttemptId {
-            submission: self.id(serial),
+            submission: self.submission_id(serial),
             task,
-            attempt: attempts.saturating_sub(1),
+            attempt: attempt_count.saturating_sub(1),
         };
-        self.flights
+        self.attempts
             .get(&attempt)
-            .is_none_or(|flight| flight.phase.may_have_started())
+            .is_none_or(|in_flight| in_flight.phase.may_have_started())
     }
 
-    fn give_up(&mut self, now: Instant, serial: u64, cause: GiveUpCause) {
+    fn terminate(&mut self, now: Instant, serial: u64, cause: TerminationCause) {
         let started = self.may_have_started(serial);
         let Some(record) = self.records.get(&serial) else {
             return;
         };
-        let outcome = match (started, record.shape) {
+        let outcome = match (started, record.class) {
             (false, _) => cause.refusal(),
-            (true, SubmissionShape::Job) => SubmissionOutcome::Failed(cause.failure()),
-            (true, SubmissionShape::Request) => SubmissionOutcome::Unknown(cause.unknown()),
+            (true, SubmissionClass::Job) => SubmissionOutcome::Failed(cause.failure()),
+            (true, SubmissionClass::Request) => SubmissionOutcome::Unknown(cause.unknown()),
         };
         self.finish(now, serial, outcome);
     }
 
-    /// A task could not be placed: refused when nothing of the submission started, failed otherwise.
+    /// Answers a submission of which a task could not be placed: refused if nothing of it may have started, failed
+    /// otherwise.
     pub(super) fn finish_not_placed(&mut self, now: Instant, serial: u64, reason: RefusalReason) {
         let outcome = if self.may_have_started(serial) {
             SubmissionOutcome::Failed(FailureReason::TaskNotPlaced)
         } else {
             SubmissionOutcome::Refused {
                 reason,
-                retry_after: Some(COME_BACK),
+                retry_after: Some(RETRY_AFTER),
             }
         };
         self.finish(now, serial, outcome);
     }
 
-    /// Gives a submission its one answer and takes back what has not started.
+    /// Gives a submission its only answer and withdraws its tasks that have not started.
     pub(super) fn finish(&mut self, now: Instant, serial: u64, outcome: SubmissionOutcome) {
-        let id = self.id(serial);
+        let id = self.submission_id(serial);
         let Some(record) = self
             .records
             .get_mut(&serial)
@@ -229,24 +234,24 @@
         else {
             return;
         };
-        self.held.close(record, &outcome);
+        self.memory.close(record, &outcome);
         let outcome = Arc::new(outcome);
         record.state = RecordState::Answered {
             outcome: outcome.clone(),
             at: now,
         };
-        self.due.remove(&(record.due, serial));
-        if let Some(look_at) = record.look_at.take() {
-            self.looks.remove(&(look_at, serial));
+        self.deadlines.remove(&(record.due, serial));
+        if let Some(check_at) = record.check_at.take() {
+            self.deadline_checks.remove(&(check_at, serial));
         }
-        self.open -= 1;
-        self.kept.push_back((now, serial));
+        self.open_count -= 1;
+        self.kept_answers.push_back((now, serial));
         self.actions.push(AuthorityAction::Answer { id, outcome });
-        self.note(AuthorityEvent::Answered(id));
-        self.take_back(now, serial);
+        self.emit_event(AuthorityEvent::Answered(id));
+        self.withdraw_tasks(now, serial);
     }
 
-    /// An attempt whose submission was answered before the verdict came.
+    /// Withdraws a queued attempt whose submission was answered before the reply to the offer arrived.
     pub(super) fn withdraw_if_answered(&mut self, attempt: AttemptId) {
         let open = self
             .records
@@ -255,39 +260,43 @@
         if open {
             return;
         }
-        let Some(flight) = self.flights.get(&attempt) else {
+        let Some(in_flight) = self.attempts.get(&attempt) else {
             return;
         };
-        if flight.phase != FlightPhase::Queued {
+        if in_flight.phase != AttemptPhase::Queued {
             return;
         }
-        let dispatcher = flight.dispatcher;
-        self.land(attempt);
+        let dispatcher = in_flight.dispatcher;
+        self.remove_attempt(attempt);
         if let Some((session, batch)) = self
             .sessions
             .get(&dispatcher)
-            .and_then(|session| session.open())
+            .and_then(|session| session.open_session())
         {
             self.send_withdraw(dispatcher, session, batch, vec![attempt]);
         }
     }
 
-    /// Load: cancellation waves and jobs that fail early. Harm: reservations of the dead hold up the living. Each
-    /// dispatcher gets one message with all of a submission's attempts, so the cost is what is taken back.
-    fn take_back(&mut self, now: Instant, serial: u64) {
-        let id = self.id(serial);
+    /// Drops the tasks of an answered submission and withdraws its attempts.
+    ///
+    /// After many cancellations, or when jobs fail early, reservations of answered submissions would otherwise delay
+    /// the tasks of open ones. Each dispatcher gets one message with all attempts of the submission, so the cost grows
+    /// only with what is withdrawn.
+    fn withdraw_tasks(&mut self, now: Instant, serial: u64) {
+        let id = self.submission_id(serial);
         let Some(record) = self.records.get_mut(&serial) else {
             return;
         };
         let tasks = std::mem::take(&mut record.tasks);
-        let used = tasks.iter().map(|task| task.attempts).max();
+        let used = tasks.iter().map(|task| task.attempt_count).max();
         record.next_attempt = used.unwrap_or_default();
         let (customer, due) = (record.customer.clone(), record.due);
         let mut withdrawals: BTreeMap<DispatcherKey, Vec<AttemptId>> = BTreeMap::new();
         for (index, task) in tasks.iter().enumerate() {
             let index = index as u32;
             if !matches!(task.phase, TaskPhase::Done(_)) {
-                self.load.end(now, &customer, task.expected, task.started);
+                self.load
+                    .end(now, &customer, task.expected_run_time, task.started);
             }
             match task.phase {
                 TaskPhase::Waiting => {
@@ -302,9 +311,9 @@
                     let attempt = AttemptId {
                         submission: id,
                         task: index,
-                        attempt: task.attempts.saturating_sub(1),
+                        attempt: task.attempt_count.saturating_sub(1),
                     };
-                    if let Some(dispatcher) = self.take_back_attempt(attempt) {
+                    if let Some(dispatcher) = self.withdraw_attempt(attempt) {
                         withdrawals.entry(dispatcher).or_default().push(attempt);
                     }
                 }
@@ -315,30 +324,31 @@
             if let Some((session, batch)) = self
                 .sessions
                 .get(&dispatcher)
-                .and_then(|session| session.open())
+                .and_then(|session| session.open_session())
             {
                 self.send_withdraw(dispatcher, session, batch, attempts);
             }
         }
     }
 
-    /// Says where an attempt has to be withdrawn. One that has certainly not started gives its concurrency back at
-    /// once, since its ask will be turned away; one that may run keeps it until the dispatcher has said more.
-    fn take_back_attempt(&mut self, attempt: AttemptId) -> Option<DispatcherKey> {
-        let flight = self.flights.get(&attempt)?;
-        let (dispatcher, phase) = (flight.dispatcher, flight.phase);
+    /// Returns the dispatcher from which an attempt has to be withdrawn, if any. An attempt that has certainly not
+    /// started releases its concurrency at once, since its claim will be refused. One that may run keeps it until the
+    /// dispatcher has reported more.
+    fn withdraw_attempt(&mut self, attempt: AttemptId) -> Option<DispatcherKey> {
+        let in_flight = self.attempts.get(&attempt)?;
+        let (dispatcher, phase) = (in_flight.dispatcher, in_flight.phase);
         match phase {
-            FlightPhase::Running => None,
-            FlightPhase::Queued => {
-                self.land(attempt);
+            AttemptPhase::Running => None,
+            AttemptPhase::Queued => {
+                self.remove_attempt(attempt);
                 Some(dispatcher)
             }
-            FlightPhase::Offered | FlightPhase::Claimed => Some(dispatcher),
+            AttemptPhase::Offered | AttemptPhase::Claimed => Some(dispatcher),
         }
     }
 
-    /// Tells a dispatcher to forget reservations that were given up here.
-    pub(super) fn take_back_reservations(
+    /// Tells a dispatcher to drop reservations that were given up here.
+    pub(super) fn withdraw_reservations(
         &mut self,
         dispatcher: DispatcherKey,
         attempts: Vec<AttemptId>,
@@ -346,7 +356,7 @@
         if let Some((session, batch)) = self
             .sessions
             .get(&dispatcher)
-            .and_then(|session| session.open())
+            .and_then(|session| session.open_session())
         {
             self.send_withdraw(dispatcher, session, batch, attempts);
         }
@@ -369,11 +379,11 @@
         }
     }
 
-    fn give_up_lost(&mut self, now: Instant) {
+    fn remove_lost_dispatchers(&mut self, now: Instant) {
         let mut gone = Vec::new();
         for (key, session) in &self.sessions {
             match session.state {
-                SessionState::Lost { until } if until <= now => gone.push(*key),
+                SessionState::Lost { reconnect_by } if reconnect_by <= now => gone.push(*key),
                 SessionState::Lost { .. } | SessionState::Open { .. } => {}
             }
         }
@@ -383,36 +393,36 @@
         }
     }
 
-    fn give_up_dispatcher(
+    fn abandon_attempts_at(
         &mut self,
         now: Instant,
         dispatcher: DispatcherKey,
         reason: UnknownReason,
     ) {
-        for attempt in self.flights.at(dispatcher) {
+        for attempt in self.attempts.ids_at(dispatcher) {
             let started = self
-                .flights
+                .attempts
                 .get(&attempt)
-                .is_some_and(|flight| flight.phase.may_have_started());
+                .is_some_and(|in_flight| in_flight.phase.may_have_started());
             if started {
-                self.give_up_attempt(now, attempt, reason);
+                self.abandon_attempt(now, attempt, reason);
                 continue;
             }
-            if self.land(attempt).is_some() {
+            if self.remove_attempt(attempt).is_some() {
                 self.on_not_run(now, attempt, RetryReason::DispatcherLost, dispatcher);
             }
         }
     }
 
-    fn forget_old(&mut self, now: Instant) {
-        while let Some((at, serial)) = self.kept.front().copied() {
-            let old = at + self.settings.keep_outcome <= now;
-            let large = self.held.kept > self.settings.max_kept_bytes;
-            if !old && !large && self.kept.len() <= self.settings.max_kept {
+    fn evict_kept_answers(&mut self, now: Instant) {
+        while let Some((at, serial)) = self.kept_answers.front().copied() {
+            let old = at + self.settings.outcome_retention <= now;
+            let large = self.memory.kept_results > self.settings.max_kept_bytes;
+            if !old && !large && self.kept_answers.len() <= self.settings.max_kept_answers {
                 break;
             }
-            self.kept.pop_front();
-            // A refused submission may have run again since, and has a later place in the line.
+            self.kept_answers.pop_front();
+            // A refused submission may have run again since, and then has a later entry in the queue.
             let Some(record) = self.records.get(&serial) else {
                 continue;
             };
@@ -420,27 +430,27 @@
                 continue;
             }
             if let RecordState::Answered { outcome, .. } = &record.state {
-                self.held.drop_kept(outcome);
+                self.memory.remove_kept(outcome);
             }
             self.records.remove(&serial);
         }
     }
 }
 
-/// Why a submission is given up.
+/// Why a submission is terminated.
 #[derive(Clone, Copy, Debug)]
-enum GiveUpCause {
+enum TerminationCause {
     Deadline,
     Cancelled,
     Stopped,
 }
 
-impl GiveUpCause {
+impl TerminationCause {
     fn refusal(self) -> SubmissionOutcome {
         let (reason, retry_after) = match self {
-            Self::Deadline => (RefusalReason::DeadlinePassed, Some(COME_BACK)),
+            Self::Deadline => (RefusalReason::DeadlinePassed, Some(RETRY_AFTER)),
             Self::Cancelled => (RefusalReason::Cancelled, None),
-            // Another VM takes it at once.
+            // Another VM accepts it at once.
             Self::Stopped => (RefusalReason::Stopping, Some(Duration::ZERO)),
         };
         SubmissionOutcome::Refused {
--- a/crates/authority/src/customer_load.rs
+++ b/crates/authority/src/customer_load.rs
@@ -1,4 +1,4 @@
-//! What each customer has accepted and not ended here: the picture that admission decides by.
+//! Accepted work of each customer that has not ended, on which admission bases its predictions.
 
 use std::{
     collections::BTreeSet,
@@ -8,34 +8,35 @@
 use decisions::DrainRate;
 use model::{CustomerId, CustomerShare, FastMap};
 
-/// How long a customer whose tasks do not move counts as one that competes for slots. By those of one moment alone, a
-/// moment without the others would let a customer in for far more than its share.
-const ACTIVE_FOR: Duration = Duration::from_secs(2);
+/// How long a customer counts as competing for slots after its last activity. If only the activity of the present
+/// moment counted, a moment without the other customers would admit far more of one customer than its share.
+const ACTIVE_WINDOW: Duration = Duration::from_secs(2);
 
-/// Moves this close together are noted once: the index by time then costs one change for many tasks.
-const MOVE_GRAIN: Duration = Duration::from_millis(100);
+/// Activity of a customer within this time is recorded once, so that many tasks cost one change of the index by time.
+const ACTIVITY_RESOLUTION: Duration = Duration::from_millis(100);
 
-/// The accepted work of one customer.
+/// Accepted work of one customer that has not ended.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CustomerLoad {
-    /// Tasks that were accepted and have not ended.
+    /// Number of tasks that were accepted and have not ended.
     pub(crate) tasks: u32,
     /// The sum of their expected run times.
-    pub(crate) work: Duration,
-    /// The part of it that has not started.
-    pub(crate) waiting: Duration,
-    /// What its backlog got lately.
-    pub(crate) drain: DrainRate,
+    pub(crate) expected_work: Duration,
+    /// The part of `expected_work` that has not started.
+    pub(crate) waiting_work: Duration,
+    /// The number of slots that lately worked on its backlog.
+    pub(crate) drain_rate: DrainRate,
     share: CustomerShare,
-    /// Its place in the index by time, while it counts as active.
-    listed_at: Option<Instant>,
+    /// Time under which the customer is listed in the index by time, while it counts as active.
+    indexed_at: Option<Instant>,
 }
 
-/// The accepted work by customer.
+/// Accepted work by customer.
 ///
-/// Load: thousands of submissions a second of many customers. Harm: sums taken anew for each would cost what is open.
-/// They are kept along with each move of a task, O(log n) in the active customers. A customer without open tasks is
-/// forgotten once it is no longer active, so memory is bounded by what is open and by what came in the last seconds.
+/// Thousands of submissions arrive each second from many customers. Sums computed anew for each submission would cost
+/// as much as there is open work, so they are updated with each change of a task, in O(log n) of the active customers.
+/// A customer without open tasks is dropped once it is no longer active, so memory is bounded by the open work and the
+/// arrivals of the last seconds.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LoadTable {
     customers: FastMap<CustomerId, CustomerLoad>,
@@ -44,7 +45,7 @@
 }
 
 impl LoadTable {
-    /// Tasks with this work in all were accepted.
+    /// Adds accepted tasks; `work` is the sum of their expected run times.
     pub(crate) fn accept(
         &mut self,
         now: Instant,
@@ -55,34 +56,34 @@
     ) {
         let load = self.customers.entry(customer.clone()).or_default();
         load.tasks += tasks;
-        load.work = load.work.saturating_add(work);
-        load.waiting = load.waiting.saturating_add(work);
-        if load.listed_at.is_some() {
+        load.expected_work = load.expected_work.saturating_add(work);
+        load.waiting_work = load.waiting_work.saturating_add(work);
+        if load.indexed_at.is_some() {
             self.active_shares = self.active_shares - u64::from(load.share.0) + u64::from(share.0);
         }
         load.share = share;
-        self.note_move(now, customer);
+        self.record_activity(now, customer);
     }
 
-    /// A task has started.
+    /// Counts a task as started.
     pub(crate) fn start(&mut self, now: Instant, customer: &CustomerId, expected: Duration) {
         let Some(load) = self.customers.get_mut(customer) else {
             return;
         };
-        load.waiting = load.waiting.saturating_sub(expected);
-        let backlog = !load.waiting.is_zero();
-        load.drain.on_start(now, expected, backlog);
-        self.note_move(now, customer);
+        load.waiting_work = load.waiting_work.saturating_sub(expected);
+        let backlog = !load.waiting_work.is_zero();
+        load.drain_rate.on_start(now, expected, backlog);
+        self.record_activity(now, customer);
     }
 
-    /// A task that was taken to have started certainly has not.
-    pub(crate) fn put_back(&mut self, customer: &CustomerId, expected: Duration) {
+    /// Takes back [`Self::start`] for a task that certainly has not started.
+    pub(crate) fn mark_not_started(&mut self, customer: &CustomerId, expected: Duration) {
         if let Some(load) = self.customers.get_mut(customer) {
-            load.waiting = load.waiting.saturating_add(expected);
+            load.waiting_work = load.waiting_work.saturating_add(expected);
         }
     }
 
-    /// A task has ended, or nobody waits for it any more.
+    /// Removes a task that has ended or whose submission was answered.
     pub(crate) fn end(
         &mut self,
         now: Instant,
@@ -94,11 +95,11 @@
             return;
         };
         load.tasks = load.tasks.saturating_sub(1);
-        load.work = load.work.saturating_sub(expected);
+        load.expected_work = load.expected_work.saturating_sub(expected);
         if !started {
-            load.waiting = load.waiting.saturating_sub(expected);
+            load.waiting_work = load.waiting_work.saturating_sub(expected);
         }
-        self.note_move(now, customer);
+        self.record_activity(now, customer);
     }
 
     /// The load of a customer.
@@ -106,40 +107,40 @@
         self.customers.get(customer).cloned().unwrap_or_default()
     }
 
-    /// The shares of all active customers, this one included, which may come with a new share.
-    pub(crate) fn shares_with(
+    /// Sum of the shares of all active customers including this one, which counts with the given share.
+    pub(crate) fn active_shares_with(
         &mut self,
         now: Instant,
         customer: &CustomerId,
         share: CustomerShare,
     ) -> u64 {
         self.expire(now);
-        let listed = self
+        let indexed = self
             .customers
             .get(customer)
-            .filter(|load| load.listed_at.is_some());
-        let own = listed.map_or(0, |load| u64::from(load.share.0));
+            .filter(|load| load.indexed_at.is_some());
+        let own = indexed.map_or(0, |load| u64::from(load.share.0));
         self.active_shares - own + u64::from(share.0)
     }
 
-    fn note_move(&mut self, now: Instant, customer: &CustomerId) {
+    fn record_activity(&mut self, now: Instant, customer: &CustomerId) {
         let Some(load) = self.customers.get_mut(customer) else {
             return;
         };
-        match load.listed_at {
-            Some(at) if now.saturating_duration_since(at) < MOVE_GRAIN => return,
+        match load.indexed_at {
+            Some(at) if now.saturating_duration_since(at) < ACTIVITY_RESOLUTION => return,
             Some(at) => {
                 self.active.remove(&(at, customer.clone()));
             }
             None => self.active_shares += u64::from(load.share.0),
         }
-        load.listed_at = Some(now);
+        load.indexed_at = Some(now);
         self.active.insert((now, customer.clone()));
     }
 
     fn expire(&mut self, now: Instant) {
         while let Some((at, _)) = self.active.first() {
-            if now.saturating_duration_since(*at) <= ACTIVE_FOR {
+            if now.saturating_duration_since(*at) <= ACTIVE_WINDOW {
                 return;
             }
             let Some((_, customer)) = self.active.pop_first() else {
@@ -148,7 +149,7 @@
             let Some(load) = self.customers.get_mut(&customer) else {
                 continue;
             };
-            load.listed_at = None;
+            load.indexed_at = None;
             self.active_shares -= u64::from(load.share.0);
             if load.tasks == 0 {
                 self.customers.remove(&customer);
--- a/crates/authority/src/waiting.rs
+++ b/crates/authority/src/waiting.rs
@@ -1,4 +1,4 @@
-//! Tasks that wait at the entry for room in their customer's concurrency.
+//! Tasks that wait at the entry for free concurrency of their customer.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -9,8 +9,8 @@
 
 use crate::DispatcherKey;
 
-/// A waiting task in the order of placement: the earliest deadline first, and tasks of one submission together,
-/// since a job answers with its last task.
+/// A waiting task. The order is that of placement: the earliest deadline first, and tasks of one submission together,
+/// since a job is answered with its last task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct WaitingTask {
     pub(crate) due: Instant,
@@ -22,20 +22,21 @@
 struct CustomerQueue {
     tasks: BTreeSet<WaitingTask>,
     limit: u32,
-    /// The most that the limit can grow to, where that is known.
-    share: Option<u32>,
-    /// When the limit lapses; then nothing may be placed.
-    until: Option<Instant>,
+    /// The most that the limit can grow to, if known.
+    max_limit: Option<u32>,
+    /// When the limit lapses. From then on nothing of the customer may be placed.
+    limit_expires_at: Option<Instant>,
     in_flight: u32,
 }
 
-/// Waiting tasks by customer. A customer is looked at again only when something about it changed, so a pass costs
-/// what changed and not what waits.
+/// Waiting tasks by customer. A placement pass visits only customers for which something changed, so its cost grows
+/// with the changes and not with the waiting tasks.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WaitingTable {
     customers: FastMap<CustomerId, CustomerQueue>,
     changed: FastSet<CustomerId>,
-    paused: BTreeMap<WaitingTask, CustomerId>,
+    backing_off: BTreeMap<WaitingTask, CustomerId>,
+    /// The dispatcher that last refused a task, by the serial and index of the task.
     avoid: FastMap<(u64, TaskIndex), DispatcherKey>,
 }
 
@@ -43,18 +44,22 @@
     pub(crate) fn set_limit(&mut self, customer: &CustomerId, limit: u32, until: Option<Instant>) {
         let queue = self.customers.entry(customer.clone()).or_default();
         queue.limit = limit;
-        queue.until = until;
+        queue.limit_expires_at = until;
         self.changed.insert(customer.clone());
     }
 
-    pub(crate) fn set_share(&mut self, customer: &CustomerId, share: u32) {
-        self.customers.entry(customer.clone()).or_default().share = Some(share);
+    pub(crate) fn set_max_limit(&mut self, customer: &CustomerId, max_limit: u32) {
+        self.customers
+            .entry(customer.clone())
+            .or_default()
+            .max_limit = Some(max_limit);
     }
 
-    /// The most that a customer can have at dispatchers at once: its share, or its limit where no share is known.
-    pub(crate) fn reach(&self, customer: &CustomerId) -> u32 {
+    /// The most attempts that a customer can have at dispatchers at once: the maximum of its limit, or its limit while
+    /// no maximum is known.
+    pub(crate) fn max_limit(&self, customer: &CustomerId) -> u32 {
         let queue = self.customers.get(customer);
-        queue.map_or(0, |queue| queue.share.unwrap_or(queue.limit))
+        queue.map_or(0, |queue| queue.max_limit.unwrap_or(queue.limit))
     }
 
     pub(crate) fn push(&mut self, customer: &CustomerId, task: WaitingTask) {
@@ -63,27 +68,28 @@
         self.changed.insert(customer.clone());
     }
 
-    /// Puts a task aside until `until`; the pause is keyed by time so that waking costs what wakes.
-    pub(crate) fn pause(&mut self, customer: &CustomerId, until: Instant, task: WaitingTask) {
+    /// Keeps a task in backoff until `until`. Such tasks are ordered by time, so that resuming costs only as much as
+    /// the tasks that resume.
+    pub(crate) fn back_off(&mut self, customer: &CustomerId, until: Instant, task: WaitingTask) {
         let key = WaitingTask { due: until, ..task };
-        self.paused.insert(key, customer.clone());
+        self.backing_off.insert(key, customer.clone());
     }
 
-    /// Takes the tasks whose pause is over, as (customer, serial, task).
-    pub(crate) fn wake(&mut self, now: Instant) -> Vec<(CustomerId, u64, TaskIndex)> {
-        let mut woken = Vec::new();
-        while let Some(first) = self.paused.first_entry() {
+    /// Removes and returns the tasks whose backoff is over, as (customer, serial, task).
+    pub(crate) fn take_resumed(&mut self, now: Instant) -> Vec<(CustomerId, u64, TaskIndex)> {
+        let mut resumed = Vec::new();
+        while let Some(first) = self.backing_off.first_entry() {
             if first.key().due > now {
                 break;
             }
             let (task, customer) = first.remove_entry();
-            woken.push((customer, task.serial, task.task));
+            resumed.push((customer, task.serial, task.task));
         }
-        woken
+        resumed
     }
 
-    pub(crate) fn next_wake(&self) -> Option<Instant> {
-        self.paused.first_key_value().map(|(task, _)| task.due)
+    pub(crate) fn next_resume(&self) -> Option<Instant> {
+        self.backing_off.first_key_value().map(|(task, _)| task.due)
     }
 
     pub(crate) fn remove(&mut self, customer: &CustomerId, task: WaitingTask) {
@@ -101,10 +107,10 @@
         self.avoid.remove(&(task.serial, task.task))
     }
 
-    /// Takes the next task of a customer that has room.
+    /// Removes and returns the next task of a customer whose limit allows another attempt, and counts it as in flight.
     pub(crate) fn pop(&mut self, now: Instant, customer: &CustomerId) -> Option<WaitingTask> {
         let queue = self.customers.get_mut(customer)?;
-        let lapsed = queue.until.is_some_and(|until| until <= now);
+        let lapsed = queue.limit_expires_at.is_some_and(|until| until <= now);
         if lapsed || queue.in_flight >= queue.limit {
             return None;
         }
@@ -113,7 +119,7 @@
         Some(task)
     }
 
-    /// An attempt of the customer has ended or was withdrawn.
+    /// Releases the concurrency that an attempt of the customer used.
     pub(crate) fn release(&mut self, customer: &CustomerId) {
         if let Some(queue) = self.customers.get_mut(customer) {
             queue.in_flight = queue.in_flight.saturating_sub(1);
@@ -121,7 +127,7 @@
         }
     }
 
-    pub(crate) fn mark_all(&mut self) {
+    pub(crate) fn mark_all_changed(&mut self) {
         for (customer, queue) in &self.customers {
             if !queue.tasks.is_empty() {
                 self.changed.insert(customer.clone());
@@ -129,14 +135,14 @@
         }
     }
 
-    /// Customers to look at, in a fixed order so that a run can be repeated.
+    /// Removes and returns the customers for which something changed, sorted so that runs are deterministic.
     pub(crate) fn take_changed(&mut self) -> Vec<CustomerId> {
         let mut customers: Vec<_> = self.changed.drain().collect();
         customers.sort_unstable();
         customers
     }
 
-    /// Attempts in flight and tasks waiting, of one customer.
+    /// Number of attempts in flight and of waiting tasks of one customer.
     pub(crate) fn usage(&self, customer: &CustomerId) -> (u32, usize) {
         self.customers
             .get(customer)
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,31 +1,31 @@
-//! Policy without I/O: admit, queue, refuse, place, shift, retry.
+//! Scheduling policies without I/O: admission, queueing, placement, shifting load between data centres, and retries.
 //!
-//! Nothing here reads a clock or a socket: the time comes in as `now`, randomness from a seeded generator, so every
+//! Nothing here reads a clock or a socket: callers pass the time as `now` and a seeded random generator, so every
 //! decision can be tested under load in virtual time.
 
 pub mod admission;
-mod bounded;
 pub mod drain_rate;
 pub mod health;
-pub mod lasting_saturation;
+mod lru_map;
 pub mod placement;
 pub mod queue;
 pub mod retry;
 pub mod run_time;
+pub mod smoothed_saturation;
 mod weight_tree;
 
 pub use crate::{
     admission::{
-        AdmissionPolicy, AdmissionQuery, AdmissionSettings, AdmissionVerdict, Saturation,
-        WaitPicture, WorkClass,
+        AdmissionDecision, AdmissionPolicy, AdmissionQuery, AdmissionSettings, Saturation,
+        WaitEstimator, WorkClass,
     },
     drain_rate::DrainRate,
     health::{EndKind, EndReport, EndpointHealth, FleetLatency, HealthSettings, HealthState},
-    lasting_saturation::LastingSaturation,
     placement::{
         DispatcherKey, PlacementQuery, PlacementRule, PlacementSettings, PlacementTable, SlotsHint,
     },
     queue::{FairQueue, PushError, QueueEntry, QueueSettings},
     retry::{RetryBudget, RetrySettings},
-    run_time::{EstimateSource, FailureShare, RunTimeEstimate, RunTimeSettings, RunTimeTable},
+    run_time::{EstimateSource, FailureRate, RunTimeEstimate, RunTimeSettings, RunTimeTable},
+    smoothed_saturation::SmoothedSaturation,
 };
--- a/crates/dispatcher/src/control.rs
+++ b/crates/dispatcher/src/control.rs
@@ -18,8 +18,8 @@
 
 use ::contracts::ContractView;
 use ::membership::{
-    CentreView, GrantLedger, GrantSettings, HandoverLedger, MemberSettings, MemberTable, OwnMember,
-    OwnershipMap,
+    CentreView, GrantAllocator, GrantSettings, HandoverTracker, MemberSettings, MemberTable,
+    OwnMember, OwnershipMap,
 };
 use actix::{Actor, Addr, AsyncContext as _, Context, Handler};
 use kernel::{ClockSource, ServiceName};
@@ -32,30 +32,30 @@
 
 use crate::{
     entry_directory::EntryDirectory,
-    traffic::{EndpointTraffic, RunTask, TaskRan},
+    traffic::{EndpointTraffic, RunTask, TaskEnded},
 };
 
 pub(crate) use messages::{
-    BeatTaken, ContractsAsked, GrantsAsked, HandoverTaken, OffersMade, PingTaken, SessionEnded,
-    SessionOpened, StopBegun, StopState, VmsAsked, WithdrawalsMade,
+    ContractRequest, GrantRequest, HandoverRequest, HeartbeatRequest, OfferRequest, PingRequest,
+    SessionClosed, SessionRequest, StopQuery, StopRequest, VmListRequest, WithdrawalRequest,
 };
 
-/// The time between two looks at what has become due. It bounds how late a slot goes on after an ask stayed
-/// unanswered, and is small against the shortest tasks of 50 ms.
-const TICK: Duration = Duration::from_millis(40);
+/// Interval of the control tick. It bounds how late a slot is used again after a claim timed out, and is shorter than
+/// the shortest tasks of 50 ms.
+const TICK_INTERVAL: Duration = Duration::from_millis(40);
 
-/// The time between two looks at the grants. The ledger takes a gap of the suspect time for a freeze of this process;
-/// the shortest that the settings' defaults allow is five of these.
-const GRANT_TICK: Duration = Duration::from_millis(200);
+/// Interval of the grant tick. The grant ledger treats a gap of the suspect time between ticks as a freeze of this
+/// process; the shortest suspect time that the settings' defaults allow is five intervals.
+const GRANT_TICK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The time between two reports to the new owners of endpoints. It bounds how long a slot that a task has left stays
-/// counted there, and is of the size of the shortest tasks.
-const HANDOVER_TICK: Duration = Duration::from_millis(50);
+/// Interval of the reports to the new owners of endpoints. It bounds how long the new owner counts a slot as used after
+/// its task has ended, and is about as long as the shortest tasks.
+const HANDOVER_TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The name under which a dispatcher's control actor is found.
+/// The name under which the dispatcher's control actor is registered.
 pub(crate) const CONTROL_SERVICE: ServiceName = ServiceName("dispatcher.control");
 
-/// The control state of a dispatcher: slots, members, sessions. It lives on the control thread.
+/// The control state of a dispatcher: slots, members and sessions. The actor runs on the control thread.
 pub struct DispatcherControl {
     settings: DispatcherSettings,
     clock: Arc<dyn ClockSource>,
@@ -64,35 +64,35 @@
     ledger: SlotLedger,
     members: MemberTable,
     ownership: OwnershipMap,
-    grants: GrantLedger,
-    centre: CentreView,
-    handovers: HandoverLedger,
-    reported: FastSet<SocketAddr>,
+    grants: GrantAllocator,
+    centre_view: CentreView,
+    handovers: HandoverTracker,
+    reported_peers: FastSet<SocketAddr>,
     next_report: u64,
     vms: Vec<VmEntry>,
-    peers: FastMap<SocketAddr, PeerSlot>,
+    peers: FastMap<SocketAddr, PeerConnection>,
     entries: EntryDirectory,
     traffic: Vec<Addr<EndpointTraffic>>,
-    next_traffic: usize,
+    next_traffic_thread: usize,
     platform: PlatformClient,
-    view: ContractView,
-    polls: u32,
-    polling: bool,
-    told_limit: u32,
-    started: Instant,
-    settled: bool,
+    contract_view: ContractView,
+    poll_ticks: u32,
+    poll_in_flight: bool,
+    announced_limit: u32,
+    started_at: Instant,
+    membership_settled: bool,
     metrics: Arc<MetricSet>,
     ready: Arc<AtomicBool>,
     stopping: bool,
 }
 
 /// A connection to another dispatcher.
-enum PeerSlot {
+enum PeerConnection {
     Connecting,
     Open(PeerLink),
 }
 
-/// What a control actor is made from.
+/// Parameters of [`DispatcherControl::new`].
 pub(crate) struct ControlParts {
     pub(crate) settings: DispatcherSettings,
     pub(crate) clock: Arc<dyn ClockSource>,
@@ -117,7 +117,7 @@
             head: 0,
         };
         let member_settings = MemberSettings {
-            beat_every: settings.heartbeat_ms.duration(),
+            heartbeat_interval: settings.heartbeat_ms.duration(),
             suspect_after: settings.suspect_ms.duration(),
             ..MemberSettings::default()
         };
@@ -128,10 +128,10 @@
         let members = MemberTable::new(own, member_settings, seeds.collect::<Vec<_>>());
         let ledger = SlotLedger::new(LedgerSettings {
             max_queue: settings.queue_limit,
-            claim_limit: settings.claim_limit_ms.duration(),
+            claim_timeout: settings.claim_limit_ms.duration(),
             ..LedgerSettings::default()
         });
-        let grants = GrantLedger::new(parts.own_address, grant_settings(&settings));
+        let grants = GrantAllocator::new(parts.own_address, grant_settings(&settings));
         Self {
             clock: parts.clock,
             incarnation: parts.incarnation,
@@ -140,30 +140,30 @@
             members,
             ownership: OwnershipMap::default(),
             grants,
-            centre: CentreView::default(),
-            handovers: HandoverLedger::default(),
-            reported: FastSet::default(),
+            centre_view: CentreView::default(),
+            handovers: HandoverTracker::default(),
+            reported_peers: FastSet::default(),
             next_report: 1,
             vms: Vec::new(),
             peers: FastMap::default(),
             entries: parts.entries,
             traffic: parts.traffic,
-            next_traffic: 0,
+            next_traffic_thread: 0,
             platform: parts.platform,
-            told_limit: 0,
-            started: now,
-            settled: false,
+            announced_limit: 0,
+            started_at: now,
+            membership_settled: false,
             metrics: parts.metrics,
             ready: parts.ready,
             stopping: false,
-            view: ContractView::default(),
-            polls: 0,
-            polling: false,
+            contract_view: ContractView::default(),
+            poll_ticks: 0,
+            poll_in_flight: false,
             settings,
         }
     }
 
-    /// Carries out what the ledger wants done. To be called at the end of each input.
+    /// Carries out the ledger's pending actions. To be called at the end of each message handler.
     fn flush(&mut self, ctx: &mut Context<Self>) {
         let mut reports = FastMap::default();
         for action in self.ledger.take_actions() {
@@ -175,7 +175,7 @@
                     attempt,
                     claim,
                 } => {
-                    self.ask_for_body(ctx, entry, session, attempt, claim);
+                    self.request_body(ctx, entry, session, attempt, claim);
                 }
                 LedgerAction::Report {
                     entry,
@@ -193,36 +193,36 @@
             for (_, _, ran) in &ends {
                 self.metrics.time(TimeKind::RunTime, *ran);
             }
-            // Failure: a session comes back after many large results. Symptom without the split: a report over the
-            // reader's limit fails, is not repeated while the session stands, and the tasks' answers come as unknown.
-            // Parts are enough, since ends do not depend on each other.
+            // After a reconnect a session may have many large results to report. A report over the reader's size limit
+            // would fail and not be repeated while the session is open, and its tasks would be answered as unknown. So
+            // reports are split; the ends do not depend on each other.
             for part in split_for_messages(ends, |(_, end, _)| end.size()) {
                 self.metrics.count(CounterKind::Messages, 1);
                 self.report_ends(ctx, entry, session, part);
             }
         }
-        self.tell_limit();
+        self.announce_limit();
     }
 
-    /// Load: endpoints that change owner. Harm: until the next ping or answer, entries place by the slots that this
-    /// dispatcher had, so tasks queue here while the new owner's slots stand free. Limits change rarely, so telling every
-    /// entry at once costs little.
-    fn tell_limit(&mut self) {
+    /// Sends a changed slot limit to all entries at once. When endpoints change owner, entries would otherwise place by
+    /// this dispatcher's former slots until the next ping or answer, and tasks would queue here while the new owner's
+    /// slots are free. Limits change rarely, so this costs little.
+    fn announce_limit(&mut self) {
         let slots = self.ledger.slots();
-        if slots.limit == self.told_limit {
+        if slots.limit == self.announced_limit {
             return;
         }
-        self.told_limit = slots.limit;
+        self.announced_limit = slots.limit;
         for client in self.entries.all() {
-            let told = client.slots(slots);
-            // A connection that breaks meanwhile ends the session by itself.
-            actix_rt::spawn(async move { drop(told.await) });
+            let sent = client.report_slots(slots);
+            // The error can be ignored: a broken connection ends the session anyway.
+            actix_rt::spawn(async move { drop(sent.await) });
         }
     }
 
     fn start_task(&mut self, endpoint: model::EndpointAddress, offer: model::TaskOffer) {
-        self.next_traffic = (self.next_traffic + 1) % self.traffic.len();
-        let traffic = &self.traffic[self.next_traffic];
+        self.next_traffic_thread = (self.next_traffic_thread + 1) % self.traffic.len();
+        let traffic = &self.traffic[self.next_traffic_thread];
         traffic.do_send(RunTask { endpoint, offer });
     }
 
@@ -244,7 +244,7 @@
         self.metrics
             .gauge(GaugeKind::Sessions, self.entries.len() as f64);
         self.metrics
-            .gauge(GaugeKind::ContractHead, self.view.head().0 as f64);
+            .gauge(GaugeKind::ContractHead, self.contract_view.head().0 as f64);
         let owned = self.ownership.owned_by(self.own_address).count();
         self.metrics.gauge(GaugeKind::OwnedEndpoints, owned as f64);
     }
@@ -257,22 +257,26 @@
         self.ready.store(false, Ordering::Relaxed);
         self.members.set_stopping();
         self.ledger.stop(self.clock.now());
-        // The new owners have to count what runs here before they hear that the endpoints are theirs.
+        // The new owners have to count the tasks that run here before they learn that they own the endpoints.
         self.update_ownership();
         self.tick_handovers(ctx);
         self.tick(ctx);
-        log::info!("dispatcher: stopping, {} tasks run", self.ledger.running());
+        log::info!(
+            "dispatcher: stopping, {} tasks running",
+            self.ledger.running()
+        );
     }
 }
 
-/// `grant_term_ms` has to be the same for all dispatchers of a data centre: a new home waits out the old one's grants
-/// by its own term. Entries take the term from each answer.
+/// Derives the grant settings. `grant_term_ms` has to be the same for all dispatchers of a data centre: a new home
+/// dispatcher waits for its own term until the previous home's grants have expired. Entries take the term from each
+/// answer.
 fn grant_settings(settings: &DispatcherSettings) -> GrantSettings {
     let term = settings.grant_term_ms.duration();
     GrantSettings {
         term,
         margin: term / 20,
-        frozen_after: settings.suspect_ms.duration(),
+        max_input_gap: settings.suspect_ms.duration(),
         ..GrantSettings::default()
     }
 }
@@ -281,11 +285,11 @@
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Context<Self>) {
-        ctx.run_interval(TICK, Self::tick);
-        ctx.run_interval(GRANT_TICK, |control, _| {
+        ctx.run_interval(TICK_INTERVAL, Self::tick);
+        ctx.run_interval(GRANT_TICK_INTERVAL, |control, _| {
             control.grants.tick(control.clock.now());
         });
-        ctx.run_interval(HANDOVER_TICK, Self::tick_handovers);
+        ctx.run_interval(HANDOVER_TICK_INTERVAL, Self::tick_handovers);
         self.read_vm_list(ctx);
         ctx.run_interval(self.settings.vm_list_ms.duration(), Self::read_vm_list);
         self.poll_contracts(ctx);
@@ -293,29 +297,31 @@
     }
 }
 
-impl Handler<TaskRan> for DispatcherControl {
+impl Handler<TaskEnded> for DispatcherControl {
     type Result = ();
 
-    fn handle(&mut self, ran: TaskRan, ctx: &mut Context<Self>) {
-        self.ledger.on_ran(self.clock.now(), ran.attempt, ran.end);
+    fn handle(&mut self, ended: TaskEnded, ctx: &mut Context<Self>) {
+        self.ledger
+            .on_task_ended(self.clock.now(), ended.attempt, ended.end);
         self.flush(ctx);
     }
 }
 
-impl Handler<StopBegun> for DispatcherControl {
+impl Handler<StopRequest> for DispatcherControl {
     type Result = ();
 
-    fn handle(&mut self, _: StopBegun, ctx: &mut Context<Self>) {
+    fn handle(&mut self, _: StopRequest, ctx: &mut Context<Self>) {
         self.begin_stop(ctx);
     }
 }
 
-impl Handler<StopState> for DispatcherControl {
+impl Handler<StopQuery> for DispatcherControl {
     type Result = usize;
 
-    fn handle(&mut self, _: StopState, ctx: &mut Context<Self>) -> usize {
+    fn handle(&mut self, _: StopQuery, ctx: &mut Context<Self>) -> usize {
         if self.ledger.is_drained() {
-            // The new owners' slots need not wait for the deadlines of what has ended.
+            // Reports that nothing is left, so that the new owners free the slots without waiting for the tasks'
+            // deadlines.
             self.tick_handovers(ctx);
             return 0;
         }
--- a/crates/dispatcher/src/control/handover.rs
+++ b/crates/dispatcher/src/control/handover.rs
@@ -1,4 +1,4 @@
-//! Tasks that run at endpoints of which another dispatcher is the owner now.
+//! Tasks that still run at endpoints now owned by another dispatcher.
 
 use std::net::SocketAddr;
 
@@ -6,28 +6,29 @@
 use membership::{HandoverCount, HandoverReport};
 use model::FastMap;
 
-use super::{DispatcherControl, HandoverTaken, PeerSlot};
+use super::{DispatcherControl, HandoverRequest, PeerConnection};
 
 impl DispatcherControl {
-    /// Reports what this dispatcher still runs at endpoints of others, and lets the slots that others reported go
-    /// free with time. A new owner is told once more when nothing is left, so that it need not wait for deadlines.
+    /// Reports the tasks that this dispatcher still runs at endpoints of other owners, and frees the slots that others
+    /// reported once their time is over. A new owner gets a last, empty report when nothing is left, so that it need
+    /// not wait for the tasks' deadlines.
     ///
-    /// Load: a planned stop, or an endpoint that moves to a dispatcher that came up, at full slots. Harm: the new
-    /// owner takes the slots for free, and each task it sends there is turned away. Reports go only while such tasks
-    /// run, so a move of an idle endpoint costs nothing.
+    /// Without reports, after a planned stop or when a busy endpoint moves to a dispatcher that came up, the new owner
+    /// would take its slots for free, and the endpoint would refuse each task sent there. Reports are sent only while
+    /// such tasks run, so moving an idle endpoint costs nothing.
     pub(super) fn tick_handovers(&mut self, ctx: &mut Context<Self>) {
-        let mut reports = self.collect_reports();
-        for address in self.reported.clone() {
+        let mut reports = self.collect_handover_counts();
+        for address in self.reported_peers.clone() {
             reports.entry(address).or_default();
         }
         for (address, counts) in reports {
-            self.report_to(ctx, address, counts);
+            self.send_handover_report(ctx, address, counts);
         }
-        self.count_outside();
+        self.update_outside_tasks();
         self.flush(ctx);
     }
 
-    fn collect_reports(&self) -> FastMap<SocketAddr, Vec<HandoverCount>> {
+    fn collect_handover_counts(&self) -> FastMap<SocketAddr, Vec<HandoverCount>> {
         let mut reports: FastMap<SocketAddr, Vec<HandoverCount>> = FastMap::default();
         for (endpoint, time_left) in self.ledger.unowned_tasks(self.clock.now()) {
             let Some(owner) = self.ownership.owner(&endpoint) else {
@@ -45,21 +46,21 @@
         reports
     }
 
-    fn report_to(
+    fn send_handover_report(
         &mut self,
         ctx: &mut Context<Self>,
         address: SocketAddr,
         counts: Vec<HandoverCount>,
     ) {
         let link = match self.peers.get(&address) {
-            Some(PeerSlot::Open(link)) => link,
-            Some(PeerSlot::Connecting) => return,
-            // Of a pair only one side needs a connection for heartbeats, and it may be the other one.
+            Some(PeerConnection::Open(link)) => link,
+            Some(PeerConnection::Connecting) => return,
+            // Heartbeats need a connection from only one side of a pair, which may be the other dispatcher's.
             None => return self.connect_peer(ctx, address),
         };
         match counts.is_empty() {
-            true => self.reported.remove(&address),
-            false => self.reported.insert(address),
+            true => self.reported_peers.remove(&address),
+            false => self.reported_peers.insert(address),
         };
         let report = HandoverReport {
             from: self.own_address,
@@ -68,28 +69,29 @@
             counts,
         };
         self.next_report += 1;
-        let told = link.client().handover(&report).into_actor(self);
-        ctx.spawn(told.map(move |told, _, _| {
-            if let Err(error) = told {
-                log::debug!("dispatcher: report not taken by {address}: {error}");
+        let sent = link.client().handover(&report).into_actor(self);
+        ctx.spawn(sent.map(move |sent, _, _| {
+            if let Err(error) = sent {
+                log::debug!("dispatcher: handover report to {address} failed: {error}");
             }
         }));
     }
 
-    fn count_outside(&mut self) {
+    fn update_outside_tasks(&mut self) {
         let now = self.clock.now();
         self.handovers.tick(now);
-        self.ledger.set_outside(now, self.handovers.used(now));
+        self.ledger
+            .set_previous_owner_slots(now, self.handovers.used_slots(now));
     }
 }
 
-impl Handler<HandoverTaken> for DispatcherControl {
+impl Handler<HandoverRequest> for DispatcherControl {
     type Result = ();
 
-    fn handle(&mut self, taken: HandoverTaken, ctx: &mut Context<Self>) {
-        self.handovers.on_report(self.clock.now(), taken.report);
-        self.count_outside();
-        let _gone = taken.reply.send(Ok(()));
+    fn handle(&mut self, request: HandoverRequest, ctx: &mut Context<Self>) {
+        self.handovers.on_report(self.clock.now(), request.report);
+        self.update_outside_tasks();
+        let _gone = request.reply.send(Ok(()));
         self.flush(ctx);
     }
 }
--- a/crates/dispatcher/src/control/messages.rs
+++ b/crates/dispatcher/src/control/messages.rs
@@ -1,15 +1,16 @@
 //! Messages to the control actor from the peer port and from the process around it.
 //!
-//! The port sends them with `do_send`, which keeps their order, and waits for the answer on a channel inside.
+//! The port sends them with `do_send`, which preserves their order, and receives the answer on a channel in the
+//! message.
 
 use actix::Message;
 use contracts::HeadNumber;
-use membership::{AskBatch, BeatMessage, BeatReply, HandoverReport, ReplyBatch};
+use membership::{AskBatch, HandoverReport, HeartbeatMessage, HeartbeatReply, ReplyBatch};
 use model::{
     AttemptId, IncarnationId, SessionId, SlotCounts, TaskOffer, TaskVerdict, VmEntry,
     WithdrawalVerdict,
 };
-use peer::{ContractNews, PeerError, PingReply};
+use peer::{ContractsReply, PeerError, PingReply};
 use tokio::sync::oneshot;
 
 pub(crate) type ReplyTo<T> = oneshot::Sender<Result<T, PeerError>>;
@@ -17,16 +18,16 @@
 /// An entry opens a session.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct SessionOpened {
+pub(crate) struct SessionRequest {
     pub(crate) entry: IncarnationId,
     pub(crate) session: SessionId,
     pub(crate) reply: ReplyTo<(IncarnationId, SlotCounts)>,
 }
 
-/// The connection of a session broke.
+/// The connection of a session has closed.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct SessionEnded {
+pub(crate) struct SessionClosed {
     pub(crate) entry: IncarnationId,
     pub(crate) session: SessionId,
 }
@@ -34,7 +35,7 @@
 /// An entry offers tasks.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct OffersMade {
+pub(crate) struct OfferRequest {
     pub(crate) entry: IncarnationId,
     pub(crate) session: SessionId,
     pub(crate) batch: u64,
@@ -42,10 +43,10 @@
     pub(crate) reply: ReplyTo<(Vec<TaskVerdict>, SlotCounts)>,
 }
 
-/// An entry takes attempts back.
+/// An entry withdraws attempts.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct WithdrawalsMade {
+pub(crate) struct WithdrawalRequest {
     pub(crate) entry: IncarnationId,
     pub(crate) session: SessionId,
     pub(crate) after_batch: u64,
@@ -53,61 +54,61 @@
     pub(crate) reply: ReplyTo<(Vec<WithdrawalVerdict>, SlotCounts)>,
 }
 
-/// A heartbeat of another dispatcher.
+/// A heartbeat from another dispatcher.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct BeatTaken {
-    pub(crate) message: BeatMessage,
-    pub(crate) reply: ReplyTo<BeatReply>,
+pub(crate) struct HeartbeatRequest {
+    pub(crate) message: HeartbeatMessage,
+    pub(crate) reply: ReplyTo<HeartbeatReply>,
 }
 
-/// An entry asks whether this dispatcher is alive.
+/// An entry pings this dispatcher, with or without an open session.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct PingTaken {
+pub(crate) struct PingRequest {
     pub(crate) session: Option<(IncarnationId, SessionId)>,
-    /// The revision of the view of the data centre that the entry has.
+    /// The revision of the data-centre view that the entry has.
     pub(crate) revision: u64,
     pub(crate) reply: ReplyTo<PingReply>,
 }
 
-/// An entry asks for parts of customers' shares.
+/// An entry requests grants, which are parts of customers' shares.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct GrantsAsked {
+pub(crate) struct GrantRequest {
     pub(crate) batch: AskBatch,
     pub(crate) reply: ReplyTo<Option<ReplyBatch>>,
 }
 
-/// An earlier owner of endpoints tells what it still runs there.
+/// The previous owner of endpoints reports the tasks that it still runs there.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct HandoverTaken {
+pub(crate) struct HandoverRequest {
     pub(crate) report: HandoverReport,
     pub(crate) reply: ReplyTo<()>,
 }
 
-/// Somebody asks for the VM list.
+/// A peer requests the VM list.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct VmsAsked {
+pub(crate) struct VmListRequest {
     pub(crate) reply: ReplyTo<Vec<VmEntry>>,
 }
 
-/// Somebody asks for contract rows.
+/// A peer or an entry requests the contract rows changed after a head number.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct ContractsAsked {
+pub(crate) struct ContractRequest {
     pub(crate) since: HeadNumber,
-    pub(crate) reply: ReplyTo<ContractNews>,
+    pub(crate) reply: ReplyTo<ContractsReply>,
 }
 
-/// The process begins to stop.
+/// Starts a graceful stop.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct StopBegun;
+pub(crate) struct StopRequest;
 
-/// What still holds the process: 0 when it may end.
+/// Returns the number of running tasks, at least 1 until the ledger is drained; 0 means that the process may exit.
 #[derive(Message)]
 #[rtype(result = "usize")]
-pub(crate) struct StopState;
+pub(crate) struct StopQuery;
--- a/crates/dispatcher/src/control/sessions.rs
+++ b/crates/dispatcher/src/control/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions with entries: offers, asks, reports, withdrawals.
+//! Sessions with entries: offers, claims, reports and withdrawals.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 use peer::PeerError;
 use telemetry::CounterKind;
 
-use super::{DispatcherControl, OffersMade, SessionEnded, SessionOpened, WithdrawalsMade};
+use super::{DispatcherControl, OfferRequest, SessionClosed, SessionRequest, WithdrawalRequest};
 
 impl DispatcherControl {
-    pub(super) fn ask_for_body(
+    pub(super) fn request_body(
         &mut self,
         ctx: &mut Context<Self>,
         entry: IncarnationId,
@@ -29,9 +29,9 @@
         ctx.spawn(answer.map(move |answer, control, ctx| {
             let now = control.clock.now();
             match answer {
-                Ok(body) => control.ledger.on_claimed(now, attempt, claim, body),
+                Ok(body) => control.ledger.on_claim_answered(now, attempt, claim, body),
                 Err(error) => {
-                    log::debug!("dispatcher: ask for {attempt} failed: {error}");
+                    log::debug!("dispatcher: claim of {attempt} failed: {error}");
                     control.ledger.on_claim_failed(now, attempt, claim);
                 }
             }
@@ -49,12 +49,14 @@
         let Some(client) = self.entries.get(entry, session) else {
             return;
         };
-        let confirmed = client.ended(&ends, self.ledger.slots()).into_actor(self);
+        let confirmed = client
+            .report_ends(&ends, self.ledger.slots())
+            .into_actor(self);
         ctx.spawn(confirmed.map(move |confirmed, control, _| {
             if let Err(error) = confirmed {
-                // The ledger repeats them on the entry's next session.
+                // The ledger repeats the reports on the entry's next session.
                 log::debug!(
-                    "dispatcher: {} ends not confirmed by {entry}: {error}",
+                    "dispatcher: {} ends not confirmed by entry {entry}: {error}",
                     ends.len()
                 );
                 return;
@@ -66,30 +68,30 @@
     }
 }
 
-impl Handler<SessionOpened> for DispatcherControl {
+impl Handler<SessionRequest> for DispatcherControl {
     type Result = ();
 
-    fn handle(&mut self, opened: SessionOpened, ctx: &mut Context<Self>) {
-        let SessionOpened {
+    fn handle(&mut self, request: SessionRequest, ctx: &mut Context<Self>) {
+        let SessionRequest {
             entry,
             session,
             reply,
-        } = opened;
+        } = request;
         if let Err(error) = self.ledger.open_session(self.clock.now(), entry, session) {
             let _gone = reply.send(Err(PeerError::Failed(error.to_string())));
             return;
         }
-        log::info!("dispatcher: session {session} of entry {entry} open");
+        log::info!("dispatcher: session {session} of entry {entry} opened");
         let _gone = reply.send(Ok((self.incarnation, self.ledger.slots())));
         self.flush(ctx);
     }
 }
 
-impl Handler<SessionEnded> for DispatcherControl {
+impl Handler<SessionClosed> for DispatcherControl {
     type Result = ();
 
-    fn handle(&mut self, ended: SessionEnded, ctx: &mut Context<Self>) {
-        let SessionEnded { entry, session } = ended;
+    fn handle(&mut self, closed: SessionClosed, ctx: &mut Context<Self>) {
+        let SessionClosed { entry, session } = closed;
         self.entries.remove(entry, session);
         log::info!("dispatcher: session {session} of entry {entry} ended");
         self.ledger
@@ -98,32 +100,36 @@
     }
 }
 
-impl Handler<OffersMade> for DispatcherControl {
+impl Handler<OfferRequest> for DispatcherControl {
     type Result = ();
 
-    fn handle(&mut self, made: OffersMade, ctx: &mut Context<Self>) {
+    fn handle(&mut self, request: OfferRequest, ctx: &mut Context<Self>) {
         let now = self.clock.now();
-        let verdicts = self
-            .ledger
-            .offer(now, made.entry, made.session, made.batch, made.offers);
-        let _gone = made.reply.send(Ok((verdicts, self.ledger.slots())));
+        let verdicts = self.ledger.offer(
+            now,
+            request.entry,
+            request.session,
+            request.batch,
+            request.offers,
+        );
+        let _gone = request.reply.send(Ok((verdicts, self.ledger.slots())));
         self.flush(ctx);
     }
 }
 
-impl Handler<WithdrawalsMade> for DispatcherControl {
+impl Handler<WithdrawalRequest> for DispatcherControl {
     type Result = ();
 
-    fn handle(&mut self, made: WithdrawalsMade, ctx: &mut Context<Self>) {
+    fn handle(&mut self, request: WithdrawalRequest, ctx: &mut Context<Self>) {
         let now = self.clock.now();
         let verdicts = self.ledger.withdraw(
             now,
-            made.entry,
-            made.session,
-            made.after_batch,
-            &made.attempts,
+            request.entry,
+            request.session,
+            request.after_batch,
+            &request.attempts,
         );
-        let _gone = made.reply.send(Ok((verdicts, self.ledger.slots())));
+        let _gone = request.reply.send(Ok((verdicts, self.ledger.slots())));
         self.flush(ctx);
     }
 }
--- a/crates/dispatcher/src/port.rs
+++ b/crates/dispatcher/src/port.rs
@@ -1,24 +1,24 @@
-//! The peer port: turns calls of entries and dispatchers into messages to the control actor.
+//! The peer port: converts calls from entries and dispatchers into messages to the control actor.
 
 use std::{cell::Cell, rc::Rc};
 
 use actix::{Addr, Handler};
 use contracts::HeadNumber;
-use membership::{AskBatch, BeatMessage, BeatReply, HandoverReport, ReplyBatch};
+use membership::{AskBatch, HandoverReport, HeartbeatMessage, HeartbeatReply, ReplyBatch};
 use model::{
     AttemptId, IncarnationId, SessionId, SlotCounts, TaskOffer, TaskVerdict, VmEntry,
     WithdrawalVerdict,
 };
 use peer::{
-    AcceptedPort, ContractNews, DispatcherService, EntryClient, PeerError, PingReply, ReplyFuture,
-    SessionService,
+    AcceptedPort, ContractsReply, DispatcherService, EntryClient, PeerError, PingReply,
+    ReplyFuture, SessionService,
 };
 use tokio::sync::oneshot;
 
 use crate::{
     control::{
-        BeatTaken, ContractsAsked, GrantsAsked, HandoverTaken, OffersMade, PingTaken, SessionEnded,
-        SessionOpened, VmsAsked, WithdrawalsMade,
+        ContractRequest, GrantRequest, HandoverRequest, HeartbeatRequest, OfferRequest,
+        PingRequest, SessionClosed, SessionRequest, VmListRequest, WithdrawalRequest,
     },
     entry_directory::EntryDirectory,
     DispatcherControl,
@@ -31,8 +31,8 @@
     session: Rc<Cell<Option<(IncarnationId, SessionId)>>>,
 }
 
-/// Makes the port of a new connection. The session on it ends with the connection, and not with the port object: what
-/// the library still holds of a broken connection would keep that alive.
+/// Creates the port of a new connection. Its session ends with the connection and not with the port object, because the
+/// RPC library may keep the object of a broken connection alive.
 pub(crate) fn accept(control: Addr<DispatcherControl>, entries: EntryDirectory) -> AcceptedPort {
     let session = Rc::<Cell<Option<_>>>::default();
     let opened = session.clone();
@@ -44,13 +44,13 @@
     });
     let on_closed = Box::new(move || {
         if let Some((entry, session)) = opened.get() {
-            closing.do_send(SessionEnded { entry, session });
+            closing.do_send(SessionClosed { entry, session });
         }
     });
     AcceptedPort { port, on_closed }
 }
 
-/// A session of one connection.
+/// The port of the session on a connection.
 pub(crate) struct SessionPort {
     control: Addr<DispatcherControl>,
     entry: IncarnationId,
@@ -60,7 +60,7 @@
 impl DispatcherService for ConnectionPort {
     type Session = SessionPort;
 
-    fn open(
+    fn open_session(
         &self,
         client: EntryClient,
         entry: IncarnationId,
@@ -69,7 +69,7 @@
         let control = self.control.clone();
         self.session.set(Some((entry, session)));
         self.entries.put(entry, session, client);
-        let answer = ask(&control, |reply| SessionOpened {
+        let answer = ask(&control, |reply| SessionRequest {
             entry,
             session,
             reply,
@@ -88,18 +88,18 @@
         })
     }
 
-    fn find(&self, entry: IncarnationId) -> ReplyFuture<Option<EntryClient>> {
+    fn find_entry(&self, entry: IncarnationId) -> ReplyFuture<Option<EntryClient>> {
         let client = self.entries.find(entry);
         Box::pin(std::future::ready(Ok(client)))
     }
 
-    fn beat(&self, message: BeatMessage) -> ReplyFuture<BeatReply> {
-        ask(&self.control, |reply| BeatTaken { message, reply })
+    fn heartbeat(&self, message: HeartbeatMessage) -> ReplyFuture<HeartbeatReply> {
+        ask(&self.control, |reply| HeartbeatRequest { message, reply })
     }
 
     fn ping(&self, revision: u64) -> ReplyFuture<PingReply> {
         let session = self.session.get();
-        ask(&self.control, |reply| PingTaken {
+        ask(&self.control, |reply| PingRequest {
             session,
             revision,
             reply,
@@ -107,19 +107,19 @@
     }
 
     fn grant(&self, batch: AskBatch) -> ReplyFuture<Option<ReplyBatch>> {
-        ask(&self.control, |reply| GrantsAsked { batch, reply })
+        ask(&self.control, |reply| GrantRequest { batch, reply })
     }
 
     fn handover(&self, report: HandoverReport) -> ReplyFuture<()> {
-        ask(&self.control, |reply| HandoverTaken { report, reply })
+        ask(&self.control, |reply| HandoverRequest { report, reply })
     }
 
     fn vms(&self) -> ReplyFuture<Vec<VmEntry>> {
-        ask(&self.control, |reply| VmsAsked { reply })
+        ask(&self.control, |reply| VmListRequest { reply })
     }
 
-    fn contracts(&self, since: HeadNumber) -> ReplyFuture<ContractNews> {
-        ask(&self.control, |reply| ContractsAsked { since, reply })
+    fn contracts(&self, since: HeadNumber) -> ReplyFuture<ContractsReply> {
+        ask(&self.control, |reply| ContractRequest { since, reply })
     }
 }
 
@@ -130,7 +130,7 @@
         offers: Vec<TaskOffer>,
     ) -> ReplyFuture<(Vec<TaskVerdict>, SlotCounts)> {
         let (entry, session) = (self.entry, self.session);
-        ask(&self.control, |reply| OffersMade {
+        ask(&self.control, |reply| OfferRequest {
             entry,
             session,
             batch,
@@ -145,7 +145,7 @@
         attempts: Vec<AttemptId>,
     ) -> ReplyFuture<(Vec<WithdrawalVerdict>, SlotCounts)> {
         let (entry, session) = (self.entry, self.session);
-        ask(&self.control, |reply| WithdrawalsMade {
+        ask(&self.control, |reply| WithdrawalRequest {
             entry,
             session,
             after_batch,
@@ -155,8 +155,8 @@
     }
 }
 
-/// Sends a message now and gives a future of its answer. `do_send` and not `send`: a full mailbox would otherwise
-/// put the message behind later ones, and a withdrawal could be handled before the offer it withdraws.
+/// Sends a message immediately and returns a future of its answer. With `send` instead of `do_send`, a full mailbox
+/// could put the message behind later ones, and a withdrawal could be handled before the offer it withdraws.
 fn ask<M, T>(
     control: &Addr<DispatcherControl>,
     make: impl FnOnce(oneshot::Sender<Result<T, PeerError>>) -> M,
--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -1,12 +1,12 @@
 //! The control state of an entry.
 
 mod callers;
-mod contract_news;
+mod contract_updates;
+mod event_recorder;
 mod forwarding;
 mod grants;
 mod keys;
 mod messages;
-mod notes;
 mod operators;
 mod sessions;
 mod status;
@@ -39,55 +39,56 @@
 use telemetry::{GaugeKind, MetricSet};
 use tokio::sync::oneshot;
 
-use self::{grants::UsableGrant, notes::EventNotes};
+use self::{event_recorder::EventRecorder, grants::UsableGrant};
 
 pub(crate) use messages::{
-    BodyClaimed, EndsReported, OutcomeAsked, RequestPassed, SlotsTold, StopBegun, StopState,
+    AttemptReport, ClaimRequest, ForwardedRequest, OutcomeRequest, SlotUpdate, StopQuery,
+    StopRequest,
 };
 
-/// The time between two looks at what has become due. It bounds how late an answer leaves after its deadline.
-const TICK: Duration = Duration::from_millis(10);
+/// Interval of the control tick. It bounds how late an answer is sent after its deadline.
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The control state of an entry: submissions, sessions, contracts. It lives on the control thread.
+/// The control state of an entry: submissions, sessions and contracts. The actor runs on the control thread.
 pub struct EntryControl {
     settings: EntrySettings,
     clock: Arc<dyn ClockSource>,
     authority: TaskAuthority,
     contracts: ContractView,
-    contracts_heard: Option<Instant>,
+    contracts_confirmed_at: Option<Instant>,
     grants: GrantHolder,
-    centre: CentreView,
+    centre_view: CentreView,
     own_dispatcher: SocketAddr,
-    usable: FastMap<CustomerId, UsableGrant>,
+    usable_grants: FastMap<CustomerId, UsableGrant>,
     asks_due: bool,
-    dispatchers: FastMap<DispatcherKey, DispatcherSlot>,
-    keys: FastMap<SocketAddr, DispatcherKey>,
-    next_key: u64,
+    dispatchers: FastMap<DispatcherKey, DispatcherRecord>,
+    dispatcher_keys: FastMap<SocketAddr, DispatcherKey>,
+    next_dispatcher_key: u64,
     next_session: u64,
     last_tick: Instant,
     waiters: FastMap<u64, Vec<oneshot::Sender<SubmissionAnswer>>>,
     platform: PlatformClient,
-    notes: EventNotes,
+    events: EventRecorder,
     recorder: KeyRecorder,
     editor: Rc<ContractEditor>,
     ready: Arc<AtomicBool>,
     leaving: Arc<AtomicBool>,
 }
 
-/// A dispatcher that this entry knows of.
-struct DispatcherSlot {
+/// A known dispatcher and the state of the connection to it.
+struct DispatcherRecord {
     address: SocketAddr,
     data_centre: DataCentreId,
     link: LinkState,
-    /// What was told of slots on a session whose opening is not answered yet.
+    /// A slot update that arrived on a session before the answer to its opening.
     early_slots: Option<(SessionId, SlotCounts)>,
-    /// The data centre as it sees it, since the session opened.
-    centre: Option<CentreView>,
+    /// The dispatcher's view of its data centre; `None` until it has sent one on the current session.
+    centre_view: Option<CentreView>,
 }
 
-/// How the connection to a dispatcher stands.
+/// The state of the connection to a dispatcher.
 enum LinkState {
-    /// Not connected; the next try is due at the time.
+    /// Not connected; the next attempt is due at this time.
     Idle(Instant),
     Connecting,
     Open(OpenLink),
@@ -97,11 +98,11 @@
     link: PeerLink,
     client: SessionClient,
     session: SessionId,
-    heard: Instant,
-    pinged: bool,
+    last_heard: Instant,
+    ping_in_flight: bool,
 }
 
-/// What a control actor is made from.
+/// Parameters of [`EntryControl::new`].
 pub(crate) struct ControlParts {
     pub(crate) settings: EntrySettings,
     pub(crate) clock: Arc<dyn ClockSource>,
@@ -121,32 +122,32 @@
         };
         let authority_settings = AuthoritySettings {
             placement,
-            max_open: settings.max_submissions,
+            max_open_submissions: settings.max_submissions,
             max_open_bytes: settings.max_open_bytes,
             max_kept_bytes: settings.max_kept_bytes,
-            keep_outcome: settings.outcome_keep_ms.duration(),
+            outcome_retention: settings.outcome_keep_ms.duration(),
             ..AuthoritySettings::default()
         };
         let data_centre = settings.data_centre.clone();
         let seed = parts.incarnation.0;
-        let own_dispatcher = grants::first_dispatcher(&settings);
+        let own_dispatcher = grants::initial_own_dispatcher(&settings);
         let now = parts.clock.now();
         let mut control = Self {
             authority: TaskAuthority::new(authority_settings, data_centre, parts.incarnation, seed),
             contracts: ContractView::default(),
-            contracts_heard: None,
+            contracts_confirmed_at: None,
             grants: GrantHolder::new(own_dispatcher, parts.incarnation, GrantSettings::default()),
-            centre: CentreView::default(),
+            centre_view: CentreView::default(),
             own_dispatcher,
-            usable: FastMap::default(),
+            usable_grants: FastMap::default(),
             asks_due: false,
             dispatchers: FastMap::default(),
-            keys: FastMap::default(),
-            next_key: 1,
+            dispatcher_keys: FastMap::default(),
+            next_dispatcher_key: 1,
             next_session: 1,
             last_tick: now,
             waiters: FastMap::default(),
-            notes: EventNotes::new(parts.metrics),
+            events: EventRecorder::new(parts.metrics),
             recorder: KeyRecorder::new(parts.platform.clone(), BatcherSettings::default()),
             editor: Rc::new(ContractEditor::new(
                 parts.platform.clone(),
@@ -160,12 +161,12 @@
             settings,
         };
         for peer in control.settings.dispatchers.clone() {
-            control.know_dispatcher(peer.address, peer.data_centre);
+            control.add_dispatcher(peer.address, peer.data_centre);
         }
         control
     }
 
-    /// Carries out what the authority wants done. To be called at the end of each input.
+    /// Carries out the authority's pending actions. To be called at the end of each message handler.
     fn flush(&mut self, ctx: &mut Context<Self>) {
         if self.asks_due {
             self.send_asks(ctx);
@@ -189,25 +190,27 @@
                     self.send_withdrawal(ctx, dispatcher, session, after_batch, attempts);
                 }
                 AuthorityAction::Answer { id, outcome } => self.answer(id, outcome),
-                AuthorityAction::Note(event) => self.take_note(event),
+                AuthorityAction::Event(event) => self.record_event(event),
             }
         }
     }
 
     fn answer(&mut self, id: SubmissionId, outcome: Arc<SubmissionOutcome>) {
-        self.notes.answered(self.clock.now(), id, &outcome);
+        self.events.record_answer(self.clock.now(), id, &outcome);
         let answer = self.own_answer(id, outcome);
         for waiter in self.waiters.remove(&id.serial).into_iter().flatten() {
             let _gone = waiter.send(answer.clone());
         }
     }
 
-    fn take_note(&mut self, event: AuthorityEvent) {
+    fn record_event(&mut self, event: AuthorityEvent) {
         let now = self.clock.now();
         let dispatchers = &self.dispatchers;
-        self.notes.take(now, event, |key| {
-            let address = dispatchers.get(&key).map(|slot| slot.address.to_string());
-            // An address holds only characters that a VM id may have.
+        self.events.record(now, event, |key| {
+            let address = dispatchers
+                .get(&key)
+                .map(|record| record.address.to_string());
+            // An address contains only characters that are valid in a VM id.
             address
                 .and_then(|text| text.parse().ok())
                 .unwrap_or_else(|| self.settings.vm.clone())
@@ -226,21 +229,21 @@
 
     fn tick(&mut self, ctx: &mut Context<Self>) {
         let now = self.clock.now();
-        self.note_own_pause(now);
-        self.tend_sessions(ctx, now);
+        self.detect_own_pause(now);
+        self.maintain_sessions(ctx, now);
         self.authority.tick(now);
         self.tick_grants(ctx, now);
         self.flush(ctx);
-        self.become_ready();
+        self.update_readiness();
         self.set_gauges();
     }
 
     fn set_gauges(&self) {
-        let metrics = self.notes.metrics();
+        let metrics = self.events.metrics();
         let open = self
             .dispatchers
             .values()
-            .filter(|slot| matches!(slot.link, LinkState::Open(_)));
+            .filter(|record| matches!(record.link, LinkState::Open(_)));
         metrics.gauge(GaugeKind::Sessions, open.count() as f64);
         metrics.gauge(
             GaugeKind::OpenSubmissions,
@@ -248,17 +251,19 @@
         );
         metrics.gauge(GaugeKind::GrantsHeld, f64::from(self.grants_held()));
         metrics.gauge(GaugeKind::ContractHead, self.contracts.head().0 as f64);
-        if let Some(heard) = self.contracts_heard {
-            let age = self.clock.now().saturating_duration_since(heard);
+        if let Some(confirmed_at) = self.contracts_confirmed_at {
+            let age = self.clock.now().saturating_duration_since(confirmed_at);
             metrics.gauge(GaugeKind::ContractAge, age.as_secs_f64());
         }
     }
 
-    /// Ready once contracts, slots and the customers' homes are known, until the stop begins. Losing every slot later does not take the
-    /// entry out of the balancer: its callers get a refusal with when to come back, and not no answer at all.
-    fn become_ready(&mut self) {
-        let known =
-            self.contracts.is_ready() && self.centre.revision > 0 && self.authority.has_capacity();
+    /// Sets the entry ready once contracts, slots and the customers' home dispatchers are known, unless a stop has
+    /// begun. Losing all slots later does not take the entry out of the load balancer, so that its callers still get a
+    /// refusal with a retry delay instead of no answer.
+    fn update_readiness(&mut self) {
+        let known = self.contracts.is_ready()
+            && self.centre_view.revision > 0
+            && self.authority.has_capacity();
         if known && !self.leaving.load(Ordering::Relaxed) {
             self.ready.store(true, Ordering::Relaxed);
         }
@@ -286,28 +291,28 @@
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Context<Self>) {
-        ctx.run_interval(TICK, Self::tick);
+        ctx.run_interval(TICK_INTERVAL, Self::tick);
         self.read_vm_list(ctx);
-        // New VMs come and old ones go within minutes; a second is soon enough, and one read a second an entry is
-        // little for the platform.
+        // VMs come and go within minutes, so a read per second is often enough, and one per second and entry is a small
+        // load for the platform.
         ctx.run_interval(Duration::from_secs(1), Self::read_vm_list);
     }
 }
 
-impl Handler<StopBegun> for EntryControl {
+impl Handler<StopRequest> for EntryControl {
     type Result = ();
 
-    fn handle(&mut self, _: StopBegun, _: &mut Context<Self>) {
+    fn handle(&mut self, _: StopRequest, _: &mut Context<Self>) {
         self.begin_stop();
     }
 }
 
-impl Handler<StopState> for EntryControl {
+impl Handler<StopQuery> for EntryControl {
     type Result = usize;
 
-    fn handle(&mut self, state: StopState, ctx: &mut Context<Self>) -> usize {
+    fn handle(&mut self, query: StopQuery, ctx: &mut Context<Self>) -> usize {
         let open = self.authority.open_submissions();
-        if state.cut && open > 0 {
+        if query.answer_open && open > 0 {
             self.authority.stop(self.clock.now());
             self.flush(ctx);
         }
--- a/crates/entry/src/control/callers.rs
+++ b/crates/entry/src/control/callers.rs
@@ -1,9 +1,9 @@
-//! Commands of callers.
+//! Handlers of callers' commands.
 
 use std::{sync::Arc, time::Duration};
 
 use actix::{Context, Handler, ResponseFuture};
-use authority::{CancelReply, SubmissionRefusal, TicketUse};
+use authority::{CancelReply, SubmissionRefusal, TicketStatus};
 use caller_api::{
     CallerAnswer, CancelCommand, CancelResult, OutcomeCommand, SubmissionAnswer, SubmitCommand,
     TicketCommand,
@@ -18,15 +18,15 @@
 
 use super::{keys::KeyedBody, EntryControl};
 
-/// When to come back after a refusal whose end cannot be told better: long enough for a VM to be found gone and for
-/// its endpoints to have another owner.
-const COME_BACK: Duration = Duration::from_secs(1);
+/// Retry delay for a refusal whose end cannot be estimated better: long enough for a lost VM to be detected and for its
+/// endpoints to get another owner.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// An answer on its way.
+/// The future of an answer.
 pub(super) type AnswerFuture = LocalBoxFuture<'static, CallerAnswer>;
 
 impl EntryControl {
-    /// Accepts or refuses a submission and waits for its answer. The caller of this flushes.
+    /// Accepts or refuses a submission and waits for its answer. The caller of this function has to call `flush`.
     pub(super) fn run(
         &mut self,
         body: SubmissionBody,
@@ -35,23 +35,23 @@
     ) -> AnswerFuture {
         match self.accept(body, digest, serial) {
             Ok(id) => self.wait_for(id.serial),
-            Err(refusal) => ready(self.refuse_for(refusal)),
+            Err(refusal) => ready(self.refuse_submission(refusal)),
         }
     }
 
-    /// Refuses before there is a submission, and counts it.
+    /// Refuses a request before there is a submission, and counts the refusal.
     pub(super) fn refuse(&self, reason: RefusalReason) -> CallerAnswer {
-        let retry_after = come_back(reason);
-        self.refuse_for(SubmissionRefusal {
+        let retry_after = default_retry_after(reason);
+        self.refuse_submission(SubmissionRefusal {
             reason,
             retry_after,
         })
     }
 
-    fn refuse_for(&self, cause: SubmissionRefusal) -> CallerAnswer {
-        let answer = refused(cause);
+    fn refuse_submission(&self, cause: SubmissionRefusal) -> CallerAnswer {
+        let answer = refusal_answer(cause);
         if let CallerAnswer::Own(own) = &answer {
-            self.notes.refused(&own.outcome);
+            self.events.count_refusal(&own.outcome);
         }
         answer
     }
@@ -64,14 +64,14 @@
     ) -> Result<SubmissionId, SubmissionRefusal> {
         if !self.contracts.is_ready() {
             let reason = RefusalReason::ConfigNotReady;
-            return Err(SubmissionRefusal::not_now(reason, COME_BACK));
+            return Err(SubmissionRefusal::temporary(reason, DEFAULT_RETRY_AFTER));
         }
         let contract = self
             .contracts
             .get(&body.customer)
             .map(|(version, contract)| (contract, version));
         if let Some((contract, _)) = contract {
-            // The answer has to be with the caller by the deadline, so it leaves a little earlier.
+            // The answer has to reach the caller by the deadline, so it is sent a margin earlier.
             let deadline = body.deadline.unwrap_or_else(|| contract.answer_within());
             if deadline <= contract.answer_within() && !deadline.is_zero() {
                 let margin = self.settings.answer_margin_ms.duration().min(deadline / 2);
@@ -81,11 +81,11 @@
         let now = self.clock.now();
         let customer = body.customer.clone();
         let admitted = self.authority.submit(now, body, digest, contract, serial)?;
-        self.note_demand(now, &customer);
+        self.update_demand(now, &customer);
         Ok(admitted.id)
     }
 
-    /// The contract of a customer whose work may be accepted.
+    /// Returns the contract of a customer whose work may be accepted, or the reason to refuse it.
     pub(super) fn check_customer(&self, customer: &CustomerId) -> Result<&Contract, RefusalReason> {
         if !self.contracts.is_ready() {
             return Err(RefusalReason::ConfigNotReady);
@@ -100,14 +100,14 @@
         }
     }
 
-    /// Waits for the answer of a submission of this entry.
+    /// Waits for the answer to a submission of this entry.
     pub(super) fn wait_for(&mut self, serial: u64) -> AnswerFuture {
         let id = SubmissionId {
             incarnation: self.authority.incarnation(),
             serial,
         };
         match self.authority.outcome(serial) {
-            None => ready(unknown(Some(id))),
+            None => ready(unknown_answer(Some(id))),
             Some(Some(outcome)) => ready(CallerAnswer::Own(self.own_answer(id, outcome))),
             Some(None) => {
                 let (waiter, answer) = oneshot::channel();
@@ -115,14 +115,14 @@
                 Box::pin(async move {
                     match answer.await {
                         Ok(answer) => CallerAnswer::Own(answer),
-                        Err(_) => unknown(Some(id)),
+                        Err(_) => unknown_answer(Some(id)),
                     }
                 })
             }
         }
     }
 
-    /// Runs a request under a ticket of this entry, or gives a second arrival the first one's answer.
+    /// Runs a request under a ticket of this entry, or answers a repeat with the first arrival's answer.
     pub(super) fn run_ticket(
         &mut self,
         ticket: TicketId,
@@ -132,18 +132,18 @@
         let serial = ticket.0.serial;
         match self
             .authority
-            .look_at_ticket(self.clock.now(), serial, &body.customer)
+            .check_ticket(self.clock.now(), serial, &body.customer)
         {
-            TicketUse::Fresh => self.run(body, digest, Some(serial)),
-            TicketUse::Used => self.run_again(serial, body, digest),
-            TicketUse::WrongCustomer => ready(self.refuse(RefusalReason::KeyReused)),
-            TicketUse::Forgotten => ready(unknown(Some(ticket.0))),
+            TicketStatus::Unused => self.run(body, digest, Some(serial)),
+            TicketStatus::Used => self.run_repeat(serial, body, digest),
+            TicketStatus::WrongCustomer => ready(self.refuse(RefusalReason::KeyReused)),
+            TicketStatus::Unknown => ready(unknown_answer(Some(ticket.0))),
         }
     }
 
-    /// A later arrival of a request: it gets the first one's answer, if it has the same body. Where the first was
-    /// refused, nothing ran, and the request runs now under the same authority.
-    pub(super) fn run_again(
+    /// Handles a repeat of a request: it gets the first arrival's answer if it has the same body, and is refused
+    /// otherwise. If the first was refused, nothing ran, and the request runs now under the same serial.
+    pub(super) fn run_repeat(
         &mut self,
         serial: u64,
         body: SubmissionBody,
@@ -159,7 +159,7 @@
         if self.authority.is_refused(serial) {
             return self.run(body, digest, Some(serial));
         }
-        self.notes.metrics().count(CounterKind::SecondArrivals, 1);
+        self.events.metrics().count(CounterKind::SecondArrivals, 1);
         self.wait_for(serial)
     }
 }
@@ -210,14 +210,14 @@
 }
 
 impl EntryControl {
-    /// How a submission of this entry stands now.
+    /// Returns the current state of a submission of this entry.
     pub(super) fn outcome_now(&self, serial: u64) -> CallerAnswer {
         let id = SubmissionId {
             incarnation: self.authority.incarnation(),
             serial,
         };
         match self.authority.outcome(serial) {
-            None => unknown(Some(id)),
+            None => unknown_answer(Some(id)),
             Some(None) => CallerAnswer::Pending(id),
             Some(Some(outcome)) => CallerAnswer::Own(self.own_answer(id, outcome)),
         }
@@ -245,16 +245,16 @@
     Box::pin(std::future::ready(answer))
 }
 
-/// A refusal before there was a submission. Nothing ran.
+/// The answer to a request refused before there was a submission. Nothing ran.
 pub(super) fn refusal(reason: RefusalReason) -> CallerAnswer {
-    refused(SubmissionRefusal {
+    refusal_answer(SubmissionRefusal {
         reason,
-        retry_after: come_back(reason),
+        retry_after: default_retry_after(reason),
     })
 }
 
-/// A refusal with what its cause told of when to come back.
-fn refused(refusal: SubmissionRefusal) -> CallerAnswer {
+/// The answer for a refusal, with its reason and retry delay.
+fn refusal_answer(refusal: SubmissionRefusal) -> CallerAnswer {
     let SubmissionRefusal {
         reason,
         retry_after,
@@ -271,21 +271,21 @@
     })
 }
 
-/// When to come back after a refusal whose end cannot be told better.
-pub(super) fn come_back(reason: RefusalReason) -> Option<Duration> {
+/// The retry delay for a refusal whose end cannot be estimated better; `None` for reasons without one.
+pub(super) fn default_retry_after(reason: RefusalReason) -> Option<Duration> {
     match reason {
-        // Another VM takes it at once.
+        // Another VM can take the request at once.
         RefusalReason::Stopping => Some(Duration::ZERO),
         RefusalReason::Overloaded
         | RefusalReason::NoCapacity
         | RefusalReason::KeyNotRecorded
-        | RefusalReason::ConfigNotReady => Some(COME_BACK),
+        | RefusalReason::ConfigNotReady => Some(DEFAULT_RETRY_AFTER),
         _ => None,
     }
 }
 
-/// The entry that could tell is gone, or has forgotten.
-pub(super) fn unknown(id: Option<SubmissionId>) -> CallerAnswer {
+/// The answer when the entry that knew the outcome cannot be reached or no longer has it.
+pub(super) fn unknown_answer(id: Option<SubmissionId>) -> CallerAnswer {
     CallerAnswer::Own(SubmissionAnswer {
         id,
         job: false,
--- a/crates/entry/src/control/notes.rs
+++ b/crates/entry/src/control/event_recorder.rs
@@ -1,25 +1,26 @@
-//! What the authority notes, as metrics and as the history that `explain` shows.
+//! Records the authority's events as metrics and as the history that `explain` shows.
 
 use std::{sync::Arc, time::Instant};
 
 use authority::{AuthorityEvent, DispatcherKey};
 use model::{ByteSize, FastMap, SubmissionId, SubmissionOutcome, VmId};
 use telemetry::{
-    CounterKind, ExplainEvent, ExplainHistory, ExplainReport, MetricSet, SubmissionNote, TimeKind,
+    CounterKind, ExplainEvent, ExplainHistory, ExplainReport, MetricSet, SubmissionSummary,
+    TimeKind,
 };
 
-/// The memory for the histories of submissions, in bytes. A job of 40 tasks takes some 10 KB, so the last thousand or so
-/// can be explained.
+/// Memory limit for the histories of submissions, in bytes. A job of 40 tasks takes about 10 KB, so about the last
+/// thousand can be explained.
 const HISTORY_LIMIT: ByteSize = ByteSize(8 * 1024 * 1024);
 
-/// Counters and histories of one entry.
-pub(crate) struct EventNotes {
+/// Metrics and submission histories of one entry.
+pub(crate) struct EventRecorder {
     metrics: Arc<MetricSet>,
     history: ExplainHistory,
     accepted: FastMap<SubmissionId, Instant>,
 }
 
-impl EventNotes {
+impl EventRecorder {
     pub(crate) fn new(metrics: Arc<MetricSet>) -> Self {
         Self {
             metrics,
@@ -36,28 +37,33 @@
         self.history.explain(id)
     }
 
-    /// A submission was refused before it had an id.
-    pub(crate) fn refused(&self, outcome: &SubmissionOutcome) {
+    /// Counts a refusal of a submission that had no id yet.
+    pub(crate) fn count_refusal(&self, outcome: &SubmissionOutcome) {
         self.metrics.answered(outcome);
     }
 
-    /// A message about tasks left this process.
-    pub(crate) fn sent(&self, messages: u64) {
+    /// Counts messages about tasks sent by this process.
+    pub(crate) fn count_sent(&self, messages: u64) {
         self.metrics.count(CounterKind::Messages, messages);
     }
 
-    /// A message that led to no start.
-    pub(crate) fn wasted(&self, messages: u64) {
+    /// Counts messages that did not lead to a start.
+    pub(crate) fn count_wasted(&self, messages: u64) {
         self.metrics.count(CounterKind::WastedMessages, messages);
     }
 
-    pub(crate) fn answered(&mut self, now: Instant, id: SubmissionId, outcome: &SubmissionOutcome) {
+    pub(crate) fn record_answer(
+        &mut self,
+        now: Instant,
+        id: SubmissionId,
+        outcome: &SubmissionOutcome,
+    ) {
         self.metrics.answered(outcome);
         if let Some(accepted) = self.accepted.remove(&id) {
             self.metrics
                 .time(TimeKind::Response, now.saturating_duration_since(accepted));
         }
-        self.history.note(
+        self.history.record(
             id,
             ExplainEvent::Answered {
                 outcome: outcome.into(),
@@ -66,7 +72,7 @@
         );
     }
 
-    pub(crate) fn take(
+    pub(crate) fn record(
         &mut self,
         now: Instant,
         event: AuthorityEvent,
@@ -81,13 +87,13 @@
             } => {
                 self.metrics.submitted(&customer);
                 self.accepted.insert(id, now);
-                let note = SubmissionNote {
+                let note = SubmissionSummary {
                     customer,
                     contract: Some(version),
                     tasks,
                 };
                 self.history.accept(id, note, now);
-                self.history.note(id, ExplainEvent::Admitted, now);
+                self.history.record(id, ExplainEvent::Admitted, now);
             }
             AuthorityEvent::Refused { .. } | AuthorityEvent::Answered(_) => {}
             AuthorityEvent::Offered(attempt, dispatcher) => {
@@ -96,17 +102,17 @@
                     task: attempt.task,
                     dispatcher: address_of(dispatcher),
                 };
-                self.history.note(attempt.submission, offered, now);
+                self.history.record(attempt.submission, offered, now);
             }
             AuthorityEvent::Queued(attempt) => {
-                self.history.note(
+                self.history.record(
                     attempt.submission,
                     ExplainEvent::Queued { task: attempt.task },
                     now,
                 );
             }
             AuthorityEvent::Claimed(attempt) => {
-                self.history.note(
+                self.history.record(
                     attempt.submission,
                     ExplainEvent::Claimed { task: attempt.task },
                     now,
@@ -117,7 +123,7 @@
                     task: attempt.task,
                     attempt: attempt.attempt,
                 };
-                self.history.note(attempt.submission, started, now);
+                self.history.record(attempt.submission, started, now);
             }
             AuthorityEvent::Ended(attempt, end) => {
                 let end = (&end).into();
@@ -126,13 +132,13 @@
                     attempt: attempt.attempt,
                     end,
                 };
-                self.history.note(attempt.submission, ended, now);
+                self.history.record(attempt.submission, ended, now);
             }
             AuthorityEvent::Retried(attempt, reason) => {
                 self.metrics.retried(reason);
-                // The offer that came to nothing, and its answer.
-                self.wasted(2);
-                log::debug!("entry: {attempt} is placed again: {reason}");
+                // The offer that led to no start, and its answer.
+                self.count_wasted(2);
+                log::debug!("entry: retrying {attempt}: {reason}");
             }
         }
     }
--- a/crates/entry/src/process.rs
+++ b/crates/entry/src/process.rs
@@ -20,18 +20,18 @@
 use telemetry::MetricSet;
 
 use crate::{
-    control::{ControlParts, EntryControl, StopBegun, StopState},
+    control::{ControlParts, EntryControl, StopQuery, StopRequest},
     EntryError,
 };
 
-/// The name under which an entry's control actor is found.
+/// The name under which the entry's control actor is registered.
 const CONTROL_SERVICE: ServiceName = ServiceName("entry.control");
 
-/// The time between two looks at whether a stopping process may end.
-const DRAIN_LOOK: Duration = Duration::from_millis(50);
+/// Interval at which a stopping process checks whether all submissions have been answered.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The time that answers have to leave after the last submission has its answer, in seconds.
-const LAST_ANSWERS_SECS: u64 = 5;
+/// Time for the HTTP server to send the last answers once every submission has been answered, in seconds.
+const SHUTDOWN_TIMEOUT_SECS: u64 = 5;
 
 /// A running entry.
 pub struct EntryProcess {
@@ -42,48 +42,48 @@
 }
 
 impl EntryProcess {
-    /// Where callers connect.
+    /// The address that callers connect to.
     pub fn caller_address(&self) -> SocketAddr {
         self.caller_address
     }
 
-    /// Leaves without cutting a request: says "not ready" while the listener still takes connections, so that the
-    /// balancer turns away; then waits for the answers of what was accepted, at most for the drain limit. Returns how
-    /// many submissions were cut, each answered with how it stood.
+    /// Stops gracefully: reports "not ready" while the listener still accepts connections, so that the load balancer
+    /// stops sending requests, and then waits for accepted submissions to be answered, at most for the drain limit.
+    /// Returns the number of submissions that were cut off at the limit; each is answered with its state at that time.
     pub async fn stop(self) -> usize {
-        self.control.do_send(StopBegun);
+        self.control.do_send(StopRequest);
         actix_rt::time::sleep(self.drain.notice_ms.duration()).await;
         let limit = Instant::now() + self.drain.limit_ms.duration();
         let mut open = usize::MAX;
         while open > 0 && Instant::now() < limit {
             open = self
                 .control
-                .send(StopState { cut: false })
+                .send(StopQuery { answer_open: false })
                 .await
                 .unwrap_or(0);
             if open > 0 {
-                actix_rt::time::sleep(DRAIN_LOOK).await;
+                actix_rt::time::sleep(DRAIN_POLL_INTERVAL).await;
             }
         }
         if open > 0 {
-            log::warn!("entry: stop limit reached, {open} submissions cut");
-            self.control.do_send(StopState { cut: true });
+            log::warn!("entry: drain limit reached, {open} submissions cut off");
+            self.control.do_send(StopQuery { answer_open: true });
         }
         self.server.stop(true).await;
         open
     }
 
-    /// Ends at once, as a killed process would.
-    pub async fn end(self) {
+    /// Stops at once, as a killed process would.
+    pub async fn abort(self) {
         self.server.stop(false).await;
     }
 }
 
-/// Starts an entry within the running actix system. Port 0 takes any free port.
+/// Starts an entry within the running actix system. Port 0 selects any free port.
 ///
 /// # Errors
 ///
-/// The address cannot be listened on.
+/// The listener cannot be bound to its address, or the server or the metrics cannot be set up.
 pub fn start(
     settings: EntrySettings,
     clock: Arc<dyn ClockSource>,
@@ -126,13 +126,13 @@
         let metrics = web::Data::from(metrics.clone());
         App::new()
             .app_data(metrics)
-            .route("/metrics", web::get().to(show_metrics))
+            .route("/metrics", web::get().to(serve_metrics))
             .configure(move |config| caller_routes(config, api, max_body))
             .configure(move |config| operators::configure(config, operators))
     })
     .workers(threads)
     .disable_signals()
-    .shutdown_timeout(LAST_ANSWERS_SECS)
+    .shutdown_timeout(SHUTDOWN_TIMEOUT_SECS)
     .listen(listener)?
     .run();
     let handle = server.handle();
@@ -150,7 +150,7 @@
     })
 }
 
-async fn show_metrics(metrics: web::Data<MetricSet>) -> HttpResponse {
+async fn serve_metrics(metrics: web::Data<MetricSet>) -> HttpResponse {
     match metrics.render() {
         Ok(page) => HttpResponse::Ok()
             .content_type("text/plain; version=0.0.4")
@@ -159,7 +159,7 @@
     }
 }
 
-/// Runs an entry until a signal ends it.
+/// Runs an entry until a signal stops it.
 ///
 /// # Errors
 ///
@@ -170,9 +170,9 @@
         let process = start(settings, Arc::new(SystemClock))?;
         signals.wait().await;
         match signals.wait_beside(process.stop()).await {
-            Some(0) => log::info!("entry: stopped, nothing cut"),
-            Some(cut) => log::warn!("entry: stopped, {cut} submissions cut"),
-            None => log::warn!("entry: second signal, stopped at once"),
+            Some(0) => log::info!("entry: stopped, all submissions answered"),
+            Some(cut) => log::warn!("entry: stopped, {cut} submissions cut off"),
+            None => log::warn!("entry: stopped at once on a second signal"),
         }
         Ok(())
     })
--- a/crates/ledger/tests/at_most_once/world.rs
+++ b/crates/ledger/tests/at_most_once/world.rs
@@ -1,4 +1,4 @@
-//! The network and the endpoints around one authority and two ledgers.
+//! The simulated network and endpoints around one authority and two ledgers.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -14,14 +14,14 @@
     WithdrawalVerdict,
 };
 
-/// Something that happens.
+/// One event of the simulation.
 #[derive(Clone, Debug)]
 pub(crate) enum WorldStep {
     SubmitJob(u32),
     SubmitRequest,
-    /// The caller comes back with a submission that was refused.
+    /// The caller submits a refused submission again.
     SubmitAgain(u64),
-    /// The next message on the way to a dispatcher arrives, or the one behind it first.
+    /// The next message in flight to a dispatcher arrives, or the one behind it first.
     ToDispatcher {
         to: usize,
         second: bool,
@@ -30,16 +30,16 @@
         from: usize,
         second: bool,
     },
-    /// A message that was on a broken connection is read all the same.
-    OldBytes(usize),
-    OldMail(usize),
+    /// A message of a broken connection is still read.
+    DeliverStaleToDispatcher(usize),
+    DeliverStaleToEntry(usize),
     EndTask {
         task: usize,
         fate: TaskFate,
     },
-    Pass(u64),
+    Advance(u64),
     LoseConnection(usize),
-    DispatcherNotices(usize),
+    DispatcherDetectsLoss(usize),
     Connect(usize),
     Kill(usize),
     Cancel(u64),
@@ -91,10 +91,10 @@
     session: Option<SessionId>,
     to_dispatcher: VecDeque<ToDispatcher>,
     to_entry: VecDeque<ToEntry>,
-    unnoticed: Option<SessionId>,
+    undetected_loss: Option<SessionId>,
 }
 
-/// What runs on an endpoint, and for which dispatcher's life.
+/// A task that runs on an endpoint, and the dispatcher incarnation that started it.
 struct RunningTask {
     dispatcher: usize,
     incarnation: IncarnationId,
@@ -105,35 +105,35 @@
     now: Instant,
     authority: TaskAuthority,
     dispatchers: Vec<Dispatcher>,
-    old_bytes: VecDeque<(usize, IncarnationId, ToDispatcher)>,
-    /// What the entry had taken off a connection before it gave the session up, and handles after.
-    old_mail: VecDeque<(usize, ToEntry)>,
-    /// Attempts that a dispatcher has promised not to start.
-    promised: BTreeSet<AttemptId>,
+    stale_to_dispatcher: VecDeque<(usize, IncarnationId, ToDispatcher)>,
+    /// Messages that the entry had received before it closed the session, and handles afterwards.
+    stale_to_entry: VecDeque<(usize, ToEntry)>,
+    /// Attempts whose withdrawal a dispatcher has confirmed, so that they must not start.
+    withdrawn: BTreeSet<AttemptId>,
     running: Vec<RunningTask>,
-    /// Starts by (serial, task); one that the endpoint turned away as busy is taken out again.
+    /// The number of starts by (serial, task). A start that the endpoint rejected as busy is subtracted again.
     started: BTreeMap<(u64, u32), u32>,
     answers: BTreeMap<u64, SubmissionOutcome>,
-    sizes: BTreeMap<u64, (bool, u32)>,
+    submissions: BTreeMap<u64, (bool, u32)>,
     next_session: u64,
     next_incarnation: u64,
-    faults: Vec<String>,
+    violations: Vec<String>,
 }
 
 const ENTRY: IncarnationId = IncarnationId(1);
 
-/// What each task is said to have run: far below the deadlines, so that none is refused for it.
-const RAN: Duration = Duration::from_millis(50);
+/// The reported run time of each task: far below the deadlines, so that no task is refused for it.
+const RUN_TIME: Duration = Duration::from_millis(50);
 
 fn customer() -> CustomerId {
     "school".parse().expect("a customer id")
 }
 
 fn new_ledger(now: Instant, number: usize) -> SlotLedger {
-    // Pings are not part of this world.
-    let entry_silence = Duration::from_secs(3600);
+    // Pings are not simulated.
+    let session_timeout = Duration::from_secs(3600);
     let mut ledger = SlotLedger::new(LedgerSettings {
-        entry_silence,
+        session_timeout,
         ..LedgerSettings::default()
     });
     let address = EndpointAddress {
@@ -160,16 +160,16 @@
             now,
             authority,
             dispatchers: Vec::new(),
-            old_bytes: VecDeque::new(),
-            old_mail: VecDeque::new(),
-            promised: BTreeSet::new(),
+            stale_to_dispatcher: VecDeque::new(),
+            stale_to_entry: VecDeque::new(),
+            withdrawn: BTreeSet::new(),
             running: Vec::new(),
             started: BTreeMap::new(),
             answers: BTreeMap::new(),
-            sizes: BTreeMap::new(),
+            submissions: BTreeMap::new(),
             next_session: 1,
             next_incarnation: 100,
-            faults: Vec::new(),
+            violations: Vec::new(),
         };
         for number in 0..2 {
             let dispatcher = world.new_dispatcher(number);
@@ -179,23 +179,23 @@
         world
     }
 
-    pub(crate) fn faults(&self) -> &[String] {
-        &self.faults
+    pub(crate) fn violations(&self) -> &[String] {
+        &self.violations
     }
 
-    pub(crate) fn take(&mut self, step: WorldStep) {
+    pub(crate) fn apply(&mut self, step: WorldStep) {
         match step {
             WorldStep::SubmitJob(tasks) => self.submit(true, tasks),
             WorldStep::SubmitRequest => self.submit(false, 1),
             WorldStep::SubmitAgain(serial) => self.submit_again(serial),
             WorldStep::ToDispatcher { to, second } => self.deliver_to_dispatcher(to, second),
             WorldStep::ToEntry { from, second } => self.deliver_to_entry(from, second),
-            WorldStep::OldBytes(index) => self.deliver_old(index),
-            WorldStep::OldMail(index) => self.deliver_old_mail(index),
+            WorldStep::DeliverStaleToDispatcher(index) => self.deliver_stale_to_dispatcher(index),
+            WorldStep::DeliverStaleToEntry(index) => self.deliver_stale_to_entry(index),
             WorldStep::EndTask { task, fate } => self.end_task(task, fate),
-            WorldStep::Pass(millis) => self.pass(Duration::from_millis(millis)),
-            WorldStep::LoseConnection(number) => self.lose(number),
-            WorldStep::DispatcherNotices(number) => self.notice(number),
+            WorldStep::Advance(millis) => self.advance(Duration::from_millis(millis)),
+            WorldStep::LoseConnection(number) => self.lose_connection(number),
+            WorldStep::DispatcherDetectsLoss(number) => self.detect_loss(number),
             WorldStep::Connect(number) => self.connect(number),
             WorldStep::Kill(number) => self.kill(number),
             WorldStep::Cancel(serial) => {
@@ -205,37 +205,37 @@
         self.flush();
     }
 
-    /// Lets everything come to rest, so that every submission has its answer.
-    pub(crate) fn settle(&mut self) {
+    /// Delivers all messages and ends all tasks, so that every submission gets its answer.
+    pub(crate) fn run_to_completion(&mut self) {
         for _ in 0..400 {
             for number in 0..2 {
                 if self.dispatchers[number].session.is_none() {
-                    self.take(WorldStep::Connect(number));
+                    self.apply(WorldStep::Connect(number));
                 }
-                self.take(WorldStep::ToDispatcher {
+                self.apply(WorldStep::ToDispatcher {
                     to: number,
                     second: false,
                 });
-                self.take(WorldStep::ToEntry {
+                self.apply(WorldStep::ToEntry {
                     from: number,
                     second: false,
                 });
             }
-            self.take(WorldStep::EndTask {
+            self.apply(WorldStep::EndTask {
                 task: 0,
                 fate: TaskFate::Done,
             });
-            self.take(WorldStep::OldBytes(0));
-            self.take(WorldStep::Pass(25));
+            self.apply(WorldStep::DeliverStaleToDispatcher(0));
+            self.apply(WorldStep::Advance(25));
         }
         let open: Vec<u64> = self
-            .sizes
+            .submissions
             .keys()
             .filter(|serial| !self.answers.contains_key(serial))
             .copied()
             .collect();
         for serial in open {
-            self.faults
+            self.violations
                 .push(format!("submission {serial} has no answer"));
         }
         for (serial, outcome) in self.answers.clone() {
@@ -243,13 +243,13 @@
         }
         let left = self.authority.attempts();
         if !left.is_empty() {
-            self.faults
+            self.violations
                 .push(format!("attempts hold concurrency for ever: {left:?}"));
         }
     }
 
     fn check_answer(&mut self, serial: u64, outcome: &SubmissionOutcome) {
-        let (_, tasks) = self.sizes[&serial];
+        let (_, tasks) = self.submissions[&serial];
         let starts = |task| {
             self.started
                 .get(&(serial, task))
@@ -260,16 +260,17 @@
             SubmissionOutcome::Refused { .. } => {
                 let ran = (0..tasks).any(|task| starts(task) > 0);
                 if ran {
-                    self.faults
-                        .push(format!("submission {serial} was told not run and ran"));
+                    self.violations
+                        .push(format!("submission {serial} was answered not run but ran"));
                 }
             }
             SubmissionOutcome::Complete(results) => {
                 let want: Vec<TaskResult> =
                     (0..tasks).map(|task| result_of(serial, task)).collect();
                 if *results != want {
-                    self.faults
-                        .push(format!("submission {serial} got another answer"));
+                    self.violations.push(format!(
+                        "submission {serial} got the results of another submission"
+                    ));
                 }
             }
             SubmissionOutcome::Failed(FailureReason::TaskFailed | FailureReason::TaskUnknown)
@@ -286,7 +287,7 @@
             session: None,
             to_dispatcher: VecDeque::new(),
             to_entry: VecDeque::new(),
-            unnoticed: None,
+            undetected_loss: None,
         }
     }
 
@@ -299,7 +300,7 @@
         if !self.authority.is_refused(serial) {
             return;
         }
-        if let Some((job, tasks)) = self.sizes.get(&serial).copied() {
+        if let Some((job, tasks)) = self.submissions.get(&serial).copied() {
             self.submit_as(serial, job, tasks);
         }
     }
@@ -333,7 +334,7 @@
             .submit(self.now, body, 0, terms, Some(serial))
             .is_ok()
         {
-            self.sizes.insert(serial, (job, tasks));
+            self.submissions.insert(serial, (job, tasks));
             self.answers.remove(&serial);
         }
     }
@@ -380,11 +381,11 @@
                         .insert(id.serial, outcome.as_ref().clone())
                         .is_some()
                     {
-                        self.faults
+                        self.violations
                             .push(format!("submission {} was answered twice", id.serial));
                     }
                 }
-                AuthorityAction::Note(_) => {}
+                AuthorityAction::Event(_) => {}
             }
         }
         for number in 0..self.dispatchers.len() {
@@ -440,11 +441,11 @@
     fn start(&mut self, dispatcher: usize, incarnation: IncarnationId, offer: &TaskOffer) {
         let attempt = offer.attempt;
         if offer.payload != result_of(attempt.submission.serial, attempt.task).payload {
-            self.faults
-                .push(format!("{attempt} started with another body"));
+            self.violations
+                .push(format!("{attempt} started with the body of another task"));
         }
-        if self.promised.contains(&attempt) {
-            self.faults.push(format!(
+        if self.withdrawn.contains(&attempt) {
+            self.violations.push(format!(
                 "{attempt} started after its withdrawal was confirmed"
             ));
         }
@@ -454,7 +455,8 @@
             .or_default();
         *starts += 1;
         if *starts > 1 {
-            self.faults.push(format!("{attempt} is a second start"));
+            self.violations
+                .push(format!("{attempt} started a second time"));
         }
         self.running.push(RunningTask {
             dispatcher,
@@ -480,13 +482,13 @@
         };
         let dispatcher = &mut self.dispatchers[task.dispatcher];
         if dispatcher.incarnation == task.incarnation {
-            dispatcher.ledger.on_ran(self.now, task.attempt, end);
+            dispatcher.ledger.on_task_ended(self.now, task.attempt, end);
         }
     }
 
     fn deliver_to_dispatcher(&mut self, number: usize, second: bool) {
         let queue = &mut self.dispatchers[number].to_dispatcher;
-        if let Some(message) = take_one(queue, second) {
+        if let Some(message) = pop_message(queue, second) {
             self.handle_at_dispatcher(number, message);
         }
     }
@@ -517,7 +519,7 @@
                 let verdicts: Vec<_> = attempts.into_iter().zip(verdicts).collect();
                 for (attempt, verdict) in &verdicts {
                     if *verdict == WithdrawalVerdict::NotRun {
-                        self.promised.insert(*attempt);
+                        self.withdrawn.insert(*attempt);
                     }
                 }
                 (dispatcher.session == Some(session)).then_some(ToEntry::Withdrawn(verdicts))
@@ -527,7 +529,9 @@
                 claim,
                 body,
             } => {
-                dispatcher.ledger.on_claimed(now, attempt, claim, body);
+                dispatcher
+                    .ledger
+                    .on_claim_answered(now, attempt, claim, body);
                 None
             }
             ToDispatcher::Confirmed(attempt) => {
@@ -539,18 +543,18 @@
     }
 
     fn deliver_to_entry(&mut self, number: usize, second: bool) {
-        if let Some(message) = take_one(&mut self.dispatchers[number].to_entry, second) {
+        if let Some(message) = pop_message(&mut self.dispatchers[number].to_entry, second) {
             if let Some(answer) = self.handle_at_entry(message) {
                 self.dispatchers[number].to_dispatcher.push_back(answer);
             }
         }
     }
 
-    /// Gives what goes back on the connection, which for old mail is gone.
+    /// Returns the answer that is sent on the connection. For stale messages that connection is gone.
     fn handle_at_entry(&mut self, message: ToEntry) -> Option<ToDispatcher> {
         match message {
             ToEntry::Verdicts(verdicts) => {
-                self.authority.on_verdicts(self.now, &verdicts);
+                self.authority.on_offer_replies(self.now, &verdicts);
                 None
             }
             ToEntry::Withdrawn(verdicts) => {
@@ -570,31 +574,31 @@
                 })
             }
             ToEntry::Ended(attempt, end) => {
-                self.authority.on_ended(self.now, attempt, end, RAN);
+                self.authority.on_ended(self.now, attempt, end, RUN_TIME);
                 Some(ToDispatcher::Confirmed(attempt))
             }
         }
     }
 
-    fn deliver_old_mail(&mut self, index: usize) {
-        if self.old_mail.is_empty() {
+    fn deliver_stale_to_entry(&mut self, index: usize) {
+        if self.stale_to_entry.is_empty() {
             return;
         }
-        let index = index % self.old_mail.len();
-        if let Some((_, message)) = self.old_mail.remove(index) {
+        let index = index % self.stale_to_entry.len();
+        if let Some((_, message)) = self.stale_to_entry.remove(index) {
             let _connection_gone = self.handle_at_entry(message);
         }
     }
 
-    fn deliver_old(&mut self, index: usize) {
-        if self.old_bytes.is_empty() {
+    fn deliver_stale_to_dispatcher(&mut self, index: usize) {
+        if self.stale_to_dispatcher.is_empty() {
             return;
         }
-        let index = index % self.old_bytes.len();
-        let Some((number, incarnation, message)) = self.old_bytes.remove(index) else {
+        let index = index % self.stale_to_dispatcher.len();
+        let Some((number, incarnation, message)) = self.stale_to_dispatcher.remove(index) else {
             return;
         };
-        // A confirmation or a body is the answer to a call, and goes with the connection of that call.
+        // A confirmation or a body answers a call and is lost with the connection of that call.
         let call = matches!(
             message,
             ToDispatcher::Offer { .. } | ToDispatcher::Withdraw { .. }
@@ -604,7 +608,7 @@
         }
     }
 
-    fn pass(&mut self, by: Duration) {
+    fn advance(&mut self, by: Duration) {
         self.now += by;
         self.authority.tick(self.now);
         for dispatcher in &mut self.dispatchers {
@@ -612,31 +616,32 @@
         }
     }
 
-    fn lose(&mut self, number: usize) {
+    fn lose_connection(&mut self, number: usize) {
         let dispatcher = &mut self.dispatchers[number];
         let Some(session) = dispatcher.session.take() else {
             return;
         };
         let incarnation = dispatcher.incarnation;
-        dispatcher.unnoticed = Some(session);
-        let mail = std::mem::take(&mut dispatcher.to_entry);
-        self.old_mail
-            .extend(mail.into_iter().map(|message| (number, message)));
+        dispatcher.undetected_loss = Some(session);
+        let unread = std::mem::take(&mut dispatcher.to_entry);
+        self.stale_to_entry
+            .extend(unread.into_iter().map(|message| (number, message)));
         for message in std::mem::take(&mut self.dispatchers[number].to_dispatcher) {
             if let ToDispatcher::Body { attempt, claim, .. } = &message {
                 self.dispatchers[number]
                     .ledger
                     .on_claim_failed(self.now, *attempt, *claim);
             }
-            self.old_bytes.push_back((number, incarnation, message));
+            self.stale_to_dispatcher
+                .push_back((number, incarnation, message));
         }
         self.authority
             .on_session_lost(self.now, DispatcherKey(number as u64), session);
     }
 
-    fn notice(&mut self, number: usize) {
+    fn detect_loss(&mut self, number: usize) {
         let dispatcher = &mut self.dispatchers[number];
-        if let Some(session) = dispatcher.unnoticed.take() {
+        if let Some(session) = dispatcher.undetected_loss.take() {
             dispatcher.ledger.on_session_lost(self.now, ENTRY, session);
         }
     }
@@ -662,7 +667,7 @@
     }
 
     fn kill(&mut self, number: usize) {
-        self.lose(number);
+        self.lose_connection(number);
         self.dispatchers[number] = self.new_dispatcher(number);
     }
 }
@@ -673,7 +678,7 @@
     }
 }
 
-fn take_one<T>(queue: &mut VecDeque<T>, second: bool) -> Option<T> {
+fn pop_message<T>(queue: &mut VecDeque<T>, second: bool) -> Option<T> {
     let index = usize::from(second && queue.len() > 1);
     queue.remove(index)
 }
--- a/crates/ledger/tests/handover.rs
+++ b/crates/ledger/tests/handover.rs
@@ -52,30 +52,30 @@
     ledger
 }
 
-// The caller at the new owner waits for a slot and is not turned away by a full endpoint. The old owner's tasks fill
-// it; one slot goes free by a report, and the task that waited is asked for.
+// The previous owner's tasks fill the endpoint. A caller at the new owner must wait for a slot instead of being
+// rejected by a full endpoint; when a report frees one slot, the waiting task is claimed.
 #[test]
-fn slots_of_an_earlier_owner_are_not_given_out() {
+fn slots_used_by_a_previous_owner_are_not_assigned() {
     let now = Instant::now();
     let mut ledger = ledger(now);
-    ledger.set_outside(now, used(2));
+    ledger.set_previous_owner_slots(now, used(2));
     assert_eq!(ledger.slots().running, 2);
     assert_eq!(ledger.slots().limit, 2);
     let verdicts = ledger.offer(now, ENTRY, SESSION, 1, vec![offer(1)]);
     assert_eq!(verdicts, [TaskVerdict::Queued]);
     assert!(ledger.take_actions().is_empty());
-    ledger.set_outside(now, used(1));
+    ledger.set_previous_owner_slots(now, used(1));
     let actions = ledger.take_actions();
     assert!(matches!(actions[..], [LedgerAction::Claim { .. }]));
-    ledger.set_outside(now, FastMap::default());
+    ledger.set_previous_owner_slots(now, FastMap::default());
     let slots = ledger.slots();
     assert_eq!((slots.running, slots.limit), (1, 2));
 }
 
-// The caller's task waits, although the report came before the endpoint: the leaving owner sends it first, so that no
-// slot is given out between the two.
+// A leaving owner sends its report before the new owner gets the endpoint, so that no slot is assigned in between. The
+// caller's task must wait.
 #[test]
-fn a_report_may_come_before_the_endpoint() {
+fn a_report_may_arrive_before_the_endpoint() {
     let now = Instant::now();
     let mut ledger = ledger(now);
     let address = EndpointAddress {
@@ -84,20 +84,20 @@
         slots: 1,
     };
     ledger.set_endpoints(now, &[]);
-    ledger.set_outside(now, [(address.id.clone(), 1)].into_iter().collect());
+    ledger.set_previous_owner_slots(now, [(address.id.clone(), 1)].into_iter().collect());
     ledger.set_endpoints(now, &[(address, EndpointState::Live)]);
     let verdicts = ledger.offer(now, ENTRY, SESSION, 1, vec![offer(1)]);
     assert_eq!(verdicts, [TaskVerdict::Queued]);
     assert!(ledger.take_actions().is_empty());
 }
 
-// The new owner hears of exactly what runs and until when. The old one loses the endpoint while a task runs, and again
-// has nothing to report once that has ended.
+// The owner loses the endpoint while a task runs. It reports exactly the running tasks and their time left, and nothing
+// once they have ended.
 #[test]
-fn what_runs_at_a_lost_endpoint_is_reported() {
+fn tasks_running_on_a_lost_endpoint_are_reported() {
     let now = Instant::now();
     let mut ledger = ledger(now);
-    ledger.set_outside(now, used(1));
+    ledger.set_previous_owner_slots(now, used(1));
     ledger.offer(now, ENTRY, SESSION, 1, vec![offer(1)]);
     assert!(ledger.unowned_tasks(now).is_empty());
     ledger.set_endpoints(now, &[]);
@@ -107,7 +107,7 @@
     let done = AttemptEnd::Done(TaskResult {
         payload: Payload::default(),
     });
-    ledger.on_ran(later, offer(1).attempt, done);
+    ledger.on_task_ended(later, offer(1).attempt, done);
     assert!(ledger.unowned_tasks(later).is_empty());
     let slots = ledger.slots();
     assert_eq!((slots.running, slots.limit), (0, 0));
--- a/crates/ledger/tests/leaving.rs
+++ b/crates/ledger/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Endpoints that leave, by the VM list or by their own word.
+//! Endpoints that are leaving, according to the VM list or to the endpoint itself.
 
 use std::time::{Duration, Instant};
 
@@ -48,7 +48,7 @@
     ledger
 }
 
-/// The endpoints of the starts since the last look.
+/// The endpoints of the starts since the last call.
 fn starts(ledger: &mut SlotLedger) -> Vec<String> {
     let mut endpoints = Vec::new();
     for action in ledger.take_actions() {
@@ -60,9 +60,9 @@
 }
 
 #[test]
-fn an_endpoint_that_the_list_calls_leaving_gets_nothing() {
-    // One of two endpoints leaves while a task runs there. Its slots are the emptier ones, and what comes next must
-    // still go to the other; when that is full, it waits.
+fn an_endpoint_listed_as_leaving_gets_no_new_tasks() {
+    // One of two endpoints leaves while a task runs there. It still has a free slot, but new tasks must go to the other
+    // endpoint, and wait once that is full.
     let now = Instant::now();
     let (leaving, live) = (address("e1"), address("e2"));
     let mut ledger = ledger(now, &[(leaving.clone(), EndpointState::Live)]);
@@ -87,15 +87,15 @@
 }
 
 #[test]
-fn an_endpoint_that_calls_itself_leaving_gets_nothing_though_the_list_lags() {
-    // The endpoint turns a task away as leaving; the VM list still calls it live when it is read next. With no other
-    // endpoint, what comes is turned away as not run, so that it can go to another dispatcher.
+fn an_endpoint_that_reports_leaving_gets_no_new_tasks_while_the_list_lags() {
+    // The endpoint rejects a task as leaving, while the VM list still shows it as live at the next read. Without
+    // another endpoint, new tasks are rejected as not run, so that they can go to another dispatcher.
     let now = Instant::now();
     let endpoint = address("e1");
     let mut ledger = ledger(now, &[(endpoint.clone(), EndpointState::Live)]);
     ledger.offer(now, ENTRY, SESSION, 1, vec![offer(1)]);
     let end = AttemptEnd::NotRun(RetryReason::EndpointLeaving);
-    ledger.on_ran(now, offer(1).attempt, end);
+    ledger.on_task_ended(now, offer(1).attempt, end);
     starts(&mut ledger);
     ledger.set_endpoints(now, &[(endpoint, EndpointState::Live)]);
     let verdicts = ledger.offer(now, ENTRY, SESSION, 2, vec![offer(2)]);
--- a/crates/membership/tests/grant_faults/fleet.rs
+++ b/crates/membership/tests/grant_faults/fleet.rs
@@ -1,6 +1,6 @@
-//! A few VMs, each with an entry and a dispatcher, that lease one customer's share over a bad network.
+//! A few VMs, each with an entry and a dispatcher, that lease one customer's share over an unreliable network.
 //!
-//! Time goes in steps of 50 ms. Each VM has its own clock, which starts elsewhere and runs up to 0.3% fast or slow.
+//! Time advances in steps of 50 ms. Each VM has its own clock, with its own start, that runs up to 0.3% fast or slow.
 
 use std::{
     net::SocketAddr,
@@ -8,13 +8,13 @@
 };
 
 use fastrand::Rng;
-use membership::{AskBatch, GrantHolder, GrantLedger, GrantSettings, LiveOwner, ReplyBatch};
+use membership::{AskBatch, GrantAllocator, GrantHolder, GrantSettings, LiveOwner, ReplyBatch};
 use model::{CustomerId, IncarnationId};
 
 pub(crate) const STEP_MS: u64 = 50;
-const DETECT_MS: u64 = 3000;
+const DETECTION_MS: u64 = 3000;
 
-/// One thing that goes wrong. Times in ms from the start of the run.
+/// One fault. Times in ms from the start of the run.
 #[derive(Clone, Debug)]
 pub(crate) struct Fault {
     pub(crate) at: u64,
@@ -26,22 +26,22 @@
 pub(crate) enum FaultKind {
     FreezeEntry(usize),
     FreezeDispatcher(usize),
-    /// The entry is gone for the time, and comes back with nothing.
+    /// The entry is gone for the duration and restarts without state.
     ReplaceEntry(usize),
-    /// The VM with both processes is gone for the time, and comes back with nothing.
+    /// The VM with both processes is gone for the duration and restarts without state.
     ReplaceVm(usize),
-    /// The VMs whose bits are set, and the others, cannot reach each other.
-    Cut(u8),
-    /// Per cent of the messages that are lost, and the most ms that the others take.
+    /// The VMs whose bits are set cannot reach the others.
+    Partition(u8),
+    /// The percentage of messages that are lost, and the maximum delay of the others in ms.
     BadNetwork(u8, u64),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Views {
-    /// Everybody sees everybody, always.
+    /// Every VM always sees every other.
     Fixed,
-    /// A VM out of reach is dropped after 3 s and back at once.
-    Heard,
+    /// A VM that cannot be reached is dropped after 3 s and added back at once.
+    Detected,
 }
 
 #[derive(Clone)]
@@ -51,11 +51,11 @@
 }
 
 #[derive(Clone)]
-struct Letter {
+struct InFlightMessage {
     at: u64,
     from: usize,
     to: usize,
-    /// The life of the entry that takes part; with it the connection is gone.
+    /// The incarnation of the entry that sent the ask; its connection is gone with it.
     entry: IncarnationId,
     body: Body,
 }
@@ -64,13 +64,13 @@
     address: SocketAddr,
     incarnation: IncarnationId,
     dispatcher: IncarnationId,
-    ledger: GrantLedger,
+    allocator: GrantAllocator,
     holder: GrantHolder,
     clock_start: Instant,
     skew_ppm: i64,
     up: bool,
     entry_up: bool,
-    heard: Vec<u64>,
+    last_heard: Vec<u64>,
     view: Vec<LiveOwner>,
     running: Vec<u64>,
     demand: u32,
@@ -84,9 +84,9 @@
     faults: Vec<Fault>,
     now: u64,
     vms: Vec<Vm>,
-    wire: Vec<Letter>,
+    in_flight: Vec<InFlightMessage>,
     rng: Rng,
-    lives: u64,
+    incarnations: u64,
 }
 
 impl Fleet {
@@ -106,9 +106,9 @@
             faults,
             now: 0,
             vms: Vec::new(),
-            wire: Vec::new(),
+            in_flight: Vec::new(),
             rng: Rng::with_seed(seed),
-            lives: 0,
+            incarnations: 0,
         };
         for i in 0..count {
             let vm = fleet.new_vm(i, count);
@@ -121,7 +121,7 @@
         fleet
     }
 
-    /// Runs until the time given, and calls `check` with the sum of the limits after each step.
+    /// Runs until `until` and calls `check` with the sum of the limits after each step.
     pub(crate) fn run(&mut self, until: u64, mut check: impl FnMut(&Self, u32)) {
         while self.now < until {
             self.step();
@@ -133,7 +133,7 @@
         self.now
     }
 
-    /// What each entry may have in use now, by its own clock.
+    /// The limit of each entry now, by its own clock.
     pub(crate) fn limits(&self) -> Vec<u32> {
         let mut limits = Vec::new();
         for vm in &self.vms {
@@ -146,8 +146,11 @@
         limits
     }
 
-    pub(crate) fn debited(&self) -> u32 {
-        let debits = self.vms.iter().map(|vm| vm.ledger.debited(&self.customer));
+    pub(crate) fn leased(&self) -> u32 {
+        let debits = self
+            .vms
+            .iter()
+            .map(|vm| vm.allocator.leased(&self.customer));
         debits.sum()
     }
 
@@ -156,12 +159,12 @@
         self.faults.clear();
     }
 
-    /// From now on every entry has this many tasks to run, in place of numbers that change.
+    /// Gives every entry this number of tasks to run from now on, instead of random numbers.
     pub(crate) fn set_demand(&mut self, demand: u32) {
         for vm in &mut self.vms {
             vm.demand = demand;
         }
-        self.lives |= 1 << 32;
+        self.incarnations |= 1 << 32;
     }
 
     fn step(&mut self) {
@@ -169,7 +172,7 @@
         for i in 0..self.vms.len() {
             self.replace_vm(i);
             self.replace_entry(i);
-            self.see(i);
+            self.update_view(i);
         }
         self.deliver();
         for i in 0..self.vms.len() {
@@ -177,8 +180,8 @@
             if !vm.up || !vm.entry_up || self.frozen_entry(i) {
                 continue;
             }
-            self.work(i);
-            self.ask(i);
+            self.run_tasks(i);
+            self.send_asks(i);
         }
     }
 
@@ -189,13 +192,13 @@
             address,
             incarnation,
             dispatcher: incarnation,
-            ledger: GrantLedger::new(address, self.settings.clone()),
+            allocator: GrantAllocator::new(address, self.settings.clone()),
             holder: GrantHolder::new(address, incarnation, self.settings.clone()),
             clock_start: Instant::now() + Duration::from_secs(1000 * i as u64),
             skew_ppm: self.rng.i64(-3000..=3000),
             up: true,
             entry_up: true,
-            heard: vec![0; count],
+            last_heard: vec![0; count],
             view: Vec::new(),
             running: Vec::new(),
             demand: 0,
@@ -204,25 +207,25 @@
 
     fn start_dispatcher(&mut self, i: usize) {
         let now = self.now;
-        self.lives += 1;
+        self.incarnations += 1;
         let vm = &mut self.vms[i];
-        vm.dispatcher = IncarnationId(self.lives * 0x9e37_79b9);
-        vm.ledger = GrantLedger::new(vm.address, self.settings.clone());
+        vm.dispatcher = IncarnationId(self.incarnations * 0x9e37_79b9);
+        vm.allocator = GrantAllocator::new(vm.address, self.settings.clone());
         vm.view = Vec::new();
-        vm.heard.fill(now);
+        vm.last_heard.fill(now);
         let clock = vm.clock(now);
-        vm.ledger
+        vm.allocator
             .set_share(clock, self.customer.clone(), self.share);
     }
 
     fn start_entry(&mut self, i: usize) {
-        self.lives += 1;
+        self.incarnations += 1;
         let vm = &mut self.vms[i];
-        vm.incarnation = IncarnationId(self.lives * 0x9e37_79b9);
+        vm.incarnation = IncarnationId(self.incarnations * 0x9e37_79b9);
         vm.holder = GrantHolder::new(vm.address, vm.incarnation, self.settings.clone());
         vm.holder.set_share(&self.customer, self.share);
         vm.running = Vec::new();
-        // It asks the dispatcher beside it for the view; the next step gives it one.
+        // The entry gets its view from the dispatcher on its VM; the next step provides it.
         vm.view = Vec::new();
     }
 
@@ -244,9 +247,9 @@
             .any(|kind| matches!(kind, FaultKind::FreezeDispatcher(vm) if *vm == i))
     }
 
-    fn cut(&self, a: usize, b: usize) -> bool {
+    fn partitioned(&self, a: usize, b: usize) -> bool {
         self.active().any(|kind| match kind {
-            FaultKind::Cut(side) => (side >> a) & 1 != (side >> b) & 1,
+            FaultKind::Partition(side) => (side >> a) & 1 != (side >> b) & 1,
             _ => false,
         })
     }
@@ -272,19 +275,19 @@
         }
     }
 
-    /// Brings the view of one VM's processes up to date.
-    fn see(&mut self, i: usize) {
+    /// Updates the view of one VM's processes.
+    fn update_view(&mut self, i: usize) {
         if !self.vms[i].up || self.frozen_dispatcher(i) {
             return;
         }
-        let thawed = self.now - self.vms[i].heard[i] > STEP_MS;
+        let thawed = self.now - self.vms[i].last_heard[i] > STEP_MS;
         let mut view = Vec::new();
         for j in 0..self.vms.len() {
-            let reachable = self.vms[j].up && !self.cut(i, j) && !self.frozen_dispatcher(j);
+            let reachable = self.vms[j].up && !self.partitioned(i, j) && !self.frozen_dispatcher(j);
             if i == j || thawed || reachable || self.views == Views::Fixed {
-                self.vms[i].heard[j] = self.now;
+                self.vms[i].last_heard[j] = self.now;
             }
-            if self.now - self.vms[i].heard[j] < DETECT_MS {
+            if self.now - self.vms[i].last_heard[j] < DETECTION_MS {
                 view.push(LiveOwner {
                     address: self.vms[j].address,
                     incarnation: self.vms[j].dispatcher,
@@ -294,46 +297,46 @@
         let listed: Vec<SocketAddr> = self.vms.iter().map(|vm| vm.address).collect();
         let vm = &mut self.vms[i];
         let clock = vm.clock(self.now);
-        vm.ledger.tick(clock);
+        vm.allocator.tick(clock);
         if view == vm.view {
             return;
         }
         vm.view = view.clone();
         let live = view.iter().map(|owner| owner.address).collect();
         vm.holder.set_view(clock, live, listed.clone());
-        vm.ledger.set_view(clock, view, listed);
+        vm.allocator.set_view(clock, view, listed);
     }
 
-    /// Hands over what is due. What is for a frozen process waits in its socket.
+    /// Delivers the messages that are due. Messages for a frozen process wait in its socket.
     fn deliver(&mut self) {
-        let mut wire = std::mem::take(&mut self.wire);
-        wire.sort_by_key(|letter| letter.at);
-        for letter in wire {
-            let frozen = match letter.body {
-                Body::Ask(_) => self.frozen_dispatcher(letter.to),
-                Body::Reply(_) => self.frozen_entry(letter.to),
+        let mut in_flight = std::mem::take(&mut self.in_flight);
+        in_flight.sort_by_key(|message| message.at);
+        for message in in_flight {
+            let frozen = match message.body {
+                Body::Ask(_) => self.frozen_dispatcher(message.to),
+                Body::Reply(_) => self.frozen_entry(message.to),
             };
-            if letter.at > self.now || frozen {
-                self.wire.push(letter);
+            if message.at > self.now || frozen {
+                self.in_flight.push(message);
                 continue;
             }
-            if self.vms[letter.to].up && !self.cut(letter.from, letter.to) {
-                self.hand_over(letter);
+            if self.vms[message.to].up && !self.partitioned(message.from, message.to) {
+                self.receive(message);
             }
         }
     }
 
-    fn hand_over(&mut self, letter: Letter) {
-        let vm = &mut self.vms[letter.to];
+    fn receive(&mut self, message: InFlightMessage) {
+        let vm = &mut self.vms[message.to];
         let clock = vm.clock(self.now);
-        match letter.body {
+        match message.body {
             Body::Ask(batch) => {
-                if let Some(reply) = vm.ledger.on_ask(clock, &batch) {
-                    self.send(letter.to, letter.from, letter.entry, Body::Reply(reply));
+                if let Some(reply) = vm.allocator.on_ask(clock, &batch) {
+                    self.send(message.to, message.from, message.entry, Body::Reply(reply));
                 }
             }
             Body::Reply(reply) => {
-                if vm.entry_up && vm.incarnation == letter.entry {
+                if vm.entry_up && vm.incarnation == message.entry {
                     vm.holder.on_reply(clock, &reply);
                 }
             }
@@ -353,7 +356,7 @@
             return;
         }
         let at = self.now + self.rng.u64(0..=slowest);
-        self.wire.push(Letter {
+        self.in_flight.push(InFlightMessage {
             at,
             from,
             to,
@@ -362,10 +365,10 @@
         });
     }
 
-    /// Ends tasks, takes in new ones, starts what the grant allows.
-    fn work(&mut self, i: usize) {
+    /// Ends tasks, adds new ones, and starts what the grant allows.
+    fn run_tasks(&mut self, i: usize) {
         let now = self.now;
-        let steady = self.lives >> 32 != 0;
+        let steady = self.incarnations >> 32 != 0;
         if !steady && self.rng.u8(0..40) == 0 {
             self.vms[i].demand = *self.rng.choice(&[0, 0, 1, 3, 10, 60]).unwrap();
         }
@@ -388,7 +391,7 @@
         vm.holder.set_waiting(clock, &customer, waiting);
     }
 
-    fn ask(&mut self, i: usize) {
+    fn send_asks(&mut self, i: usize) {
         let vm = &mut self.vms[i];
         let clock = vm.clock(self.now);
         let entry = vm.incarnation;
--- a/crates/node/src/customer_server.rs
+++ b/crates/node/src/customer_server.rs
@@ -85,12 +85,14 @@
 
 async fn handle_request(state: Rc<NodeState>, request: Request) -> Response<BoxBody> {
     let _open = OpenRequest::new(&state);
-    state.traffic.call(TrafficKind::Customers);
+    state.traffic.record_call(TrafficKind::Customers);
     state
         .traffic
-        .receive(TrafficKind::Customers, head_bytes(&request));
+        .record_received(TrafficKind::Customers, head_bytes(&request));
     let mut response = route_request(&state, request).await;
-    state.traffic.send(TrafficKind::Customers, ANSWER_BYTES);
+    state
+        .traffic
+        .record_sent(TrafficKind::Customers, ANSWER_BYTES);
     if state.leaving.get() {
         response
             .head_mut()
@@ -148,7 +150,9 @@
         Ok(body) => body,
         Err(status) => return json_response(status, "{}"),
     };
-    state.traffic.receive(TrafficKind::Customers, body.len());
+    state
+        .traffic
+        .record_received(TrafficKind::Customers, body.len());
     submit(state, id, rule, &body, arrived, stated_deadline).await
 }
 
@@ -167,7 +171,7 @@
     let line = EventLine::new("job_cancelled").text("job", id);
     match cancelled {
         Ok(found) => {
-            state.log(EventKind::Kept, line.text("found", found));
+            state.log(EventKind::Important, line.text("found", found));
             let status = if found {
                 StatusCode::OK
             } else {
@@ -188,7 +192,7 @@
     let line = EventLine::new("store_not_reached")
         .text("for", purpose)
         .text("error", error);
-    state.log(EventKind::Kept, line);
+    state.log(EventKind::Important, line);
     not_ready()
 }
 
@@ -207,7 +211,7 @@
             let line = EventLine::new("job_unreadable")
                 .text("job", id)
                 .text("error", error);
-            state.log(EventKind::Kept, line);
+            state.log(EventKind::Important, line);
             return json_response(StatusCode::BAD_REQUEST, "{}");
         }
     };
@@ -217,7 +221,7 @@
         let line = EventLine::new("need_not_served")
             .text("job", id)
             .text("need", need.as_str());
-        state.log(EventKind::Kept, line);
+        state.log(EventKind::Important, line);
     }
     let age = match request.kept {
         true => Duration::ZERO,
@@ -271,7 +275,7 @@
 fn log_refusal(state: &NodeState, reason: &'static str) {
     crate::metrics::count_refusal(&state.metrics, reason);
     state.log(
-        EventKind::Kept,
+        EventKind::Important,
         EventLine::new("request_refused").text("reason", reason),
     );
 }
--- a/crates/node/src/kept_jobs.rs
+++ b/crates/node/src/kept_jobs.rs
@@ -159,7 +159,7 @@
     let line = EventLine::new("jobs_not_stored")
         .number("jobs", batch.len() as u64)
         .text("error", error);
-    state.log(EventKind::Kept, line);
+    state.log(EventKind::Important, line);
 }
 
 /// Queues a write again. A new job that certainly was not stored is refused after [`NEW_JOB_RETRY_TIME`].
@@ -197,7 +197,7 @@
         Ok(value) => Some(value),
         Err(error) => {
             let line = EventLine::new("job_not_encoded").text("job", order.job);
-            state.log(EventKind::Kept, line.text("error", error));
+            state.log(EventKind::Important, line.text("error", error));
             None
         }
     }
--- a/crates/node/src/list_schedule.rs
+++ b/crates/node/src/list_schedule.rs
@@ -119,7 +119,7 @@
     let line = EventLine::new("worker_list")
         .text("source", source.as_str())
         .number("version", version);
-    state.log(EventKind::Kept, line);
+    state.log(EventKind::Important, line);
 }
 
 /// Waits until the next check after a confirmation.
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -88,7 +88,7 @@
             state.links.open.borrow_mut().remove(&address);
             lost.notify_waiters();
             let line = EventLine::new("link_lost").text("peer", node);
-            state.log(EventKind::Kept, line);
+            state.log(EventKind::Important, line);
         }
     };
     let opened = connect_pool(address, state.traffic.clone(), on_closed).await;
@@ -96,7 +96,7 @@
     match opened {
         Ok(link) => {
             let line = EventLine::new("link_opened").text("peer", &node);
-            state.log(EventKind::Kept, line);
+            state.log(EventKind::Important, line);
             let link = Rc::new(OwnerLink { node, link, lost });
             state.links.open.borrow_mut().insert(address, link);
         }
@@ -107,7 +107,7 @@
             let line = EventLine::new("link_failed")
                 .text("peer", &node)
                 .text("error", error);
-            state.log(EventKind::Kept, line);
+            state.log(EventKind::Important, line);
         }
     }
 }
@@ -152,8 +152,10 @@
             if due[pace as usize] {
                 // A heartbeat that cannot be sent counts as lost; the next one follows.
                 let _lost = self.socket.try_send_to(&bytes, member.address);
-                state.traffic.call(TrafficKind::Heartbeats);
-                state.traffic.send(TrafficKind::Heartbeats, bytes.len());
+                state.traffic.record_call(TrafficKind::Heartbeats);
+                state
+                    .traffic
+                    .record_sent(TrafficKind::Heartbeats, bytes.len());
             }
         }
     }
@@ -195,7 +197,9 @@
             actix_rt::time::sleep(SOCKET_ERROR_BACKOFF).await;
             continue;
         };
-        state.traffic.receive(TrafficKind::Heartbeats, length);
+        state
+            .traffic
+            .record_received(TrafficKind::Heartbeats, length);
         match decode_heartbeat(&buffer[..length]) {
             Ok(heartbeat) => {
                 let now = state.now();
@@ -203,7 +207,7 @@
             }
             Err(error) => {
                 let line = EventLine::new("heartbeat_unreadable").text("error", error);
-                state.log(EventKind::Kept, line);
+                state.log(EventKind::Important, line);
             }
         }
     }
--- a/crates/node/src/workers.rs
+++ b/crates/node/src/workers.rs
@@ -144,7 +144,7 @@
         let line = EventLine::new("worker_unusable")
             .text("worker", &life)
             .text("why", fault);
-        state.log(EventKind::Kept, line);
+        state.log(EventKind::Important, line);
     }
     if let Some(former) = former {
         remove_worker(state, &former);
--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -1,10 +1,10 @@
-//! The calling side of the ports. Each call is sent when the method is called, not when its future is first polled,
-//! so calls leave in the order in which they were made.
+//! Clients of the ports. A call is sent when the method is called, not when its future is first polled, so calls are
+//! sent in the order in which the methods were called.
 
 use std::{future::Future, time::Duration};
 
 use contracts::HeadNumber;
-use membership::{AskBatch, BeatMessage, BeatReply, HandoverReport, ReplyBatch};
+use membership::{AskBatch, HandoverReport, HeartbeatMessage, HeartbeatReply, ReplyBatch};
 use model::{
     AttemptEnd, AttemptId, IncarnationId, Payload, SessionId, SlotCounts, TaskOffer, TaskVerdict,
     VmEntry, WithdrawalVerdict,
@@ -17,21 +17,21 @@
     },
     convert_grants::{read_centre, read_replies, write_asks, write_handover},
     peer_capnp::{claim_answer, dispatcher_port, entry_port, session_port},
-    service::{read_contract_news, ContractNews, ForwardedAnswer, PingReply},
+    service::{read_contracts_reply, ContractsReply, ForwardedAnswer, PingReply},
     PeerError,
 };
 
-/// An open session.
+/// A session that was opened with a dispatcher.
 pub struct OpenedSession {
-    /// Where offers go.
+    /// The client for calls on the session.
     pub session: SessionClient,
     /// The dispatcher's incarnation.
     pub dispatcher: IncarnationId,
-    /// Its slots.
+    /// The dispatcher's slot counts.
     pub slots: SlotCounts,
 }
 
-/// A dispatcher at the other end of a connection.
+/// Client of a dispatcher.
 #[derive(Clone)]
 pub struct DispatcherClient {
     port: dispatcher_port::Client,
@@ -42,12 +42,12 @@
         Self { port }
     }
 
-    /// Opens a session and hands over this entry's own port.
+    /// Opens a session and passes this entry's own port to the dispatcher.
     ///
     /// # Errors
     ///
-    /// The connection broke, or the session is older than one already open.
-    pub fn open(
+    /// The connection broke, or a newer session of this entry is already open.
+    pub fn open_session(
         &self,
         entry: entry_port::Client,
         incarnation: IncarnationId,
@@ -72,12 +72,12 @@
         }
     }
 
-    /// Finds the port of an entry that has a session with this dispatcher.
+    /// Finds an entry that has a session with this dispatcher; `None` if it has none.
     ///
     /// # Errors
     ///
     /// The connection broke.
-    pub fn find(
+    pub fn find_entry(
         &self,
         incarnation: IncarnationId,
     ) -> impl Future<Output = Result<Option<EntryClient>, PeerError>> + 'static {
@@ -96,28 +96,28 @@
         }
     }
 
-    /// Sends a heartbeat and gives the answer's.
+    /// Sends a heartbeat and returns the dispatcher's heartbeat in reply.
     ///
     /// # Errors
     ///
     /// The connection broke.
-    pub fn beat(
+    pub fn heartbeat(
         &self,
-        message: &BeatMessage,
-    ) -> impl Future<Output = Result<BeatReply, PeerError>> + 'static {
+        message: &HeartbeatMessage,
+    ) -> impl Future<Output = Result<HeartbeatReply, PeerError>> + 'static {
         let mut request = self.port.beat_request();
         write_view(request.get().init_view(), &message.view);
         let reply = request.send().promise;
         async move {
             let reply = reply.await?;
-            Ok(BeatReply {
+            Ok(HeartbeatReply {
                 view: read_view(reply.get()?.get_view()?)?,
             })
         }
     }
 
-    /// Asks whether the dispatcher is alive, how it sees itself, how its slots stand, and how it sees its data centre
-    /// if that is another revision than the one given.
+    /// Checks that the dispatcher is alive, and returns its own state, its slot counts, and its view of its data centre
+    /// if the revision of that view differs from `revision`.
     ///
     /// # Errors
     ///
@@ -144,8 +144,8 @@
         }
     }
 
-    /// Asks for parts of customers' shares. `None` when the dispatcher does not answer such asks now, or had a later
-    /// one already.
+    /// Requests parts of customers' shares. `None` if the dispatcher does not answer such requests at present, or has
+    /// already received a later one.
     ///
     /// # Errors
     ///
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Reports what still runs at endpoints that are the other dispatcher's now.
+    /// Reports the tasks that still run at endpoints now owned by the other dispatcher.
     ///
     /// # Errors
     ///
@@ -185,39 +185,39 @@
         }
     }
 
-    /// The platform's VM list as the dispatcher last read it; empty when it never did.
+    /// Returns the platform's VM list as last read by the dispatcher; empty if it has not read the list yet.
     ///
     /// # Errors
     ///
-    /// The connection broke or the list is not readable.
+    /// The connection broke, or the list could not be decoded.
     pub fn vms(&self) -> impl Future<Output = Result<Vec<VmEntry>, PeerError>> + 'static {
         let reply = self.port.vms_request().send().promise;
         async move {
             let reply = reply.await?;
-            serde_json::from_slice(reply.get()?.get_json()?).map_err(crate::convert::bad)
+            serde_json::from_slice(reply.get()?.get_json()?).map_err(crate::convert::bad_message)
         }
     }
 
-    /// Contract rows changed after a head number.
+    /// Returns the contract rows changed after a head number.
     ///
     /// # Errors
     ///
-    /// The connection broke or a row is not readable.
+    /// The connection broke, or a row could not be decoded.
     pub fn contracts(
         &self,
         since: HeadNumber,
-    ) -> impl Future<Output = Result<ContractNews, PeerError>> + 'static {
+    ) -> impl Future<Output = Result<ContractsReply, PeerError>> + 'static {
         let mut request = self.port.contracts_request();
         request.get().set_since(since.0);
         let reply = request.send().promise;
         async move {
             let reply = reply.await?;
-            read_contract_news(reply.get()?, since)
+            read_contracts_reply(reply.get()?, since)
         }
     }
 }
 
-/// A session with a dispatcher.
+/// Client of a session with a dispatcher.
 #[derive(Clone)]
 pub struct SessionClient {
     port: session_port::Client,
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Takes attempts back.
+    /// Withdraws attempts. `after_batch` is the number of the last batch of offers sent before.
     ///
     /// # Errors
     ///
@@ -278,7 +278,7 @@
     }
 }
 
-/// An entry that has a session with a dispatcher.
+/// Client of an entry.
 #[derive(Clone)]
 pub struct EntryClient {
     port: entry_port::Client,
@@ -293,7 +293,7 @@
         self.port
     }
 
-    /// Asks for the body of a queued attempt; `None` when the attempt is gone.
+    /// Requests the body of a queued attempt; `None` if the attempt no longer exists.
     ///
     /// # Errors
     ///
@@ -311,7 +311,7 @@
                 .get()?
                 .get_answer()?
                 .which()
-                .map_err(crate::convert::bad)?
+                .map_err(crate::convert::bad_message)?
             {
                 claim_answer::Body(body) => Ok(Some(Payload::from(body?))),
                 claim_answer::Gone(()) => Ok(None),
@@ -319,12 +319,12 @@
         }
     }
 
-    /// Reports ends. When the future is done, the entry has taken them in.
+    /// Reports how attempts ended. When the future completes, the entry has processed the report.
     ///
     /// # Errors
     ///
     /// The connection broke: nothing is confirmed.
-    pub fn ended(
+    pub fn report_ends(
         &self,
         ends: &[(AttemptId, AttemptEnd, Duration)],
         slots: SlotCounts,
@@ -333,8 +333,13 @@
         let mut params = request.get();
         write_slots(params.reborrow().init_slots(), slots);
         let mut builder = params.init_ends(ends.len() as u32);
-        for (index, (attempt, end, ran)) in ends.iter().enumerate() {
-            write_end(builder.reborrow().get(index as u32), *attempt, end, *ran);
+        for (index, (attempt, end, run_time)) in ends.iter().enumerate() {
+            write_end(
+                builder.reborrow().get(index as u32),
+                *attempt,
+                end,
+                *run_time,
+            );
         }
         let reply = request.send().promise;
         async move {
@@ -343,12 +348,12 @@
         }
     }
 
-    /// Tells the entry how the slots stand.
+    /// Reports the dispatcher's slot counts to the entry.
     ///
     /// # Errors
     ///
     /// The connection broke.
-    pub fn slots(
+    pub fn report_slots(
         &self,
         slots: SlotCounts,
     ) -> impl Future<Output = Result<(), PeerError>> + 'static {
@@ -361,7 +366,7 @@
         }
     }
 
-    /// The caller-facing answer of a submission of this entry as it stands; `None` when it does not know it.
+    /// Returns the current answer to the caller of a submission of this entry; `None` if the entry does not know it.
     ///
     /// # Errors
     ///
@@ -386,7 +391,8 @@
         }
     }
 
-    /// Runs a request under a ticket or key whose authority this entry is, or gives the answer that it has.
+    /// Runs a request under a ticket or key whose authority is this entry, or returns the answer that the entry already
+    /// has.
     ///
     /// # Errors
     ///
