--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -1,10 +1,10 @@
-//! Connections: one TCP connection is one two-party capnp-rpc network.
+//! Connections between entries and dispatchers. Each TCP connection is one two-party capnp-rpc network.
 
 use std::{io, net::SocketAddr, sync::Arc, time::Duration};
 
 use capnp_rpc::{rpc_twoparty_capnp::Side, twoparty::VatNetwork, RpcSystem};
 use kernel::accept_each;
-use telemetry::{TrafficBook, TrafficKind};
+use telemetry::{TrafficCounters, TrafficKind};
 use tokio::{
     io::{AsyncRead, AsyncWrite},
     net::{
@@ -21,17 +21,18 @@
 
 use crate::{client::DispatcherClient, peer_capnp, PeerError};
 
-/// How long a connect may take. Within a region a connect takes milliseconds; more means that the path is cut.
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
+/// Timeout for opening a connection. Within a region this takes milliseconds, so a longer time means that the network
+/// path is interrupted.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// An open connection to a dispatcher. It is closed when this is dropped.
+/// An open connection to a dispatcher. Dropping it closes the connection.
 pub struct PeerLink {
     client: DispatcherClient,
     task: JoinHandle<()>,
 }
 
 impl PeerLink {
-    /// The dispatcher at the other end.
+    /// The client for calls to the dispatcher.
     pub fn client(&self) -> &DispatcherClient {
         &self.client
     }
@@ -43,11 +44,12 @@
     }
 }
 
-/// Connects to a dispatcher. `on_closed` is called once when the connection breaks by itself.
+/// Connects to a dispatcher. `on_closed` is called once if the connection ends before the link is dropped.
 ///
 /// # Errors
 ///
-/// Refused when nobody listens, otherwise lost or timed out.
+/// [`PeerError::Refused`] if no process listens at the address, otherwise [`PeerError::Lost`] or
+/// [`PeerError::TimedOut`].
 pub async fn connect(
     address: SocketAddr,
     on_closed: impl FnOnce() + 'static,
@@ -65,9 +67,9 @@
     })
 }
 
-/// Opens a connection to another process.
+/// Opens a TCP connection to another process.
 pub(crate) async fn dial(address: SocketAddr) -> Result<TcpStream, PeerError> {
-    match timeout(CONNECT_LIMIT, TcpStream::connect(address)).await {
+    match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
         Err(_) => Err(PeerError::TimedOut),
         Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {
             Err(PeerError::Refused)
@@ -77,30 +79,30 @@
     }
 }
 
-/// What serves one accepted connection.
+/// The port and the close callback of an accepted connection.
 pub struct AcceptedPort {
-    /// The port that the other side gets.
+    /// The port offered to the process that connected.
     pub port: peer_capnp::dispatcher_port::Client,
-    /// Called once when the connection has ended.
+    /// Called once after the connection has ended.
     pub on_closed: Box<dyn FnOnce()>,
 }
 
-/// Accepts connections for as long as the future is polled. `make` gives each one its port.
-pub async fn serve(listener: TcpListener, make: impl Fn() -> AcceptedPort) {
-    serve_each(listener, || {
-        let AcceptedPort { port, on_closed } = make();
+/// Accepts connections for as long as the future is polled. `make_port` creates the port of each connection.
+pub async fn serve(listener: TcpListener, make_port: impl Fn() -> AcceptedPort) {
+    serve_ports(listener, || {
+        let AcceptedPort { port, on_closed } = make_port();
         (port.client, on_closed)
     })
     .await;
 }
 
-/// Gives each accepted connection a port of its own, and says when it has ended.
-async fn serve_each(
+/// Serves each accepted connection with its own port, and calls its callback after the connection has ended.
+async fn serve_ports(
     listener: TcpListener,
-    make: impl Fn() -> (capnp::capability::Client, Box<dyn FnOnce()>),
+    make_port: impl Fn() -> (capnp::capability::Client, Box<dyn FnOnce()>),
 ) {
     accept_each(listener, |stream| {
-        let (port, on_closed) = make();
+        let (port, on_closed) = make_port();
         let system = RpcSystem::new(Box::new(network(stream, Side::Server)), Some(port));
         async move {
             let _ended = system.await;
@@ -110,49 +112,49 @@
     .await;
 }
 
-/// The largest message that is read, in bytes. What processes send in parts stays far below; an answer that one entry
-/// passes on for another cannot be parted, and that of a job of 1000 results of 64 KiB is 84 MiB of base64. The
-/// library's own limit, 64 MiB, would make such an answer fail each time that it is asked for. There still has to be a
-/// limit, since a message's head names the memory to set aside for it.
-const MAX_MESSAGE: usize = 128 * 1024 * 1024;
+/// The largest message that is read, in bytes. Messages that processes send in parts are far smaller. An answer that
+/// one entry forwards for another cannot be split: for a job of 1000 results of 64 KiB it is 84 MiB of base64, and with
+/// the library's default limit of 64 MiB every request for it would fail. A limit is still needed, because the header
+/// of a message states how much memory to allocate for it.
+const MAX_MESSAGE_BYTES: usize = 128 * 1024 * 1024;
 
 fn reader_options() -> capnp::message::ReaderOptions {
     let mut options = capnp::message::ReaderOptions::new();
-    options.traversal_limit_in_words(Some(MAX_MESSAGE / size_of::<u64>()));
+    options.traversal_limit_in_words(Some(MAX_MESSAGE_BYTES / size_of::<u64>()));
     options
 }
 
 type StreamNetwork<R> = VatNetwork<futures::io::BufReader<Compat<R>>>;
 
 pub(crate) fn network(stream: TcpStream, side: Side) -> StreamNetwork<impl AsyncRead + Unpin> {
-    let (reader, writer) = split(stream);
-    half_network(reader, writer, side)
+    let (reader, writer) = split_stream(stream);
+    network_from_halves(reader, writer, side)
 }
 
-/// A network whose bytes are counted.
+/// A network that counts the bytes sent and received.
 pub(crate) fn counted_network(
     stream: TcpStream,
     side: Side,
-    book: Arc<TrafficBook>,
+    traffic: Arc<TrafficCounters>,
 ) -> StreamNetwork<impl AsyncRead + Unpin> {
-    let (reader, writer) = split(stream);
-    let received = book.clone();
+    let (reader, writer) = split_stream(stream);
+    let reader_traffic = traffic.clone();
     let reader = InspectReader::new(reader, move |bytes: &[u8]| {
-        received.receive(TrafficKind::Peers, bytes.len());
+        reader_traffic.record_received(TrafficKind::Peers, bytes.len());
     });
     let writer = InspectWriter::new(writer, move |bytes: &[u8]| {
-        book.send(TrafficKind::Peers, bytes.len());
+        traffic.record_sent(TrafficKind::Peers, bytes.len());
     });
-    half_network(reader, writer, side)
+    network_from_halves(reader, writer, side)
 }
 
-fn split(stream: TcpStream) -> (OwnedReadHalf, OwnedWriteHalf) {
-    // Messages are small and answers are waited for; without this the kernel holds them back for up to 40 ms.
+fn split_stream(stream: TcpStream) -> (OwnedReadHalf, OwnedWriteHalf) {
+    // Messages are small and callers wait for the answers. Without `TCP_NODELAY` the kernel delays them by up to 40 ms.
     let _best_effort = stream.set_nodelay(true);
     stream.into_split()
 }
 
-fn half_network<R, W>(reader: R, writer: W, side: Side) -> StreamNetwork<R>
+fn network_from_halves<R, W>(reader: R, writer: W, side: Side) -> StreamNetwork<R>
 where
     R: AsyncRead + Unpin + 'static,
     W: AsyncWrite + Unpin + 'static,
--- a/crates/peer/tests/grants.rs
+++ b/crates/peer/tests/grants.rs
@@ -1,35 +1,35 @@
-//! Pings, grants and reports of handed over endpoints, over a real connection.
+//! Pings, grants and handover reports over a TCP connection.
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
 use contracts::HeadNumber;
 use membership::{
-    AskBatch, BeatMessage, BeatReply, CentreView, GrantAsk, GrantReply, GrantVerdict,
-    HandoverCount, HandoverReport, MemberView, ReplyBatch,
+    AskBatch, CentreView, GrantAsk, GrantDecision, GrantReply, HandoverCount, HandoverReport,
+    HeartbeatMessage, HeartbeatReply, MemberView, ReplyBatch,
 };
 use model::{
     AttemptId, IncarnationId, SessionId, SlotCounts, TaskOffer, TaskVerdict, VmEntry,
     WithdrawalVerdict,
 };
 use peer::{
-    AcceptedPort, ContractNews, DispatcherService, EntryClient, PeerError, PeerLink, PingReply,
+    AcceptedPort, ContractsReply, DispatcherService, EntryClient, PeerError, PeerLink, PingReply,
     ReplyFuture, SessionService,
 };
 use tokio::net::TcpListener;
 
-/// What a fake dispatcher was told.
+/// The batches and reports that a fake dispatcher received.
 #[derive(Default)]
-struct Heard {
+struct ReceivedCalls {
     batches: Vec<AskBatch>,
     reports: Vec<HandoverReport>,
 }
 
-/// Answers the ask with serial 1 and no other.
-struct FakeDispatcher(Rc<RefCell<Heard>>);
+/// A dispatcher that only answers the grant request with serial 1.
+struct FakeDispatcher(Rc<RefCell<ReceivedCalls>>);
 
 struct NoSession;
 
-fn now<T: 'static>(answer: T) -> ReplyFuture<T> {
+fn ready<T: 'static>(answer: T) -> ReplyFuture<T> {
     Box::pin(std::future::ready(Ok(answer)))
 }
 
@@ -58,11 +58,11 @@
 }
 
 fn reply() -> ReplyBatch {
-    let granted = GrantVerdict::Granted { count: 3, share: 7 };
-    let replies = [("c1", granted), ("c2", GrantVerdict::NotHome)];
-    let replies = replies.map(|(customer, verdict)| GrantReply {
+    let granted = GrantDecision::Granted { count: 3, share: 7 };
+    let replies = [("c1", granted), ("c2", GrantDecision::NotHome)];
+    let replies = replies.map(|(customer, decision)| GrantReply {
         customer: customer.parse().unwrap(),
-        verdict,
+        decision,
     });
     ReplyBatch {
         serial: 1,
@@ -89,7 +89,7 @@
 impl DispatcherService for FakeDispatcher {
     type Session = NoSession;
 
-    fn open(
+    fn open_session(
         &self,
         _: EntryClient,
         _: IncarnationId,
@@ -98,17 +98,17 @@
         unused()
     }
 
-    fn find(&self, _: IncarnationId) -> ReplyFuture<Option<EntryClient>> {
+    fn find_entry(&self, _: IncarnationId) -> ReplyFuture<Option<EntryClient>> {
         unused()
     }
 
-    fn beat(&self, _: BeatMessage) -> ReplyFuture<BeatReply> {
+    fn heartbeat(&self, _: HeartbeatMessage) -> ReplyFuture<HeartbeatReply> {
         unused()
     }
 
     fn ping(&self, revision: u64) -> ReplyFuture<PingReply> {
         let centre = centre();
-        now(PingReply {
+        ready(PingReply {
             view: own_view(),
             slots: SlotCounts {
                 limit: 3,
@@ -122,15 +122,15 @@
     fn grant(&self, batch: AskBatch) -> ReplyFuture<Option<ReplyBatch>> {
         let first = batch.serial == 1;
         self.0.borrow_mut().batches.push(batch);
-        now(first.then(reply))
+        ready(first.then(reply))
     }
 
     fn handover(&self, report: HandoverReport) -> ReplyFuture<()> {
         self.0.borrow_mut().reports.push(report);
-        now(())
+        ready(())
     }
 
-    fn contracts(&self, _: HeadNumber) -> ReplyFuture<ContractNews> {
+    fn contracts(&self, _: HeadNumber) -> ReplyFuture<ContractsReply> {
         unused()
     }
 
@@ -153,20 +153,20 @@
     }
 }
 
-async fn connect() -> (PeerLink, Rc<RefCell<Heard>>) {
+async fn connect() -> (PeerLink, Rc<RefCell<ReceivedCalls>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let heard = Rc::<RefCell<Heard>>::default();
-    let service = heard.clone();
+    let received = Rc::<RefCell<ReceivedCalls>>::default();
+    let service = received.clone();
     actix_rt::spawn(peer::serve(listener, move || AcceptedPort {
         port: peer::dispatcher_port(FakeDispatcher(service.clone())),
         on_closed: Box::new(|| {}),
     }));
-    (peer::connect(address, || {}).await.unwrap(), heard)
+    (peer::connect(address, || {}).await.unwrap(), received)
 }
 
 #[actix_rt::test]
-async fn a_ping_brings_the_view_only_where_it_is_new() {
+async fn a_ping_returns_the_centre_view_only_if_it_has_changed() {
     let (link, _) = connect().await;
     let first = link.client().ping(0).await.unwrap();
     assert_eq!(first.view, own_view());
@@ -177,16 +177,16 @@
 }
 
 #[actix_rt::test]
-async fn asks_and_their_answers_arrive_as_sent() {
-    let (link, heard) = connect().await;
+async fn grant_requests_and_replies_arrive_as_sent() {
+    let (link, received) = connect().await;
     assert_eq!(link.client().grant(&batch(1)).await.unwrap(), Some(reply()));
     assert_eq!(link.client().grant(&batch(2)).await.unwrap(), None);
-    assert_eq!(heard.borrow().batches, [batch(1), batch(2)]);
+    assert_eq!(received.borrow().batches, [batch(1), batch(2)]);
 }
 
 #[actix_rt::test]
-async fn a_report_arrives_as_sent() {
-    let (link, heard) = connect().await;
+async fn a_handover_report_arrives_as_sent() {
+    let (link, received) = connect().await;
     let report = HandoverReport {
         from: ([10, 0, 0, 1], 7000).into(),
         incarnation: IncarnationId(4),
@@ -197,5 +197,5 @@
         }],
     };
     link.client().handover(&report).await.unwrap();
-    assert_eq!(heard.borrow().reports, [report]);
+    assert_eq!(received.borrow().reports, [report]);
 }
--- a/crates/request-keys/src/batcher.rs
+++ b/crates/request-keys/src/batcher.rs
@@ -1,7 +1,8 @@
-//! Gathers keys into batches and decides what each outcome means. No I/O and no clock of its own.
+//! State machine that groups keys into batches and interprets the outcome of each write and read. It does no I/O and
+//! reads no clock.
 //!
-//! One batch is in flight at a time; the keys that come meanwhile make up the next one. So a batch grows with the
-//! load, and a lone key waits for no other.
+//! One batch is in flight at a time, and the keys that arrive meanwhile form the next one. Batches therefore grow with
+//! the load, and a single key does not wait for others.
 
 use std::{
     collections::VecDeque,
@@ -12,22 +13,23 @@
 
 use crate::{KeyRecord, KeyRequest, KeyResult, RequestKey};
 
-/// Limits of a batcher.
+/// Limits of a [`KeyBatcher`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BatcherSettings {
-    /// Keys in one transaction. 500 rows of some 200 bytes are 100 KB, a few ms more than one row.
+    /// Maximum number of keys in one transaction. 500 rows of about 200 bytes are 100 KB, which takes a few ms more
+    /// than one row.
     pub max_batch: usize,
-    /// Keys that wait for a batch. Past it a key is refused at once: at one batch of 500 in each turn of 50 ms a
-    /// queue of 5,000 is drained in half a second, and what is behind it would be late for most requests.
+    /// Maximum number of keys that wait for a batch; further keys are refused at once. With one batch of 500 per write
+    /// turn of 50 ms, a queue of 5,000 drains in half a second. Keys behind that would be too late for most requests.
     pub max_queue: usize,
-    /// The longest wait of a key, also when its request has more time: an outage is better heard of early.
-    pub longest_wait: Duration,
-    /// The first pause after the platform failed. It doubles with each further failure.
-    pub first_pause: Duration,
-    /// The longest pause after the platform failed.
-    pub longest_pause: Duration,
-    /// What a refused request hears at least about when to come back.
-    pub least_retry_after: Duration,
+    /// Maximum wait of a key, even if its request has more time, so that callers learn of an outage early.
+    pub max_wait: Duration,
+    /// Backoff after the first failure of the platform. It doubles with each further failure.
+    pub initial_backoff: Duration,
+    /// Upper limit of the backoff.
+    pub max_backoff: Duration,
+    /// Lower limit of the retry delay that a refused request is given.
+    pub min_retry_after: Duration,
 }
 
 impl Default for BatcherSettings {
@@ -35,91 +37,91 @@
         Self {
             max_batch: 500,
             max_queue: 5_000,
-            longest_wait: Duration::from_secs(2),
-            first_pause: Duration::from_millis(50),
-            longest_pause: Duration::from_secs(1),
-            least_retry_after: Duration::from_millis(500),
+            max_wait: Duration::from_secs(2),
+            initial_backoff: Duration::from_millis(50),
+            max_backoff: Duration::from_secs(1),
+            min_retry_after: Duration::from_millis(500),
         }
     }
 }
 
-/// A key on its way through the batcher.
+/// Identifies a key from its submission to its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct EntryId(u64);
+pub struct PendingKeyId(u64);
 
-/// What the caller of a [`KeyBatcher`] has to do.
+/// An action that the caller of a [`KeyBatcher`] has to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyAction {
-    /// Take a turn to write and report by [`KeyBatcher::turn_ended`].
-    TakeTurn,
-    /// Insert these records, all or nothing, and report by [`KeyBatcher::batch_ended`].
+    /// Acquire a write turn from the rate limiter and report to [`KeyBatcher::turn_ended`].
+    AcquireTurn,
+    /// Insert these records in one transaction and report to [`KeyBatcher::batch_ended`].
     Commit(Vec<(RequestKey, KeyRecord)>),
-    /// Read a record and report by [`KeyBatcher::read_ended`].
-    Read(EntryId, RequestKey),
-    /// Tell the request.
-    Answer(EntryId, KeyResult),
+    /// Read the key's record and report to [`KeyBatcher::read_ended`].
+    Read(PendingKeyId, RequestKey),
+    /// Deliver the result to the request.
+    Answer(PendingKeyId, KeyResult),
 }
 
-/// How taking a turn ended.
+/// Outcome of acquiring a write turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TurnEnd {
-    /// It is this process's turn.
-    Taken,
-    /// There is no turn for so long.
+pub enum TurnOutcome {
+    /// This process may write now.
+    Acquired,
+    /// The rate limiter allows no write for this long.
     Refused(Duration),
 }
 
-/// How a commit ended.
+/// Outcome of committing a batch.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum BatchEnd {
+pub enum BatchOutcome {
     /// Every record was inserted.
     Committed,
-    /// None was, since there are rows of these keys already.
+    /// No record was inserted because rows for these keys already exist.
     Conflict(Vec<RequestKey>),
-    /// None was, and none will be.
+    /// The transaction was not sent, so no record was or will be inserted.
     NotSent,
-    /// Nobody can say.
+    /// It is unknown whether the records were or will be inserted.
     Uncertain,
 }
 
-/// How a read ended.
+/// Outcome of reading a key's row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReadEnd {
-    /// The record that is there.
+pub enum ReadOutcome {
+    /// The row exists and holds this record.
     Found(KeyRecord),
-    /// No row.
+    /// The row does not exist.
     Absent,
-    /// No answer.
+    /// The read failed, or the row could not be decoded.
     Failed,
 }
 
-/// The state machine. Every input gives the actions that follow from it.
+/// The state machine. Every input returns the actions that follow from it.
 #[derive(Debug)]
 pub struct KeyBatcher {
     settings: BatcherSettings,
-    queue: VecDeque<Entry>,
-    /// The keys in flight or in doubt. While in doubt it may lose entries but never gains any: it is then part of
-    /// every batch in doubt before it, and one row tells of all.
-    batch: Vec<Entry>,
+    queue: VecDeque<PendingKey>,
+    /// The keys in flight or in doubt. A batch in doubt may lose keys but never gains any, so it is a subset of every
+    /// earlier attempt in doubt, and reading one row shows whether all of its rows were inserted.
+    batch: Vec<PendingKey>,
     phase: BatchPhase,
-    /// Keys that are taken, until it is known by whom.
-    taken: FastMap<EntryId, TakenEntry>,
-    failures: u32,
+    /// Keys that already have a row, until the row has been read.
+    conflicting: FastMap<PendingKeyId, ConflictingKey>,
+    consecutive_failures: u32,
     next_id: u64,
 }
 
 #[derive(Debug)]
-struct Entry {
-    id: EntryId,
+struct PendingKey {
+    id: PendingKeyId,
     request: KeyRequest,
-    /// Set when the request was told already, while its record was in flight.
+    /// Set when the request was answered while its record was still in flight.
     answered: bool,
 }
 
 #[derive(Debug)]
-struct TakenEntry {
-    entry: Entry,
-    /// When to read again; nothing while a read is under way.
+struct ConflictingKey {
+    pending: PendingKey,
+    /// When to read the row again; `None` while a read is in flight.
     read_at: Option<Instant>,
 }
 
@@ -127,49 +129,53 @@
 enum BatchPhase {
     /// Nothing is in flight.
     Idle,
-    /// A turn is being waited for.
-    TakingTurn { in_doubt: bool },
+    /// A write turn is being acquired.
+    AcquiringTurn { in_doubt: bool },
     /// The batch is being committed.
     Committing { in_doubt: bool },
-    /// The row of the batch's first key is being read, to learn what became of a batch in doubt.
-    Probing(EntryId),
-    /// The platform failed; it is left alone for a while.
-    Paused { until: Instant, in_doubt: bool },
+    /// The row of the batch's first key is being read to find out whether a batch in doubt was inserted.
+    Probing(PendingKeyId),
+    /// The platform failed or the rate limiter refused a turn; nothing is sent until the time given.
+    BackingOff { until: Instant, in_doubt: bool },
 }
 
 impl KeyBatcher {
-    /// An idle batcher.
+    /// Creates an idle batcher.
     pub fn new(settings: BatcherSettings) -> Self {
         Self {
             settings,
             queue: VecDeque::new(),
             batch: Vec::new(),
             phase: BatchPhase::Idle,
-            taken: FastMap::default(),
-            failures: 0,
+            conflicting: FastMap::default(),
+            consecutive_failures: 0,
             next_id: 0,
         }
     }
 
     /// Whether nothing is waiting or in flight, so that [`Self::tick`] has nothing to do.
     pub fn is_idle(&self) -> bool {
-        self.phase == BatchPhase::Idle && self.queue.is_empty() && self.taken.is_empty()
+        self.phase == BatchPhase::Idle && self.queue.is_empty() && self.conflicting.is_empty()
     }
 
-    /// Keys that wait for a batch.
+    /// Number of keys that wait for a batch.
     pub fn queue_len(&self) -> usize {
         self.queue.len()
     }
 
-    /// Takes in a key.
-    pub fn submit(&mut self, now: Instant, mut request: KeyRequest) -> (EntryId, Vec<KeyAction>) {
-        let id = EntryId(self.next_id);
+    /// Queues a key, or refuses it if the queue is full.
+    pub fn submit(
+        &mut self,
+        now: Instant,
+        mut request: KeyRequest,
+    ) -> (PendingKeyId, Vec<KeyAction>) {
+        let id = PendingKeyId(self.next_id);
         self.next_id += 1;
         if self.queue.len() >= self.settings.max_queue {
             return (id, vec![KeyAction::Answer(id, self.not_recorded(now))]);
         }
-        request.give_up = request.give_up.min(now + self.settings.longest_wait);
-        self.queue.push_back(Entry {
+        request.deadline = request.deadline.min(now + self.settings.max_wait);
+        self.queue.push_back(PendingKey {
             id,
             request,
             answered: false,
@@ -177,18 +183,18 @@
         (id, self.start_batch())
     }
 
-    /// Hears how taking a turn ended.
-    pub fn turn_ended(&mut self, now: Instant, end: TurnEnd) -> Vec<KeyAction> {
-        let BatchPhase::TakingTurn { in_doubt } = self.phase else {
+    /// Handles the outcome of [`KeyAction::AcquireTurn`].
+    pub fn turn_ended(&mut self, now: Instant, outcome: TurnOutcome) -> Vec<KeyAction> {
+        let BatchPhase::AcquiringTurn { in_doubt } = self.phase else {
             return Vec::new();
         };
-        match end {
-            TurnEnd::Refused(wait) => {
+        match outcome {
+            TurnOutcome::Refused(wait) => {
                 let until = now + wait;
-                self.phase = BatchPhase::Paused { until, in_doubt };
+                self.phase = BatchPhase::BackingOff { until, in_doubt };
                 Vec::new()
             }
-            TurnEnd::Taken => {
+            TurnOutcome::Acquired => {
                 let mut actions = self.expire(now);
                 if !in_doubt {
                     self.fill_batch();
@@ -199,61 +205,70 @@
         }
     }
 
-    /// Hears how the commit ended.
-    pub fn batch_ended(&mut self, now: Instant, end: BatchEnd) -> Vec<KeyAction> {
+    /// Handles the outcome of [`KeyAction::Commit`].
+    pub fn batch_ended(&mut self, now: Instant, outcome: BatchOutcome) -> Vec<KeyAction> {
         let BatchPhase::Committing { in_doubt } = self.phase else {
             return Vec::new();
         };
-        match end {
-            BatchEnd::Committed => self.finish_recorded(),
-            BatchEnd::Conflict(keys) => self.finish_conflict(&keys),
-            BatchEnd::NotSent if in_doubt => self.pause(now, true),
-            BatchEnd::NotSent => {
+        match outcome {
+            BatchOutcome::Committed => self.finish_recorded(),
+            BatchOutcome::Conflict(keys) => self.finish_conflict(&keys),
+            BatchOutcome::NotSent if in_doubt => self.back_off(now, true),
+            BatchOutcome::NotSent => {
                 self.requeue_batch();
-                self.pause(now, false)
+                self.back_off(now, false)
             }
-            BatchEnd::Uncertain => self.probe(),
+            BatchOutcome::Uncertain => self.probe(),
         }
     }
 
-    /// Hears how a read ended.
-    pub fn read_ended(&mut self, now: Instant, id: EntryId, end: ReadEnd) -> Vec<KeyAction> {
+    /// Handles the outcome of [`KeyAction::Read`].
+    pub fn read_ended(
+        &mut self,
+        now: Instant,
+        id: PendingKeyId,
+        outcome: ReadOutcome,
+    ) -> Vec<KeyAction> {
         if self.phase == BatchPhase::Probing(id) {
-            return self.probe_ended(now, end);
+            return self.probe_ended(now, outcome);
         }
-        let Some(mut taken) = self.taken.remove(&id) else {
+        let Some(mut conflicting) = self.conflicting.remove(&id) else {
             return Vec::new();
         };
-        match end {
-            ReadEnd::Found(record) => {
-                self.failures = 0;
-                let result = taken.entry.result_of(record);
-                taken.entry.answer(result)
+        match outcome {
+            ReadOutcome::Found(record) => {
+                self.consecutive_failures = 0;
+                let result = conflicting.pending.result_for(record);
+                conflicting.pending.answer(result)
             }
-            ReadEnd::Absent => {
-                self.queue.push_front(taken.entry);
+            ReadOutcome::Absent => {
+                self.queue.push_front(conflicting.pending);
                 self.start_batch()
             }
-            ReadEnd::Failed => {
-                taken.read_at = Some(now + self.settings.first_pause);
-                self.taken.insert(id, taken);
+            ReadOutcome::Failed => {
+                conflicting.read_at = Some(now + self.settings.initial_backoff);
+                self.conflicting.insert(id, conflicting);
                 Vec::new()
             }
         }
     }
 
-    /// Ends what has run out of time and goes on after a pause. To be called every few milliseconds while not idle.
+    /// Answers requests past their deadline, repeats failed reads and resumes after a backoff. To be called every few
+    /// milliseconds while not idle.
     pub fn tick(&mut self, now: Instant) -> Vec<KeyAction> {
         let mut actions = self.expire(now);
-        for (id, taken) in &mut self.taken {
-            if taken.read_at.is_none_or(|at| at > now) {
+        for (id, conflicting) in &mut self.conflicting {
+            if conflicting.read_at.is_none_or(|at| at > now) {
                 continue;
             }
-            taken.read_at = None;
-            actions.push(KeyAction::Read(*id, taken.entry.request.key.clone()));
+            conflicting.read_at = None;
+            actions.push(KeyAction::Read(
+                *id,
+                conflicting.pending.request.key.clone(),
+            ));
         }
         match self.phase {
-            BatchPhase::Paused { until, in_doubt } if until <= now => {
+            BatchPhase::BackingOff { until, in_doubt } if until <= now => {
                 self.phase = BatchPhase::Idle;
                 actions.extend(match in_doubt {
                     true => self.probe(),
@@ -265,88 +280,89 @@
         actions
     }
 
-    /// Asks for a turn when nothing is in flight and something waits.
+    /// Asks for a write turn if nothing is in flight and keys are queued.
     fn start_batch(&mut self) -> Vec<KeyAction> {
         if self.phase != BatchPhase::Idle || self.queue.is_empty() {
             return Vec::new();
         }
-        self.phase = BatchPhase::TakingTurn { in_doubt: false };
-        vec![KeyAction::TakeTurn]
+        self.phase = BatchPhase::AcquiringTurn { in_doubt: false };
+        vec![KeyAction::AcquireTurn]
     }
 
-    /// Moves waiting keys into the batch. A key that is in it already has to wait: two inserts of one key in one
+    /// Moves queued keys into the batch. A second request with the same key stays queued: two inserts of one key in one
     /// transaction would both find no row, and both requests would start.
     fn fill_batch(&mut self) {
         let mut keys = FastSet::default();
-        let mut left = VecDeque::new();
-        while let Some(entry) = self.queue.pop_front() {
+        let mut deferred = VecDeque::new();
+        while let Some(pending) = self.queue.pop_front() {
             if self.batch.len() == self.settings.max_batch {
-                left.push_back(entry);
+                deferred.push_back(pending);
                 break;
             }
-            if keys.insert(entry.request.key.clone()) {
-                self.batch.push(entry);
+            if keys.insert(pending.request.key.clone()) {
+                self.batch.push(pending);
             } else {
-                left.push_back(entry);
+                deferred.push_back(pending);
             }
         }
-        left.append(&mut self.queue);
-        self.queue = left;
+        deferred.append(&mut self.queue);
+        self.queue = deferred;
     }
 
     fn commit(&mut self, in_doubt: bool) -> Vec<KeyAction> {
-        self.batch.retain(|entry| !entry.answered);
+        self.batch.retain(|pending| !pending.answered);
         if self.batch.is_empty() {
             self.phase = BatchPhase::Idle;
             return self.start_batch();
         }
         self.phase = BatchPhase::Committing { in_doubt };
         let mut records = Vec::new();
-        for entry in &self.batch {
-            records.push((entry.request.key.clone(), entry.request.record));
+        for pending in &self.batch {
+            records.push((pending.request.key.clone(), pending.request.record));
         }
         vec![KeyAction::Commit(records)]
     }
 
     fn finish_recorded(&mut self) -> Vec<KeyAction> {
         let mut actions = Vec::new();
-        for entry in self.batch.drain(..) {
-            actions.extend(entry.answer(KeyResult::Recorded));
+        for pending in self.batch.drain(..) {
+            actions.extend(pending.answer(KeyResult::Recorded));
         }
-        self.go_on(actions)
+        self.resume(actions)
     }
 
-    /// Reads the keys that are taken, and lets the others go first in the next batch. None of these is in doubt any
-    /// longer: every earlier batch held the taken keys too, and so can no longer be inserted.
+    /// Reads the rows of the conflicting keys and requeues the others in front. The others are no longer in doubt:
+    /// every earlier attempt contained the conflicting keys too, so it can no longer be inserted.
     fn finish_conflict(&mut self, keys: &[RequestKey]) -> Vec<KeyAction> {
         let keys: FastSet<_> = keys.iter().collect();
         let mut actions = Vec::new();
-        for entry in std::mem::take(&mut self.batch).into_iter().rev() {
-            if entry.answered {
+        for pending in std::mem::take(&mut self.batch).into_iter().rev() {
+            if pending.answered {
                 continue;
             }
-            if !keys.contains(&entry.request.key) {
-                self.queue.push_front(entry);
+            if !keys.contains(&pending.request.key) {
+                self.queue.push_front(pending);
                 continue;
             }
-            actions.push(KeyAction::Read(entry.id, entry.request.key.clone()));
+            actions.push(KeyAction::Read(pending.id, pending.request.key.clone()));
             let read_at = None;
-            self.taken.insert(entry.id, TakenEntry { entry, read_at });
+            self.conflicting
+                .insert(pending.id, ConflictingKey { pending, read_at });
         }
-        self.go_on(actions)
+        self.resume(actions)
     }
 
-    fn go_on(&mut self, mut actions: Vec<KeyAction>) -> Vec<KeyAction> {
-        self.failures = 0;
+    fn resume(&mut self, mut actions: Vec<KeyAction>) -> Vec<KeyAction> {
+        self.consecutive_failures = 0;
         self.phase = BatchPhase::Idle;
         actions.extend(self.start_batch());
         actions
     }
 
-    /// Reads one row of a batch in doubt: all rows are there or none is, so one read tells of 500 keys. Entries that
-    /// nobody waits for any more leave the batch.
+    /// Reads one row of a batch in doubt: a transaction is all or nothing, so one read decides up to 500 keys. Keys
+    /// whose request was already answered are dropped from the batch.
     fn probe(&mut self) -> Vec<KeyAction> {
-        self.batch.retain(|entry| !entry.answered);
+        self.batch.retain(|pending| !pending.answered);
         let Some(first) = self.batch.first() else {
             self.phase = BatchPhase::Idle;
             return self.start_batch();
@@ -355,91 +371,92 @@
         vec![KeyAction::Read(first.id, first.request.key.clone())]
     }
 
-    fn probe_ended(&mut self, now: Instant, end: ReadEnd) -> Vec<KeyAction> {
-        match end {
-            ReadEnd::Found(record) if self.batch[0].request.record == record => {
+    fn probe_ended(&mut self, now: Instant, outcome: ReadOutcome) -> Vec<KeyAction> {
+        match outcome {
+            ReadOutcome::Found(record) if self.batch[0].request.record == record => {
                 self.finish_recorded()
             }
-            // The batch can no longer be inserted, whatever was lost on the way.
-            ReadEnd::Found(record) => {
+            // Another submission has the key, so no lost or delayed attempt of this batch can be inserted any more.
+            ReadOutcome::Found(record) => {
                 let first = self.batch.remove(0);
                 self.requeue_batch();
                 let actions = first.answer(KeyResult::Exists(record));
-                self.go_on(actions)
+                self.resume(actions)
             }
-            // The batch may yet land. The same one is sent again: whichever comes second finds the rows of the first.
-            ReadEnd::Absent => {
-                self.phase = BatchPhase::TakingTurn { in_doubt: true };
-                vec![KeyAction::TakeTurn]
+            // A delayed attempt may still be inserted. The same batch is sent again, and whichever attempt arrives
+            // second conflicts with the rows of the first.
+            ReadOutcome::Absent => {
+                self.phase = BatchPhase::AcquiringTurn { in_doubt: true };
+                vec![KeyAction::AcquireTurn]
             }
-            ReadEnd::Failed => self.pause(now, true),
+            ReadOutcome::Failed => self.back_off(now, true),
         }
     }
 
-    /// Leaves the platform alone for a while. Without the pause every key that comes during an outage would cost a
-    /// call, and the calls of all VMs would meet the platform the moment it comes back.
-    fn pause(&mut self, now: Instant, in_doubt: bool) -> Vec<KeyAction> {
-        let doublings = self.failures.min(10);
-        let pause = self.settings.first_pause * 2u32.pow(doublings);
-        self.failures += 1;
-        let until = now + pause.min(self.settings.longest_pause);
-        self.phase = BatchPhase::Paused { until, in_doubt };
+    /// Starts an exponential backoff. Without it every key that arrives during an outage would cost a call, and the
+    /// calls of all VMs would hit the platform the moment it recovers.
+    fn back_off(&mut self, now: Instant, in_doubt: bool) -> Vec<KeyAction> {
+        let doublings = self.consecutive_failures.min(10);
+        let backoff = self.settings.initial_backoff * 2u32.pow(doublings);
+        self.consecutive_failures += 1;
+        let until = now + backoff.min(self.settings.max_backoff);
+        self.phase = BatchPhase::BackingOff { until, in_doubt };
         Vec::new()
     }
 
-    /// Puts a batch that certainly had no effect back in front of the queue.
+    /// Puts the keys of a batch that certainly had no effect back at the front of the queue.
     fn requeue_batch(&mut self) {
-        for entry in std::mem::take(&mut self.batch).into_iter().rev() {
-            if !entry.answered {
-                self.queue.push_front(entry);
+        for pending in std::mem::take(&mut self.batch).into_iter().rev() {
+            if !pending.answered {
+                self.queue.push_front(pending);
             }
         }
     }
 
-    /// Tells requests without time left. One that waits was never sent; one in flight, in doubt or taken cannot say
-    /// that its key is free.
+    /// Answers requests past their deadline. A queued key has no write that could still take effect, so it is not
+    /// recorded; for a key that is in flight, in doubt or conflicting, the result is uncertain.
     fn expire(&mut self, now: Instant) -> Vec<KeyAction> {
         let mut actions = Vec::new();
         let not_recorded = self.not_recorded(now);
-        self.queue.retain(|entry| {
-            let late = entry.request.give_up <= now;
-            if late {
-                actions.push(KeyAction::Answer(entry.id, not_recorded));
+        self.queue.retain(|pending| {
+            let expired = pending.request.deadline <= now;
+            if expired {
+                actions.push(KeyAction::Answer(pending.id, not_recorded));
             }
-            !late
+            !expired
         });
-        for entry in &mut self.batch {
-            if entry.answered || entry.request.give_up > now {
+        for pending in &mut self.batch {
+            if pending.answered || pending.request.deadline > now {
                 continue;
             }
-            entry.answered = true;
-            actions.push(KeyAction::Answer(entry.id, KeyResult::Uncertain));
+            pending.answered = true;
+            actions.push(KeyAction::Answer(pending.id, KeyResult::Uncertain));
         }
-        self.taken.retain(|id, taken| {
-            let late = taken.entry.request.give_up <= now;
-            if late {
+        self.conflicting.retain(|id, conflicting| {
+            let expired = conflicting.pending.request.deadline <= now;
+            if expired {
                 actions.push(KeyAction::Answer(*id, KeyResult::Uncertain));
             }
-            !late
+            !expired
         });
         actions
     }
 
-    /// The refusal with when to come back: after the pause, and after what waits already.
+    /// The refusal, with a retry delay that covers the rest of the backoff.
     fn not_recorded(&self, now: Instant) -> KeyResult {
-        let pause = match self.phase {
-            BatchPhase::Paused { until, .. } => until.saturating_duration_since(now),
+        let backoff = match self.phase {
+            BatchPhase::BackingOff { until, .. } => until.saturating_duration_since(now),
             _ => Duration::ZERO,
         };
         KeyResult::NotRecorded {
-            retry_after: pause.max(self.settings.least_retry_after),
+            retry_after: backoff.max(self.settings.min_retry_after),
         }
     }
 }
 
-impl Entry {
-    /// What a row that is there means for this entry.
-    fn result_of(&self, record: KeyRecord) -> KeyResult {
+impl PendingKey {
+    /// The result for this key when its row holds `record`.
+    fn result_for(&self, record: KeyRecord) -> KeyResult {
         if record == self.request.record {
             return KeyResult::Recorded;
         }
--- a/crates/request-keys/tests/offered/mod.rs
+++ b/crates/request-keys/tests/offered/mod.rs
@@ -1,4 +1,4 @@
-//! Keys offered at an even rate.
+//! Load generator that records keys at an even rate.
 
 use std::time::{Duration, Instant};
 
@@ -6,8 +6,8 @@
 use model::IncarnationId;
 use request_keys::{BodyDigest, KeyRecord, KeyRecorder, KeyRequest, KeyResult, RequestKey};
 
-/// Records keys at an even rate, expects that each is recorded, and gives how long each took, shortest first.
-pub(crate) async fn offer_evenly(
+/// Records keys at an even rate, asserts that each is recorded, and returns the latencies in ascending order.
+pub(crate) async fn record_at_even_rate(
     recorder: &KeyRecorder,
     incarnation: u64,
     per_second: u64,
@@ -40,6 +40,6 @@
             serial,
             body_digest: BodyDigest(7),
         },
-        give_up: Instant::now() + Duration::from_secs(20),
+        deadline: Instant::now() + Duration::from_secs(20),
     }
 }
--- a/crates/telemetry/src/explain/mod.rs
+++ b/crates/telemetry/src/explain/mod.rs
@@ -1,11 +1,11 @@
-//! What became of a submission and why, for the operators' `explain`.
+//! Records the events of each submission for the operators' `explain` command.
 
 mod event;
 mod history;
 mod report;
 
 pub use self::{
-    event::{AttemptNote, ExplainEvent, OutcomeNote, SubmissionNote},
+    event::{AttemptSummary, ExplainEvent, OutcomeSummary, SubmissionSummary},
     history::{ExplainHistory, MAX_EVENTS},
     report::{ExplainLine, ExplainReport},
 };
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,4 +1,4 @@
-//! Logs, metrics and the explain history.
+//! Logs, metrics, traffic counters and the explain history.
 
 mod error;
 mod events;
@@ -10,11 +10,11 @@
 pub use crate::{
     error::TelemetryError,
     events::{EventKind, EventLine, EventLog},
-    explain::{ExplainEvent, ExplainHistory, ExplainReport, SubmissionNote},
+    explain::{ExplainEvent, ExplainHistory, ExplainReport, SubmissionSummary},
     logs::{init_logs, LogControl},
     metrics::{
         CounterFamily, CounterKind, GaugeKind, MetricSet, NodeMetrics, TimeFamily, TimeKind,
     },
-    traffic::{TrafficBook, TrafficCount, TrafficKind},
+    traffic::{TrafficCount, TrafficCounters, TrafficKind},
 };
 pub use settings::{LogLevel, LogPart, LogSettings};
--- a/crates/telemetry/src/metrics/catalogue.rs
+++ b/crates/telemetry/src/metrics/catalogue.rs
@@ -1,35 +1,35 @@
-//! Every metric: its name, kind, labels and meaning, in one table that the instruments and the docs page follow.
+//! The table of all metrics. The instruments and the docs page are made from it.
 
 use std::fmt::Write as _;
 
-/// What a metric is.
+/// The type of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MetricType {
-    /// Only goes up, from 0 at the start of the process.
+    /// Never decreases; starts at 0 with the process.
     Counter,
-    /// Goes up and down.
+    /// May rise and fall.
     Gauge,
-    /// Counts of times by bucket, in seconds.
+    /// Counts durations by bucket, in seconds.
     Histogram,
 }
 
-/// One line of the catalogue.
+/// The description of one metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct MetricLine {
-    /// The name in the exposition.
+pub struct MetricSpec {
+    /// The name in the Prometheus text.
     pub name: &'static str,
-    /// What it is.
+    /// The type of the metric.
     pub kind: MetricType,
-    /// The unit of its values; `1` for a plain count.
+    /// The unit of the values; `1` for a count.
     pub unit: &'static str,
-    /// Its label, if it has one.
+    /// The name of the label, if the metric has one.
     pub label: Option<&'static str>,
-    /// What it tells.
+    /// The help text.
     pub meaning: &'static str,
 }
 
-/// Every metric, in the order of the page.
-pub const CATALOGUE: &[MetricLine] = &[
+/// Every metric, in the order of the docs page.
+pub const CATALOGUE: &[MetricSpec] = &[
     labelled(
         SUBMISSIONS,
         "customer",
@@ -56,30 +56,30 @@
         "reason",
         "Submissions answered with outcome unknown",
     ),
-    CounterKind::AnswersUnderOldContracts.line(),
-    CounterKind::SecondArrivals.line(),
-    CounterKind::TaskOffers.line(),
-    CounterKind::Messages.line(),
-    CounterKind::WastedMessages.line(),
-    CounterKind::GrantAsks.line(),
-    CounterKind::PlatformErrors.line(),
-    CounterKind::ReadBacks.line(),
-    CounterKind::OwnerChanges.line(),
-    CounterKind::SessionsLost.line(),
-    CounterKind::LogLinesSuppressed.line(),
-    TimeKind::Response.line(),
-    TimeKind::QueueWait.line(),
-    TimeKind::RunTime.line(),
-    TimeKind::KeyCommit.line(),
-    GaugeKind::OpenSubmissions.line(),
-    GaugeKind::QueueLength.line(),
-    GaugeKind::SlotsRunning.line(),
-    GaugeKind::SlotsLimit.line(),
-    GaugeKind::ContractHead.line(),
-    GaugeKind::ContractAge.line(),
-    GaugeKind::OwnedEndpoints.line(),
-    GaugeKind::GrantsHeld.line(),
-    GaugeKind::Sessions.line(),
+    CounterKind::AnswersUnderOldContracts.spec(),
+    CounterKind::SecondArrivals.spec(),
+    CounterKind::TaskOffers.spec(),
+    CounterKind::Messages.spec(),
+    CounterKind::WastedMessages.spec(),
+    CounterKind::GrantAsks.spec(),
+    CounterKind::PlatformErrors.spec(),
+    CounterKind::ReadBacks.spec(),
+    CounterKind::OwnerChanges.spec(),
+    CounterKind::SessionsLost.spec(),
+    CounterKind::LogLinesSuppressed.spec(),
+    TimeKind::Response.spec(),
+    TimeKind::QueueWait.spec(),
+    TimeKind::RunTime.spec(),
+    TimeKind::KeyCommit.spec(),
+    GaugeKind::OpenSubmissions.spec(),
+    GaugeKind::QueueLength.spec(),
+    GaugeKind::SlotsRunning.spec(),
+    GaugeKind::SlotsLimit.spec(),
+    GaugeKind::ContractHead.spec(),
+    GaugeKind::ContractAge.spec(),
+    GaugeKind::OwnedEndpoints.spec(),
+    GaugeKind::GrantsHeld.spec(),
+    GaugeKind::Sessions.spec(),
 ];
 
 pub(super) const SUBMISSIONS: &str = "cairnpaddle_submissions_total";
@@ -98,13 +98,13 @@
         }
 
         impl $name {
-            /// Every kind, in the order of declaration, so that `ALL[kind as usize] == kind`.
+            /// Every kind in order of declaration, so that `ALL[kind as usize] == kind`.
             pub const ALL: &'static [Self] = &[$(Self::$variant,)+];
 
-            /// Its line in the catalogue.
-            pub const fn line(self) -> MetricLine {
+            /// The description of the metric.
+            pub const fn spec(self) -> MetricSpec {
                 match self {
-                    $(Self::$variant => MetricLine {
+                    $(Self::$variant => MetricSpec {
                         name: $metric, kind: $kind, unit: $unit, label: None, meaning: $meaning,
                     },)+
                 }
@@ -142,7 +142,7 @@
 }
 
 metric_kinds! {
-    /// Histograms of times.
+    /// Histograms of durations.
     TimeKind, MetricType::Histogram, {
         Response => "cairnpaddle_response_seconds", "s",
             "From the acceptance of a submission to its answer";
@@ -179,29 +179,29 @@
     }
 }
 
-/// The catalogue as a Markdown table, the body of `docs/METRICS.md`.
+/// Formats the catalogue as a Markdown table, the body of `docs/METRICS.md`.
 pub fn metric_page() -> String {
     let mut page =
         String::from("| name | kind | unit | label | meaning |\n|---|---|---|---|---|\n");
-    for line in CATALOGUE {
-        let kind = match line.kind {
+    for spec in CATALOGUE {
+        let kind = match spec.kind {
             MetricType::Counter => "counter",
             MetricType::Gauge => "gauge",
             MetricType::Histogram => "histogram",
         };
-        let label = line.label.unwrap_or("");
+        let label = spec.label.unwrap_or("");
         // Writing to a string cannot fail.
         let _ = writeln!(
             page,
             "| `{}` | {kind} | {} | {label} | {} |",
-            line.name, line.unit, line.meaning
+            spec.name, spec.unit, spec.meaning
         );
     }
     page
 }
 
-const fn labelled(name: &'static str, label: &'static str, meaning: &'static str) -> MetricLine {
-    MetricLine {
+const fn labelled(name: &'static str, label: &'static str, meaning: &'static str) -> MetricSpec {
+    MetricSpec {
         name,
         kind: MetricType::Counter,
         unit: "1",
--- a/crates/telemetry/src/metrics/set.rs
+++ b/crates/telemetry/src/metrics/set.rs
@@ -1,4 +1,4 @@
-//! The instruments of one process.
+//! The metrics of one process that are listed in the catalogue.
 
 use std::{
     sync::{Mutex, PoisonError},
@@ -17,21 +17,21 @@
 
 use super::{
     catalogue::{ANSWERS, CATALOGUE, FAILURES, REFUSALS, RETRIES, SUBMISSIONS, UNKNOWNS},
-    CounterKind, CustomerLabels, GaugeKind, MetricLine, TimeKind,
+    CounterKind, CustomerLabels, GaugeKind, MetricSpec, TimeKind,
 };
 use crate::TelemetryError;
 
-/// Upper bounds of the histograms' buckets, in seconds: dense around the 50 ms to 1 s that most tasks take.
+/// Upper bounds of the histogram buckets, in seconds. They are dense from 50 ms to 1 s, where most task durations lie.
 pub(super) const TIME_BUCKETS: [f64; 16] = [
     0.001, 0.002_5, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.35, 0.5, 0.75, 1.0, 2.5, 5.0, 10.0, 60.0,
 ];
 
 /// The metrics of one process, safe to record from any thread.
 ///
-/// Every reason's series is there from the start with 0, so that a rate over it is right from its first count.
+/// The series of every reason starts at 0, so that a rate over a series is right from the first count on.
 pub struct MetricSet {
     registry: Registry,
-    // The instruments report to the provider, so it lives as long as they do.
+    // The instruments report to the provider, so it has to live as long as they do.
     _provider: SdkMeterProvider,
     customers: Mutex<CustomerLabels>,
     submissions: Counter<u64>,
@@ -46,14 +46,14 @@
 }
 
 impl MetricSet {
-    /// Builds the instruments.
+    /// Registers all metrics of the catalogue.
     ///
     /// # Errors
     ///
     /// Fails when the exporter cannot be registered.
     pub fn new() -> Result<Self, TelemetryError> {
         let registry = Registry::new();
-        // The catalogue gives the names as they appear, so the exporter adds nothing to them.
+        // The catalogue holds the names as exposed, so the exporter must not add suffixes.
         let exporter = opentelemetry_prometheus::exporter()
             .with_registry(registry.clone())
             .without_units()
@@ -73,15 +73,15 @@
             retries: named_counter(&meter, RETRIES),
             failures: named_counter(&meter, FAILURES),
             unknowns: named_counter(&meter, UNKNOWNS),
-            counters: build(CounterKind::ALL, |kind| counter(&meter, &kind.line())),
-            times: build(TimeKind::ALL, |kind| histogram(&meter, &kind.line())),
-            gauges: build(GaugeKind::ALL, |kind| gauge(&meter, &kind.line())),
+            counters: build(CounterKind::ALL, |kind| counter(&meter, &kind.spec())),
+            times: build(TimeKind::ALL, |kind| histogram(&meter, &kind.spec())),
+            gauges: build(GaugeKind::ALL, |kind| gauge(&meter, &kind.spec())),
         };
-        set.start_at_zero();
+        set.init_series();
         Ok(set)
     }
 
-    /// A submission of a customer that has a contract was taken in.
+    /// Counts a submission that was accepted from a customer with a contract.
     pub fn submitted(&self, customer: &CustomerId) {
         let label = self
             .customers
@@ -91,7 +91,7 @@
         self.submissions.add(1, &[KeyValue::new("customer", label)]);
     }
 
-    /// An answer was given. Counts the outcome and its reason.
+    /// Counts an answer by outcome, and the reason of a failure, refusal or unknown outcome.
     pub fn answered(&self, outcome: &SubmissionOutcome) {
         let name = match outcome {
             SubmissionOutcome::Complete(_) => "complete",
@@ -111,7 +111,7 @@
         add(&self.answers, 1, "outcome", name);
     }
 
-    /// A task is placed again after a definite not-run.
+    /// Counts a task that is placed again because it definitely did not run.
     pub fn retried(&self, reason: RetryReason) {
         add(&self.retries, 1, "reason", reason.as_str());
     }
@@ -121,7 +121,7 @@
         self.counters[kind as usize].add(by, &[]);
     }
 
-    /// Records a time.
+    /// Records a duration in a histogram.
     pub fn time(&self, kind: TimeKind, span: Duration) {
         self.times[kind as usize].record(span.as_secs_f64(), &[]);
     }
@@ -131,7 +131,7 @@
         self.gauges[kind as usize].record(value, &[]);
     }
 
-    /// The metrics as Prometheus text.
+    /// Renders the metrics as Prometheus text.
     ///
     /// # Errors
     ///
@@ -140,7 +140,7 @@
         Ok(TextEncoder::new().encode_to_string(&self.registry.gather())?)
     }
 
-    fn start_at_zero(&self) {
+    fn init_series(&self) {
         for outcome in ["complete", "failed", "refused", "unknown"] {
             add(&self.answers, 0, "outcome", outcome);
         }
@@ -171,34 +171,34 @@
 }
 
 fn named_counter(meter: &Meter, name: &str) -> Counter<u64> {
-    let line = CATALOGUE
+    let spec = CATALOGUE
         .iter()
-        .find(|line| line.name == name)
+        .find(|spec| spec.name == name)
         .expect("the catalogue has every labelled counter");
-    counter(meter, line)
+    counter(meter, spec)
 }
 
-fn counter(meter: &Meter, line: &MetricLine) -> Counter<u64> {
+fn counter(meter: &Meter, spec: &MetricSpec) -> Counter<u64> {
     meter
-        .u64_counter(line.name)
-        .with_description(line.meaning)
-        .with_unit(line.unit)
+        .u64_counter(spec.name)
+        .with_description(spec.meaning)
+        .with_unit(spec.unit)
         .build()
 }
 
-fn histogram(meter: &Meter, line: &MetricLine) -> Histogram<f64> {
+fn histogram(meter: &Meter, spec: &MetricSpec) -> Histogram<f64> {
     meter
-        .f64_histogram(line.name)
-        .with_description(line.meaning)
-        .with_unit(line.unit)
+        .f64_histogram(spec.name)
+        .with_description(spec.meaning)
+        .with_unit(spec.unit)
         .with_boundaries(TIME_BUCKETS.to_vec())
         .build()
 }
 
-fn gauge(meter: &Meter, line: &MetricLine) -> Gauge<f64> {
+fn gauge(meter: &Meter, spec: &MetricSpec) -> Gauge<f64> {
     meter
-        .f64_gauge(line.name)
-        .with_description(line.meaning)
-        .with_unit(line.unit)
+        .f64_gauge(spec.name)
+        .with_description(spec.meaning)
+        .with_unit(spec.unit)
         .build()
 }
