--- a/crates/contracts/tests/editing.rs
+++ b/crates/contracts/tests/editing.rs
@@ -18,12 +18,12 @@
 
 const V1: ContractVersion = ContractVersion(1);
 
-struct Bench {
+struct TestStore {
     stand_in: PlatformStandIn,
     client: PlatformClient,
 }
 
-impl Bench {
+impl TestStore {
     fn start() -> Self {
         let stand_in = PlatformStandIn::start(PlatformSettings::default()).unwrap();
         let settings = ClientSettings {
@@ -40,7 +40,7 @@
     fn editor(&self) -> ContractEditor {
         let settings = EditorSettings {
             time_limit: Duration::from_secs(1),
-            max_head_losses: 200,
+            max_head_conflicts: 200,
             ..EditorSettings::default()
         };
         ContractEditor::new(self.client.clone(), settings, Rng::new())
@@ -87,9 +87,9 @@
 }
 
 #[actix_rt::test]
-async fn a_contract_lives_through_create_change_and_retire() {
-    let bench = Bench::start();
-    let editor = bench.editor();
+async fn a_contract_is_created_changed_and_retired() {
+    let store = TestStore::start();
+    let editor = store.editor();
     let trust = customer("trust");
     assert_eq!(editor.show(&trust).await, Ok(None));
     let made = create(&editor, "trust", 5).await;
@@ -129,15 +129,18 @@
 }
 
 #[actix_rt::test]
-async fn a_change_that_cannot_be_is_turned_away_and_writes_nothing() {
-    let bench = Bench::start();
-    let editor = bench.editor();
+async fn an_invalid_or_conflicting_change_is_rejected_without_a_write() {
+    let store = TestStore::start();
+    let editor = store.editor();
     let trust = customer("trust");
     let made = create(&editor, "trust", 5).await;
     let conflict = Err(EditError::Conflict(Box::new(made)));
 
     let wrong = editor.create(&customer("x"), with_concurrency(0)).await;
-    assert!(matches!(wrong, Err(EditError::Wrong(_))), "{wrong:?}");
+    assert!(
+        matches!(wrong, Err(EditError::InvalidContract(_))),
+        "{wrong:?}"
+    );
     assert_eq!(editor.create(&trust, with_concurrency(6)).await, conflict);
     let older = editor
         .change(&trust, ContractVersion(0), with_concurrency(6))
@@ -154,11 +157,11 @@
         editor.retire(&customer("x"), V1).await,
         Err(EditError::NotFound)
     );
-    assert_eq!(bench.stand_in.stats().transactions, 1);
+    assert_eq!(store.stand_in.stats().transactions, 1);
 }
 
 #[actix_rt::test]
-async fn a_lost_answer_is_resolved_and_the_change_is_made_once() {
+async fn a_change_with_a_lost_response_is_applied_once() {
     // The operator sees one confirmed change, although the platform's answer was lost: after the write took effect,
     // before it, or with the write landing only after the editor looked. Reading back the change id tells an own
     // write from another's; an attempt that comes second finds the first one's rows and has no effect.
@@ -172,15 +175,15 @@
     ];
     for (name, next, when) in cases {
         for first in [true, false] {
-            let bench = Bench::start();
-            let editor = bench.editor();
+            let store = TestStore::start();
+            let editor = store.editor();
             let trust = customer("trust");
             let mut version = 1;
             if !first {
                 create(&editor, "trust", 5).await;
                 version = 2;
             }
-            bench.lose(next, when);
+            store.lose(next, when);
             let made = match first {
                 true => editor.create(&trust, with_concurrency(9)).await,
                 false => editor.change(&trust, V1, with_concurrency(9)).await,
@@ -195,29 +198,29 @@
                 .await
                 .unwrap();
             assert_eq!(history.len() as u64, version, "{name}");
-            assert_eq!(bench.stand_in.stats().transactions, version, "{name}");
+            assert_eq!(store.stand_in.stats().transactions, version, "{name}");
         }
     }
 }
 
 #[actix_rt::test]
-async fn an_own_change_is_known_again_after_another_came_on_top() {
+async fn a_change_is_recognised_in_the_history_after_a_later_change() {
     // The answer to change 2 is lost after it took effect, and before the editor reads back, another operator makes
     // change 3. The newest row is then another's; only the history still shows that change 2 was made. A conflict
     // here would have the first operator make the change again, over the second one's.
-    let bench = Bench::start();
-    let patient = EditorSettings {
-        longest_pause: Duration::from_millis(800),
+    let store = TestStore::start();
+    let slow_retry = EditorSettings {
+        max_retry_delay: Duration::from_millis(800),
         ..EditorSettings::default()
     };
-    let editor = ContractEditor::new(bench.client.clone(), patient, Rng::new());
+    let editor = ContractEditor::new(store.client.clone(), slow_retry, Rng::new());
     let trust = customer("trust");
     create(&editor, "trust", 5).await;
-    let other = bench.editor();
-    bench.lose(1, LossTime::AfterWrite);
+    let other = store.editor();
+    store.lose(1, LossTime::AfterWrite);
     let change = editor.change(&trust, V1, with_concurrency(9));
     let race = async {
-        while bench.stand_in.row("contracts", "trust").unwrap().version < 2 {
+        while store.stand_in.row("contracts", "trust").unwrap().version < 2 {
             actix_rt::time::sleep(Duration::from_micros(200)).await;
         }
         other
@@ -233,18 +236,18 @@
 }
 
 #[actix_rt::test]
-async fn of_racing_operators_one_wins_and_the_losers_lose_nothing() {
+async fn one_of_several_concurrent_changes_succeeds_and_the_others_conflict() {
     // Eight operators change version 1 at once, half of them with lost answers in between. One sees its change
     // made; each other sees a conflict that names the winner's version, and the winner's contract stands.
     for seed in 0..5 {
-        let bench = Bench::start();
+        let store = TestStore::start();
         let trust = customer("trust");
-        create(&bench.editor(), "trust", 100).await;
-        bench
+        create(&store.editor(), "trust", 100).await;
+        store
             .stand_in
             .set_faults(FaultSettings::losing_part(0.5, seed));
         let changes = (1..=8).map(|operator| {
-            let (editor, trust) = (bench.editor(), trust.clone());
+            let (editor, trust) = (store.editor(), trust.clone());
             async move { editor.change(&trust, V1, with_concurrency(operator)).await }
         });
         let ends = futures::future::join_all(changes).await;
@@ -257,18 +260,18 @@
                 other => panic!("seed {seed}: {other:?}"),
             }
         }
-        let standing = bench.editor().show(&trust).await.unwrap();
+        let standing = store.editor().show(&trust).await.unwrap();
         assert_eq!(standing.as_ref(), Some(winners[0]), "seed {seed}");
     }
 }
 
 #[actix_rt::test]
-async fn changes_of_other_contracts_do_not_make_a_conflict() {
+async fn concurrent_changes_of_different_contracts_all_succeed() {
     // Eight operators create eight contracts at once. All go through the one head row, so most attempts lose it; each
     // is tried again, and no operator sees anything of the others. No number of the head is used twice.
-    let bench = Bench::start();
+    let store = TestStore::start();
     let changes = (0..8).map(|n| {
-        let editor = bench.editor();
+        let editor = store.editor();
         async move {
             editor
                 .create(&customer(&format!("c{n}")), with_concurrency(1))
@@ -281,72 +284,72 @@
     }
     heads.sort_unstable();
     assert_eq!(heads, [1, 2, 3, 4, 5, 6, 7, 8]);
-    println!("8 creates at once: {:?}", bench.stand_in.stats());
+    println!("8 creates at once: {:?}", store.stand_in.stats());
 }
 
 #[actix_rt::test]
-async fn a_head_that_always_moves_ends_in_contended_and_writes_nothing() {
+async fn repeated_head_conflicts_end_in_contended_without_a_write() {
     // Something bumps the head row before every transaction. The operator hears within the bound that others came
     // first each time, and not that its change may have been made.
-    let bench = Bench::start();
+    let store = TestStore::start();
     let race = RacingWrite::before("contract-head", "head", u32::MAX, vec![head_write(4)]);
-    bench.stand_in.set_faults(FaultSettings::racing(race));
+    store.stand_in.set_faults(FaultSettings::racing(race));
     let settings = EditorSettings {
-        max_head_losses: 3,
+        max_head_conflicts: 3,
         ..EditorSettings::default()
     };
-    let editor = ContractEditor::new(bench.client.clone(), settings, Rng::new());
+    let editor = ContractEditor::new(store.client.clone(), settings, Rng::new());
     let end = editor.create(&customer("x"), with_concurrency(1)).await;
     assert_eq!(end, Err(EditError::Contended));
-    assert_eq!(bench.stand_in.stats().conflicts, 4);
-    assert_eq!(bench.stand_in.row("contracts", "x"), None);
+    assert_eq!(store.stand_in.stats().conflicts, 4);
+    assert_eq!(store.stand_in.row("contracts", "x"), None);
 }
 
 #[actix_rt::test]
-async fn a_store_that_is_down_gives_an_answer_that_is_true() {
+async fn a_failing_store_reports_whether_the_change_may_have_been_written() {
     // The operator changes a contract while the store does not answer. Where nothing can have been written it hears
     // so at once; where a write went out and nobody can say, it hears which version and change to look for.
     #[derive(Debug, PartialEq, Eq)]
-    enum Heard {
+    enum ReportedError {
         Unavailable,
         Uncertain,
     }
     let cases = [
-        (DownMode::Unavailable, Heard::Unavailable),
-        (DownMode::Closed, Heard::Unavailable),
-        (DownMode::WritesUnavailable, Heard::Uncertain),
+        (DownMode::Unavailable, ReportedError::Unavailable),
+        (DownMode::Closed, ReportedError::Unavailable),
+        (DownMode::WritesUnavailable, ReportedError::Uncertain),
     ];
     for (mode, expected) in cases {
-        let bench = Bench::start();
-        let editor = bench.editor();
+        let store = TestStore::start();
+        let editor = store.editor();
         let trust = customer("trust");
         create(&editor, "trust", 5).await;
-        bench.down(mode);
-        let heard = match editor.change(&trust, V1, with_concurrency(6)).await {
-            Err(EditError::Unavailable(_)) => Heard::Unavailable,
+        store.down(mode);
+        let reported = match editor.change(&trust, V1, with_concurrency(6)).await {
+            Err(EditError::Unavailable(_)) => ReportedError::Unavailable,
             Err(EditError::Uncertain { version, .. }) => {
                 assert_eq!(version, ContractVersion(2));
-                Heard::Uncertain
+                ReportedError::Uncertain
             }
             other => panic!("{mode:?}: {other:?}"),
         };
-        assert_eq!(heard, expected, "{mode:?}");
-        bench.down(DownMode::Up);
+        assert_eq!(reported, expected, "{mode:?}");
+        store.down(DownMode::Up);
         let made = editor.change(&trust, V1, with_concurrency(6)).await;
         assert_eq!(made.unwrap().version, ContractVersion(2), "{mode:?}");
     }
 }
 
 #[actix_rt::test]
-async fn a_view_follows_changes_at_a_cost_that_does_not_grow_with_contracts() {
+async fn the_cost_of_a_poll_does_not_grow_with_the_number_of_contracts() {
     // A process with 10, 200 or 1,200 contracts polls: nothing changed, one changed, three changed. Each poll costs
     // the same reads and rows whatever the number of contracts, or the head poll of every data centre would eat the
     // store's reads as customers come.
     let mut costs = Vec::new();
     for contracts in [10, 200, 1200] {
-        let bench = Bench::start();
-        fill(&bench.stand_in, contracts);
-        let (reader, editor) = (bench.reader(), bench.editor());
+        let store = TestStore::start();
+        fill(&store.stand_in, contracts);
+        let (reader, editor) = (store.reader(), store.editor());
         let mut view = ContractView::default();
         poll(&reader, &mut view).await;
         assert_eq!(view.rows().count() as u64, contracts);
@@ -362,9 +365,9 @@
                     .await
                     .unwrap();
             }
-            let before = bench.stand_in.stats();
+            let before = store.stand_in.stats();
             poll(&reader, &mut view).await;
-            let after = bench.stand_in.stats();
+            let after = store.stand_in.stats();
             cost.push((
                 after.reads - before.reads,
                 after.rows_read - before.rows_read,
@@ -415,12 +418,12 @@
 }
 
 #[actix_rt::test]
-async fn a_view_far_behind_or_with_a_gap_in_the_log_reads_everything() {
+async fn a_view_far_behind_or_a_gap_in_the_log_leads_to_a_full_read() {
     // A process was cut off for more than 2,000 changes, or a row of the log is missing. Taking the log's rows as
     // complete would leave a contract old for good; the view reads all contracts instead and ends at the head.
-    let bench = Bench::start();
-    fill(&bench.stand_in, 600);
-    let reader = bench.reader();
+    let store = TestStore::start();
+    fill(&store.stand_in, 600);
+    let reader = store.reader();
     let poll = |known| {
         let reader = reader.clone();
         async move {
@@ -431,7 +434,7 @@
     assert_eq!(poll(1).await, (1, 600, 599), "by the log, in two pages");
 
     // The head moves on without a row in the log.
-    bench.stand_in.write_now(vec![head_write(602)]).unwrap();
+    store.stand_in.write_now(vec![head_write(602)]).unwrap();
     assert_eq!(poll(590).await, (0, 602, 600));
 
     // A later row of the log is there, but two in between are not.
@@ -440,37 +443,37 @@
     });
     let later = row_write("contract-log", &format!("{:020}", 603), value);
     let writes = vec![later, head_write(603)];
-    bench.stand_in.write_now(writes).unwrap();
+    store.stand_in.write_now(writes).unwrap();
     assert_eq!(poll(590).await, (0, 603, 600));
 
-    bench.stand_in.write_now(vec![head_write(3000)]).unwrap();
+    store.stand_in.write_now(vec![head_write(3000)]).unwrap();
     assert_eq!(poll(590).await, (0, 3000, 600));
 }
 
 #[actix_rt::test]
-async fn polls_of_a_failing_store_change_nothing() {
+async fn failed_polls_leave_the_view_unchanged() {
     // The store goes down, comes back with an older head, or holds a row that cannot be read. The view keeps what it
     // has, and its head never passes a contract that it does not know.
-    let bench = Bench::start();
-    let (reader, editor) = (bench.reader(), bench.editor());
+    let store = TestStore::start();
+    let (reader, editor) = (store.reader(), store.editor());
     create(&editor, "a", 1).await;
     create(&editor, "b", 2).await;
     let mut view = ContractView::default();
     poll(&reader, &mut view).await;
 
     for mode in [DownMode::Unavailable, DownMode::Closed] {
-        bench.down(mode);
+        store.down(mode);
         assert!(reader.poll(view.loaded_head()).await.is_err());
     }
-    bench.down(DownMode::Up);
+    store.down(DownMode::Up);
 
-    bench.stand_in.write_now(vec![head_write(1)]).unwrap();
+    store.stand_in.write_now(vec![head_write(1)]).unwrap();
     assert_eq!(reader.poll(view.loaded_head()).await, Ok(None));
 
     let value = json!({"customer": "a", "version": 2});
     let broken = row_write("contract-log", &format!("{:020}", 3), value);
     let writes = vec![broken, head_write(3)];
-    bench.stand_in.write_now(writes).unwrap();
+    store.stand_in.write_now(writes).unwrap();
     let error = reader.poll(view.loaded_head()).await.unwrap_err();
     let text = error.to_string();
     assert!(
--- a/crates/contracts/tests/view.rs
+++ b/crates/contracts/tests/view.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn no_order_of_updates_takes_a_contract_or_the_head_back() {
+fn updates_in_any_order_never_revert_a_contract_or_the_head() {
     // Gossip from several peers and reads from the platform arrive in any order. A caller whose limits were raised
     // must not meet the old ones again, so an old row or head that comes last is passed over.
     let updates = [
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn an_update_with_a_gap_in_front_leaves_the_head_where_it_was() {
+fn an_update_that_starts_after_the_head_does_not_advance_it() {
     // A peer sends what is newer than head 5 to a view at head 2. The rows are good, but changes 3 to 5 are not
     // known here; a head of 7 would mean that nobody ever asks for them, and one contract stays old for good.
     let mut view = ContractView::default();
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_new_process_waits_for_a_view_as_new_as_its_peers() {
+fn a_view_is_not_ready_until_it_reaches_the_head_of_its_peers() {
     // A process starts, hears of head 9 from a peer and gets an older answer first. Serving from it would bring back
     // limits that are already replaced everywhere else.
     let mut view = ContractView::default();
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_peer_gets_what_changed_and_no_more() {
+fn an_update_for_a_peer_holds_only_newer_rows() {
     let mut view = ContractView::default();
     view.apply(update(
         0,
