--- a/crates/caller-api/src/operators/error.rs
+++ b/crates/caller-api/src/operators/error.rs
@@ -150,7 +150,7 @@
 impl From<EditError> for OperatorError {
     fn from(error: EditError) -> Self {
         match error {
-            EditError::Wrong(wrong) => wrong.into(),
+            EditError::InvalidContract(wrong) => wrong.into(),
             EditError::NotFound => Self::NotFound,
             EditError::Conflict(row) => Self::Conflict {
                 current: row.version,
--- a/crates/contracts/src/editor.rs
+++ b/crates/contracts/src/editor.rs
@@ -25,18 +25,18 @@
     pub time_limit: Duration,
     /// How often a change that lost to a change of another contract is tried again. Each loss means that another
     /// change took effect, so all operators together always get on.
-    pub max_head_losses: u32,
+    pub max_head_conflicts: u32,
     /// The longest pause before a change is tried again; the pause is drawn at random from half of it up, so that
     /// two editors that met do not meet again and one editor does not spin.
-    pub longest_pause: Duration,
+    pub max_retry_delay: Duration,
 }
 
 impl Default for EditorSettings {
     fn default() -> Self {
         Self {
             time_limit: Duration::from_secs(5),
-            max_head_losses: 20,
-            longest_pause: Duration::from_millis(20),
+            max_head_conflicts: 20,
+            max_retry_delay: Duration::from_millis(20),
         }
     }
 }
@@ -55,7 +55,7 @@
 pub enum EditError {
     /// A field of the contract is out of range. Nothing was written.
     #[error(transparent)]
-    Wrong(#[from] WrongContract),
+    InvalidContract(#[from] WrongContract),
     /// There is no contract to change. Nothing was written.
     #[error("no contract")]
     NotFound,
@@ -110,16 +110,16 @@
     expected: ExpectedContract,
     contract: Contract,
     change: ChangeId,
-    give_up: Instant,
+    deadline: Instant,
     /// Whether some attempt may have taken effect or may yet do so.
     uncertain: bool,
-    head_losses: u32,
+    head_conflicts: u32,
 }
 
 /// How one attempt ended.
 enum AttemptEnd {
-    Made(ContractRow),
-    TryAgain,
+    Committed(ContractRow),
+    Retry,
 }
 
 impl PendingChange {
@@ -132,7 +132,7 @@
     }
 
     /// What the operator hears of a failure that is definite for the last attempt alone.
-    fn give_up_with(&self, error: EditError) -> EditError {
+    fn error_or_uncertain(&self, error: EditError) -> EditError {
         if !self.uncertain {
             return error;
         }
@@ -163,7 +163,7 @@
         customer: &CustomerId,
         contract: Contract,
     ) -> Result<ContractRow, EditError> {
-        self.make(customer, ExpectedContract::Absent, contract)
+        self.commit_change(customer, ExpectedContract::Absent, contract)
             .await
     }
 
@@ -179,7 +179,7 @@
         contract: Contract,
     ) -> Result<ContractRow, EditError> {
         let expected = ExpectedContract::Version(expected);
-        self.make(customer, expected, contract).await
+        self.commit_change(customer, expected, contract).await
     }
 
     /// Writes the version after `expected` with everything as it was but the state.
@@ -252,7 +252,7 @@
         Ok(versions)
     }
 
-    async fn make(
+    async fn commit_change(
         &self,
         customer: &CustomerId,
         expected: ExpectedContract,
@@ -264,44 +264,44 @@
             expected,
             contract,
             change: ChangeId(self.rng.borrow_mut().u64(..)),
-            give_up: self.client.clock().now() + self.settings.time_limit,
+            deadline: self.client.clock().now() + self.settings.time_limit,
             uncertain: false,
-            head_losses: 0,
+            head_conflicts: 0,
         };
         loop {
             match self.attempt(&mut pending).await? {
-                AttemptEnd::Made(row) => return Ok(row),
-                AttemptEnd::TryAgain => {}
+                AttemptEnd::Committed(row) => return Ok(row),
+                AttemptEnd::Retry => {}
             }
-            self.check_patience(&pending)?;
-            self.pause().await;
+            self.check_retry_limits(&pending)?;
+            self.wait_before_retry().await;
         }
     }
 
     /// Reads what is there, and writes the change if it is as expected.
     async fn attempt(&self, pending: &mut PendingChange) -> Result<AttemptEnd, EditError> {
         let prepared = match self.prepare(pending).await {
-            Ok(Prepared::Made(row)) => return Ok(AttemptEnd::Made(row)),
+            Ok(Prepared::Committed(row)) => return Ok(AttemptEnd::Committed(row)),
             Ok(Prepared::Write(prepared)) => prepared,
             // With an attempt in doubt, a failed read leaves it in doubt: reading goes on until the time limit.
-            Err(EditError::Unavailable(_)) if pending.uncertain => return Ok(AttemptEnd::TryAgain),
-            Err(e @ EditError::Row(_)) => return Err(pending.give_up_with(e)),
+            Err(EditError::Unavailable(_)) if pending.uncertain => return Ok(AttemptEnd::Retry),
+            Err(e @ EditError::Row(_)) => return Err(pending.error_or_uncertain(e)),
             Err(e) => return Err(e),
         };
         let (stored, contract_expect, head_expect) = *prepared;
         let writes = stored.writes(contract_expect, head_expect);
         match self.client.commit(writes).await {
-            Ok(_) => Ok(AttemptEnd::Made(stored.row)),
+            Ok(_) => Ok(AttemptEnd::Committed(stored.row)),
             Err(CommitError::Conflict(conflicts)) => {
-                note_head_loss(pending, &conflicts);
-                Ok(AttemptEnd::TryAgain)
+                count_head_conflict(pending, &conflicts);
+                Ok(AttemptEnd::Retry)
             }
-            Err(CommitError::NotSent(_)) if pending.uncertain => Ok(AttemptEnd::TryAgain),
+            Err(CommitError::NotSent(_)) if pending.uncertain => Ok(AttemptEnd::Retry),
             Err(CommitError::NotSent(failure)) => Err(EditError::Unavailable(failure.to_string())),
             Err(CommitError::Uncertain(failure)) => {
                 log::warn!("contracts: change {} in doubt: {failure}", pending.change);
                 pending.uncertain = true;
-                Ok(AttemptEnd::TryAgain)
+                Ok(AttemptEnd::Retry)
             }
         }
     }
@@ -316,7 +316,7 @@
             }
             (None, ExpectedContract::Version(_)) => return Err(EditError::NotFound),
             (Some((_, stored)), _) => {
-                return self.settle(pending, stored.row.clone()).await;
+                return self.resolve_conflict(pending, stored.row.clone()).await;
             }
         };
         let (head_expect, head) = self.read_head().await?;
@@ -337,7 +337,7 @@
     /// Tells an own change whose answer was lost from another operator's. The contract may have been changed again
     /// since, so the history's row of the version decides and not the newest. Where that row is another's, an attempt
     /// in doubt can no longer land, since the contract row that it expects is gone: the conflict is definite.
-    async fn settle(
+    async fn resolve_conflict(
         &self,
         pending: &PendingChange,
         newest: ContractRow,
@@ -348,7 +348,7 @@
             if let Some(found) = self.client.get_row(table, &key).await? {
                 let stored: StoredContract = decode(table, &key, found.value)?;
                 if stored.change == pending.change {
-                    return Ok(Prepared::Made(stored.row));
+                    return Ok(Prepared::Committed(stored.row));
                 }
             }
         }
@@ -376,17 +376,18 @@
         Ok((ExpectedVersion::Version(row.version), stored.head))
     }
 
-    fn check_patience(&self, pending: &PendingChange) -> Result<(), EditError> {
-        let over_time = self.client.clock().now() >= pending.give_up;
-        if over_time || pending.head_losses > self.settings.max_head_losses {
-            return Err(pending.give_up_with(EditError::Contended));
+    fn check_retry_limits(&self, pending: &PendingChange) -> Result<(), EditError> {
+        let past_deadline = self.client.clock().now() >= pending.deadline;
+        if past_deadline || pending.head_conflicts > self.settings.max_head_conflicts {
+            return Err(pending.error_or_uncertain(EditError::Contended));
         }
         Ok(())
     }
 
-    async fn pause(&self) {
-        let longest = u64::try_from(self.settings.longest_pause.as_micros()).unwrap_or(u64::MAX);
-        let micros = self.rng.borrow_mut().u64(longest / 2..=longest);
+    async fn wait_before_retry(&self) {
+        let max_micros =
+            u64::try_from(self.settings.max_retry_delay.as_micros()).unwrap_or(u64::MAX);
+        let micros = self.rng.borrow_mut().u64(max_micros / 2..=max_micros);
         actix_rt::time::sleep(Duration::from_micros(micros)).await;
     }
 }
@@ -394,17 +395,17 @@
 /// What an attempt does after reading.
 enum Prepared {
     /// Nothing: an earlier attempt made the change.
-    Made(ContractRow),
+    Committed(ContractRow),
     /// Writes the change, expecting these versions of the contract row and the head row.
     Write(Box<(StoredContract, ExpectedVersion, ExpectedVersion)>),
 }
 
 /// Counts a loss to a change of another contract. Where the contract itself is in conflict, the next read tells.
-fn note_head_loss(pending: &mut PendingChange, conflicts: &[RowConflict]) {
+fn count_head_conflict(pending: &mut PendingChange, conflicts: &[RowConflict]) {
     let contract = conflicts
         .iter()
         .any(|conflict| conflict.table == TableName::Contracts);
     if !contract {
-        pending.head_losses += 1;
+        pending.head_conflicts += 1;
     }
 }
--- a/crates/contracts/src/view.rs
+++ b/crates/contracts/src/view.rs
@@ -15,7 +15,7 @@
     /// what is there.
     by_head: BTreeMap<HeadNumber, CustomerId>,
     head: HeadNumber,
-    peers_head: HeadNumber,
+    max_peer_head: HeadNumber,
     loaded: bool,
     ready: bool,
 }
@@ -54,7 +54,7 @@
 
     /// Notes the head that a peer named.
     pub fn note_peer_head(&mut self, head: HeadNumber) {
-        self.peers_head = self.peers_head.max(head);
+        self.max_peer_head = self.max_peer_head.max(head);
     }
 
     /// Takes in an update and gives the customers whose contract changed by it.
@@ -73,7 +73,7 @@
             self.loaded = true;
             self.head = self.head.max(update.head);
         }
-        self.ready |= self.loaded && self.head >= self.peers_head;
+        self.ready |= self.loaded && self.head >= self.max_peer_head;
         changed
     }
 
