--- a/crates/caller-api/tests/any_input.rs
+++ b/crates/caller-api/tests/any_input.rs
@@ -152,21 +152,21 @@
     }
 
     #[test]
-    fn good_bodies_are_accepted(job in job(), request in request()) {
-        let wrong = job["tasks"] == json!([]) || job["deadline_ms"] == json!(0);
+    fn valid_bodies_are_accepted(job in job(), request in request()) {
+        let invalid = job["tasks"] == json!([]) || job["deadline_ms"] == json!(0);
         let raw = job.to_string();
-        assert_eq!(check(raw.as_bytes(), read_job(raw.as_bytes())), !wrong);
+        assert_eq!(check(raw.as_bytes(), read_job(raw.as_bytes())), !invalid);
         let raw = request.to_string();
         assert!(check(raw.as_bytes(), read_request(raw.as_bytes(), None)));
     }
 
     #[test]
-    fn mutated_bodies_are_read_as_they_are(
-        good in prop_oneof![job(), request()],
+    fn an_accepted_mutated_body_is_read_unchanged(
+        valid in prop_oneof![job(), request()],
         mutations in vec(mutation(), 1..4),
         key in proptest::option::of("[a-z ]{0,70}"),
     ) {
-        let mut raw = good.to_string().into_bytes();
+        let mut raw = valid.to_string().into_bytes();
         for mutation in &mutations {
             mutation.apply(&mut raw);
         }
--- a/crates/caller-api/tests/operators.rs
+++ b/crates/caller-api/tests/operators.rs
@@ -56,13 +56,13 @@
 }
 
 /// Goes away while a command is under way.
-struct VanishingActor;
+struct TerminatingActor;
 
-impl Actor for VanishingActor {
+impl Actor for TerminatingActor {
     type Context = Context<Self>;
 }
 
-impl Handler<OperatorCommand> for VanishingActor {
+impl Handler<OperatorCommand> for TerminatingActor {
     type Result = ResponseActFuture<Self, CommandResult>;
 
     fn handle(&mut self, _: OperatorCommand, context: &mut Context<Self>) -> Self::Result {
@@ -134,7 +134,7 @@
 
 /// Status, reason and field of the answer; call; headers; body. Only the message names a field that is given twice:
 /// the reader has left its path by then.
-const WRONG_CALLS: &str = r#"
+const INVALID_CALLS: &str = r#"
 428 precondition_required - ; PUT /v1/contracts/trust ; ; {}
 428 precondition_required - ; DELETE /v1/contracts/trust ; ;
 428 precondition_required - ; DELETE /v1/contracts/trust ; If-None-Match: * ;
@@ -250,7 +250,7 @@
 }
 
 #[actix_rt::test]
-async fn wrong_calls_are_told_the_field_and_write_nothing() {
+async fn invalid_calls_name_the_field_and_write_nothing() {
     let stand_in = PlatformStandIn::start(PlatformSettings::default()).unwrap();
     let link = start_editor(&stand_in);
     call(
@@ -260,7 +260,7 @@
         r#"{"concurrency":5}"#,
     )
     .await;
-    for row in WRONG_CALLS.trim().lines() {
+    for row in INVALID_CALLS.trim().lines() {
         let columns: Vec<_> = row.split(';').map(str::trim).collect();
         let [expected, line, headers, body] = columns[..] else {
             panic!("{row}");
@@ -269,8 +269,8 @@
         let body = body.replace("LONG", &" ".repeat(20_000));
         let answer = call(&link, line, &headers, &body).await;
         let (status, reason, field) = answer.error();
-        let heard = format!("{status} {reason} {}", field.unwrap_or("-"));
-        assert_eq!(heard, expected, "{row}: {answer:?}");
+        let summary = format!("{status} {reason} {}", field.unwrap_or("-"));
+        assert_eq!(summary, expected, "{row}: {answer:?}");
         if status == 412 {
             assert_eq!(answer.etag.as_deref(), Some("\"1\""));
             assert_eq!(answer.body["error"]["version"], 1);
@@ -280,7 +280,7 @@
 }
 
 #[actix_rt::test]
-async fn each_failure_of_a_write_says_whether_something_was_written() {
+async fn a_failed_write_reports_whether_it_may_have_taken_effect() {
     // The operator's change fails in the control actor, or the actor goes away under way. 503 says that nothing was
     // written and when to come back; 504 says that nobody knows, and names what to look for. Mixed up, an operator
     // would make the same change twice or take a lost one for made.
@@ -320,15 +320,15 @@
             assert_eq!(answer.body["error"]["change"], "00000000000000ab");
         }
     }
-    let vanishing = || OperatorLink::new(VanishingActor.start().recipient());
-    let write = call(&vanishing(), "PUT /v1/contracts/trust", CREATE, "{}").await;
+    let terminating = || OperatorLink::new(TerminatingActor.start().recipient());
+    let write = call(&terminating(), "PUT /v1/contracts/trust", CREATE, "{}").await;
     assert_eq!(write.error(), (504, "outcome_unknown", None));
-    let read = call(&vanishing(), "GET /v1/contracts/trust", &[], "").await;
+    let read = call(&terminating(), "GET /v1/contracts/trust", &[], "").await;
     assert_eq!(read.error(), (503, "platform_unavailable", None));
 }
 
 #[actix_rt::test]
-async fn a_platform_that_fails_gives_true_answers_over_http() {
+async fn platform_failures_map_to_503_and_504() {
     // The operator's change meets a platform that is down, that turns writes away, or whose answer is lost after the
     // write took effect. It hears 503, 504 with the version to look at, and its made change.
     let stand_in = PlatformStandIn::start(PlatformSettings::default()).unwrap();
@@ -353,7 +353,7 @@
 }
 
 #[actix_rt::test]
-async fn of_operators_racing_over_http_one_wins_and_the_others_hear_412() {
+async fn one_of_several_concurrent_changes_succeeds_and_the_others_get_412() {
     // Six operators read version 1 and change it at once. One gets 200, each other 412 with the tag of the winner's
     // version, so that it can read that and decide anew; the winner's contract stands.
     let stand_in = PlatformStandIn::start(PlatformSettings::default()).unwrap();
--- a/crates/caller-api/tests/reasons.rs
+++ b/crates/caller-api/tests/reasons.rs
@@ -5,8 +5,8 @@
 use caller_api::{render_answer, CallerAnswer, SubmissionAnswer};
 use model::{FailureReason, RefusalReason, SubmissionOutcome, UnknownReason};
 
-fn line(outcome: SubmissionOutcome) -> String {
-    let answer = render_answer(&CallerAnswer::Own(SubmissionAnswer {
+fn render_line(outcome: SubmissionOutcome) -> String {
+    let answer = render_answer(&CallerAnswer::Local(SubmissionAnswer {
         id: None,
         job: false,
         outcome: Arc::new(outcome),
@@ -21,16 +21,16 @@
 fn reasons_and_statuses_are_stable() {
     let mut page = String::new();
     for reason in RefusalReason::ALL {
-        page += &line(SubmissionOutcome::Refused {
+        page += &render_line(SubmissionOutcome::Refused {
             reason: *reason,
             retry_after: Some(Duration::from_millis(1_500)),
         });
     }
     for reason in FailureReason::ALL {
-        page += &line(SubmissionOutcome::Failed(*reason));
+        page += &render_line(SubmissionOutcome::Failed(*reason));
     }
     for reason in UnknownReason::ALL {
-        page += &line(SubmissionOutcome::Unknown(*reason));
+        page += &render_line(SubmissionOutcome::Unknown(*reason));
     }
     insta::assert_snapshot!(page);
 }
