--- a/crates/caller-api/src/answer.rs
+++ b/crates/caller-api/src/answer.rs
@@ -22,7 +22,7 @@
 /// 200; a refusal ran nothing and comes with 4xx or 503, which tells clients and balancers that they may try again.
 pub fn render_answer(answer: &CallerAnswer) -> RenderedAnswer {
     match answer {
-        CallerAnswer::Own(answer) => render_own(answer),
+        CallerAnswer::Local(answer) => render_submission(answer),
         CallerAnswer::Pending(id) => {
             let body = AnswerBody {
                 id: Some(*id),
@@ -62,7 +62,7 @@
     stale_contract: bool,
 }
 
-fn render_own(answer: &SubmissionAnswer) -> RenderedAnswer {
+fn render_submission(answer: &SubmissionAnswer) -> RenderedAnswer {
     let mut body = AnswerBody {
         id: answer.id,
         contract_version: answer.version.map(|version| version.0),
--- a/crates/caller-api/src/callers.rs
+++ b/crates/caller-api/src/callers.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     answer::{refusal_status, render_answer, RenderedAnswer},
-    input::{read_job, read_request, read_ticket_ask, InputError},
+    input::{read_job, read_request, read_ticket_request, InputError},
     CallerAnswer, CancelCommand, CancelResult, ExplainCommand, InForceCommand, OutcomeCommand,
     StatusCommand, SubmitCommand, TicketCommand,
 };
@@ -64,7 +64,7 @@
         .app_data(web::Data::new(api))
         .app_data(web::PayloadConfig::new(max_body))
         .service(resource("/live").route(web::get().to(HttpResponse::NoContent)))
-        .service(resource("/ready").route(web::get().to(answer_ready::<A>)))
+        .service(resource("/ready").route(web::get().to(show_readiness::<A>)))
         .service(resource("/v1/explain/{id}").route(web::get().to(explain::<A>)))
         .service(resource("/v1/in-force").route(web::get().to(show_in_force::<A>)))
         .service(resource("/v1/status").route(web::get().to(show_status::<A>)))
@@ -79,7 +79,7 @@
     }
     config.default_service(web::to(async || {
         let error = InputError::new("path", "nothing is served there");
-        HttpResponse::NotFound().json(input_body(&error))
+        HttpResponse::NotFound().json(input_error_body(&error))
     }));
 }
 
@@ -87,7 +87,7 @@
 fn resource(path: &str) -> Resource {
     web::resource(path).default_service(web::to(async || {
         let error = InputError::new("method", "not served on this path");
-        HttpResponse::MethodNotAllowed().json(input_body(&error))
+        HttpResponse::MethodNotAllowed().json(input_error_body(&error))
     }))
 }
 
@@ -96,7 +96,7 @@
 /// A body as far as it could be read. A body over the limit is an error of the extractor, answered like any other.
 type Body = Result<web::Bytes, actix_web::Error>;
 
-async fn answer_ready<A: Actor>(api: Api<A>) -> HttpResponse {
+async fn show_readiness<A: Actor>(api: Api<A>) -> HttpResponse {
     if api.ready.load(Ordering::Relaxed) {
         return HttpResponse::Ok().body("ready\n");
     }
@@ -164,7 +164,7 @@
 {
     match api.control.send(command).await {
         Ok(answer) => respond(api, render_answer(&answer)),
-        Err(_) => unknown_at_end(api),
+        Err(_) => respond_unknown(api),
     }
 }
 
@@ -177,12 +177,12 @@
         Ok(raw) => raw,
         Err(answer) => return *answer,
     };
-    let customer = match read_ticket_ask(&raw) {
+    let customer = match read_ticket_request(&raw) {
         Ok(customer) => customer,
         Err(error) => return bad_input(&api, &error),
     };
     match api.control.send(TicketCommand { customer }).await {
-        Ok(Ok(ticket)) => build(&api, 201).json(json!({ "ticket": ticket })),
+        Ok(Ok(ticket)) => response_builder(&api, 201).json(json!({ "ticket": ticket })),
         Ok(Err(reason)) => refuse(&api, reason),
         Err(_) => refuse(&api, RefusalReason::Stopping),
     }
@@ -199,7 +199,7 @@
     };
     match api.control.send(OutcomeCommand { id }).await {
         Ok(answer) => respond(&api, render_answer(&answer)),
-        Err(_) => unknown_at_end(&api),
+        Err(_) => respond_unknown(&api),
     }
 }
 
@@ -216,9 +216,9 @@
         Ok(CancelResult::Cancelled) => (200, "cancelled"),
         Ok(CancelResult::TooLate) => (409, "too_late"),
         Ok(CancelResult::NotOpen) => (404, "not_open"),
-        Err(_) => return unknown_at_end(&api),
+        Err(_) => return respond_unknown(&api),
     };
-    build(&api, status).json(json!({ "id": id, "cancel": text }))
+    response_builder(&api, status).json(json!({ "id": id, "cancel": text }))
 }
 
 async fn explain<A>(api: Api<A>, id: web::Path<String>) -> HttpResponse
@@ -231,10 +231,10 @@
         Err(error) => return bad_input(&api, &error),
     };
     match api.control.send(ExplainCommand { id }).await {
-        Ok(Some(report)) => build(&api, 200).json(report),
+        Ok(Some(report)) => response_builder(&api, 200).json(report),
         Ok(None) => {
             let message = "no history of it is kept at this entry; ask the entry that its id names";
-            build(&api, 404).json(json!({ "id": id, "message": message }))
+            response_builder(&api, 404).json(json!({ "id": id, "message": message }))
         }
         Err(_) => refuse(&api, RefusalReason::Stopping),
     }
@@ -246,7 +246,7 @@
     A::Context: ToEnvelope<A, InForceCommand>,
 {
     match api.control.send(InForceCommand).await {
-        Ok(contracts) => build(&api, 200).json(contracts),
+        Ok(contracts) => response_builder(&api, 200).json(contracts),
         Err(_) => refuse(&api, RefusalReason::Stopping),
     }
 }
@@ -257,7 +257,7 @@
     A::Context: ToEnvelope<A, StatusCommand>,
 {
     match api.control.send(StatusCommand).await {
-        Ok(status) => build(&api, 200).json(status),
+        Ok(status) => response_builder(&api, 200).json(status),
         Err(_) => refuse(&api, RefusalReason::Stopping),
     }
 }
@@ -287,16 +287,16 @@
     body.map_err(|error| {
         let status = error.as_response_error().status_code().as_u16();
         let field = if status == 413 { "body" } else { "request" };
-        let body = input_body(&InputError::new(field, error.to_string()));
-        Box::new(build(api, status.clamp(400, 499)).json(body))
+        let body = input_error_body(&InputError::new(field, error.to_string()));
+        Box::new(response_builder(api, status.clamp(400, 499)).json(body))
     })
 }
 
 fn bad_input<A: Actor>(api: &CallerApi<A>, error: &InputError) -> HttpResponse {
-    build(api, 400).json(input_body(error))
+    response_builder(api, 400).json(input_error_body(error))
 }
 
-fn input_body(error: &InputError) -> serde_json::Value {
+fn input_error_body(error: &InputError) -> serde_json::Value {
     json!({
         "status": "refused",
         "reason": RefusalReason::BadInput.as_str(),
@@ -306,13 +306,13 @@
 }
 
 fn refuse<A: Actor>(api: &CallerApi<A>, reason: RefusalReason) -> HttpResponse {
-    build(api, refusal_status(reason))
+    response_builder(api, refusal_status(reason))
         .json(json!({ "status": "refused", "reason": reason.as_str() }))
 }
 
 /// The control actor went while the answer was waited for: nothing true can be said but that.
-fn unknown_at_end<A: Actor>(api: &CallerApi<A>) -> HttpResponse {
-    let answer = CallerAnswer::Own(crate::SubmissionAnswer {
+fn respond_unknown<A: Actor>(api: &CallerApi<A>) -> HttpResponse {
+    let answer = CallerAnswer::Local(crate::SubmissionAnswer {
         id: None,
         job: false,
         outcome: Arc::new(model::SubmissionOutcome::Unknown(
@@ -325,7 +325,7 @@
 }
 
 fn respond<A: Actor>(api: &CallerApi<A>, answer: RenderedAnswer) -> HttpResponse {
-    let mut builder = build(api, answer.status);
+    let mut builder = response_builder(api, answer.status);
     if let Some(wait) = answer.retry_after {
         // The header counts whole seconds; the body has the exact time.
         builder.insert_header(("retry-after", wait.as_millis().div_ceil(1000).to_string()));
@@ -333,7 +333,7 @@
     builder.content_type("application/json").body(answer.json)
 }
 
-fn build<A: Actor>(api: &CallerApi<A>, status: u16) -> HttpResponseBuilder {
+fn response_builder<A: Actor>(api: &CallerApi<A>, status: u16) -> HttpResponseBuilder {
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut builder = HttpResponse::build(status);
     if api.leaving.load(Ordering::Relaxed) {
--- a/crates/caller-api/src/command.rs
+++ b/crates/caller-api/src/command.rs
@@ -145,7 +145,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallerAnswer {
     /// From this entry.
-    Own(SubmissionAnswer),
+    Local(SubmissionAnswer),
     /// The submission has no answer yet.
     Pending(SubmissionId),
     /// From the entry that has authority over the submission, ready to be passed on.
--- a/crates/caller-api/src/input.rs
+++ b/crates/caller-api/src/input.rs
@@ -90,7 +90,7 @@
 }
 
 /// Reads the body of `POST /v1/tickets`.
-pub(crate) fn read_ticket_ask(raw: &[u8]) -> Result<CustomerId, InputError> {
+pub(crate) fn read_ticket_request(raw: &[u8]) -> Result<CustomerId, InputError> {
     read_json::<TicketInput>(raw).map(|input| input.customer)
 }
 
@@ -134,7 +134,7 @@
 }
 
 /// The most memory that any worker has, in bytes: 256 GB.
-const LARGEST_WORKER: ByteSize = ByteSize(256 * 1024 * 1024 * 1024);
+const MAX_WORKER_MEMORY: ByteSize = ByteSize(256 * 1024 * 1024 * 1024);
 
 impl TaskInput {
     fn read(self, path: &str) -> Result<TaskBody, InputError> {
@@ -147,9 +147,9 @@
         }
         if self
             .declared_bytes
-            .is_some_and(|size| size > LARGEST_WORKER)
+            .is_some_and(|size| size > MAX_WORKER_MEMORY)
         {
-            let message = format!("must be at most {LARGEST_WORKER}");
+            let message = format!("must be at most {MAX_WORKER_MEMORY}");
             return Err(InputError::new(format!("{path}.declared_bytes"), message));
         }
         Ok(TaskBody {
--- a/crates/caller-api/src/operators.rs
+++ b/crates/caller-api/src/operators.rs
@@ -114,7 +114,7 @@
 }
 
 async fn history(request: HttpRequest, link: Link) -> Result<HttpResponse, OperatorError> {
-    let customer = customer_of(&request)?;
+    let customer = customer_from_path(&request)?;
     let query: PageQuery<ContractVersion> = parse_query(&request)?;
     let limit = page_limit(query.limit)?;
     let after = query.after.unwrap_or_default();
@@ -134,7 +134,7 @@
 }
 
 async fn show(request: HttpRequest, link: Link) -> Result<HttpResponse, OperatorError> {
-    let customer = customer_of(&request)?;
+    let customer = customer_from_path(&request)?;
     let row = link.send(OperatorCommand::Show { customer }).await?;
     let row = row.into_contract()?;
     if matches_version(&request, row.version) {
@@ -142,7 +142,7 @@
             .insert_header((header::ETAG, version_tag(row.version)))
             .finish());
     }
-    Ok(answer(&mut HttpResponse::Ok(), &row))
+    Ok(contract_response(&mut HttpResponse::Ok(), &row))
 }
 
 async fn put(
@@ -150,8 +150,8 @@
     body: Result<web::Bytes, actix_web::Error>,
     link: Link,
 ) -> Result<HttpResponse, OperatorError> {
-    let customer = customer_of(&request)?;
-    let precondition = WritePrecondition::of(&request)?;
+    let customer = customer_from_path(&request)?;
+    let precondition = WritePrecondition::from_request(&request)?;
     let body = body.map_err(|e| OperatorError::BadInput {
         field: None,
         message: e.to_string(),
@@ -172,20 +172,20 @@
         ),
     };
     let row = link.send(command).await?.into_contract()?;
-    Ok(answer(&mut response, &row))
+    Ok(contract_response(&mut response, &row))
 }
 
 async fn retire(request: HttpRequest, link: Link) -> Result<HttpResponse, OperatorError> {
-    let customer = customer_of(&request)?;
-    let WritePrecondition::Version(expected) = WritePrecondition::of(&request)? else {
+    let customer = customer_from_path(&request)?;
+    let WritePrecondition::Version(expected) = WritePrecondition::from_request(&request)? else {
         return Err(OperatorError::PreconditionRequired);
     };
     let command = OperatorCommand::Retire { customer, expected };
     let row = link.send(command).await?.into_contract()?;
-    Ok(answer(&mut HttpResponse::Ok(), &row))
+    Ok(contract_response(&mut HttpResponse::Ok(), &row))
 }
 
-fn answer(
+fn contract_response(
     response: &mut actix_web::HttpResponseBuilder,
     row: &contracts::ContractRow,
 ) -> HttpResponse {
@@ -194,7 +194,7 @@
         .json(row)
 }
 
-fn customer_of(request: &HttpRequest) -> Result<CustomerId, OperatorError> {
+fn customer_from_path(request: &HttpRequest) -> Result<CustomerId, OperatorError> {
     let text = request.match_info().query("customer");
     text.parse()
         .map_err(|e: model::WrongId| OperatorError::bad_field("customer", &e))
--- a/crates/caller-api/src/operators/command.rs
+++ b/crates/caller-api/src/operators/command.rs
@@ -106,14 +106,14 @@
     pub(super) fn into_list(self) -> Result<Vec<ContractRow>, OperatorError> {
         match self {
             Self::List(rows) => Ok(rows),
-            Self::Contract(_) | Self::History(_) => Err(OperatorError::wrong_reply()),
+            Self::Contract(_) | Self::History(_) => Err(OperatorError::unexpected_reply()),
         }
     }
 
     pub(super) fn into_history(self) -> Result<Vec<HistoryEntry>, OperatorError> {
         match self {
             Self::History(entries) => Ok(entries),
-            Self::Contract(_) | Self::List(_) => Err(OperatorError::wrong_reply()),
+            Self::Contract(_) | Self::List(_) => Err(OperatorError::unexpected_reply()),
         }
     }
 }
--- a/crates/caller-api/src/operators/error.rs
+++ b/crates/caller-api/src/operators/error.rs
@@ -136,7 +136,7 @@
     }
 
     /// A reply of another command to a read.
-    pub(super) fn wrong_reply() -> Self {
+    pub(super) fn unexpected_reply() -> Self {
         Self::Unavailable("the control thread gave a reply of another command".into())
     }
 }
--- a/crates/caller-api/src/operators/precondition.rs
+++ b/crates/caller-api/src/operators/precondition.rs
@@ -17,7 +17,7 @@
 impl WritePrecondition {
     /// Reads the precondition of a write. `If-Match: *` is no precondition here: it would let an operator write over
     /// a change that it has never seen.
-    pub(super) fn of(request: &HttpRequest) -> Result<Self, OperatorError> {
+    pub(super) fn from_request(request: &HttpRequest) -> Result<Self, OperatorError> {
         let if_match = single_header(request, header::IF_MATCH)?;
         let if_none_match = single_header(request, header::IF_NONE_MATCH)?;
         match (if_match, if_none_match) {
--- a/crates/entry/src/control/callers.rs
+++ b/crates/entry/src/control/callers.rs
@@ -50,7 +50,7 @@
 
     fn refuse_for(&self, cause: SubmissionRefusal) -> CallerAnswer {
         let answer = refused(cause);
-        if let CallerAnswer::Own(own) = &answer {
+        if let CallerAnswer::Local(own) = &answer {
             self.notes.refused(&own.outcome);
         }
         answer
@@ -108,13 +108,13 @@
         };
         match self.authority.outcome(serial) {
             None => ready(unknown(Some(id))),
-            Some(Some(outcome)) => ready(CallerAnswer::Own(self.own_answer(id, outcome))),
+            Some(Some(outcome)) => ready(CallerAnswer::Local(self.own_answer(id, outcome))),
             Some(None) => {
                 let (waiter, answer) = oneshot::channel();
                 self.waiters.entry(serial).or_default().push(waiter);
                 Box::pin(async move {
                     match answer.await {
-                        Ok(answer) => CallerAnswer::Own(answer),
+                        Ok(answer) => CallerAnswer::Local(answer),
                         Err(_) => unknown(Some(id)),
                     }
                 })
@@ -219,7 +219,7 @@
         match self.authority.outcome(serial) {
             None => unknown(Some(id)),
             Some(None) => CallerAnswer::Pending(id),
-            Some(Some(outcome)) => CallerAnswer::Own(self.own_answer(id, outcome)),
+            Some(Some(outcome)) => CallerAnswer::Local(self.own_answer(id, outcome)),
         }
     }
 }
@@ -259,7 +259,7 @@
         reason,
         retry_after,
     } = refusal;
-    CallerAnswer::Own(SubmissionAnswer {
+    CallerAnswer::Local(SubmissionAnswer {
         id: None,
         job: false,
         outcome: Arc::new(SubmissionOutcome::Refused {
@@ -286,7 +286,7 @@
 
 /// The entry that could tell is gone, or has forgotten.
 pub(super) fn unknown(id: Option<SubmissionId>) -> CallerAnswer {
-    CallerAnswer::Own(SubmissionAnswer {
+    CallerAnswer::Local(SubmissionAnswer {
         id,
         job: false,
         outcome: Arc::new(SubmissionOutcome::Unknown(UnknownReason::EntryGone)),
