--- a/crates/cairnctl/tests/commands.rs
+++ b/crates/cairnctl/tests/commands.rs
@@ -5,7 +5,7 @@
 use insta::assert_snapshot;
 
 use crate::support::{
-    closed_address, run, told, FakeAnswer,
+    closed_address, output_text, run, FakeAnswer,
     FakeAnswer::{Json, Lost},
     FakeEntry,
 };
@@ -18,7 +18,7 @@
     let address = entry.address;
     let output = run(address, args, input);
     let mut text = format!("$ cairnctl {}\n", args.join(" "));
-    text += &told(&output, address);
+    text += &output_text(&output, address);
     for call in entry.calls() {
         text += &format!("> {}\n", call.trim_end().replace('\n', "\n> "));
     }
@@ -80,7 +80,7 @@
 /// Two operators race: the loser is told that nothing was changed, whether the other's change is seen before or only
 /// by the entry's refusal.
 #[test]
-fn the_loser_of_a_race_changes_nothing() {
+fn a_conflicting_change_changes_nothing() {
     let stale = [
         "contract",
         "change",
@@ -113,7 +113,7 @@
 /// that the change can have made, with what was sent, says that it took effect. Anything else leaves the outcome
 /// unknown, never "not changed": the write may still land.
 #[test]
-fn a_lost_answer_is_read_back() {
+fn a_change_with_a_lost_answer_is_read_back() {
     let retire = ["contract", "retire", "trust", "--version", "4"];
     let change = [
         "contract",
@@ -168,14 +168,14 @@
 }
 
 #[test]
-fn an_entry_out_of_reach_is_said_to_be_so() {
+fn an_unreachable_entry_is_reported() {
     let address = closed_address();
     let output = run(
         address,
         &["contract", "retire", "trust", "--version", "4"],
         "",
     );
-    let text = told(&output, address);
+    let text = output_text(&output, address);
     assert!(
         text.starts_with("exit 1\ncairnctl: entry ENTRY cannot be reached, nothing was changed: "),
         "{text}"
@@ -185,7 +185,7 @@
 
 /// The file passes the checks, so the program goes as far as the entry, which is not there.
 #[test]
-fn the_example_contract_is_good() {
+fn the_example_contract_is_valid() {
     let address = closed_address();
     let file = concat!(
         env!("CARGO_MANIFEST_DIR"),
@@ -196,7 +196,12 @@
         &["contract", "create", "trust", "--file", file],
         "",
     );
-    assert_eq!(output.status.code(), Some(1), "{}", told(&output, address));
+    assert_eq!(
+        output.status.code(),
+        Some(1),
+        "{}",
+        output_text(&output, address)
+    );
 }
 
 #[test]
@@ -244,7 +249,7 @@
         text += &format!(
             "$ cairnctl {} <<< {input:?}\n{}",
             args.join(" "),
-            told(&output, address)
+            output_text(&output, address)
         );
     }
     assert_snapshot!(text);
@@ -279,8 +284,9 @@
             .map(|arg| arg.replace("EXAMPLES", examples))
             .collect();
         let real: Vec<&str> = real.iter().map(String::as_str).collect();
-        let told = told(&run(address, &real, ""), address).replace(examples, "EXAMPLES");
-        text += &format!("$ cairnctl {}\n{told}", args.join(" "));
+        let output_text =
+            output_text(&run(address, &real, ""), address).replace(examples, "EXAMPLES");
+        text += &format!("$ cairnctl {}\n{output_text}", args.join(" "));
     }
     assert_snapshot!(text);
 }
--- a/crates/cairnctl/tests/demo.rs
+++ b/crates/cairnctl/tests/demo.rs
@@ -6,7 +6,7 @@
 use crate::support::{closed_address, run};
 
 #[test]
-fn every_call_is_answered_whole() {
+fn every_call_completes() {
     let output = run(closed_address(), &["--json", "demo"], "");
     let error = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(0), "{error}");
--- a/crates/cairnctl/tests/explain_logs.rs
+++ b/crates/cairnctl/tests/explain_logs.rs
@@ -5,7 +5,7 @@
 
 use insta::assert_snapshot;
 
-use crate::support::{closed_address, run, told};
+use crate::support::{closed_address, output_text, run};
 
 fn case(args: &[&str]) -> String {
     let address = closed_address();
@@ -16,12 +16,12 @@
     );
     let logs = ["explain", "--logs", &first, "--logs", &second];
     let output = run(address, &[&logs[..], args].concat(), "");
-    let text = told(&output, address).replace(folder, "LOGS");
+    let text = output_text(&output, address).replace(folder, "LOGS");
     format!("$ cairnctl explain --logs ... {}\n{text}\n", args.join(" "))
 }
 
 #[test]
-fn jobs_are_listed_and_told() {
+fn jobs_are_listed_and_explained() {
     assert_snapshot!([
         case(&["--failed"]),
         case(&["--slowest", "1"]),
--- a/crates/cairnctl/tests/load.rs
+++ b/crates/cairnctl/tests/load.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 
 #[test]
-fn calls_go_round_the_entries() {
+fn calls_are_spread_over_all_entries() {
     actix_rt::System::new().block_on(async {
         let fleet = DemoFleet::start(FleetSettings::default()).await.unwrap();
         fleet.wait_until_ready().await.unwrap();
--- a/crates/cairnctl/tests/real_entry.rs
+++ b/crates/cairnctl/tests/real_entry.rs
@@ -8,7 +8,7 @@
 use demo::{DemoFleet, FleetSettings};
 use insta::assert_snapshot;
 
-use crate::support::{run, told};
+use crate::support::{output_text, run};
 
 #[test]
 fn a_contract_from_creation_to_retirement() {
@@ -55,7 +55,7 @@
         text += &format!(
             "$ cairnctl {} <<< {input:?}\n{}\n",
             args.join(" "),
-            told(&output, entry)
+            output_text(&output, entry)
         );
     }
     text
--- a/crates/cairnctl/tests/stand_in.rs
+++ b/crates/cairnctl/tests/stand_in.rs
@@ -15,15 +15,15 @@
         .stdout(Stdio::piped())
         .spawn()
         .unwrap();
-    let mut told = String::new();
+    let mut first_line = String::new();
     BufReader::new(child.stdout.take().unwrap())
-        .read_line(&mut told)
+        .read_line(&mut first_line)
         .unwrap();
-    let address = told
+    let address = first_line
         .split([' ', ','])
         .find(|word| word.starts_with("127.0.0.1:"))
-        .unwrap_or_else(|| panic!("no address in {told:?}"));
-    assert_eq!(told.replace(address, "ADDRESS"), line);
+        .unwrap_or_else(|| panic!("no address in {first_line:?}"));
+    assert_eq!(first_line.replace(address, "ADDRESS"), line);
     TcpStream::connect(address).unwrap();
     terminate(&child);
     assert_eq!(child.wait().unwrap().code(), Some(0));
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_wrong_list_is_wrong_usage() {
+fn an_invalid_vm_list_exits_with_2() {
     let contract = VMS.replace("vms.json", "contract.json");
     for file in ["no/such.json", &contract] {
         let output = Command::new(env!("CARGO_BIN_EXE_cairnctl"))
--- a/crates/cairnctl/tests/support/mod.rs
+++ b/crates/cairnctl/tests/support/mod.rs
@@ -31,7 +31,7 @@
         let calls = thread::spawn(move || {
             let mut calls = Vec::new();
             for answer in answers {
-                let Some(stream) = accept_soon(&listener) else {
+                let Some(stream) = accept_with_timeout(&listener) else {
                     calls.push("no further call came".to_owned());
                     break;
                 };
@@ -71,7 +71,7 @@
 }
 
 /// Exit code, output and error, as one text without addresses.
-pub(crate) fn told(output: &Output, entry: SocketAddr) -> String {
+pub(crate) fn output_text(output: &Output, entry: SocketAddr) -> String {
     let text = format!(
         "exit {}\n{}{}",
         output.status.code().unwrap(),
@@ -81,7 +81,7 @@
     text.replace(&entry.to_string(), "ENTRY")
 }
 
-fn accept_soon(listener: &TcpListener) -> Option<TcpStream> {
+fn accept_with_timeout(listener: &TcpListener) -> Option<TcpStream> {
     listener.set_nonblocking(true).unwrap();
     let end = Instant::now() + Duration::from_secs(5);
     while Instant::now() < end {
