--- a/crates/cairnctl/src/check.rs
+++ b/crates/cairnctl/src/check.rs
@@ -7,21 +7,21 @@
 use serde_json::json;
 use settings::SettingsError;
 
-use crate::{options::RoleName, render::OutputForm};
+use crate::{options::RoleName, render::OutputFormat};
 
 /// Checks a file and gives the output.
 pub(crate) fn run(
     role: Option<RoleName>,
     file: &Path,
-    form: OutputForm,
+    output_format: OutputFormat,
 ) -> Result<String, CommandFault> {
     let role = match role {
         Some(role) => check_role(role, file).map(|()| role).map_err(Report::new),
-        None => check_any(file),
+        None => check_all_roles(file),
     };
     let role = role.map_err(CommandFault::WrongUsage)?;
     let value = json!({ "file": file.display().to_string(), "role": role.to_string() });
-    Ok(form.render(&value, |_| {
+    Ok(output_format.render(&value, |_| {
         format!("{}: good settings of role {role}\n", file.display())
     }))
 }
@@ -44,13 +44,13 @@
     }
 }
 
-fn check_any(file: &Path) -> Result<RoleName, Report> {
-    let mut faults = Vec::new();
+fn check_all_roles(file: &Path) -> Result<RoleName, Report> {
+    let mut errors = Vec::new();
     for role in [RoleName::Entry, RoleName::Dispatcher, RoleName::Node] {
         match check_role(role, file) {
             Ok(()) => return Ok(role),
-            Err(error) => faults.push(format!("as {role}: {error}")),
+            Err(error) => errors.push(format!("as {role}: {error}")),
         }
     }
-    Err(eyre!("fits no role: {}", faults.join("; ")))
+    Err(eyre!("fits no role: {}", errors.join("; ")))
 }
--- a/crates/cairnctl/src/client.rs
+++ b/crates/cairnctl/src/client.rs
@@ -48,7 +48,7 @@
 pub(crate) enum CallError {
     /// No connection came about, so nothing was sent.
     #[error("entry {entry} cannot be reached, nothing was changed: {cause}")]
-    NotReached { entry: SocketAddr, cause: String },
+    Unreachable { entry: SocketAddr, cause: String },
     /// The call was sent and no whole answer came.
     #[error("entry {entry} gave no sure answer: {cause}")]
     AnswerLost { entry: SocketAddr, cause: String },
@@ -89,12 +89,12 @@
         let mut response = sent.await.map_err(|error| self.send_error(&error))?;
         let status = response.status().as_u16();
         let body = response.body().limit(MAX_ANSWER_BYTES).await;
-        let body = body.map_err(|error| self.lost(error.to_string()))?;
+        let body = body.map_err(|error| self.answer_lost(error.to_string()))?;
         let value = serde_json::from_slice(&body);
         match status {
-            200..=299 => value.map_err(|error| self.lost(format!("not JSON: {error}"))),
+            200..=299 => value.map_err(|error| self.answer_lost(format!("not JSON: {error}"))),
             // Only 503 says that nothing was done; the other server errors may come after the write.
-            500..=599 if status != 503 => Err(self.lost(format!(
+            500..=599 if status != 503 => Err(self.answer_lost(format!(
                 "status {status}, {}",
                 refusal_text(value.ok().as_ref())
             ))),
@@ -111,17 +111,17 @@
             // awc gives this name to a connection that was there and broke before an answer, so the call may have
             // been sent.
             SendRequestError::Connect(ConnectError::Disconnected) => {
-                self.lost("the connection broke".to_owned())
+                self.answer_lost("the connection broke".to_owned())
             }
-            SendRequestError::Connect(cause) => CallError::NotReached {
+            SendRequestError::Connect(cause) => CallError::Unreachable {
                 entry: self.entry,
                 cause: cause.to_string(),
             },
-            other => self.lost(other.to_string()),
+            other => self.answer_lost(other.to_string()),
         }
     }
 
-    fn lost(&self, cause: String) -> CallError {
+    fn answer_lost(&self, cause: String) -> CallError {
         CallError::AnswerLost {
             entry: self.entry,
             cause,
--- a/crates/cairnctl/src/contract.rs
+++ b/crates/cairnctl/src/contract.rs
@@ -11,7 +11,7 @@
 use crate::{
     client::{CallError, EntryCall, EntryClient},
     options::ContractCommand,
-    render::{cell, flat_rows, table, OutputForm},
+    render::{cell, flat_rows, table, OutputFormat},
 };
 
 const CONTRACTS_PATH: &str = "/v1/contracts";
@@ -26,11 +26,11 @@
 pub(crate) fn run(
     client: &EntryClient,
     command: ContractCommand,
-    form: OutputForm,
+    output_format: OutputFormat,
 ) -> Result<String, CommandFault> {
     let (customer, change) = match command {
         ContractCommand::Create { file, customer } => {
-            let contract = read_contract(&file, &customer)?.whole;
+            let contract = read_contract(&file, &customer)?.full_contract;
             (customer, ContractChange::Create(contract))
         }
         ContractCommand::Change {
@@ -47,20 +47,20 @@
         }
         ContractCommand::Show { customer } => {
             let value = read(client, contract_path(&customer))?;
-            return Ok(form.render(&value, contract_text));
+            return Ok(output_format.render(&value, contract_text));
         }
         ContractCommand::List => {
             let value = read_pages(client, CONTRACTS_PATH, "contracts")?;
-            return Ok(form.render(&value, list_text));
+            return Ok(output_format.render(&value, list_text));
         }
         ContractCommand::History { customer } => {
             let path = format!("{}/history", contract_path(&customer));
             let value = read_pages(client, &path, "versions")?;
-            return Ok(form.render(&value, history_text));
+            return Ok(output_format.render(&value, history_text));
         }
     };
-    let value = make_change(client, &customer, &change)?;
-    Ok(form.render(&value, contract_text))
+    let value = send_change(client, &customer, &change)?;
+    Ok(output_format.render(&value, contract_text))
 }
 
 /// A change of one contract.
@@ -113,7 +113,7 @@
 /// change is in force, and a repeat gets a conflict with the operator's own change. The precondition leaves one
 /// version that the change can have made, so if that version is in force with what was sent, the change is done.
 /// Anything else is said to be unknown, never "not changed", since the write may still land.
-fn make_change(
+fn send_change(
     client: &EntryClient,
     customer: &CustomerId,
     change: &ContractChange,
@@ -170,7 +170,7 @@
     /// The fields that stand in it.
     fields: Map<String, Value>,
     /// All fields, with defaults for the others.
-    whole: Value,
+    full_contract: Value,
 }
 
 /// Reads and checks a contract before anything is sent.
@@ -189,8 +189,11 @@
     let contract: Contract = serde_json::from_str(&text)
         .wrap_err_with(wrong)
         .map_err(CommandFault::WrongUsage)?;
-    let whole = checked(&contract, customer)?;
-    Ok(ContractFile { fields, whole })
+    let full_contract = validate_contract(&contract, customer)?;
+    Ok(ContractFile {
+        fields,
+        full_contract,
+    })
 }
 
 /// The contract in force with the fields of a file in place of its own.
@@ -209,22 +212,22 @@
         let report = eyre!("version {} is in force", cell(&current["version"]));
         return Err(report.wrap_err(conflict_text(customer)).into());
     }
-    let mut whole = current["contract"].take();
-    let Some(own) = whole.as_object_mut() else {
+    let mut full_contract = current["contract"].take();
+    let Some(own) = full_contract.as_object_mut() else {
         return Err(eyre!("the entry answered without a contract").into());
     };
     own.extend(fields);
-    let contract: Contract = serde_json::from_value(whole)
+    let contract: Contract = serde_json::from_value(full_contract)
         .wrap_err("the contract in force is of another form than this program knows")?;
-    checked(&contract, customer)
+    validate_contract(&contract, customer)
 }
 
-fn checked(contract: &Contract, customer: &CustomerId) -> Result<Value, CommandFault> {
+fn validate_contract(contract: &Contract, customer: &CustomerId) -> Result<Value, CommandFault> {
     contract
         .check(customer)
         .map_err(|error| CommandFault::WrongUsage(Report::new(error)))?;
-    let whole = serde_json::to_value(contract).map_err(Report::new)?;
-    Ok(whole)
+    let full_contract = serde_json::to_value(contract).map_err(Report::new)?;
+    Ok(full_contract)
 }
 
 fn conflict_text(customer: &CustomerId) -> String {
--- a/crates/cairnctl/src/demonstration.rs
+++ b/crates/cairnctl/src/demonstration.rs
@@ -5,15 +5,15 @@
 use eyre::{eyre, Report};
 use serde_json::Value;
 
-use crate::render::OutputForm;
+use crate::render::OutputFormat;
 
 /// Runs the demonstration and gives its report.
-pub(crate) fn run(form: OutputForm) -> Result<String, CommandFault> {
+pub(crate) fn run(output_format: OutputFormat) -> Result<String, CommandFault> {
     let system = actix_rt::System::new();
     let report = system.block_on(demo::run(FleetSettings::default()))?;
     if !report.is_complete() {
         return Err(eyre!("not every call was answered whole: {report}").into());
     }
     let value: Value = serde_json::to_value(&report).map_err(Report::new)?;
-    Ok(form.render(&value, |_| report.to_string()))
+    Ok(output_format.render(&value, |_| report.to_string()))
 }
--- a/crates/cairnctl/src/explain.rs
+++ b/crates/cairnctl/src/explain.rs
@@ -7,25 +7,25 @@
 
 use crate::{
     client::{EntryCall, EntryClient},
+    explain_logs::{self, LogQuery},
     options::ExplainOptions,
-    render::{cell, table, OutputForm},
-    story::{self, LogQuestion},
+    render::{cell, table, OutputFormat},
 };
 
 /// Asks for the history of a submission, or reads it from logs, and gives the output.
 pub(crate) fn run(
     client: &EntryClient,
     options: &ExplainOptions,
-    form: OutputForm,
+    output_format: OutputFormat,
 ) -> Result<String, CommandFault> {
     if options.logs.is_empty() {
         let id = submission(options).map_err(CommandFault::WrongUsage)?;
         let call = EntryCall::get(format!("/v1/explain/{id}"));
         let value = client.call(&call).map_err(Report::new)?;
-        return Ok(form.render(&value, report_text));
+        return Ok(output_format.render(&value, report_text));
     }
-    let question = log_question(options).map_err(CommandFault::WrongUsage)?;
-    story::run(&options.logs, &question, form)
+    let query = log_query(options).map_err(CommandFault::WrongUsage)?;
+    explain_logs::run(&options.logs, &query, output_format)
 }
 
 fn submission(options: &ExplainOptions) -> Result<SubmissionId, Report> {
@@ -40,14 +40,14 @@
 }
 
 /// Exactly one of an id and the lists.
-fn log_question(options: &ExplainOptions) -> Result<LogQuestion, Report> {
-    let mut questions = Vec::new();
-    questions.extend(options.id.clone().map(LogQuestion::Story));
-    questions.extend(options.slowest.map(LogQuestion::Slowest));
-    questions.extend(options.failed.then_some(LogQuestion::Failed));
-    questions.extend(options.reason.clone().map(LogQuestion::Reason));
-    match questions.len() {
-        1 => Ok(questions.remove(0)),
+fn log_query(options: &ExplainOptions) -> Result<LogQuery, Report> {
+    let mut queries = Vec::new();
+    queries.extend(options.id.clone().map(LogQuery::Job));
+    queries.extend(options.slowest.map(LogQuery::Slowest));
+    queries.extend(options.failed.then_some(LogQuery::Failed));
+    queries.extend(options.reason.clone().map(LogQuery::Reason));
+    match queries.len() {
+        1 => Ok(queries.remove(0)),
         _ => Err(eyre!(
             "name one of a job's ID, --slowest, --failed and --reason"
         )),
--- a/crates/cairnctl/src/explain_logs.rs
+++ b/crates/cairnctl/src/explain_logs.rs
@@ -6,14 +6,14 @@
 use eyre::{eyre, WrapErr as _};
 use serde_json::{json, Value};
 
-use crate::render::{cell, table, OutputForm};
+use crate::render::{cell, table, OutputFormat};
 
 /// What a node wrote this long before and after a job's own lines is looked through for changes of belief, in
 /// milliseconds: heartbeats, leases and looks all act within a second.
 const CONTEXT_MS: u64 = 1_000;
 
 /// Lines that say what a process believes, beside the job's own lines.
-const BELIEFS: &[&str] = &[
+const CONTEXT_EVENTS: &[&str] = &[
     "claim_answered",
     "configuration_taken",
     "link_lost",
@@ -34,9 +34,9 @@
 
 /// What is asked of the logs.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum LogQuestion {
+pub(crate) enum LogQuery {
     /// What became of one job.
-    Story(String),
+    Job(String),
     /// The jobs that took longest.
     Slowest(usize),
     /// The jobs that were not completed.
@@ -61,7 +61,7 @@
         self.text("event")
     }
 
-    fn is_of(&self, job: &str) -> bool {
+    fn belongs_to(&self, job: &str) -> bool {
         let task = self.text("task");
         self.text("job") == job || task.split('.').next() == Some(job)
     }
@@ -70,23 +70,23 @@
 /// Reads the logs and answers the question.
 pub(crate) fn run(
     files: &[PathBuf],
-    question: &LogQuestion,
-    form: OutputForm,
+    query: &LogQuery,
+    output_format: OutputFormat,
 ) -> Result<String, CommandFault> {
     let lines = read_all(files)?;
-    let found = match question {
-        LogQuestion::Story(job) => story(&lines, job)?,
-        LogQuestion::Slowest(count) => {
-            let mut answers = answers(&lines, |_| true);
-            answers.sort_by(|a, b| took(b).total_cmp(&took(a)));
-            answers.truncate(*count);
-            answers
+    let selected = match query {
+        LogQuery::Job(job) => job_events(&lines, job)?,
+        LogQuery::Slowest(count) => {
+            let mut answered_jobs = answered_jobs(&lines, |_| true);
+            answered_jobs.sort_by(|a, b| duration_ms(b).total_cmp(&duration_ms(a)));
+            answered_jobs.truncate(*count);
+            answered_jobs
         }
-        LogQuestion::Failed => answers(&lines, |line| line.text("outcome") != "completed"),
-        LogQuestion::Reason(reason) => answers(&lines, |line| line.text("reason") == reason),
+        LogQuery::Failed => answered_jobs(&lines, |line| line.text("outcome") != "completed"),
+        LogQuery::Reason(reason) => answered_jobs(&lines, |line| line.text("reason") == reason),
     };
-    let value = found.iter().map(|line| to_json(line)).collect();
-    Ok(form.render(&value, story_text))
+    let value = selected.iter().map(|line| to_json(line)).collect();
+    Ok(output_format.render(&value, events_text))
 }
 
 fn read_all(files: &[PathBuf]) -> Result<Vec<LogLine>, CommandFault> {
@@ -113,8 +113,8 @@
     Some(LogLine { node, at, value })
 }
 
-fn story<'a>(lines: &'a [LogLine], job: &str) -> Result<Vec<&'a LogLine>, CommandFault> {
-    let own: Vec<&LogLine> = lines.iter().filter(|line| line.is_of(job)).collect();
+fn job_events<'a>(lines: &'a [LogLine], job: &str) -> Result<Vec<&'a LogLine>, CommandFault> {
+    let own: Vec<&LogLine> = lines.iter().filter(|line| line.belongs_to(job)).collect();
     let (Some(first), Some(last)) = (own.first(), own.last()) else {
         return Err(CommandFault::Failure(eyre!(
             "no line of job {job} in these logs"
@@ -124,24 +124,24 @@
     let to = last.at + CONTEXT_MS;
     let nodes: Vec<&str> = own.iter().map(|line| line.node.as_str()).collect();
     let workers: Vec<&str> = own.iter().map(|line| line.text("worker")).collect();
-    let tells = |line: &&LogLine| {
+    let is_relevant = |line: &&LogLine| {
         let about = line.text("worker");
         let known = about.is_empty() || workers.contains(&about);
-        line.is_of(job)
+        line.belongs_to(job)
             || (from..=to).contains(&line.at)
                 && nodes.contains(&line.node.as_str())
-                && BELIEFS.contains(&line.event())
+                && CONTEXT_EVENTS.contains(&line.event())
                 && known
     };
-    Ok(lines.iter().filter(tells).collect())
+    Ok(lines.iter().filter(is_relevant).collect())
 }
 
-fn answers(lines: &[LogLine], wanted: impl Fn(&LogLine) -> bool) -> Vec<&LogLine> {
+fn answered_jobs(lines: &[LogLine], wanted: impl Fn(&LogLine) -> bool) -> Vec<&LogLine> {
     let answered = lines.iter().filter(|line| line.event() == "job_answered");
     answered.filter(|line| wanted(line)).collect()
 }
 
-fn took(line: &LogLine) -> f64 {
+fn duration_ms(line: &LogLine) -> f64 {
     line.value["took_ms"].as_f64().unwrap_or_default()
 }
 
@@ -153,7 +153,7 @@
     value
 }
 
-fn story_text(lines: &Value) -> String {
+fn events_text(lines: &Value) -> String {
     let lines = lines.as_array().map(Vec::as_slice).unwrap_or_default();
     let begin = lines
         .first()
--- a/crates/cairnctl/src/load_run.rs
+++ b/crates/cairnctl/src/load_run.rs
@@ -9,13 +9,13 @@
     draw_curves, run_load, CallEnd, CallRecord, CurveLine, LoadReport, LoadSettings, LoadTargets,
 };
 
-use crate::{options::LoadOptions, render::OutputForm};
+use crate::{options::LoadOptions, render::OutputFormat};
 
 /// Runs the load and gives the report: text for people, or one JSON line.
 pub(crate) fn run(
     entries: Vec<SocketAddr>,
     options: &LoadOptions,
-    form: OutputForm,
+    output_format: OutputFormat,
 ) -> Result<String, CommandFault> {
     let settings = load_settings(options).map_err(CommandFault::WrongUsage)?;
     let targets = load_targets(entries, options);
@@ -30,7 +30,7 @@
     if let Some(path) = &options.report {
         draw_curves(path, &curves(&targets, &calls)).map_err(Report::new)?;
     }
-    render(&report, form).map_err(CommandFault::from)
+    render(&report, output_format).map_err(CommandFault::from)
 }
 
 fn load_settings(options: &LoadOptions) -> Result<LoadSettings> {
@@ -97,9 +97,9 @@
     lines
 }
 
-fn render(report: &LoadReport, form: OutputForm) -> Result<String> {
-    Ok(match form {
-        OutputForm::Text => report.to_string(),
-        OutputForm::Json => format!("{}\n", serde_json::to_string(report)?),
+fn render(report: &LoadReport, output_format: OutputFormat) -> Result<String> {
+    Ok(match output_format {
+        OutputFormat::Text => report.to_string(),
+        OutputFormat::Json => format!("{}\n", serde_json::to_string(report)?),
     })
 }
--- a/crates/cairnctl/src/main.rs
+++ b/crates/cairnctl/src/main.rs
@@ -5,12 +5,12 @@
 mod contract;
 mod demonstration;
 mod explain;
+mod explain_logs;
 mod load_run;
 mod options;
 mod render;
 mod stand_in;
 mod status;
-mod story;
 
 use std::process::ExitCode;
 
@@ -19,7 +19,7 @@
 use crate::{
     client::EntryClient,
     options::{ctl_options, default_entry, CtlCommand, CtlOptions},
-    render::OutputForm,
+    render::OutputFormat,
 };
 
 const NAME: &str = "cairnctl";
@@ -34,24 +34,24 @@
 }
 
 fn run(options: CtlOptions) -> Result<(), CommandFault> {
-    let form = OutputForm::from_json_flag(options.json);
+    let output_format = OutputFormat::from_json_flag(options.json);
     let mut entries = options.entry;
     if entries.is_empty() {
         entries.push(default_entry());
     }
-    let several = matches!(options.command, CtlCommand::Load(_));
-    if entries.len() > 1 && !several {
+    let allows_several = matches!(options.command, CtlCommand::Load(_));
+    if entries.len() > 1 && !allows_several {
         let fault = eyre::eyre!("only load takes several entries");
         return Err(CommandFault::WrongUsage(fault));
     }
     let client = EntryClient::new(entries[0]);
     let text = match options.command {
-        CtlCommand::Contract(command) => contract::run(&client, command, form)?,
-        CtlCommand::Explain(options) => explain::run(&client, &options, form)?,
-        CtlCommand::Status => status::run(&client, form)?,
-        CtlCommand::CheckSettings { role, file } => check::run(role, &file, form)?,
-        CtlCommand::Demo => demonstration::run(form)?,
-        CtlCommand::Load(command) => load_run::run(entries, &command, form)?,
+        CtlCommand::Contract(command) => contract::run(&client, command, output_format)?,
+        CtlCommand::Explain(options) => explain::run(&client, &options, output_format)?,
+        CtlCommand::Status => status::run(&client, output_format)?,
+        CtlCommand::CheckSettings { role, file } => check::run(role, &file, output_format)?,
+        CtlCommand::Demo => demonstration::run(output_format)?,
+        CtlCommand::Load(command) => load_run::run(entries, &command, output_format)?,
         CtlCommand::StandIn(command) => stand_in::run(&command)?,
         CtlCommand::Schema { role } => check::schema(role),
     };
--- a/crates/cairnctl/src/render.rs
+++ b/crates/cairnctl/src/render.rs
@@ -6,14 +6,14 @@
 
 /// For whom output is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum OutputForm {
+pub(crate) enum OutputFormat {
     /// Text for people.
     Text,
     /// JSON for programs.
     Json,
 }
 
-impl OutputForm {
+impl OutputFormat {
     pub(crate) fn from_json_flag(json: bool) -> Self {
         if json {
             Self::Json
--- a/crates/cairnctl/src/stand_in.rs
+++ b/crates/cairnctl/src/stand_in.rs
@@ -34,7 +34,7 @@
                 run_time: Duration::from_millis(*run_ms),
                 ..EndpointSettings::default()
             };
-            let list = numbered(&settings, *count).map_err(CommandFault::WrongUsage)?;
+            let list = numbered_endpoints(&settings, *count).map_err(CommandFault::WrongUsage)?;
             actix_rt::System::new().block_on(run_endpoints(list))?;
         }
     }
@@ -61,7 +61,7 @@
 }
 
 /// The settings of `count` endpoints at ports that follow each other; a single one keeps its name.
-fn numbered(first: &EndpointSettings, count: u16) -> Result<Vec<EndpointSettings>> {
+fn numbered_endpoints(first: &EndpointSettings, count: u16) -> Result<Vec<EndpointSettings>> {
     if count <= 1 {
         return Ok(vec![first.clone()]);
     }
--- a/crates/cairnctl/src/status.rs
+++ b/crates/cairnctl/src/status.rs
@@ -6,17 +6,20 @@
 
 use crate::{
     client::{EntryCall, EntryClient},
-    render::{flat_rows, table, OutputForm},
+    render::{flat_rows, table, OutputFormat},
 };
 
 /// The most lines of one screen.
 const SCREEN_LINES: usize = 40;
 
 /// Asks for the state of the entry and gives the output.
-pub(crate) fn run(client: &EntryClient, form: OutputForm) -> Result<String, CommandFault> {
+pub(crate) fn run(
+    client: &EntryClient,
+    output_format: OutputFormat,
+) -> Result<String, CommandFault> {
     let call = EntryCall::get("/v1/status".to_owned());
     let value = client.call(&call).map_err(Report::new)?;
-    Ok(form.render(&value, status_text))
+    Ok(output_format.render(&value, status_text))
 }
 
 fn status_text(value: &Value) -> String {
