--- a/crates/contracts/src/editor.rs
+++ b/crates/contracts/src/editor.rs
@@ -1,4 +1,4 @@
-//! Changes of contracts by operators.
+//! Changes of contracts by operators, as compare-and-set transactions with retries.
 
 use std::{
     cell::RefCell,
@@ -18,16 +18,16 @@
     BrokenRow, ChangeId, ContractRow, HeadNumber, PollError,
 };
 
-/// How stubborn an editor is.
+/// The retry limits of an editor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EditorSettings {
-    /// How long a change may be tried before the operator hears that it did not work out.
+    /// How long a change is retried before it fails.
     pub time_limit: Duration,
-    /// How often a change that lost to a change of another contract is tried again. Each loss means that another
-    /// change took effect, so all operators together always get on.
+    /// How often a change is retried after a conflict on the head row with a change of another contract. Each such
+    /// conflict means that another change took effect, so all operators together always make progress.
     pub max_head_conflicts: u32,
-    /// The longest pause before a change is tried again; the pause is drawn at random from half of it up, so that
-    /// two editors that met do not meet again and one editor does not spin.
+    /// The longest delay before a retry. The delay is drawn at random between half of it and all of it: the jitter
+    /// keeps two conflicting editors from colliding again, and the lower bound keeps one editor from spinning.
     pub max_retry_delay: Duration,
 }
 
@@ -41,42 +41,43 @@
     }
 }
 
-/// What a change expects to find.
+/// The precondition of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExpectedContract {
-    /// No contract of that customer.
+    /// The customer has no contract.
     Absent,
-    /// The contract with this version.
+    /// The contract is at this version.
     Version(ContractVersion),
 }
 
-/// Why a change was not confirmed.
+/// Why a change or a read failed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum EditError {
     /// A field of the contract is out of range. Nothing was written.
     #[error(transparent)]
     InvalidContract(#[from] WrongContract),
-    /// There is no contract to change. Nothing was written.
-    #[error("no contract")]
+    /// The customer has no contract. Nothing was written.
+    #[error("the customer has no contract")]
     NotFound,
-    /// The contract is not what the operator expected, because another change came first. Nothing was written.
+    /// The contract is not at the version that the operator expected, because another change was made first. Nothing
+    /// was written.
     #[error("the contract is at version {}", .0.version)]
     Conflict(Box<ContractRow>),
-    /// Changes of other contracts came first too often. Nothing was written.
-    #[error("too many changes of other contracts at once")]
+    /// The change reached its retry limits because of changes of other contracts. Nothing was written.
+    #[error("too many concurrent changes of other contracts")]
     Contended,
-    /// The platform did not take the change. Nothing was written.
+    /// The platform did not answer. Nothing was written.
     #[error("the platform does not answer: {0}")]
     Unavailable(String),
-    /// The change may have been made, or may yet be.
-    #[error("uncertain: if version {version} has change {change}, the change was made")]
+    /// The change may have taken effect or may still take effect.
+    #[error("outcome unknown: the change was made if version {version} has change id {change}")]
     Uncertain {
-        /// The version that the change makes, if it was made.
+        /// The version that the change creates if it takes effect.
         version: ContractVersion,
-        /// The change's id, which the history shows.
+        /// The id of the change, under which the history lists it.
         change: ChangeId,
     },
-    /// A row of the platform cannot be read. Nothing was written.
+    /// A row of the platform cannot be decoded. Nothing was written.
     #[error(transparent)]
     Row(#[from] BrokenRow),
 }
@@ -96,34 +97,34 @@
     }
 }
 
-/// Creates, changes and retires contracts by compare-and-set, and shows them as the platform has them.
+/// Creates, changes and retires contracts by compare-and-set, and reads them from the platform.
 pub struct ContractEditor {
     client: PlatformClient,
     settings: EditorSettings,
     rng: RefCell<Rng>,
 }
 
-/// One change under way. Its id and version stay the same through every attempt, so that two attempts can never
-/// both take effect: the second finds the first's rows.
+/// A change in progress. Its id and version stay the same in every attempt, so that two attempts can never both take
+/// effect: the second one conflicts with the rows of the first.
 struct PendingChange {
     customer: CustomerId,
     expected: ExpectedContract,
     contract: Contract,
     change: ChangeId,
     deadline: Instant,
-    /// Whether some attempt may have taken effect or may yet do so.
+    /// Whether an earlier attempt may have taken effect or may still do so.
     uncertain: bool,
     head_conflicts: u32,
 }
 
-/// How one attempt ended.
+/// The result of one attempt.
 enum AttemptEnd {
     Committed(ContractRow),
     Retry,
 }
 
 impl PendingChange {
-    /// The version that the change makes.
+    /// The version that the change creates.
     fn version(&self) -> ContractVersion {
         match self.expected {
             ExpectedContract::Absent => ContractVersion(1),
@@ -131,7 +132,8 @@
         }
     }
 
-    /// What the operator hears of a failure that is definite for the last attempt alone.
+    /// The error to report when the last attempt definitely failed: [`EditError::Uncertain`] if an earlier attempt may
+    /// have taken effect, and `error` otherwise.
     fn error_or_uncertain(&self, error: EditError) -> EditError {
         if !self.uncertain {
             return error;
@@ -144,7 +146,7 @@
 }
 
 impl ContractEditor {
-    /// An editor over a client. The random source names changes: it must not be seeded alike in two processes.
+    /// Creates an editor that uses `client`. `rng` generates change ids, so no two processes may use the same seed.
     pub fn new(client: PlatformClient, settings: EditorSettings, rng: Rng) -> Self {
         Self {
             client,
@@ -157,7 +159,7 @@
     ///
     /// # Errors
     ///
-    /// [`EditError::Conflict`] when the customer has a contract already, also a retired one.
+    /// [`EditError::Conflict`] when the customer already has a contract, even a retired one.
     pub async fn create(
         &self,
         customer: &CustomerId,
@@ -171,7 +173,7 @@
     ///
     /// # Errors
     ///
-    /// [`EditError::Conflict`], with the version that is there, when it is not `expected`.
+    /// [`EditError::Conflict`], with the current row, when the contract is not at `expected`.
     pub async fn change(
         &self,
         customer: &CustomerId,
@@ -182,7 +184,7 @@
         self.commit_change(customer, expected, contract).await
     }
 
-    /// Writes the version after `expected` with everything as it was but the state.
+    /// Writes the version after `expected`, in which only the state differs.
     ///
     /// # Errors
     ///
@@ -203,17 +205,17 @@
         self.change(customer, expected, contract).await
     }
 
-    /// The contract as the platform has it.
+    /// Reads a contract from the platform.
     ///
     /// # Errors
     ///
-    /// Fails when the platform does not answer or the row cannot be read.
+    /// Fails when the platform does not answer or the row cannot be decoded.
     pub async fn show(&self, customer: &CustomerId) -> Result<Option<ContractRow>, EditError> {
         let found = self.read_contract(customer).await?;
         Ok(found.map(|(_, stored)| stored.row))
     }
 
-    /// At most `limit` contracts in the order of their customers, from the first after `after`.
+    /// Reads at most `limit` contracts, ordered by customer, starting after `after`.
     ///
     /// # Errors
     ///
@@ -226,7 +228,7 @@
         Ok(read_page(&self.client, after, limit).await?)
     }
 
-    /// At most `limit` versions of a contract, oldest first, from the one after `after`.
+    /// Reads at most `limit` versions of a contract, oldest first, starting after `after`.
     ///
     /// # Errors
     ///
@@ -242,7 +244,7 @@
         let prefix = format!("{customer}/");
         let mut versions = Vec::new();
         for listed in self.client.list_rows(table, &after, limit).await? {
-            // The rows of the next customer lie behind the last of this one.
+            // The rows of the next customer follow the last row of this one.
             if !listed.key.as_str().starts_with(&prefix) {
                 break;
             }
@@ -278,12 +280,13 @@
         }
     }
 
-    /// Reads what is there, and writes the change if it is as expected.
+    /// Reads the current rows, and writes the change if they match the precondition.
     async fn attempt(&self, pending: &mut PendingChange) -> Result<AttemptEnd, EditError> {
         let prepared = match self.prepare(pending).await {
             Ok(Prepared::Committed(row)) => return Ok(AttemptEnd::Committed(row)),
             Ok(Prepared::Write(prepared)) => prepared,
-            // With an attempt in doubt, a failed read leaves it in doubt: reading goes on until the time limit.
+            // A failed read does not resolve an earlier attempt of unknown outcome, so reads are retried until the
+            // time limit.
             Err(EditError::Unavailable(_)) if pending.uncertain => return Ok(AttemptEnd::Retry),
             Err(e @ EditError::Row(_)) => return Err(pending.error_or_uncertain(e)),
             Err(e) => return Err(e),
@@ -299,14 +302,17 @@
             Err(CommitError::NotSent(_)) if pending.uncertain => Ok(AttemptEnd::Retry),
             Err(CommitError::NotSent(failure)) => Err(EditError::Unavailable(failure.to_string())),
             Err(CommitError::Uncertain(failure)) => {
-                log::warn!("contracts: change {} in doubt: {failure}", pending.change);
+                log::warn!(
+                    "contracts: outcome of change {} unknown: {failure}",
+                    pending.change
+                );
                 pending.uncertain = true;
                 Ok(AttemptEnd::Retry)
             }
         }
     }
 
-    /// Finds out what the change would replace, or that it was made by an earlier attempt.
+    /// Reads the rows that the change would replace, or finds that an earlier attempt took effect.
     async fn prepare(&self, pending: &PendingChange) -> Result<Prepared, EditError> {
         let found = self.read_contract(&pending.customer).await?;
         let contract_expect = match (&found, pending.expected) {
@@ -334,9 +340,10 @@
         Ok(Prepared::Write(prepared))
     }
 
-    /// Tells an own change whose answer was lost from another operator's. The contract may have been changed again
-    /// since, so the history's row of the version decides and not the newest. Where that row is another's, an attempt
-    /// in doubt can no longer land, since the contract row that it expects is gone: the conflict is definite.
+    /// Tells an earlier attempt of this change whose answer was lost from a change of another operator. The contract
+    /// may have changed again since, so the history row of the version decides and not the newest row. If the history
+    /// row belongs to another change, an attempt of unknown outcome can no longer take effect, since the contract row
+    /// that it expects is gone: the conflict is definite.
     async fn resolve_conflict(
         &self,
         pending: &PendingChange,
@@ -392,15 +399,16 @@
     }
 }
 
-/// What an attempt does after reading.
+/// The next step of an attempt after its reads.
 enum Prepared {
-    /// Nothing: an earlier attempt made the change.
+    /// Nothing is left to do: an earlier attempt made the change.
     Committed(ContractRow),
-    /// Writes the change, expecting these versions of the contract row and the head row.
+    /// Write the change, expecting these versions of the contract row and the head row.
     Write(Box<(StoredContract, ExpectedVersion, ExpectedVersion)>),
 }
 
-/// Counts a loss to a change of another contract. Where the contract itself is in conflict, the next read tells.
+/// Counts a conflict on the head row, which a change of another contract causes. A conflict on the contract itself is
+/// detected by the next read instead.
 fn count_head_conflict(pending: &mut PendingChange, conflicts: &[RowConflict]) {
     let contract = conflicts
         .iter()
--- a/crates/contracts/src/lib.rs
+++ b/crates/contracts/src/lib.rs
@@ -1,6 +1,7 @@
-//! Contracts: versioned rows, compare-and-set changes, a local view that never goes back.
+//! Storage of customer contracts: versioned rows, compare-and-set changes, and a local view whose versions never
+//! decrease.
 //!
-//! `docs/design/0003-contracts-and-keys.md` gives the ways weighed and the figures.
+//! `docs/design/0003-contracts-and-keys.md` describes the alternatives that were considered, with figures.
 
 mod editor;
 mod reader;
--- a/crates/contracts/src/reader.rs
+++ b/crates/contracts/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads what changed, at a cost that does not grow with the number of contracts.
+//! Polls the platform for changed contracts, at a cost that does not grow with the number of contracts.
 
 use model::CustomerId;
 use platform::{PlatformClient, ReadError, StoreKey, TableName};
@@ -9,21 +9,21 @@
     BrokenRow, ContractRow, ContractUpdate, HeadNumber,
 };
 
-/// Rows read at once.
+/// Rows per page of a listing.
 const PAGE_ROWS: usize = 500;
 
-/// A view further behind than this reads all contracts and not the log: past it the log, which has a row for each
-/// change ever made, is the longer way.
+/// The most changes that are read from the log. A view that is further behind reads all contracts instead: the log
+/// has a row for each change ever made, so that it then costs more reads than the contracts themselves.
 const MAX_LOG_ROWS: u64 = 2_000;
 
-/// Why a poll gave no news. The view stays as it is, and its age shows the trouble.
+/// Why a poll failed. The view stays unchanged, and its growing age shows the failure.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PollError {
     /// The platform did not answer.
     #[error(transparent)]
     Platform(#[from] ReadError),
-    /// A row cannot be read. The head stays in front of it, since the newest contracts would otherwise be taken as
-    /// known while one of them is not.
+    /// A row cannot be decoded. The head does not advance past this row, since the view would otherwise count as up
+    /// to date although one contract is missing.
     #[error(transparent)]
     Row(#[from] BrokenRow),
 }
@@ -35,18 +35,17 @@
 }
 
 impl ContractReader {
-    /// A reader over a client.
+    /// Creates a reader that uses `client`.
     pub fn new(client: PlatformClient) -> Self {
         Self { client }
     }
 
-    /// Reads the head row, and what a view with this head lacks if the head has moved
-    /// ([`crate::ContractView::loaded_head`]). One read when nothing changed, two for any change; a view without contracts
-    /// reads them all.
+    /// Reads the head row and, if the head has moved past `known` ([`crate::ContractView::loaded_head`]), the changes
+    /// in between. Costs one read when nothing changed and two for any change; `None` reads all contracts.
     ///
     /// # Errors
     ///
-    /// Says why nothing could be read. The next poll starts afresh.
+    /// Fails when the platform does not answer or a row cannot be decoded. The next poll does not depend on it.
     pub async fn poll(
         &self,
         known: Option<HeadNumber>,
@@ -67,7 +66,7 @@
         }
     }
 
-    /// The head as the platform has it now.
+    /// Reads the current head from the platform.
     async fn head(&self) -> Result<HeadNumber, PollError> {
         let (table, key) = (TableName::ContractHead, head_key());
         let Some(row) = self.client.get_row(table, &key).await? else {
@@ -77,8 +76,8 @@
         Ok(stored.head)
     }
 
-    /// Reads every contract. The head was read before: a row that changes between two pages has a later number and
-    /// is read again from the log, so nothing is skipped.
+    /// Reads every contract. The head was read before the pages, so a row that changes between two pages has a later
+    /// number and is read again from the log: no change is skipped.
     async fn read_all(&self, head: HeadNumber) -> Result<ContractUpdate, PollError> {
         let mut update = ContractUpdate {
             head,
@@ -95,7 +94,7 @@
         }
     }
 
-    /// Reads the log from one head to at least another; nothing when the log has a gap.
+    /// Reads the log from `since` to at least `until`. Returns `None` when the log has a gap.
     async fn read_log(
         &self,
         since: HeadNumber,
@@ -126,7 +125,7 @@
     }
 }
 
-/// Reads a page of contracts in the order of their customers.
+/// Reads a page of contracts, ordered by customer.
 pub(crate) async fn read_page(
     client: &PlatformClient,
     after: Option<&CustomerId>,
--- a/crates/contracts/src/rows.rs
+++ b/crates/contracts/src/rows.rs
@@ -1,4 +1,4 @@
-//! Rows of contracts, as peers pass them and as the platform's tables keep them.
+//! Contract rows, in the form that peers exchange and in the form that the platform's tables store.
 
 use std::{fmt, str::FromStr};
 
@@ -8,7 +8,7 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// Counts the changes of all contracts, from 1. It only goes up.
+/// The sequence number of a change among the changes of all contracts, from 1. It only increases.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -36,8 +36,8 @@
     }
 }
 
-/// One change of one contract, chosen at random by who makes it. A change whose answer was lost is told from
-/// another operator's by it.
+/// The id of one change of one contract, drawn at random by the editor that makes the change. When the platform's
+/// answer was lost, the id tells the editor's own change from another operator's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct ChangeId(pub u64);
@@ -73,28 +73,28 @@
 /// One version of one customer's contract.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ContractRow {
-    /// Whose contract.
+    /// The customer.
     pub customer: CustomerId,
-    /// Counts the changes of this contract.
+    /// The version, which counts the changes of this contract.
     pub version: ContractVersion,
-    /// The number, among the changes of all contracts, of the change that wrote this version.
+    /// The sequence number, among the changes of all contracts, of the change that wrote this version.
     pub head: HeadNumber,
     /// The contract.
     pub contract: Contract,
 }
 
-/// What one process tells another: every row that is newer than a head.
+/// An update from one process to another: every row that is newer than a head.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ContractUpdate {
-    /// The rows are complete for a view that has at least this head; 0: for any view.
+    /// The head that a view needs at least for this update to be complete; 0 means that any view can use it.
     pub since: HeadNumber,
-    /// The head that the rows lead to.
+    /// The head after the update.
     pub head: HeadNumber,
-    /// The newest row of each customer that changed between the two.
+    /// The newest row of each customer whose contract changed between the two heads.
     pub rows: Vec<ContractRow>,
 }
 
-/// A row of the platform that cannot be read.
+/// A row of the platform that cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("row {key} of {table} cannot be read: {reason}")]
 pub struct BrokenRow {
@@ -102,11 +102,12 @@
     pub table: TableName,
     /// The row's key.
     pub key: StoreKey,
-    /// What is wrong with it.
+    /// The decoding error.
     pub reason: String,
 }
 
-/// A contract's row with the change that wrote it, the content of three tables.
+/// A contract row with the id of the change that wrote it. The tables of contracts, history and log all store this
+/// form.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct StoredContract {
     #[serde(flatten)]
@@ -114,15 +115,15 @@
     pub(crate) change: ChangeId,
 }
 
-/// The content of the one head row.
+/// The content of the single head row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct StoredHead {
     pub(crate) head: HeadNumber,
 }
 
 impl StoredContract {
-    /// The writes of the change, all in one transaction. The history row is expected to be absent too: where a late
-    /// writer lost, its write can then never land, whatever became of the other rows since.
+    /// The writes of the change, which form one transaction. The history row is expected to be absent too, so that a
+    /// delayed write that lost the race can never take effect, whatever happened to the other rows since.
     pub(crate) fn writes(
         &self,
         contract_expect: ExpectedVersion,
@@ -158,12 +159,12 @@
     }
 }
 
-/// The key of the one head row.
+/// The key of the single head row.
 pub(crate) fn head_key() -> StoreKey {
     StoreKey::of_name("head")
 }
 
-/// Reads the content of a row.
+/// Decodes the content of a row.
 pub(crate) fn decode<T: DeserializeOwned>(
     table: TableName,
     key: &StoreKey,
--- a/crates/contracts/src/view.rs
+++ b/crates/contracts/src/view.rs
@@ -1,4 +1,4 @@
-//! What this process knows of the contracts.
+//! The local copy of all contracts in this process.
 
 use std::collections::BTreeMap;
 
@@ -6,13 +6,13 @@
 
 use crate::{ContractRow, ContractUpdate, HeadNumber};
 
-/// The newest known version of each contract. It never goes back: an older row and an older head are passed over,
-/// wherever they come from and in whatever order.
+/// The newest known version of each contract. Versions and the head never decrease: older rows and heads are ignored,
+/// whatever their source and order of arrival.
 #[derive(Clone, Debug, Default)]
 pub struct ContractView {
     rows: FastMap<CustomerId, ContractRow>,
-    /// The customers by the number of their newest change, so that an update for a peer costs what changed and not
-    /// what is there.
+    /// The customers by the number of their newest change, so that the cost of an update for a peer depends on the
+    /// number of changes and not on the number of contracts.
     by_head: BTreeMap<HeadNumber, CustomerId>,
     head: HeadNumber,
     max_peer_head: HeadNumber,
@@ -27,37 +27,38 @@
         Some((row.version, &row.contract))
     }
 
-    /// Every known row, in no order.
+    /// Every known row, in unspecified order.
     pub fn rows(&self) -> impl Iterator<Item = &ContractRow> {
         self.rows.values()
     }
 
-    /// The head up to which every change is known.
+    /// The number of the change up to which all changes are known.
     pub fn head(&self) -> HeadNumber {
         self.head
     }
 
-    /// The head, once a complete set of contracts was read from the platform or a peer.
+    /// The head, or `None` until a complete set of contracts has been read from the platform or a peer.
     pub fn loaded_head(&self) -> Option<HeadNumber> {
         self.loaded.then_some(self.head)
     }
 
-    /// Whether contracts may be served: a complete set was read that is at least as new as any head that a peer had
-    /// named until then.
+    /// Whether contracts may be served: a complete set has been read that is at least as new as every head that peers
+    /// had reported until then.
     ///
-    /// Without it a process that starts while it can reach only an old answer would serve limits that its peers
-    /// have already replaced, so that an accepted change seems to revert. Once ready it stays so: a change that a
-    /// peer hears of first takes hold here within the poll interval, and refusing all work meanwhile would do harm.
+    /// Without this check, a process that starts while only outdated contracts are reachable would serve limits that
+    /// its peers have already replaced, and an accepted change would seem to revert. A view that is ready stays ready:
+    /// a change that a peer learns of first takes effect here within the poll interval, and refusing all work until
+    /// then would do more harm.
     pub fn is_ready(&self) -> bool {
         self.ready
     }
 
-    /// Notes the head that a peer named.
+    /// Records the head that a peer reported.
     pub fn note_peer_head(&mut self, head: HeadNumber) {
         self.max_peer_head = self.max_peer_head.max(head);
     }
 
-    /// Takes in an update and gives the customers whose contract changed by it.
+    /// Applies an update and returns the customers whose contract changed.
     pub fn apply(&mut self, update: ContractUpdate) -> Vec<CustomerId> {
         let mut changed = Vec::new();
         for row in update.rows {
@@ -66,8 +67,8 @@
                 changed.push(customer);
             }
         }
-        // An update for a view that is further on leaves a gap behind this one's head: its rows are good, but the
-        // head may not skip the changes in between, or they would never be asked for.
+        // An update that starts after this view's head leaves a gap. Its rows are valid, but the head must not skip
+        // the changes in the gap, or they would never be requested.
         let complete = update.since <= self.head;
         if complete {
             self.loaded = true;
@@ -77,7 +78,7 @@
         changed
     }
 
-    /// Everything that a view with this head does not know yet.
+    /// The update that brings a view with this head up to date.
     pub fn newer_than(&self, head: HeadNumber) -> ContractUpdate {
         let mut rows = Vec::new();
         for (_, customer) in self.by_head.range(head.next()..) {
--- a/crates/contracts/tests/editing.rs
+++ b/crates/contracts/tests/editing.rs
@@ -1,4 +1,4 @@
-//! Contract tests of changes and reads against the platform's stand-in over loopback.
+//! Tests of contract changes and reads against the platform stand-in over loopback.
 
 use std::{sync::Arc, time::Duration};
 
@@ -162,9 +162,9 @@
 
 #[actix_rt::test]
 async fn a_change_with_a_lost_response_is_applied_once() {
-    // The operator sees one confirmed change, although the platform's answer was lost: after the write took effect,
-    // before it, or with the write landing only after the editor looked. Reading back the change id tells an own
-    // write from another's; an attempt that comes second finds the first one's rows and has no effect.
+    // The platform's answer is lost after the write took effect, before it, or with the write taking effect only after
+    // the editor has read back. The operator must see one confirmed change. Reading back the change id tells the
+    // editor's own write from another one; a second attempt conflicts with the rows of the first and has no effect.
     let cases = [
         ("after the write", 1, LossTime::AfterWrite),
         ("before the write", 1, LossTime::BeforeWrite),
@@ -190,7 +190,7 @@
             };
             let made = made.unwrap_or_else(|e| panic!("{name}: {e}"));
             assert_eq!(made.version, ContractVersion(version), "{name}");
-            // Long enough for every late write to have come, had it been able to take effect.
+            // Long enough for every delayed write to arrive and take effect if it could.
             actix_rt::time::sleep(Duration::from_millis(120)).await;
             assert_eq!(editor.show(&trust).await, Ok(Some(made)), "{name}");
             let history = editor
@@ -205,9 +205,9 @@
 
 #[actix_rt::test]
 async fn a_change_is_recognised_in_the_history_after_a_later_change() {
-    // The answer to change 2 is lost after it took effect, and before the editor reads back, another operator makes
-    // change 3. The newest row is then another's; only the history still shows that change 2 was made. A conflict
-    // here would have the first operator make the change again, over the second one's.
+    // The answer to change 2 is lost after the change took effect, and another operator makes change 3 before the
+    // editor reads back. The newest row then belongs to change 3, and only the history shows that change 2 was made.
+    // If the editor reported a conflict, the first operator would repeat the change and overwrite the second one.
     let store = TestStore::start();
     let slow_retry = EditorSettings {
         max_retry_delay: Duration::from_millis(800),
@@ -227,7 +227,7 @@
             .change(&trust, ContractVersion(2), with_concurrency(1))
             .await
     };
-    // The first one pauses for at least 400 ms before it reads back; the other needs about 10.
+    // The first editor waits for at least 400 ms before it reads back; the other change takes about 10 ms.
     let (first, second) = futures::future::join(change, race).await;
     assert_eq!(first.unwrap().version, ContractVersion(2));
     assert_eq!(second.unwrap().version, ContractVersion(3));
@@ -237,8 +237,8 @@
 
 #[actix_rt::test]
 async fn one_of_several_concurrent_changes_succeeds_and_the_others_conflict() {
-    // Eight operators change version 1 at once, half of them with lost answers in between. One sees its change
-    // made; each other sees a conflict that names the winner's version, and the winner's contract stands.
+    // Eight operators change version 1 at once while half of the answers are lost. One change must succeed. Each
+    // other operator must get a conflict with the winner's row, and the winner's contract must stay in place.
     for seed in 0..5 {
         let store = TestStore::start();
         let trust = customer("trust");
@@ -267,8 +267,8 @@
 
 #[actix_rt::test]
 async fn concurrent_changes_of_different_contracts_all_succeed() {
-    // Eight operators create eight contracts at once. All go through the one head row, so most attempts lose it; each
-    // is tried again, and no operator sees anything of the others. No number of the head is used twice.
+    // Eight operators create eight contracts at once. All changes write the single head row, so most attempts conflict
+    // on it and are retried. No operator may see a conflict, and no head number may be used twice.
     let store = TestStore::start();
     let changes = (0..8).map(|n| {
         let editor = store.editor();
@@ -289,8 +289,8 @@
 
 #[actix_rt::test]
 async fn repeated_head_conflicts_end_in_contended_without_a_write() {
-    // Something bumps the head row before every transaction. The operator hears within the bound that others came
-    // first each time, and not that its change may have been made.
+    // The head row changes before every transaction. Within the retry limit the operator must get Contended, which
+    // says that nothing was written, and not Uncertain.
     let store = TestStore::start();
     let race = RacingWrite::before("contract-head", "head", u32::MAX, vec![head_write(4)]);
     store.stand_in.set_faults(FaultSettings::racing(race));
@@ -307,8 +307,8 @@
 
 #[actix_rt::test]
 async fn a_failing_store_reports_whether_the_change_may_have_been_written() {
-    // The operator changes a contract while the store does not answer. Where nothing can have been written it hears
-    // so at once; where a write went out and nobody can say, it hears which version and change to look for.
+    // An operator changes a contract while the store fails. If nothing can have been written, the error says so at
+    // once; if a write was sent and its outcome is unknown, the error names the version and the change to look for.
     #[derive(Debug, PartialEq, Eq)]
     enum ReportedError {
         Unavailable,
@@ -342,9 +342,9 @@
 
 #[actix_rt::test]
 async fn the_cost_of_a_poll_does_not_grow_with_the_number_of_contracts() {
-    // A process with 10, 200 or 1,200 contracts polls: nothing changed, one changed, three changed. Each poll costs
-    // the same reads and rows whatever the number of contracts, or the head poll of every data centre would eat the
-    // store's reads as customers come.
+    // A process with 10, 200 or 1,200 contracts polls after no change, one change and three changes. Each poll must
+    // cost the same reads and rows whatever the number of contracts. Otherwise the polls of all data centres would use
+    // up the store's read capacity as the number of customers grows.
     let mut costs = Vec::new();
     for contracts in [10, 200, 1200] {
         let store = TestStore::start();
@@ -396,7 +396,7 @@
     row_write("contract-head", "head", json!({ "head": head }))
 }
 
-/// Fills the store with contracts as an editor would have, without the waits.
+/// Writes the rows that an editor would have written for this many contracts, in one transaction.
 fn fill(stand_in: &PlatformStandIn, contracts: u64) {
     let mut writes = Vec::new();
     for n in 0..contracts {
@@ -419,8 +419,9 @@
 
 #[actix_rt::test]
 async fn a_view_far_behind_or_a_gap_in_the_log_leads_to_a_full_read() {
-    // A process was cut off for more than 2,000 changes, or a row of the log is missing. Taking the log's rows as
-    // complete would leave a contract old for good; the view reads all contracts instead and ends at the head.
+    // A process was disconnected for more than 2,000 changes, or a row of the log is missing. If the log's rows were
+    // taken as complete, a contract would stay outdated forever. The reader must read all contracts instead and end
+    // at the head.
     let store = TestStore::start();
     fill(&store.stand_in, 600);
     let reader = store.reader();
@@ -431,13 +432,13 @@
             (update.since.0, update.head.0, update.rows.len())
         }
     };
-    assert_eq!(poll(1).await, (1, 600, 599), "by the log, in two pages");
+    assert_eq!(poll(1).await, (1, 600, 599), "from the log, in two pages");
 
-    // The head moves on without a row in the log.
+    // The head advances without a row in the log.
     store.stand_in.write_now(vec![head_write(602)]).unwrap();
     assert_eq!(poll(590).await, (0, 602, 600));
 
-    // A later row of the log is there, but two in between are not.
+    // The log has a later row, but the two rows in between are missing.
     let value = json!({
         "customer": "c0000", "version": 2, "head": 603, "contract": {}, "change": "2",
     });
@@ -452,8 +453,8 @@
 
 #[actix_rt::test]
 async fn failed_polls_leave_the_view_unchanged() {
-    // The store goes down, comes back with an older head, or holds a row that cannot be read. The view keeps what it
-    // has, and its head never passes a contract that it does not know.
+    // The store goes down, comes back with an older head, or holds a row that cannot be decoded. The view must keep
+    // its contracts, and its head must never advance past a change that it does not know.
     let store = TestStore::start();
     let (reader, editor) = (store.reader(), store.editor());
     create(&editor, "a", 1).await;
--- a/crates/contracts/tests/view.rs
+++ b/crates/contracts/tests/view.rs
@@ -1,4 +1,4 @@
-//! Tests of the local view: no clock, no sockets.
+//! Tests of the local contract view, without a clock or sockets.
 
 use contracts::{ContractRow, ContractUpdate, ContractView, HeadNumber};
 use model::{Contract, ContractVersion, CustomerId};
@@ -33,8 +33,8 @@
 
 #[test]
 fn updates_in_any_order_never_revert_a_contract_or_the_head() {
-    // Gossip from several peers and reads from the platform arrive in any order. A caller whose limits were raised
-    // must not meet the old ones again, so an old row or head that comes last is passed over.
+    // Updates from several peers and reads from the platform arrive in any order. A caller whose limits were raised
+    // must not get the old limits again, so an old row or head that arrives last is ignored.
     let updates = [
         update(0, 1, &[row("a", 1, 1)]),
         update(0, 3, &[row("a", 2, 3), row("b", 1, 2)]),
@@ -64,8 +64,9 @@
 
 #[test]
 fn an_update_that_starts_after_the_head_does_not_advance_it() {
-    // A peer sends what is newer than head 5 to a view at head 2. The rows are good, but changes 3 to 5 are not
-    // known here; a head of 7 would mean that nobody ever asks for them, and one contract stays old for good.
+    // A peer sends the changes after head 5 to a view at head 2. The rows are valid, but the view does not know
+    // changes 3 to 5. With its head at 7 the view would never request them, and one contract would stay outdated
+    // forever.
     let mut view = ContractView::default();
     view.apply(update(0, 2, &[row("a", 1, 1), row("b", 1, 2)]));
     view.apply(update(5, 7, &[row("a", 4, 7)]));
@@ -77,21 +78,21 @@
 
 #[test]
 fn a_view_is_not_ready_until_it_reaches_the_head_of_its_peers() {
-    // A process starts, hears of head 9 from a peer and gets an older answer first. Serving from it would bring back
-    // limits that are already replaced everywhere else.
+    // A process starts, learns of head 9 from a peer and receives an older set of contracts first. Serving that set
+    // would bring back limits that all other processes have already replaced.
     let mut view = ContractView::default();
     assert!(!view.is_ready());
     view.note_peer_head(HeadNumber(9));
     view.apply(update(5, 9, &[row("a", 3, 9)]));
-    assert!(!view.is_ready(), "only a part was read");
+    assert!(!view.is_ready(), "only a partial update was read");
     view.apply(update(0, 8, &[row("a", 2, 8)]));
-    assert!(!view.is_ready(), "older than the peer");
+    assert!(!view.is_ready(), "older than the peer's head");
     assert_eq!(version_of(&view, "a"), Some(3));
     view.apply(update(8, 9, &[row("a", 3, 9)]));
     assert!(view.is_ready());
     view.note_peer_head(HeadNumber(50));
     view.apply(update(0, 9, &[]));
-    assert!(view.is_ready(), "once ready it stays so");
+    assert!(view.is_ready(), "a ready view stays ready");
 }
 
 #[test]
