--- a/crates/caller-api/src/answer.rs
+++ b/crates/caller-api/src/answer.rs
@@ -1,4 +1,4 @@
-//! Renders answers as HTTP status and JSON.
+//! Renders answers as an HTTP status and a JSON body.
 
 use std::time::Duration;
 
@@ -7,19 +7,20 @@
 
 use crate::{CallerAnswer, SubmissionAnswer};
 
-/// An answer ready to be sent.
+/// A rendered answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RenderedAnswer {
     /// The HTTP status.
     pub status: u16,
     /// The body.
     pub json: Vec<u8>,
-    /// When to come back, for the `Retry-After` header.
+    /// The delay before a retry, for the `Retry-After` header.
     pub retry_after: Option<Duration>,
 }
 
-/// Renders an answer. Complete, failed and unknown are outcomes that the submission really had, so they come with
-/// 200; a refusal ran nothing and comes with 4xx or 503, which tells clients and balancers that they may try again.
+/// Renders an answer. Complete, failed and unknown are outcomes of an accepted submission and have status 200. A
+/// refused submission ran nothing and has status 4xx or 503, which tells clients and load balancers that they may
+/// retry.
 pub fn render_answer(answer: &CallerAnswer) -> RenderedAnswer {
     match answer {
         CallerAnswer::Local(answer) => render_submission(answer),
@@ -107,7 +108,8 @@
     }
 }
 
-/// 4xx where the caller has to change something, 429 where it asks too much, 503 where waiting is enough.
+/// The status of a refusal: 4xx where the caller has to change the submission, 429 where the caller exceeds its
+/// concurrency, 503 where waiting is enough.
 pub(crate) fn refusal_status(reason: RefusalReason) -> u16 {
     match reason {
         RefusalReason::BadInput | RefusalReason::WrongDeadline => 400,
@@ -129,6 +131,6 @@
 }
 
 fn to_json(body: &impl Serialize) -> Vec<u8> {
-    // These bodies hold only strings, numbers and lists of them, which always serialise.
+    // These bodies hold only strings, numbers, booleans and lists, whose serialisation cannot fail.
     serde_json::to_vec(body).unwrap_or_default()
 }
--- a/crates/caller-api/src/callers.rs
+++ b/crates/caller-api/src/callers.rs
@@ -1,4 +1,4 @@
-//! The routes of callers.
+//! HTTP routes for callers.
 
 use std::sync::{
     atomic::{AtomicBool, Ordering},
@@ -17,17 +17,17 @@
     StatusCommand, SubmitCommand, TicketCommand,
 };
 
-/// The header with a key that the caller chose.
+/// The header with an idempotency key that the caller chose.
 const KEY_HEADER: &str = "Idempotency-Key";
 
-/// What the routes need of the process around them.
+/// The process state that the routes use.
 pub struct CallerApi<A: Actor> {
     /// The control actor.
     pub control: Addr<A>,
     /// Whether the process is ready for new work.
     pub ready: Arc<AtomicBool>,
-    /// Whether the process is leaving: connections are then closed after each answer, so that no caller sends on a
-    /// connection that is about to go.
+    /// Whether the process is shutting down. Connections are then closed after each response, so that no caller sends
+    /// on a connection that is about to close.
     pub leaving: Arc<AtomicBool>,
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// Adds the routes of callers. `max_body` bounds a body's bytes.
+/// Adds the routes of callers. `max_body` is the largest accepted body in bytes.
 pub fn caller_routes<A>(config: &mut web::ServiceConfig, api: CallerApi<A>, max_body: usize)
 where
     A: Actor
@@ -83,7 +83,7 @@
     }));
 }
 
-/// A path of which a method that it does not have is refused like any other wrong input.
+/// A resource that answers an unsupported method with the same JSON body as any other invalid input.
 fn resource(path: &str) -> Resource {
     web::resource(path).default_service(web::to(async || {
         let error = InputError::new("method", "not served on this path");
@@ -93,7 +93,7 @@
 
 type Api<A> = web::Data<CallerApi<A>>;
 
-/// A body as far as it could be read. A body over the limit is an error of the extractor, answered like any other.
+/// The extracted body. A body over the size limit is an extractor error, which is answered like other invalid input.
 type Body = Result<web::Bytes, actix_web::Error>;
 
 async fn show_readiness<A: Actor>(api: Api<A>) -> HttpResponse {
@@ -262,9 +262,9 @@
     }
 }
 
-/// Failure: a client library and a proxy both add the header. Symptom without the check: the request runs under the
-/// first of two keys, and its retry, whose headers come in another order, runs again. A refusal of two is enough, as
-/// nothing runs before it.
+/// Reads the idempotency key and rejects a repeated header. If a client library and a proxy both add the header and
+/// the first key were used, a retry whose headers arrive in another order would run the request again. Rejecting two
+/// headers is enough, since nothing runs before this check.
 fn read_key_header(request: &HttpRequest) -> Result<Option<&str>, InputError> {
     let mut keys = request.headers().get_all(KEY_HEADER);
     let Some(key) = keys.next() else {
@@ -310,7 +310,7 @@
         .json(json!({ "status": "refused", "reason": reason.as_str() }))
 }
 
-/// The control actor went while the answer was waited for: nothing true can be said but that.
+/// The response when the control actor stopped while the answer was pending: the outcome is unknown.
 fn respond_unknown<A: Actor>(api: &CallerApi<A>) -> HttpResponse {
     let answer = CallerAnswer::Local(crate::SubmissionAnswer {
         id: None,
@@ -327,7 +327,7 @@
 fn respond<A: Actor>(api: &CallerApi<A>, answer: RenderedAnswer) -> HttpResponse {
     let mut builder = response_builder(api, answer.status);
     if let Some(wait) = answer.retry_after {
-        // The header counts whole seconds; the body has the exact time.
+        // The header has whole seconds, rounded up; the body has the exact time.
         builder.insert_header(("retry-after", wait.as_millis().div_ceil(1000).to_string()));
     }
     builder.content_type("application/json").body(answer.json)
--- a/crates/caller-api/src/command.rs
+++ b/crates/caller-api/src/command.rs
@@ -1,4 +1,4 @@
-//! Commands of callers to the entry, and its replies.
+//! Commands of callers to the control actor of the entry, and its replies.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -9,27 +9,27 @@
 };
 use serde::Serialize;
 
-/// Submit a job or a request and wait for its answer.
+/// Submits a job or a request and waits for its answer.
 #[derive(Clone, Debug, Message)]
 #[rtype(result = "CallerAnswer")]
 pub struct SubmitCommand {
-    /// What to run.
+    /// The submission.
     pub body: SubmissionBody,
-    /// Identifies the body, so that an id or key used again with another body is noticed.
+    /// The digest of the body, which shows whether a ticket or key is reused with another body.
     pub digest: u64,
-    /// The body as it came, for the entry that issued the ticket, should that be another one.
+    /// The body as received, for forwarding when another entry is responsible for the ticket or key.
     pub raw: Vec<u8>,
 }
 
-/// Issue a ticket.
+/// Issues a ticket.
 #[derive(Clone, Debug, Message)]
 #[rtype(result = "Result<TicketId, RefusalReason>")]
 pub struct TicketCommand {
-    /// Whose request it will be for.
+    /// The customer whose request will use the ticket.
     pub customer: CustomerId,
 }
 
-/// Say how a submission stands.
+/// Gets the answer of a submission, or learns that it is pending.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "CallerAnswer")]
 pub struct OutcomeCommand {
@@ -37,7 +37,7 @@
     pub id: SubmissionId,
 }
 
-/// Take a submission back.
+/// Cancels a submission.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "CancelResult")]
 pub struct CancelCommand {
@@ -45,7 +45,7 @@
     pub id: SubmissionId,
 }
 
-/// Say what happened to a submission, as JSON; nothing when its history is not kept.
+/// Gets the history of a submission as JSON, or `None` when this entry does not keep it.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "Option<serde_json::Value>")]
 pub struct ExplainCommand {
@@ -53,58 +53,58 @@
     pub id: SubmissionId,
 }
 
-/// Say which contracts this entry serves now.
+/// Lists the contracts that this entry serves now.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "ContractsInForce")]
 pub struct InForceCommand;
 
-/// The contracts that one entry serves now. The platform may have newer ones that are on their way here.
+/// The contracts that one entry serves now. The platform may have newer ones that this entry has not read yet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, MessageResponse)]
 pub struct ContractsInForce {
-    /// The number of the newest change known here.
+    /// The number of the newest change that this entry knows.
     pub head: u64,
-    /// The time since that was last known to be the newest, in milliseconds; absent before the first reading.
+    /// The time since `head` was last known to be the newest change, in milliseconds; absent before the first read.
     pub age_ms: Option<u64>,
-    /// Each customer's version.
+    /// The contract version of each customer.
     pub contracts: Vec<ContractInForce>,
 }
 
 /// One contract in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ContractInForce {
-    /// Whose.
+    /// The customer.
     pub customer: CustomerId,
     /// The version.
     pub version: ContractVersion,
 }
 
-/// Say how the entry stands.
+/// Gets the status of the entry.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "EntryStatus")]
 pub struct StatusCommand;
 
-/// How an entry stands, for operators.
+/// The status of an entry, for operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, MessageResponse)]
 pub struct EntryStatus {
     /// The VM.
     pub vm: VmId,
     /// Its data centre.
     pub data_centre: DataCentreId,
-    /// This life of the entry.
+    /// The incarnation of the entry process.
     pub incarnation: IncarnationId,
-    /// Whether it takes new connections.
+    /// Whether the entry accepts new work.
     pub ready: bool,
-    /// The newest contract change known here.
+    /// The number of the newest contract change that this entry knows.
     pub contract_head: u64,
-    /// The age of that knowledge in milliseconds.
+    /// The time since `contract_head` was last known to be the newest change, in milliseconds.
     pub contract_age_ms: Option<u64>,
-    /// Submissions without an answer.
+    /// The number of submissions without an answer.
     pub open_submissions: usize,
-    /// Attempts that dispatchers may hold.
+    /// The number of attempts that dispatchers may hold.
     pub attempts_in_flight: usize,
     /// The dispatchers that this entry knows.
     pub dispatchers: Vec<DispatcherStatus>,
-    /// The customers with work here.
+    /// The customers with work at this entry.
     pub customers: Vec<CustomerStatus>,
 }
 
@@ -115,7 +115,7 @@
     pub address: SocketAddr,
     /// Its data centre.
     pub data_centre: DataCentreId,
-    /// Open, connecting or idle.
+    /// The state of the session: open, connecting or idle.
     pub session: &'static str,
 }
 
@@ -124,31 +124,31 @@
 pub struct CustomerStatus {
     /// The customer.
     pub customer: CustomerId,
-    /// Tasks at dispatchers.
+    /// The number of tasks at dispatchers.
     pub in_flight: u32,
-    /// Tasks that wait here.
+    /// The number of tasks that wait at this entry.
     pub waiting: usize,
 }
 
-/// What a cancellation did.
+/// The result of a cancellation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, MessageResponse)]
 pub enum CancelResult {
-    /// The submission's answer is now that it was cancelled.
+    /// The submission is cancelled and answered so.
     Cancelled,
-    /// The request may have started and runs on to its own answer.
+    /// The request may have started, and continues to its own answer.
     TooLate,
-    /// There is no such open submission at this entry.
+    /// This entry has no open submission with the id.
     NotOpen,
 }
 
 /// An answer for a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallerAnswer {
-    /// From this entry.
+    /// The answer of a submission of this entry.
     Local(SubmissionAnswer),
     /// The submission has no answer yet.
     Pending(SubmissionId),
-    /// From the entry that has authority over the submission, ready to be passed on.
+    /// The response of the entry that has authority over the submission, to be passed on unchanged.
     Forwarded {
         /// The HTTP status.
         status: u16,
@@ -162,12 +162,12 @@
 pub struct SubmissionAnswer {
     /// The submission; absent when it was refused before it had an id.
     pub id: Option<SubmissionId>,
-    /// Whether it is a job, whose results are a list.
+    /// Whether the submission is a job, whose results are a list.
     pub job: bool,
     /// The outcome.
     pub outcome: Arc<SubmissionOutcome>,
-    /// The contract version under which it was accepted.
+    /// The contract version under which the submission was accepted.
     pub version: Option<ContractVersion>,
-    /// Whether the contracts known here are older than the freshness bound, as in a cut-off data centre.
+    /// Whether the entry's contracts are older than the freshness bound, as in a disconnected data centre.
     pub stale: bool,
 }
--- a/crates/caller-api/src/input.rs
+++ b/crates/caller-api/src/input.rs
@@ -1,4 +1,4 @@
-//! Reads what callers send. Nothing runs before the whole body has been checked.
+//! Parses and validates the bodies and headers of callers. Nothing runs before the whole body has been checked.
 
 use std::time::Duration;
 
@@ -12,13 +12,13 @@
 
 use crate::object::JsonObject;
 
-/// A body or header that cannot be used. Nothing ran.
+/// An invalid body or header. Nothing ran.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{field}: {message}")]
 pub struct InputError {
     /// The path of the field, as in `tasks[2].payload`.
     pub field: String,
-    /// What is wrong.
+    /// What is wrong with the field.
     pub message: String,
 }
 
@@ -31,11 +31,11 @@
     }
 }
 
-/// Reads the body of `POST /v1/jobs`, and its digest.
+/// Parses the body of `POST /v1/jobs` and computes its digest.
 ///
 /// # Errors
 ///
-/// Names the first field that is wrong.
+/// Names the first invalid field.
 pub fn read_job(raw: &[u8]) -> Result<(SubmissionBody, u64), InputError> {
     let input: JobInput = read_json(raw)?;
     if input.tasks.is_empty() {
@@ -61,11 +61,11 @@
     Ok((body, digest))
 }
 
-/// Reads the body of `POST /v1/requests` with the `Idempotency-Key` header, and its digest.
+/// Parses the body of `POST /v1/requests` with the `Idempotency-Key` header, and computes the body's digest.
 ///
 /// # Errors
 ///
-/// Names the first field that is wrong.
+/// Names the first invalid field.
 pub fn read_request(raw: &[u8], key: Option<&str>) -> Result<(SubmissionBody, u64), InputError> {
     let input: RequestInput = read_json(raw)?;
     let run = match (input.ticket, key) {
@@ -89,7 +89,7 @@
     Ok((body, digest))
 }
 
-/// Reads the body of `POST /v1/tickets`.
+/// Parses the body of `POST /v1/tickets`.
 pub(crate) fn read_ticket_request(raw: &[u8]) -> Result<CustomerId, InputError> {
     read_json::<TicketInput>(raw).map(|input| input.customer)
 }
@@ -127,8 +127,8 @@
     payload: Payload,
     #[serde(default)]
     declared_run_ms: Option<u64>,
-    /// What the caller says the task needs in memory, in bytes. Declared sizes are far off, so it only serves to
-    /// turn away what no endpoint could hold.
+    /// The memory that the task needs according to the caller, in bytes. Declared sizes are unreliable, so the value
+    /// only serves to reject tasks that no endpoint could hold.
     #[serde(default)]
     declared_bytes: Option<ByteSize>,
 }
@@ -173,7 +173,7 @@
     Ok(value)
 }
 
-/// The path of a field, or of what holds it where the text ends before its name.
+/// The path of a field, or of its parent where the text ends before the field's name.
 fn field_name(path: &str) -> &str {
     match path.trim_end_matches('?').trim_end_matches('.') {
         "" => "body",
@@ -193,8 +193,9 @@
         .map_err(|error: model::WrongId| InputError::new("Idempotency-Key", error.to_string()))
 }
 
-/// What has to be the same for a second arrival to be the same request: the customer, and each task's kind and
-/// bytes, with their lengths so that no two bodies run together. The deadline may differ.
+/// Hashes the parts of a body that must be equal for a repeated submission to count as the same one: the customer,
+/// and the kind and payload of each task. Each part is prefixed with its length, so that different bodies cannot
+/// yield the same bytes. The deadline may differ.
 fn digest(body: &SubmissionBody) -> u64 {
     let mut hasher = Xxh3::new();
     let mut add = |bytes: &[u8]| {
--- a/crates/caller-api/src/lib.rs
+++ b/crates/caller-api/src/lib.rs
@@ -1,6 +1,6 @@
-//! HTTP/JSON for callers and operators.
+//! The HTTP/JSON interface for callers and operators.
 //!
-//! The routes turn HTTP into typed commands for the process behind them and its replies into HTTP. They run on the
+//! The routes translate HTTP requests into typed commands, and the replies into HTTP responses. They run on the
 //! traffic threads; the commands go to the control actor of the entry.
 
 mod answer;
--- a/crates/caller-api/src/object.rs
+++ b/crates/caller-api/src/object.rs
@@ -1,4 +1,4 @@
-//! JSON objects that may not be written as arrays.
+//! Deserialisation that accepts JSON objects only, not arrays in their place.
 
 use std::{fmt, marker::PhantomData};
 
@@ -7,11 +7,11 @@
     Deserialize, Deserializer,
 };
 
-/// A value that has to be an object.
+/// A value that must be a JSON object.
 ///
-/// Failure: derived structs also take an array with the fields in order. Symptom without this: a body of another
-/// shape, where no name says what a value is for, passes the check and runs. Asking for a map is enough, since a map
-/// names each value and unknown names are refused.
+/// Derived deserialisers of structs also accept an array with the fields in order, so a body of another shape, in
+/// which no name says what a value means, would pass the checks and run. Requiring a map is enough, since a map names
+/// each value and the structs reject unknown names.
 #[derive(Debug)]
 pub(crate) struct JsonObject<T>(pub(crate) T);
 
--- a/crates/caller-api/src/operators.rs
+++ b/crates/caller-api/src/operators.rs
@@ -1,4 +1,4 @@
-//! HTTP routes of operators: contracts are created, changed, retired and read here.
+//! HTTP routes for operators, which create, change, retire and read contracts.
 //!
 //! | call | precondition | answers |
 //! |---|---|---|
@@ -9,10 +9,10 @@
 //! | `PUT /v1/contracts/{customer}` | `If-Match: "VERSION"` to change | 200 with `ETag`, 404, 412 |
 //! | `DELETE /v1/contracts/{customer}` | `If-Match: "VERSION"` | 200 with `ETag` and the retired contract, 404, 412 |
 //!
-//! `PUT` replaces the contract as a whole: a field that is left out takes its default. Errors are
-//! `{"error":{"reason":…,"field":…,"message":…}}`: 400 names the field, 428 asks for the precondition, 503 means that
-//! nothing was written and carries `Retry-After`, 504 means that the outcome is not known and names the version to
-//! look at.
+//! `PUT` replaces the whole contract: an omitted field takes its default. Errors are
+//! `{"error":{"reason":…,"field":…,"message":…}}`. 400 names the field, 428 asks for the missing precondition, 503
+//! means that nothing was written and carries `Retry-After`, and 504 means that the outcome is unknown and names the
+//! version to look for.
 
 mod command;
 mod error;
@@ -30,28 +30,29 @@
     error::{OperatorError, OperatorReason},
 };
 
-/// The largest contract document, in bytes; one with every field has some 300.
+/// The largest contract document, in bytes; a document with every field has some 300 bytes.
 const MAX_BODY_BYTES: usize = 16 * 1024;
 
-/// Entries of a page when the operator names no limit.
+/// The entries of a page when the operator gives no limit.
 const DEFAULT_PAGE: usize = 100;
 
 /// The most entries of a page.
 const MAX_PAGE: usize = 500;
 
-/// Where the routes send commands: an actor on the control thread.
+/// The handle by which the routes send commands to an actor on the control thread.
 #[derive(Clone)]
 pub struct OperatorLink {
     recipient: Recipient<OperatorCommand>,
 }
 
 impl OperatorLink {
-    /// A link to an actor, which may run the commands by [`run_command`].
+    /// Creates a link to an actor, which may run the commands with [`run_command`].
     pub fn new(recipient: Recipient<OperatorCommand>) -> Self {
         Self { recipient }
     }
 
-    /// Sends a command and waits for its reply. A command whose actor went away may have been under way.
+    /// Sends a command and waits for its reply. When the actor stops before it replies, a write may have been in
+    /// progress, so its outcome is unknown.
     async fn send(&self, command: OperatorCommand) -> Result<OperatorReply, OperatorError> {
         let writes = command.writes();
         match self.recipient.send(command).await {
@@ -217,9 +218,10 @@
         })
 }
 
-/// Reads a contract; errors name the path of the field. The editor checks the ranges.
+/// Parses a contract; errors name the path of the field. The editor checks the ranges.
 fn parse_contract(body: &[u8]) -> Result<Contract, OperatorError> {
-    // The derived reader also takes an array of the fields in order, and an empty one for a contract of defaults.
+    // The derived deserialiser also accepts an array of the fields in order, and takes an empty array for a contract
+    // with all defaults.
     if body.trim_ascii_start().first() != Some(&b'{') {
         return Err(OperatorError::BadInput {
             field: None,
@@ -230,7 +232,7 @@
     let contract: Contract = serde_path_to_error::deserialize(&mut deserializer).map_err(|e| {
         let path = e.path().to_string();
         OperatorError::BadInput {
-            // The path of the document itself reads as a dot.
+            // The path of the document itself is a dot.
             field: (path != ".").then_some(path),
             message: e.into_inner().to_string(),
         }
--- a/crates/caller-api/src/operators/command.rs
+++ b/crates/caller-api/src/operators/command.rs
@@ -1,4 +1,4 @@
-//! What operators ask for, as messages to the control thread.
+//! Operator commands, as messages to the control thread.
 
 use actix::Message;
 use contracts::{ContractEditor, ContractRow};
@@ -7,51 +7,51 @@
 
 use super::OperatorError;
 
-/// One call of an operator, checked.
+/// A validated call of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorCommand {
-    /// Show a contract.
+    /// Reads a contract.
     Show {
-        /// Whose.
+        /// The customer.
         customer: CustomerId,
     },
-    /// List contracts in the order of their customers.
+    /// Lists contracts, ordered by customer.
     List {
-        /// The customer before the first listed one.
+        /// The listing starts after this customer.
         after: Option<CustomerId>,
-        /// The most to list.
+        /// The most entries to list.
         limit: usize,
     },
-    /// List the versions of a contract, oldest first.
+    /// Lists the versions of a contract, oldest first.
     History {
-        /// Whose.
+        /// The customer.
         customer: CustomerId,
-        /// The version before the first listed one.
+        /// The listing starts after this version.
         after: ContractVersion,
-        /// The most to list.
+        /// The most entries to list.
         limit: usize,
     },
-    /// Write the first version of a contract.
+    /// Writes the first version of a contract.
     Create {
-        /// Whose.
+        /// The customer.
         customer: CustomerId,
         /// The contract.
         contract: Contract,
     },
-    /// Write the next version of a contract.
+    /// Writes the next version of a contract.
     Change {
-        /// Whose.
+        /// The customer.
         customer: CustomerId,
-        /// The version that is replaced.
+        /// The version to replace.
         expected: ContractVersion,
         /// The contract.
         contract: Contract,
     },
-    /// Write a next version that covers no new work.
+    /// Writes a next version under which new work is refused.
     Retire {
-        /// Whose.
+        /// The customer.
         customer: CustomerId,
-        /// The version that is replaced.
+        /// The version to replace.
         expected: ContractVersion,
     },
 }
@@ -70,7 +70,7 @@
     }
 }
 
-/// One version of a contract with the change that made it.
+/// One version of a contract with the change that wrote it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct HistoryEntry {
     /// The change's id.
@@ -80,10 +80,10 @@
     pub row: ContractRow,
 }
 
-/// What a command gives.
+/// The reply to a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorReply {
-    /// The contract as it is, or as it was written.
+    /// The contract as read or as written.
     Contract(ContractRow),
     /// A page of contracts.
     List(Vec<ContractRow>),
@@ -95,7 +95,7 @@
     pub(super) fn into_contract(self) -> Result<ContractRow, OperatorError> {
         match self {
             Self::Contract(row) => Ok(row),
-            // The command may have been a write, so nothing is promised.
+            // The command may have been a write, so its outcome is unknown.
             Self::List(_) | Self::History(_) => Err(OperatorError::Unknown {
                 version: None,
                 change: None,
@@ -122,7 +122,7 @@
 ///
 /// # Errors
 ///
-/// Gives what the operator hears.
+/// Returns the error to report to the operator.
 pub async fn run_command(
     editor: &ContractEditor,
     command: OperatorCommand,
--- a/crates/caller-api/src/operators/error.rs
+++ b/crates/caller-api/src/operators/error.rs
@@ -1,4 +1,4 @@
-//! What operators hear when a call did not work out.
+//! Errors of operator calls and their HTTP responses.
 
 use std::fmt;
 
@@ -13,27 +13,27 @@
 
 use super::precondition::version_tag;
 
-/// Seconds after which it is worth trying again.
+/// The value of the `Retry-After` header, in seconds.
 const RETRY_AFTER_SECONDS: &str = "2";
 
-/// Reasons, each with a stable text for clients and counters.
+/// The reason of an error, with a stable text for clients and counters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum OperatorReason {
-    /// The request is not well formed or a field is out of range.
+    /// The request is malformed or a field is out of range.
     BadInput,
-    /// There is no such contract.
+    /// The customer has no contract.
     NotFound,
-    /// A write without a precondition.
+    /// A write has no precondition.
     PreconditionRequired,
     /// The contract is not at the version that the operator expected.
     VersionConflict,
-    /// Changes of other contracts came first too often.
+    /// Too many concurrent changes of other contracts conflicted with this change.
     Contended,
-    /// The platform does not answer.
+    /// The platform did not answer.
     PlatformUnavailable,
-    /// Nobody can say whether the change was made.
+    /// The outcome of the change is unknown.
     OutcomeUnknown,
-    /// A row of the platform cannot be read.
+    /// A row of the platform cannot be decoded.
     BrokenRow,
 }
 
@@ -71,44 +71,44 @@
     }
 }
 
-/// Why a call did not work out. Only [`Self::Unknown`] leaves open whether something was written.
+/// Why a call failed. Only [`Self::Unknown`] leaves open whether something was written.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum OperatorError {
-    /// The request is not well formed or a field is out of range.
+    /// The request is malformed or a field is out of range.
     #[error("{message}")]
     BadInput {
-        /// The path of the field, where one is at fault.
+        /// The path of the invalid field, if the error concerns a field.
         field: Option<String>,
         /// What is wrong.
         message: String,
     },
-    /// There is no such contract.
+    /// The customer has no contract.
     #[error("there is no such contract")]
     NotFound,
-    /// A write without a precondition.
+    /// A write has no precondition.
     #[error("name the version in If-Match, or create with If-None-Match: *")]
     PreconditionRequired,
     /// The contract is not at the version that the operator expected.
     #[error("the contract is at version {current}; nothing was written")]
     Conflict {
-        /// The version that is there.
+        /// The current version.
         current: ContractVersion,
     },
-    /// Changes of other contracts came first too often.
+    /// Too many concurrent changes of other contracts conflicted with this change.
     #[error("too many changes at once; nothing was written")]
     Contended,
-    /// The platform does not answer.
+    /// The platform did not answer.
     #[error("{0}; nothing was written")]
     Unavailable(String),
-    /// Nobody can say whether the change was made.
+    /// The outcome of the change is unknown.
     #[error("the change may have been made or may yet be: look for it in the contract's history")]
     Unknown {
-        /// The version that it made, if it was made.
+        /// The version that the change creates if it takes effect.
         version: Option<ContractVersion>,
-        /// The id under which the history shows it.
+        /// The id under which the history lists the change.
         change: Option<ChangeId>,
     },
-    /// A row of the platform cannot be read.
+    /// A row of the platform cannot be decoded.
     #[error("{0}; nothing was written")]
     BrokenRow(String),
 }
@@ -135,9 +135,9 @@
         }
     }
 
-    /// A reply of another command to a read.
+    /// The error when a read gets the reply type of another command.
     pub(super) fn unexpected_reply() -> Self {
-        Self::Unavailable("the control thread gave a reply of another command".into())
+        Self::Unavailable("the control thread sent the reply of another command".into())
     }
 }
 
--- a/crates/caller-api/src/operators/precondition.rs
+++ b/crates/caller-api/src/operators/precondition.rs
@@ -1,22 +1,22 @@
-//! `ETag`, `If-Match` and `If-None-Match`. The tag of a contract is its version in quotes.
+//! The headers `ETag`, `If-Match` and `If-None-Match`. The tag of a contract is its version in quotes.
 
 use actix_web::{http::header, HttpRequest};
 use model::ContractVersion;
 
 use super::OperatorError;
 
-/// What a write expects to find.
+/// The precondition of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WritePrecondition {
-    /// No contract.
+    /// The customer has no contract.
     Absent,
-    /// The contract at this version.
+    /// The contract is at this version.
     Version(ContractVersion),
 }
 
 impl WritePrecondition {
-    /// Reads the precondition of a write. `If-Match: *` is no precondition here: it would let an operator write over
-    /// a change that it has never seen.
+    /// Reads the precondition of a write. `If-Match: *` is rejected, since it would let an operator overwrite a change
+    /// that the operator has not seen.
     pub(super) fn from_request(request: &HttpRequest) -> Result<Self, OperatorError> {
         let if_match = single_header(request, header::IF_MATCH)?;
         let if_none_match = single_header(request, header::IF_NONE_MATCH)?;
@@ -38,13 +38,13 @@
     }
 }
 
-/// The tag of a version.
+/// The entity tag of a version.
 pub(super) fn version_tag(version: ContractVersion) -> String {
     format!("\"{version}\"")
 }
 
-/// Whether a read's `If-None-Match` names this version. A header that cannot be read counts as absent, since the
-/// whole answer is always right.
+/// Whether the `If-None-Match` header of a read names this version. An invalid header counts as absent, since a full
+/// response is always correct.
 pub(super) fn matches_version(request: &HttpRequest, version: ContractVersion) -> bool {
     let Ok(Some(tags)) = single_header(request, header::IF_NONE_MATCH) else {
         return false;
@@ -70,12 +70,15 @@
     let mut values = request.headers().get_all(&name);
     let first = values.next();
     if values.next().is_some() {
-        return Err(OperatorError::bad_field(name.as_str(), &"given twice"));
+        return Err(OperatorError::bad_field(
+            name.as_str(),
+            &"must not be given twice",
+        ));
     }
     let Some(value) = first else {
         return Ok(None);
     };
     let text = value.to_str();
-    let text = text.map_err(|_| OperatorError::bad_field(name.as_str(), &"not plain text"))?;
+    let text = text.map_err(|_| OperatorError::bad_field(name.as_str(), &"must be plain ASCII"))?;
     Ok(Some(text.trim()))
 }
--- a/crates/caller-api/tests/any_input.rs
+++ b/crates/caller-api/tests/any_input.rs
@@ -1,4 +1,4 @@
-//! Any bytes at all as a caller's body: never a panic, and what is accepted is what was sent.
+//! Property tests of request parsing: arbitrary bytes never cause a panic, and an accepted body holds what was sent.
 
 use base64::{engine::general_purpose::STANDARD, Engine as _};
 use caller_api::{read_job, read_request, InputError};
@@ -22,7 +22,7 @@
     }
 }
 
-/// One change to a text.
+/// One random edit of a body.
 #[derive(Clone, Debug)]
 enum Mutation {
     Set(Index, u8),
@@ -103,7 +103,7 @@
     })
 }
 
-/// What the tasks of an accepted body say, read without the border's own types.
+/// The task payloads of an accepted body, parsed without the types of the crate under test.
 fn sent_payloads(raw: &[u8]) -> Vec<Vec<u8>> {
     let value: Value = serde_json::from_slice(raw).expect("accepted, so it is JSON");
     let single = value.get("task").into_iter();
--- a/crates/caller-api/tests/operators.rs
+++ b/crates/caller-api/tests/operators.rs
@@ -1,5 +1,4 @@
-//! Contract tests of the operators' HTTP routes: over an actor that gives chosen replies, and over an editor and the
-//! platform's stand-in.
+//! Tests of the operators' HTTP routes, over actors with fixed replies, and over an editor and the platform stand-in.
 
 use std::{rc::Rc, sync::Arc, time::Duration};
 
@@ -40,7 +39,7 @@
     }
 }
 
-/// Gives one error to every command.
+/// Replies to every command with the same error.
 struct FailingActor(OperatorError);
 
 impl Actor for FailingActor {
@@ -55,7 +54,7 @@
     }
 }
 
-/// Goes away while a command is under way.
+/// Terminates while a command is in progress.
 struct TerminatingActor;
 
 impl Actor for TerminatingActor {
@@ -87,7 +86,7 @@
     OperatorLink::new(EditorActor(Rc::new(editor)).start().recipient())
 }
 
-/// An answer as a client sees it.
+/// A response as a client sees it.
 #[derive(Debug)]
 struct Answer {
     status: StatusCode,
@@ -104,7 +103,7 @@
     }
 }
 
-/// One call, written `METHOD PATH` and `NAME: VALUE` for each header.
+/// Makes one call. `line` is `METHOD PATH`, and each header is `NAME: VALUE`.
 async fn call(link: &OperatorLink, line: &str, headers: &[&str], body: &str) -> Answer {
     let app = App::new().configure(|config| configure(config, link.clone()));
     let service = init_service(app).await;
@@ -132,8 +131,8 @@
     }
 }
 
-/// Status, reason and field of the answer; call; headers; body. Only the message names a field that is given twice:
-/// the reader has left its path by then.
+/// Columns: status, reason and field of the response; call; headers; body. For a field that is given twice only the
+/// message names it, since the deserialiser has already left its path.
 const INVALID_CALLS: &str = r#"
 428 precondition_required - ; PUT /v1/contracts/trust ; ; {}
 428 precondition_required - ; DELETE /v1/contracts/trust ; ;
@@ -281,9 +280,9 @@
 
 #[actix_rt::test]
 async fn a_failed_write_reports_whether_it_may_have_taken_effect() {
-    // The operator's change fails in the control actor, or the actor goes away under way. 503 says that nothing was
-    // written and when to come back; 504 says that nobody knows, and names what to look for. Mixed up, an operator
-    // would make the same change twice or take a lost one for made.
+    // The change fails in the control actor, or the actor stops while the change is in progress. 503 says that nothing
+    // was written and when to retry; 504 says that the outcome is unknown, and names the version and change to look
+    // for. If the two were mixed up, an operator would make a change twice or take a lost change for made.
     let unknown = OperatorError::Unknown {
         version: Some(ContractVersion(7)),
         change: Some(ChangeId(0xab)),
@@ -329,8 +328,8 @@
 
 #[actix_rt::test]
 async fn platform_failures_map_to_503_and_504() {
-    // The operator's change meets a platform that is down, that turns writes away, or whose answer is lost after the
-    // write took effect. It hears 503, 504 with the version to look at, and its made change.
+    // The platform is down, rejects writes, or loses its answer after the write took effect. The operator must get
+    // 503, then 504 with the version to look for, and then the change that was made.
     let stand_in = PlatformStandIn::start(PlatformSettings::default()).unwrap();
     let link = start_editor(&stand_in);
     stand_in.set_faults(FaultSettings::down(DownMode::Closed));
@@ -354,8 +353,8 @@
 
 #[actix_rt::test]
 async fn one_of_several_concurrent_changes_succeeds_and_the_others_get_412() {
-    // Six operators read version 1 and change it at once. One gets 200, each other 412 with the tag of the winner's
-    // version, so that it can read that and decide anew; the winner's contract stands.
+    // Six operators change version 1 at once. One must get 200, and each other one 412 with the tag of the winner's
+    // version, so that the operator can read it and decide again. The winner's contract must stay in place.
     let stand_in = PlatformStandIn::start(PlatformSettings::default()).unwrap();
     let link = start_editor(&stand_in);
     call(&link, "PUT /v1/contracts/trust", CREATE, "{}").await;
--- a/crates/caller-api/tests/reasons.rs
+++ b/crates/caller-api/tests/reasons.rs
@@ -1,4 +1,4 @@
-//! The stable reasons with their HTTP status: clients match on these texts, so a change here breaks them.
+//! The texts and HTTP statuses of all reasons. Clients match on these texts, so changing one breaks clients.
 
 use std::{sync::Arc, time::Duration};
 
