--- a/crates/cairnctl/src/check.rs
+++ b/crates/cairnctl/src/check.rs
@@ -9,7 +9,7 @@
 
 use crate::{options::RoleName, render::OutputFormat};
 
-/// Checks a file and gives the output.
+/// Checks a settings file and returns the output.
 pub(crate) fn run(
     role: Option<RoleName>,
     file: &Path,
@@ -22,11 +22,11 @@
     let role = role.map_err(CommandFault::WrongUsage)?;
     let value = json!({ "file": file.display().to_string(), "role": role.to_string() });
     Ok(output_format.render(&value, |_| {
-        format!("{}: good settings of role {role}\n", file.display())
+        format!("{}: valid settings for role {role}\n", file.display())
     }))
 }
 
-/// The JSON schema of a role's settings.
+/// Returns the JSON schema of a role's settings.
 pub(crate) fn schema(role: RoleName) -> String {
     let schema = match role {
         RoleName::Entry => settings::entry_schema(),
@@ -52,5 +52,5 @@
             Err(error) => errors.push(format!("as {role}: {error}")),
         }
     }
-    Err(eyre!("fits no role: {}", errors.join("; ")))
+    Err(eyre!("not valid for any role: {}", errors.join("; ")))
 }
--- a/crates/cairnctl/src/client.rs
+++ b/crates/cairnctl/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls of an entry's operator API.
+//! A client of an entry's HTTP API.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,10 +10,10 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// How long one call may take. A change waits for the platform's write, which may be slow.
+/// The time limit of one call. A change waits for the platform's write, which may be slow.
 const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The largest answer that is read, in bytes.
+/// The largest response body, in bytes.
 const MAX_ANSWER_BYTES: usize = 64 << 20;
 
 /// A client of one entry.
@@ -22,7 +22,7 @@
     entry: SocketAddr,
 }
 
-/// One call.
+/// One HTTP call.
 #[derive(Clone, Debug)]
 pub(crate) struct EntryCall {
     pub(crate) method: Method,
@@ -32,7 +32,7 @@
 }
 
 impl EntryCall {
-    /// A call that only reads.
+    /// Creates a call that only reads.
     pub(crate) fn get(path: String) -> Self {
         Self {
             method: Method::GET,
@@ -43,24 +43,24 @@
     }
 }
 
-/// Why a call gave nothing.
+/// Why a call failed.
 #[derive(Debug, Error)]
 pub(crate) enum CallError {
-    /// No connection came about, so nothing was sent.
+    /// No connection could be opened, so nothing was sent.
     #[error("entry {entry} cannot be reached, nothing was changed: {cause}")]
     Unreachable { entry: SocketAddr, cause: String },
-    /// The call was sent and no whole answer came.
-    #[error("entry {entry} gave no sure answer: {cause}")]
+    /// The call may have been sent, but no complete and definite response arrived.
+    #[error("entry {entry} gave no definite answer: {cause}")]
     AnswerLost { entry: SocketAddr, cause: String },
-    /// The entry says that it did not do it.
+    /// The entry refused the call and did nothing.
     #[error("entry {entry} refused with status {status}: {reason}")]
     Refused {
         entry: SocketAddr,
         status: u16,
         reason: String,
     },
-    /// The runtime of the program could not start.
-    #[error("cannot start: {0}")]
+    /// The async runtime could not start.
+    #[error("cannot start the async runtime: {0}")]
     Runtime(std::io::Error),
 }
 
@@ -69,7 +69,7 @@
         Self { entry }
     }
 
-    /// Makes one call and gives the body of a good answer.
+    /// Makes one call and returns the body of a successful response.
     pub(crate) fn call(&self, call: &EntryCall) -> Result<Value, CallError> {
         let runtime = actix_rt::Runtime::new().map_err(CallError::Runtime)?;
         runtime.block_on(self.exchange(call))
@@ -93,7 +93,7 @@
         let value = serde_json::from_slice(&body);
         match status {
             200..=299 => value.map_err(|error| self.answer_lost(format!("not JSON: {error}"))),
-            // Only 503 says that nothing was done; the other server errors may come after the write.
+            // Only 503 guarantees that nothing was done; the other server errors may occur after the write.
             500..=599 if status != 503 => Err(self.answer_lost(format!(
                 "status {status}, {}",
                 refusal_text(value.ok().as_ref())
@@ -108,8 +108,7 @@
 
     fn send_error(&self, error: &SendRequestError) -> CallError {
         match error {
-            // awc gives this name to a connection that was there and broke before an answer, so the call may have
-            // been sent.
+            // awc reports this when an open connection breaks before a response, so the call may have been sent.
             SendRequestError::Connect(ConnectError::Disconnected) => {
                 self.answer_lost("the connection broke".to_owned())
             }
--- a/crates/cairnctl/src/contract.rs
+++ b/crates/cairnctl/src/contract.rs
@@ -16,13 +16,13 @@
 
 const CONTRACTS_PATH: &str = "/v1/contracts";
 
-/// The status of a change whose precondition does not hold.
+/// The HTTP status of a change whose precondition does not hold.
 const PRECONDITION_FAILED: u16 = 412;
 
-/// The most entries that are asked for at once.
+/// The entries to request per page; the largest number that an entry accepts.
 const PAGE_LIMIT: usize = 500;
 
-/// Runs the command and gives the output.
+/// Runs the command and returns its output.
 pub(crate) fn run(
     client: &EntryClient,
     command: ContractCommand,
@@ -65,11 +65,11 @@
 
 /// A change of one contract.
 enum ContractChange {
-    /// The first version.
+    /// Creates the first version.
     Create(Value),
-    /// The next version after this one.
+    /// Replaces this version by the next one.
     Replace(ContractVersion, Value),
-    /// A next version after this one that covers no new work.
+    /// Replaces this version by one under which new work is refused.
     Retire(ContractVersion),
 }
 
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Whether the contract in force is what this change makes.
+    /// Whether the contract in force is the one that this change writes.
     fn is_in_force(&self, row: &Value) -> bool {
         let (before, made) = match self {
             Self::Create(contract) => (0, row["contract"] == *contract),
@@ -107,12 +107,12 @@
     }
 }
 
-/// Changes a contract and gives it as it is then.
+/// Changes a contract and returns the new version.
 ///
-/// Failure: the answer is lost after the write may have taken effect. Symptom: the operator cannot tell whether the
-/// change is in force, and a repeat gets a conflict with the operator's own change. The precondition leaves one
-/// version that the change can have made, so if that version is in force with what was sent, the change is done.
-/// Anything else is said to be unknown, never "not changed", since the write may still land.
+/// The answer can be lost after the write may have taken effect. The operator then cannot tell whether the change is in force,
+/// and repeating it conflicts with the operator's own change. The precondition leaves only one version that the
+/// change can have written, so the change has succeeded if that version is in force with the content that was sent.
+/// Any other state is reported as unknown, never as "not changed", since the write may still take effect.
 fn send_change(
     client: &EntryClient,
     customer: &CustomerId,
@@ -126,9 +126,7 @@
         CallError::AnswerLost { .. } => {
             match client.call(&EntryCall::get(contract_path(customer))) {
                 Ok(row) if change.is_in_force(&row) => return Ok(row),
-                _ => format!(
-                    "outcome unknown, look again with `cairnctl contract history {customer}`"
-                ),
+                _ => format!("outcome unknown, check with `cairnctl contract history {customer}`"),
             }
         }
         CallError::Refused {
@@ -167,22 +165,22 @@
 
 /// A contract file.
 struct ContractFile {
-    /// The fields that stand in it.
+    /// The fields that the file contains.
     fields: Map<String, Value>,
-    /// All fields, with defaults for the others.
+    /// All fields, with defaults for those that the file omits.
     full_contract: Value,
 }
 
-/// Reads and checks a contract before anything is sent.
+/// Reads and validates a contract file before anything is sent.
 fn read_contract(file: &Path, customer: &CustomerId) -> Result<ContractFile, CommandFault> {
     let text = match file.to_str() {
         Some("-") => io::read_to_string(io::stdin()),
         _ => fs::read_to_string(file),
     };
     let text = text
-        .wrap_err_with(|| format!("contract {} cannot be read", file.display()))
+        .wrap_err_with(|| format!("cannot read contract {}", file.display()))
         .map_err(CommandFault::WrongUsage)?;
-    let wrong = || format!("wrong contract in {}", file.display());
+    let wrong = || format!("invalid contract in {}", file.display());
     let fields = serde_json::from_str(&text)
         .wrap_err_with(wrong)
         .map_err(CommandFault::WrongUsage)?;
@@ -196,10 +194,10 @@
     })
 }
 
-/// The contract in force with the fields of a file in place of its own.
+/// Merges the fields of a file into the contract in force.
 ///
-/// Failure: a file with one field is taken for a whole contract. Symptom: the other limits fall back to defaults,
-/// and a customer's work is refused or starves others. The fields that the file leaves out come from the version
+/// If a file with one field were taken for a whole contract, the other limits would fall back to defaults, and the
+/// customer's work would be refused or would starve others. The fields that the file omits come from the version
 /// that the change starts from, and the change is refused if that version is no longer in force.
 fn merge_contract(
     client: &EntryClient,
@@ -218,7 +216,7 @@
     };
     own.extend(fields);
     let contract: Contract = serde_json::from_value(full_contract)
-        .wrap_err("the contract in force is of another form than this program knows")?;
+        .wrap_err("the contract in force has a form that this program does not know")?;
     validate_contract(&contract, customer)
 }
 
--- a/crates/cairnctl/src/explain.rs
+++ b/crates/cairnctl/src/explain.rs
@@ -12,7 +12,7 @@
     render::{cell, table, OutputFormat},
 };
 
-/// Asks for the history of a submission, or reads it from logs, and gives the output.
+/// Requests the history of a submission from an entry, or runs a query on log files, and returns the output.
 pub(crate) fn run(
     client: &EntryClient,
     options: &ExplainOptions,
@@ -35,11 +35,11 @@
     let id = options
         .id
         .as_deref()
-        .ok_or_else(|| eyre!("name the submission"))?;
+        .ok_or_else(|| eyre!("name the submission ID"))?;
     Ok(id.parse()?)
 }
 
-/// Exactly one of an id and the lists.
+/// Builds the query. The options must give exactly one of an id and the lists.
 fn log_query(options: &ExplainOptions) -> Result<LogQuery, Report> {
     let mut queries = Vec::new();
     queries.extend(options.id.clone().map(LogQuery::Job));
--- a/crates/cairnctl/src/explain_logs.rs
+++ b/crates/cairnctl/src/explain_logs.rs
@@ -1,4 +1,4 @@
-//! `cairnctl explain --logs`: the story of one job from the log files of nodes, and lists of jobs to look at.
+//! `cairnctl explain --logs`: the events of one job from the log files of nodes, and lists of jobs to examine.
 
 use std::{fs, path::PathBuf};
 
@@ -8,11 +8,11 @@
 
 use crate::render::{cell, table, OutputFormat};
 
-/// What a node wrote this long before and after a job's own lines is looked through for changes of belief, in
-/// milliseconds: heartbeats, leases and looks all act within a second.
+/// How long before and after a job's own lines context events are included, in milliseconds. Heartbeats, leases and
+/// worker probes all act within a second.
 const CONTEXT_MS: u64 = 1_000;
 
-/// Lines that say what a process believes, beside the job's own lines.
+/// Events that explain a job beside its own lines: changes in the state that a process observes or assumes.
 const CONTEXT_EVENTS: &[&str] = &[
     "claim_answered",
     "configuration_taken",
@@ -32,10 +32,10 @@
     "worker_suspended",
 ];
 
-/// What is asked of the logs.
+/// A query on the logs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum LogQuery {
-    /// What became of one job.
+    /// The events of one job.
     Job(String),
     /// The jobs that took longest.
     Slowest(usize),
@@ -45,7 +45,7 @@
     Reason(String),
 }
 
-/// One line of a log.
+/// One event line of a log.
 struct LogLine {
     node: String,
     at: u64,
@@ -67,7 +67,7 @@
     }
 }
 
-/// Reads the logs and answers the question.
+/// Reads the logs and returns the result of the query.
 pub(crate) fn run(
     files: &[PathBuf],
     query: &LogQuery,
@@ -103,8 +103,8 @@
     Ok(lines)
 }
 
-/// Reads a line, with or without what a collector put before it. The last word of that names the node; without it the
-/// file does.
+/// Parses a line, with or without the prefix of a log collector. The last word of the prefix names the node; without
+/// a prefix, the file name does.
 fn read_line(file: &str, line: &str) -> Option<LogLine> {
     let (before, json) = line.split_at(line.find(r#"{"at_ms""#)?);
     let value: Value = serde_json::from_str(json).ok()?;
--- a/crates/cairnctl/src/load_run.rs
+++ b/crates/cairnctl/src/load_run.rs
@@ -11,7 +11,7 @@
 
 use crate::{options::LoadOptions, render::OutputFormat};
 
-/// Runs the load and gives the report: text for people, or one JSON line.
+/// Runs the load and returns the report, as text for people or as one JSON line.
 pub(crate) fn run(
     entries: Vec<SocketAddr>,
     options: &LoadOptions,
@@ -67,7 +67,7 @@
     }
 }
 
-/// On a terminal; elsewhere it draws nothing.
+/// A progress bar, which is drawn only on a terminal.
 fn progress_bar() -> ProgressBar {
     let bar = ProgressBar::new(0);
     if let Ok(style) = ProgressStyle::with_template("{bar:40} {pos}/{len} calls, {elapsed}") {
--- a/crates/cairnctl/src/main.rs
+++ b/crates/cairnctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' program: contracts, explain, status, settings.
+//! `cairnctl`, the command-line tool for operators.
 
 mod check;
 mod client;
--- a/crates/cairnctl/src/options.rs
+++ b/crates/cairnctl/src/options.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command-line options.
 
 use std::{fmt, net::SocketAddr, path::PathBuf, str::FromStr};
 
@@ -6,7 +6,7 @@
 use load::LoadShape;
 use model::{ContractVersion, CustomerId, EndpointId};
 
-/// Drives the dispatcher for sub-second tasks by contracts, and looks into it.
+/// Manages the contracts of the dispatcher for sub-second tasks and inspects the running system.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version, footer(EXAMPLES), generate(ctl_options))]
 pub(crate) struct CtlOptions {
@@ -21,16 +21,16 @@
     pub(crate) command: CtlCommand,
 }
 
-/// What is to be done.
+/// The command to run.
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) enum CtlCommand {
     /// Create, change, retire and read contracts
     #[bpaf(command("contract"))]
     Contract(#[bpaf(external(contract_command))] ContractCommand),
-    /// Tell what became of a submission and why
+    /// Explain the outcome of a submission
     #[bpaf(command("explain"))]
     Explain(#[bpaf(external(explain_options))] ExplainOptions),
-    /// Show the state of one entry and what it sees
+    /// Show the state of one entry and its view of the system
     #[bpaf(command("status"))]
     Status,
     /// Check a settings file without starting anything
@@ -43,13 +43,13 @@
         #[bpaf(positional("FILE"), complete_shell(ShellComp::File { mask: Some("*.json") }))]
         file: PathBuf,
     },
-    /// Run the whole path once in this process, on stand-ins, and say what came of it
+    /// Run the whole system once in this process, on stand-ins, and report the result
     #[bpaf(command("demo"))]
     Demo,
-    /// Send the users' load to entries at planned times and report what came of it
+    /// Send the users' load to entries at planned times and report the result
     #[bpaf(command("load"))]
     Load(#[bpaf(external(load_options))] LoadOptions),
-    /// Run a stand-in of what the platform gives, until SIGTERM or SIGINT
+    /// Run a stand-in for a platform service or an endpoint, until SIGTERM or SIGINT
     #[bpaf(command("stand-in"))]
     StandIn(#[bpaf(external(stand_in_command))] StandInCommand),
     /// Print the JSON schema of a role's settings
@@ -251,7 +251,7 @@
     settings::EntrySettings::default().caller_listen
 }
 
-// bpaf keeps a line break only before a space.
+// bpaf keeps a line break only if a space follows it.
 const EXAMPLES: &str = "Examples:
    cairnctl demo
    cairnctl stand-in platform --vms docs/examples/vms.json
--- a/crates/cairnctl/src/render.rs
+++ b/crates/cairnctl/src/render.rs
@@ -1,10 +1,10 @@
-//! JSON as text for people.
+//! Renders JSON values as output.
 
 use std::fmt::Write as _;
 
 use serde_json::Value;
 
-/// For whom output is.
+/// The format of the output.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum OutputFormat {
     /// Text for people.
@@ -22,7 +22,7 @@
         }
     }
 
-    /// The value as JSON, or as the text that `text` makes of it.
+    /// Renders the value as JSON, or as text by `text`.
     pub(crate) fn render(self, value: &Value, text: impl FnOnce(&Value) -> String) -> String {
         match self {
             Self::Text => text(value),
@@ -31,7 +31,7 @@
     }
 }
 
-/// Columns side by side, each as wide as its widest cell.
+/// Renders rows as aligned columns, each as wide as its widest cell.
 pub(crate) fn table(rows: &[Vec<String>]) -> String {
     let columns = rows.iter().map(Vec::len).max().unwrap_or(0);
     let mut widths = vec![0; columns];
@@ -53,15 +53,15 @@
     text
 }
 
-/// Every field below a value with its path, such as `slots.running`.
+/// Flattens a value to rows of a field path, such as `slots.running`, and the field's value.
 pub(crate) fn flat_rows(value: &Value) -> Vec<Vec<String>> {
     let mut rows = Vec::new();
     push_rows("", value, &mut rows);
     rows
 }
 
-/// A value in one cell. Text stands without quotes, and control characters are escaped: what an entry sends on may
-/// hold what a caller wrote, which must not steer the operator's terminal.
+/// Renders a value as one cell. Text has no quotes, and control characters are escaped: responses of an entry may
+/// contain text from a caller, which must not control the operator's terminal.
 pub(crate) fn cell(value: &Value) -> String {
     let text = match value {
         Value::String(text) => text.clone(),
--- a/crates/cairnctl/src/stand_in.rs
+++ b/crates/cairnctl/src/stand_in.rs
@@ -13,7 +13,7 @@
 
 use crate::options::StandInCommand;
 
-/// Runs a stand-in until a signal ends it. Says first where it listens.
+/// Runs a stand-in until a signal stops it. Prints its listening address first.
 pub(crate) fn run(command: &StandInCommand) -> Result<String, CommandFault> {
     match command {
         StandInCommand::Platform { listen, vms } => {
@@ -49,8 +49,8 @@
         vms,
         ..PlatformSettings::default()
     };
-    let platform = PlatformStandIn::start(settings)
-        .wrap_err_with(|| format!("{address} cannot be listened on"))?;
+    let platform =
+        PlatformStandIn::start(settings).wrap_err_with(|| format!("cannot listen on {address}"))?;
     print_text(&format!(
         "platform on {}, {count} VMs listed\n",
         platform.address()
@@ -60,7 +60,7 @@
     Ok(())
 }
 
-/// The settings of `count` endpoints at ports that follow each other; a single one keeps its name.
+/// The settings of `count` endpoints at consecutive ports. A single endpoint keeps its name.
 fn numbered_endpoints(first: &EndpointSettings, count: u16) -> Result<Vec<EndpointSettings>> {
     if count <= 1 {
         return Ok(vec![first.clone()]);
@@ -70,7 +70,7 @@
         let mut address = first.address;
         if address.port() != 0 {
             let port = address.port().checked_add(number);
-            address.set_port(port.ok_or_else(|| eyre!("the ports go beyond 65535"))?);
+            address.set_port(port.ok_or_else(|| eyre!("the last port would be above 65535"))?);
         }
         list.push(EndpointSettings {
             id: format!("{}-{}", first.id, number + 1).parse()?,
@@ -87,7 +87,7 @@
     for settings in list {
         let (address, id, slots) = (settings.address, settings.id.clone(), settings.slots);
         let endpoint = EndpointStandIn::start(settings)
-            .wrap_err_with(|| format!("{address} cannot be listened on"))?;
+            .wrap_err_with(|| format!("cannot listen on {address}"))?;
         print_text(&format!(
             "endpoint {id} on {}, {slots} slots\n",
             endpoint.address()
@@ -103,6 +103,6 @@
 
 fn read_vms(file: &Path) -> Result<Vec<VmEntry>> {
     let text = fs::read_to_string(file)
-        .wrap_err_with(|| format!("VM list {} cannot be read", file.display()))?;
-    serde_json::from_str(&text).wrap_err_with(|| format!("wrong VM list in {}", file.display()))
+        .wrap_err_with(|| format!("cannot read VM list {}", file.display()))?;
+    serde_json::from_str(&text).wrap_err_with(|| format!("invalid VM list in {}", file.display()))
 }
--- a/crates/cairnctl/src/status.rs
+++ b/crates/cairnctl/src/status.rs
@@ -9,10 +9,10 @@
     render::{flat_rows, table, OutputFormat},
 };
 
-/// The most lines of one screen.
+/// The most lines of the text output, so that it fits on one screen.
 const SCREEN_LINES: usize = 40;
 
-/// Asks for the state of the entry and gives the output.
+/// Requests the status of the entry and returns the output.
 pub(crate) fn run(
     client: &EntryClient,
     output_format: OutputFormat,
@@ -28,7 +28,7 @@
     rows.truncate(SCREEN_LINES);
     let mut text = table(&rows);
     if left_out > 0 {
-        text.push_str(&format!("{left_out} more lines, all with --json\n"));
+        text.push_str(&format!("{left_out} more lines, shown with --json\n"));
     }
     text
 }
--- a/crates/cairnctl/tests/commands.rs
+++ b/crates/cairnctl/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The operators' program against scripted answers of an entry: what is sent, what is printed, what it exits with.
+//! `cairnctl` against scripted responses of an entry: checks the requests, the output and the exit code.
 
 mod support;
 
@@ -12,7 +12,7 @@
 
 const VERSION_4: &str = r#"{"customer":"trust","version":4,"head":9,"contract":{"state":"active","concurrency":40,"answer_within_ms":10000,"max_tasks":370,"max_payload_bytes":65536,"may_refuse":"jobs","share":3,"retry_percent":20,"move_queued":false}}"#;
 
-/// One run: the arguments, the answers, then what was sent and told.
+/// Runs the program against the answers, and returns the arguments, the output and the requests as text.
 fn case(args: &[&str], input: &str, answers: &[FakeAnswer]) -> String {
     let entry = FakeEntry::start(answers);
     let address = entry.address;
@@ -77,8 +77,8 @@
     .concat());
 }
 
-/// Two operators race: the loser is told that nothing was changed, whether the other's change is seen before or only
-/// by the entry's refusal.
+/// Two operators change a contract at once. The losing one must be told that nothing was changed, whether the program
+/// sees the other change before it sends its own or only by the entry's refusal.
 #[test]
 fn a_conflicting_change_changes_nothing() {
     let stale = [
@@ -109,9 +109,9 @@
     .concat());
 }
 
-/// The operator sends a change, the write takes effect, and its answer is lost. The program reads back: the one version
-/// that the change can have made, with what was sent, says that it took effect. Anything else leaves the outcome
-/// unknown, never "not changed": the write may still land.
+/// The answer to a change is lost after the write may have taken effect. The program reads the contract back. Only the
+/// one version that the change can have written, with the content that was sent, proves that the change took effect.
+/// Any other state must be reported as unknown, never as "not changed", since the write may still take effect.
 #[test]
 fn a_change_with_a_lost_answer_is_read_back() {
     let retire = ["contract", "retire", "trust", "--version", "4"];
@@ -131,7 +131,7 @@
     let own = other
         .replace("\"concurrency\":40", "\"concurrency\":60")
         .leak();
-    // What a contract file without the field creates.
+    // The contract that a file without `move_queued` creates.
     let first = own
         .replace("\"version\":5", "\"version\":1")
         .replace("\"move_queued\":false", "\"move_queued\":true")
@@ -183,7 +183,7 @@
     assert_eq!(text.lines().count(), 2, "{text}");
 }
 
-/// The file passes the checks, so the program goes as far as the entry, which is not there.
+/// The file passes validation, so the program fails only when it connects to the entry, which does not run.
 #[test]
 fn the_example_contract_is_valid() {
     let address = closed_address();
@@ -225,7 +225,7 @@
     .concat());
 }
 
-/// Nothing is sent for these, so there is no entry.
+/// These cases fail before anything is sent, so no entry runs.
 #[test]
 fn wrong_usage_exits_with_2() {
     let address = closed_address();
--- a/crates/cairnctl/tests/demo.rs
+++ b/crates/cairnctl/tests/demo.rs
@@ -1,4 +1,4 @@
-//! The demonstration of the README runs through on a machine with nothing set up.
+//! `cairnctl demo`, as in the README, completes without any setup.
 
 #[allow(dead_code)]
 mod support;
--- a/crates/cairnctl/tests/explain_logs.rs
+++ b/crates/cairnctl/tests/explain_logs.rs
@@ -1,6 +1,6 @@
-//! `cairnctl explain --logs`: from the logs of nodes to the cause of a failed request.
+//! `cairnctl explain --logs` finds the cause of a failed request in the logs of nodes.
 
-#[allow(dead_code, reason = "the fake entry is for other tests")]
+#[allow(dead_code, reason = "the fake entry is used by other tests")]
 mod support;
 
 use insta::assert_snapshot;
--- a/crates/cairnctl/tests/load.rs
+++ b/crates/cairnctl/tests/load.rs
@@ -1,4 +1,4 @@
-//! `cairnctl load` against a real entry: the calls go round all entries, and the report is one JSON line.
+//! `cairnctl load` against real entries: the calls are spread over all entries, and the report is one JSON line.
 
 use std::{net::SocketAddr, process::Command};
 
@@ -21,7 +21,7 @@
             .unwrap();
         for entry in entries {
             let offers = read_counters(&[entry]).await.unwrap().offers;
-            assert!(offers > 0.0, "nothing went through {entry}");
+            assert!(offers > 0.0, "no task was offered through {entry}");
         }
         fleet.stop().await;
         let report: Value = serde_json::from_str(&line).unwrap();
--- a/crates/cairnctl/tests/real_entry.rs
+++ b/crates/cairnctl/tests/real_entry.rs
@@ -1,4 +1,4 @@
-//! The operators' program against a real entry, with stand-ins behind it: both ends of the operator API agree.
+//! `cairnctl` against a real entry backed by stand-ins: client and server of the operator API must agree.
 
 #[allow(dead_code)]
 mod support;
--- a/crates/cairnctl/tests/stand_in.rs
+++ b/crates/cairnctl/tests/stand_in.rs
@@ -1,4 +1,4 @@
-//! Stand-ins as processes of their own: they say where they listen, and a signal ends them cleanly.
+//! `cairnctl stand-in` as a separate process: it prints its listening address and exits cleanly on a signal.
 
 use std::{
     io::{BufRead, BufReader},
@@ -31,7 +31,7 @@
 
 fn terminate(child: &Child) {
     let pid = libc::pid_t::try_from(child.id()).unwrap();
-    // SAFETY: `kill` takes no pointers; the child has not been waited for, so the id is still its own.
+    // SAFETY: `kill` takes no pointers; the child has not been waited for, so its process id has not been reused.
     let sent = unsafe { libc::kill(pid, libc::SIGTERM) };
     assert_eq!(sent, 0);
 }
--- a/crates/cairnctl/tests/support/mod.rs
+++ b/crates/cairnctl/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A fake entry that plays scripted answers, and a way to run the program against it.
+//! A fake entry with scripted responses, and helpers to run the program against it.
 
 use std::{
     io::{BufRead, BufReader, Read, Write},
@@ -8,16 +8,16 @@
     time::{Duration, Instant},
 };
 
-/// What the fake does with one call.
+/// The reaction of the fake entry to one call.
 #[derive(Clone, Debug)]
 pub(crate) enum FakeAnswer {
-    /// Answers with this status and body.
+    /// Respond with this status and body.
     Json(u16, &'static str),
-    /// Reads the call and closes the connection.
+    /// Read the call and close the connection without a response.
     Lost,
 }
 
-/// An entry that takes as many calls as it has answers.
+/// An entry that accepts one call for each answer.
 pub(crate) struct FakeEntry {
     pub(crate) address: SocketAddr,
     calls: JoinHandle<Vec<String>>,
@@ -43,13 +43,13 @@
         Self { address, calls }
     }
 
-    /// The calls that came: method, path, preconditions, body.
+    /// The received calls: method, path, preconditions, body.
     pub(crate) fn calls(self) -> Vec<String> {
         self.calls.join().unwrap()
     }
 }
 
-/// An address that nobody listens on.
+/// An address on which nothing listens.
 pub(crate) fn closed_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     listener.local_addr().unwrap()
@@ -65,12 +65,12 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    // The program may end without reading its input.
+    // The program may exit without reading its input.
     let _ = child.stdin.take().unwrap().write_all(input.as_bytes());
     child.wait_with_output().unwrap()
 }
 
-/// Exit code, output and error, as one text without addresses.
+/// Exit code, standard output and standard error as one text, with the entry's address replaced.
 pub(crate) fn output_text(output: &Output, entry: SocketAddr) -> String {
     let text = format!(
         "exit {}\n{}{}",
--- a/crates/caller-api/src/answer.rs
+++ b/crates/caller-api/src/answer.rs
@@ -18,9 +18,8 @@
     pub retry_after: Option<Duration>,
 }
 
-/// Renders an answer. Complete, failed and unknown are outcomes of an accepted submission and have status 200. A
-/// refused submission ran nothing and has status 4xx or 503, which tells clients and load balancers that they may
-/// retry.
+/// Renders an answer. Complete, failed and unknown are outcomes of the submission itself and have status 200. A refused
+/// submission ran nothing and has status 4xx or 503, which tells clients and load balancers that they may retry.
 pub fn render_answer(answer: &CallerAnswer) -> RenderedAnswer {
     match answer {
         CallerAnswer::Local(answer) => render_submission(answer),
--- a/crates/caller-api/src/command.rs
+++ b/crates/caller-api/src/command.rs
@@ -29,7 +29,7 @@
     pub customer: CustomerId,
 }
 
-/// Gets the answer of a submission, or learns that it is pending.
+/// Gets the answer of a submission, which is pending until the submission ends.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "CallerAnswer")]
 pub struct OutcomeCommand {
@@ -133,7 +133,7 @@
 /// The result of a cancellation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, MessageResponse)]
 pub enum CancelResult {
-    /// The submission is cancelled and answered so.
+    /// The submission is cancelled, and its answer says so.
     Cancelled,
     /// The request may have started, and continues to its own answer.
     TooLate,
@@ -144,7 +144,7 @@
 /// An answer for a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallerAnswer {
-    /// The answer of a submission of this entry.
+    /// An answer that this entry determined.
     Local(SubmissionAnswer),
     /// The submission has no answer yet.
     Pending(SubmissionId),
--- a/crates/contracts/src/reader.rs
+++ b/crates/contracts/src/reader.rs
@@ -13,7 +13,7 @@
 const PAGE_ROWS: usize = 500;
 
 /// The most changes that are read from the log. A view that is further behind reads all contracts instead: the log
-/// has a row for each change ever made, so that it then costs more reads than the contracts themselves.
+/// has a row for each change ever made, so that it then takes longer to read than the contracts.
 const MAX_LOG_ROWS: u64 = 2_000;
 
 /// Why a poll failed. The view stays unchanged, and its growing age shows the failure.
