--- a/crates/cairnctl/src/contract.rs
+++ b/crates/cairnctl/src/contract.rs
@@ -180,12 +180,12 @@
     let text = text
         .wrap_err_with(|| format!("cannot read contract {}", file.display()))
         .map_err(CommandFault::WrongUsage)?;
-    let wrong = || format!("invalid contract in {}", file.display());
+    let invalid = || format!("invalid contract in {}", file.display());
     let fields = serde_json::from_str(&text)
-        .wrap_err_with(wrong)
+        .wrap_err_with(invalid)
         .map_err(CommandFault::WrongUsage)?;
     let contract: Contract = serde_json::from_str(&text)
-        .wrap_err_with(wrong)
+        .wrap_err_with(invalid)
         .map_err(CommandFault::WrongUsage)?;
     let full_contract = validate_contract(&contract, customer)?;
     Ok(ContractFile {
@@ -211,10 +211,10 @@
         return Err(report.wrap_err(conflict_text(customer)).into());
     }
     let mut full_contract = current["contract"].take();
-    let Some(own) = full_contract.as_object_mut() else {
+    let Some(current_fields) = full_contract.as_object_mut() else {
         return Err(eyre!("the entry answered without a contract").into());
     };
-    own.extend(fields);
+    current_fields.extend(fields);
     let contract: Contract = serde_json::from_value(full_contract)
         .wrap_err("the contract in force has a form that this program does not know")?;
     validate_contract(&contract, customer)
--- a/crates/cairnctl/src/load_run.rs
+++ b/crates/cairnctl/src/load_run.rs
@@ -20,13 +20,13 @@
     let settings = load_settings(options).map_err(CommandFault::WrongUsage)?;
     let targets = load_targets(entries, options);
     let bar = progress_bar();
-    let show = |done, all| {
+    let update_bar = |done, all| {
         bar.set_length(all);
         bar.set_position(done);
     };
-    let ran = actix_rt::System::new().block_on(run_load(&settings, &targets, show));
+    let result = actix_rt::System::new().block_on(run_load(&settings, &targets, update_bar));
     bar.finish_and_clear();
-    let (report, calls) = ran.map_err(Report::new)?;
+    let (report, calls) = result.map_err(Report::new)?;
     if let Some(path) = &options.report {
         draw_curves(path, &curves(&targets, &calls)).map_err(Report::new)?;
     }
--- a/crates/caller-api/src/operators/precondition.rs
+++ b/crates/caller-api/src/operators/precondition.rs
@@ -56,8 +56,8 @@
 
 fn parse_tag(tag: &str) -> Option<ContractVersion> {
     let digits = tag.strip_prefix('"')?.strip_suffix('"')?;
-    let plain = !digits.is_empty() && digits.bytes().all(|b| b.is_ascii_digit());
-    if !plain {
+    let all_digits = !digits.is_empty() && digits.bytes().all(|b| b.is_ascii_digit());
+    if !all_digits {
         return None;
     }
     digits.parse().ok()
--- a/crates/contracts/tests/editing.rs
+++ b/crates/contracts/tests/editing.rs
@@ -260,8 +260,8 @@
                 other => panic!("seed {seed}: {other:?}"),
             }
         }
-        let standing = store.editor().show(&trust).await.unwrap();
-        assert_eq!(standing.as_ref(), Some(winners[0]), "seed {seed}");
+        let current = store.editor().show(&trust).await.unwrap();
+        assert_eq!(current.as_ref(), Some(winners[0]), "seed {seed}");
     }
 }
 
