--- a/crates/contracts/src/editor.rs
+++ b/crates/contracts/src/editor.rs
@@ -66,7 +66,7 @@
     /// The change reached its retry limits because of changes of other contracts. Nothing was written.
     #[error("too many concurrent changes of other contracts")]
     Contended,
-    /// The platform did not answer. Nothing was written.
+    /// The platform did not answer or did not accept the change. Nothing was written.
     #[error("the platform does not answer: {0}")]
     Unavailable(String),
     /// The change may have taken effect or may still take effect.
