--- a/crates/cairnctl/src/load_run.rs
+++ b/crates/cairnctl/src/load_run.rs
@@ -9,28 +9,28 @@
     draw_curves, run_load, CallEnd, CallRecord, CurveLine, LoadReport, LoadSettings, LoadTargets,
 };
 
-use crate::{options::LoadOptions, render::OutputForm};
+use crate::{options::LoadOptions, render::OutputFormat};
 
-/// Runs the load and gives the report: text for people, or one JSON line.
+/// Runs the load and returns the report, as text for people or as one JSON line.
 pub(crate) fn run(
     entries: Vec<SocketAddr>,
     options: &LoadOptions,
-    form: OutputForm,
+    output_format: OutputFormat,
 ) -> Result<String, CommandFault> {
     let settings = load_settings(options).map_err(CommandFault::WrongUsage)?;
     let targets = load_targets(entries, options);
     let bar = progress_bar();
-    let show = |done, all| {
+    let update_bar = |done, all| {
         bar.set_length(all);
         bar.set_position(done);
     };
-    let ran = actix_rt::System::new().block_on(run_load(&settings, &targets, show));
+    let result = actix_rt::System::new().block_on(run_load(&settings, &targets, update_bar));
     bar.finish_and_clear();
-    let (report, calls) = ran.map_err(Report::new)?;
+    let (report, calls) = result.map_err(Report::new)?;
     if let Some(path) = &options.report {
         draw_curves(path, &curves(&targets, &calls)).map_err(Report::new)?;
     }
-    render(&report, form).map_err(CommandFault::from)
+    render(&report, output_format).map_err(CommandFault::from)
 }
 
 fn load_settings(options: &LoadOptions) -> Result<LoadSettings> {
@@ -67,7 +67,7 @@
     }
 }
 
-/// On a terminal; elsewhere it draws nothing.
+/// A progress bar, which is drawn only on a terminal.
 fn progress_bar() -> ProgressBar {
     let bar = ProgressBar::new(0);
     if let Ok(style) = ProgressStyle::with_template("{bar:40} {pos}/{len} calls, {elapsed}") {
@@ -97,9 +97,9 @@
     lines
 }
 
-fn render(report: &LoadReport, form: OutputForm) -> Result<String> {
-    Ok(match form {
-        OutputForm::Text => report.to_string(),
-        OutputForm::Json => format!("{}\n", serde_json::to_string(report)?),
+fn render(report: &LoadReport, output_format: OutputFormat) -> Result<String> {
+    Ok(match output_format {
+        OutputFormat::Text => report.to_string(),
+        OutputFormat::Json => format!("{}\n", serde_json::to_string(report)?),
     })
 }
--- a/crates/cairnctl/tests/load.rs
+++ b/crates/cairnctl/tests/load.rs
@@ -1,4 +1,4 @@
-//! `cairnctl load` against a real entry: the calls go round all entries, and the report is one JSON line.
+//! `cairnctl load` against real entries: the calls are spread over all entries, and the report is one JSON line.
 
 use std::{net::SocketAddr, process::Command};
 
@@ -7,7 +7,7 @@
 use serde_json::Value;
 
 #[test]
-fn calls_go_round_the_entries() {
+fn calls_are_spread_over_all_entries() {
     actix_rt::System::new().block_on(async {
         let fleet = DemoFleet::start(FleetSettings::default()).await.unwrap();
         fleet.wait_until_ready().await.unwrap();
@@ -21,7 +21,7 @@
             .unwrap();
         for entry in entries {
             let offers = read_counters(&[entry]).await.unwrap().offers;
-            assert!(offers > 0.0, "nothing went through {entry}");
+            assert!(offers > 0.0, "no task was offered through {entry}");
         }
         fleet.stop().await;
         let report: Value = serde_json::from_str(&line).unwrap();
