--- a/crates/dispatcher/src/process.rs
+++ b/crates/dispatcher/src/process.rs
@@ -146,7 +146,7 @@
         let mut signals = StopSignals::install()?;
         let process = start(settings, Arc::new(SystemClock))?;
         signals.wait().await;
-        match signals.wait_beside(process.stop()).await {
+        match signals.run_until_signal(process.stop()).await {
             Some(0) => log::info!("dispatcher: stopped, nothing cut"),
             Some(cut) => log::warn!("dispatcher: stopped, {cut} tasks cut"),
             None => log::warn!("dispatcher: second signal, stopped at once"),
--- a/crates/entry/src/error.rs
+++ b/crates/entry/src/error.rs
@@ -20,7 +20,7 @@
     Metrics(#[from] telemetry::TelemetryError),
     /// A part of the process was not found.
     #[error(transparent)]
-    Service(#[from] kernel::KernelError),
+    Service(#[from] kernel::DirectoryError),
     /// A thread or signal handler could not be set up.
     #[error("cannot set up the process: {0}")]
     SetUp(#[from] io::Error),
--- a/crates/entry/src/process.rs
+++ b/crates/entry/src/process.rs
@@ -169,7 +169,7 @@
         let mut signals = StopSignals::install()?;
         let process = start(settings, Arc::new(SystemClock))?;
         signals.wait().await;
-        match signals.wait_beside(process.stop()).await {
+        match signals.run_until_signal(process.stop()).await {
             Some(0) => log::info!("entry: stopped, nothing cut"),
             Some(cut) => log::warn!("entry: stopped, {cut} submissions cut"),
             None => log::warn!("entry: second signal, stopped at once"),
--- a/crates/kernel/src/clock.rs
+++ b/crates/kernel/src/clock.rs
@@ -28,14 +28,14 @@
 #[derive(Clone, Debug)]
 pub struct ManualClock {
     start: Instant,
-    passed_micros: Arc<AtomicU64>,
+    elapsed_micros: Arc<AtomicU64>,
 }
 
 impl Default for ManualClock {
     fn default() -> Self {
         Self {
             start: Instant::now(),
-            passed_micros: Arc::default(),
+            elapsed_micros: Arc::default(),
         }
     }
 }
@@ -44,12 +44,12 @@
     /// Moves the time forward.
     pub fn advance(&self, by: Duration) {
         let micros = u64::try_from(by.as_micros()).unwrap_or(u64::MAX);
-        self.passed_micros.fetch_add(micros, Ordering::Relaxed);
+        self.elapsed_micros.fetch_add(micros, Ordering::Relaxed);
     }
 }
 
 impl ClockSource for ManualClock {
     fn now(&self) -> Instant {
-        self.start + Duration::from_micros(self.passed_micros.load(Ordering::Relaxed))
+        self.start + Duration::from_micros(self.elapsed_micros.load(Ordering::Relaxed))
     }
 }
--- a/crates/kernel/src/directory.rs
+++ b/crates/kernel/src/directory.rs
@@ -22,7 +22,7 @@
 
 /// What can go wrong in the kernel.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum KernelError {
+pub enum DirectoryError {
     /// No service has that name.
     #[error("no service is named {0}")]
     NoSuchService(ServiceName),
@@ -49,15 +49,15 @@
     /// # Errors
     ///
     /// Says whether the name is not there or belongs to a service of another type.
-    pub fn find<A: Actor>(&self, name: ServiceName) -> Result<Addr<A>, KernelError> {
+    pub fn find<A: Actor>(&self, name: ServiceName) -> Result<Addr<A>, DirectoryError> {
         let services = self.lock();
         let service = services
             .get(&name)
-            .ok_or(KernelError::NoSuchService(name))?;
+            .ok_or(DirectoryError::NoSuchService(name))?;
         service
             .downcast_ref::<Addr<A>>()
             .cloned()
-            .ok_or(KernelError::WrongType(name))
+            .ok_or(DirectoryError::WrongType(name))
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<ServiceName, Box<dyn Any + Send>>> {
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -10,9 +10,9 @@
 mod tasks;
 
 pub use crate::{
-    accept::accept_each,
+    accept::serve_connections,
     clock::{ClockSource, ManualClock, SystemClock},
-    directory::{KernelError, ServiceDirectory, ServiceName},
+    directory::{DirectoryError, ServiceDirectory, ServiceName},
     signals::StopSignals,
     tasks::TaskSet,
 };
--- a/crates/kernel/src/signals.rs
+++ b/crates/kernel/src/signals.rs
@@ -36,7 +36,7 @@
     }
 
     /// Waits for the stop to end by itself, or for another signal: `None`.
-    pub async fn wait_beside<T>(&mut self, stop: impl Future<Output = T>) -> Option<T> {
+    pub async fn run_until_signal<T>(&mut self, stop: impl Future<Output = T>) -> Option<T> {
         tokio::select! {
             done = stop => Some(done),
             () = self.wait() => None,
--- a/crates/kernel/tests/directory.rs
+++ b/crates/kernel/tests/directory.rs
@@ -1,7 +1,7 @@
 //! Services found by name.
 
 use actix::{Actor, Context};
-use kernel::{KernelError, ServiceDirectory, ServiceName};
+use kernel::{DirectoryError, ServiceDirectory, ServiceName};
 
 const CONTROL: ServiceName = ServiceName("control");
 
@@ -22,7 +22,7 @@
     let directory = ServiceDirectory::default();
     assert_eq!(
         directory.find::<ControlActor>(CONTROL).err(),
-        Some(KernelError::NoSuchService(CONTROL))
+        Some(DirectoryError::NoSuchService(CONTROL))
     );
     let first = ControlActor.start();
     directory.register(CONTROL, first.clone());
@@ -31,7 +31,7 @@
     assert_eq!(found.ok(), Some(first));
     assert_eq!(
         directory.find::<TrafficActor>(CONTROL).err(),
-        Some(KernelError::WrongType(CONTROL))
+        Some(DirectoryError::WrongType(CONTROL))
     );
     let second = ControlActor.start();
     directory.register(CONTROL, second.clone());
--- a/crates/node/src/ready.rs
+++ b/crates/node/src/ready.rs
@@ -4,7 +4,7 @@
 
 use actix_http::{body::BoxBody, header, HttpService, Request, Response, StatusCode};
 use actix_service::{Service as _, ServiceFactory as _};
-use kernel::accept_each;
+use kernel::serve_connections;
 use platform_adapter::READY_PATH;
 use telemetry::{EventKind, EventLine};
 use tokio::net::{TcpListener, TcpStream};
@@ -31,7 +31,7 @@
         .new_service(())
         .await
         .map_err(|()| NodeError::Server)?;
-    accept_each(listener, |stream| {
+    serve_connections(listener, |stream| {
         // A broken connection ends its own requests; nothing else needs to be done.
         let connection = service.call(stream);
         async move {
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -3,7 +3,7 @@
 use std::{io, net::SocketAddr, sync::Arc, time::Duration};
 
 use capnp_rpc::{rpc_twoparty_capnp::Side, twoparty::VatNetwork, RpcSystem};
-use kernel::accept_each;
+use kernel::serve_connections;
 use telemetry::{TrafficBook, TrafficKind};
 use tokio::{
     io::{AsyncRead, AsyncWrite},
@@ -99,7 +99,7 @@
     listener: TcpListener,
     make: impl Fn() -> (capnp::capability::Client, Box<dyn FnOnce()>),
 ) {
-    accept_each(listener, |stream| {
+    serve_connections(listener, |stream| {
         let (port, on_closed) = make();
         let system = RpcSystem::new(Box::new(network(stream, Side::Server)), Some(port));
         async move {
--- a/crates/peer/src/pool_link.rs
+++ b/crates/peer/src/pool_link.rs
@@ -6,7 +6,7 @@
 use claims::NodeId;
 use futures::future::LocalBoxFuture;
 use jobs::{JobOutcome, JobRequest, JobTerms, PoolId};
-use kernel::accept_each;
+use kernel::serve_connections;
 use telemetry::TrafficBook;
 use tokio::{net::TcpListener, task::JoinHandle};
 
@@ -118,7 +118,7 @@
     book: Arc<TrafficBook>,
     service: Rc<impl PoolService>,
 ) {
-    accept_each(listener, move |stream| {
+    serve_connections(listener, move |stream| {
         let port: pool_port::Client = capnp_rpc::new_client(PoolGlue(service.clone()));
         let network = counted_network(stream, Side::Server, book.clone());
         let system = RpcSystem::new(Box::new(network), Some(port.client));
