--- a/crates/authority/src/authority/placing.rs
+++ b/crates/authority/src/authority/placing.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, time::Instant};
 
 use decisions::{PlacementQuery, SlotsHint};
-use model::{split_for_messages, AttemptId, CustomerId, TaskOffer};
+use model::{split_into_messages, AttemptId, CustomerId, TaskOffer};
 
 use crate::{
     action::{AuthorityAction, AuthorityEvent},
@@ -157,7 +157,7 @@
     /// would pass the reader's limit, and the call fail on each session again; below it, the first task would wait for
     /// the last one's bytes. Each part is a batch of its own, so that a withdrawal names the last part sent.
     fn send_batches(&mut self, dispatcher: DispatcherKey, offers: Vec<TaskOffer>) {
-        for part in split_for_messages(offers, |offer| offer.payload.size()) {
+        for part in split_into_messages(offers, |offer| offer.payload.size()) {
             self.send_batch(dispatcher, part);
         }
     }
--- a/crates/authority/tests/large_batches.rs
+++ b/crates/authority/tests/large_batches.rs
@@ -5,7 +5,7 @@
 use authority::{AuthorityAction, AuthoritySettings, DispatcherKey, TaskAuthority};
 use model::{
     Contract, ContractVersion, DataCentreId, IncarnationId, Payload, SessionId, SlotCounts,
-    SubmissionBody, SubmissionKind, TaskBody, MAX_MESSAGE_PAYLOADS,
+    SubmissionBody, SubmissionKind, TaskBody, MAX_MESSAGE_PAYLOAD_BYTES,
 };
 
 const TASKS: usize = 370;
@@ -64,7 +64,10 @@
         last = batch;
         sent += offers.len();
         let bytes: u64 = offers.iter().map(|offer| offer.payload.size().0).sum();
-        assert!(bytes <= MAX_MESSAGE_PAYLOADS.0, "{bytes} bytes at once");
+        assert!(
+            bytes <= MAX_MESSAGE_PAYLOAD_BYTES.0,
+            "{bytes} bytes at once"
+        );
     }
     assert_eq!(sent, 4 * TASKS);
     authority.cancel(now, serials[0]);
--- a/crates/dispatcher/src/control.rs
+++ b/crates/dispatcher/src/control.rs
@@ -24,7 +24,7 @@
 use actix::{Actor, Addr, AsyncContext as _, Context, Handler};
 use kernel::{ClockSource, ServiceName};
 use ledger::{LedgerAction, LedgerSettings, SlotLedger};
-use model::{split_for_messages, FastMap, FastSet, IncarnationId, VmEntry};
+use model::{split_into_messages, FastMap, FastSet, IncarnationId, VmEntry};
 use peer::PeerLink;
 use platform::PlatformClient;
 use settings::DispatcherSettings;
@@ -196,7 +196,7 @@
             // Failure: a session comes back after many large results. Symptom without the split: a report over the
             // reader's limit fails, is not repeated while the session stands, and the tasks' answers come as unknown.
             // Parts are enough, since ends do not depend on each other.
-            for part in split_for_messages(ends, |(_, end, _)| end.size()) {
+            for part in split_into_messages(ends, |(_, end, _)| end.size()) {
                 self.metrics.count(CounterKind::Messages, 1);
                 self.report_ends(ctx, entry, session, part);
             }
--- a/crates/model/src/bytes.rs
+++ b/crates/model/src/bytes.rs
@@ -44,27 +44,27 @@
 /// The payloads that one message between processes carries, in bytes. All messages of a connection wait in one line, so
 /// a large one keeps the other side from starting what came first, and one over the reader's limit fails as a whole. A
 /// message a MiB keeps the messages of a batch few, and a batch of usual tasks is one message.
-pub const MAX_MESSAGE_PAYLOADS: ByteSize = ByteSize(1024 * 1024);
+pub const MAX_MESSAGE_PAYLOAD_BYTES: ByteSize = ByteSize(1024 * 1024);
 
 /// Splits what one message would carry, in order, so that the payloads of each part stay within
-/// [`MAX_MESSAGE_PAYLOADS`] or are a single one. Nothing gives no part.
-pub fn split_for_messages<T>(items: Vec<T>, size: impl Fn(&T) -> ByteSize) -> Vec<Vec<T>> {
-    let mut parts = Vec::new();
-    let mut part = Vec::new();
-    let mut bytes = 0;
+/// [`MAX_MESSAGE_PAYLOAD_BYTES`] or are a single one. Nothing gives no part.
+pub fn split_into_messages<T>(items: Vec<T>, size: impl Fn(&T) -> ByteSize) -> Vec<Vec<T>> {
+    let mut messages = Vec::new();
+    let mut message = Vec::new();
+    let mut message_bytes = 0;
     for item in items {
         let size = size(&item).0;
-        if !part.is_empty() && bytes + size > MAX_MESSAGE_PAYLOADS.0 {
-            parts.push(std::mem::take(&mut part));
-            bytes = 0;
+        if !message.is_empty() && message_bytes + size > MAX_MESSAGE_PAYLOAD_BYTES.0 {
+            messages.push(std::mem::take(&mut message));
+            message_bytes = 0;
         }
-        bytes += size;
-        part.push(item);
+        message_bytes += size;
+        message.push(item);
     }
-    if !part.is_empty() {
-        parts.push(part);
+    if !message.is_empty() {
+        messages.push(message);
     }
-    parts
+    messages
 }
 
 /// The opaque bytes of a task or its answer. In JSON it is a base64 string.
--- a/crates/model/src/ids.rs
+++ b/crates/model/src/ids.rs
@@ -7,7 +7,7 @@
 use thiserror::Error;
 
 /// The longest name, in bytes: ids travel in every message and label metrics, so they stay short.
-const MAX_NAME_BYTES: usize = 64;
+const MAX_ID_BYTES: usize = 64;
 
 /// A text that is not an id of the kind asked for.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
@@ -15,7 +15,7 @@
 pub struct WrongId {
     /// The kind of id expected.
     pub kind: &'static str,
-    /// The text as it came, cut to [`MAX_NAME_BYTES`].
+    /// The text as it came, cut to [`MAX_ID_BYTES`].
     pub text: String,
 }
 
@@ -23,7 +23,7 @@
     fn new(kind: &'static str, text: &str) -> Self {
         Self {
             kind,
-            text: text.chars().take(MAX_NAME_BYTES).collect(),
+            text: text.chars().take(MAX_ID_BYTES).collect(),
         }
     }
 }
@@ -52,8 +52,8 @@
             type Err = WrongId;
 
             fn from_str(s: &str) -> Result<Self, WrongId> {
-                let plain = s.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.:".contains(&b));
-                if s.is_empty() || s.len() > MAX_NAME_BYTES || !plain {
+                let valid_chars = s.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.:".contains(&b));
+                if s.is_empty() || s.len() > MAX_ID_BYTES || !valid_chars {
                     return Err(WrongId::new($kind, s));
                 }
                 Ok(Self(s.into()))
@@ -122,7 +122,7 @@
     type Err = WrongId;
 
     fn from_str(s: &str) -> Result<Self, WrongId> {
-        hex(s)
+        parse_hex(s)
             .filter(|_| s.len() == 16)
             .map(Self)
             .ok_or_else(|| WrongId::new("incarnation id", s))
@@ -156,7 +156,7 @@
         let incarnation = incarnation.parse().map_err(|_| wrong())?;
         Ok(Self {
             incarnation,
-            serial: hex(serial).ok_or_else(wrong)?,
+            serial: parse_hex(serial).ok_or_else(wrong)?,
         })
     }
 }
@@ -198,7 +198,7 @@
         let mut number = || {
             parts
                 .next()
-                .and_then(hex)
+                .and_then(parse_hex)
                 .and_then(|n| u32::try_from(n).ok())
                 .ok_or_else(wrong)
         };
@@ -233,10 +233,11 @@
     type Err = WrongId;
 
     fn from_str(s: &str) -> Result<Self, WrongId> {
-        let rest = s
+        let submission = s
             .strip_prefix('t')
             .ok_or_else(|| WrongId::new("ticket", s))?;
-        rest.parse()
+        submission
+            .parse()
             .map(Self)
             .map_err(|_| WrongId::new("ticket", s))
     }
@@ -245,11 +246,11 @@
 serde_as_text!(TicketId);
 
 /// Reads lower-case hexadecimal digits without a sign, which `from_str_radix` would let pass.
-fn hex(s: &str) -> Option<u64> {
-    let plain = s
+fn parse_hex(s: &str) -> Option<u64> {
+    let valid_chars = s
         .bytes()
         .all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(&b));
-    if !plain {
+    if !valid_chars {
         return None;
     }
     u64::from_str_radix(s, 16).ok()
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -15,7 +15,7 @@
 mod text_set;
 
 pub use crate::{
-    bytes::{split_for_messages, ByteSize, Payload, MAX_MESSAGE_PAYLOADS, MAX_PAYLOAD_BYTES},
+    bytes::{split_into_messages, ByteSize, Payload, MAX_MESSAGE_PAYLOAD_BYTES, MAX_PAYLOAD_BYTES},
     contract::{
         Contract, ContractState, ContractVersion, CustomerShare, RefusableWork, WrongContract,
         MAX_TASKS_PER_JOB,
--- a/crates/model/tests/messages.rs
+++ b/crates/model/tests/messages.rs
@@ -1,10 +1,10 @@
 //! How payloads are split over messages.
 
-use model::{split_for_messages, ByteSize, MAX_MESSAGE_PAYLOADS};
+use model::{split_into_messages, ByteSize, MAX_MESSAGE_PAYLOAD_BYTES};
 
 #[test]
-fn parts_keep_the_order_and_the_limit() {
-    let limit = MAX_MESSAGE_PAYLOADS.0;
+fn messages_keep_the_order_and_the_payload_limit() {
+    let limit = MAX_MESSAGE_PAYLOAD_BYTES.0;
     let table: [(&[u64], &[usize]); 8] = [
         (&[], &[]),
         (&[0], &[1]),
@@ -16,9 +16,9 @@
         (&[1, limit, 1], &[1, 1, 1]),
     ];
     for (sizes, lengths) in table {
-        let parts = split_for_messages(sizes.to_vec(), |size| ByteSize(*size));
-        let got: Vec<usize> = parts.iter().map(Vec::len).collect();
+        let messages = split_into_messages(sizes.to_vec(), |size| ByteSize(*size));
+        let got: Vec<usize> = messages.iter().map(Vec::len).collect();
         assert_eq!(got, lengths, "{sizes:?}");
-        assert_eq!(parts.concat(), sizes);
+        assert_eq!(messages.concat(), sizes);
     }
 }
