--- a/crates/caller-api/src/callers.rs
+++ b/crates/caller-api/src/callers.rs
@@ -280,7 +280,7 @@
 
 fn read_id(text: &str) -> Result<SubmissionId, InputError> {
     text.parse()
-        .map_err(|error: model::WrongId| InputError::new("id", error.to_string()))
+        .map_err(|error: model::InvalidId| InputError::new("id", error.to_string()))
 }
 
 fn check_body<A: Actor>(api: &CallerApi<A>, body: Body) -> Result<web::Bytes, Box<HttpResponse>> {
--- a/crates/caller-api/src/input.rs
+++ b/crates/caller-api/src/input.rs
@@ -190,7 +190,7 @@
 
 fn read_key(key: &str) -> Result<IdempotencyKey, InputError> {
     key.parse()
-        .map_err(|error: model::WrongId| InputError::new("Idempotency-Key", error.to_string()))
+        .map_err(|error: model::InvalidId| InputError::new("Idempotency-Key", error.to_string()))
 }
 
 /// What has to be the same for a second arrival to be the same request: the customer, and each task's kind and
--- a/crates/caller-api/src/operators.rs
+++ b/crates/caller-api/src/operators.rs
@@ -197,7 +197,7 @@
 fn customer_of(request: &HttpRequest) -> Result<CustomerId, OperatorError> {
     let text = request.match_info().query("customer");
     text.parse()
-        .map_err(|e: model::WrongId| OperatorError::bad_field("customer", &e))
+        .map_err(|e: model::InvalidId| OperatorError::bad_field("customer", &e))
 }
 
 fn page_limit(limit: Option<usize>) -> Result<usize, OperatorError> {
--- a/crates/caller-api/src/operators/error.rs
+++ b/crates/caller-api/src/operators/error.rs
@@ -7,7 +7,7 @@
     HttpResponse, ResponseError,
 };
 use contracts::{ChangeId, EditError};
-use model::{ContractVersion, WrongContract};
+use model::{ContractVersion, InvalidContract};
 use serde::Serialize;
 use thiserror::Error;
 
@@ -141,8 +141,8 @@
     }
 }
 
-impl From<WrongContract> for OperatorError {
-    fn from(wrong: WrongContract) -> Self {
+impl From<InvalidContract> for OperatorError {
+    fn from(wrong: InvalidContract) -> Self {
         Self::bad_field(wrong.field, &wrong.rule)
     }
 }
--- a/crates/claims/src/action.rs
+++ b/crates/claims/src/action.rs
@@ -6,7 +6,7 @@
 };
 
 use jobs::{FenceToken, PoolId};
-use model::{text_set, WrongReason};
+use model::{text_enum, UnknownVariant};
 use pool::PoolLoad;
 
 use crate::view::NodeId;
@@ -66,9 +66,9 @@
     },
 }
 
-text_set! {
+text_enum! {
     /// Why a pool can be claimed.
-    ClaimReason, "reason of a claim", WrongReason {
+    ClaimReason, "reason of a claim", UnknownVariant {
         /// The pool has no owner.
         Unowned => "unowned",
         /// The owner has restarted and no longer knows about the pool.
--- a/crates/contracts/src/editor.rs
+++ b/crates/contracts/src/editor.rs
@@ -6,7 +6,7 @@
 };
 
 use fastrand::Rng;
-use model::{Contract, ContractState, ContractVersion, CustomerId, WrongContract};
+use model::{Contract, ContractState, ContractVersion, CustomerId, InvalidContract};
 use platform::{
     CommitError, ExpectedVersion, PlatformClient, ReadError, RowConflict, StoreKey, TableName,
 };
@@ -55,7 +55,7 @@
 pub enum EditError {
     /// A field of the contract is out of range. Nothing was written.
     #[error(transparent)]
-    Wrong(#[from] WrongContract),
+    Wrong(#[from] InvalidContract),
     /// There is no contract to change. Nothing was written.
     #[error("no contract")]
     NotFound,
--- a/crates/jobs/src/request.rs
+++ b/crates/jobs/src/request.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use model::{text_set, WrongReason};
+use model::{text_enum, UnknownVariant};
 use serde::{Deserialize, Serialize};
 
 use crate::{JobId, ResourceDemand, ServiceId};
@@ -31,10 +31,10 @@
     pub most_per_worker: Option<u32>,
 }
 
-text_set! {
+text_enum! {
     /// A need that this build does not serve. A job with such a need is refused before any of its tasks
     /// starts.
-    UnsupportedNeed, "need", WrongReason {
+    UnsupportedNeed, "need", UnknownVariant {
         /// Tasks that run until the job is cancelled.
         LastingJob => "lasting_job",
         /// Occurrences at given times.
@@ -115,9 +115,9 @@
     pub firm: bool,
 }
 
-text_set! {
+text_enum! {
     /// Why a job was refused before anything of it ran.
-    RefusalKind, "refusal", WrongReason {
+    RefusalKind, "refusal", UnknownVariant {
         /// The predicted end is too late to be useful to the customer.
         TooLate => "too_late",
         /// The queue is full.
--- a/crates/jobs/src/worker.rs
+++ b/crates/jobs/src/worker.rs
@@ -2,7 +2,7 @@
 
 use std::{fmt, net::SocketAddr, num::ParseIntError, str::FromStr, sync::Arc, time::Duration};
 
-use model::{text_set, DataCentreId, WrongReason};
+use model::{text_enum, DataCentreId, UnknownVariant};
 use serde::{Deserialize, Serialize};
 
 use crate::{LifeId, ResourceDemand, RunNumber, ServiceId, TaskId};
@@ -81,9 +81,9 @@
     pub percent: u8,
 }
 
-text_set! {
+text_enum! {
     /// The cause of a run's end.
-    EndCause, "end of a run", WrongReason {
+    EndCause, "end of a run", UnknownVariant {
         /// The work is done.
         Done => "done",
         /// The run failed, through its own fault or the worker's.
--- a/crates/model/src/contract.rs
+++ b/crates/model/src/contract.rs
@@ -163,9 +163,9 @@
     /// # Errors
     ///
     /// Names the first field that is out of range.
-    pub fn check(&self, customer: &CustomerId) -> Result<(), WrongContract> {
+    pub fn check(&self, customer: &CustomerId) -> Result<(), InvalidContract> {
         let wrong = |field, rule| {
-            Err(WrongContract {
+            Err(InvalidContract {
                 customer: customer.clone(),
                 field,
                 rule,
@@ -196,7 +196,7 @@
 /// A contract with a field out of range.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("contract of {customer}: {field} {rule}")]
-pub struct WrongContract {
+pub struct InvalidContract {
     /// Whose contract.
     pub customer: CustomerId,
     /// The field at fault.
--- a/crates/model/src/ids.rs
+++ b/crates/model/src/ids.rs
@@ -12,14 +12,14 @@
 /// A text that is not an id of the kind asked for.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("not a valid {kind}: {text:?}")]
-pub struct WrongId {
+pub struct InvalidId {
     /// The kind of id expected.
     pub kind: &'static str,
     /// The text as it came, cut to [`MAX_ID_BYTES`].
     pub text: String,
 }
 
-impl WrongId {
+impl InvalidId {
     fn new(kind: &'static str, text: &str) -> Self {
         Self {
             kind,
@@ -49,12 +49,12 @@
         }
 
         impl FromStr for $name {
-            type Err = WrongId;
+            type Err = InvalidId;
 
-            fn from_str(s: &str) -> Result<Self, WrongId> {
+            fn from_str(s: &str) -> Result<Self, InvalidId> {
                 let valid_chars = s.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.:".contains(&b));
                 if s.is_empty() || s.len() > MAX_ID_BYTES || !valid_chars {
-                    return Err(WrongId::new($kind, s));
+                    return Err(InvalidId::new($kind, s));
                 }
                 Ok(Self(s.into()))
             }
@@ -119,13 +119,13 @@
 }
 
 impl FromStr for IncarnationId {
-    type Err = WrongId;
+    type Err = InvalidId;
 
-    fn from_str(s: &str) -> Result<Self, WrongId> {
+    fn from_str(s: &str) -> Result<Self, InvalidId> {
         parse_hex(s)
             .filter(|_| s.len() == 16)
             .map(Self)
-            .ok_or_else(|| WrongId::new("incarnation id", s))
+            .ok_or_else(|| InvalidId::new("incarnation id", s))
     }
 }
 
@@ -148,10 +148,10 @@
 }
 
 impl FromStr for SubmissionId {
-    type Err = WrongId;
+    type Err = InvalidId;
 
-    fn from_str(s: &str) -> Result<Self, WrongId> {
-        let wrong = || WrongId::new("submission id", s);
+    fn from_str(s: &str) -> Result<Self, InvalidId> {
+        let wrong = || InvalidId::new("submission id", s);
         let (incarnation, serial) = s.split_once('-').ok_or_else(wrong)?;
         let incarnation = incarnation.parse().map_err(|_| wrong())?;
         Ok(Self {
@@ -185,10 +185,10 @@
 }
 
 impl FromStr for AttemptId {
-    type Err = WrongId;
+    type Err = InvalidId;
 
-    fn from_str(s: &str) -> Result<Self, WrongId> {
-        let wrong = || WrongId::new("attempt id", s);
+    fn from_str(s: &str) -> Result<Self, InvalidId> {
+        let wrong = || InvalidId::new("attempt id", s);
         let mut parts = s.split('.');
         let submission = parts
             .next()
@@ -230,16 +230,16 @@
 }
 
 impl FromStr for TicketId {
-    type Err = WrongId;
+    type Err = InvalidId;
 
-    fn from_str(s: &str) -> Result<Self, WrongId> {
+    fn from_str(s: &str) -> Result<Self, InvalidId> {
         let submission = s
             .strip_prefix('t')
-            .ok_or_else(|| WrongId::new("ticket", s))?;
+            .ok_or_else(|| InvalidId::new("ticket", s))?;
         submission
             .parse()
             .map(Self)
-            .map_err(|_| WrongId::new("ticket", s))
+            .map_err(|_| InvalidId::new("ticket", s))
     }
 }
 
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -12,23 +12,23 @@
 mod outcome;
 mod reason;
 mod submission;
-mod text_set;
+mod text_enum;
 
 pub use crate::{
     bytes::{split_into_messages, ByteSize, Payload, MAX_MESSAGE_PAYLOAD_BYTES, MAX_PAYLOAD_BYTES},
     contract::{
-        Contract, ContractState, ContractVersion, CustomerShare, RefusableWork, WrongContract,
+        Contract, ContractState, ContractVersion, CustomerShare, InvalidContract, RefusableWork,
         MAX_TASKS_PER_JOB,
     },
     dispatch::{SessionId, SlotCounts, TaskVerdict, WithdrawalVerdict},
     endpoint::{EndpointAddress, EndpointState, VmEntry, VmRole},
     ids::{
-        AttemptId, CustomerId, DataCentreId, EndpointId, IdempotencyKey, IncarnationId,
-        SubmissionId, TaskIndex, TaskKind, TicketId, VmId, WrongId,
+        AttemptId, CustomerId, DataCentreId, EndpointId, IdempotencyKey, IncarnationId, InvalidId,
+        SubmissionId, TaskIndex, TaskKind, TicketId, VmId,
     },
     mechanism::{Mechanism, SwitchedOff},
     outcome::{AttemptEnd, SubmissionOutcome, TaskResult},
-    reason::{FailureReason, RefusalReason, RetryReason, UnknownReason, WrongReason},
+    reason::{FailureReason, RefusalReason, RetryReason, UnknownReason, UnknownVariant},
     submission::{KeyedRun, SubmissionBody, SubmissionKind, TaskBody, TaskOffer},
 };
 
--- a/crates/model/src/reason.rs
+++ b/crates/model/src/reason.rs
@@ -3,21 +3,21 @@
 
 use thiserror::Error;
 
-use crate::text_set;
+use crate::text_enum;
 
 /// A text that names no value of its set.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("not a {set}: {text:?}")]
-pub struct WrongReason {
+pub struct UnknownVariant {
     /// The set.
     pub set: &'static str,
     /// The text.
     pub text: String,
 }
 
-text_set! {
+text_enum! {
     /// Why a submission was refused. Each means that nothing of it ran.
-    RefusalReason, "refusal reason", WrongReason {
+    RefusalReason, "refusal reason", UnknownVariant {
         /// The customer has no contract.
         UnknownCustomer => "unknown_customer",
         /// The customer's contract is retired.
@@ -57,9 +57,9 @@
     }
 }
 
-text_set! {
+text_enum! {
     /// Why a task may be placed again. Each is a definite not-run.
-    RetryReason, "retry reason", WrongReason {
+    RetryReason, "retry reason", UnknownVariant {
         /// The endpoint said that it is busy.
         EndpointBusy => "endpoint_busy",
         /// The endpoint said that it is leaving.
@@ -83,9 +83,9 @@
     }
 }
 
-text_set! {
+text_enum! {
     /// Why a job or request failed.
-    FailureReason, "failure reason", WrongReason {
+    FailureReason, "failure reason", UnknownVariant {
         /// A task ran and said that it failed.
         TaskFailed => "task_failed",
         /// A task of the job could not be completed before the deadline.
@@ -99,9 +99,9 @@
     }
 }
 
-text_set! {
+text_enum! {
     /// Why an outcome is unknown.
-    UnknownReason, "unknown reason", WrongReason {
+    UnknownReason, "unknown reason", UnknownVariant {
         /// The connection broke after bytes of the task were sent.
         ConnectionLost => "connection_lost",
         /// The answer was cut short, or echoed another attempt.
--- a/crates/model/src/text_set.rs
+++ b/crates/model/src/text_enum.rs
@@ -4,7 +4,7 @@
 /// what settings are written with. The error type has the fields `set` and `text`. Further attributes, such as derives of
 /// a codec, stand before the name.
 #[macro_export]
-macro_rules! text_set {
+macro_rules! text_enum {
     (
         $(#[$meta:meta])*
         $name:ident, $set:literal, $error:ident {
--- a/crates/node/src/list_schedule.rs
+++ b/crates/node/src/list_schedule.rs
@@ -10,7 +10,7 @@
 };
 
 use claims::PollDecision;
-use model::{text_set, WrongReason};
+use model::{text_enum, UnknownVariant};
 use platform::RowVersion;
 use telemetry::{EventKind, EventLine};
 use tokio::time::timeout;
@@ -43,9 +43,9 @@
 /// The shortest time between two log lines about the source of the list.
 const SOURCE_LOG_INTERVAL: Duration = Duration::from_millis(1_000);
 
-text_set! {
+text_enum! {
     /// Where the list of workers comes from.
-    ListSource, "source of the list of workers", WrongReason {
+    ListSource, "source of the list of workers", UnknownVariant {
         /// This process has read it.
         Read => "read",
         /// Another process has read it, and its digest matches the list known here.
--- a/crates/peer/src/pool_message.rs
+++ b/crates/peer/src/pool_message.rs
@@ -235,7 +235,7 @@
             let refusal = refusal?;
             let kind = text(refusal.get_kind())?.parse();
             let kind =
-                kind.map_err(|e: model::WrongReason| PeerError::BadMessage(e.to_string()))?;
+                kind.map_err(|e: model::UnknownVariant| PeerError::BadMessage(e.to_string()))?;
             let retry_after = Duration::from_micros(refusal.get_retry_after_micros());
             Ok(JobOutcome::Refused {
                 kind,
@@ -257,7 +257,7 @@
     read: Result<capnp::text::Reader<'_>, capnp::Error>,
 ) -> Result<DataCentreId, PeerError> {
     let parsed = text(read)?.parse();
-    parsed.map_err(|e: model::WrongId| PeerError::BadMessage(e.to_string()))
+    parsed.map_err(|e: model::InvalidId| PeerError::BadMessage(e.to_string()))
 }
 
 fn pool_id(read: Result<capnp::text::Reader<'_>, capnp::Error>) -> Result<PoolId, PeerError> {
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -12,9 +12,9 @@
 pub use crate::{
     client::{body_failure, send_failure, ClientSettings, PlatformClient, WriteTurn},
     error::{CallFailure, CommitError, ReadError},
-    rate::{CallRate, RatePacer, WrongRate},
+    rate::{CallRate, InvalidRate, RatePacer},
     rows::{
-        ExpectedVersion, KeyedRow, RowConflict, RowVersion, RowWrite, StoreKey, TableName,
-        TableRow, WrongKey, WrongTable,
+        ExpectedVersion, InvalidKey, InvalidTable, KeyedRow, RowConflict, RowVersion, RowWrite,
+        StoreKey, TableName, TableRow,
     },
 };
--- a/crates/platform/src/rate.rs
+++ b/crates/platform/src/rate.rs
@@ -18,7 +18,7 @@
 /// A text that is no rate.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("not a rate in calls a second: {0:?}")]
-pub struct WrongRate(pub String);
+pub struct InvalidRate(pub String);
 
 impl CallRate {
     /// A rate; 0 counts as 1, so that a process is never shut off by its own settings.
@@ -39,13 +39,13 @@
 }
 
 impl FromStr for CallRate {
-    type Err = WrongRate;
+    type Err = InvalidRate;
 
-    fn from_str(s: &str) -> Result<Self, WrongRate> {
+    fn from_str(s: &str) -> Result<Self, InvalidRate> {
         let digits = s.strip_suffix("/s").unwrap_or(s);
         match digits.parse() {
             Ok(calls) if calls > 0 => Ok(Self(calls)),
-            _ => Err(WrongRate(s.to_owned())),
+            _ => Err(InvalidRate(s.to_owned())),
         }
     }
 }
--- a/crates/platform/src/rows.rs
+++ b/crates/platform/src/rows.rs
@@ -29,7 +29,7 @@
 /// A text that names no table.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("not a table: {0:?}")]
-pub struct WrongTable(pub String);
+pub struct InvalidTable(pub String);
 
 impl TableName {
     /// Every table.
@@ -60,15 +60,15 @@
 }
 
 impl FromStr for TableName {
-    type Err = WrongTable;
+    type Err = InvalidTable;
 
-    fn from_str(s: &str) -> Result<Self, WrongTable> {
+    fn from_str(s: &str) -> Result<Self, InvalidTable> {
         for table in Self::ALL {
             if table.as_str() == s {
                 return Ok(*table);
             }
         }
-        Err(WrongTable(s.to_owned()))
+        Err(InvalidTable(s.to_owned()))
     }
 }
 
@@ -81,7 +81,7 @@
 /// A text that is no key.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("not a key of the platform's store: {0:?}")]
-pub struct WrongKey(pub String);
+pub struct InvalidKey(pub String);
 
 impl StoreKey {
     /// A key that the code names itself.
@@ -126,14 +126,14 @@
 }
 
 impl FromStr for StoreKey {
-    type Err = WrongKey;
+    type Err = InvalidKey;
 
-    fn from_str(s: &str) -> Result<Self, WrongKey> {
+    fn from_str(s: &str) -> Result<Self, InvalidKey> {
         let plain = s
             .bytes()
             .all(|b| b.is_ascii_alphanumeric() || b"-_.:/".contains(&b));
         if s.is_empty() || s.len() > MAX_KEY_BYTES || !plain {
-            return Err(WrongKey(s.chars().take(MAX_KEY_BYTES).collect()));
+            return Err(InvalidKey(s.chars().take(MAX_KEY_BYTES).collect()));
         }
         Ok(Self(s.to_owned()))
     }
--- a/crates/pool/src/action.rs
+++ b/crates/pool/src/action.rs
@@ -9,7 +9,7 @@
     EndCause, FenceToken, JobId, JobOutcome, KeptState, LifeId, ResourceDemand, RunNumber, TaskId,
     TaskText, WorkerClock, WorkerListing,
 };
-use model::{text_set, WrongReason};
+use model::{text_enum, UnknownVariant};
 
 use crate::kept::KeptWrite;
 
@@ -81,9 +81,9 @@
     pub timeout: Duration,
 }
 
-text_set! {
+text_enum! {
     /// Why a call to a worker got no valid answer.
-    CallFailure, "failure of a call", WrongReason {
+    CallFailure, "failure of a call", UnknownVariant {
         /// No answer came in time, or the connection broke. The worker may have carried out the call, or may still do so.
         NoAnswer => "no_answer",
         /// The worker is in another life than the one addressed: all runs of the addressed life are over.
@@ -148,9 +148,9 @@
     ReleasePool,
 }
 
-text_set! {
+text_enum! {
     /// Why a run record was removed although the worker did not report the end of the run.
-    RunLoss, "loss of a run", WrongReason {
+    RunLoss, "loss of a run", UnknownVariant {
         /// The worker rejected the start.
         Rejected => "turned_away",
         /// The worker has started again, in a new life.
@@ -162,9 +162,9 @@
     }
 }
 
-text_set! {
+text_enum! {
     /// Why a worker gets no new runs for a while.
-    SuspensionCause, "suspension", WrongReason {
+    SuspensionCause, "suspension", UnknownVariant {
         /// Runs of different jobs failed in a row.
         Failing => "failing",
         /// A run made no progress.
@@ -404,9 +404,9 @@
     },
 }
 
-text_set! {
+text_enum! {
     /// What changed about a worker.
-    WorkerChange, "change of a worker", WrongReason {
+    WorkerChange, "change of a worker", UnknownVariant {
         /// The worker is new in this pool.
         Added => "added",
         /// The worker is about to leave and gets no new runs.
--- a/crates/settings/src/duration.rs
+++ b/crates/settings/src/duration.rs
@@ -42,14 +42,14 @@
 }
 
 impl FromStr for DurationMs {
-    type Err = WrongDuration;
+    type Err = InvalidDuration;
 
-    fn from_str(s: &str) -> Result<Self, WrongDuration> {
+    fn from_str(s: &str) -> Result<Self, InvalidDuration> {
         s.strip_suffix(" ms")
             .unwrap_or(s)
             .parse()
             .map(Self)
-            .map_err(|_| WrongDuration(s.to_owned()))
+            .map_err(|_| InvalidDuration(s.to_owned()))
     }
 }
 
@@ -62,4 +62,4 @@
 /// A text that is not a number of milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("not a whole number of milliseconds: {0:?}")]
-pub struct WrongDuration(pub String);
+pub struct InvalidDuration(pub String);
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -16,10 +16,10 @@
 
 pub use crate::{
     dispatcher::{DispatcherSettings, EndpointCallSettings},
-    duration::{DurationMs, WrongDuration},
+    duration::{DurationMs, InvalidDuration},
     entry::{EntrySettings, PlacementPolicy},
     error::{SettingsError, SettingsFault},
-    log::{LogLevel, LogPart, LogSettings, WrongLogName},
+    log::{InvalidLogName, LogLevel, LogPart, LogSettings},
     node::{NodeSettings, OrderPath},
     parse::{
         dispatcher_schema, entry_schema, load_dispatcher, load_entry, load_node, node_schema,
--- a/crates/settings/src/log.rs
+++ b/crates/settings/src/log.rs
@@ -2,18 +2,18 @@
 
 use std::collections::BTreeMap;
 
-use model::text_set;
+use model::text_enum;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
 use crate::number::bounded;
 
-text_set! {
+text_enum! {
     /// The least severe messages that are logged.
     #[derive(Serialize, Deserialize, JsonSchema)]
     #[serde(rename_all = "snake_case")]
-    LogLevel, "log level", WrongLogName {
+    LogLevel, "log level", InvalidLogName {
         /// Nothing.
         Off => "off",
         /// What an operator has to look at.
@@ -29,11 +29,11 @@
     }
 }
 
-text_set! {
+text_enum! {
     /// A part of the system, with a log level and a prefix of its own.
     #[derive(Serialize, Deserialize, JsonSchema)]
     #[serde(rename_all = "snake_case")]
-    LogPart, "log part", WrongLogName {
+    LogPart, "log part", InvalidLogName {
         /// The entry's control state.
         Entry => "entry",
         /// The dispatcher's control state.
@@ -107,7 +107,7 @@
 /// A text that is not in its set.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("not a {set}: {text:?}")]
-pub struct WrongLogName {
+pub struct InvalidLogName {
     /// The set.
     pub set: &'static str,
     /// The text.
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -3,7 +3,7 @@
 use std::{fmt, time::Duration};
 
 use jobs::{JobId, TaskId};
-use model::{text_set, FastMap, FastSet, WrongReason};
+use model::{text_enum, FastMap, FastSet, UnknownVariant};
 
 use crate::record::{AttemptEnd, AttemptTrace, JobTrace, RunTrace, SoakRecord};
 
@@ -36,9 +36,9 @@
 /// How long after all faults are mended jobs must be served again.
 const RECOVERY: Duration = Duration::from_secs(6);
 
-text_set! {
+text_enum! {
     /// What the system promises.
-    Promise, "promise", WrongReason {
+    Promise, "promise", UnknownVariant {
         /// A worker never has more runs than fit.
         Room => "room",
         /// A task never has two runs at the same time.
--- a/crates/telemetry/src/traffic.rs
+++ b/crates/telemetry/src/traffic.rs
@@ -5,11 +5,11 @@
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use model::{text_set, WrongReason};
+use model::{text_enum, UnknownVariant};
 
-text_set! {
+text_enum! {
     /// What bytes are sent or received for.
-    TrafficKind, "kind of traffic", WrongReason {
+    TrafficKind, "kind of traffic", UnknownVariant {
         /// Starts of runs at workers.
         Starts => "starts",
         /// Stops of runs at workers.
