--- a/crates/authority/benches/authority.rs
+++ b/crates/authority/benches/authority.rs
@@ -6,8 +6,8 @@
 use criterion::{BenchmarkId, Criterion};
 use model::{
     AttemptEnd, AttemptId, Contract, ContractVersion, CustomerId, DataCentreId, IncarnationId,
-    Payload, SessionId, SlotCounts, SubmissionBody, SubmissionKind, TaskBody, TaskKind, TaskResult,
-    TaskVerdict,
+    OfferReply, Payload, SessionId, SlotCounts, SubmissionBody, SubmissionKind, TaskBody, TaskKind,
+    TaskResult,
 };
 
 const OPEN: [usize; 3] = [10, 1_000, 10_000];
@@ -89,7 +89,7 @@
         }
         let verdicts: Vec<_> = attempts
             .iter()
-            .map(|attempt| (*attempt, TaskVerdict::Started))
+            .map(|attempt| (*attempt, OfferReply::Started))
             .collect();
         self.authority.on_verdicts(self.now, &verdicts);
         attempts
--- a/crates/authority/src/authority/replies.rs
+++ b/crates/authority/src/authority/replies.rs
@@ -3,8 +3,8 @@
 use std::time::{Duration, Instant};
 
 use model::{
-    AttemptEnd, AttemptId, FailureReason, Payload, RefusalReason, RetryReason, SessionId,
-    SlotCounts, SubmissionOutcome, TaskResult, TaskVerdict, UnknownReason, WithdrawalVerdict,
+    AttemptEnd, AttemptId, FailureReason, OfferReply, Payload, RefusalReason, RetryReason,
+    SessionId, SlotCounts, SubmissionOutcome, TaskResult, UnknownReason, WithdrawalReply,
 };
 
 use crate::{
@@ -29,23 +29,23 @@
 
 impl TaskAuthority {
     /// A dispatcher has answered an offer.
-    pub fn on_verdicts(&mut self, now: Instant, verdicts: &[(AttemptId, TaskVerdict)]) {
+    pub fn on_verdicts(&mut self, now: Instant, verdicts: &[(AttemptId, OfferReply)]) {
         // All that a refused batch turned away is noted before any of it is decided on: a job that is given up at its
         // first task would otherwise count the others as perhaps started, and be answered "failed" for "refused".
         let mut turned_away = Vec::new();
         let mut moved = Vec::new();
         for (attempt, verdict) in verdicts {
             match verdict {
-                TaskVerdict::Queued if self.may_move(*attempt, moved.len()) => {
+                OfferReply::Queued if self.may_move(*attempt, moved.len()) => {
                     if let Some(flight) = self.land(*attempt) {
                         self.set_waiting(*attempt);
                         moved.push(*attempt);
                         turned_away.push((*attempt, RetryReason::SlotElsewhere, flight.dispatcher));
                     }
                 }
-                TaskVerdict::Started => self.on_taken(now, *attempt, FlightPhase::Running),
-                TaskVerdict::Queued => self.on_taken(now, *attempt, FlightPhase::Queued),
-                TaskVerdict::NotRun(reason) => {
+                OfferReply::Started => self.on_taken(now, *attempt, FlightPhase::Running),
+                OfferReply::Queued => self.on_taken(now, *attempt, FlightPhase::Queued),
+                OfferReply::NotRun(reason) => {
                     if let Some(flight) = self.land(*attempt) {
                         self.set_waiting(*attempt);
                         turned_away.push((*attempt, *reason, flight.dispatcher));
@@ -113,17 +113,17 @@
     }
 
     /// A dispatcher has said what became of withdrawn attempts.
-    pub fn on_withdrawn(&mut self, now: Instant, replies: &[(AttemptId, WithdrawalVerdict)]) {
+    pub fn on_withdrawn(&mut self, now: Instant, replies: &[(AttemptId, WithdrawalReply)]) {
         for (attempt, reply) in replies {
             match reply {
-                WithdrawalVerdict::NotRun => {
+                WithdrawalReply::NotRun => {
                     if let Some(flight) = self.land(*attempt) {
                         self.on_not_run(now, *attempt, RetryReason::Withdrawn, flight.dispatcher);
                     }
                 }
                 // It may only mean that the offer is still on its way there. Taken for a start, it would hide the
                 // verdict that comes next, and the attempt would hold its part of the concurrency for ever.
-                WithdrawalVerdict::Running => {}
+                WithdrawalReply::Running => {}
             }
         }
         self.place(now);
--- a/crates/authority/tests/held_bytes.rs
+++ b/crates/authority/tests/held_bytes.rs
@@ -5,8 +5,8 @@
 use authority::{AuthoritySettings, DispatcherKey, TaskAuthority};
 use model::{
     AttemptEnd, AttemptId, ByteSize, Contract, ContractVersion, DataCentreId, IncarnationId,
-    Payload, RefusalReason, SessionId, SlotCounts, SubmissionBody, SubmissionId, SubmissionKind,
-    TaskBody, TaskResult, TaskVerdict,
+    OfferReply, Payload, RefusalReason, SessionId, SlotCounts, SubmissionBody, SubmissionId,
+    SubmissionKind, TaskBody, TaskResult,
 };
 
 const OWN: IncarnationId = IncarnationId(1);
@@ -64,7 +64,7 @@
         attempt: 0,
     };
     let payload = Payload::from(vec![8; result]);
-    authority.on_verdicts(now, &[(attempt, TaskVerdict::Started)]);
+    authority.on_verdicts(now, &[(attempt, OfferReply::Started)]);
     authority.on_ended(
         now,
         attempt,
--- a/crates/authority/tests/limits.rs
+++ b/crates/authority/tests/limits.rs
@@ -4,8 +4,8 @@
 
 use authority::{AuthoritySettings, DispatcherKey, TaskAuthority};
 use model::{
-    Contract, ContractVersion, CustomerId, DataCentreId, IncarnationId, Payload, SessionId,
-    SlotCounts, SubmissionBody, SubmissionKind, TaskBody, TaskVerdict,
+    Contract, ContractVersion, CustomerId, DataCentreId, IncarnationId, OfferReply, Payload,
+    SessionId, SlotCounts, SubmissionBody, SubmissionKind, TaskBody,
 };
 
 fn customer() -> CustomerId {
@@ -63,7 +63,7 @@
     assert_eq!(authority.usage(&customer()), (1, 0));
     // The dispatcher answers; one that leaves an offer without any word gets no more.
     let (attempt, ..) = authority.attempts()[0];
-    authority.on_verdicts(now, &[(attempt, TaskVerdict::Started)]);
+    authority.on_verdicts(now, &[(attempt, OfferReply::Started)]);
     authority.on_slots(
         now,
         DispatcherKey(1),
--- a/crates/authority/tests/load/world.rs
+++ b/crates/authority/tests/load/world.rs
@@ -10,8 +10,8 @@
 };
 use model::{
     AttemptEnd, AttemptId, Contract, ContractVersion, CustomerId, DataCentreId, IncarnationId,
-    Payload, RetryReason, SessionId, SlotCounts, SubmissionBody, SubmissionKind, SubmissionOutcome,
-    TaskBody, TaskOffer, TaskResult, TaskVerdict,
+    OfferReply, Payload, RetryReason, SessionId, SlotCounts, SubmissionBody, SubmissionKind,
+    SubmissionOutcome, TaskBody, TaskOffer, TaskResult,
 };
 
 pub(crate) const HOME: &str = "hall";
@@ -86,17 +86,17 @@
         }
     }
 
-    fn take(&mut self, now: Instant, attempt: AttemptId, ran: Duration) -> TaskVerdict {
+    fn take(&mut self, now: Instant, attempt: AttemptId, ran: Duration) -> OfferReply {
         if let Some(reason) = self.refuses {
-            return TaskVerdict::NotRun(reason);
+            return OfferReply::NotRun(reason);
         }
         self.ran.insert(attempt, ran);
         if self.running.len() < self.slots {
             self.running.insert((now + ran, attempt, ran));
-            return TaskVerdict::Started;
+            return OfferReply::Started;
         }
         self.queued.push_back(attempt);
-        TaskVerdict::Queued
+        OfferReply::Queued
     }
 }
 
--- a/crates/authority/tests/moving.rs
+++ b/crates/authority/tests/moving.rs
@@ -4,8 +4,8 @@
 
 use authority::{AuthorityAction, AuthoritySettings, DispatcherKey, TaskAuthority};
 use model::{
-    AttemptId, Contract, ContractVersion, DataCentreId, IncarnationId, Payload, SessionId,
-    SlotCounts, SubmissionBody, SubmissionKind, TaskBody, TaskVerdict,
+    AttemptId, Contract, ContractVersion, DataCentreId, IncarnationId, OfferReply, Payload,
+    SessionId, SlotCounts, SubmissionBody, SubmissionKind, TaskBody,
 };
 
 /// Two dispatchers; the first has `free` slots and the second `beside`, of four each.
@@ -66,7 +66,7 @@
     authority.on_slots(now, first, slots(free));
     let verdicts: Vec<_> = offered
         .iter()
-        .map(|attempt| (*attempt, TaskVerdict::Queued))
+        .map(|attempt| (*attempt, OfferReply::Queued))
         .collect();
     authority.on_verdicts(now, &verdicts);
     assert_eq!(offers(&mut authority, second).len(), expect_moves);
--- a/crates/authority/tests/withdrawal.rs
+++ b/crates/authority/tests/withdrawal.rs
@@ -4,8 +4,8 @@
 
 use authority::{AuthorityAction, AuthoritySettings, DispatcherKey, TaskAuthority};
 use model::{
-    Contract, ContractVersion, DataCentreId, IncarnationId, Payload, SessionId, SlotCounts,
-    SubmissionBody, SubmissionKind, TaskBody, TaskVerdict, WithdrawalVerdict,
+    Contract, ContractVersion, DataCentreId, IncarnationId, OfferReply, Payload, SessionId,
+    SlotCounts, SubmissionBody, SubmissionKind, TaskBody, WithdrawalReply,
 };
 
 #[test]
@@ -46,9 +46,9 @@
         .expect("admitted");
     let (attempt, ..) = authority.attempts()[0];
     authority.cancel(now, serial);
-    authority.on_withdrawn(now, &[(attempt, WithdrawalVerdict::Running)]);
+    authority.on_withdrawn(now, &[(attempt, WithdrawalReply::Running)]);
     authority.take_actions();
-    authority.on_verdicts(now, &[(attempt, TaskVerdict::Queued)]);
+    authority.on_verdicts(now, &[(attempt, OfferReply::Queued)]);
     assert_eq!(authority.attempts(), []);
     let actions = authority.take_actions();
     let withdrawn = actions
--- a/crates/dispatcher/src/control/messages.rs
+++ b/crates/dispatcher/src/control/messages.rs
@@ -6,8 +6,8 @@
 use contracts::HeadNumber;
 use membership::{AskBatch, BeatMessage, BeatReply, HandoverReport, ReplyBatch};
 use model::{
-    AttemptId, IncarnationId, SessionId, SlotCounts, TaskOffer, TaskVerdict, VmEntry,
-    WithdrawalVerdict,
+    AttemptId, IncarnationId, OfferReply, SessionId, SlotCounts, TaskOffer, VmEntry,
+    WithdrawalReply,
 };
 use peer::{ContractNews, PeerError, PingReply};
 use tokio::sync::oneshot;
@@ -39,7 +39,7 @@
     pub(crate) session: SessionId,
     pub(crate) batch: u64,
     pub(crate) offers: Vec<TaskOffer>,
-    pub(crate) reply: ReplyTo<(Vec<TaskVerdict>, SlotCounts)>,
+    pub(crate) reply: ReplyTo<(Vec<OfferReply>, SlotCounts)>,
 }
 
 /// An entry takes attempts back.
@@ -50,7 +50,7 @@
     pub(crate) session: SessionId,
     pub(crate) after_batch: u64,
     pub(crate) attempts: Vec<AttemptId>,
-    pub(crate) reply: ReplyTo<(Vec<WithdrawalVerdict>, SlotCounts)>,
+    pub(crate) reply: ReplyTo<(Vec<WithdrawalReply>, SlotCounts)>,
 }
 
 /// A heartbeat of another dispatcher.
--- a/crates/dispatcher/src/port.rs
+++ b/crates/dispatcher/src/port.rs
@@ -6,8 +6,8 @@
 use contracts::HeadNumber;
 use membership::{AskBatch, BeatMessage, BeatReply, HandoverReport, ReplyBatch};
 use model::{
-    AttemptId, IncarnationId, SessionId, SlotCounts, TaskOffer, TaskVerdict, VmEntry,
-    WithdrawalVerdict,
+    AttemptId, IncarnationId, OfferReply, SessionId, SlotCounts, TaskOffer, VmEntry,
+    WithdrawalReply,
 };
 use peer::{
     AcceptedPort, ContractNews, DispatcherService, EntryClient, PeerError, PingReply, ReplyFuture,
@@ -128,7 +128,7 @@
         &self,
         batch: u64,
         offers: Vec<TaskOffer>,
-    ) -> ReplyFuture<(Vec<TaskVerdict>, SlotCounts)> {
+    ) -> ReplyFuture<(Vec<OfferReply>, SlotCounts)> {
         let (entry, session) = (self.entry, self.session);
         ask(&self.control, |reply| OffersMade {
             entry,
@@ -143,7 +143,7 @@
         &self,
         after_batch: u64,
         attempts: Vec<AttemptId>,
-    ) -> ReplyFuture<(Vec<WithdrawalVerdict>, SlotCounts)> {
+    ) -> ReplyFuture<(Vec<WithdrawalReply>, SlotCounts)> {
         let (entry, session) = (self.entry, self.session);
         ask(&self.control, |reply| WithdrawalsMade {
             entry,
--- a/crates/ledger/src/ledger/queueing.rs
+++ b/crates/ledger/src/ledger/queueing.rs
@@ -4,8 +4,8 @@
 
 use decisions::{FairQueue, QueueEntry, QueueSettings};
 use model::{
-    AttemptId, EndpointId, IncarnationId, Payload, RetryReason, SessionId, TaskOffer, TaskVerdict,
-    WithdrawalVerdict,
+    AttemptId, EndpointId, IncarnationId, OfferReply, Payload, RetryReason, SessionId, TaskOffer,
+    WithdrawalReply,
 };
 
 use crate::{
@@ -30,11 +30,11 @@
         session: SessionId,
         batch: u64,
         offers: Vec<TaskOffer>,
-    ) -> Vec<TaskVerdict> {
+    ) -> Vec<OfferReply> {
         if !self.see_batch(now, entry, session, batch) {
             // The session is over: the entry has counted these as lost or asked for their withdrawal since, so
             // starting them now could run a task twice.
-            return vec![TaskVerdict::NotRun(RetryReason::DispatcherLost); offers.len()];
+            return vec![OfferReply::NotRun(RetryReason::DispatcherLost); offers.len()];
         }
         let mut verdicts = Vec::with_capacity(offers.len());
         for offer in offers {
@@ -51,7 +51,7 @@
         session: SessionId,
         after_batch: u64,
         attempts: &[AttemptId],
-    ) -> Vec<WithdrawalVerdict> {
+    ) -> Vec<WithdrawalReply> {
         let seen_all = self.has_seen(entry, session, after_batch);
         let mut verdicts = Vec::with_capacity(attempts.len());
         for attempt in attempts {
@@ -105,19 +105,19 @@
         entry: IncarnationId,
         session: SessionId,
         offer: TaskOffer,
-    ) -> TaskVerdict {
+    ) -> OfferReply {
         if self.stopping {
-            return TaskVerdict::NotRun(RetryReason::DispatcherStopping);
+            return OfferReply::NotRun(RetryReason::DispatcherStopping);
         }
         if self.endpoints.totals().0 == 0 {
-            return TaskVerdict::NotRun(RetryReason::NoEndpoint);
+            return OfferReply::NotRun(RetryReason::NoEndpoint);
         }
         // A free slot with an empty queue starts the task at once. While others wait, a new task goes behind them
         // in the fair order; it would otherwise take the slot of a customer whose turn it is.
         if self.queue.is_empty() {
             if let Some(endpoint) = self.endpoints.roomiest() {
                 self.start(now, entry, endpoint, offer);
-                return TaskVerdict::Started;
+                return OfferReply::Started;
             }
         }
         self.reserve(now, entry, session, offer)
@@ -129,7 +129,7 @@
         entry: IncarnationId,
         session: SessionId,
         offer: TaskOffer,
-    ) -> TaskVerdict {
+    ) -> OfferReply {
         let due = now + offer.time_left;
         // What was measured here counts for more than what the entry expects, which may rest on a caller's word.
         let declared = Some(offer.expected_run_time);
@@ -149,7 +149,7 @@
             due,
         };
         if self.queue.push(now, queued).is_err() {
-            return TaskVerdict::NotRun(RetryReason::QueueFull);
+            return OfferReply::NotRun(RetryReason::QueueFull);
         }
         let offer = TaskOffer {
             payload: Payload::default(),
@@ -164,7 +164,7 @@
             },
         );
         self.fill_slots(now);
-        TaskVerdict::Queued
+        OfferReply::Queued
     }
 
     fn withdraw_one(
@@ -172,24 +172,24 @@
         entry: IncarnationId,
         attempt: AttemptId,
         seen_all: bool,
-    ) -> WithdrawalVerdict {
+    ) -> WithdrawalReply {
         if self.drop_reservation(&attempt) {
-            return WithdrawalVerdict::NotRun;
+            return WithdrawalReply::NotRun;
         }
         if let Some(pending) = self.claims.remove(&attempt) {
             // The body may be on its way; `on_claimed` will find no ask and turn it away.
             self.release(&pending.endpoint);
             self.refund(&pending.reservation);
-            return WithdrawalVerdict::NotRun;
+            return WithdrawalReply::NotRun;
         }
         let unconfirmed = self
             .links
             .get(&entry)
             .is_some_and(|link| link.unconfirmed.contains_key(&attempt));
         if unconfirmed || self.running.contains_key(&attempt) || !seen_all {
-            return WithdrawalVerdict::Running;
+            return WithdrawalReply::Running;
         }
-        WithdrawalVerdict::NotRun
+        WithdrawalReply::NotRun
     }
 
     /// Gives free slots to the next in line.
--- a/crates/ledger/tests/at_most_once/world.rs
+++ b/crates/ledger/tests/at_most_once/world.rs
@@ -9,9 +9,9 @@
 use ledger::{ClaimNumber, LedgerAction, LedgerSettings, SlotLedger};
 use model::{
     AttemptEnd, AttemptId, Contract, ContractVersion, CustomerId, EndpointAddress, EndpointState,
-    FailureReason, IncarnationId, KeyedRun, Payload, RetryReason, SessionId, SubmissionBody,
-    SubmissionKind, SubmissionOutcome, TaskBody, TaskOffer, TaskResult, TaskVerdict, UnknownReason,
-    WithdrawalVerdict,
+    FailureReason, IncarnationId, KeyedRun, OfferReply, Payload, RetryReason, SessionId,
+    SubmissionBody, SubmissionKind, SubmissionOutcome, TaskBody, TaskOffer, TaskResult,
+    UnknownReason, WithdrawalReply,
 };
 
 /// Something that happens.
@@ -75,8 +75,8 @@
 
 #[derive(Clone, Debug)]
 enum ToEntry {
-    Verdicts(Vec<(AttemptId, TaskVerdict)>),
-    Withdrawn(Vec<(AttemptId, WithdrawalVerdict)>),
+    Verdicts(Vec<(AttemptId, OfferReply)>),
+    Withdrawn(Vec<(AttemptId, WithdrawalReply)>),
     Claim {
         session: SessionId,
         attempt: AttemptId,
@@ -516,7 +516,7 @@
                         .withdraw(now, ENTRY, session, after_batch, &attempts);
                 let verdicts: Vec<_> = attempts.into_iter().zip(verdicts).collect();
                 for (attempt, verdict) in &verdicts {
-                    if *verdict == WithdrawalVerdict::NotRun {
+                    if *verdict == WithdrawalReply::NotRun {
                         self.promised.insert(*attempt);
                     }
                 }
--- a/crates/ledger/tests/handover.rs
+++ b/crates/ledger/tests/handover.rs
@@ -5,7 +5,7 @@
 use ledger::{LedgerAction, LedgerSettings, SlotLedger};
 use model::{
     AttemptEnd, AttemptId, CustomerShare, EndpointAddress, EndpointId, EndpointState, FastMap,
-    IncarnationId, Payload, SessionId, SubmissionId, TaskOffer, TaskResult, TaskVerdict,
+    IncarnationId, OfferReply, Payload, SessionId, SubmissionId, TaskOffer, TaskResult,
 };
 
 const ENTRY: IncarnationId = IncarnationId(1);
@@ -62,7 +62,7 @@
     assert_eq!(ledger.slots().running, 2);
     assert_eq!(ledger.slots().limit, 2);
     let verdicts = ledger.offer(now, ENTRY, SESSION, 1, vec![offer(1)]);
-    assert_eq!(verdicts, [TaskVerdict::Queued]);
+    assert_eq!(verdicts, [OfferReply::Queued]);
     assert!(ledger.take_actions().is_empty());
     ledger.set_outside(now, used(1));
     let actions = ledger.take_actions();
@@ -87,7 +87,7 @@
     ledger.set_outside(now, [(address.id.clone(), 1)].into_iter().collect());
     ledger.set_endpoints(now, &[(address, EndpointState::Live)]);
     let verdicts = ledger.offer(now, ENTRY, SESSION, 1, vec![offer(1)]);
-    assert_eq!(verdicts, [TaskVerdict::Queued]);
+    assert_eq!(verdicts, [OfferReply::Queued]);
     assert!(ledger.take_actions().is_empty());
 }
 
--- a/crates/ledger/tests/leaving.rs
+++ b/crates/ledger/tests/leaving.rs
@@ -4,8 +4,8 @@
 
 use ledger::{LedgerAction, LedgerSettings, SlotLedger};
 use model::{
-    AttemptEnd, AttemptId, CustomerShare, EndpointAddress, EndpointState, IncarnationId, Payload,
-    RetryReason, SessionId, SubmissionId, TaskOffer, TaskVerdict,
+    AttemptEnd, AttemptId, CustomerShare, EndpointAddress, EndpointState, IncarnationId,
+    OfferReply, Payload, RetryReason, SessionId, SubmissionId, TaskOffer,
 };
 
 const ENTRY: IncarnationId = IncarnationId(1);
@@ -76,11 +76,7 @@
     let verdicts = ledger.offer(now, ENTRY, SESSION, 2, vec![offer(2), offer(3), offer(4)]);
     assert_eq!(
         verdicts,
-        [
-            TaskVerdict::Started,
-            TaskVerdict::Started,
-            TaskVerdict::Queued
-        ]
+        [OfferReply::Started, OfferReply::Started, OfferReply::Queued]
     );
     assert_eq!(starts(&mut ledger), ["e2", "e2"]);
     assert_eq!(ledger.slots().limit, 2);
@@ -99,6 +95,6 @@
     starts(&mut ledger);
     ledger.set_endpoints(now, &[(endpoint, EndpointState::Live)]);
     let verdicts = ledger.offer(now, ENTRY, SESSION, 2, vec![offer(2)]);
-    assert_eq!(verdicts, [TaskVerdict::NotRun(RetryReason::NoEndpoint)]);
+    assert_eq!(verdicts, [OfferReply::NotRun(RetryReason::NoEndpoint)]);
     assert!(starts(&mut ledger).is_empty());
 }
--- a/crates/ledger/tests/withdrawal.rs
+++ b/crates/ledger/tests/withdrawal.rs
@@ -4,8 +4,8 @@
 
 use ledger::{LedgerAction, LedgerSettings, SlotLedger, StaleSession};
 use model::{
-    AttemptEnd, AttemptId, CustomerShare, EndpointAddress, EndpointState, IncarnationId, Payload,
-    RetryReason, SessionId, SubmissionId, TaskOffer, TaskVerdict, WithdrawalVerdict,
+    AttemptEnd, AttemptId, CustomerShare, EndpointAddress, EndpointState, IncarnationId,
+    OfferReply, Payload, RetryReason, SessionId, SubmissionId, TaskOffer, WithdrawalReply,
 };
 
 const ENTRY: IncarnationId = IncarnationId(1);
@@ -64,15 +64,15 @@
     let attempt = offer(1).attempt;
     assert_eq!(
         ledger.withdraw(now, ENTRY, SESSION, 1, &[attempt]),
-        [WithdrawalVerdict::Running]
+        [WithdrawalReply::Running]
     );
     assert_eq!(
         ledger.offer(now, ENTRY, SESSION, 1, vec![offer(1)]),
-        [TaskVerdict::Started]
+        [OfferReply::Started]
     );
     assert_eq!(
         ledger.withdraw(now, ENTRY, SESSION, 1, &[offer(2).attempt]),
-        [WithdrawalVerdict::NotRun]
+        [WithdrawalReply::NotRun]
     );
 }
 
@@ -84,7 +84,7 @@
     let mut ledger = ledger(now);
     ledger.offer(now, ENTRY, SESSION, 2, vec![offer(2)]);
     let verdicts = ledger.withdraw(now, ENTRY, SESSION, 2, &[offer(1).attempt]);
-    assert_eq!(verdicts, [WithdrawalVerdict::Running]);
+    assert_eq!(verdicts, [WithdrawalReply::Running]);
 }
 
 #[test]
@@ -98,7 +98,7 @@
     ledger.on_ran(now, attempt, AttemptEnd::Failed);
     assert_eq!(
         ledger.withdraw(now, ENTRY, SESSION, 1, &[attempt]),
-        [WithdrawalVerdict::Running]
+        [WithdrawalReply::Running]
     );
     ledger.on_confirmed(ENTRY, attempt);
     assert!(ledger.is_drained());
@@ -155,11 +155,11 @@
     }
     assert_eq!(
         ledger.offer(now, ENTRY, SESSION, 1, vec![offer(1)]),
-        [TaskVerdict::NotRun(RetryReason::DispatcherLost)]
+        [OfferReply::NotRun(RetryReason::DispatcherLost)]
     );
     assert_eq!(
         ledger.offer(now, ENTRY, newer, 1, vec![offer(2)]),
-        [TaskVerdict::Started]
+        [OfferReply::Started]
     );
     assert_eq!(starts(&mut ledger), 1);
 }
--- a/crates/model/src/dispatch.rs
+++ b/crates/model/src/dispatch.rs
@@ -25,7 +25,7 @@
 
 /// What a dispatcher says at once about an offered task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TaskVerdict {
+pub enum OfferReply {
     /// It runs.
     Started,
     /// A reservation waits for a slot; the dispatcher has dropped the body and will ask for it.
@@ -36,7 +36,7 @@
 
 /// What a dispatcher says about a withdrawn attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WithdrawalVerdict {
+pub enum WithdrawalReply {
     /// It was not started and never will be.
     NotRun,
     /// It runs, or its end is on the way, or nothing can be confirmed.
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -20,7 +20,7 @@
         Contract, ContractState, ContractVersion, CustomerShare, InvalidContract, RefusableWork,
         MAX_TASKS_PER_JOB,
     },
-    dispatch::{SessionId, SlotCounts, TaskVerdict, WithdrawalVerdict},
+    dispatch::{OfferReply, SessionId, SlotCounts, WithdrawalReply},
     endpoint::{EndpointAddress, EndpointState, VmEntry, VmRole},
     ids::{
         AttemptId, CustomerId, DataCentreId, EndpointId, IdempotencyKey, IncarnationId, InvalidId,
--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -6,8 +6,8 @@
 use contracts::HeadNumber;
 use membership::{AskBatch, BeatMessage, BeatReply, HandoverReport, ReplyBatch};
 use model::{
-    AttemptEnd, AttemptId, IncarnationId, Payload, SessionId, SlotCounts, TaskOffer, TaskVerdict,
-    VmEntry, WithdrawalVerdict,
+    AttemptEnd, AttemptId, IncarnationId, OfferReply, Payload, SessionId, SlotCounts, TaskOffer,
+    VmEntry, WithdrawalReply,
 };
 
 use crate::{
@@ -233,7 +233,7 @@
         &self,
         batch: u64,
         offers: &[TaskOffer],
-    ) -> impl Future<Output = Result<(Vec<TaskVerdict>, SlotCounts), PeerError>> + 'static {
+    ) -> impl Future<Output = Result<(Vec<OfferReply>, SlotCounts), PeerError>> + 'static {
         let mut request = self.port.offer_request();
         let mut params = request.get();
         params.set_batch(batch);
@@ -259,8 +259,7 @@
         &self,
         after_batch: u64,
         attempts: &[AttemptId],
-    ) -> impl Future<Output = Result<(Vec<WithdrawalVerdict>, SlotCounts), PeerError>> + 'static
-    {
+    ) -> impl Future<Output = Result<(Vec<WithdrawalReply>, SlotCounts), PeerError>> + 'static {
         let mut request = self.port.withdraw_request();
         let mut params = request.get();
         params.set_after_batch(after_batch);
--- a/crates/peer/src/convert.rs
+++ b/crates/peer/src/convert.rs
@@ -5,8 +5,8 @@
 use capnp::struct_list;
 use membership::MemberView;
 use model::{
-    AttemptEnd, AttemptId, CustomerShare, IncarnationId, Payload, RetryReason, SlotCounts,
-    SubmissionId, TaskOffer, TaskResult, TaskVerdict, WithdrawalVerdict,
+    AttemptEnd, AttemptId, CustomerShare, IncarnationId, OfferReply, Payload, RetryReason,
+    SlotCounts, SubmissionId, TaskOffer, TaskResult, WithdrawalReply,
 };
 
 use crate::{
@@ -105,35 +105,35 @@
     }
 }
 
-pub(crate) fn write_verdict(mut builder: verdict::Builder<'_>, verdict: TaskVerdict) {
+pub(crate) fn write_verdict(mut builder: verdict::Builder<'_>, verdict: OfferReply) {
     match verdict {
-        TaskVerdict::Started => builder.set_started(()),
-        TaskVerdict::Queued => builder.set_queued(()),
-        TaskVerdict::NotRun(reason) => builder.set_not_run(reason.as_str()),
+        OfferReply::Started => builder.set_started(()),
+        OfferReply::Queued => builder.set_queued(()),
+        OfferReply::NotRun(reason) => builder.set_not_run(reason.as_str()),
     }
 }
 
-pub(crate) fn read_verdict(reader: verdict::Reader<'_>) -> Result<TaskVerdict, PeerError> {
+pub(crate) fn read_verdict(reader: verdict::Reader<'_>) -> Result<OfferReply, PeerError> {
     Ok(match reader.which().map_err(bad)? {
-        verdict::Started(()) => TaskVerdict::Started,
-        verdict::Queued(()) => TaskVerdict::Queued,
-        verdict::NotRun(reason) => TaskVerdict::NotRun(read_retry(text(reason)?)),
+        verdict::Started(()) => OfferReply::Started,
+        verdict::Queued(()) => OfferReply::Queued,
+        verdict::NotRun(reason) => OfferReply::NotRun(read_retry(text(reason)?)),
     })
 }
 
-pub(crate) fn write_withdrawal(mut builder: withdrawal::Builder<'_>, verdict: WithdrawalVerdict) {
+pub(crate) fn write_withdrawal(mut builder: withdrawal::Builder<'_>, verdict: WithdrawalReply) {
     match verdict {
-        WithdrawalVerdict::NotRun => builder.set_not_run(()),
-        WithdrawalVerdict::Running => builder.set_running(()),
+        WithdrawalReply::NotRun => builder.set_not_run(()),
+        WithdrawalReply::Running => builder.set_running(()),
     }
 }
 
 pub(crate) fn read_withdrawal(
     reader: withdrawal::Reader<'_>,
-) -> Result<WithdrawalVerdict, PeerError> {
+) -> Result<WithdrawalReply, PeerError> {
     Ok(match reader.which().map_err(bad)? {
-        withdrawal::NotRun(()) => WithdrawalVerdict::NotRun,
-        withdrawal::Running(()) => WithdrawalVerdict::Running,
+        withdrawal::NotRun(()) => WithdrawalReply::NotRun,
+        withdrawal::Running(()) => WithdrawalReply::Running,
     })
 }
 
--- a/crates/peer/src/service.rs
+++ b/crates/peer/src/service.rs
@@ -11,8 +11,8 @@
     AskBatch, BeatMessage, BeatReply, CentreView, HandoverReport, MemberView, ReplyBatch,
 };
 use model::{
-    AttemptEnd, AttemptId, ContractVersion, IncarnationId, Payload, SessionId, SlotCounts,
-    TaskOffer, TaskVerdict, VmEntry, WithdrawalVerdict,
+    AttemptEnd, AttemptId, ContractVersion, IncarnationId, OfferReply, Payload, SessionId,
+    SlotCounts, TaskOffer, VmEntry, WithdrawalReply,
 };
 
 use crate::{
@@ -104,14 +104,14 @@
         &self,
         batch: u64,
         offers: Vec<TaskOffer>,
-    ) -> ReplyFuture<(Vec<TaskVerdict>, SlotCounts)>;
+    ) -> ReplyFuture<(Vec<OfferReply>, SlotCounts)>;
 
     /// Takes attempts back.
     fn withdraw(
         &self,
         after_batch: u64,
         attempts: Vec<AttemptId>,
-    ) -> ReplyFuture<(Vec<WithdrawalVerdict>, SlotCounts)>;
+    ) -> ReplyFuture<(Vec<WithdrawalReply>, SlotCounts)>;
 }
 
 /// What an entry offers to a dispatcher that it has a session with.
--- a/crates/peer/tests/border/fakes.rs
+++ b/crates/peer/tests/border/fakes.rs
@@ -8,8 +8,8 @@
     AskBatch, BeatMessage, BeatReply, CentreView, HandoverReport, MemberView, ReplyBatch,
 };
 use model::{
-    AttemptEnd, AttemptId, IncarnationId, Payload, SessionId, SlotCounts, TaskOffer, TaskVerdict,
-    VmEntry, WithdrawalVerdict,
+    AttemptEnd, AttemptId, IncarnationId, OfferReply, Payload, SessionId, SlotCounts, TaskOffer,
+    VmEntry, WithdrawalReply,
 };
 use peer::{
     AcceptedPort, ContractNews, DispatcherService, EntryClient, EntryService, ForwardedAnswer,
@@ -39,8 +39,8 @@
 pub(crate) struct Answers {
     pub(crate) view: MemberView,
     pub(crate) slots: SlotCounts,
-    pub(crate) verdicts: Vec<TaskVerdict>,
-    pub(crate) withdrawals: Vec<WithdrawalVerdict>,
+    pub(crate) verdicts: Vec<OfferReply>,
+    pub(crate) withdrawals: Vec<WithdrawalReply>,
     pub(crate) news: ContractNews,
     pub(crate) centre: Option<CentreView>,
     pub(crate) grants: Option<ReplyBatch>,
@@ -186,7 +186,7 @@
         &self,
         batch: u64,
         offers: Vec<TaskOffer>,
-    ) -> ReplyFuture<(Vec<TaskVerdict>, SlotCounts)> {
+    ) -> ReplyFuture<(Vec<OfferReply>, SlotCounts)> {
         self.0.see(SeenCall::Offers(batch, offers));
         let answers = self.0.answers.borrow();
         if answers.silent {
@@ -199,7 +199,7 @@
         &self,
         after_batch: u64,
         attempts: Vec<AttemptId>,
-    ) -> ReplyFuture<(Vec<WithdrawalVerdict>, SlotCounts)> {
+    ) -> ReplyFuture<(Vec<WithdrawalReply>, SlotCounts)> {
         self.0.see(SeenCall::Withdrawals(after_batch, attempts));
         let answers = self.0.answers.borrow();
         ready((answers.withdrawals.clone(), answers.slots))
--- a/crates/peer/tests/border/faults.rs
+++ b/crates/peer/tests/border/faults.rs
@@ -8,8 +8,8 @@
 };
 
 use model::{
-    AttemptId, CustomerShare, IncarnationId, Payload, SessionId, SubmissionId, TaskOffer,
-    TaskVerdict, WithdrawalVerdict,
+    AttemptId, CustomerShare, IncarnationId, OfferReply, Payload, SessionId, SubmissionId,
+    TaskOffer, WithdrawalReply,
 };
 use peer::{ForwardedAnswer, OpenedSession, PeerError, PeerLink};
 use tokio::{
@@ -210,8 +210,8 @@
     let shared = Shared::new();
     {
         let mut answers = shared.answers.borrow_mut();
-        answers.verdicts = vec![TaskVerdict::Queued];
-        answers.withdrawals = vec![WithdrawalVerdict::NotRun];
+        answers.verdicts = vec![OfferReply::Queued];
+        answers.withdrawals = vec![WithdrawalReply::NotRun];
     }
     let (address, server) = fakes::serve(&shared).await;
     let (_link, opened) = open(&shared, address, 1).await;
--- a/crates/peer/tests/border/values.rs
+++ b/crates/peer/tests/border/values.rs
@@ -9,8 +9,8 @@
 };
 use model::{
     AttemptEnd, AttemptId, Contract, ContractVersion, CustomerShare, EndpointState, IncarnationId,
-    Payload, RetryReason, SlotCounts, SubmissionId, TaskOffer, TaskResult, TaskVerdict,
-    UnknownReason, VmEntry, VmRole, WithdrawalVerdict,
+    OfferReply, Payload, RetryReason, SlotCounts, SubmissionId, TaskOffer, TaskResult,
+    UnknownReason, VmEntry, VmRole, WithdrawalReply,
 };
 use peer::{ContractNews, ForwardedAnswer};
 use proptest::{
@@ -66,16 +66,16 @@
     select(RetryReason::ALL)
 }
 
-pub(crate) fn verdict() -> impl Strategy<Value = TaskVerdict> {
+pub(crate) fn verdict() -> impl Strategy<Value = OfferReply> {
     prop_oneof![
-        Just(TaskVerdict::Started),
-        Just(TaskVerdict::Queued),
-        retry().prop_map(TaskVerdict::NotRun),
+        Just(OfferReply::Started),
+        Just(OfferReply::Queued),
+        retry().prop_map(OfferReply::NotRun),
     ]
 }
 
-pub(crate) fn withdrawal() -> impl Strategy<Value = WithdrawalVerdict> {
-    select(&[WithdrawalVerdict::NotRun, WithdrawalVerdict::Running][..])
+pub(crate) fn withdrawal() -> impl Strategy<Value = WithdrawalReply> {
+    select(&[WithdrawalReply::NotRun, WithdrawalReply::Running][..])
 }
 
 pub(crate) fn end() -> impl Strategy<Value = (AttemptId, AttemptEnd, Duration)> {
--- a/crates/peer/tests/grants.rs
+++ b/crates/peer/tests/grants.rs
@@ -8,8 +8,8 @@
     HandoverCount, HandoverReport, MemberView, ReplyBatch,
 };
 use model::{
-    AttemptId, IncarnationId, SessionId, SlotCounts, TaskOffer, TaskVerdict, VmEntry,
-    WithdrawalVerdict,
+    AttemptId, IncarnationId, OfferReply, SessionId, SlotCounts, TaskOffer, VmEntry,
+    WithdrawalReply,
 };
 use peer::{
     AcceptedPort, ContractNews, DispatcherService, EntryClient, PeerError, PeerLink, PingReply,
@@ -140,7 +140,7 @@
 }
 
 impl SessionService for NoSession {
-    fn offer(&self, _: u64, _: Vec<TaskOffer>) -> ReplyFuture<(Vec<TaskVerdict>, SlotCounts)> {
+    fn offer(&self, _: u64, _: Vec<TaskOffer>) -> ReplyFuture<(Vec<OfferReply>, SlotCounts)> {
         unused()
     }
 
@@ -148,7 +148,7 @@
         &self,
         _: u64,
         _: Vec<AttemptId>,
-    ) -> ReplyFuture<(Vec<WithdrawalVerdict>, SlotCounts)> {
+    ) -> ReplyFuture<(Vec<WithdrawalReply>, SlotCounts)> {
         unused()
     }
 }
