--- a/crates/caller-api/src/input.rs
+++ b/crates/caller-api/src/input.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use model::{
-    ByteSize, CustomerId, IdempotencyKey, KeyedRun, Payload, SubmissionBody, SubmissionKind,
-    TaskBody, TaskKind, TicketId, MAX_PAYLOAD_BYTES, MAX_TASKS_PER_JOB,
+    ByteSize, CustomerId, DuplicateDetection, IdempotencyKey, Payload, SubmissionBody,
+    SubmissionKind, TaskBody, TaskKind, TicketId, MAX_PAYLOAD_BYTES, MAX_TASKS_PER_JOB,
 };
 use serde::{de::DeserializeOwned, Deserialize};
 use thiserror::Error;
@@ -75,9 +75,9 @@
                 "cannot go with an Idempotency-Key header",
             ));
         }
-        (Some(ticket), None) => KeyedRun::Ticket(ticket),
-        (None, Some(key)) => KeyedRun::Key(read_key(key)?),
-        (None, None) => KeyedRun::PerSubmission,
+        (Some(ticket), None) => DuplicateDetection::Ticket(ticket),
+        (None, Some(key)) => DuplicateDetection::Key(read_key(key)?),
+        (None, None) => DuplicateDetection::PerSubmission,
     };
     let body = SubmissionBody {
         customer: input.customer,
--- a/crates/entry/src/control/callers.rs
+++ b/crates/entry/src/control/callers.rs
@@ -10,8 +10,8 @@
 };
 use futures::future::LocalBoxFuture;
 use model::{
-    Contract, ContractState, CustomerId, KeyedRun, RefusalReason, SubmissionBody, SubmissionId,
-    SubmissionKind, SubmissionOutcome, TicketId, UnknownReason,
+    Contract, ContractState, CustomerId, DuplicateDetection, RefusalReason, SubmissionBody,
+    SubmissionId, SubmissionKind, SubmissionOutcome, TicketId, UnknownReason,
 };
 use telemetry::CounterKind;
 use tokio::sync::oneshot;
@@ -171,16 +171,18 @@
         let SubmitCommand { body, digest, raw } = command;
         let own = self.authority.incarnation();
         let run = match &body.kind {
-            SubmissionKind::Job => KeyedRun::PerSubmission,
+            SubmissionKind::Job => DuplicateDetection::PerSubmission,
             SubmissionKind::Request(run) => run.clone(),
         };
         let answer = match run {
-            KeyedRun::PerSubmission => self.run(body, digest, None),
-            KeyedRun::Ticket(ticket) if ticket.0.incarnation == own => {
+            DuplicateDetection::PerSubmission => self.run(body, digest, None),
+            DuplicateDetection::Ticket(ticket) if ticket.0.incarnation == own => {
                 self.run_ticket(ticket, body, digest)
             }
-            KeyedRun::Ticket(ticket) => self.forward_request(ticket.0, raw),
-            KeyedRun::Key(key) => self.run_keyed(ctx, key, KeyedBody { body, digest, raw }),
+            DuplicateDetection::Ticket(ticket) => self.forward_request(ticket.0, raw),
+            DuplicateDetection::Key(key) => {
+                self.run_keyed(ctx, key, KeyedBody { body, digest, raw })
+            }
         };
         self.flush(ctx);
         answer
--- a/crates/entry/src/control/forwarding.rs
+++ b/crates/entry/src/control/forwarding.rs
@@ -2,7 +2,7 @@
 
 use actix::{Context, Handler};
 use caller_api::{read_request, render_answer, CallerAnswer};
-use model::{IncarnationId, KeyedRun, SubmissionBody, SubmissionId, SubmissionKind};
+use model::{DuplicateDetection, IncarnationId, SubmissionBody, SubmissionId, SubmissionKind};
 use peer::{DispatcherClient, EntryClient, ForwardedAnswer, PeerError};
 
 use super::{
@@ -87,7 +87,7 @@
 impl EntryControl {
     fn run_passed(&mut self, serial: u64, body: SubmissionBody, digest: u64) -> AnswerFuture {
         match &body.kind {
-            SubmissionKind::Request(KeyedRun::Ticket(ticket)) => {
+            SubmissionKind::Request(DuplicateDetection::Ticket(ticket)) => {
                 self.run_ticket(*ticket, body, digest)
             }
             // A key: its first arrival came here, or its record would not name this entry.
--- a/crates/ledger/tests/at_most_once/world.rs
+++ b/crates/ledger/tests/at_most_once/world.rs
@@ -8,9 +8,9 @@
 use authority::{AuthorityAction, AuthoritySettings, DispatcherKey, TaskAuthority};
 use ledger::{ClaimNumber, LedgerAction, LedgerSettings, SlotLedger};
 use model::{
-    AttemptEnd, AttemptId, Contract, ContractVersion, CustomerId, EndpointAddress, EndpointState,
-    FailureReason, IncarnationId, KeyedRun, OfferReply, Payload, RetryReason, SessionId,
-    SubmissionBody, SubmissionKind, SubmissionOutcome, TaskBody, TaskOffer, TaskResult,
+    AttemptEnd, AttemptId, Contract, ContractVersion, CustomerId, DuplicateDetection,
+    EndpointAddress, EndpointState, FailureReason, IncarnationId, OfferReply, Payload, RetryReason,
+    SessionId, SubmissionBody, SubmissionKind, SubmissionOutcome, TaskBody, TaskOffer, TaskResult,
     UnknownReason, WithdrawalReply,
 };
 
@@ -307,7 +307,7 @@
     fn submit_as(&mut self, serial: u64, job: bool, tasks: u32) {
         let kind = match job {
             true => SubmissionKind::Job,
-            false => SubmissionKind::Request(KeyedRun::PerSubmission),
+            false => SubmissionKind::Request(DuplicateDetection::PerSubmission),
         };
         let mut bodies = Vec::new();
         for task in 0..tasks {
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -26,10 +26,10 @@
         AttemptId, CustomerId, DataCentreId, EndpointId, IdempotencyKey, IncarnationId, InvalidId,
         SubmissionId, TaskIndex, TaskKind, TicketId, VmId,
     },
-    mechanism::{Mechanism, SwitchedOff},
+    mechanism::{DisabledMechanisms, Mechanism},
     outcome::{AttemptEnd, SubmissionOutcome, TaskResult},
     reason::{FailureReason, RefusalReason, RetryReason, UnknownReason, UnknownVariant},
-    submission::{KeyedRun, SubmissionBody, SubmissionKind, TaskBody, TaskOffer},
+    submission::{DuplicateDetection, SubmissionBody, SubmissionKind, TaskBody, TaskOffer},
 };
 
 /// Hash map with a fast hasher. Keys come from ids, never straight from a caller's bytes without a length limit.
--- a/crates/model/src/mechanism.rs
+++ b/crates/model/src/mechanism.rs
@@ -52,16 +52,16 @@
 
 /// Which mechanisms are switched off.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct SwitchedOff(FastSet<Mechanism>);
+pub struct DisabledMechanisms(FastSet<Mechanism>);
 
-impl SwitchedOff {
+impl DisabledMechanisms {
     /// Whether a mechanism works.
-    pub fn allows(&self, mechanism: Mechanism) -> bool {
+    pub fn is_enabled(&self, mechanism: Mechanism) -> bool {
         !self.0.contains(&mechanism)
     }
 }
 
-impl FromIterator<Mechanism> for SwitchedOff {
+impl FromIterator<Mechanism> for DisabledMechanisms {
     fn from_iter<T: IntoIterator<Item = Mechanism>>(mechanisms: T) -> Self {
         Self(mechanisms.into_iter().collect())
     }
--- a/crates/model/src/submission.rs
+++ b/crates/model/src/submission.rs
@@ -17,7 +17,7 @@
 
 /// How a second arrival of the same request is known.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum KeyedRun {
+pub enum DuplicateDetection {
     /// It is not: the request runs once per submission.
     PerSubmission,
     /// By a ticket, which one incarnation of one entry honours.
@@ -32,7 +32,7 @@
     /// Parallel tasks with one answer.
     Job,
     /// One non-idempotent task.
-    Request(KeyedRun),
+    Request(DuplicateDetection),
 }
 
 /// What a caller submits.
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -92,7 +92,7 @@
 
     /// Returns whether a mechanism is switched on.
     pub(crate) fn has(&self, mechanism: Mechanism) -> bool {
-        self.pool_settings.switched_off.allows(mechanism)
+        self.pool_settings.switched_off.is_enabled(mechanism)
     }
 
     pub(crate) fn node(&self) -> NodeId {
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -516,7 +516,7 @@
 
     /// Whether a mechanism is enabled.
     fn is_enabled(&self, mechanism: Mechanism) -> bool {
-        self.settings.switched_off.allows(mechanism)
+        self.settings.switched_off.is_enabled(mechanism)
     }
 
     /// Suspends a worker, so that it gets no new runs for a while.
--- a/crates/pool/src/settings.rs
+++ b/crates/pool/src/settings.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use model::SwitchedOff;
+use model::DisabledMechanisms;
 
 /// Times and limits of a pool.
 #[derive(Clone, Debug, PartialEq)]
@@ -57,7 +57,7 @@
     /// Added to the time from `stall_factor`, so that short tasks are not stopped because of a late poll.
     pub stall_margin: Duration,
     /// The mechanisms that are switched off, for experiments.
-    pub switched_off: SwitchedOff,
+    pub switched_off: DisabledMechanisms,
 }
 
 impl Default for PoolSettings {
@@ -82,7 +82,7 @@
             packing_share: 0.85,
             stall_factor: 2.5,
             stall_margin: Duration::from_millis(60),
-            switched_off: SwitchedOff::default(),
+            switched_off: DisabledMechanisms::default(),
         }
     }
 }
