--- a/crates/model/src/reason.rs
+++ b/crates/model/src/reason.rs
@@ -22,15 +22,15 @@
         UnknownCustomer => "unknown_customer",
         /// The customer's contract is retired.
         RetiredCustomer => "retired_customer",
-        /// More tasks in the job than the contract is_enabled.
+        /// More tasks in the job than the contract allows.
         TooManyTasks => "too_many_tasks",
-        /// A payload larger than the contract is_enabled.
+        /// A payload larger than the contract allows.
         PayloadTooLarge => "payload_too_large",
-        /// The deadline is longer than the contract is_enabled, or zero.
+        /// The deadline is longer than the contract allows, or zero.
         WrongDeadline => "wrong_deadline",
         /// No slot in the system could ever run a task of the submission in time.
         CanNeverRun => "can_never_run",
-        /// The customer has as much at once as its contract is_enabled, and waiting for room would miss the deadline.
+        /// The customer has as much at once as its contract allows, and waiting for room would miss the deadline.
         OverConcurrency => "over_concurrency",
         /// The predicted wait would miss the deadline.
         PredictedLate => "predicted_late",
