--- a/crates/settings/src/dispatcher.rs
+++ b/crates/settings/src/dispatcher.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    error::FieldRule,
+    error::RuleViolation,
     number::bounded,
     shared::{check_identity, loopback, unset_data_centre, unset_vm},
     DispatcherPeer, DrainSettings, DurationMs, LogSettings,
@@ -119,17 +119,17 @@
 }
 
 impl DispatcherSettings {
-    pub(crate) fn check(&self) -> Result<(), FieldRule> {
+    pub(crate) fn check(&self) -> Result<(), RuleViolation> {
         check_identity(&self.vm, &self.data_centre)?;
-        let wrong = |path, rule| Err(FieldRule { path, rule });
+        let violation = |path, rule| Err(RuleViolation { path, rule });
         if self.suspect_ms.0 < 2 * self.heartbeat_ms.0 {
-            return wrong("suspect_ms", "must be at least twice heartbeat_ms");
+            return violation("suspect_ms", "must be at least twice heartbeat_ms");
         }
         if self.grant_term_ms.0 < 2 * self.heartbeat_ms.0 {
-            return wrong("grant_term_ms", "must be at least twice heartbeat_ms");
+            return violation("grant_term_ms", "must be at least twice heartbeat_ms");
         }
         if self.peer_listen == self.admin_listen {
-            return wrong("admin_listen", "must differ from peer_listen");
+            return violation("admin_listen", "must differ from peer_listen");
         }
         Ok(())
     }
--- a/crates/settings/src/entry.rs
+++ b/crates/settings/src/entry.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    error::FieldRule,
+    error::RuleViolation,
     number::{bounded, bounded_size},
     shared::{check_identity, loopback, unset_data_centre, unset_vm},
     DispatcherPeer, DrainSettings, DurationMs, LogSettings,
@@ -119,17 +119,17 @@
 }
 
 impl EntrySettings {
-    pub(crate) fn check(&self) -> Result<(), FieldRule> {
+    pub(crate) fn check(&self) -> Result<(), RuleViolation> {
         check_identity(&self.vm, &self.data_centre)?;
-        let wrong = |path, rule| Err(FieldRule { path, rule });
+        let violation = |path, rule| Err(RuleViolation { path, rule });
         if self.session_timeout_ms.0 < 2 * self.heartbeat_ms.0 {
-            return wrong("session_timeout_ms", "must be at least twice heartbeat_ms");
+            return violation("session_timeout_ms", "must be at least twice heartbeat_ms");
         }
         if self.max_open_bytes < self.max_body_bytes {
-            return wrong("max_open_bytes", "must be at least max_body_bytes");
+            return violation("max_open_bytes", "must be at least max_body_bytes");
         }
         if self.freshness_ms <= self.heartbeat_ms {
-            return wrong("freshness_ms", "must be more than heartbeat_ms");
+            return violation("freshness_ms", "must be more than heartbeat_ms");
         }
         Ok(())
     }
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -10,12 +10,12 @@
     /// The file, if the settings came from one.
     pub file: Option<PathBuf>,
     /// What is wrong. The message holds it whole, so it is no source besides.
-    pub fault: SettingsFault,
+    pub kind: SettingsErrorKind,
 }
 
 /// What is wrong with settings.
 #[derive(Debug, Error)]
-pub enum SettingsFault {
+pub enum SettingsErrorKind {
     /// The file cannot be read.
     #[error("cannot be read: {0}")]
     Unreadable(io::Error),
@@ -34,7 +34,7 @@
     NotAnObject,
     /// A field is unknown, of the wrong kind or out of range.
     #[error("{path}: {reason}")]
-    WrongField {
+    InvalidField {
         /// The field, for example `drain.notice_ms`.
         path: String,
         /// The line, from 1.
@@ -46,7 +46,7 @@
     },
     /// A field does not go with the others, or had to be there.
     #[error("{path}: {rule}")]
-    WrongRule {
+    ViolatedRule {
         /// The field.
         path: &'static str,
         /// What it must be.
@@ -60,26 +60,28 @@
             Some(file) => write!(f, "{}", file.display())?,
             None => f.write_str("settings")?,
         }
-        match &self.fault {
-            SettingsFault::NotJson { line, column, .. }
-            | SettingsFault::WrongField { line, column, .. } => write!(f, ":{line}:{column}")?,
-            SettingsFault::Unreadable(_)
-            | SettingsFault::NotAnObject
-            | SettingsFault::WrongRule { .. } => {}
+        match &self.kind {
+            SettingsErrorKind::NotJson { line, column, .. }
+            | SettingsErrorKind::InvalidField { line, column, .. } => {
+                write!(f, ":{line}:{column}")?
+            }
+            SettingsErrorKind::Unreadable(_)
+            | SettingsErrorKind::NotAnObject
+            | SettingsErrorKind::ViolatedRule { .. } => {}
         }
-        write!(f, ": {}", self.fault)
+        write!(f, ": {}", self.kind)
     }
 }
 
 /// A field that breaks a rule between fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct FieldRule {
+pub(crate) struct RuleViolation {
     pub(crate) path: &'static str,
     pub(crate) rule: &'static str,
 }
 
-impl From<FieldRule> for SettingsFault {
-    fn from(FieldRule { path, rule }: FieldRule) -> Self {
-        Self::WrongRule { path, rule }
+impl From<RuleViolation> for SettingsErrorKind {
+    fn from(RuleViolation { path, rule }: RuleViolation) -> Self {
+        Self::ViolatedRule { path, rule }
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -18,7 +18,7 @@
     dispatcher::{DispatcherSettings, EndpointCallSettings},
     duration::{DurationMs, InvalidDuration},
     entry::{EntrySettings, PlacementPolicy},
-    error::{SettingsError, SettingsFault},
+    error::{SettingsError, SettingsErrorKind},
     log::{InvalidLogName, LogLevel, LogPart, LogSettings},
     node::{NodeSettings, OrderPath},
     parse::{
--- a/crates/settings/src/node.rs
+++ b/crates/settings/src/node.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    error::FieldRule,
+    error::RuleViolation,
     shared::{check_identity, loopback, unset_data_centre, unset_vm},
     DurationMs,
 };
@@ -79,29 +79,29 @@
 }
 
 impl NodeSettings {
-    pub(crate) fn check(&self) -> Result<(), FieldRule> {
+    pub(crate) fn check(&self) -> Result<(), RuleViolation> {
         check_identity(&self.vm, &self.data_centre)?;
-        let fault = |path, rule| Err(FieldRule { path, rule });
+        let violation = |path, rule| Err(RuleViolation { path, rule });
         if !(self.stop_grace_s > 0.0 && self.stop_grace_s <= 3_600.0) {
-            return fault("stop_grace_s", "must be more than 0 and at most 3600");
+            return violation("stop_grace_s", "must be more than 0 and at most 3600");
         }
         if !(self.far_factor >= 1.0 && self.far_factor <= 1_000.0) {
-            return fault("far_factor", "must be at least 1 and at most 1000");
+            return violation("far_factor", "must be at least 1 and at most 1000");
         }
         if !(self.cores > 0.0 && self.cores <= 10_000.0) {
-            return fault("cores", "must be more than 0 and at most 10000");
+            return violation("cores", "must be more than 0 and at most 10000");
         }
         if !(self.link_mbps > 0.0 && self.link_mbps <= 10_000_000.0) {
-            return fault("link_mbps", "must be more than 0 and at most 10000000");
+            return violation("link_mbps", "must be more than 0 and at most 10000000");
         }
         if self.longest_lease_ms.0 < 100 {
-            return fault("longest_lease_ms", "must be at least 100");
+            return violation("longest_lease_ms", "must be at least 100");
         }
         if !(500..=600_000).contains(&self.config_limit_ms.0) {
-            return fault("config_limit_ms", "must be at least 500 and at most 600000");
+            return violation("config_limit_ms", "must be at least 500 and at most 600000");
         }
         if self.orders == OrderPath::Heartbeat {
-            return fault("orders", "`heartbeat` is not supported; use `call`");
+            return violation("orders", "`heartbeat` is not supported; use `call`");
         }
         Ok(())
     }
--- a/crates/settings/src/parse.rs
+++ b/crates/settings/src/parse.rs
@@ -6,7 +6,8 @@
 use serde_json::{error::Category, Value};
 
 use crate::{
-    error::FieldRule, DispatcherSettings, EntrySettings, NodeSettings, SettingsError, SettingsFault,
+    error::RuleViolation, DispatcherSettings, EntrySettings, NodeSettings, SettingsError,
+    SettingsErrorKind,
 };
 
 /// Reads and checks the settings of an entry.
@@ -42,7 +43,7 @@
 ///
 /// As [`load_entry`], without a file.
 pub fn parse_node(text: &str) -> Result<NodeSettings, SettingsError> {
-    parse(text, NodeSettings::check).map_err(|fault| SettingsError { file: None, fault })
+    parse(text, NodeSettings::check).map_err(|kind| SettingsError { file: None, kind })
 }
 
 /// The JSON schema of a node's settings.
@@ -56,7 +57,7 @@
 ///
 /// As [`load_entry`], without a file.
 pub fn parse_entry(text: &str) -> Result<EntrySettings, SettingsError> {
-    parse(text, EntrySettings::check).map_err(|fault| SettingsError { file: None, fault })
+    parse(text, EntrySettings::check).map_err(|kind| SettingsError { file: None, kind })
 }
 
 /// Checks the text of a dispatcher's settings.
@@ -65,7 +66,7 @@
 ///
 /// As [`load_entry`], without a file.
 pub fn parse_dispatcher(text: &str) -> Result<DispatcherSettings, SettingsError> {
-    parse(text, DispatcherSettings::check).map_err(|fault| SettingsError { file: None, fault })
+    parse(text, DispatcherSettings::check).map_err(|kind| SettingsError { file: None, kind })
 }
 
 /// The JSON schema of an entry's settings.
@@ -80,43 +81,43 @@
 
 fn load<T: DeserializeOwned>(
     path: &Path,
-    check: fn(&T) -> Result<(), FieldRule>,
+    check: fn(&T) -> Result<(), RuleViolation>,
 ) -> Result<T, SettingsError> {
-    let in_file = |fault| SettingsError {
+    let in_file = |kind| SettingsError {
         file: Some(path.to_owned()),
-        fault,
+        kind,
     };
-    let text = fs::read_to_string(path).map_err(|e| in_file(SettingsFault::Unreadable(e)))?;
+    let text = fs::read_to_string(path).map_err(|e| in_file(SettingsErrorKind::Unreadable(e)))?;
     parse(&text, check).map_err(in_file)
 }
 
 fn parse<T: DeserializeOwned>(
     text: &str,
-    check: fn(&T) -> Result<(), FieldRule>,
-) -> Result<T, SettingsFault> {
+    check: fn(&T) -> Result<(), RuleViolation>,
+) -> Result<T, SettingsErrorKind> {
     // serde takes a list for a struct, field by field: `[]` would be a file of defaults.
     if text.trim_start().starts_with('[') {
-        return Err(SettingsFault::NotAnObject);
+        return Err(SettingsErrorKind::NotAnObject);
     }
     let mut deserializer = serde_json::Deserializer::from_str(text);
     let settings = serde_path_to_error::deserialize(&mut deserializer)
-        .map_err(|e| fault_at(&e.path().to_string(), e.inner()))?;
-    deserializer.end().map_err(|e| fault_at(".", &e))?;
+        .map_err(|e| error_kind_at(&e.path().to_string(), e.inner()))?;
+    deserializer.end().map_err(|e| error_kind_at(".", &e))?;
     check(&settings)?;
     Ok(settings)
 }
 
-fn fault_at(path: &str, error: &serde_json::Error) -> SettingsFault {
+fn error_kind_at(path: &str, error: &serde_json::Error) -> SettingsErrorKind {
     let (line, column) = (error.line(), error.column());
-    let reason = reason_of(error);
+    let reason = error_reason(error);
     match error.classify() {
-        Category::Data => SettingsFault::WrongField {
+        Category::Data => SettingsErrorKind::InvalidField {
             path: path.to_owned(),
             line,
             column,
             reason,
         },
-        Category::Io | Category::Syntax | Category::Eof => SettingsFault::NotJson {
+        Category::Io | Category::Syntax | Category::Eof => SettingsErrorKind::NotJson {
             line,
             column,
             reason,
@@ -125,7 +126,7 @@
 }
 
 /// The parser's message without its place, which stands in front of the whole message.
-fn reason_of(error: &serde_json::Error) -> String {
+fn error_reason(error: &serde_json::Error) -> String {
     let text = error.to_string();
     let place = format!(" at line {} column {}", error.line(), error.column());
     let reason = text.strip_suffix(&place).unwrap_or(&text);
--- a/crates/settings/src/shared.rs
+++ b/crates/settings/src/shared.rs
@@ -6,7 +6,7 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-use crate::{error::FieldRule, number::bounded, DurationMs};
+use crate::{error::RuleViolation, number::bounded, DurationMs};
 
 /// The name that stands for a VM or data centre that was not named. A file may not leave or write it.
 pub const UNSET_NAME: &str = "unset";
@@ -61,13 +61,13 @@
 }
 
 /// Checks what names a process.
-pub(crate) fn check_identity(vm: &VmId, data_centre: &DataCentreId) -> Result<(), FieldRule> {
+pub(crate) fn check_identity(vm: &VmId, data_centre: &DataCentreId) -> Result<(), RuleViolation> {
     let rule = "must name this VM's own; there is no default for it";
     if vm.as_str() == UNSET_NAME {
-        return Err(FieldRule { path: "vm", rule });
+        return Err(RuleViolation { path: "vm", rule });
     }
     if data_centre.as_str() == UNSET_NAME {
-        return Err(FieldRule {
+        return Err(RuleViolation {
             path: "data_centre",
             rule,
         });
