--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     wire::{CommitAnswer, ConflictAnswer, ListAnswer, TransactionBody, VmAnswer},
-    CallFailure, CallRate, CommitError, KeyedRow, RatePacer, ReadError, RowVersion, RowWrite,
+    CallFailure, CallRate, CommitError, KeyedRow, RateLimiter, ReadError, RowVersion, RowWrite,
     StoreKey, TableName, TableRow,
 };
 
@@ -37,7 +37,7 @@
     /// The longest wait for an answer, from the start of the call.
     pub timeout: Duration,
     /// The longest wait for this process's turn.
-    pub longest_turn_wait: Duration,
+    pub max_permit_wait: Duration,
     /// Reads a second. The platform's 2,000 are for every VM: 200 suit today's 8 VMs.
     pub read_rate: CallRate,
     /// Transactions a second. The platform's several hundred are for every VM: at 20, today's 8 VMs together use 160
@@ -51,7 +51,7 @@
             address: SocketAddr::from((Ipv4Addr::LOCALHOST, 8600)),
             connect_timeout: Duration::from_millis(300),
             timeout: Duration::from_secs(1),
-            longest_turn_wait: Duration::from_millis(500),
+            max_permit_wait: Duration::from_millis(500),
             read_rate: CallRate::per_second(200),
             write_rate: CallRate::per_second(20),
         }
@@ -68,14 +68,14 @@
     http: Client,
     settings: ClientSettings,
     clock: Arc<dyn ClockSource>,
-    reads: RefCell<RatePacer>,
-    writes: RefCell<RatePacer>,
+    reads: RefCell<RateLimiter>,
+    writes: RefCell<RateLimiter>,
 }
 
 /// One turn to write, taken from this process's share of the platform's rate.
 #[derive(Debug)]
 #[must_use = "a turn that is not used is lost"]
-pub struct WriteTurn(());
+pub struct WritePermit(());
 
 /// Status and body of an answer.
 struct Answer {
@@ -96,8 +96,8 @@
         Self {
             inner: Rc::new(Inner {
                 http,
-                reads: RefCell::new(RatePacer::new(settings.read_rate, now)),
-                writes: RefCell::new(RatePacer::new(settings.write_rate, now)),
+                reads: RefCell::new(RateLimiter::new(settings.read_rate, now)),
+                writes: RefCell::new(RateLimiter::new(settings.write_rate, now)),
                 settings,
                 clock,
             }),
@@ -156,10 +156,10 @@
     ///
     /// # Errors
     ///
-    /// [`CallFailure::OverRate`] when the wait would be longer than the settings allow.
-    pub async fn write_turn(&self) -> Result<WriteTurn, CallFailure> {
-        self.wait_turn(&self.inner.writes).await?;
-        Ok(WriteTurn(()))
+    /// [`CallFailure::RateLimited`] when the wait would be longer than the settings allow.
+    pub async fn acquire_write_permit(&self) -> Result<WritePermit, CallFailure> {
+        self.wait_for_permit(&self.inner.writes).await?;
+        Ok(WritePermit(()))
     }
 
     /// Writes rows, all or nothing, and gives their new versions in order.
@@ -168,8 +168,8 @@
     ///
     /// Says whether nothing took effect or nobody can say.
     pub async fn commit(&self, writes: Vec<RowWrite>) -> Result<Vec<RowVersion>, CommitError> {
-        let turn = self.write_turn().await?;
-        self.commit_in(turn, writes).await
+        let permit = self.acquire_write_permit().await?;
+        self.commit_with_permit(permit, writes).await
     }
 
     /// [`Self::commit`] in a turn that was taken before.
@@ -177,9 +177,9 @@
     /// # Errors
     ///
     /// As [`Self::commit`].
-    pub async fn commit_in(
+    pub async fn commit_with_permit(
         &self,
-        _turn: WriteTurn,
+        _permit: WritePermit,
         writes: Vec<RowWrite>,
     ) -> Result<Vec<RowVersion>, CommitError> {
         let body = serde_json::to_vec(&TransactionBody { writes: &writes })
@@ -224,7 +224,7 @@
     /// Says whether nothing took effect or nobody can say.
     pub async fn put_object(&self, name: &StoreKey, bytes: Vec<u8>) -> Result<(), CommitError> {
         let path = format!("/objects/{name}");
-        let _turn = self.write_turn().await?;
+        let _permit = self.acquire_write_permit().await?;
         let answer = self.call(Method::PUT, &path, bytes).await?;
         if answer.status.is_success() {
             return Ok(());
@@ -247,15 +247,15 @@
     }
 
     async fn read(&self, path: &str) -> Result<Answer, CallFailure> {
-        self.wait_turn(&self.inner.reads).await?;
+        self.wait_for_permit(&self.inner.reads).await?;
         self.call(Method::GET, path, Vec::new()).await
     }
 
-    async fn wait_turn(&self, pacer: &RefCell<RatePacer>) -> Result<(), CallFailure> {
+    async fn wait_for_permit(&self, limiter: &RefCell<RateLimiter>) -> Result<(), CallFailure> {
         let now = self.inner.clock.now();
-        let longest_wait = self.inner.settings.longest_turn_wait;
-        let turn = pacer.borrow_mut().take_turn(now, longest_wait);
-        let wait = turn.map_err(|retry_after| CallFailure::OverRate { retry_after })?;
+        let max_wait = self.inner.settings.max_permit_wait;
+        let permit = limiter.borrow_mut().acquire(now, max_wait);
+        let wait = permit.map_err(|retry_after| CallFailure::RateLimited { retry_after })?;
         if !wait.is_zero() {
             actix_rt::time::sleep(wait).await;
         }
--- a/crates/platform/src/error.rs
+++ b/crates/platform/src/error.rs
@@ -17,7 +17,7 @@
     NotBuilt(String),
     /// This process has used up its share of the platform's rate, so no byte was sent.
     #[error("over this process's rate, next turn in {} ms", .retry_after.as_millis())]
-    OverRate {
+    RateLimited {
         /// When the next turn is.
         retry_after: Duration,
     },
@@ -39,7 +39,7 @@
     /// Whether no byte of the request left this process. Everything else may have had its effect.
     pub fn is_unsent(&self) -> bool {
         match self {
-            Self::NoConnection(_) | Self::NotBuilt(_) | Self::OverRate { .. } => true,
+            Self::NoConnection(_) | Self::NotBuilt(_) | Self::RateLimited { .. } => true,
             Self::TimedOut
             | Self::ConnectionBroke(_)
             | Self::WrongStatus(_)
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -10,9 +10,9 @@
 mod wire;
 
 pub use crate::{
-    client::{body_failure, send_failure, ClientSettings, PlatformClient, WriteTurn},
+    client::{body_failure, send_failure, ClientSettings, PlatformClient, WritePermit},
     error::{CallFailure, CommitError, ReadError},
-    rate::{CallRate, InvalidRate, RatePacer},
+    rate::{CallRate, InvalidRate, RateLimiter},
     rows::{
         ExpectedVersion, InvalidKey, InvalidTable, KeyedRow, RowConflict, RowVersion, RowWrite,
         StoreKey, TableName, TableRow,
--- a/crates/platform/src/rate.rs
+++ b/crates/platform/src/rate.rs
@@ -9,7 +9,7 @@
 use thiserror::Error;
 
 /// Calls that may come at once after a quiet time, before the rate holds.
-const BURST_CALLS: u32 = 10;
+const MAX_BURST_CALLS: u32 = 10;
 
 /// A rate in calls a second; at least 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -56,18 +56,18 @@
 /// Harm prevented: one VM's burst of keys queues in the store in front of every other VM's writes, and all of them
 /// time out with an uncertain outcome. Turned away here, a call has certainly had no effect.
 #[derive(Clone, Debug)]
-pub struct RatePacer {
+pub struct RateLimiter {
     rate: CallRate,
     /// When the rate would be used up to the call, without a burst.
-    used_until: Instant,
+    theoretical_arrival: Instant,
 }
 
-impl RatePacer {
+impl RateLimiter {
     /// A pacer that has been quiet until now.
     pub fn new(rate: CallRate, now: Instant) -> Self {
         Self {
             rate,
-            used_until: now,
+            theoretical_arrival: now,
         }
     }
 
@@ -75,21 +75,17 @@
     ///
     /// # Errors
     ///
-    /// Gives the wait and takes no turn when it is longer than `longest_wait`.
-    pub fn take_turn(
-        &mut self,
-        now: Instant,
-        longest_wait: Duration,
-    ) -> Result<Duration, Duration> {
+    /// Gives the wait and takes no turn when it is longer than `max_wait`.
+    pub fn acquire(&mut self, now: Instant, max_wait: Duration) -> Result<Duration, Duration> {
         let interval = self.rate.interval();
-        let used_until = self.used_until.max(now) + interval;
-        let wait = used_until
+        let theoretical_arrival = self.theoretical_arrival.max(now) + interval;
+        let wait = theoretical_arrival
             .duration_since(now)
-            .saturating_sub(interval * BURST_CALLS);
-        if wait > longest_wait {
+            .saturating_sub(interval * MAX_BURST_CALLS);
+        if wait > max_wait {
             return Err(wait);
         }
-        self.used_until = used_until;
+        self.theoretical_arrival = theoretical_arrival;
         Ok(wait)
     }
 }
--- a/crates/platform/tests/border.rs
+++ b/crates/platform/tests/border.rs
@@ -256,7 +256,7 @@
     for end in ends {
         match end {
             Ok(_) => committed += 1,
-            Err(CommitError::NotSent(CallFailure::OverRate { retry_after })) => {
+            Err(CommitError::NotSent(CallFailure::RateLimited { retry_after })) => {
                 assert!(retry_after > Duration::from_millis(500));
             }
             other => panic!("{other:?}"),
--- a/crates/request-keys/examples/group_commit.rs
+++ b/crates/request-keys/examples/group_commit.rs
@@ -128,7 +128,7 @@
         address: stand_in.address(),
         write_rate: CallRate::per_second(offer.write_rate),
         timeout: Duration::from_secs(20),
-        longest_turn_wait: Duration::from_secs(20),
+        max_permit_wait: Duration::from_secs(20),
         ..ClientSettings::default()
     };
     let batching = BatcherSettings {
--- a/crates/request-keys/src/recorder.rs
+++ b/crates/request-keys/src/recorder.rs
@@ -5,7 +5,7 @@
 use model::FastMap;
 use platform::{
     CallFailure, CommitError, ExpectedVersion, PlatformClient, RowWrite, StoreKey, TableName,
-    WriteTurn,
+    WritePermit,
 };
 use tokio::sync::oneshot;
 
@@ -32,7 +32,7 @@
     batcher: KeyBatcher,
     waiting: FastMap<EntryId, oneshot::Sender<KeyResult>>,
     /// A turn that the batcher took. One whose batch turned out empty is kept for the next.
-    turn: Option<WriteTurn>,
+    turn: Option<WritePermit>,
     ticking: bool,
 }
 
@@ -106,17 +106,17 @@
                 self.inner.state.borrow_mut().turn = Some(turn);
                 TurnEnd::Taken
             }
-            Err(CallFailure::OverRate { retry_after }) => TurnEnd::Refused(retry_after),
+            Err(CallFailure::RateLimited { retry_after }) => TurnEnd::Refused(retry_after),
             Err(_) => TurnEnd::Refused(TICK),
         };
         self.feed(|batcher, now| batcher.turn_ended(now, end));
     }
 
-    async fn next_turn(&self) -> Result<WriteTurn, CallFailure> {
+    async fn next_turn(&self) -> Result<WritePermit, CallFailure> {
         let kept = self.inner.state.borrow_mut().turn.take();
         match kept {
             Some(turn) => Ok(turn),
-            None => self.inner.client.write_turn().await,
+            None => self.inner.client.acquire_write_permit().await,
         }
     }
 
@@ -134,7 +134,7 @@
             keys.insert(store_key, key);
         }
         let result = match self.next_turn().await {
-            Ok(turn) => self.inner.client.commit_in(turn, writes).await,
+            Ok(turn) => self.inner.client.commit_with_permit(turn, writes).await,
             Err(failure) => Err(failure.into()),
         };
         let end = match result {
--- a/crates/request-keys/tests/recorder.rs
+++ b/crates/request-keys/tests/recorder.rs
@@ -36,7 +36,7 @@
     let settings = ClientSettings {
         address: stand_in.address(),
         timeout: ms(300),
-        longest_turn_wait: Duration::from_secs(10),
+        max_permit_wait: Duration::from_secs(10),
         read_rate: CallRate::per_second(FAST),
         write_rate: CallRate::per_second(write_rate),
         ..ClientSettings::default()
