--- a/crates/contracts/src/editor.rs
+++ b/crates/contracts/src/editor.rs
@@ -238,7 +238,7 @@
         limit: usize,
     ) -> Result<Vec<(ChangeId, ContractRow)>, EditError> {
         let table = TableName::ContractHistory;
-        let after = StoreKey::of_version(customer, after.0);
+        let after = StoreKey::for_customer_version(customer, after.0);
         let prefix = format!("{customer}/");
         let mut versions = Vec::new();
         for listed in self.client.list_rows(table, &after, limit).await? {
@@ -344,7 +344,7 @@
     ) -> Result<Prepared, EditError> {
         if pending.uncertain {
             let table = TableName::ContractHistory;
-            let key = StoreKey::of_version(&pending.customer, pending.version().0);
+            let key = StoreKey::for_customer_version(&pending.customer, pending.version().0);
             if let Some(found) = self.client.get_row(table, &key).await? {
                 let stored: StoredContract = decode(table, &key, found.value)?;
                 if stored.change == pending.change {
@@ -359,7 +359,7 @@
         &self,
         customer: &CustomerId,
     ) -> Result<Option<(ExpectedVersion, StoredContract)>, EditError> {
-        let (table, key) = (TableName::Contracts, StoreKey::of_customer(customer));
+        let (table, key) = (TableName::Contracts, StoreKey::for_customer(customer));
         let Some(row) = self.client.get_row(table, &key).await? else {
             return Ok(None);
         };
--- a/crates/contracts/src/reader.rs
+++ b/crates/contracts/src/reader.rs
@@ -107,7 +107,7 @@
             rows: Vec::new(),
         };
         while update.head < until {
-            let after = StoreKey::of_number(update.head.0);
+            let after = StoreKey::for_number(update.head.0);
             let table = TableName::ContractLog;
             let page = self.client.list_rows(table, &after, PAGE_ROWS).await?;
             if page.is_empty() {
@@ -133,7 +133,7 @@
     limit: usize,
 ) -> Result<Vec<ContractRow>, PollError> {
     let table = TableName::Contracts;
-    let after = after.map(StoreKey::of_customer).unwrap_or_default();
+    let after = after.map(StoreKey::for_customer).unwrap_or_default();
     let mut rows = Vec::new();
     for listed in client.list_rows(table, &after, limit).await? {
         let stored: StoredContract = decode(table, &listed.key, listed.value)?;
--- a/crates/contracts/src/rows.rs
+++ b/crates/contracts/src/rows.rs
@@ -142,13 +142,13 @@
             expect: head_expect,
             value: serde_json::json!(StoredHead { head: row.head }),
         };
-        let version_key = StoreKey::of_version(customer, row.version.0);
-        let number_key = StoreKey::of_number(row.head.0);
+        let version_key = StoreKey::for_customer_version(customer, row.version.0);
+        let number_key = StoreKey::for_number(row.head.0);
         let absent = ExpectedVersion::Absent;
         vec![
             write(
                 TableName::Contracts,
-                StoreKey::of_customer(customer),
+                StoreKey::for_customer(customer),
                 contract_expect,
             ),
             head,
@@ -160,7 +160,7 @@
 
 /// The key of the one head row.
 pub(crate) fn head_key() -> StoreKey {
-    StoreKey::of_name("head")
+    StoreKey::from_static("head")
 }
 
 /// Reads the content of a row.
--- a/crates/node/src/kept_jobs.rs
+++ b/crates/node/src/kept_jobs.rs
@@ -14,7 +14,7 @@
 
 use jobs::{FenceToken, JobId, KeptRow, KeptState, PoolId};
 use model::{FastMap, FastSet};
-use platform::{CallFailure, RowVersion};
+use platform::{RequestError, RowVersion};
 use platform_adapter::{
     RowCheck, RowWrite, StoreError, StoreTable, StoredRow, Transaction, TransactionOutcome,
 };
@@ -334,7 +334,7 @@
             ..Transaction::default()
         };
         let Some(value) = encode(state, &order) else {
-            return Err(CallFailure::NotBuilt("the job's row".to_owned()).into());
+            return Err(RequestError::InvalidRequest("the job's row".to_owned()).into());
         };
         add_to_transaction(&mut transaction, &order, value);
         transaction.writes.push(RowWrite {
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     wire::{CommitAnswer, ConflictAnswer, ListAnswer, TransactionBody, VmAnswer},
-    CallFailure, CallRate, CommitError, KeyedRow, RateLimiter, ReadError, RowVersion, RowWrite,
+    CallRate, CommitError, KeyedRow, RateLimiter, ReadError, RequestError, RowVersion, RowWrite,
     StoreKey, TableName, TableRow,
 };
 
@@ -128,7 +128,7 @@
         match answer.status {
             StatusCode::OK => Ok(Some(from_json(&answer.body)?)),
             StatusCode::NOT_FOUND => Ok(None),
-            status => Err(wrong_status(status).into()),
+            status => Err(unexpected_status(status).into()),
         }
     }
 
@@ -147,7 +147,7 @@
         let answer = self.read(&path).await?;
         match answer.status {
             StatusCode::OK => Ok(from_json::<ListAnswer>(&answer.body)?.rows),
-            status => Err(wrong_status(status).into()),
+            status => Err(unexpected_status(status).into()),
         }
     }
 
@@ -156,8 +156,8 @@
     ///
     /// # Errors
     ///
-    /// [`CallFailure::RateLimited`] when the wait would be longer than the settings allow.
-    pub async fn acquire_write_permit(&self) -> Result<WritePermit, CallFailure> {
+    /// [`RequestError::RateLimited`] when the wait would be longer than the settings allow.
+    pub async fn acquire_write_permit(&self) -> Result<WritePermit, RequestError> {
         self.wait_for_permit(&self.inner.writes).await?;
         Ok(WritePermit(()))
     }
@@ -183,24 +183,24 @@
         writes: Vec<RowWrite>,
     ) -> Result<Vec<RowVersion>, CommitError> {
         let body = serde_json::to_vec(&TransactionBody { writes: &writes })
-            .map_err(|e| CommitError::NotSent(CallFailure::NotBuilt(e.to_string())))?;
+            .map_err(|e| CommitError::NotSent(RequestError::InvalidRequest(e.to_string())))?;
         let answer = self.call(Method::POST, "/transaction", body).await?;
         match answer.status {
             StatusCode::OK => {
                 let versions = from_json::<CommitAnswer>(&answer.body)?.versions;
                 if versions.len() != writes.len() {
-                    return Err(broken("not one version a write").into());
+                    return Err(broken_answer("not one version a write").into());
                 }
                 Ok(versions)
             }
             StatusCode::CONFLICT => {
                 let conflicts = from_json::<ConflictAnswer>(&answer.body)?.conflicts;
                 if conflicts.is_empty() {
-                    return Err(broken("a conflict that names no row").into());
+                    return Err(broken_answer("a conflict that names no row").into());
                 }
                 Err(CommitError::Conflict(conflicts))
             }
-            status => Err(wrong_status(status).into()),
+            status => Err(unexpected_status(status).into()),
         }
     }
 
@@ -213,7 +213,7 @@
         let answer = self.read("/vms").await?;
         match answer.status {
             StatusCode::OK => Ok(from_json::<VmAnswer>(&answer.body)?.vms),
-            status => Err(wrong_status(status).into()),
+            status => Err(unexpected_status(status).into()),
         }
     }
 
@@ -229,7 +229,7 @@
         if answer.status.is_success() {
             return Ok(());
         }
-        Err(wrong_status(answer.status).into())
+        Err(unexpected_status(answer.status).into())
     }
 
     /// Reads an object; `None` when it is not there.
@@ -242,37 +242,42 @@
         match answer.status {
             StatusCode::OK => Ok(Some(answer.body)),
             StatusCode::NOT_FOUND => Ok(None),
-            status => Err(wrong_status(status).into()),
+            status => Err(unexpected_status(status).into()),
         }
     }
 
-    async fn read(&self, path: &str) -> Result<Answer, CallFailure> {
+    async fn read(&self, path: &str) -> Result<Answer, RequestError> {
         self.wait_for_permit(&self.inner.reads).await?;
         self.call(Method::GET, path, Vec::new()).await
     }
 
-    async fn wait_for_permit(&self, limiter: &RefCell<RateLimiter>) -> Result<(), CallFailure> {
+    async fn wait_for_permit(&self, limiter: &RefCell<RateLimiter>) -> Result<(), RequestError> {
         let now = self.inner.clock.now();
         let max_wait = self.inner.settings.max_permit_wait;
         let permit = limiter.borrow_mut().acquire(now, max_wait);
-        let wait = permit.map_err(|retry_after| CallFailure::RateLimited { retry_after })?;
+        let wait = permit.map_err(|retry_after| RequestError::RateLimited { retry_after })?;
         if !wait.is_zero() {
             actix_rt::time::sleep(wait).await;
         }
         Ok(())
     }
 
-    async fn call(&self, method: Method, path: &str, body: Vec<u8>) -> Result<Answer, CallFailure> {
+    async fn call(
+        &self,
+        method: Method,
+        path: &str,
+        body: Vec<u8>,
+    ) -> Result<Answer, RequestError> {
         let url = format!("http://{}{path}", self.inner.settings.address);
         let request = self
             .inner
             .http
             .request(method, url)
             .insert_header(("content-type", "application/json"));
-        let mut response = request.send_body(body).await.map_err(send_failure)?;
+        let mut response = request.send_body(body).await.map_err(classify_send_error)?;
         let status = response.status();
         let body = response.body().limit(MAX_ANSWER_BYTES);
-        let body = body.await.map_err(body_failure)?.to_vec();
+        let body = body.await.map_err(classify_body_error)?.to_vec();
         Ok(Answer { status, body })
     }
 }
@@ -282,39 +287,39 @@
 /// `Connect(Disconnected)` is what the HTTP library says when the peer closes after the request was written and
 /// before it answered. Taken for a failed connect, a write that took effect would be reported as not sent and its
 /// request started elsewhere too; only the errors of the connect phase proper count as unsent.
-pub fn send_failure(error: SendRequestError) -> CallFailure {
+pub fn classify_send_error(error: SendRequestError) -> RequestError {
     match error {
-        SendRequestError::Url(e) => CallFailure::NotBuilt(e.to_string()),
-        SendRequestError::Http(e) => CallFailure::NotBuilt(e.to_string()),
+        SendRequestError::Url(e) => RequestError::InvalidRequest(e.to_string()),
+        SendRequestError::Http(e) => RequestError::InvalidRequest(e.to_string()),
         SendRequestError::Connect(
             e @ (ConnectError::Resolver(_)
             | ConnectError::NoRecords
             | ConnectError::Timeout
             | ConnectError::Unresolved
             | ConnectError::Io(_)),
-        ) => CallFailure::NoConnection(e.to_string()),
-        SendRequestError::Timeout => CallFailure::TimedOut,
-        e => CallFailure::ConnectionBroke(e.to_string()),
+        ) => RequestError::NoConnection(e.to_string()),
+        SendRequestError::Timeout => RequestError::TimedOut,
+        e => RequestError::ConnectionLost(e.to_string()),
     }
 }
 
 /// Sorts failures of reading an answer's body.
-pub fn body_failure(error: PayloadError) -> CallFailure {
+pub fn classify_body_error(error: PayloadError) -> RequestError {
     match error {
-        PayloadError::Io(e) if e.kind() == std::io::ErrorKind::TimedOut => CallFailure::TimedOut,
-        PayloadError::Overflow => broken("the answer is too large"),
-        e => CallFailure::ConnectionBroke(e.to_string()),
+        PayloadError::Io(e) if e.kind() == std::io::ErrorKind::TimedOut => RequestError::TimedOut,
+        PayloadError::Overflow => broken_answer("the answer is too large"),
+        e => RequestError::ConnectionLost(e.to_string()),
     }
 }
 
-fn from_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, CallFailure> {
-    serde_json::from_slice(body).map_err(|e| broken(&e.to_string()))
+fn from_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, RequestError> {
+    serde_json::from_slice(body).map_err(|e| broken_answer(&e.to_string()))
 }
 
-fn wrong_status(status: StatusCode) -> CallFailure {
-    CallFailure::WrongStatus(status.as_u16())
+fn unexpected_status(status: StatusCode) -> RequestError {
+    RequestError::UnexpectedStatus(status.as_u16())
 }
 
-fn broken(why: &str) -> CallFailure {
-    CallFailure::BrokenAnswer(why.to_owned())
+fn broken_answer(why: &str) -> RequestError {
+    RequestError::BrokenAnswer(why.to_owned())
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -10,8 +10,10 @@
 mod wire;
 
 pub use crate::{
-    client::{body_failure, send_failure, ClientSettings, PlatformClient, WritePermit},
-    error::{CallFailure, CommitError, ReadError},
+    client::{
+        classify_body_error, classify_send_error, ClientSettings, PlatformClient, WritePermit,
+    },
+    error::{CommitError, ReadError, RequestError},
     rate::{CallRate, InvalidRate, RateLimiter},
     rows::{
         ExpectedVersion, InvalidKey, InvalidTable, KeyedRow, RowConflict, RowVersion, RowWrite,
--- a/crates/platform/src/rows.rs
+++ b/crates/platform/src/rows.rs
@@ -89,27 +89,27 @@
     /// # Panics
     ///
     /// Panics when the name is no key, which a test of the naming code would show.
-    pub fn of_name(name: &'static str) -> Self {
+    pub fn from_static(name: &'static str) -> Self {
         name.parse().expect("a fixed name is a valid key")
     }
 
     /// The key of a customer's one row.
-    pub fn of_customer(customer: &CustomerId) -> Self {
+    pub fn for_customer(customer: &CustomerId) -> Self {
         Self(customer.to_string())
     }
 
     /// The key of a customer's row for a number. Padded, so that rows lie in the order of their numbers.
-    pub fn of_version(customer: &CustomerId, number: u64) -> Self {
+    pub fn for_customer_version(customer: &CustomerId, number: u64) -> Self {
         Self(format!("{customer}/{number:020}"))
     }
 
     /// The key of a row for a number alone.
-    pub fn of_number(number: u64) -> Self {
+    pub fn for_number(number: u64) -> Self {
         Self(format!("{number:020}"))
     }
 
     /// The key of a customer's idempotency key.
-    pub fn of_request(customer: &CustomerId, key: &IdempotencyKey) -> Self {
+    pub fn for_idempotency_key(customer: &CustomerId, key: &IdempotencyKey) -> Self {
         Self(format!("{customer}/{key}"))
     }
 
@@ -129,10 +129,10 @@
     type Err = InvalidKey;
 
     fn from_str(s: &str) -> Result<Self, InvalidKey> {
-        let plain = s
+        let valid_chars = s
             .bytes()
             .all(|b| b.is_ascii_alphanumeric() || b"-_.:/".contains(&b));
-        if s.is_empty() || s.len() > MAX_KEY_BYTES || !plain {
+        if s.is_empty() || s.len() > MAX_KEY_BYTES || !valid_chars {
             return Err(InvalidKey(s.chars().take(MAX_KEY_BYTES).collect()));
         }
         Ok(Self(s.to_owned()))
--- a/crates/platform/tests/border.rs
+++ b/crates/platform/tests/border.rs
@@ -8,8 +8,8 @@
 use kernel::SystemClock;
 use model::{EndpointState, VmEntry, VmRole};
 use platform::{
-    CallFailure, CallRate, ClientSettings, CommitError, ExpectedVersion, PlatformClient, ReadError,
-    RowVersion, RowWrite, StoreKey, TableName,
+    CallRate, ClientSettings, CommitError, ExpectedVersion, PlatformClient, ReadError,
+    RequestError, RowVersion, RowWrite, StoreKey, TableName,
 };
 use serde_json::json;
 use stand_ins::platform::{
@@ -135,14 +135,14 @@
 
 /// How a write ends for the caller.
 #[derive(Debug, PartialEq, Eq)]
-enum WriteEnd {
+enum WriteOutcome {
     Committed,
     Conflict,
     NotSent,
     Uncertain,
 }
 
-impl From<Result<Vec<RowVersion>, CommitError>> for WriteEnd {
+impl From<Result<Vec<RowVersion>, CommitError>> for WriteOutcome {
     fn from(result: Result<Vec<RowVersion>, CommitError>) -> Self {
         match result {
             Ok(_) => Self::Committed,
@@ -166,7 +166,7 @@
     };
     use DownMode::{Closed, Unavailable, WritesUnavailable};
     use LossTime::{AfterWrite, BeforeWrite, LandsLater};
-    use WriteEnd::{Committed, Conflict, Uncertain};
+    use WriteOutcome::{Committed, Conflict, Uncertain};
     let lose = |when| FaultSettings::losing(1, when);
     let (down, none) = (FaultSettings::down, FaultSettings::default());
     let cases = [
@@ -188,8 +188,12 @@
                 client.vm_list().await.unwrap();
             }
             stand_in.set_faults(faults.clone());
-            let end = insert(&client, "k").await;
-            assert_eq!(&WriteEnd::from(end), expected, "{name}, warm {warm}");
+            let outcome = insert(&client, "k").await;
+            assert_eq!(
+                &WriteOutcome::from(outcome),
+                expected,
+                "{name}, warm {warm}"
+            );
             if *there {
                 wait_until(name, || stand_in.row("request-keys", "k").is_some()).await;
             } else if *name != "slow" {
@@ -218,14 +222,14 @@
     let limit = Instant::now() + Duration::from_secs(10);
     for _ in 0.. {
         match insert(&client, "during").await {
-            Err(CommitError::NotSent(CallFailure::NoConnection(_))) => break,
+            Err(CommitError::NotSent(RequestError::NoConnection(_))) => break,
             Err(CommitError::Uncertain(_)) => assert!(Instant::now() < limit),
             other => panic!("{other:?}"),
         }
     }
     let read = client.get_row(TableName::RequestKeys, &key("before")).await;
     assert!(
-        matches!(read, Err(ReadError(CallFailure::NoConnection(_)))),
+        matches!(read, Err(ReadError(RequestError::NoConnection(_)))),
         "{read:?}"
     );
 
@@ -251,12 +255,12 @@
         let client = client.clone();
         async move { insert(&client, &format!("k{n}")).await }
     });
-    let ends = futures::future::join_all(calls).await;
+    let outcomes = futures::future::join_all(calls).await;
     let mut committed = 0;
-    for end in ends {
-        match end {
+    for outcome in outcomes {
+        match outcome {
             Ok(_) => committed += 1,
-            Err(CommitError::NotSent(CallFailure::RateLimited { retry_after })) => {
+            Err(CommitError::NotSent(RequestError::RateLimited { retry_after })) => {
                 assert!(retry_after > Duration::from_millis(500));
             }
             other => panic!("{other:?}"),
@@ -275,8 +279,8 @@
         stand_in.set_faults(FaultSettings::losing_part(0.5, 7));
         let mut pattern = Vec::new();
         for n in 0..16 {
-            let end = insert(&client, &format!("k{n}")).await;
-            pattern.push(end.is_ok());
+            let outcome = insert(&client, &format!("k{n}")).await;
+            pattern.push(outcome.is_ok());
         }
         assert_eq!(stand_in.stats().transactions, 16);
         patterns.push(pattern);
@@ -325,7 +329,7 @@
     let answer = http.put(url("faults")).send_json(&faults).await.unwrap();
     assert_eq!(answer.status(), 204);
     let read = client.vm_list().await;
-    assert_eq!(read, Err(ReadError(CallFailure::WrongStatus(503))));
+    assert_eq!(read, Err(ReadError(RequestError::UnexpectedStatus(503))));
 
     let wrong = json!({"dwon": "unavailable"});
     let answer = http.put(url("faults")).send_json(&wrong).await.unwrap();
--- a/crates/request-keys/src/recorder.rs
+++ b/crates/request-keys/src/recorder.rs
@@ -4,7 +4,7 @@
 
 use model::FastMap;
 use platform::{
-    CallFailure, CommitError, ExpectedVersion, PlatformClient, RowWrite, StoreKey, TableName,
+    CommitError, ExpectedVersion, PlatformClient, RequestError, RowWrite, StoreKey, TableName,
     WritePermit,
 };
 use tokio::sync::oneshot;
@@ -106,13 +106,13 @@
                 self.inner.state.borrow_mut().turn = Some(turn);
                 TurnEnd::Taken
             }
-            Err(CallFailure::RateLimited { retry_after }) => TurnEnd::Refused(retry_after),
+            Err(RequestError::RateLimited { retry_after }) => TurnEnd::Refused(retry_after),
             Err(_) => TurnEnd::Refused(TICK),
         };
         self.feed(|batcher, now| batcher.turn_ended(now, end));
     }
 
-    async fn next_turn(&self) -> Result<WritePermit, CallFailure> {
+    async fn next_turn(&self) -> Result<WritePermit, RequestError> {
         let kept = self.inner.state.borrow_mut().turn.take();
         match kept {
             Some(turn) => Ok(turn),
@@ -124,7 +124,7 @@
         let mut keys: FastMap<StoreKey, RequestKey> = FastMap::default();
         let mut writes = Vec::new();
         for (key, record) in records {
-            let store_key = StoreKey::of_request(&key.customer, &key.key);
+            let store_key = StoreKey::for_idempotency_key(&key.customer, &key.key);
             writes.push(RowWrite {
                 table: TableName::RequestKeys,
                 key: store_key.clone(),
@@ -156,7 +156,7 @@
     }
 
     async fn read(&self, id: EntryId, key: RequestKey) {
-        let store_key = StoreKey::of_request(&key.customer, &key.key);
+        let store_key = StoreKey::for_idempotency_key(&key.customer, &key.key);
         let row = self
             .inner
             .client
