--- a/crates/cairnctl/src/check.rs
+++ b/crates/cairnctl/src/check.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use command_line::CommandFault;
+use command_line::CommandError;
 use eyre::{eyre, Report};
 use serde_json::json;
 use settings::SettingsError;
@@ -14,12 +14,12 @@
     role: Option<RoleName>,
     file: &Path,
     form: OutputForm,
-) -> Result<String, CommandFault> {
+) -> Result<String, CommandError> {
     let role = match role {
         Some(role) => check_role(role, file).map(|()| role).map_err(Report::new),
         None => check_any(file),
     };
-    let role = role.map_err(CommandFault::WrongUsage)?;
+    let role = role.map_err(CommandError::UsageError)?;
     let value = json!({ "file": file.display().to_string(), "role": role.to_string() });
     Ok(form.render(&value, |_| {
         format!("{}: good settings of role {role}\n", file.display())
--- a/crates/cairnctl/src/contract.rs
+++ b/crates/cairnctl/src/contract.rs
@@ -3,7 +3,7 @@
 use std::{fs, io, path::Path};
 
 use awc::http::Method;
-use command_line::CommandFault;
+use command_line::CommandError;
 use eyre::{eyre, Report, WrapErr as _};
 use model::{Contract, ContractVersion, CustomerId};
 use serde_json::{json, Map, Value};
@@ -27,7 +27,7 @@
     client: &EntryClient,
     command: ContractCommand,
     form: OutputForm,
-) -> Result<String, CommandFault> {
+) -> Result<String, CommandError> {
     let (customer, change) = match command {
         ContractCommand::Create { file, customer } => {
             let contract = read_contract(&file, &customer)?.whole;
@@ -117,7 +117,7 @@
     client: &EntryClient,
     customer: &CustomerId,
     change: &ContractChange,
-) -> Result<Value, CommandFault> {
+) -> Result<Value, CommandError> {
     let error = match client.call(&change.call(customer)) {
         Ok(value) => return Ok(value),
         Err(error) => error,
@@ -140,13 +140,13 @@
     Err(Report::new(error).wrap_err(context).into())
 }
 
-fn read(client: &EntryClient, path: String) -> Result<Value, CommandFault> {
+fn read(client: &EntryClient, path: String) -> Result<Value, CommandError> {
     let value = client.call(&EntryCall::get(path)).map_err(Report::new)?;
     Ok(value)
 }
 
 /// Reads every page of a list.
-fn read_pages(client: &EntryClient, path: &str, field: &str) -> Result<Value, CommandFault> {
+fn read_pages(client: &EntryClient, path: &str, field: &str) -> Result<Value, CommandError> {
     let mut items = Vec::new();
     let mut after = String::new();
     loop {
@@ -174,21 +174,21 @@
 }
 
 /// Reads and checks a contract before anything is sent.
-fn read_contract(file: &Path, customer: &CustomerId) -> Result<ContractFile, CommandFault> {
+fn read_contract(file: &Path, customer: &CustomerId) -> Result<ContractFile, CommandError> {
     let text = match file.to_str() {
         Some("-") => io::read_to_string(io::stdin()),
         _ => fs::read_to_string(file),
     };
     let text = text
         .wrap_err_with(|| format!("contract {} cannot be read", file.display()))
-        .map_err(CommandFault::WrongUsage)?;
+        .map_err(CommandError::UsageError)?;
     let wrong = || format!("wrong contract in {}", file.display());
     let fields = serde_json::from_str(&text)
         .wrap_err_with(wrong)
-        .map_err(CommandFault::WrongUsage)?;
+        .map_err(CommandError::UsageError)?;
     let contract: Contract = serde_json::from_str(&text)
         .wrap_err_with(wrong)
-        .map_err(CommandFault::WrongUsage)?;
+        .map_err(CommandError::UsageError)?;
     let whole = checked(&contract, customer)?;
     Ok(ContractFile { fields, whole })
 }
@@ -203,7 +203,7 @@
     customer: &CustomerId,
     version: ContractVersion,
     fields: Map<String, Value>,
-) -> Result<Value, CommandFault> {
+) -> Result<Value, CommandError> {
     let mut current = read(client, contract_path(customer))?;
     if current["version"] != version.0 {
         let report = eyre!("version {} is in force", cell(&current["version"]));
@@ -219,10 +219,10 @@
     checked(&contract, customer)
 }
 
-fn checked(contract: &Contract, customer: &CustomerId) -> Result<Value, CommandFault> {
+fn checked(contract: &Contract, customer: &CustomerId) -> Result<Value, CommandError> {
     contract
         .check(customer)
-        .map_err(|error| CommandFault::WrongUsage(Report::new(error)))?;
+        .map_err(|error| CommandError::UsageError(Report::new(error)))?;
     let whole = serde_json::to_value(contract).map_err(Report::new)?;
     Ok(whole)
 }
--- a/crates/cairnctl/src/demonstration.rs
+++ b/crates/cairnctl/src/demonstration.rs
@@ -1,6 +1,6 @@
 //! `cairnctl demo`.
 
-use command_line::CommandFault;
+use command_line::CommandError;
 use demo::FleetSettings;
 use eyre::{eyre, Report};
 use serde_json::Value;
@@ -8,7 +8,7 @@
 use crate::render::OutputForm;
 
 /// Runs the demonstration and gives its report.
-pub(crate) fn run(form: OutputForm) -> Result<String, CommandFault> {
+pub(crate) fn run(form: OutputForm) -> Result<String, CommandError> {
     let system = actix_rt::System::new();
     let report = system.block_on(demo::run(FleetSettings::default()))?;
     if !report.is_complete() {
--- a/crates/cairnctl/src/explain.rs
+++ b/crates/cairnctl/src/explain.rs
@@ -1,6 +1,6 @@
 //! `cairnctl explain`.
 
-use command_line::CommandFault;
+use command_line::CommandError;
 use eyre::{eyre, Report};
 use model::SubmissionId;
 use serde_json::Value;
@@ -17,14 +17,14 @@
     client: &EntryClient,
     options: &ExplainOptions,
     form: OutputForm,
-) -> Result<String, CommandFault> {
+) -> Result<String, CommandError> {
     if options.logs.is_empty() {
-        let id = submission(options).map_err(CommandFault::WrongUsage)?;
+        let id = submission(options).map_err(CommandError::UsageError)?;
         let call = EntryCall::get(format!("/v1/explain/{id}"));
         let value = client.call(&call).map_err(Report::new)?;
         return Ok(form.render(&value, report_text));
     }
-    let question = log_question(options).map_err(CommandFault::WrongUsage)?;
+    let question = log_question(options).map_err(CommandError::UsageError)?;
     story::run(&options.logs, &question, form)
 }
 
--- a/crates/cairnctl/src/load_run.rs
+++ b/crates/cairnctl/src/load_run.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use command_line::CommandFault;
+use command_line::CommandError;
 use eyre::{eyre, Report, Result};
 use indicatif::{ProgressBar, ProgressStyle};
 use load::{
@@ -16,8 +16,8 @@
     entries: Vec<SocketAddr>,
     options: &LoadOptions,
     form: OutputForm,
-) -> Result<String, CommandFault> {
-    let settings = load_settings(options).map_err(CommandFault::WrongUsage)?;
+) -> Result<String, CommandError> {
+    let settings = load_settings(options).map_err(CommandError::UsageError)?;
     let targets = load_targets(entries, options);
     let bar = progress_bar();
     let show = |done, all| {
@@ -30,7 +30,7 @@
     if let Some(path) = &options.report {
         draw_curves(path, &curves(&targets, &calls)).map_err(Report::new)?;
     }
-    render(&report, form).map_err(CommandFault::from)
+    render(&report, form).map_err(CommandError::from)
 }
 
 fn load_settings(options: &LoadOptions) -> Result<LoadSettings> {
--- a/crates/cairnctl/src/main.rs
+++ b/crates/cairnctl/src/main.rs
@@ -14,7 +14,7 @@
 
 use std::process::ExitCode;
 
-use command_line::{print_text, CommandFault};
+use command_line::{print_text, CommandError};
 
 use crate::{
     client::EntryClient,
@@ -30,10 +30,10 @@
         Err(code) => return code,
     };
     let verbose = options.verbose;
-    command_line::finish(NAME, verbose, run(options))
+    command_line::report_exit_status(NAME, verbose, run(options))
 }
 
-fn run(options: CtlOptions) -> Result<(), CommandFault> {
+fn run(options: CtlOptions) -> Result<(), CommandError> {
     let form = OutputForm::from_json_flag(options.json);
     let mut entries = options.entry;
     if entries.is_empty() {
@@ -42,7 +42,7 @@
     let several = matches!(options.command, CtlCommand::Load(_));
     if entries.len() > 1 && !several {
         let fault = eyre::eyre!("only load takes several entries");
-        return Err(CommandFault::WrongUsage(fault));
+        return Err(CommandError::UsageError(fault));
     }
     let client = EntryClient::new(entries[0]);
     let text = match options.command {
--- a/crates/cairnctl/src/stand_in.rs
+++ b/crates/cairnctl/src/stand_in.rs
@@ -2,7 +2,7 @@
 
 use std::{fs, net::SocketAddr, path::Path, time::Duration};
 
-use command_line::{print_text, CommandFault};
+use command_line::{print_text, CommandError};
 use eyre::{eyre, Result, WrapErr as _};
 use kernel::StopSignals;
 use model::VmEntry;
@@ -14,10 +14,10 @@
 use crate::options::StandInCommand;
 
 /// Runs a stand-in until a signal ends it. Says first where it listens.
-pub(crate) fn run(command: &StandInCommand) -> Result<String, CommandFault> {
+pub(crate) fn run(command: &StandInCommand) -> Result<String, CommandError> {
     match command {
         StandInCommand::Platform { listen, vms } => {
-            let vms = read_vms(vms).map_err(CommandFault::WrongUsage)?;
+            let vms = read_vms(vms).map_err(CommandError::UsageError)?;
             actix_rt::System::new().block_on(run_platform(*listen, vms))?;
         }
         StandInCommand::Endpoint {
@@ -34,7 +34,7 @@
                 run_time: Duration::from_millis(*run_ms),
                 ..EndpointSettings::default()
             };
-            let list = numbered(&settings, *count).map_err(CommandFault::WrongUsage)?;
+            let list = numbered(&settings, *count).map_err(CommandError::UsageError)?;
             actix_rt::System::new().block_on(run_endpoints(list))?;
         }
     }
--- a/crates/cairnctl/src/status.rs
+++ b/crates/cairnctl/src/status.rs
@@ -1,6 +1,6 @@
 //! `cairnctl status`.
 
-use command_line::CommandFault;
+use command_line::CommandError;
 use eyre::Report;
 use serde_json::Value;
 
@@ -13,7 +13,7 @@
 const SCREEN_LINES: usize = 40;
 
 /// Asks for the state of the entry and gives the output.
-pub(crate) fn run(client: &EntryClient, form: OutputForm) -> Result<String, CommandFault> {
+pub(crate) fn run(client: &EntryClient, form: OutputForm) -> Result<String, CommandError> {
     let call = EntryCall::get("/v1/status".to_owned());
     let value = client.call(&call).map_err(Report::new)?;
     Ok(form.render(&value, status_text))
--- a/crates/cairnctl/src/story.rs
+++ b/crates/cairnctl/src/story.rs
@@ -2,7 +2,7 @@
 
 use std::{fs, path::PathBuf};
 
-use command_line::CommandFault;
+use command_line::CommandError;
 use eyre::{eyre, WrapErr as _};
 use serde_json::{json, Value};
 
@@ -72,7 +72,7 @@
     files: &[PathBuf],
     question: &LogQuestion,
     form: OutputForm,
-) -> Result<String, CommandFault> {
+) -> Result<String, CommandError> {
     let lines = read_all(files)?;
     let found = match question {
         LogQuestion::Story(job) => story(&lines, job)?,
@@ -89,13 +89,13 @@
     Ok(form.render(&value, story_text))
 }
 
-fn read_all(files: &[PathBuf]) -> Result<Vec<LogLine>, CommandFault> {
+fn read_all(files: &[PathBuf]) -> Result<Vec<LogLine>, CommandError> {
     let mut lines = Vec::new();
     for file in files {
         let text = fs::read_to_string(file);
         let text = text.wrap_err_with(|| format!("cannot read {}", file.display()));
         let name = file.file_stem().unwrap_or_default().to_string_lossy();
-        for line in text.map_err(CommandFault::WrongUsage)?.lines() {
+        for line in text.map_err(CommandError::UsageError)?.lines() {
             lines.extend(read_line(&name, line));
         }
     }
@@ -113,10 +113,10 @@
     Some(LogLine { node, at, value })
 }
 
-fn story<'a>(lines: &'a [LogLine], job: &str) -> Result<Vec<&'a LogLine>, CommandFault> {
+fn story<'a>(lines: &'a [LogLine], job: &str) -> Result<Vec<&'a LogLine>, CommandError> {
     let own: Vec<&LogLine> = lines.iter().filter(|line| line.is_of(job)).collect();
     let (Some(first), Some(last)) = (own.first(), own.last()) else {
-        return Err(CommandFault::Failure(eyre!(
+        return Err(CommandError::Failure(eyre!(
             "no line of job {job} in these logs"
         )));
     };
--- a/crates/cairnpaddle/src/main.rs
+++ b/crates/cairnpaddle/src/main.rs
@@ -4,7 +4,7 @@
 
 use std::process::ExitCode;
 
-use command_line::CommandFault;
+use command_line::CommandError;
 
 use crate::options::{process_options, RoleCommand};
 
@@ -15,10 +15,10 @@
         Ok(options) => options,
         Err(code) => return code,
     };
-    command_line::finish(NAME, options.verbose, run(&options.role))
+    command_line::report_exit_status(NAME, options.verbose, run(&options.role))
 }
 
-fn run(role: &RoleCommand) -> Result<(), CommandFault> {
+fn run(role: &RoleCommand) -> Result<(), CommandError> {
     match role {
         RoleCommand::Entry { settings } => {
             let settings = settings::load_entry(settings).map_err(wrong_settings)?;
@@ -30,7 +30,7 @@
         }
         RoleCommand::Node { settings } => {
             let settings = settings::load_node(settings).map_err(wrong_settings)?;
-            node::run(settings).map_err(CommandFault::Failure)
+            node::run(settings).map_err(CommandError::Failure)
         }
     }
 }
@@ -38,13 +38,13 @@
 fn with_logs(
     settings: &settings::LogSettings,
     run: impl FnOnce() -> eyre::Result<()>,
-) -> Result<(), CommandFault> {
+) -> Result<(), CommandError> {
     let control = telemetry::init_logs(settings).map_err(eyre::Report::new)?;
     let result = run();
     control.flush();
-    result.map_err(CommandFault::Failure)
+    result.map_err(CommandError::Failure)
 }
 
-fn wrong_settings(error: settings::SettingsError) -> CommandFault {
-    CommandFault::WrongUsage(eyre::Report::new(error).wrap_err("wrong settings"))
+fn wrong_settings(error: settings::SettingsError) -> CommandError {
+    CommandError::UsageError(eyre::Report::new(error).wrap_err("wrong settings"))
 }
--- a/crates/command-line/src/exit.rs
+++ b/crates/command-line/src/exit.rs
@@ -16,7 +16,7 @@
     /// It could not: a failure at run time.
     Failure = 1,
     /// It was asked wrongly: the command line or the settings.
-    WrongUsage = 2,
+    UsageError = 2,
 }
 
 impl From<ExitStatus> for ExitCode {
@@ -27,14 +27,14 @@
 
 /// Why a command did not do what was asked.
 #[derive(Debug)]
-pub enum CommandFault {
+pub enum CommandError {
     /// A failure at run time.
     Failure(Report),
     /// Wrong arguments or settings.
-    WrongUsage(Report),
+    UsageError(Report),
 }
 
-impl From<Report> for CommandFault {
+impl From<Report> for CommandError {
     fn from(report: Report) -> Self {
         Self::Failure(report)
     }
@@ -53,8 +53,8 @@
     match failure {
         ParseFailure::Stderr(message) => {
             let message = message.monochrome(true);
-            eprintln!("{name}: {}", on_one_line(&message));
-            Err(ExitStatus::WrongUsage.into())
+            eprintln!("{name}: {}", single_line(&message));
+            Err(ExitStatus::UsageError.into())
         }
         help @ (ParseFailure::Stdout(..) | ParseFailure::Completion(_)) => {
             help.print_message(HELP_WIDTH);
@@ -65,19 +65,19 @@
 
 /// Says on standard error what went wrong, in one line with its cause, and gives the exit code. With `verbose` the
 /// whole report follows.
-pub fn finish(name: &str, verbose: bool, result: Result<(), CommandFault>) -> ExitCode {
+pub fn report_exit_status(name: &str, verbose: bool, result: Result<(), CommandError>) -> ExitCode {
     let (status, report) = match result {
         Ok(()) => return ExitStatus::Success.into(),
-        Err(CommandFault::Failure(report)) => (ExitStatus::Failure, report),
-        Err(CommandFault::WrongUsage(report)) => (ExitStatus::WrongUsage, report),
+        Err(CommandError::Failure(report)) => (ExitStatus::Failure, report),
+        Err(CommandError::UsageError(report)) => (ExitStatus::UsageError, report),
     };
-    eprintln!("{name}: {}", on_one_line(&format!("{report:#}")));
+    eprintln!("{name}: {}", single_line(&format!("{report:#}")));
     if verbose {
         eprintln!("\n{report:?}");
     }
     status.into()
 }
 
-fn on_one_line(text: &str) -> String {
+fn single_line(text: &str) -> String {
     text.split_whitespace().collect::<Vec<_>>().join(" ")
 }
--- a/crates/command-line/src/lib.rs
+++ b/crates/command-line/src/lib.rs
@@ -4,6 +4,6 @@
 mod output;
 
 pub use crate::{
-    exit::{finish, parse, CommandFault, ExitStatus},
+    exit::{parse, report_exit_status, CommandError, ExitStatus},
     output::print_text,
 };
