--- a/crates/endpoint-client/src/read.rs
+++ b/crates/endpoint-client/src/read.rs
@@ -17,14 +17,14 @@
 const TASK_STATUS: HeaderName = HeaderName::from_static("task-status");
 
 /// What the head of an answer says.
-enum AnswerHead {
+enum ResponseHead {
     Done,
     Failed,
     NotRun(RetryReason),
 }
 
 /// Reads the answer to `attempt`.
-pub(crate) async fn read_answer<S, E>(
+pub(crate) async fn read_response<S, E>(
     response: ClientResponse<S>,
     attempt: AttemptId,
 ) -> Result<AttemptEnd, CallError>
@@ -34,17 +34,17 @@
     E: AsRef<[u8]>,
 {
     match read_head(&response, attempt)? {
-        AnswerHead::Done => {
-            let size = read_size(&response)?;
+        ResponseHead::Done => {
+            let size = read_content_length(&response)?;
             let payload = Payload::from(read_body(response, size).await?);
             Ok(AttemptEnd::Done(TaskResult { payload }))
         }
-        AnswerHead::Failed => Ok(AttemptEnd::Failed),
-        AnswerHead::NotRun(reason) => Ok(AttemptEnd::NotRun(reason)),
+        ResponseHead::Failed => Ok(AttemptEnd::Failed),
+        ResponseHead::NotRun(reason) => Ok(AttemptEnd::NotRun(reason)),
     }
 }
 
-fn read_head<S>(response: &ClientResponse<S>, attempt: AttemptId) -> Result<AnswerHead, CallError> {
+fn read_head<S>(response: &ClientResponse<S>, attempt: AttemptId) -> Result<ResponseHead, CallError> {
     let text = |name| response.headers().get(name)?.to_str().ok();
     let echoed = text(ATTEMPT_ID).and_then(|text| text.parse().ok());
     // An answer that belongs to another attempt says nothing about this one, not even "busy".
@@ -52,13 +52,13 @@
         return Err(CallError::BrokenAnswer("another attempt"));
     }
     match (response.status(), text(TASK_STATUS)) {
-        (StatusCode::OK, Some("done")) => Ok(AnswerHead::Done),
-        (StatusCode::OK, Some("failed")) => Ok(AnswerHead::Failed),
+        (StatusCode::OK, Some("done")) => Ok(ResponseHead::Done),
+        (StatusCode::OK, Some("failed")) => Ok(ResponseHead::Failed),
         (StatusCode::SERVICE_UNAVAILABLE, Some("busy")) => {
-            Ok(AnswerHead::NotRun(RetryReason::EndpointBusy))
+            Ok(ResponseHead::NotRun(RetryReason::EndpointBusy))
         }
         (StatusCode::SERVICE_UNAVAILABLE, Some("leaving")) => {
-            Ok(AnswerHead::NotRun(RetryReason::EndpointLeaving))
+            Ok(ResponseHead::NotRun(RetryReason::EndpointLeaving))
         }
         _ => Err(CallError::BrokenAnswer("unknown status")),
     }
@@ -66,7 +66,7 @@
 
 /// The size that the answer names. Without one a cut answer could not be told from a whole one, because the HTTP
 /// library ends a body quietly when its connection closes, so an answer must name its size.
-fn read_size<S>(response: &ClientResponse<S>) -> Result<usize, CallError> {
+fn read_content_length<S>(response: &ClientResponse<S>) -> Result<usize, CallError> {
     if response.headers().contains_key(TRANSFER_ENCODING) {
         return Err(CallError::BrokenAnswer("size not named"));
     }
--- a/crates/endpoint-client/src/send.rs
+++ b/crates/endpoint-client/src/send.rs
@@ -12,7 +12,7 @@
     client: &Client,
     endpoint: &EndpointAddress,
     offer: &TaskOffer,
-    limit: Duration,
+    timeout: Duration,
 ) -> Result<AttemptEnd, CallError> {
     let response = client
         .post(format!("http://{}/v1/tasks", endpoint.address))
@@ -22,8 +22,8 @@
         .insert_header(("deadline-ms", offer.time_left.as_millis().to_string()))
         // Beside the limit around the whole call, because this one is looked at before anything is sent: after a
         // freeze of this process past the deadline, a call still waiting for its connection ends unsent.
-        .timeout(limit)
+        .timeout(timeout)
         .send_body(offer.payload.0.to_vec())
         .await?;
-    read::read_answer(response, offer.attempt).await
+    read::read_response(response, offer.attempt).await
 }
