--- a/crates/endpoint-client/src/read.rs
+++ b/crates/endpoint-client/src/read.rs
@@ -44,7 +44,10 @@
     }
 }
 
-fn read_head<S>(response: &ClientResponse<S>, attempt: AttemptId) -> Result<ResponseHead, CallError> {
+fn read_head<S>(
+    response: &ClientResponse<S>,
+    attempt: AttemptId,
+) -> Result<ResponseHead, CallError> {
     let text = |name| response.headers().get(name)?.to_str().ok();
     let echoed = text(ATTEMPT_ID).and_then(|text| text.parse().ok());
     // An answer that belongs to another attempt says nothing about this one, not even "busy".
