--- a/crates/kernel/src/accept.rs
+++ b/crates/kernel/src/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting connections.
+//! Accepts connections and serves each in its own task.
 
 use std::{future::Future, time::Duration};
 
@@ -6,11 +6,11 @@
 
 use crate::TaskSet;
 
-/// How long to wait after a failed accept, which comes from a lack of file descriptors.
+/// The delay before the next accept after one failed, which happens when the process is out of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Serves each accepted connection in a task of its own, for as long as the future is polled. When it is dropped, the
-/// connections end too.
+/// Accepts connections and serves each in its own task for as long as the returned future is polled. Dropping the
+/// future aborts the connections' tasks too.
 pub async fn serve_connections<F>(listener: TcpListener, serve: impl Fn(TcpStream) -> F)
 where
     F: Future<Output = ()> + 'static,
@@ -21,7 +21,8 @@
             actix_rt::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        // Messages are small and answers are waited for; without this the kernel holds them back for up to 40 ms.
+        // Messages are small and their senders wait for the answer. Without TCP_NODELAY the operating system can delay
+        // them by up to 40 ms.
         let _best_effort = stream.set_nodelay(true);
         connections.add(actix_rt::spawn(serve(stream)));
     }
--- a/crates/kernel/src/clock.rs
+++ b/crates/kernel/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock, passed in wherever time decides something.
+//! The clock, which is passed in wherever a decision depends on time.
 
 use std::{
     sync::{
@@ -8,13 +8,13 @@
     time::{Duration, Instant},
 };
 
-/// A source of monotonic time. Wall clocks decide nothing: they jump, and they differ between VMs.
+/// A source of monotonic time. Decisions never depend on wall clocks, which jump and differ between VMs.
 pub trait ClockSource: Send + Sync {
-    /// The time now.
+    /// The current time.
     fn now(&self) -> Instant;
 }
 
-/// The clock of the operating system.
+/// The monotonic clock of the operating system.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SystemClock;
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// A clock that a test moves by hand. Clones share the same time.
+/// A clock that moves only when a test advances it. Clones share the same time.
 #[derive(Clone, Debug)]
 pub struct ManualClock {
     start: Instant,
@@ -41,7 +41,7 @@
 }
 
 impl ManualClock {
-    /// Moves the time forward.
+    /// Moves the time forward by the given duration, in whole microseconds.
     pub fn advance(&self, by: Duration) {
         let micros = u64::try_from(by.as_micros()).unwrap_or(u64::MAX);
         self.elapsed_micros.fetch_add(micros, Ordering::Relaxed);
--- a/crates/kernel/src/directory.rs
+++ b/crates/kernel/src/directory.rs
@@ -1,4 +1,4 @@
-//! The directory in which services find each other by name.
+//! A directory in which services find each other by name.
 
 use std::{
     any::Any,
@@ -20,35 +20,35 @@
     }
 }
 
-/// What can go wrong in the kernel.
+/// Why a service could not be found in a [`ServiceDirectory`].
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DirectoryError {
-    /// No service has that name.
+    /// No service is registered under that name.
     #[error("no service is named {0}")]
     NoSuchService(ServiceName),
-    /// The service is there but is of another type.
+    /// The service registered under that name is an actor of another type.
     #[error("service {0} is of another type")]
     WrongType(ServiceName),
 }
 
-/// Addresses of actors by name. One directory a process, so that a demo or test can hold several processes' parts
-/// side by side; actix's own registry is one a thread and by type only.
+/// Addresses of actors by name. Each process has one directory, so that a demo or test can run the services of several
+/// processes side by side. Actix's own registry has one instance per thread and finds actors by type only.
 #[derive(Clone, Default)]
 pub struct ServiceDirectory {
     services: Arc<Mutex<HashMap<ServiceName, Box<dyn Any + Send>>>>,
 }
 
 impl ServiceDirectory {
-    /// Puts a service under its name; a later one of the same name takes its place.
+    /// Registers a service under a name and replaces any service registered under it before.
     pub fn register<A: Actor>(&self, name: ServiceName, addr: Addr<A>) {
         self.lock().insert(name, Box::new(addr));
     }
 
-    /// Finds a service.
+    /// Returns the address of the service registered under a name.
     ///
     /// # Errors
     ///
-    /// Says whether the name is not there or belongs to a service of another type.
+    /// [`DirectoryError`] if no service has that name or the service is of another type.
     pub fn find<A: Actor>(&self, name: ServiceName) -> Result<Addr<A>, DirectoryError> {
         let services = self.lock();
         let service = services
@@ -61,7 +61,8 @@
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<ServiceName, Box<dyn Any + Send>>> {
-        // A panic while the lock is held cannot leave the map half changed: each use is one call on it.
+        // A poisoned lock is safe to use: each critical section is one call on the map, so that a panic cannot leave
+        // the map half changed.
         self.services
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -1,7 +1,7 @@
-//! Services by name, the life cycle of a process, and the clock interface.
+//! A directory of services by name, helpers for starting and stopping a process, and the clock interface.
 //!
-//! The kernel knows no service of the product. A part registers its actor's address under a name; other parts find
-//! it by that name and the message type they want to send.
+//! This crate depends on no service of the product. A component registers its actor's address under a name; other
+//! components find it by that name and the actor's type.
 
 mod accept;
 mod clock;
--- a/crates/kernel/src/signals.rs
+++ b/crates/kernel/src/signals.rs
@@ -1,25 +1,25 @@
-//! The life cycle of a process: a first signal begins the stop, a second one ends it.
+//! Stop signals of a process: the first begins a graceful shutdown, the second cuts it short.
 
 use std::{future::Future, io};
 
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// SIGTERM and SIGINT, caught from the moment that this exists.
+/// Handlers for SIGTERM and SIGINT.
 ///
-/// Failure: a signal comes while the process is still starting. Symptom without this: the process is ended by the
-/// signal itself, without a graceful shutdown, although its listeners may have taken work. Install it before anything
-/// else; a signal that comes before [`Self::wait`] is kept for it.
+/// Install them before anything else. Without handlers, a signal that arrives while the process is still starting ends
+/// it without a graceful shutdown, although its listeners may have accepted work. A signal that arrives before
+/// [`Self::wait`] is kept for that call.
 pub struct StopSignals {
     terminate: Signal,
     interrupt: Signal,
 }
 
 impl StopSignals {
-    /// Installs the handlers. Has to run within an actix system.
+    /// Installs the handlers. Must be called within an actix system.
     ///
     /// # Errors
     ///
-    /// The handlers cannot be set up.
+    /// An I/O error if the handlers cannot be installed.
     pub fn install() -> io::Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
@@ -35,10 +35,10 @@
         }
     }
 
-    /// Waits for the stop to end by itself, or for another signal: `None`.
-    pub async fn run_until_signal<T>(&mut self, stop: impl Future<Output = T>) -> Option<T> {
+    /// Runs the shutdown to its end and returns its output, or returns `None` if another signal arrives first.
+    pub async fn run_until_signal<T>(&mut self, shutdown: impl Future<Output = T>) -> Option<T> {
         tokio::select! {
-            done = stop => Some(done),
+            output = shutdown => Some(output),
             () = self.wait() => None,
         }
     }
--- a/crates/kernel/tests/directory.rs
+++ b/crates/kernel/tests/directory.rs
@@ -1,4 +1,4 @@
-//! Services found by name.
+//! Tests of finding services by name.
 
 use actix::{Actor, Context};
 use kernel::{DirectoryError, ServiceDirectory, ServiceName};
@@ -26,7 +26,7 @@
     );
     let first = ControlActor.start();
     directory.register(CONTROL, first.clone());
-    // Clones share the table: a part that got its clone earlier sees what was registered later.
+    // Clones share one map, so a clone made earlier finds services that are registered later.
     let found = directory.clone().find::<ControlActor>(CONTROL);
     assert_eq!(found.ok(), Some(first));
     assert_eq!(
--- a/crates/model/src/bytes.rs
+++ b/crates/model/src/bytes.rs
@@ -1,4 +1,4 @@
-//! Sizes in bytes and payloads.
+//! Sizes in bytes, task payloads, and how payloads are split into messages.
 
 use std::{fmt, str::FromStr, sync::Arc};
 
@@ -6,7 +6,7 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// The largest payload or answer of one task, in bytes.
+/// The largest payload or result of one task, in bytes.
 pub const MAX_PAYLOAD_BYTES: ByteSize = ByteSize(64 * 1024);
 
 /// A size in bytes.
@@ -41,13 +41,13 @@
     }
 }
 
-/// The payloads that one message between processes carries, in bytes. All messages of a connection wait in one line, so
-/// a large one keeps the other side from starting what came first, and one over the reader's limit fails as a whole. A
-/// message a MiB keeps the messages of a batch few, and a batch of usual tasks is one message.
+/// The most payload bytes that one message between processes carries. The messages of a connection share one queue, so
+/// a large message keeps the receiver from starting the tasks that it read first, and a message above the receiver's
+/// limit fails as a whole. With 1 MiB per message a batch needs few messages, and a batch of usual tasks needs one.
 pub const MAX_MESSAGE_PAYLOAD_BYTES: ByteSize = ByteSize(1024 * 1024);
 
-/// Splits what one message would carry, in order, so that the payloads of each part stay within
-/// [`MAX_MESSAGE_PAYLOAD_BYTES`] or are a single one. Nothing gives no part.
+/// Splits items into messages and keeps their order. The payloads of each message stay within
+/// [`MAX_MESSAGE_PAYLOAD_BYTES`]; a larger payload gets a message of its own. No items give no message.
 pub fn split_into_messages<T>(items: Vec<T>, size: impl Fn(&T) -> ByteSize) -> Vec<Vec<T>> {
     let mut messages = Vec::new();
     let mut message = Vec::new();
@@ -67,7 +67,7 @@
     messages
 }
 
-/// The opaque bytes of a task or its answer. In JSON it is a base64 string.
+/// The opaque bytes of a task or its result, written in JSON as a base64 string.
 #[derive(Clone, PartialEq, Eq, Hash, Default)]
 pub struct Payload(pub Arc<[u8]>);
 
@@ -91,7 +91,7 @@
 }
 
 impl fmt::Debug for Payload {
-    // Payloads carry people's data, so logs and test output show only the size.
+    // Payloads contain personal data, so logs and test output show only the size.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "Payload({})", self.size())
     }
--- a/crates/model/src/contract.rs
+++ b/crates/model/src/contract.rs
@@ -1,4 +1,4 @@
-//! The contract of a customer: every limit on its work follows from here.
+//! The contract of a customer, from which every limit on the customer's work is derived.
 
 use std::{fmt, str::FromStr, time::Duration};
 
@@ -8,13 +8,13 @@
 
 use crate::{ByteSize, CustomerId, MAX_PAYLOAD_BYTES};
 
-/// The most tasks in one job that any contract may allow. The largest jobs of the target have 370.
+/// The most tasks in one job that any contract may allow. The largest jobs of the target workload have 370.
 pub const MAX_TASKS_PER_JOB: u32 = 1000;
 
-/// The longest answer time that a contract may name, in milliseconds.
+/// The longest `answer_within_ms` that a contract may set, in milliseconds.
 const MAX_ANSWER_WITHIN_MS: u64 = 600_000;
 
-/// Counts the changes of one contract, from 1. It only goes up, also across retirement.
+/// The number of changes of one contract, from 1. It never decreases, also when the contract is retired.
 #[derive(
     Clone,
     Copy,
@@ -46,18 +46,18 @@
     }
 }
 
-/// Whether a contract still covers work.
+/// Whether work is accepted under a contract.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum ContractState {
     /// Work is accepted.
     #[default]
     Active,
-    /// New work is refused; accepted work still gets its answer.
+    /// New work is refused; work that was accepted before still gets its answer.
     Retired,
 }
 
-/// What may be refused first when there is too much work.
+/// Which work of a customer may be refused under overload.
 #[derive(
     Clone,
     Copy,
@@ -74,16 +74,17 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum RefusableWork {
-    /// Nothing is refused for the sake of other customers, only work that cannot meet its own deadline.
+    /// No work is refused in favour of other customers, only work that cannot meet its own deadline.
     Nothing,
-    /// Jobs may be refused under overload, single requests not.
+    /// Jobs may be refused under overload, single requests may not.
     #[default]
     Jobs,
     /// Jobs and requests may be refused under overload.
     Everything,
 }
 
-/// The weight of a customer in fair queueing. Twice the weight gets twice the slot time under saturation.
+/// The weight of a customer in fair queueing. Under saturation, a customer with twice the weight gets twice the slot
+/// time.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema,
 )]
@@ -110,29 +111,29 @@
     }
 }
 
-/// The contract of one customer, as operators write it and as the platform's table keeps it.
+/// The contract of one customer, in the form that operators write and the platform's table stores.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Contract {
-    /// Whether the contract still covers work.
+    /// Whether work is accepted under the contract.
     pub state: ContractState,
     /// How many tasks of the customer may run at once, over all data centres.
     pub concurrency: u32,
-    /// The time within which an answer is due when the caller names no deadline, and the longest deadline that a
-    /// caller may name, in milliseconds.
+    /// The deadline of a submission that sets none, and the longest deadline that a caller may set, in
+    /// milliseconds.
     pub answer_within_ms: u64,
     /// The most tasks in one job.
     pub max_tasks: u32,
     /// The largest payload of one task, in bytes.
     pub max_payload_bytes: ByteSize,
-    /// What may be refused first under overload.
+    /// Which work may be refused under overload.
     pub may_refuse: RefusableWork,
     /// The weight in fair queueing.
     pub share: CustomerShare,
-    /// Placements after a definite not-run, as a percentage of first placements.
+    /// The retry budget: retries of tasks that definitely did not run, as a percentage of first placements.
     pub retry_percent: u32,
-    /// Whether a task that is told to queue may go to a free slot elsewhere, which costs messages and gains response
-    /// time.
+    /// Whether a task that a dispatcher would queue may move to a free slot of another dispatcher, which costs
+    /// messages and improves the response time.
     pub move_queued: bool,
 }
 
@@ -153,18 +154,18 @@
 }
 
 impl Contract {
-    /// The answer time as a duration.
+    /// [`Self::answer_within_ms`] as a duration.
     pub fn answer_within(&self) -> Duration {
         Duration::from_millis(self.answer_within_ms)
     }
 
-    /// Checks the ranges that the JSON form cannot.
+    /// Checks that every field is within its range, which deserialisation does not check.
     ///
     /// # Errors
     ///
-    /// Names the first field that is out of range.
+    /// [`InvalidContract`] with the first field that is out of range.
     pub fn check(&self, customer: &CustomerId) -> Result<(), InvalidContract> {
-        let wrong = |field, rule| {
+        let violation = |field, rule| {
             Err(InvalidContract {
                 customer: customer.clone(),
                 field,
@@ -172,22 +173,22 @@
             })
         };
         if self.concurrency == 0 || self.concurrency > 1_000_000 {
-            return wrong("concurrency", "must be from 1 to 1000000");
+            return violation("concurrency", "must be from 1 to 1000000");
         }
         if self.answer_within_ms == 0 || self.answer_within_ms > MAX_ANSWER_WITHIN_MS {
-            return wrong("answer_within_ms", "must be from 1 to 600000");
+            return violation("answer_within_ms", "must be from 1 to 600000");
         }
         if self.max_tasks == 0 || self.max_tasks > MAX_TASKS_PER_JOB {
-            return wrong("max_tasks", "must be from 1 to 1000");
+            return violation("max_tasks", "must be from 1 to 1000");
         }
         if self.max_payload_bytes > MAX_PAYLOAD_BYTES {
-            return wrong("max_payload_bytes", "must be at most 65536");
+            return violation("max_payload_bytes", "must be at most 65536");
         }
         if self.share.0 == 0 || self.share.0 > 1000 {
-            return wrong("share", "must be from 1 to 1000");
+            return violation("share", "must be from 1 to 1000");
         }
         if self.retry_percent > 100 {
-            return wrong("retry_percent", "must be at most 100");
+            return violation("retry_percent", "must be at most 100");
         }
         Ok(())
     }
@@ -197,10 +198,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("contract of {customer}: {field} {rule}")]
 pub struct InvalidContract {
-    /// Whose contract.
+    /// The customer of the contract.
     pub customer: CustomerId,
-    /// The field at fault.
+    /// The name of the field that is out of range.
     pub field: &'static str,
-    /// What it must be.
+    /// The rule that the field violates.
     pub rule: &'static str,
 }
--- a/crates/model/src/dispatch.rs
+++ b/crates/model/src/dispatch.rs
@@ -1,11 +1,11 @@
-//! What entries and dispatchers say to each other about attempts.
+//! Replies and counts that dispatchers send to entries.
 
 use std::{fmt, str::FromStr};
 
 use crate::RetryReason;
 
-/// One connection of an entry to a dispatcher. The numbers of one entry incarnation only go up, over all its
-/// dispatchers; a session with a lower number than the latest is over.
+/// Identifies one connection of an entry to a dispatcher. An entry incarnation numbers its sessions in ascending order
+/// over all dispatchers; a session with a lower number than the latest is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionId(pub u64);
 
@@ -23,33 +23,33 @@
     }
 }
 
-/// What a dispatcher says at once about an offered task.
+/// A dispatcher's immediate reply to an offered task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OfferReply {
-    /// It runs.
+    /// The task runs.
     Started,
-    /// A reservation waits for a slot; the dispatcher has dropped the body and will ask for it.
+    /// A reservation waits for a slot. The dispatcher has dropped the task's body and asks for it when a slot is free.
     Queued,
-    /// Definitely not run.
+    /// The task definitely did not run.
     NotRun(RetryReason),
 }
 
-/// What a dispatcher says about a withdrawn attempt.
+/// A dispatcher's reply to the withdrawal of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WithdrawalReply {
-    /// It was not started and never will be.
+    /// The attempt was not started and never will be.
     NotRun,
-    /// It runs, or its end is on the way, or nothing can be confirmed.
+    /// The attempt runs, or its end is being reported, or the dispatcher can confirm nothing.
     Running,
 }
 
-/// The slots of one dispatcher's endpoints together.
+/// Slot counts summed over the endpoints of one dispatcher.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SlotCounts {
     /// Slots that may be used.
     pub limit: u32,
-    /// Tasks that run, with slots held for bodies that were asked for.
+    /// Running tasks, and slots reserved for tasks whose bodies were asked for.
     pub running: u32,
-    /// Reservations that wait.
+    /// Reservations that wait for a slot.
     pub queued: u32,
 }
--- a/crates/model/src/endpoint.rs
+++ b/crates/model/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! The platform's VM list and the endpoints in it.
+//! Entries of the platform's VM list, and endpoints.
 
 use std::net::SocketAddr;
 
@@ -7,55 +7,56 @@
 
 use crate::{DataCentreId, EndpointId, VmId};
 
-/// What a VM carries.
+/// What runs on a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum VmRole {
-    /// A VM of the system: one entry and one dispatcher.
+    /// A VM of the system, which runs one entry and one dispatcher.
     System,
-    /// An executor of the customer-facing service. Nothing of the system runs there.
+    /// An endpoint, which executes tasks of the customer-facing service. No process of the system runs there.
     Endpoint,
 }
 
-/// Whether a VM takes new work.
+/// Whether a VM accepts new work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointState {
-    /// Takes new work.
+    /// The VM accepts new work.
     #[default]
     Live,
-    /// Finishes what runs and takes nothing new.
+    /// The VM finishes its running tasks and accepts no new ones.
     Leaving,
 }
 
-/// Where an endpoint takes tasks and how many at once.
+/// The address and the slots of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointAddress {
-    /// The endpoint.
+    /// The endpoint's id.
     pub id: EndpointId,
-    /// Its HTTP address.
+    /// The endpoint's HTTP address.
     pub address: SocketAddr,
-    /// Tasks at once.
+    /// The most tasks that the endpoint runs at once.
     pub slots: u32,
 }
 
-/// One line of the platform's VM list. The list lags: a VM may be gone or leaving for a while before it says so.
+/// One entry of the platform's VM list. The list lags: a VM may be leaving or gone for a while before the list shows
+/// it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct VmEntry {
-    /// The VM. For an endpoint its id is also the endpoint's id.
+    /// The VM's id. For the VM of an endpoint this is also the endpoint's id.
     pub id: VmId,
-    /// Where it is.
+    /// The data centre that the VM is in.
     pub data_centre: DataCentreId,
-    /// What it carries.
+    /// What runs on the VM.
     pub role: VmRole,
-    /// For a system VM its dispatcher's peer address, for an endpoint its HTTP address.
+    /// The dispatcher's peer address for a system VM, the HTTP address for an endpoint.
     pub address: SocketAddr,
-    /// Tasks at once; 0 for a system VM.
+    /// The most tasks that the endpoint runs at once; 0 for a system VM.
     #[serde(default)]
     pub slots: u32,
-    /// Live or leaving.
+    /// Whether the VM accepts new work.
     #[serde(default)]
     pub state: EndpointState,
 }
--- a/crates/model/src/ids.rs
+++ b/crates/model/src/ids.rs
@@ -1,4 +1,4 @@
-//! Ids. Each has one text form, checked where it enters the system.
+//! Ids. Each id type has one text form, which is validated where it enters the system.
 
 use std::{fmt, str::FromStr, sync::Arc};
 
@@ -6,16 +6,16 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use thiserror::Error;
 
-/// The longest name, in bytes: ids travel in every message and label metrics, so they stay short.
+/// The longest id, in bytes. Ids are part of every message and of metric labels, so they are kept short.
 const MAX_ID_BYTES: usize = 64;
 
-/// A text that is not an id of the kind asked for.
+/// The error for a text that is not an id of the expected kind.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("not a valid {kind}: {text:?}")]
 pub struct InvalidId {
-    /// The kind of id expected.
+    /// The expected kind of id.
     pub kind: &'static str,
-    /// The text as it came, cut to [`MAX_ID_BYTES`].
+    /// The rejected text, cut to the length of the longest id.
     pub text: String,
 }
 
@@ -83,7 +83,7 @@
 }
 
 name_id!(
-    /// A customer: whose work a contract covers.
+    /// A customer, whose work is covered by a contract.
     CustomerId, "customer id"
 );
 name_id!(
@@ -91,15 +91,15 @@
     DataCentreId, "data centre id"
 );
 name_id!(
-    /// An endpoint: one executor process that runs tasks in slots.
+    /// An endpoint, an executor process that runs tasks in slots.
     EndpointId, "endpoint id"
 );
 name_id!(
-    /// A VM of the system, or one that carries an endpoint.
+    /// A VM of the system, or a VM that runs an endpoint.
     VmId, "VM id"
 );
 name_id!(
-    /// The kind of a task. Run times are learned per customer and kind.
+    /// The kind of a task. Run times are estimated per customer and kind.
     TaskKind, "task kind"
 );
 name_id!(
@@ -107,8 +107,8 @@
     IdempotencyKey, "idempotency key"
 );
 
-/// One life of a process. A restarted process has another incarnation, so state that died with the old one is
-/// never mistaken for state of the new one.
+/// One incarnation of a process. A restarted process has a new incarnation id, so that the lost state of the old
+/// process is never mistaken for state of the new one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct IncarnationId(pub u64);
 
@@ -131,13 +131,13 @@
 
 serde_as_text!(IncarnationId);
 
-/// A submission: a job or a request. It names the incarnation of the entry that has authority over it, so that
-/// any entry can find that one or say that it is gone.
+/// A submission, which is a job or a request. The id contains the incarnation of the entry that has authority over the
+/// submission, so that any entry can find that entry or tell that it is gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SubmissionId {
-    /// The entry that owns the submission.
+    /// The incarnation of the entry that owns the submission.
     pub incarnation: IncarnationId,
-    /// Counts the submissions of that incarnation.
+    /// The number of the submission among those of that incarnation.
     pub serial: u64,
 }
 
@@ -163,18 +163,19 @@
 
 serde_as_text!(SubmissionId);
 
-/// The place of a task in its job, from 0.
+/// The index of a task in its job, from 0.
 pub type TaskIndex = u32;
 
-/// One try to start a task. It travels with the task to the endpoint and comes back in the answer; an answer that
+/// One attempt to start a task. The id is sent to the endpoint with the task and echoed in the answer; an answer that
 /// echoes another id is never delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
     /// The submission that the task belongs to.
     pub submission: SubmissionId,
-    /// The task within it.
+    /// The index of the task in the submission.
     pub task: TaskIndex,
-    /// Counts the tries of this task, from 0. Only a definite not-run leads to another.
+    /// The number of this attempt among those of the task, from 0. A task gets another attempt only if it definitely
+    /// did not run.
     pub attempt: u32,
 }
 
@@ -216,10 +217,10 @@
 
 serde_as_text!(AttemptId);
 
-/// A ticket: the right to run one request at the incarnation that issued it, once.
+/// A ticket, with which one request may run once at the entry incarnation that issued it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TicketId(
-    /// The submission that the ticket is for; its serial is set aside when the ticket is issued.
+    /// The submission that the ticket is for. Its serial is reserved when the ticket is issued.
     pub SubmissionId,
 );
 
@@ -245,7 +246,7 @@
 
 serde_as_text!(TicketId);
 
-/// Reads lower-case hexadecimal digits without a sign, which `from_str_radix` would let pass.
+/// Parses lower-case hexadecimal digits. Rejects upper case and signs, which `from_str_radix` would accept.
 fn parse_hex(s: &str) -> Option<u64> {
     let valid_chars = s
         .bytes()
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,7 +1,7 @@
-//! Plain data that every crate shares: ids, sizes, rates, contracts, submissions, outcomes.
+//! Data types that all crates share: ids, sizes, contracts, submissions and outcomes.
 //!
-//! Nothing here does I/O or reads a clock. Every closed set is an enum with a stable text form, which callers,
-//! metrics and logs all use.
+//! Nothing in this crate does I/O or reads a clock. Closed sets of values are enums with stable texts, which API
+//! answers, metric labels and logs all use.
 
 mod bytes;
 mod contract;
@@ -32,8 +32,8 @@
     submission::{DuplicateDetection, SubmissionBody, SubmissionKind, TaskBody, TaskOffer},
 };
 
-/// Hash map with a fast hasher. Keys come from ids, never straight from a caller's bytes without a length limit.
+/// Hash map with a fast hasher. Its keys are derived from ids, never from a caller's bytes without a length limit.
 pub type FastMap<K, V> = rustc_hash::FxHashMap<K, V>;
 
-/// Hash set with the hasher of [`FastMap`].
+/// Hash set with the same hasher as [`FastMap`].
 pub type FastSet<K> = rustc_hash::FxHashSet<K>;
--- a/crates/model/src/mechanism.rs
+++ b/crates/model/src/mechanism.rs
@@ -1,61 +1,62 @@
-//! What decides under load and faults, each part of which can be switched off alone.
+//! The mechanisms that decide under load and faults, each of which can be disabled separately.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
 use crate::FastSet;
 
-/// A part of the decisions that works without the others. What each is worth is found by switching it off; in service
-/// all are on.
+/// A mechanism that works independently of the others. Disabling one in an experiment shows its effect; in production
+/// all are enabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Mechanism {
-    /// Jobs that are predicted to end late are refused when they come.
+    /// Jobs that are predicted to end late are refused on arrival.
     LateRefusal,
-    /// Jobs that would make an admitted one late are refused.
+    /// Jobs that would make an admitted job late are refused.
     HarmCheck,
-    /// Room is kept for jobs of higher priority while they are being refused.
+    /// Capacity is reserved for expected jobs of higher priority while such jobs are being refused.
     KeptRoom,
-    /// Waiting jobs are ordered by their latest start, and not by arrival.
+    /// Queued jobs are ordered by their latest start instead of their arrival.
     LatestStart,
-    /// Late jobs that have begun go before others.
+    /// Late jobs that have already begun are placed before other late jobs.
     BegunFirst,
-    /// Run times are learnt per route, and not taken from the customers' estimates.
+    /// Run times are learnt per route instead of taken from the customers' estimates.
     RunTimes,
-    /// Speeds of workers are learnt.
+    /// The speeds of workers are learnt.
     Speeds,
-    /// Workers that are far slower than their pool are left alone.
+    /// Workers that are far slower than their pool get no tasks.
     SluggishWorkers,
-    /// Workers that fail or turn away what they are told to run are left alone.
+    /// Workers that fail or refuse the tasks that they are told to run are suspended.
     Suspension,
-    /// Runs that stand still are stopped and placed elsewhere.
+    /// Stalled runs are stopped and placed on other workers.
     StallStop,
-    /// A second look at a worker while answers get lost.
+    /// Polls of workers are hedged by a second poll while answers are being lost.
     HedgedLooks,
-    /// Jobs that no pool takes whole are divided.
+    /// Jobs that no pool accepts as a whole are split over several pools.
     Dividing,
-    /// An entry asks the better of two pools drawn by chance first, by their published load.
+    /// An entry first asks the less loaded of two randomly chosen pools, by their published load.
     PoolChoice,
-    /// Pools go back to their data centre and to idle machines.
+    /// Pools are handed over to processes in their own data centre and on idle machines.
     Yielding,
-    /// How long an answer is waited for follows the answers that come, and starts are sent again under a budget.
+    /// Answer timeouts follow the observed answer times, and starts are retried within a retry budget.
     AnswerLimits,
-    /// Starts wait in the owner's queue while answers come late.
+    /// A window limits the starts in flight while answers are late; further starts wait in the owner's queue.
     StartWindow,
-    /// An entry asks a pool of its own process first if it has the room.
+    /// An entry first asks a pool of its own process if that pool has room.
     OwnPool,
-    /// Tasks under which workers died are tried alone, and given up once they are named.
+    /// Tasks that were running on workers that died are retried alone on a worker, and given up once identified as the
+    /// cause of the crashes.
     CrashBlame,
-    /// Requests that come again are known by what is left of their customers' time.
+    /// The age of a retried request is estimated from the time that its customer has left.
     RequestAges,
 }
 
-/// Which mechanisms are switched off.
+/// The set of disabled mechanisms.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DisabledMechanisms(FastSet<Mechanism>);
 
 impl DisabledMechanisms {
-    /// Whether a mechanism works.
+    /// Returns whether a mechanism is enabled.
     pub fn is_enabled(&self, mechanism: Mechanism) -> bool {
         !self.0.contains(&mechanism)
     }
--- a/crates/model/src/outcome.rs
+++ b/crates/model/src/outcome.rs
@@ -1,31 +1,31 @@
-//! What became of an attempt and of a submission.
+//! The ends of attempts and the outcomes of submissions.
 
 use std::time::Duration;
 
 use crate::{ByteSize, FailureReason, Payload, RefusalReason, RetryReason, UnknownReason};
 
-/// The answer of one task, in the order of the submission's tasks.
+/// The result of one task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TaskResult {
-    /// The bytes that the endpoint gave back.
+    /// The bytes that the endpoint returned.
     pub payload: Payload,
 }
 
-/// How one attempt ended at the dispatcher.
+/// How one attempt ended, as reported by the dispatcher.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The task ran and gave this answer.
+    /// The task ran and returned this result.
     Done(TaskResult),
-    /// The task ran and said that it failed.
+    /// The task ran and reported a failure.
     Failed,
-    /// The task certainly did not start. It may be placed again.
+    /// The task definitely did not start. It may be placed again.
     NotRun(RetryReason),
-    /// The task may have started; nobody can say. It is never started again.
+    /// The task may or may not have started. It is never started again.
     Unknown(UnknownReason),
 }
 
 impl AttemptEnd {
-    /// The bytes of its result.
+    /// The size of the attempt's result, in bytes; 0 if it has none.
     pub fn size(&self) -> ByteSize {
         match self {
             Self::Done(result) => result.payload.size(),
@@ -34,18 +34,18 @@
     }
 }
 
-/// The one answer of a submission.
+/// The outcome of a submission. Each submission gets exactly one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SubmissionOutcome {
-    /// Every task ran; one result a task, in order.
+    /// Every task ran. There is one result per task, in the order of the submission's tasks.
     Complete(Vec<TaskResult>),
-    /// The submission failed as a whole. No partial results are given.
+    /// The submission failed as a whole. Partial results are not returned.
     Failed(FailureReason),
-    /// Nothing of the submission ran.
+    /// No task of the submission ran.
     Refused {
-        /// Why.
+        /// Why the submission was refused.
         reason: RefusalReason,
-        /// When it is worth coming back, where that can be told.
+        /// The delay after which a retry is worthwhile, if it can be predicted.
         retry_after: Option<Duration>,
     },
     /// A non-idempotent request may or may not have run.
--- a/crates/model/src/submission.rs
+++ b/crates/model/src/submission.rs
@@ -1,65 +1,66 @@
-//! Submissions and the tasks they split into.
+//! Submissions and the tasks that they consist of.
 
 use std::time::Duration;
 
 use crate::{AttemptId, CustomerId, IdempotencyKey, Payload, TaskKind, TicketId};
 
-/// One task as the caller sent it.
+/// One task as submitted by the caller.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct TaskBody {
-    /// The kind, by which run times are learned.
+    /// The kind of the task. Run times are estimated per kind.
     pub kind: TaskKind,
     /// The bytes for the endpoint.
     pub payload: Payload,
-    /// The run time that the caller expects. It may be far off.
+    /// The caller's estimate of the run time, which may be far off.
     pub declared_run_time: Option<Duration>,
 }
 
-/// How a second arrival of the same request is known.
+/// How a repeated arrival of the same request is recognised, so that the request runs once.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DuplicateDetection {
-    /// It is not: the request runs once per submission.
+    /// Duplicates are not recognised: the request runs once per submission.
     PerSubmission,
-    /// By a ticket, which one incarnation of one entry honours.
+    /// By a ticket, which only the entry incarnation that issued it accepts.
     Ticket(TicketId),
-    /// By a key that the caller chose, recorded in the platform's table before the start.
+    /// By an idempotency key that the caller chose. The key is recorded in the platform's table before the request
+    /// starts.
     Key(IdempotencyKey),
 }
 
-/// Job or single request.
+/// Whether a submission is a job or a single request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SubmissionKind {
-    /// Parallel tasks with one answer.
+    /// Parallel tasks with one common answer.
     Job,
     /// One non-idempotent task.
     Request(DuplicateDetection),
 }
 
-/// What a caller submits.
+/// A submission as sent by the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SubmissionBody {
-    /// Whose contract covers it.
+    /// The customer under whose contract the submission runs.
     pub customer: CustomerId,
-    /// Job or request.
+    /// Whether the submission is a job or a request.
     pub kind: SubmissionKind,
-    /// The time within which the caller wants the answer; the contract's answer time where absent.
+    /// The time within which the caller wants the answer. If absent, the contract's answer time applies.
     pub deadline: Option<Duration>,
-    /// The tasks, at least one; exactly one for a request.
+    /// The tasks: at least one for a job, exactly one for a request.
     pub tasks: Vec<TaskBody>,
 }
 
-/// A task on its way to a dispatcher.
+/// A task as offered to a dispatcher.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TaskOffer {
-    /// The attempt.
+    /// The id of this attempt.
     pub attempt: AttemptId,
-    /// Whose task.
+    /// The customer that the task belongs to.
     pub customer: CustomerId,
     /// The customer's weight in fair queueing.
     pub share: crate::CustomerShare,
-    /// The kind.
+    /// The kind of the task.
     pub kind: TaskKind,
-    /// The time left until the answer is due.
+    /// The time left until the deadline.
     pub time_left: Duration,
     /// The run time that the entry expects.
     pub expected_run_time: Duration,
--- a/crates/model/src/text_enum.rs
+++ b/crates/model/src/text_enum.rs
@@ -1,8 +1,8 @@
-//! Closed sets of values with one stable text each.
+//! A macro for enums whose variants each have one stable text.
 
-/// Makes an enum whose values each have one stable text: what callers get, what labels a counter, what the log says and
-/// what settings are written with. The error type has the fields `set` and `text`. Further attributes, such as derives of
-/// a codec, stand before the name.
+/// Defines an enum whose variants each have one stable text, which is used in answers to callers, metric labels, logs
+/// and settings. The error type must have the fields `set` and `text`. Further attributes, such as derives for
+/// serialisation, go before the name.
 #[macro_export]
 macro_rules! text_enum {
     (
@@ -18,7 +18,7 @@
         }
 
         impl $name {
-            /// Every value of the set, in a fixed order.
+            /// All variants in the order of their declaration.
             pub const ALL: &'static [Self] = &[$(Self::$variant,)+];
 
             /// The stable text.
--- a/crates/model/tests/ids.rs
+++ b/crates/model/tests/ids.rs
@@ -1,4 +1,4 @@
-//! Text forms of ids: what goes in comes out, and what is not an id is turned away.
+//! Ids are written as they were parsed, and texts that are not ids are rejected.
 
 use model::{AttemptId, CustomerId, SubmissionId, TicketId};
 
--- a/crates/model/tests/messages.rs
+++ b/crates/model/tests/messages.rs
@@ -1,4 +1,4 @@
-//! How payloads are split over messages.
+//! Tests of splitting payloads into messages.
 
 use model::{split_into_messages, ByteSize, MAX_MESSAGE_PAYLOAD_BYTES};
 
