--- a/crates/settings/src/dispatcher.rs
+++ b/crates/settings/src/dispatcher.rs
@@ -13,11 +13,11 @@
     DispatcherPeer, DrainSettings, DurationMs, LogSettings,
 };
 
-/// How endpoints are called.
+/// Settings of calls to endpoints.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct EndpointCallSettings {
-    /// How long a connection may take to come about. Past it the task is a definite not-run. Default 250.
+    /// The timeout for establishing a connection. After it the task has definitely not run. Default 250.
     #[serde(deserialize_with = "bounded::<_, _, 1, 60_000>")]
     #[schemars(range(min = 1, max = 60_000))]
     pub connect_timeout_ms: DurationMs,
@@ -39,53 +39,53 @@
     pub vm: VmId,
     /// The data centre that the VM is in. A file must name it.
     pub data_centre: DataCentreId,
-    /// Where entries and other dispatchers connect, as IP and port. Default `127.0.0.1:9080`.
+    /// The address that entries and other dispatchers connect to, as IP and port. Default `127.0.0.1:9080`.
     pub peer_listen: SocketAddr,
-    /// The peer address that entries and other dispatchers are told, where it is not `peer_listen`, as behind an
-    /// address translation. Default none.
+    /// The peer address that is announced to entries and other dispatchers if it differs from `peer_listen`, for
+    /// example behind network address translation. Default none.
     pub peer_announce: Option<SocketAddr>,
-    /// Where metrics, status and readiness are served, as IP and port. Default `127.0.0.1:9081`.
+    /// The address that serves metrics, status and readiness, as IP and port. Default `127.0.0.1:9081`.
     pub admin_listen: SocketAddr,
     /// The platform's address, as IP and port. Default `127.0.0.1:8070`.
     pub platform: SocketAddr,
-    /// Dispatchers known before the VM list is read. Default empty.
+    /// Dispatchers to connect to before the VM list is read. Default empty.
     pub peers: Vec<DispatcherPeer>,
     /// Threads that call endpoints. Default 2.
     #[serde(deserialize_with = "bounded::<_, _, 1, 256>")]
     #[schemars(range(min = 1, max = 256))]
     pub traffic_threads: usize,
-    /// How long a freed slot waits for the body that it asked an entry for. A body after that is turned away as not
-    /// run. Default 200.
+    /// How long a free slot waits for the body of a queued task after asking an entry for it. A later body is refused
+    /// as not run. Default 200.
     #[serde(deserialize_with = "bounded::<_, _, 1, 60_000>")]
     #[schemars(range(min = 1, max = 60_000))]
     pub claim_limit_ms: DurationMs,
-    /// The most tasks that wait at once. Above it, offers are turned away as not run. Default 20000.
+    /// The most tasks in the queue. Further offers are refused as not run. Default 20000.
     #[serde(deserialize_with = "bounded::<_, _, 1, 10_000_000>")]
     #[schemars(range(min = 1, max = 10_000_000))]
     pub queue_limit: usize,
-    /// The time between heartbeats to peers. Default 100.
+    /// The interval between heartbeats to peers. Default 100.
     #[serde(deserialize_with = "bounded::<_, _, 10, 60_000>")]
     #[schemars(range(min = 10, max = 60_000))]
     pub heartbeat_ms: DurationMs,
-    /// Silence after which a peer counts as gone and its endpoints get another owner. Default 1000; at least twice
-    /// the heartbeat.
+    /// How long a peer may be silent before it is considered gone and its endpoints get another owner. Default 1000; at
+    /// least twice `heartbeat_ms`.
     #[serde(deserialize_with = "bounded::<_, _, 20, 600_000>")]
     #[schemars(range(min = 20, max = 600_000))]
     pub suspect_ms: DurationMs,
-    /// The time between reads of the VM list. Default 1000.
+    /// The interval at which the VM list is read. Default 1000.
     #[serde(deserialize_with = "bounded::<_, _, 10, 60_000>")]
     #[schemars(range(min = 10, max = 60_000))]
     pub vm_list_ms: DurationMs,
-    /// The time between looks at the contracts' head row. Default 1000.
+    /// The interval at which the head row of the contracts is polled for changes. Default 1000.
     #[serde(deserialize_with = "bounded::<_, _, 10, 60_000>")]
     #[schemars(range(min = 10, max = 60_000))]
     pub refresh_ms: DurationMs,
-    /// How long a grant of a customer's concurrency lasts. It has to be the same for all dispatchers of a data centre.
-    /// Default 12000; at least twice the heartbeat.
+    /// The term of a grant of a customer's concurrency. It has to be the same for all dispatchers of a data centre.
+    /// Default 12000; at least twice `heartbeat_ms`.
     #[serde(deserialize_with = "bounded::<_, _, 20, 600_000>")]
     #[schemars(range(min = 20, max = 600_000))]
     pub grant_term_ms: DurationMs,
-    /// How the process leaves.
+    /// How the process shuts down.
     pub drain: DrainSettings,
     /// How endpoints are called.
     pub endpoint: EndpointCallSettings,
--- a/crates/settings/src/duration.rs
+++ b/crates/settings/src/duration.rs
@@ -1,4 +1,4 @@
-//! Durations as whole milliseconds.
+//! Durations in whole milliseconds.
 
 use std::{fmt, str::FromStr, time::Duration};
 
@@ -17,7 +17,7 @@
 pub struct DurationMs(pub u64);
 
 impl DurationMs {
-    /// The same as a standard duration.
+    /// Converts to a [`Duration`].
     pub const fn duration(self) -> Duration {
         Duration::from_millis(self.0)
     }
@@ -59,7 +59,7 @@
     }
 }
 
-/// A text that is not a number of milliseconds.
+/// The error for a text that is not a whole number of milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("not a whole number of milliseconds: {0:?}")]
 pub struct InvalidDuration(pub String);
--- a/crates/settings/src/entry.rs
+++ b/crates/settings/src/entry.rs
@@ -13,17 +13,17 @@
     DispatcherPeer, DrainSettings, DurationMs, LogSettings,
 };
 
-/// How an entry chooses the dispatcher of a task. Deployments leave the default; the others are there to be
-/// measured against it.
+/// How an entry chooses the dispatcher of a task. Deployments use the default; the other policies exist for
+/// comparison in experiments.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum PlacementPolicy {
-    /// By the free slots last heard of, less what was sent since.
+    /// By free slots: those last reported by each dispatcher, minus the tasks sent to it since.
     #[default]
     FreeSlots,
-    /// Any dispatcher of the data centre. For experiments only.
+    /// A random dispatcher of the data centre. For experiments only.
     RandomOwner,
-    /// The less loaded of two random ones. For experiments only.
+    /// The less loaded of two random dispatchers. For experiments only.
     TwoChoices,
 }
 
@@ -35,55 +35,57 @@
     pub vm: VmId,
     /// The data centre that the VM is in. A file must name it.
     pub data_centre: DataCentreId,
-    /// Where callers and operators connect, as IP and port. Default `127.0.0.1:8080`.
+    /// The address that callers and operators connect to, as IP and port. Default `127.0.0.1:8080`.
     pub caller_listen: SocketAddr,
     /// The platform's address, as IP and port. Default `127.0.0.1:8070`.
     pub platform: SocketAddr,
-    /// Dispatchers known before the VM list is read. Default empty.
+    /// Dispatchers to connect to before the VM list is read. Default empty.
     pub dispatchers: Vec<DispatcherPeer>,
     /// Threads that serve callers. Default 2.
     #[serde(deserialize_with = "bounded::<_, _, 1, 256>")]
     #[schemars(range(min = 1, max = 256))]
     pub caller_threads: usize,
-    /// How long before its deadline the answer leaves, whatever is still unconfirmed then. Default 20.
+    /// How long before its deadline a submission is answered, whatever is still unconfirmed then. Default 20.
     #[serde(deserialize_with = "bounded::<_, _, 0, 60_000>")]
     #[schemars(range(min = 0, max = 60_000))]
     pub answer_margin_ms: DurationMs,
-    /// The largest request body, in bytes. The default, 33554432, holds a job of 370 tasks of 64 KiB in base64.
+    /// The largest request body, in bytes. The default, 33554432, fits a job of 370 tasks of 64 KiB in base64.
     #[serde(deserialize_with = "bounded_size::<_, 1_024, 1_073_741_824>")]
     #[schemars(with = "u64", range(min = 1_024, max = 1_073_741_824))]
     pub max_body_bytes: ByteSize,
-    /// The most submissions in work at once, which bounds memory. Above it, new ones are refused. Default 20000.
+    /// The most open submissions, which bounds memory. Further submissions are refused. Default 20000.
     #[serde(deserialize_with = "bounded::<_, _, 1, 10_000_000>")]
     #[schemars(range(min = 1, max = 10_000_000))]
     pub max_submissions: usize,
-    /// The most bytes of payloads of submissions in work. A submission that would go above it is refused as overloaded
-    /// with when to come back. Default 268435456; at least `max_body_bytes`, so that whatever may be sent fits an
-    /// idle process.
+    /// The most payload bytes of open submissions. A submission that would exceed the limit is refused as overloaded,
+    /// with a time to retry after. Default 268435456; at least `max_body_bytes`, so that an idle process accepts any
+    /// allowed body.
     #[serde(deserialize_with = "bounded_size::<_, 1_024, 1_099_511_627_776>")]
     #[schemars(with = "u64", range(min = 1_024, max = 1_099_511_627_776_u64))]
     pub max_open_bytes: ByteSize,
-    /// The most bytes of results kept for second arrivals. Above it the oldest are forgotten before
-    /// `outcome_keep_ms`, and a second arrival is told "unknown". Default 268435456.
+    /// The most bytes of results kept for repeated requests. Above the limit the oldest results are dropped before
+    /// `outcome_keep_ms`, and a repeated request is answered "unknown". Default 268435456.
     #[serde(deserialize_with = "bounded_size::<_, 1_024, 1_099_511_627_776>")]
     #[schemars(with = "u64", range(min = 1_024, max = 1_099_511_627_776_u64))]
     pub max_kept_bytes: ByteSize,
-    /// How long an outcome is kept for a second arrival of the same request. Default 300000.
+    /// How long an outcome is kept in case the same request is repeated. Default 300000.
     #[serde(deserialize_with = "bounded::<_, _, 1_000, 86_400_000>")]
     #[schemars(range(min = 1_000, max = 86_400_000))]
     pub outcome_keep_ms: DurationMs,
-    /// How the process leaves.
+    /// How the process shuts down.
     pub drain: DrainSettings,
-    /// The time between heartbeats to dispatchers. Default 100.
+    /// The interval between heartbeats to dispatchers. Default 100.
     #[serde(deserialize_with = "bounded::<_, _, 10, 60_000>")]
     #[schemars(range(min = 10, max = 60_000))]
     pub heartbeat_ms: DurationMs,
-    /// Silence after which the session with a dispatcher counts as lost. Default 1000; at least twice the heartbeat.
+    /// How long a dispatcher may be silent before the session with it is considered lost. Default 1000; at least twice
+    /// `heartbeat_ms`.
     #[serde(deserialize_with = "bounded::<_, _, 20, 600_000>")]
     #[schemars(range(min = 20, max = 600_000))]
     pub session_timeout_ms: DurationMs,
-    /// The age of the contracts from which answers are marked as given under old contracts. Default 10000; longer
-    /// than `heartbeat_ms`, as each answer to a heartbeat tells how new they are.
+    /// The age from which contracts are considered stale, so that answers are marked as given under old contracts.
+    /// Default 10000; longer than `heartbeat_ms`, because the contracts' age is learnt from the answers to
+    /// heartbeats.
     #[serde(deserialize_with = "bounded::<_, _, 20, 600_000>")]
     #[schemars(range(min = 20, max = 600_000))]
     pub freshness_ms: DurationMs,
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,15 +1,15 @@
-//! What can be wrong with settings.
+//! Errors of settings.
 
 use std::{fmt, io, path::PathBuf};
 
 use thiserror::Error;
 
-/// Settings that cannot be used.
+/// The error for settings that cannot be used.
 #[derive(Debug, Error)]
 pub struct SettingsError {
     /// The file, if the settings came from one.
     pub file: Option<PathBuf>,
-    /// What is wrong. The message holds it whole, so it is no source besides.
+    /// What is wrong. The kind is part of this error's message, so [`std::error::Error::source`] does not return it.
     pub kind: SettingsErrorKind,
 }
 
@@ -26,16 +26,16 @@
         line: usize,
         /// The column, from 1.
         column: usize,
-        /// What the parser says.
+        /// The parser's message.
         reason: String,
     },
-    /// The text is a JSON list.
+    /// The text is a JSON array.
     #[error("must be a JSON object, not a list")]
     NotAnObject,
-    /// A field is unknown, of the wrong kind or out of range.
+    /// A field is unknown, of the wrong type or out of range.
     #[error("{path}: {reason}")]
     InvalidField {
-        /// The field, for example `drain.notice_ms`.
+        /// The path of the field, for example `drain.notice_ms`.
         path: String,
         /// The line, from 1.
         line: usize,
@@ -44,12 +44,12 @@
         /// What is wrong.
         reason: String,
     },
-    /// A field does not go with the others, or had to be there.
+    /// A field violates a rule that is checked after parsing: a range, a relation to another field, or a required value.
     #[error("{path}: {rule}")]
     ViolatedRule {
-        /// The field.
+        /// The path of the field.
         path: &'static str,
-        /// What it must be.
+        /// The rule that the field violates.
         rule: &'static str,
     },
 }
@@ -73,7 +73,7 @@
     }
 }
 
-/// A field that breaks a rule between fields.
+/// A field that violates a rule which is checked after parsing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct RuleViolation {
     pub(crate) path: &'static str,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! Checked JSON settings of the three roles.
+//! Validated JSON settings of the three roles: entry, dispatcher and node.
 //!
-//! Every field has a default, given in its doc comment. Only `vm` and `data_centre` have to be named in a file: two
-//! VMs that run under one default identity would look like one VM to their peers. Unknown fields are refused, and
-//! times are whole milliseconds with the unit in the field's name.
+//! Every field has a default, given in its doc comment, except for `vm` and `data_centre`, which a file has to set:
+//! two VMs with the same default identity would look like one VM to their peers. Unknown fields are rejected. Times
+//! are whole milliseconds with the unit in the field's name.
 
 mod dispatcher;
 mod duration;
--- a/crates/settings/src/log.rs
+++ b/crates/settings/src/log.rs
@@ -1,4 +1,4 @@
-//! What is logged.
+//! Settings of the log.
 
 use std::collections::BTreeMap;
 
@@ -16,21 +16,21 @@
     LogLevel, "log level", InvalidLogName {
         /// Nothing.
         Off => "off",
-        /// What an operator has to look at.
+        /// Failures that need an operator.
         Error => "error",
-        /// What went wrong and was dealt with.
+        /// Failures that the system handled itself.
         Warn => "warn",
-        /// What changes seldom: start, stop, contracts, peers.
+        /// Rare changes: start, stop, contracts, peers.
         Info => "info",
-        /// Each decision.
+        /// Every decision.
         Debug => "debug",
-        /// Each message.
+        /// Every message.
         Trace => "trace",
     }
 }
 
 text_enum! {
-    /// A part of the system, with a log level and a prefix of its own.
+    /// A part of the system that has its own log level and prefix.
     #[derive(Serialize, Deserialize, JsonSchema)]
     #[serde(rename_all = "snake_case")]
     LogPart, "log part", InvalidLogName {
@@ -38,9 +38,9 @@
         Entry => "entry",
         /// The dispatcher's control state.
         Dispatcher => "dispatcher",
-        /// The HTTP border to callers.
+        /// The HTTP interface to callers.
         Caller => "caller",
-        /// The HTTP border to endpoints.
+        /// The HTTP interface to endpoints.
         Endpoint => "endpoint",
         /// The protocol between the system's processes.
         Peer => "peer",
@@ -48,17 +48,17 @@
         Platform => "platform",
         /// Contracts and their versions.
         Contracts => "contracts",
-        /// Which dispatchers live and who owns which endpoint.
+        /// Liveness of dispatchers and ownership of endpoints.
         Membership => "membership",
         /// Idempotency keys.
         Keys => "keys",
         /// Start, stop and signals of the process.
         Process => "process",
-        /// The operators' program.
+        /// The operators' command-line tool.
         Ctl => "ctl",
         /// Stand-ins of the platform and of endpoints.
         StandIn => "stand_in",
-        /// Libraries. They log warnings and errors only, unless this part's level says otherwise.
+        /// Libraries, which log only warnings and errors unless this part's level is set.
         Library => "library",
     }
 }
@@ -67,14 +67,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// The level of every part that is not named below. Default `info`.
+    /// The level of every part that `parts` does not name. Default `info`.
     pub level: LogLevel,
-    /// Levels of single parts. Default empty.
+    /// The levels of individual parts. Default empty.
     pub parts: BTreeMap<LogPart, LogLevel>,
-    /// One JSON object a line in place of text. Default false.
+    /// Whether each line is a JSON object instead of text. Default false.
     pub json: bool,
-    /// How many messages of one kind (one place in the code) are written in a second; the rest is counted, and the
-    /// count follows. Default 20.
+    /// The most messages of one kind, that is from one place in the code, written per second. Further messages are
+    /// suppressed and counted, and the count is logged afterwards. Default 20.
     #[serde(deserialize_with = "bounded::<_, _, 1, 100_000>")]
     #[schemars(range(min = 1, max = 100_000))]
     pub per_kind_per_second: u32,
@@ -92,7 +92,7 @@
 }
 
 impl LogSettings {
-    /// The level of one part.
+    /// Returns the level of one part.
     pub fn level_of(&self, part: LogPart) -> LogLevel {
         if let Some(level) = self.parts.get(&part) {
             return *level;
@@ -104,12 +104,12 @@
     }
 }
 
-/// A text that is not in its set.
+/// The error for a text that names no log level or log part.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("not a {set}: {text:?}")]
 pub struct InvalidLogName {
-    /// The set.
+    /// What was expected, for example "log level".
     pub set: &'static str,
-    /// The text.
+    /// The rejected text.
     pub text: String,
 }
--- a/crates/settings/src/node.rs
+++ b/crates/settings/src/node.rs
@@ -1,4 +1,4 @@
-//! Settings of a node: the process that takes jobs on the users' platform and owns pools of workers.
+//! Settings of a node, the process that accepts jobs from customers and owns pools of workers.
 
 use std::net::SocketAddr;
 
@@ -20,40 +20,44 @@
     pub vm: VmId,
     /// The data centre that the VM is in. A file must name it.
     pub data_centre: DataCentreId,
-    /// Where customers connect, as IP and port. Default `127.0.0.1:8181`.
+    /// The address that customers connect to, as IP and port. Default `127.0.0.1:8181`.
     pub customer_listen: SocketAddr,
-    /// Where readiness and metrics are served, as IP and port. Default `127.0.0.1:8182`.
+    /// The address that serves readiness and metrics, as IP and port. Default `127.0.0.1:8182`.
     pub ready_listen: SocketAddr,
-    /// Where other nodes connect and send heartbeats, over TCP and UDP, as IP and port. Default `127.0.0.1:8183`.
+    /// The address that other nodes connect to and send heartbeats to, over TCP and UDP, as IP and port. Default
+    /// `127.0.0.1:8183`.
     pub peer_listen: SocketAddr,
-    /// The platform's store, as IP and port. Default `127.0.0.1:8070`.
+    /// The address of the platform's store, as IP and port. Default `127.0.0.1:8070`.
     pub store: SocketAddr,
     /// How long the process may take to stop after SIGTERM, in seconds. Default 6.
     pub stop_grace_s: f64,
     /// The longest lease that workers grant. Default 1000.
     pub longest_lease_ms: DurationMs,
-    /// Within which time what operators write has to be in force. Default 2000.
+    /// The time within which configuration that operators write has to be in force. Default 2000.
     pub config_limit_ms: DurationMs,
-    /// How many times as long a task takes away from its data's rack. Default 2.
+    /// The factor by which the run time of a task grows on a worker outside the rack of the task's data. Default 2.
     pub far_factor: f64,
-    /// The processor share of the VM, in cores. VMs with more own more pools. Default 1.
+    /// The CPU capacity of the VM, in cores. VMs with more cores own more pools. Default 1.
     pub cores: f64,
-    /// What the VM's link carries each way, in megabits a second. VMs with less own smaller pools. Default 1000.
+    /// The bandwidth of the VM's network link in each direction, in megabits per second. VMs with less bandwidth own
+    /// smaller pools. Default 1000.
     pub link_mbps: f64,
-    /// How workers get their orders. Default `call`.
+    /// How orders to start and stop tasks reach the workers. Default `call`.
     pub orders: OrderPath,
-    /// Mechanisms that are switched off, to find what each is worth. Default none; in service none is.
+    /// Mechanisms that are disabled, to measure the effect of each in experiments. Default none; production disables
+    /// none.
     pub switched_off: Vec<Mechanism>,
 }
 
-/// How workers get their orders.
+/// How orders to start and stop tasks reach the workers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderPath {
-    /// The owner of a pool calls them.
+    /// The owner of a pool sends the orders in calls to the workers.
     #[default]
     Call,
-    /// With the answers to their heartbeats. Not described on the users' pages, and refused at the start.
+    /// The orders are sent in the answers to the workers' heartbeats. The platform does not specify this path, so it is
+    /// rejected at the start.
     Heartbeat,
 }
 
--- a/crates/settings/src/number.rs
+++ b/crates/settings/src/number.rs
@@ -1,4 +1,4 @@
-//! Numbers with bounds, refused with a message that says what is wanted.
+//! Deserialisation of bounded whole numbers, with errors that say which values are expected.
 
 use std::{fmt, marker::PhantomData};
 
@@ -8,7 +8,7 @@
     Deserializer,
 };
 
-/// Reads a whole number from `MIN` to `MAX`.
+/// Deserialises a whole number from `MIN` to `MAX`, both included.
 pub(crate) fn bounded<'de, D, T, const MIN: u64, const MAX: u64>(
     deserializer: D,
 ) -> Result<T, D::Error>
@@ -16,11 +16,11 @@
     D: Deserializer<'de>,
     T: TryFrom<u64>,
 {
-    // Not `deserialize_u64`: with it serde_json refuses text before the visitor can say what is wrong with it.
+    // With `deserialize_u64`, serde_json would reject text before the visitor can report what is wrong with it.
     deserializer.deserialize_any(NumberVisitor::<T, MIN, MAX>(PhantomData))
 }
 
-/// Reads a size in bytes from `MIN` to `MAX`.
+/// Deserialises a size from `MIN` to `MAX` bytes, both included.
 pub(crate) fn bounded_size<'de, D, const MIN: u64, const MAX: u64>(
     deserializer: D,
 ) -> Result<ByteSize, D::Error>
@@ -52,10 +52,11 @@
         T::try_from(number).map_err(|_| E::custom(format_args!("{number} is too large")))
     }
 
-    // "5s" or "250 ms": the unit belongs to the field's name, so that a file is never read with another unit.
+    // Rejects texts such as "5s" or "250 ms". The unit is part of the field's name, so that a file is never read with
+    // another unit.
     fn visit_str<E: Error>(self, text: &str) -> Result<T, E> {
         Err(E::custom(format_args!(
-            "text {text:?} is not taken, expected {} without quotes; the unit is the end of the field's name",
+            "text {text:?} is not allowed, expected {} without quotes; the unit is the end of the field's name",
             ExpectedNumber(&self)
         )))
     }
--- a/crates/settings/src/parse.rs
+++ b/crates/settings/src/parse.rs
@@ -1,4 +1,4 @@
-//! Reading settings from text and files, and their JSON schemas.
+//! Reading settings from texts and files, and their JSON schemas.
 
 use std::{fs, path::Path};
 
@@ -10,16 +10,16 @@
     SettingsErrorKind,
 };
 
-/// Reads and checks the settings of an entry.
+/// Reads the settings of an entry from a file and validates them.
 ///
 /// # Errors
 ///
-/// Names the file, the field with line and column, and what is wrong.
+/// [`SettingsError`] with the file, the field with its line and column, and what is wrong.
 pub fn load_entry(path: &Path) -> Result<EntrySettings, SettingsError> {
     load(path, EntrySettings::check)
 }
 
-/// Reads and checks the settings of a dispatcher.
+/// Reads the settings of a dispatcher from a file and validates them.
 ///
 /// # Errors
 ///
@@ -28,7 +28,7 @@
     load(path, DispatcherSettings::check)
 }
 
-/// Reads and checks the settings of a node.
+/// Reads the settings of a node from a file and validates them.
 ///
 /// # Errors
 ///
@@ -37,11 +37,11 @@
     load(path, NodeSettings::check)
 }
 
-/// Checks the text of a node's settings.
+/// Parses and validates the text of a node's settings.
 ///
 /// # Errors
 ///
-/// As [`load_entry`], without a file.
+/// As [`load_entry`], but without the file's name.
 pub fn parse_node(text: &str) -> Result<NodeSettings, SettingsError> {
     parse(text, NodeSettings::check).map_err(|kind| SettingsError { file: None, kind })
 }
@@ -51,20 +51,20 @@
     schemars::schema_for!(NodeSettings).to_value()
 }
 
-/// Checks the text of an entry's settings.
+/// Parses and validates the text of an entry's settings.
 ///
 /// # Errors
 ///
-/// As [`load_entry`], without a file.
+/// As [`load_entry`], but without the file's name.
 pub fn parse_entry(text: &str) -> Result<EntrySettings, SettingsError> {
     parse(text, EntrySettings::check).map_err(|kind| SettingsError { file: None, kind })
 }
 
-/// Checks the text of a dispatcher's settings.
+/// Parses and validates the text of a dispatcher's settings.
 ///
 /// # Errors
 ///
-/// As [`load_entry`], without a file.
+/// As [`load_entry`], but without the file's name.
 pub fn parse_dispatcher(text: &str) -> Result<DispatcherSettings, SettingsError> {
     parse(text, DispatcherSettings::check).map_err(|kind| SettingsError { file: None, kind })
 }
@@ -95,7 +95,7 @@
     text: &str,
     check: fn(&T) -> Result<(), RuleViolation>,
 ) -> Result<T, SettingsErrorKind> {
-    // serde takes a list for a struct, field by field: `[]` would be a file of defaults.
+    // serde also deserialises a struct from an array of its fields in order, so `[]` would be accepted as all defaults.
     if text.trim_start().starts_with('[') {
         return Err(SettingsErrorKind::NotAnObject);
     }
@@ -125,7 +125,7 @@
     }
 }
 
-/// The parser's message without its place, which stands in front of the whole message.
+/// Returns the parser's message without line and column, which [`SettingsError`] already prints in front of it.
 fn error_reason(error: &serde_json::Error) -> String {
     let text = error.to_string();
     let place = format!(" at line {} column {}", error.line(), error.column());
@@ -136,7 +136,7 @@
     }
 }
 
-/// For an unknown field such as `heartbeat` or `heartbeat_s`, the field that carries the right unit.
+/// For an unknown field such as `heartbeat` or `heartbeat_s`, returns the known field with the unit in milliseconds.
 fn unit_hint(reason: &str) -> Option<String> {
     let (name, _) = reason.strip_prefix("unknown field `")?.split_once('`')?;
     let stem = ["_s", "_sec", "_secs", "_seconds", "_us", "_min", "_millis"]
--- a/crates/settings/src/shared.rs
+++ b/crates/settings/src/shared.rs
@@ -1,4 +1,4 @@
-//! Parts that both roles have.
+//! Settings and checks that several roles share.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -8,30 +8,30 @@
 
 use crate::{error::RuleViolation, number::bounded, DurationMs};
 
-/// The name that stands for a VM or data centre that was not named. A file may not leave or write it.
+/// The placeholder for a VM or data centre that was not set. A file that omits the field or sets this name is rejected.
 pub const UNSET_NAME: &str = "unset";
 
-/// A dispatcher known before the VM list is read.
+/// A dispatcher to connect to before the VM list is read.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct DispatcherPeer {
-    /// Its peer address, as IP and port.
+    /// The dispatcher's peer address, as IP and port.
     pub address: SocketAddr,
-    /// Where it is.
+    /// The data centre that the dispatcher is in.
     pub data_centre: DataCentreId,
 }
 
-/// How a process leaves.
+/// How a process shuts down.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct DrainSettings {
-    /// How long the process says "not ready" and still takes new connections, so that the balancer and the peers
-    /// turn away before the listener closes. Default 5000.
+    /// How long the process reports "not ready" while it still accepts connections, so that the load balancer and the
+    /// peers stop sending work before the listener closes. Default 5000.
     #[serde(deserialize_with = "bounded::<_, _, 0, 600_000>")]
     #[schemars(range(min = 0, max = 600_000))]
     pub notice_ms: DurationMs,
-    /// How long accepted work may take to end after that. What is left then is answered as failed or unknown.
-    /// Default 30000.
+    /// How long accepted work may take to finish after that. Work that is unfinished then is answered as failed or
+    /// unknown. Default 30000.
     #[serde(deserialize_with = "bounded::<_, _, 1, 3_600_000>")]
     #[schemars(range(min = 1, max = 3_600_000))]
     pub limit_ms: DurationMs,
@@ -60,7 +60,7 @@
     (Ipv4Addr::LOCALHOST, port).into()
 }
 
-/// Checks what names a process.
+/// Checks that the VM and the data centre of a process are set.
 pub(crate) fn check_identity(vm: &VmId, data_centre: &DataCentreId) -> Result<(), RuleViolation> {
     let rule = "must name this VM's own; there is no default for it";
     if vm.as_str() == UNSET_NAME {
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! What settings files are taken and how the others are refused.
+//! Which settings are accepted, and the errors for those that are not.
 
 use std::path::Path;
 
@@ -136,7 +136,8 @@
     assert_eq!(parse_dispatcher(&text).unwrap(), dispatcher);
 }
 
-/// The ranges in the schema are those that the parser holds to: one past either end is refused by range.
+/// The ranges in the schema are those that the parser enforces: a value one past either end is rejected as out of
+/// range.
 #[test]
 fn schema_and_parser_agree_on_ranges() {
     let entry = schema_ranges(&entry_schema(), |text| {
