--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -44,7 +44,8 @@
         /// What is wrong.
         reason: String,
     },
-    /// A field violates a rule that is checked after parsing: a range, a relation to another field, or a required value.
+    /// A field violates a rule that is checked after parsing: a range, a relation to another field, or a required
+    /// value.
     #[error("{path}: {rule}")]
     ViolatedRule {
         /// The path of the field.
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -9,16 +9,16 @@
     DispatcherSettings, EntrySettings, LogLevel, LogPart, LogSettings,
 };
 
-const NAMED: &str = r#""vm": "v1", "data_centre": "dc1""#;
+const IDENTITY_FIELDS: &str = r#""vm": "v1", "data_centre": "dc1""#;
 
-fn refusal(fields: &str) -> String {
-    parse_entry(&format!("{{\n  {NAMED},\n  {fields}\n}}"))
-        .map(|_| "taken".to_owned())
+fn error_text(fields: &str) -> String {
+    parse_entry(&format!("{{\n  {IDENTITY_FIELDS},\n  {fields}\n}}"))
+        .map(|_| "accepted".to_owned())
         .unwrap_or_else(|e| e.to_string())
 }
 
 #[test]
-fn faults_name_the_place_and_the_cause() {
+fn errors_name_the_place_and_the_cause() {
     let table = [
         (r#""heartbeat_ms": "5s""#, "text for a number"),
         (r#""heartbeat_ms": 5"#, "below the range"),
@@ -53,7 +53,7 @@
     ];
     let mut page = String::new();
     for (fields, what) in table {
-        page += &format!("{what}: {fields}\n    {}\n", refusal(fields));
+        page += &format!("{what}: {fields}\n    {}\n", error_text(fields));
     }
     assert_snapshot!(page);
 }
@@ -86,7 +86,7 @@
     ];
     let mut page = String::new();
     for fields in table {
-        let text = format!("{{{NAMED}, {fields}}}");
+        let text = format!("{{{IDENTITY_FIELDS}, {fields}}}");
         let error = parse_dispatcher(&text).expect_err(fields);
         page += &format!("{fields}\n    {error}\n");
     }
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_missing_file_is_named() {
+fn the_error_for_a_missing_file_names_it() {
     let error = load_entry(Path::new("no/such.json")).expect_err("there is no such file");
     assert!(
         error
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn what_is_written_is_read_back() {
+fn written_settings_are_read_back_unchanged() {
     let entry = EntrySettings {
         vm: "v1".parse().unwrap(),
         data_centre: "dc1".parse().unwrap(),
@@ -149,7 +149,7 @@
     assert_eq!((entry, dispatcher), (13, 12));
 }
 
-fn schema_ranges(schema: &Value, refuse: impl Fn(&str) -> Option<String>) -> usize {
+fn schema_ranges(schema: &Value, parse_error: impl Fn(&str) -> Option<String>) -> usize {
     let mut checked = 0;
     for (path, property) in properties(schema, schema) {
         let (Some(min), Some(max)) = (property["minimum"].as_i64(), property["maximum"].as_i64())
@@ -157,11 +157,11 @@
             continue;
         };
         checked += 1;
-        for (value, fits) in [(min, true), (max, true), (min - 1, false), (max + 1, false)] {
+        for (value, in_range) in [(min, true), (max, true), (min - 1, false), (max + 1, false)] {
             let text = document(&path, value);
-            let error = refuse(&text).unwrap_or_default();
+            let error = parse_error(&text).unwrap_or_default();
             let out_of_range = error.contains("expected a whole number");
-            assert_eq!(out_of_range, !fits, "{text}: {error}");
+            assert_eq!(out_of_range, !in_range, "{text}: {error}");
         }
     }
     checked
