--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -1,4 +1,4 @@
-//! The client itself. It is not `Send`: it lives on the control thread.
+//! The platform client. It is not `Send` and stays on the control thread.
 
 use std::{
     cell::RefCell,
@@ -23,25 +23,25 @@
     StoreKey, TableName, TableRow,
 };
 
-/// The largest answer that is read, in bytes: a full page of contracts or of keys stays far below.
+/// The largest answer body that is read, in bytes. A full page of contracts or keys is far smaller.
 const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 
-/// Where the platform is and how much of it this process may use.
+/// The platform's address, the timeouts of calls, and this process's share of the platform's rates.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClientSettings {
     /// The platform's HTTP address.
     pub address: SocketAddr,
-    /// The longest wait for a connection. Shorter than `timeout`, so that a platform that takes no connection gives
-    /// a definite "not sent" and not an uncertain timeout.
+    /// The timeout for establishing a connection. It is shorter than `timeout`, so that a platform that accepts no
+    /// connection gives a definite "not sent" instead of an uncertain timeout.
     pub connect_timeout: Duration,
-    /// The longest wait for an answer, from the start of the call.
+    /// The timeout for an answer, from the start of the call.
     pub timeout: Duration,
-    /// The longest wait for this process's turn.
+    /// The longest wait for a permit of this process's rate limiters.
     pub max_permit_wait: Duration,
-    /// Reads a second. The platform's 2,000 are for every VM: 200 suit today's 8 VMs.
+    /// Reads per second. All VMs share the platform's 2,000 reads per second; 200 suit 8 VMs.
     pub read_rate: CallRate,
-    /// Transactions a second. The platform's several hundred are for every VM: at 20, today's 8 VMs together use 160
-    /// and leave the rest to changes of contracts and to others.
+    /// Transactions per second. All VMs share the platform's several hundred transactions per second. At 20, 8 VMs
+    /// together use 160 and leave the rest to contract changes and other users.
     pub write_rate: CallRate,
 }
 
@@ -58,7 +58,7 @@
     }
 }
 
-/// Calls the platform. Clones share connections and rates.
+/// A client of the platform. Clones share connections and rate limiters.
 #[derive(Clone)]
 pub struct PlatformClient {
     inner: Rc<Inner>,
@@ -72,19 +72,19 @@
     writes: RefCell<RateLimiter>,
 }
 
-/// One turn to write, taken from this process's share of the platform's rate.
+/// The permit for one write, taken from this process's share of the platform's write rate.
 #[derive(Debug)]
-#[must_use = "a turn that is not used is lost"]
+#[must_use = "an unused permit is lost"]
 pub struct WritePermit(());
 
-/// Status and body of an answer.
+/// The status and the body of an HTTP answer.
 struct Answer {
     status: StatusCode,
     body: Vec<u8>,
 }
 
 impl PlatformClient {
-    /// A client without connections yet. It has to be made and used on one thread, within an actix system.
+    /// Creates a client without connections. It has to be created and used on one thread, within an actix system.
     pub fn new(settings: ClientSettings, clock: Arc<dyn ClockSource>) -> Self {
         let now = clock.now();
         let connector = Connector::new().timeout(settings.connect_timeout);
@@ -114,11 +114,11 @@
         &self.inner.clock
     }
 
-    /// Reads a row; `None` when it is not there.
+    /// Reads a row. Returns `None` if it does not exist.
     ///
     /// # Errors
     ///
-    /// Fails when the platform gave no answer that says whether the row is there.
+    /// Fails if the platform gave no answer that says whether the row exists.
     pub async fn get_row(
         &self,
         table: TableName,
@@ -132,11 +132,11 @@
         }
     }
 
-    /// Reads at most `limit` rows in key order, from the first key greater than `after`.
+    /// Reads at most `limit` rows in key order, starting at the first key greater than `after`.
     ///
     /// # Errors
     ///
-    /// Fails as [`Self::get_row`] does.
+    /// Fails if the platform gave no valid list of rows.
     pub async fn list_rows(
         &self,
         table: TableName,
@@ -151,28 +151,28 @@
         }
     }
 
-    /// Waits for this process's turn to write. A caller that gathers rows from many requests takes the turn first
-    /// and gathers then, so that what comes during the wait goes with this write and not with the next.
+    /// Waits for a write permit. A caller that batches the rows of many requests acquires the permit first and collects
+    /// the rows afterwards, so that rows that arrive during the wait go into this write and not into the next.
     ///
     /// # Errors
     ///
-    /// [`RequestError::RateLimited`] when the wait would be longer than the settings allow.
+    /// [`RequestError::RateLimited`] if the wait would be longer than the settings allow.
     pub async fn acquire_write_permit(&self) -> Result<WritePermit, RequestError> {
         self.wait_for_permit(&self.inner.writes).await?;
         Ok(WritePermit(()))
     }
 
-    /// Writes rows, all or nothing, and gives their new versions in order.
+    /// Writes rows in one transaction, all or none, and returns their new versions in the order of the writes.
     ///
     /// # Errors
     ///
-    /// Says whether nothing took effect or nobody can say.
+    /// [`CommitError`], which tells whether the write definitely had no effect or its effect is uncertain.
     pub async fn commit(&self, writes: Vec<RowWrite>) -> Result<Vec<RowVersion>, CommitError> {
         let permit = self.acquire_write_permit().await?;
         self.commit_with_permit(permit, writes).await
     }
 
-    /// [`Self::commit`] in a turn that was taken before.
+    /// Writes rows as [`Self::commit`] does, with a permit that was acquired before.
     ///
     /// # Errors
     ///
@@ -189,7 +189,7 @@
             StatusCode::OK => {
                 let versions = from_json::<CommitAnswer>(&answer.body)?.versions;
                 if versions.len() != writes.len() {
-                    return Err(broken_answer("not one version a write").into());
+                    return Err(broken_answer("version count differs from write count").into());
                 }
                 Ok(versions)
             }
@@ -204,11 +204,11 @@
         }
     }
 
-    /// The platform's VM list. It lags.
+    /// Reads the platform's VM list. The list lags behind the VMs' actual state.
     ///
     /// # Errors
     ///
-    /// Fails when the platform gave no list.
+    /// Fails if the platform gave no valid list.
     pub async fn vm_list(&self) -> Result<Vec<VmEntry>, ReadError> {
         let answer = self.read("/vms").await?;
         match answer.status {
@@ -217,11 +217,11 @@
         }
     }
 
-    /// Writes an object as a whole.
+    /// Writes an object and replaces any previous content.
     ///
     /// # Errors
     ///
-    /// Says whether nothing took effect or nobody can say.
+    /// [`CommitError`], which tells whether the write definitely had no effect or its effect is uncertain.
     pub async fn put_object(&self, name: &StoreKey, bytes: Vec<u8>) -> Result<(), CommitError> {
         let path = format!("/objects/{name}");
         let _permit = self.acquire_write_permit().await?;
@@ -232,11 +232,11 @@
         Err(unexpected_status(answer.status).into())
     }
 
-    /// Reads an object; `None` when it is not there.
+    /// Reads an object. Returns `None` if it does not exist.
     ///
     /// # Errors
     ///
-    /// Fails when the platform gave no answer that says whether the object is there.
+    /// Fails if the platform gave no answer that says whether the object exists.
     pub async fn get_object(&self, name: &StoreKey) -> Result<Option<Vec<u8>>, ReadError> {
         let answer = self.read(&format!("/objects/{name}")).await?;
         match answer.status {
@@ -282,11 +282,12 @@
     }
 }
 
-/// Sorts failures of sending by whether a byte may have left.
+/// Classifies an error of sending a request by whether bytes of the request may have been sent.
 ///
-/// `Connect(Disconnected)` is what the HTTP library says when the peer closes after the request was written and
-/// before it answered. Taken for a failed connect, a write that took effect would be reported as not sent and its
-/// request started elsewhere too; only the errors of the connect phase proper count as unsent.
+/// The HTTP library reports `Connect(Disconnected)` when the peer closes the connection after the request was written
+/// and before it was answered. If that counted as a failed connect, a write that took effect would be reported as not
+/// sent, and its request would be started elsewhere too. Only errors from establishing a connection count as not
+/// sent.
 pub fn classify_send_error(error: SendRequestError) -> RequestError {
     match error {
         SendRequestError::Url(e) => RequestError::InvalidRequest(e.to_string()),
@@ -303,7 +304,7 @@
     }
 }
 
-/// Sorts failures of reading an answer's body.
+/// Classifies an error of reading an answer's body.
 pub fn classify_body_error(error: PayloadError) -> RequestError {
     match error {
         PayloadError::Io(e) if e.kind() == std::io::ErrorKind::TimedOut => RequestError::TimedOut,
--- a/crates/platform/src/error.rs
+++ b/crates/platform/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong with a call.
+//! Errors of calls to the platform.
 
 use std::time::Duration;
 
@@ -6,37 +6,38 @@
 
 use crate::RowConflict;
 
-/// Why a call got no usable answer.
+/// Why a request got no usable answer.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RequestError {
-    /// No connection came about, so no byte was sent.
+    /// No connection was established, so no byte was sent.
     #[error("no connection: {0}")]
     NoConnection(String),
     /// The request could not be built, so no byte was sent.
     #[error("request not built: {0}")]
     InvalidRequest(String),
     /// This process has used up its share of the platform's rate, so no byte was sent.
-    #[error("over this process's rate, next turn in {} ms", .retry_after.as_millis())]
+    #[error("over this process's rate limit, retry in {} ms", .retry_after.as_millis())]
     RateLimited {
-        /// When the next turn is.
+        /// The wait after which a permit is available.
         retry_after: Duration,
     },
-    /// No answer within the timeout.
+    /// No answer arrived within the timeout.
     #[error("no answer in time")]
     TimedOut,
-    /// The connection broke after it came about.
-    #[error("connection broke: {0}")]
+    /// The connection was lost after it had been established.
+    #[error("connection lost: {0}")]
     ConnectionLost(String),
-    /// An answer that the border does not name, such as 503.
-    #[error("status {0}")]
+    /// The answer has a status that the platform's interface does not specify, such as 503.
+    #[error("unexpected status {0}")]
     UnexpectedStatus(u16),
-    /// An answer whose body cannot be read.
-    #[error("broken answer: {0}")]
+    /// The answer's body is invalid.
+    #[error("invalid answer: {0}")]
     BrokenAnswer(String),
 }
 
 impl RequestError {
-    /// Whether no byte of the request left this process. Everything else may have had its effect.
+    /// Returns whether no byte of the request left this process. After any other error, the request may have taken
+    /// effect.
     pub fn is_definitely_unsent(&self) -> bool {
         match self {
             Self::NoConnection(_) | Self::InvalidRequest(_) | Self::RateLimited { .. } => true,
@@ -48,21 +49,21 @@
     }
 }
 
-/// A read that failed. Reading again is safe.
+/// The error for a failed read. Retrying is safe.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("platform read failed: {0}")]
 pub struct ReadError(#[from] pub RequestError);
 
-/// A write that was not confirmed.
+/// The error for a write that was not confirmed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CommitError {
-    /// Some rows were not as expected. Nothing took effect.
-    #[error("platform write met {} conflicts", .0.len())]
+    /// Some rows did not have the expected versions. The transaction had no effect.
+    #[error("platform write failed with {} conflicts", .0.len())]
     Conflict(Vec<RowConflict>),
-    /// The write never left this process. Nothing took effect.
+    /// No byte of the write left this process. The write had no effect.
     #[error("platform write not sent: {0}")]
     NotSent(RequestError),
-    /// The write may have taken effect, or may yet do so.
+    /// The write may have taken effect, or may still do so.
     #[error("platform write uncertain: {0}")]
     Uncertain(RequestError),
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,7 +1,7 @@
-//! Client of the platform's table service, object store and VM list.
+//! A client of the platform's table service, object store and VM list.
 //!
-//! Each call ends in one of three ways: an answer, a definite "had no effect", or "nobody can say". The borders are
-//! those of `docs/design/0001-interfaces.md`.
+//! Each call ends with an answer, with an error that means that the call definitely had no effect, or with an error
+//! that leaves its effect uncertain. `docs/design/0001-interfaces.md` specifies the platform's interfaces.
 
 mod client;
 mod error;
--- a/crates/platform/src/rate.rs
+++ b/crates/platform/src/rate.rs
@@ -1,4 +1,4 @@
-//! This process's share of the platform's rates.
+//! Rate limits that keep this process within its share of the platform's rates.
 
 use std::{
     fmt,
@@ -8,25 +8,25 @@
 
 use thiserror::Error;
 
-/// Calls that may come at once after a quiet time, before the rate holds.
+/// The most calls that an idle rate limiter permits at once.
 const MAX_BURST_CALLS: u32 = 10;
 
-/// A rate in calls a second; at least 1.
+/// A rate in calls per second, at least 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallRate(u32);
 
-/// A text that is no rate.
+/// The error for a text that is not a rate.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("not a rate in calls a second: {0:?}")]
+#[error("not a rate in calls per second: {0:?}")]
 pub struct InvalidRate(pub String);
 
 impl CallRate {
-    /// A rate; 0 counts as 1, so that a process is never shut off by its own settings.
+    /// Creates a rate of `calls` per second. 0 counts as 1, so that settings cannot cut a process off completely.
     pub const fn per_second(calls: u32) -> Self {
         Self(if calls == 0 { 1 } else { calls })
     }
 
-    /// The time from one call to the next at this rate.
+    /// The interval between calls at this rate.
     pub fn interval(self) -> Duration {
         Duration::from_secs(1) / self.0
     }
@@ -50,20 +50,21 @@
     }
 }
 
-/// Gives calls their turns so that a process keeps to its share.
+/// Limits the rate of calls so that a process keeps to its share, with the generic cell rate algorithm (GCRA).
 ///
-/// Load: every VM of every data centre uses one store of several hundred writes and about 2,000 reads a second.
-/// Harm prevented: one VM's burst of keys queues in the store in front of every other VM's writes, and all of them
-/// time out with an uncertain outcome. Turned away here, a call has certainly had no effect.
+/// The VMs of all data centres share one store with a capacity of several hundred writes and about 2,000 reads per
+/// second. Without the limit, one VM's burst of keys would queue in the store ahead of every other VM's writes, and all
+/// of them would time out with an uncertain outcome. A call that is refused here has definitely had no effect.
 #[derive(Clone, Debug)]
 pub struct RateLimiter {
     rate: CallRate,
-    /// When the rate would be used up to the call, without a burst.
+    /// The theoretical arrival time of GCRA: when the next call would be due if the calls so far were spaced at the
+    /// rate.
     theoretical_arrival: Instant,
 }
 
 impl RateLimiter {
-    /// A pacer that has been quiet until now.
+    /// Creates a limiter that has been idle until `now`.
     pub fn new(rate: CallRate, now: Instant) -> Self {
         Self {
             rate,
@@ -71,11 +72,11 @@
         }
     }
 
-    /// Takes a turn and says how long to wait for it.
+    /// Acquires a permit and returns how long to wait before using it.
     ///
     /// # Errors
     ///
-    /// Gives the wait and takes no turn when it is longer than `max_wait`.
+    /// Returns the wait and acquires no permit if the wait is longer than `max_wait`.
     pub fn acquire(&mut self, now: Instant, max_wait: Duration) -> Result<Duration, Duration> {
         let interval = self.rate.interval();
         let theoretical_arrival = self.theoretical_arrival.max(now) + interval;
--- a/crates/platform/src/rows.rs
+++ b/crates/platform/src/rows.rs
@@ -1,4 +1,4 @@
-//! Tables, keys and rows.
+//! Tables, keys and rows of the platform's store.
 
 use std::{fmt, str::FromStr};
 
@@ -7,16 +7,16 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// The longest key, in bytes: a customer, a slash and an idempotency key fit twice.
+/// The longest key, in bytes: almost twice the longest key of an idempotency record, which is two ids and a slash.
 const MAX_KEY_BYTES: usize = 256;
 
-/// A table that the system keeps in the platform.
+/// A table of the system in the platform's store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TableName {
     /// The contract in force, by customer.
     Contracts,
-    /// One row: the number of the newest change of any contract.
+    /// A single row with the number of the newest change of any contract.
     ContractHead,
     /// Every version of every contract, by customer and version.
     ContractHistory,
@@ -26,13 +26,13 @@
     RequestKeys,
 }
 
-/// A text that names no table.
+/// The error for a text that names no table.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("not a table: {0:?}")]
 pub struct InvalidTable(pub String);
 
 impl TableName {
-    /// Every table.
+    /// All tables.
     pub const ALL: &'static [Self] = &[
         Self::Contracts,
         Self::ContractHead,
@@ -41,7 +41,7 @@
         Self::RequestKeys,
     ];
 
-    /// The name in the platform.
+    /// The table's name in the platform.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Contracts => "contracts",
@@ -73,42 +73,43 @@
 }
 
 /// The key of a row or the name of an object. Its characters need no escaping in a URL. The default is the empty
-/// key, which no row has and after which a list starts at its first row.
+/// key, which no row has; a list after the empty key starts at the first row.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(transparent)]
 pub struct StoreKey(String);
 
-/// A text that is no key.
+/// The error for a text that is not a key.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("not a key of the platform's store: {0:?}")]
 pub struct InvalidKey(pub String);
 
 impl StoreKey {
-    /// A key that the code names itself.
+    /// Creates a key from a name that is fixed in the code.
     ///
     /// # Panics
     ///
-    /// Panics when the name is no key, which a test of the naming code would show.
+    /// Panics if the name is not a valid key. A test of the code that uses the name would show this.
     pub fn from_static(name: &'static str) -> Self {
         name.parse().expect("a fixed name is a valid key")
     }
 
-    /// The key of a customer's one row.
+    /// The key of a customer's row in a table with one row per customer.
     pub fn for_customer(customer: &CustomerId) -> Self {
         Self(customer.to_string())
     }
 
-    /// The key of a customer's row for a number. Padded, so that rows lie in the order of their numbers.
+    /// The key of the row for a version of a customer's contract. The number is zero-padded, so that rows are ordered
+    /// by it.
     pub fn for_customer_version(customer: &CustomerId, number: u64) -> Self {
         Self(format!("{customer}/{number:020}"))
     }
 
-    /// The key of a row for a number alone.
+    /// The key of a row identified by a number. The number is zero-padded, so that rows are ordered by it.
     pub fn for_number(number: u64) -> Self {
         Self(format!("{number:020}"))
     }
 
-    /// The key of a customer's idempotency key.
+    /// The key of the row for a customer's idempotency key.
     pub fn for_idempotency_key(customer: &CustomerId, key: &IdempotencyKey) -> Self {
         Self(format!("{customer}/{key}"))
     }
@@ -147,7 +148,7 @@
     }
 }
 
-/// Counts the writes of one row, from 1.
+/// The number of writes of a row so far, from 1.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -168,35 +169,35 @@
     }
 }
 
-/// A row as the platform gives it.
+/// A row as returned by the platform.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TableRow {
     /// The row's version.
     pub version: RowVersion,
-    /// The content.
+    /// The row's content.
     pub value: Value,
 }
 
-/// A row of a list.
+/// A row of a list, with its key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KeyedRow {
     /// The row's key.
     pub key: StoreKey,
     /// The row's version.
     pub version: RowVersion,
-    /// The content.
+    /// The row's content.
     pub value: Value,
 }
 
-/// What a write expects to find; otherwise the whole transaction has no effect.
+/// The version that a write expects its row to have. If it differs, the whole transaction has no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExpectedVersion {
-    /// No row.
+    /// The row does not exist.
     Absent,
-    /// Whatever is there.
+    /// The row has any version or does not exist.
     Any,
-    /// A row of just this version.
+    /// The row has exactly this version.
     Version(RowVersion),
 }
 
@@ -207,19 +208,19 @@
     pub table: TableName,
     /// The row's key.
     pub key: StoreKey,
-    /// What the write expects to find.
+    /// The version that the row is expected to have.
     pub expect: ExpectedVersion,
-    /// The new content.
+    /// The row's new content.
     pub value: Value,
 }
 
-/// A row that was not as a write expected.
+/// A row whose version differs from the one that a write expected.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowConflict {
     /// The table.
     pub table: TableName,
     /// The row's key.
     pub key: StoreKey,
-    /// The version that is there; nothing for no row.
+    /// The row's actual version, or `None` if the row does not exist.
     pub version: Option<RowVersion>,
 }
--- a/crates/platform/src/wire.rs
+++ b/crates/platform/src/wire.rs
@@ -1,4 +1,4 @@
-//! Bodies of the HTTP border.
+//! Request and answer bodies of the platform's HTTP interface.
 
 use model::VmEntry;
 use serde::{Deserialize, Serialize};
--- a/crates/platform/tests/border.rs
+++ b/crates/platform/tests/border.rs
@@ -1,4 +1,4 @@
-//! Contract tests of the client against the stand-in over loopback.
+//! Contract tests of the platform client against the platform's stand-in over loopback.
 
 use std::{
     sync::Arc,
@@ -50,7 +50,7 @@
     client.commit(writes).await
 }
 
-/// Waits for a condition; the limit only ends a test that would hang.
+/// Waits until a condition holds. The limit only ends a test that would otherwise hang.
 async fn wait_until(what: &str, mut met: impl FnMut() -> bool) {
     let start = Instant::now();
     for _ in 0.. {
@@ -66,7 +66,7 @@
 }
 
 #[actix_rt::test]
-async fn rows_objects_and_vms_come_back_as_written() {
+async fn rows_objects_and_vms_are_read_as_written() {
     let stand_in = stand_in();
     let client = client(&stand_in);
     let writes = vec![
@@ -110,9 +110,9 @@
 }
 
 #[actix_rt::test]
-async fn one_conflict_undoes_the_whole_transaction_and_every_conflict_is_named() {
-    // A caller sees a conflict and may take it that nothing of its transaction took effect. Two of three writes
-    // meet rows that are not as expected; the third would have been fine and must not be there afterwards.
+async fn one_conflict_aborts_the_whole_transaction_and_all_conflicts_are_reported() {
+    // A conflict tells the caller that its transaction had no effect. Two of three writes conflict; the third would
+    // have succeeded alone and must not have been applied.
     let stand_in = stand_in();
     let client = client(&stand_in);
     insert(&client, "taken").await.unwrap();
@@ -125,15 +125,15 @@
     let Err(CommitError::Conflict(conflicts)) = client.commit(writes).await else {
         panic!("no conflict");
     };
-    let named: Vec<_> = conflicts
+    let reported: Vec<_> = conflicts
         .iter()
         .map(|c| (c.key.as_str(), c.version))
         .collect();
-    assert_eq!(named, [("taken", Some(RowVersion(1))), ("gone", None)]);
+    assert_eq!(reported, [("taken", Some(RowVersion(1))), ("gone", None)]);
     assert_eq!(stand_in.row("request-keys", "free"), None);
 }
 
-/// How a write ends for the caller.
+/// The outcome of a write as the caller sees it.
 #[derive(Debug, PartialEq, Eq)]
 enum WriteOutcome {
     Committed,
@@ -154,10 +154,10 @@
 }
 
 #[actix_rt::test]
-async fn a_write_says_no_effect_only_when_it_had_none() {
-    // The caller sees how its write ended. A fault strikes before, during or after the effect; the connection is
-    // new or kept alive from an earlier call. Only where no byte left this process may the client say "not sent":
-    // a caller that heard so starts the work elsewhere, and a write that took effect after all would run it twice.
+async fn a_write_is_reported_as_without_effect_only_if_it_had_none() {
+    // Faults occur before, during or after a write takes effect, on new and on kept-alive connections. The client may
+    // report "not sent" only if no byte left this process: the caller then starts the work elsewhere, so that a write
+    // that took effect after all would make the work run twice.
     let race = RacingWrite::before("request-keys", "k", 1, vec![]);
     let race = FaultSettings::racing(race);
     let slow = FaultSettings {
@@ -197,7 +197,7 @@
             if *there {
                 wait_until(name, || stand_in.row("request-keys", "k").is_some()).await;
             } else if *name != "slow" {
-                // A slow write has no fixed end: it may land after the caller gave up.
+                // A slow write may still take effect after the caller timed out.
                 assert_eq!(
                     stand_in.row("request-keys", "k"),
                     None,
@@ -210,15 +210,15 @@
 }
 
 #[actix_rt::test]
-async fn a_refused_connection_is_not_sent_and_the_store_comes_back() {
-    // The platform stops listening while the client holds a kept-alive connection, then comes back. The caller sees
-    // a definite "not sent" in between, because the dead connection is noticed and a new one is refused.
+async fn a_refused_connection_is_not_sent_and_the_client_reconnects() {
+    // The platform stops listening while the client has a kept-alive connection, and later restarts. In between, writes
+    // must end as "not sent", because the client notices the closed connection and a new connection is refused.
     let stand_in = stand_in();
     let client = client(&stand_in);
     insert(&client, "before").await.unwrap();
     stand_in.stop().await;
 
-    // Until this side's socket shows that the peer closed, a write may still leave on it: that is uncertain.
+    // Until the client's socket shows that the peer has closed it, a write may still be sent on it and is uncertain.
     let limit = Instant::now() + Duration::from_secs(10);
     for _ in 0.. {
         match insert(&client, "during").await {
@@ -240,10 +240,10 @@
 }
 
 #[actix_rt::test]
-async fn a_process_over_its_rate_is_turned_away_before_it_sends() {
-    // A burst of a hundred writes comes at a process that may send five a second and wait 500 ms at most. The caller
-    // sees "not sent" with when to come back, and the store sees no more than the burst, since a queue of this VM's
-    // writes in the store would time out the writes of every other VM.
+async fn a_process_over_its_rate_is_refused_before_it_sends() {
+    // A process with a rate of five writes per second and a longest wait of 500 ms gets a burst of a hundred writes.
+    // Writes over the rate must end as "not sent" with a time to retry after, and the store must get no more than the
+    // permitted burst: a queue of this VM's writes in the store would make the writes of every other VM time out.
     let stand_in = stand_in();
     let settings = ClientSettings {
         address: stand_in.address(),
@@ -271,7 +271,7 @@
 }
 
 #[actix_rt::test]
-async fn lost_answers_by_fraction_are_the_same_for_the_same_seed() {
+async fn the_same_seed_loses_the_same_answers() {
     let mut patterns = Vec::new();
     for _ in 0..2 {
         let stand_in = stand_in();
@@ -290,7 +290,7 @@
 }
 
 #[actix_rt::test]
-async fn a_stale_vm_list_is_the_one_of_before() {
+async fn a_stale_vm_list_shows_the_previous_state() {
     let old = VmEntry {
         id: "e1".parse().unwrap(),
         data_centre: "rajkot-east".parse().unwrap(),
@@ -319,7 +319,7 @@
 }
 
 #[actix_rt::test]
-async fn faults_and_counts_are_reached_over_http() {
+async fn faults_are_set_and_counts_are_read_over_http() {
     let stand_in = stand_in();
     let client = client(&stand_in);
     let http = awc::Client::default();
