--- a/crates/command-line/src/exit.rs
+++ b/crates/command-line/src/exit.rs
@@ -1,21 +1,21 @@
-//! From the command line to the exit code.
+//! Parsing of the command line, and exit codes.
 
 use std::process::ExitCode;
 
 use bpaf::{Args, OptionParser, ParseFailure};
 use eyre::Report;
 
-/// The widest line of help.
+/// The width of help texts, in characters.
 const HELP_WIDTH: usize = 100;
 
-/// What a process ends with.
+/// The exit status of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitStatus {
-    /// It did what was asked.
+    /// The command succeeded.
     Success = 0,
-    /// It could not: a failure at run time.
+    /// The command failed at run time.
     Failure = 1,
-    /// It was asked wrongly: the command line or the settings.
+    /// The command line or the settings are wrong.
     UsageError = 2,
 }
 
@@ -25,12 +25,12 @@
     }
 }
 
-/// Why a command did not do what was asked.
+/// Why a command failed.
 #[derive(Debug)]
 pub enum CommandError {
     /// A failure at run time.
     Failure(Report),
-    /// Wrong arguments or settings.
+    /// The arguments or settings are wrong.
     UsageError(Report),
 }
 
@@ -40,11 +40,11 @@
     }
 }
 
-/// Reads the command line. Help and completion go to standard output.
+/// Parses the command line. Prints help and completions to standard output and errors to standard error.
 ///
 /// # Errors
 ///
-/// Returns the code to exit with where nothing is left to do.
+/// The exit code, if the command line is wrong or asked only for help or completions.
 pub fn parse<T>(name: &str, parser: OptionParser<T>) -> Result<T, ExitCode> {
     let failure = match parser.max_width(HELP_WIDTH).run_inner(Args::current_args()) {
         Ok(options) => return Ok(options),
@@ -63,8 +63,8 @@
     }
 }
 
-/// Says on standard error what went wrong, in one line with its cause, and gives the exit code. With `verbose` the
-/// whole report follows.
+/// Prints the error of a command with its causes in one line to standard error and returns the exit code. With
+/// `verbose`, the whole report follows.
 pub fn report_exit_status(name: &str, verbose: bool, result: Result<(), CommandError>) -> ExitCode {
     let (status, report) = match result {
         Ok(()) => return ExitStatus::Success.into(),
--- a/crates/command-line/src/lib.rs
+++ b/crates/command-line/src/lib.rs
@@ -1,4 +1,4 @@
-//! What both binaries do alike: exit codes, one line for an error, output into a pipe.
+//! Helpers that both binaries share: exit codes, errors in one line, and output to pipes.
 
 mod exit;
 mod output;
--- a/crates/command-line/src/output.rs
+++ b/crates/command-line/src/output.rs
@@ -1,12 +1,12 @@
-//! Output.
+//! Output to standard output.
 
 use std::io::{self, ErrorKind, Write};
 
-/// Writes to standard output. A reader that has read enough, such as `head`, is no error.
+/// Writes a text to standard output. A closed pipe is not an error, because readers such as `head` stop early.
 ///
 /// # Errors
 ///
-/// Any other fault of standard output.
+/// Any other I/O error of standard output.
 pub fn print_text(text: &str) -> io::Result<()> {
     let mut out = io::stdout().lock();
     match out.write_all(text.as_bytes()).and_then(|()| out.flush()) {
--- a/crates/endpoint-client/src/classify.rs
+++ b/crates/endpoint-client/src/classify.rs
@@ -1,4 +1,4 @@
-//! From what the HTTP library says to what became of the attempt.
+//! Classification of the HTTP library's errors by what they mean for the attempt.
 
 use std::{error::Error as _, io};
 
@@ -6,25 +6,25 @@
 use model::{AttemptEnd, RetryReason, UnknownReason};
 use thiserror::Error;
 
-/// A call without a usable answer.
+/// The error of a call that got no usable answer.
 #[derive(Debug, Error)]
 pub(crate) enum CallError {
-    /// No connection came about.
+    /// No connection was established.
     #[error("no connection: {0}")]
     NotConnected(ConnectError),
-    /// The connection broke after bytes may have been written.
+    /// The connection was lost after bytes may have been written.
     #[error("connection lost: {0}")]
     ConnectionLost(String),
-    /// No answer in time.
+    /// No answer arrived in time.
     #[error("no answer in time")]
     Timeout,
-    /// The answer is not one of the border, or not whole, or of another attempt.
-    #[error("broken answer: {0}")]
+    /// The answer violates the endpoint interface, is incomplete, or belongs to another attempt.
+    #[error("invalid answer: {0}")]
     BrokenAnswer(&'static str),
 }
 
 impl CallError {
-    /// What the error means for the attempt.
+    /// Returns how the attempt ended, given this error.
     pub(crate) fn attempt_end(&self) -> AttemptEnd {
         match self {
             Self::NotConnected(_) => AttemptEnd::NotRun(RetryReason::EndpointUnreachable),
@@ -38,9 +38,9 @@
 impl From<SendRequestError> for CallError {
     fn from(error: SendRequestError) -> Self {
         match error {
-            // The library says `Disconnected` under `Connect` also when an established connection closed before the
-            // answer came. Taken for "never connected", a task that ran would be placed a second time. Only the
-            // errors that the library makes before it hands out a connection count as not connected.
+            // The library reports `Connect(Disconnected)` also when an established connection was closed before the
+            // answer. If that counted as not connected, a task that ran would be placed a second time. Only errors that
+            // occur before the library hands out a connection count as not connected.
             SendRequestError::Connect(
                 error @ (ConnectError::Timeout
                 | ConnectError::Io(_)
@@ -49,7 +49,7 @@
                 | ConnectError::Unresolved),
             ) => Self::NotConnected(error),
             SendRequestError::Timeout => Self::Timeout,
-            // The library also reports a reset while it waits for the head as a parse error.
+            // The library reports a connection reset while it waits for the answer's head as a parse error.
             SendRequestError::Response(error) => match error.source() {
                 Some(source) if source.is::<io::Error>() => {
                     Self::ConnectionLost(source.to_string())
--- a/crates/endpoint-client/src/lib.rs
+++ b/crates/endpoint-client/src/lib.rs
@@ -1,7 +1,8 @@
-//! Calls a task on an endpoint over HTTP and classifies the answer.
+//! A client that sends tasks to endpoints over HTTP and classifies the answers.
 //!
-//! The classification is what "at most once" rests on: a task may be placed again only after a definite not-run, so
-//! each doubt counts as an unknown outcome. The HTTP library neither retries nor, as set up here, follows redirects.
+//! "At most once" depends on the classification: a task may be placed again only if it definitely did not run, so
+//! every doubtful case counts as an unknown outcome. The HTTP library does not retry and, as configured here, does not
+//! follow redirects.
 
 mod classify;
 mod read;
@@ -15,16 +16,16 @@
 /// Settings of an [`EndpointClient`].
 #[derive(Clone, Debug)]
 pub struct ClientSettings {
-    /// The time for a connection to come about.
+    /// The timeout for establishing a connection.
     pub connect_timeout: Duration,
-    /// The most connections of this client at once, over all endpoints. A call beyond it would wait unsent, so it
-    /// has to exceed the slots that the client's thread serves.
+    /// The most open connections of this client, over all endpoints. Further calls would wait unsent, so the pool has
+    /// to be larger than the number of slots that the client's thread serves.
     pub pool_size: usize,
-    /// How long an idle connection is kept. It must be below the endpoint's keep-alive: a request written to a
-    /// connection that the endpoint is just closing has an unknown outcome.
+    /// How long an idle connection is kept open. It must be shorter than the endpoint's keep-alive time: a request that
+    /// is written to a connection while the endpoint closes it has an unknown outcome.
     pub keep_alive: Duration,
-    /// The time that an answer may come after the deadline of the task before it is given up. The entry has decided
-    /// by then; the answer still tells that the slot is free.
+    /// How long after the task's deadline the client still waits for the answer. The entry has decided by then, but the
+    /// answer still tells that the slot is free.
     pub answer_grace: Duration,
 }
 
@@ -39,7 +40,7 @@
     }
 }
 
-/// Calls endpoints. It keeps connections open and stays on its thread: one per traffic thread.
+/// A client of endpoints. It keeps connections open and stays on its thread; each traffic thread has its own client.
 #[derive(Clone)]
 pub struct EndpointClient {
     client: Client,
@@ -47,15 +48,15 @@
 }
 
 impl EndpointClient {
-    /// A client without connections yet.
+    /// Creates a client without connections.
     pub fn new(settings: ClientSettings) -> Self {
         let connector = Connector::new()
             .timeout(settings.connect_timeout)
             .limit(settings.pool_size)
             .conn_keep_alive(settings.keep_alive)
-            // Connections in use are long-lived; only idle ones are let go.
+            // Connections in use live long; only idle connections are closed.
             .conn_lifetime(Duration::from_secs(3600));
-        // A redirect would send the task a second time, after the first endpoint may have run it.
+        // Following a redirect would send the task a second time although the first endpoint may have run it.
         let client = Client::builder()
             .connector(connector)
             .disable_redirects()
@@ -64,26 +65,26 @@
         Self { client, settings }
     }
 
-    /// Sends a task to an endpoint and waits for its end, at most for the offer's time left and the answer grace.
+    /// Sends a task to an endpoint and waits for its end, at most for `offer.time_left` plus the answer grace.
     ///
     /// `started` is called just before the first byte can be written; from then on the task may have started.
-    /// `offer.time_left` counts from this call. Nothing is ever sent twice.
+    /// `offer.time_left` counts from this call. A task is never sent twice.
     pub async fn run(
         &self,
         endpoint: &EndpointAddress,
         offer: &TaskOffer,
         started: impl FnOnce(),
     ) -> AttemptEnd {
-        let limit = offer.time_left + self.settings.answer_grace;
+        let timeout = offer.time_left + self.settings.answer_grace;
         started();
-        let call = send::call(&self.client, endpoint, offer, limit);
-        let end = match actix_rt::time::timeout(limit, call).await {
+        let call = send::call(&self.client, endpoint, offer, timeout);
+        let end = match actix_rt::time::timeout(timeout, call).await {
             Ok(Ok(end)) => end,
             Ok(Err(error)) => error.attempt_end(),
             Err(_) => classify::CallError::Timeout.attempt_end(),
         };
         log::debug!(
-            "endpoint client: {} at {} ended {end:?}",
+            "endpoint client: attempt {} at endpoint {} ended: {end:?}",
             offer.attempt,
             endpoint.id
         );
--- a/crates/endpoint-client/src/read.rs
+++ b/crates/endpoint-client/src/read.rs
@@ -1,4 +1,4 @@
-//! Reads an answer and checks that it is whole and belongs to the attempt.
+//! Reading of an answer, with checks that it is complete and belongs to the attempt.
 
 use awc::{
     error::PayloadError,
@@ -16,14 +16,14 @@
 pub(crate) const ATTEMPT_ID: HeaderName = HeaderName::from_static("attempt-id");
 const TASK_STATUS: HeaderName = HeaderName::from_static("task-status");
 
-/// What the head of an answer says.
+/// The task's status in the head of an answer.
 enum ResponseHead {
     Done,
     Failed,
     NotRun(RetryReason),
 }
 
-/// Reads the answer to `attempt`.
+/// Reads the answer to an attempt and returns how the attempt ended.
 pub(crate) async fn read_response<S, E>(
     response: ClientResponse<S>,
     attempt: AttemptId,
@@ -50,9 +50,9 @@
 ) -> Result<ResponseHead, CallError> {
     let text = |name| response.headers().get(name)?.to_str().ok();
     let echoed = text(ATTEMPT_ID).and_then(|text| text.parse().ok());
-    // An answer that belongs to another attempt says nothing about this one, not even "busy".
+    // An answer to another attempt, even a "busy", says nothing about this attempt.
     if echoed != Some(attempt) {
-        return Err(CallError::BrokenAnswer("another attempt"));
+        return Err(CallError::BrokenAnswer("wrong attempt id"));
     }
     match (response.status(), text(TASK_STATUS)) {
         (StatusCode::OK, Some("done")) => Ok(ResponseHead::Done),
@@ -67,18 +67,19 @@
     }
 }
 
-/// The size that the answer names. Without one a cut answer could not be told from a whole one, because the HTTP
-/// library ends a body quietly when its connection closes, so an answer must name its size.
+/// Reads the body's size from the `content-length` header, which every answer must have. Without it a truncated answer
+/// could not be told from a complete one, because the HTTP library ends a body without an error when the connection
+/// closes.
 fn read_content_length<S>(response: &ClientResponse<S>) -> Result<usize, CallError> {
     if response.headers().contains_key(TRANSFER_ENCODING) {
-        return Err(CallError::BrokenAnswer("size not named"));
+        return Err(CallError::BrokenAnswer("no content length"));
     }
     let size = response
         .headers()
         .get(CONTENT_LENGTH)
         .and_then(|value| value.to_str().ok())
         .and_then(|text| text.parse::<u64>().ok())
-        .ok_or(CallError::BrokenAnswer("size not named"))?;
+        .ok_or(CallError::BrokenAnswer("no content length"))?;
     if size > MAX_PAYLOAD_BYTES.0 {
         return Err(CallError::BrokenAnswer("too large"));
     }
@@ -100,8 +101,8 @@
             Err(_) => return Err(CallError::BrokenAnswer("cut short")),
         }
     }
-    // The library ends the body without an error when the connection closes early; the bytes that came would pass
-    // for the whole answer.
+    // The library ends the body without an error when the connection closes early, so that the bytes received so far
+    // would be taken for the whole answer.
     if body.len() != size {
         return Err(CallError::BrokenAnswer("cut short"));
     }
--- a/crates/endpoint-client/src/send.rs
+++ b/crates/endpoint-client/src/send.rs
@@ -1,4 +1,4 @@
-//! One call: the request out, the answer in.
+//! One call to an endpoint.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 use crate::{classify::CallError, read};
 
-/// Sends the task and reads the whole answer.
+/// Sends a task and reads the whole answer, within `timeout`.
 pub(crate) async fn call(
     client: &Client,
     endpoint: &EndpointAddress,
@@ -20,8 +20,9 @@
         .insert_header(("customer", offer.customer.as_str()))
         .insert_header(("task-kind", offer.kind.as_str()))
         .insert_header(("deadline-ms", offer.time_left.as_millis().to_string()))
-        // Beside the limit around the whole call, because this one is looked at before anything is sent: after a
-        // freeze of this process past the deadline, a call still waiting for its connection ends unsent.
+        // The caller enforces the same timeout around the whole call. This one is checked before anything is sent, so
+        // that after a freeze of this process past the deadline, a call that still waits for its connection ends
+        // unsent.
         .timeout(timeout)
         .send_body(offer.payload.0.to_vec())
         .await?;
--- a/crates/endpoint-client/tests/contract.rs
+++ b/crates/endpoint-client/tests/contract.rs
@@ -1,4 +1,4 @@
-//! Contract of the endpoint border, seen from the client.
+//! Contract tests of the endpoint interface, from the client's side.
 
 mod support;
 
@@ -123,12 +123,11 @@
     ]
 }
 
-// What the caller sees: each task either ends as it did at the endpoint, or is "unknown"; only "busy" and "leaving"
-// become a not-run, which may be placed again.
-// Order: the endpoint shows one fault for one task, then is healthy again; the client must not send a second time.
-// Why: a not-run said of a task that started would let it start twice.
+// Each task must end as it did at the endpoint or as unknown; only "busy" and "leaving" are a not-run, after which a
+// task may be placed again. If a started task were reported as not run, it could start twice. The endpoint has a fault
+// for one task and is healthy afterwards, so that a second send by the client would show.
 #[actix_rt::test]
-async fn classifies_each_fault_and_sends_once() {
+async fn each_fault_is_classified_and_the_task_is_sent_once() {
     for case in fault_cases() {
         let stand_in = stand_in(8);
         stand_in.order_fault(FaultOrder::next(case.fault, 1));
@@ -147,9 +146,8 @@
     }
 }
 
-// What the caller sees: an endpoint with a fault for one task serves the next task on whatever connection is left.
-// Order: a faulty answer, then a healthy task with another attempt id over the same client.
-// Why: bytes left of a broken answer must not be read as the next task's answer.
+// Guards against reading the remaining bytes of a faulty answer as the next task's answer. A task gets a faulty answer,
+// and the same client then sends another task to the healthy endpoint, on whatever connection is left.
 #[actix_rt::test]
 async fn next_task_after_a_fault_gets_its_own_answer() {
     for case in fault_cases() {
@@ -172,9 +170,8 @@
     }
 }
 
-// What the caller sees: neither of two tasks gets the other's answer; both are unknown.
-// Order: two tasks run at once, the endpoint sends each the other's whole answer.
-// Why: the echoed attempt id is the only thing that tells a crossed answer from the right one.
+// Guards against delivering one task's answer to another task. Two tasks run at once and the endpoint sends each the
+// other's complete answer. Only the echoed attempt id shows this, and both tasks must be unknown.
 #[actix_rt::test]
 async fn crossed_answers_are_not_delivered() {
     let stand_in = stand_in(8);
@@ -191,9 +188,9 @@
     assert_eq!(stand_in.record().starts.len(), 2);
 }
 
-// What the caller sees: a task for an endpoint that is gone is a not-run and is placed elsewhere.
-// Order: nothing listens at the address, so the connection is refused before a byte is written.
-// Why: it is the one lost call that is certainly no start.
+// A task for an endpoint that is gone must be a not-run, so that it is placed elsewhere. Nothing listens at the
+// address, so the connection is refused before a byte is written. Of all failed calls, only those without a connection
+// have certainly not started the task.
 #[actix_rt::test]
 async fn refused_connection_is_not_run() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -211,7 +208,7 @@
     name: &'static str,
     answers: &'static [RawAnswer],
     second: AttemptEnd,
-    /// Requests and connections that the endpoint saw.
+    /// The numbers of requests and connections that the endpoint counted.
     counts: (u32, u32),
 }
 
@@ -253,10 +250,9 @@
     ]
 }
 
-// What the caller sees: a task whose connection broke is unknown, and the endpoint saw it once.
-// Order: a first task leaves an idle connection; the second is written to it, read whole by the endpoint, and the
-// connection breaks before the answer.
-// Why: many HTTP libraries send again on a fresh connection when a reused one breaks; that would be a second start.
+// Many HTTP libraries send again on a new connection when a reused one is lost, which would start the task twice. A
+// first task leaves an idle connection. The second task is written to it and read by the endpoint, and the connection
+// is lost before the answer. The second task must be unknown and arrive once.
 #[actix_rt::test]
 async fn broken_reused_connection_is_not_sent_again() {
     for case in raw_cases() {
@@ -265,19 +261,19 @@
         let client = EndpointClient::new(ClientSettings::default());
         let first = client.run(&endpoint, &offer(1, QUICK), || ()).await;
         assert_eq!(first, done("ok"), "{}", case.name);
-        // Lets a close of the idle connection arrive.
+        // Leaves time for the idle connection's close to arrive.
         actix_rt::time::sleep(Duration::from_millis(50)).await;
         let second = client.run(&endpoint, &offer(2, QUICK), || ()).await;
         assert_eq!(second, case.second, "{}", case.name);
-        // A silent second sending would come within this time.
+        // A second send would arrive within this time.
         actix_rt::time::sleep(Duration::from_millis(50)).await;
         assert_eq!(raw.counts(), case.counts, "{}", case.name);
     }
 }
 
-// What the caller sees: an endpoint that is killed while a task runs makes it unknown, never a not-run.
-// Order: the task starts, the endpoint's listener and connections close, the client would find no one to connect to.
-// Why: the library reports the lost answer as a failure to connect, which must not count as one.
+// A task that runs when its endpoint is killed must be unknown, never a not-run. The endpoint's listener and connections
+// close after the task has started. The HTTP library reports the lost answer as a failure to connect, which must not
+// be classified as one.
 #[actix_rt::test]
 async fn killed_endpoint_is_unknown() {
     let stand_in = stand_in(8);
@@ -294,7 +290,7 @@
 }
 
 #[actix_rt::test]
-async fn slots_are_a_real_limit() {
+async fn tasks_beyond_the_slots_are_refused_as_busy() {
     let stand_in = stand_in(2);
     let client = EndpointClient::new(ClientSettings::default());
     let endpoint = stand_in.endpoint_address();
@@ -314,11 +310,10 @@
     assert_eq!(record.refusals.len(), 3);
 }
 
-// What the caller sees: a task that runs when its endpoint begins to leave still gets its answer.
-// Order: the task starts, the endpoint leaves, a second task is turned away, the first one ends.
-// Why: leaving finishes what runs.
+// A leaving endpoint finishes its running tasks. The first task starts, the endpoint begins to leave and refuses a
+// second task, and the first task must still get its answer.
 #[actix_rt::test]
-async fn leaving_endpoint_finishes_what_runs() {
+async fn leaving_endpoint_finishes_running_tasks() {
     let stand_in = stand_in(8);
     let client = EndpointClient::new(ClientSettings::default());
     let endpoint = stand_in.endpoint_address();
@@ -359,13 +354,12 @@
     );
 }
 
-// What the caller sees: a task for an endpoint that is cut off before it is connected to is a not-run; one that was
-// sent before the cut is unknown once its time is over, also when the answer would come after the heal.
-// Order: a task runs over an open connection, the link is cut, the time of the task passes; a second task needs a new
-// connection, which hangs; the link heals and a third task is served.
-// Why: only the second one's bytes certainly stayed here.
+// A task that was sent before a link is cut is unknown once its time is over, even if its answer would arrive after the
+// link is restored. A task that needs a connection during the cut is a not-run. The first task runs over an open
+// connection when the link is cut, and its time passes. The second task's connection hangs, so that certainly no byte
+// of it was sent. Then the link is restored and a third task is served.
 #[actix_rt::test]
-async fn cut_link_is_not_run_before_and_unknown_after_sending() {
+async fn cut_link_is_not_run_before_sending_and_unknown_after() {
     let stand_in = stand_in(8);
     let forwarder = NetForwarder::start().unwrap();
     let endpoint = endpoint_at(forwarder.add_link("d-e", stand_in.address()).unwrap());
--- a/crates/endpoint-client/tests/support/mod.rs
+++ b/crates/endpoint-client/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Offers and a raw endpoint for the contract tests.
+//! Task offers and an endpoint without an HTTP library for the contract tests.
 
 use std::{
     net::SocketAddr,
@@ -17,7 +17,7 @@
     net::{TcpListener, TcpStream},
 };
 
-/// An offer of task `serial` with this payload and two seconds left.
+/// An offer for submission `serial` with the given payload and a time left of two seconds.
 pub(crate) fn offer(serial: u64, payload: &str) -> TaskOffer {
     TaskOffer {
         attempt: AttemptId {
@@ -37,7 +37,7 @@
     }
 }
 
-/// The address of an endpoint as the dispatcher keeps it.
+/// An endpoint with eight slots at the given address.
 pub(crate) fn endpoint_at(address: SocketAddr) -> EndpointAddress {
     EndpointAddress {
         id: "endpoint-1".parse().unwrap(),
@@ -46,22 +46,22 @@
     }
 }
 
-/// What a [`RawEndpoint`] does with one request that it has read whole.
+/// What a [`RawEndpoint`] does after it has read one whole request.
 #[derive(Clone, Copy)]
 pub(crate) enum RawAnswer {
-    /// A whole answer; the connection stays.
+    /// Sends a complete answer and keeps the connection open.
     Whole,
-    /// A whole answer, then the connection closes without notice in the answer.
+    /// Sends a complete answer and closes the connection, which the answer does not announce.
     WholeThenClose,
-    /// The connection closes.
+    /// Closes the connection without an answer.
     Close,
-    /// The connection is reset.
+    /// Resets the connection without an answer.
     Reset,
-    /// Bytes that are not HTTP.
+    /// Sends bytes that are not HTTP and closes the connection.
     Garbage,
 }
 
-/// An endpoint without an HTTP library: it counts requests and connections and answers by list.
+/// An endpoint without an HTTP library. It counts requests and connections and answers from a list.
 pub(crate) struct RawEndpoint {
     pub(crate) address: SocketAddr,
     pub(crate) requests: Arc<AtomicU32>,
@@ -69,7 +69,8 @@
 }
 
 impl RawEndpoint {
-    /// Serves the requests with `answers` in turn, then closes on each further one.
+    /// Starts an endpoint that answers requests with `answers` in order and closes the connection on each further
+    /// request.
     pub(crate) async fn start(answers: &'static [RawAnswer]) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let endpoint = Self {
@@ -88,7 +89,7 @@
         endpoint
     }
 
-    /// Requests read whole and connections accepted.
+    /// The number of requests read completely and of connections accepted.
     pub(crate) fn counts(&self) -> (u32, u32) {
         (
             self.requests.load(Ordering::SeqCst),
@@ -123,7 +124,7 @@
     }
 }
 
-/// Reads one request with its body and gives its attempt id; `None` when the connection ends.
+/// Reads one request with its body and returns its attempt id, or `None` when the connection ends.
 async fn read_request(stream: &mut TcpStream) -> Option<String> {
     let mut bytes = Vec::new();
     loop {
