--- a/crates/endpoint-client/tests/contract.rs
+++ b/crates/endpoint-client/tests/contract.rs
@@ -30,14 +30,14 @@
 }
 
 /// Waits until the condition holds; fails after five seconds.
-async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
+async fn wait_until(condition: &str, mut is_met: impl FnMut() -> bool) {
     for _ in 0..500 {
-        if holds() {
+        if is_met() {
             return;
         }
         actix_rt::time::sleep(Duration::from_millis(10)).await;
     }
-    panic!("never came: {what}");
+    panic!("timed out waiting for {condition}");
 }
 
 struct FaultCase {
@@ -271,9 +271,9 @@
     }
 }
 
-// A task that runs when its endpoint is killed must be unknown, never a not-run. The endpoint's listener and connections
-// close after the task has started. The HTTP library reports the lost answer as a failure to connect, which must not
-// be classified as one.
+// A task that runs when its endpoint is killed must be unknown, never a not-run. The endpoint's listener and
+// connections close after the task has started. The HTTP library reports the lost answer as a failure to connect, and
+// the task must not be classified as never sent.
 #[actix_rt::test]
 async fn killed_endpoint_is_unknown() {
     let stand_in = stand_in(8);
--- a/crates/model/src/ids.rs
+++ b/crates/model/src/ids.rs
@@ -151,12 +151,12 @@
     type Err = InvalidId;
 
     fn from_str(s: &str) -> Result<Self, InvalidId> {
-        let wrong = || InvalidId::new("submission id", s);
-        let (incarnation, serial) = s.split_once('-').ok_or_else(wrong)?;
-        let incarnation = incarnation.parse().map_err(|_| wrong())?;
+        let invalid = || InvalidId::new("submission id", s);
+        let (incarnation, serial) = s.split_once('-').ok_or_else(invalid)?;
+        let incarnation = incarnation.parse().map_err(|_| invalid())?;
         Ok(Self {
             incarnation,
-            serial: parse_hex(serial).ok_or_else(wrong)?,
+            serial: parse_hex(serial).ok_or_else(invalid)?,
         })
     }
 }
@@ -189,19 +189,19 @@
     type Err = InvalidId;
 
     fn from_str(s: &str) -> Result<Self, InvalidId> {
-        let wrong = || InvalidId::new("attempt id", s);
+        let invalid = || InvalidId::new("attempt id", s);
         let mut parts = s.split('.');
         let submission = parts
             .next()
             .unwrap_or_default()
             .parse()
-            .map_err(|_| wrong())?;
+            .map_err(|_| invalid())?;
         let mut number = || {
             parts
                 .next()
                 .and_then(parse_hex)
                 .and_then(|n| u32::try_from(n).ok())
-                .ok_or_else(wrong)
+                .ok_or_else(invalid)
         };
         let (task, attempt) = (number()?, number()?);
         match parts.next() {
@@ -210,7 +210,7 @@
                 task,
                 attempt,
             }),
-            Some(_) => Err(wrong()),
+            Some(_) => Err(invalid()),
         }
     }
 }
--- a/crates/platform/tests/border.rs
+++ b/crates/platform/tests/border.rs
@@ -51,15 +51,15 @@
 }
 
 /// Waits until a condition holds. The limit only ends a test that would otherwise hang.
-async fn wait_until(what: &str, mut met: impl FnMut() -> bool) {
+async fn wait_until(condition: &str, mut is_met: impl FnMut() -> bool) {
     let start = Instant::now();
     for _ in 0.. {
-        if met() {
+        if is_met() {
             return;
         }
         assert!(
             start.elapsed() < Duration::from_secs(10),
-            "waited for {what}"
+            "timed out waiting for {condition}"
         );
         actix_rt::time::sleep(Duration::from_millis(2)).await;
     }
@@ -181,7 +181,7 @@
         ("racing writer", race, Conflict, true),
     ];
     for warm in [false, true] {
-        for (name, faults, expected, there) in &cases {
+        for (name, faults, expected, takes_effect) in &cases {
             let stand_in = stand_in();
             let client = client(&stand_in);
             if warm {
@@ -194,7 +194,7 @@
                 expected,
                 "{name}, warm {warm}"
             );
-            if *there {
+            if *takes_effect {
                 wait_until(name, || stand_in.row("request-keys", "k").is_some()).await;
             } else if *name != "slow" {
                 // A slow write may still take effect after the caller timed out.
@@ -331,8 +331,8 @@
     let read = client.vm_list().await;
     assert_eq!(read, Err(ReadError(RequestError::UnexpectedStatus(503))));
 
-    let wrong = json!({"dwon": "unavailable"});
-    let answer = http.put(url("faults")).send_json(&wrong).await.unwrap();
+    let misspelt = json!({"dwon": "unavailable"});
+    let answer = http.put(url("faults")).send_json(&misspelt).await.unwrap();
     assert_eq!(answer.status(), 400);
 
     http.put(url("faults")).send_json(&json!({})).await.unwrap();
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -52,8 +52,8 @@
         (r#""heartbeat_ms": 100} {"#, "two documents"),
     ];
     let mut page = String::new();
-    for (fields, what) in table {
-        page += &format!("{what}: {fields}\n    {}\n", error_text(fields));
+    for (fields, description) in table {
+        page += &format!("{description}: {fields}\n    {}\n", error_text(fields));
     }
     assert_snapshot!(page);
 }
