--- a/crates/endpoint-client/src/send.rs
+++ b/crates/endpoint-client/src/send.rs
@@ -7,7 +7,7 @@
 
 use crate::{classify::CallError, read};
 
-/// Sends a task and reads the whole answer, within `timeout`.
+/// Sends a task and reads the whole answer.
 pub(crate) async fn call(
     client: &Client,
     endpoint: &EndpointAddress,
--- a/crates/model/src/mechanism.rs
+++ b/crates/model/src/mechanism.rs
@@ -18,7 +18,7 @@
     KeptRoom,
     /// Queued jobs are ordered by their latest start instead of their arrival.
     LatestStart,
-    /// Late jobs that have already begun are placed before other late jobs.
+    /// Late jobs that have begun are placed before all other jobs while their results are still of use.
     BegunFirst,
     /// Run times are learnt per route instead of taken from the customers' estimates.
     RunTimes,
@@ -36,7 +36,8 @@
     Dividing,
     /// An entry first asks the less loaded of two randomly chosen pools, by their published load.
     PoolChoice,
-    /// Pools are handed over to processes in their own data centre and on idle machines.
+    /// Pools are handed over to processes in their own data centre and to processes that own far fewer pools for their
+    /// capacity.
     Yielding,
     /// Answer timeouts follow the observed answer times, and starts are retried within a retry budget.
     AnswerLimits,
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -38,10 +38,10 @@
     pub timeout: Duration,
     /// The longest wait for a permit of this process's rate limiters.
     pub max_permit_wait: Duration,
-    /// Reads per second. All VMs share the platform's 2,000 reads per second; 200 suit 8 VMs.
+    /// Reads per second. All VMs share the platform's 2,000 reads per second; 200 each suit the system's 8 VMs.
     pub read_rate: CallRate,
-    /// Transactions per second. All VMs share the platform's several hundred transactions per second. At 20, 8 VMs
-    /// together use 160 and leave the rest to contract changes and other users.
+    /// Transactions per second. All VMs share the platform's several hundred transactions per second. At 20 each, the
+    /// system's 8 VMs together use 160 and leave the rest to contract changes and other users.
     pub write_rate: CallRate,
 }
 
