--- a/crates/endpoint-client/src/read.rs
+++ b/crates/endpoint-client/src/read.rs
@@ -17,14 +17,14 @@
 const TASK_STATUS: HeaderName = HeaderName::from_static("task-status");
 
 /// The task's status in the head of an answer.
-enum ResponseHead {
+enum AnswerHead {
     Done,
     Failed,
     NotRun(RetryReason),
 }
 
 /// Reads the answer to an attempt and returns how the attempt ended.
-pub(crate) async fn read_response<S, E>(
+pub(crate) async fn read_answer<S, E>(
     response: ClientResponse<S>,
     attempt: AttemptId,
 ) -> Result<AttemptEnd, CallError>
@@ -34,20 +34,17 @@
     E: AsRef<[u8]>,
 {
     match read_head(&response, attempt)? {
-        ResponseHead::Done => {
+        AnswerHead::Done => {
             let size = read_content_length(&response)?;
             let payload = Payload::from(read_body(response, size).await?);
             Ok(AttemptEnd::Done(TaskResult { payload }))
         }
-        ResponseHead::Failed => Ok(AttemptEnd::Failed),
-        ResponseHead::NotRun(reason) => Ok(AttemptEnd::NotRun(reason)),
+        AnswerHead::Failed => Ok(AttemptEnd::Failed),
+        AnswerHead::NotRun(reason) => Ok(AttemptEnd::NotRun(reason)),
     }
 }
 
-fn read_head<S>(
-    response: &ClientResponse<S>,
-    attempt: AttemptId,
-) -> Result<ResponseHead, CallError> {
+fn read_head<S>(response: &ClientResponse<S>, attempt: AttemptId) -> Result<AnswerHead, CallError> {
     let text = |name| response.headers().get(name)?.to_str().ok();
     let echoed = text(ATTEMPT_ID).and_then(|text| text.parse().ok());
     // An answer to another attempt, even a "busy", says nothing about this attempt.
@@ -55,13 +52,13 @@
         return Err(CallError::BrokenAnswer("wrong attempt id"));
     }
     match (response.status(), text(TASK_STATUS)) {
-        (StatusCode::OK, Some("done")) => Ok(ResponseHead::Done),
-        (StatusCode::OK, Some("failed")) => Ok(ResponseHead::Failed),
+        (StatusCode::OK, Some("done")) => Ok(AnswerHead::Done),
+        (StatusCode::OK, Some("failed")) => Ok(AnswerHead::Failed),
         (StatusCode::SERVICE_UNAVAILABLE, Some("busy")) => {
-            Ok(ResponseHead::NotRun(RetryReason::EndpointBusy))
+            Ok(AnswerHead::NotRun(RetryReason::EndpointBusy))
         }
         (StatusCode::SERVICE_UNAVAILABLE, Some("leaving")) => {
-            Ok(ResponseHead::NotRun(RetryReason::EndpointLeaving))
+            Ok(AnswerHead::NotRun(RetryReason::EndpointLeaving))
         }
         _ => Err(CallError::BrokenAnswer("unknown status")),
     }
--- a/crates/endpoint-client/src/send.rs
+++ b/crates/endpoint-client/src/send.rs
@@ -26,5 +26,5 @@
         .timeout(timeout)
         .send_body(offer.payload.0.to_vec())
         .await?;
-    read::read_response(response, offer.attempt).await
+    read::read_answer(response, offer.attempt).await
 }
