--- a/crates/cairnctl/src/status.rs
+++ b/crates/cairnctl/src/status.rs
@@ -1,6 +1,6 @@
 //! `cairnctl status`.
 
-use command_line::CommandFault;
+use command_line::CommandError;
 use eyre::Report;
 use serde_json::Value;
 
@@ -16,7 +16,7 @@
 pub(crate) fn run(
     client: &EntryClient,
     output_format: OutputFormat,
-) -> Result<String, CommandFault> {
+) -> Result<String, CommandError> {
     let call = EntryCall::get("/v1/status".to_owned());
     let value = client.call(&call).map_err(Report::new)?;
     Ok(output_format.render(&value, status_text))
--- a/crates/caller-api/src/input.rs
+++ b/crates/caller-api/src/input.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use model::{
-    ByteSize, CustomerId, IdempotencyKey, KeyedRun, Payload, SubmissionBody, SubmissionKind,
-    TaskBody, TaskKind, TicketId, MAX_PAYLOAD_BYTES, MAX_TASKS_PER_JOB,
+    ByteSize, CustomerId, DuplicateDetection, IdempotencyKey, Payload, SubmissionBody,
+    SubmissionKind, TaskBody, TaskKind, TicketId, MAX_PAYLOAD_BYTES, MAX_TASKS_PER_JOB,
 };
 use serde::{de::DeserializeOwned, Deserialize};
 use thiserror::Error;
@@ -75,9 +75,9 @@
                 "cannot go with an Idempotency-Key header",
             ));
         }
-        (Some(ticket), None) => KeyedRun::Ticket(ticket),
-        (None, Some(key)) => KeyedRun::Key(read_key(key)?),
-        (None, None) => KeyedRun::PerSubmission,
+        (Some(ticket), None) => DuplicateDetection::Ticket(ticket),
+        (None, Some(key)) => DuplicateDetection::Key(read_key(key)?),
+        (None, None) => DuplicateDetection::PerSubmission,
     };
     let body = SubmissionBody {
         customer: input.customer,
@@ -190,7 +190,7 @@
 
 fn read_key(key: &str) -> Result<IdempotencyKey, InputError> {
     key.parse()
-        .map_err(|error: model::WrongId| InputError::new("Idempotency-Key", error.to_string()))
+        .map_err(|error: model::InvalidId| InputError::new("Idempotency-Key", error.to_string()))
 }
 
 /// Hashes the parts of a body that must be equal for a repeated submission to count as the same one: the customer,
--- a/crates/command-line/src/lib.rs
+++ b/crates/command-line/src/lib.rs
@@ -1,9 +1,9 @@
-//! What both binaries do alike: exit codes, one line for an error, output into a pipe.
+//! Helpers that both binaries share: exit codes, errors in one line, and output to pipes.
 
 mod exit;
 mod output;
 
 pub use crate::{
-    exit::{finish, parse, CommandFault, ExitStatus},
+    exit::{parse, report_exit_status, CommandError, ExitStatus},
     output::print_text,
 };
--- a/crates/contracts/src/editor.rs
+++ b/crates/contracts/src/editor.rs
@@ -6,7 +6,7 @@
 };
 
 use fastrand::Rng;
-use model::{Contract, ContractState, ContractVersion, CustomerId, WrongContract};
+use model::{Contract, ContractState, ContractVersion, CustomerId, InvalidContract};
 use platform::{
     CommitError, ExpectedVersion, PlatformClient, ReadError, RowConflict, StoreKey, TableName,
 };
@@ -55,7 +55,7 @@
 pub enum EditError {
     /// A field of the contract is out of range. Nothing was written.
     #[error(transparent)]
-    InvalidContract(#[from] WrongContract),
+    InvalidContract(#[from] InvalidContract),
     /// The customer has no contract. Nothing was written.
     #[error("the customer has no contract")]
     NotFound,
@@ -240,7 +240,7 @@
         limit: usize,
     ) -> Result<Vec<(ChangeId, ContractRow)>, EditError> {
         let table = TableName::ContractHistory;
-        let after = StoreKey::of_version(customer, after.0);
+        let after = StoreKey::for_customer_version(customer, after.0);
         let prefix = format!("{customer}/");
         let mut versions = Vec::new();
         for listed in self.client.list_rows(table, &after, limit).await? {
@@ -351,7 +351,7 @@
     ) -> Result<Prepared, EditError> {
         if pending.uncertain {
             let table = TableName::ContractHistory;
-            let key = StoreKey::of_version(&pending.customer, pending.version().0);
+            let key = StoreKey::for_customer_version(&pending.customer, pending.version().0);
             if let Some(found) = self.client.get_row(table, &key).await? {
                 let stored: StoredContract = decode(table, &key, found.value)?;
                 if stored.change == pending.change {
@@ -366,7 +366,7 @@
         &self,
         customer: &CustomerId,
     ) -> Result<Option<(ExpectedVersion, StoredContract)>, EditError> {
-        let (table, key) = (TableName::Contracts, StoreKey::of_customer(customer));
+        let (table, key) = (TableName::Contracts, StoreKey::for_customer(customer));
         let Some(row) = self.client.get_row(table, &key).await? else {
             return Ok(None);
         };
--- a/crates/contracts/src/rows.rs
+++ b/crates/contracts/src/rows.rs
@@ -143,13 +143,13 @@
             expect: head_expect,
             value: serde_json::json!(StoredHead { head: row.head }),
         };
-        let version_key = StoreKey::of_version(customer, row.version.0);
-        let number_key = StoreKey::of_number(row.head.0);
+        let version_key = StoreKey::for_customer_version(customer, row.version.0);
+        let number_key = StoreKey::for_number(row.head.0);
         let absent = ExpectedVersion::Absent;
         vec![
             write(
                 TableName::Contracts,
-                StoreKey::of_customer(customer),
+                StoreKey::for_customer(customer),
                 contract_expect,
             ),
             head,
@@ -161,7 +161,7 @@
 
 /// The key of the single head row.
 pub(crate) fn head_key() -> StoreKey {
-    StoreKey::of_name("head")
+    StoreKey::from_static("head")
 }
 
 /// Decodes the content of a row.
--- a/crates/ledger/src/ledger/queueing.rs
+++ b/crates/ledger/src/ledger/queueing.rs
@@ -4,8 +4,8 @@
 
 use decisions::{FairQueue, QueueEntry, QueueSettings};
 use model::{
-    AttemptId, EndpointId, IncarnationId, Payload, RetryReason, SessionId, TaskOffer, TaskVerdict,
-    WithdrawalVerdict,
+    AttemptId, EndpointId, IncarnationId, OfferReply, Payload, RetryReason, SessionId, TaskOffer,
+    WithdrawalReply,
 };
 
 use crate::{
@@ -30,11 +30,11 @@
         session: SessionId,
         batch: u64,
         offers: Vec<TaskOffer>,
-    ) -> Vec<TaskVerdict> {
+    ) -> Vec<OfferReply> {
         if !self.record_batch(now, entry, session, batch) {
             // The session is over. Since then the entry has counted these tasks as lost or withdrawn them, so starting
             // them now could run a task twice.
-            return vec![TaskVerdict::NotRun(RetryReason::DispatcherLost); offers.len()];
+            return vec![OfferReply::NotRun(RetryReason::DispatcherLost); offers.len()];
         }
         let mut verdicts = Vec::with_capacity(offers.len());
         for offer in offers {
@@ -52,7 +52,7 @@
         session: SessionId,
         after_batch: u64,
         attempts: &[AttemptId],
-    ) -> Vec<WithdrawalVerdict> {
+    ) -> Vec<WithdrawalReply> {
         let all_received = self.has_received_all(entry, session, after_batch);
         let mut verdicts = Vec::with_capacity(attempts.len());
         for attempt in attempts {
@@ -106,19 +106,19 @@
         entry: IncarnationId,
         session: SessionId,
         offer: TaskOffer,
-    ) -> TaskVerdict {
+    ) -> OfferReply {
         if self.stopping {
-            return TaskVerdict::NotRun(RetryReason::DispatcherStopping);
+            return OfferReply::NotRun(RetryReason::DispatcherStopping);
         }
         if self.endpoints.totals().0 == 0 {
-            return TaskVerdict::NotRun(RetryReason::NoEndpoint);
+            return OfferReply::NotRun(RetryReason::NoEndpoint);
         }
         // If the queue is empty, a free slot starts the task at once. Otherwise a new task joins the fair queue, as it
         // would take the slot of a customer whose turn it is.
         if self.queue.is_empty() {
             if let Some(endpoint) = self.endpoints.with_most_free_slots() {
                 self.start(now, entry, endpoint, offer);
-                return TaskVerdict::Started;
+                return OfferReply::Started;
             }
         }
         self.reserve(now, entry, session, offer)
@@ -130,7 +130,7 @@
         entry: IncarnationId,
         session: SessionId,
         offer: TaskOffer,
-    ) -> TaskVerdict {
+    ) -> OfferReply {
         let due = now + offer.time_left;
         // Run times measured here take precedence over the entry's estimate, which may rest on a caller's declaration.
         let declared = Some(offer.expected_run_time);
@@ -150,7 +150,7 @@
             due,
         };
         if self.queue.push(now, queued).is_err() {
-            return TaskVerdict::NotRun(RetryReason::QueueFull);
+            return OfferReply::NotRun(RetryReason::QueueFull);
         }
         let offer = TaskOffer {
             payload: Payload::default(),
@@ -165,7 +165,7 @@
             },
         );
         self.fill_slots(now);
-        TaskVerdict::Queued
+        OfferReply::Queued
     }
 
     fn withdraw_one(
@@ -173,24 +173,24 @@
         entry: IncarnationId,
         attempt: AttemptId,
         all_received: bool,
-    ) -> WithdrawalVerdict {
+    ) -> WithdrawalReply {
         if self.drop_reservation(&attempt) {
-            return WithdrawalVerdict::NotRun;
+            return WithdrawalReply::NotRun;
         }
         if let Some(pending) = self.claims.remove(&attempt) {
             // The body may be in flight; `on_claim_answered` will then find no claim and reject it.
             self.release(&pending.endpoint);
             self.refund(&pending.reservation);
-            return WithdrawalVerdict::NotRun;
+            return WithdrawalReply::NotRun;
         }
         let unconfirmed = self
             .links
             .get(&entry)
             .is_some_and(|link| link.unconfirmed.contains_key(&attempt));
         if unconfirmed || self.running.contains_key(&attempt) || !all_received {
-            return WithdrawalVerdict::Running;
+            return WithdrawalReply::Running;
         }
-        WithdrawalVerdict::NotRun
+        WithdrawalReply::NotRun
     }
 
     /// Assigns free slots to the next reservations in the queue.
--- a/crates/ledger/tests/at_most_once/world.rs
+++ b/crates/ledger/tests/at_most_once/world.rs
@@ -8,10 +8,9 @@
 use authority::{AuthorityAction, AuthoritySettings, DispatcherKey, TaskAuthority};
 use ledger::{ClaimNumber, LedgerAction, LedgerSettings, SlotLedger};
 use model::{
-    AttemptEnd, AttemptId, Contract, ContractVersion, CustomerId, EndpointAddress, EndpointState,
-    FailureReason, IncarnationId, KeyedRun, Payload, RetryReason, SessionId, SubmissionBody,
-    SubmissionKind, SubmissionOutcome, TaskBody, TaskOffer, TaskResult, TaskVerdict, UnknownReason,
-    WithdrawalVerdict,
+    AttemptEnd, AttemptId, Contract, ContractVersion, CustomerId, DuplicateDetection, EndpointAddress, EndpointState,
+    FailureReason, IncarnationId, OfferReply, Payload, RetryReason, SessionId, SubmissionBody,
+    SubmissionKind, SubmissionOutcome, TaskBody, TaskOffer, TaskResult, UnknownReason, WithdrawalReply,
 };
 
 /// One event of the simulation.
@@ -75,8 +74,8 @@
 
 #[derive(Clone, Debug)]
 enum ToEntry {
-    Verdicts(Vec<(AttemptId, TaskVerdict)>),
-    Withdrawn(Vec<(AttemptId, WithdrawalVerdict)>),
+    Verdicts(Vec<(AttemptId, OfferReply)>),
+    Withdrawn(Vec<(AttemptId, WithdrawalReply)>),
     Claim {
         session: SessionId,
         attempt: AttemptId,
@@ -308,7 +307,7 @@
     fn submit_as(&mut self, serial: u64, job: bool, tasks: u32) {
         let kind = match job {
             true => SubmissionKind::Job,
-            false => SubmissionKind::Request(KeyedRun::PerSubmission),
+            false => SubmissionKind::Request(DuplicateDetection::PerSubmission),
         };
         let mut bodies = Vec::new();
         for task in 0..tasks {
@@ -518,7 +517,7 @@
                         .withdraw(now, ENTRY, session, after_batch, &attempts);
                 let verdicts: Vec<_> = attempts.into_iter().zip(verdicts).collect();
                 for (attempt, verdict) in &verdicts {
-                    if *verdict == WithdrawalVerdict::NotRun {
+                    if *verdict == WithdrawalReply::NotRun {
                         self.withdrawn.insert(*attempt);
                     }
                 }
--- a/crates/model/src/ids.rs
+++ b/crates/model/src/ids.rs
@@ -1,4 +1,4 @@
-//! Ids. Each has one text form, checked where it enters the system.
+//! Ids. Each id type has one text form, which is validated where it enters the system.
 
 use std::{fmt, str::FromStr, sync::Arc};
 
@@ -6,24 +6,24 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use thiserror::Error;
 
-/// The longest name, in bytes: ids travel in every message and label metrics, so they stay short.
-const MAX_NAME_BYTES: usize = 64;
+/// The longest id, in bytes. Ids are part of every message and of metric labels, so they are kept short.
+const MAX_ID_BYTES: usize = 64;
 
-/// A text that is not an id of the kind asked for.
+/// The error for a text that is not an id of the expected kind.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("not a valid {kind}: {text:?}")]
-pub struct WrongId {
-    /// The kind of id expected.
+pub struct InvalidId {
+    /// The expected kind of id.
     pub kind: &'static str,
-    /// The text as it came, cut to [`MAX_NAME_BYTES`].
+    /// The rejected text, cut to the length of the longest id.
     pub text: String,
 }
 
-impl WrongId {
+impl InvalidId {
     fn new(kind: &'static str, text: &str) -> Self {
         Self {
             kind,
-            text: text.chars().take(MAX_NAME_BYTES).collect(),
+            text: text.chars().take(MAX_ID_BYTES).collect(),
         }
     }
 }
@@ -49,12 +49,12 @@
         }
 
         impl FromStr for $name {
-            type Err = WrongId;
+            type Err = InvalidId;
 
-            fn from_str(s: &str) -> Result<Self, WrongId> {
-                let plain = s.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.:".contains(&b));
-                if s.is_empty() || s.len() > MAX_NAME_BYTES || !plain {
-                    return Err(WrongId::new($kind, s));
+            fn from_str(s: &str) -> Result<Self, InvalidId> {
+                let valid_chars = s.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.:".contains(&b));
+                if s.is_empty() || s.len() > MAX_ID_BYTES || !valid_chars {
+                    return Err(InvalidId::new($kind, s));
                 }
                 Ok(Self(s.into()))
             }
@@ -83,7 +83,7 @@
 }
 
 name_id!(
-    /// A customer: whose work a contract covers.
+    /// A customer, whose work is covered by a contract.
     CustomerId, "customer id"
 );
 name_id!(
@@ -91,15 +91,15 @@
     DataCentreId, "data centre id"
 );
 name_id!(
-    /// An endpoint: one executor process that runs tasks in slots.
+    /// An endpoint, an executor process that runs tasks in slots.
     EndpointId, "endpoint id"
 );
 name_id!(
-    /// A VM of the system, or one that carries an endpoint.
+    /// A VM of the system, or a VM that runs an endpoint.
     VmId, "VM id"
 );
 name_id!(
-    /// The kind of a task. Run times are learned per customer and kind.
+    /// The kind of a task. Run times are estimated per customer and kind.
     TaskKind, "task kind"
 );
 name_id!(
@@ -107,8 +107,8 @@
     IdempotencyKey, "idempotency key"
 );
 
-/// One life of a process. A restarted process has another incarnation, so state that died with the old one is
-/// never mistaken for state of the new one.
+/// One incarnation of a process. A restarted process has a new incarnation id, so that the lost state of the old
+/// process is never mistaken for state of the new one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct IncarnationId(pub u64);
 
@@ -119,25 +119,25 @@
 }
 
 impl FromStr for IncarnationId {
-    type Err = WrongId;
+    type Err = InvalidId;
 
-    fn from_str(s: &str) -> Result<Self, WrongId> {
-        hex(s)
+    fn from_str(s: &str) -> Result<Self, InvalidId> {
+        parse_hex(s)
             .filter(|_| s.len() == 16)
             .map(Self)
-            .ok_or_else(|| WrongId::new("incarnation id", s))
+            .ok_or_else(|| InvalidId::new("incarnation id", s))
     }
 }
 
 serde_as_text!(IncarnationId);
 
-/// A submission: a job or a request. It names the incarnation of the entry that has authority over it, so that
-/// any entry can find that one or say that it is gone.
+/// A submission, which is a job or a request. The id contains the incarnation of the entry that has authority over the
+/// submission, so that any entry can find that entry or tell that it is gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SubmissionId {
-    /// The entry that owns the submission.
+    /// The incarnation of the entry that owns the submission.
     pub incarnation: IncarnationId,
-    /// Counts the submissions of that incarnation.
+    /// The number of the submission among those of that incarnation.
     pub serial: u64,
 }
 
@@ -148,33 +148,34 @@
 }
 
 impl FromStr for SubmissionId {
-    type Err = WrongId;
+    type Err = InvalidId;
 
-    fn from_str(s: &str) -> Result<Self, WrongId> {
-        let wrong = || WrongId::new("submission id", s);
-        let (incarnation, serial) = s.split_once('-').ok_or_else(wrong)?;
-        let incarnation = incarnation.parse().map_err(|_| wrong())?;
+    fn from_str(s: &str) -> Result<Self, InvalidId> {
+        let invalid = || InvalidId::new("submission id", s);
+        let (incarnation, serial) = s.split_once('-').ok_or_else(invalid)?;
+        let incarnation = incarnation.parse().map_err(|_| invalid())?;
         Ok(Self {
             incarnation,
-            serial: hex(serial).ok_or_else(wrong)?,
+            serial: parse_hex(serial).ok_or_else(invalid)?,
         })
     }
 }
 
 serde_as_text!(SubmissionId);
 
-/// The place of a task in its job, from 0.
+/// The index of a task in its job, from 0.
 pub type TaskIndex = u32;
 
-/// One try to start a task. It travels with the task to the endpoint and comes back in the answer; an answer that
+/// One attempt to start a task. The id is sent to the endpoint with the task and echoed in the answer; an answer that
 /// echoes another id is never delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
     /// The submission that the task belongs to.
     pub submission: SubmissionId,
-    /// The task within it.
+    /// The index of the task in the submission.
     pub task: TaskIndex,
-    /// Counts the tries of this task, from 0. Only a definite not-run leads to another.
+    /// The number of this attempt among those of the task, from 0. A task gets another attempt only if it definitely
+    /// did not run.
     pub attempt: u32,
 }
 
@@ -185,22 +186,22 @@
 }
 
 impl FromStr for AttemptId {
-    type Err = WrongId;
+    type Err = InvalidId;
 
-    fn from_str(s: &str) -> Result<Self, WrongId> {
-        let wrong = || WrongId::new("attempt id", s);
+    fn from_str(s: &str) -> Result<Self, InvalidId> {
+        let invalid = || InvalidId::new("attempt id", s);
         let mut parts = s.split('.');
         let submission = parts
             .next()
             .unwrap_or_default()
             .parse()
-            .map_err(|_| wrong())?;
+            .map_err(|_| invalid())?;
         let mut number = || {
             parts
                 .next()
-                .and_then(hex)
+                .and_then(parse_hex)
                 .and_then(|n| u32::try_from(n).ok())
-                .ok_or_else(wrong)
+                .ok_or_else(invalid)
         };
         let (task, attempt) = (number()?, number()?);
         match parts.next() {
@@ -209,17 +210,17 @@
                 task,
                 attempt,
             }),
-            Some(_) => Err(wrong()),
+            Some(_) => Err(invalid()),
         }
     }
 }
 
 serde_as_text!(AttemptId);
 
-/// A ticket: the right to run one request at the incarnation that issued it, once.
+/// A ticket, with which one request may run once at the entry incarnation that issued it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TicketId(
-    /// The submission that the ticket is for; its serial is set aside when the ticket is issued.
+    /// The submission that the ticket is for. Its serial is reserved when the ticket is issued.
     pub SubmissionId,
 );
 
@@ -230,26 +231,27 @@
 }
 
 impl FromStr for TicketId {
-    type Err = WrongId;
+    type Err = InvalidId;
 
-    fn from_str(s: &str) -> Result<Self, WrongId> {
-        let rest = s
+    fn from_str(s: &str) -> Result<Self, InvalidId> {
+        let submission = s
             .strip_prefix('t')
-            .ok_or_else(|| WrongId::new("ticket", s))?;
-        rest.parse()
+            .ok_or_else(|| InvalidId::new("ticket", s))?;
+        submission
+            .parse()
             .map(Self)
-            .map_err(|_| WrongId::new("ticket", s))
+            .map_err(|_| InvalidId::new("ticket", s))
     }
 }
 
 serde_as_text!(TicketId);
 
-/// Reads lower-case hexadecimal digits without a sign, which `from_str_radix` would let pass.
-fn hex(s: &str) -> Option<u64> {
-    let plain = s
+/// Parses lower-case hexadecimal digits. Rejects upper case and signs, which `from_str_radix` would accept.
+fn parse_hex(s: &str) -> Option<u64> {
+    let valid_chars = s
         .bytes()
         .all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(&b));
-    if !plain {
+    if !valid_chars {
         return None;
     }
     u64::from_str_radix(s, 16).ok()
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,7 +1,7 @@
-//! Plain data that every crate shares: ids, sizes, rates, contracts, submissions, outcomes.
+//! Data types that all crates share: ids, sizes, contracts, submissions and outcomes.
 //!
-//! Nothing here does I/O or reads a clock. Every closed set is an enum with a stable text form, which callers,
-//! metrics and logs all use.
+//! Nothing in this crate does I/O or reads a clock. Closed sets of values are enums with stable texts, which API
+//! answers, metric labels and logs all use.
 
 mod bytes;
 mod contract;
@@ -12,28 +12,28 @@
 mod outcome;
 mod reason;
 mod submission;
-mod text_set;
+mod text_enum;
 
 pub use crate::{
-    bytes::{split_for_messages, ByteSize, Payload, MAX_MESSAGE_PAYLOADS, MAX_PAYLOAD_BYTES},
+    bytes::{split_into_messages, ByteSize, Payload, MAX_MESSAGE_PAYLOAD_BYTES, MAX_PAYLOAD_BYTES},
     contract::{
-        Contract, ContractState, ContractVersion, CustomerShare, RefusableWork, WrongContract,
+        Contract, ContractState, ContractVersion, CustomerShare, InvalidContract, RefusableWork,
         MAX_TASKS_PER_JOB,
     },
-    dispatch::{SessionId, SlotCounts, TaskVerdict, WithdrawalVerdict},
+    dispatch::{OfferReply, SessionId, SlotCounts, WithdrawalReply},
     endpoint::{EndpointAddress, EndpointState, VmEntry, VmRole},
     ids::{
-        AttemptId, CustomerId, DataCentreId, EndpointId, IdempotencyKey, IncarnationId,
-        SubmissionId, TaskIndex, TaskKind, TicketId, VmId, WrongId,
+        AttemptId, CustomerId, DataCentreId, EndpointId, IdempotencyKey, IncarnationId, InvalidId,
+        SubmissionId, TaskIndex, TaskKind, TicketId, VmId,
     },
-    mechanism::{Mechanism, SwitchedOff},
+    mechanism::{DisabledMechanisms, Mechanism},
     outcome::{AttemptEnd, SubmissionOutcome, TaskResult},
-    reason::{FailureReason, RefusalReason, RetryReason, UnknownReason, WrongReason},
-    submission::{KeyedRun, SubmissionBody, SubmissionKind, TaskBody, TaskOffer},
+    reason::{FailureReason, RefusalReason, RetryReason, UnknownReason, UnknownVariant},
+    submission::{DuplicateDetection, SubmissionBody, SubmissionKind, TaskBody, TaskOffer},
 };
 
-/// Hash map with a fast hasher. Keys come from ids, never straight from a caller's bytes without a length limit.
+/// Hash map with a fast hasher. Its keys are derived from ids, never from a caller's bytes without a length limit.
 pub type FastMap<K, V> = rustc_hash::FxHashMap<K, V>;
 
-/// Hash set with the hasher of [`FastMap`].
+/// Hash set with the same hasher as [`FastMap`].
 pub type FastSet<K> = rustc_hash::FxHashSet<K>;
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -3,7 +3,7 @@
 use std::{io, net::SocketAddr, sync::Arc, time::Duration};
 
 use capnp_rpc::{rpc_twoparty_capnp::Side, twoparty::VatNetwork, RpcSystem};
-use kernel::accept_each;
+use kernel::serve_connections;
 use telemetry::{TrafficCounters, TrafficKind};
 use tokio::{
     io::{AsyncRead, AsyncWrite},
@@ -101,7 +101,7 @@
     listener: TcpListener,
     make_port: impl Fn() -> (capnp::capability::Client, Box<dyn FnOnce()>),
 ) {
-    accept_each(listener, |stream| {
+    serve_connections(listener, |stream| {
         let (port, on_closed) = make_port();
         let system = RpcSystem::new(Box::new(network(stream, Side::Server)), Some(port));
         async move {
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,21 +1,21 @@
-//! What can be wrong with settings.
+//! Errors of settings.
 
 use std::{fmt, io, path::PathBuf};
 
 use thiserror::Error;
 
-/// Settings that cannot be used.
+/// The error for settings that cannot be used.
 #[derive(Debug, Error)]
 pub struct SettingsError {
     /// The file, if the settings came from one.
     pub file: Option<PathBuf>,
-    /// What is wrong. The message holds it whole, so it is no source besides.
-    pub fault: SettingsFault,
+    /// What is wrong. The kind is part of this error's message, so [`std::error::Error::source`] does not return it.
+    pub kind: SettingsErrorKind,
 }
 
 /// What is wrong with settings.
 #[derive(Debug, Error)]
-pub enum SettingsFault {
+pub enum SettingsErrorKind {
     /// The file cannot be read.
     #[error("cannot be read: {0}")]
     Unreadable(io::Error),
@@ -26,16 +26,16 @@
         line: usize,
         /// The column, from 1.
         column: usize,
-        /// What the parser says.
+        /// The parser's message.
         reason: String,
     },
-    /// The text is a JSON list.
+    /// The text is a JSON array.
     #[error("must be a JSON object, not a list")]
     NotAnObject,
-    /// A field is unknown, of the wrong kind or out of range.
+    /// A field is unknown, of the wrong type or out of range.
     #[error("{path}: {reason}")]
-    WrongField {
-        /// The field, for example `drain.notice_ms`.
+    InvalidField {
+        /// The path of the field, for example `drain.notice_ms`.
         path: String,
         /// The line, from 1.
         line: usize,
@@ -44,12 +44,13 @@
         /// What is wrong.
         reason: String,
     },
-    /// A field does not go with the others, or had to be there.
+    /// A field violates a rule that is checked after parsing: a range, a relation to another field, or a required
+    /// value.
     #[error("{path}: {rule}")]
-    WrongRule {
-        /// The field.
+    ViolatedRule {
+        /// The path of the field.
         path: &'static str,
-        /// What it must be.
+        /// The rule that the field violates.
         rule: &'static str,
     },
 }
@@ -60,26 +61,28 @@
             Some(file) => write!(f, "{}", file.display())?,
             None => f.write_str("settings")?,
         }
-        match &self.fault {
-            SettingsFault::NotJson { line, column, .. }
-            | SettingsFault::WrongField { line, column, .. } => write!(f, ":{line}:{column}")?,
-            SettingsFault::Unreadable(_)
-            | SettingsFault::NotAnObject
-            | SettingsFault::WrongRule { .. } => {}
+        match &self.kind {
+            SettingsErrorKind::NotJson { line, column, .. }
+            | SettingsErrorKind::InvalidField { line, column, .. } => {
+                write!(f, ":{line}:{column}")?
+            }
+            SettingsErrorKind::Unreadable(_)
+            | SettingsErrorKind::NotAnObject
+            | SettingsErrorKind::ViolatedRule { .. } => {}
         }
-        write!(f, ": {}", self.fault)
+        write!(f, ": {}", self.kind)
     }
 }
 
-/// A field that breaks a rule between fields.
+/// A field that violates a rule which is checked after parsing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct FieldRule {
+pub(crate) struct RuleViolation {
     pub(crate) path: &'static str,
     pub(crate) rule: &'static str,
 }
 
-impl From<FieldRule> for SettingsFault {
-    fn from(FieldRule { path, rule }: FieldRule) -> Self {
-        Self::WrongRule { path, rule }
+impl From<RuleViolation> for SettingsErrorKind {
+    fn from(RuleViolation { path, rule }: RuleViolation) -> Self {
+        Self::ViolatedRule { path, rule }
     }
 }
--- a/crates/settings/src/parse.rs
+++ b/crates/settings/src/parse.rs
@@ -1,4 +1,4 @@
-//! Reading settings from text and files, and their JSON schemas.
+//! Reading settings from texts and files, and their JSON schemas.
 
 use std::{fs, path::Path};
 
@@ -6,19 +6,20 @@
 use serde_json::{error::Category, Value};
 
 use crate::{
-    error::FieldRule, DispatcherSettings, EntrySettings, NodeSettings, SettingsError, SettingsFault,
+    error::RuleViolation, DispatcherSettings, EntrySettings, NodeSettings, SettingsError,
+    SettingsErrorKind,
 };
 
-/// Reads and checks the settings of an entry.
+/// Reads the settings of an entry from a file and validates them.
 ///
 /// # Errors
 ///
-/// Names the file, the field with line and column, and what is wrong.
+/// [`SettingsError`] with the file, the field with its line and column, and what is wrong.
 pub fn load_entry(path: &Path) -> Result<EntrySettings, SettingsError> {
     load(path, EntrySettings::check)
 }
 
-/// Reads and checks the settings of a dispatcher.
+/// Reads the settings of a dispatcher from a file and validates them.
 ///
 /// # Errors
 ///
@@ -27,7 +28,7 @@
     load(path, DispatcherSettings::check)
 }
 
-/// Reads and checks the settings of a node.
+/// Reads the settings of a node from a file and validates them.
 ///
 /// # Errors
 ///
@@ -36,13 +37,13 @@
     load(path, NodeSettings::check)
 }
 
-/// Checks the text of a node's settings.
+/// Parses and validates the text of a node's settings.
 ///
 /// # Errors
 ///
-/// As [`load_entry`], without a file.
+/// As [`load_entry`], but without the file's name.
 pub fn parse_node(text: &str) -> Result<NodeSettings, SettingsError> {
-    parse(text, NodeSettings::check).map_err(|fault| SettingsError { file: None, fault })
+    parse(text, NodeSettings::check).map_err(|kind| SettingsError { file: None, kind })
 }
 
 /// The JSON schema of a node's settings.
@@ -50,22 +51,22 @@
     schemars::schema_for!(NodeSettings).to_value()
 }
 
-/// Checks the text of an entry's settings.
+/// Parses and validates the text of an entry's settings.
 ///
 /// # Errors
 ///
-/// As [`load_entry`], without a file.
+/// As [`load_entry`], but without the file's name.
 pub fn parse_entry(text: &str) -> Result<EntrySettings, SettingsError> {
-    parse(text, EntrySettings::check).map_err(|fault| SettingsError { file: None, fault })
+    parse(text, EntrySettings::check).map_err(|kind| SettingsError { file: None, kind })
 }
 
-/// Checks the text of a dispatcher's settings.
+/// Parses and validates the text of a dispatcher's settings.
 ///
 /// # Errors
 ///
-/// As [`load_entry`], without a file.
+/// As [`load_entry`], but without the file's name.
 pub fn parse_dispatcher(text: &str) -> Result<DispatcherSettings, SettingsError> {
-    parse(text, DispatcherSettings::check).map_err(|fault| SettingsError { file: None, fault })
+    parse(text, DispatcherSettings::check).map_err(|kind| SettingsError { file: None, kind })
 }
 
 /// The JSON schema of an entry's settings.
@@ -80,43 +81,43 @@
 
 fn load<T: DeserializeOwned>(
     path: &Path,
-    check: fn(&T) -> Result<(), FieldRule>,
+    check: fn(&T) -> Result<(), RuleViolation>,
 ) -> Result<T, SettingsError> {
-    let in_file = |fault| SettingsError {
+    let in_file = |kind| SettingsError {
         file: Some(path.to_owned()),
-        fault,
+        kind,
     };
-    let text = fs::read_to_string(path).map_err(|e| in_file(SettingsFault::Unreadable(e)))?;
+    let text = fs::read_to_string(path).map_err(|e| in_file(SettingsErrorKind::Unreadable(e)))?;
     parse(&text, check).map_err(in_file)
 }
 
 fn parse<T: DeserializeOwned>(
     text: &str,
-    check: fn(&T) -> Result<(), FieldRule>,
-) -> Result<T, SettingsFault> {
-    // serde takes a list for a struct, field by field: `[]` would be a file of defaults.
+    check: fn(&T) -> Result<(), RuleViolation>,
+) -> Result<T, SettingsErrorKind> {
+    // serde also deserialises a struct from an array of its fields in order, so `[]` would be accepted as all defaults.
     if text.trim_start().starts_with('[') {
-        return Err(SettingsFault::NotAnObject);
+        return Err(SettingsErrorKind::NotAnObject);
     }
     let mut deserializer = serde_json::Deserializer::from_str(text);
     let settings = serde_path_to_error::deserialize(&mut deserializer)
-        .map_err(|e| fault_at(&e.path().to_string(), e.inner()))?;
-    deserializer.end().map_err(|e| fault_at(".", &e))?;
+        .map_err(|e| error_kind_at(&e.path().to_string(), e.inner()))?;
+    deserializer.end().map_err(|e| error_kind_at(".", &e))?;
     check(&settings)?;
     Ok(settings)
 }
 
-fn fault_at(path: &str, error: &serde_json::Error) -> SettingsFault {
+fn error_kind_at(path: &str, error: &serde_json::Error) -> SettingsErrorKind {
     let (line, column) = (error.line(), error.column());
-    let reason = reason_of(error);
+    let reason = error_reason(error);
     match error.classify() {
-        Category::Data => SettingsFault::WrongField {
+        Category::Data => SettingsErrorKind::InvalidField {
             path: path.to_owned(),
             line,
             column,
             reason,
         },
-        Category::Io | Category::Syntax | Category::Eof => SettingsFault::NotJson {
+        Category::Io | Category::Syntax | Category::Eof => SettingsErrorKind::NotJson {
             line,
             column,
             reason,
@@ -124,8 +125,8 @@
     }
 }
 
-/// The parser's message without its place, which stands in front of the whole message.
-fn reason_of(error: &serde_json::Error) -> String {
+/// Returns the parser's message without line and column, which [`SettingsError`] already prints in front of it.
+fn error_reason(error: &serde_json::Error) -> String {
     let text = error.to_string();
     let place = format!(" at line {} column {}", error.line(), error.column());
     let reason = text.strip_suffix(&place).unwrap_or(&text);
@@ -135,7 +136,7 @@
     }
 }
 
-/// For an unknown field such as `heartbeat` or `heartbeat_s`, the field that carries the right unit.
+/// For an unknown field such as `heartbeat` or `heartbeat_s`, returns the known field with the unit in milliseconds.
 fn unit_hint(reason: &str) -> Option<String> {
     let (name, _) = reason.strip_prefix("unknown field `")?.split_once('`')?;
     let stem = ["_s", "_sec", "_secs", "_seconds", "_us", "_min", "_millis"]
