--- a/crates/authority/src/authority/replies.rs
+++ b/crates/authority/src/authority/replies.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, Instant};
 
 use model::{
-    AttemptEnd, AttemptId, FailureReason, OfferReply, Payload, RefusalReason, RetryReason, SessionId,
-    SlotCounts, SubmissionOutcome, TaskResult, UnknownReason, WithdrawalReply,
+    AttemptEnd, AttemptId, FailureReason, OfferReply, Payload, RefusalReason, RetryReason,
+    SessionId, SlotCounts, SubmissionOutcome, TaskResult, UnknownReason, WithdrawalReply,
 };
 
 use crate::{
--- a/crates/authority/tests/held_bytes.rs
+++ b/crates/authority/tests/held_bytes.rs
@@ -5,9 +5,8 @@
 use authority::{AuthoritySettings, DispatcherKey, TaskAuthority};
 use model::{
     AttemptEnd, AttemptId, ByteSize, Contract, ContractVersion, DataCentreId, IncarnationId,
-    OfferReply,
-    Payload, RefusalReason, SessionId, SlotCounts, SubmissionBody, SubmissionId, SubmissionKind,
-    TaskBody, TaskResult,
+    OfferReply, Payload, RefusalReason, SessionId, SlotCounts, SubmissionBody, SubmissionId,
+    SubmissionKind, TaskBody, TaskResult,
 };
 
 const OWN: IncarnationId = IncarnationId(1);
--- a/crates/authority/tests/limits.rs
+++ b/crates/authority/tests/limits.rs
@@ -4,8 +4,8 @@
 
 use authority::{AuthoritySettings, DispatcherKey, TaskAuthority};
 use model::{
-    Contract, ContractVersion, CustomerId, DataCentreId, IncarnationId, OfferReply, Payload, SessionId,
-    SlotCounts, SubmissionBody, SubmissionKind, TaskBody,
+    Contract, ContractVersion, CustomerId, DataCentreId, IncarnationId, OfferReply, Payload,
+    SessionId, SlotCounts, SubmissionBody, SubmissionKind, TaskBody,
 };
 
 fn customer() -> CustomerId {
--- a/crates/authority/tests/load/simulation.rs
+++ b/crates/authority/tests/load/simulation.rs
@@ -10,9 +10,8 @@
 };
 use model::{
     AttemptEnd, AttemptId, Contract, ContractVersion, CustomerId, DataCentreId, IncarnationId,
-    OfferReply,
-    Payload, RetryReason, SessionId, SlotCounts, SubmissionBody, SubmissionKind, SubmissionOutcome,
-    TaskBody, TaskOffer, TaskResult,
+    OfferReply, Payload, RetryReason, SessionId, SlotCounts, SubmissionBody, SubmissionKind,
+    SubmissionOutcome, TaskBody, TaskOffer, TaskResult,
 };
 
 pub(crate) const HOME: &str = "hall";
--- a/crates/authority/tests/withdrawal.rs
+++ b/crates/authority/tests/withdrawal.rs
@@ -4,8 +4,8 @@
 
 use authority::{AuthorityAction, AuthoritySettings, DispatcherKey, TaskAuthority};
 use model::{
-    Contract, ContractVersion, DataCentreId, IncarnationId, OfferReply, Payload, SessionId, SlotCounts,
-    SubmissionBody, SubmissionKind, TaskBody, WithdrawalReply,
+    Contract, ContractVersion, DataCentreId, IncarnationId, OfferReply, Payload, SessionId,
+    SlotCounts, SubmissionBody, SubmissionKind, TaskBody, WithdrawalReply,
 };
 
 #[test]
--- a/crates/ledger/tests/at_most_once/world.rs
+++ b/crates/ledger/tests/at_most_once/world.rs
@@ -8,9 +8,10 @@
 use authority::{AuthorityAction, AuthoritySettings, DispatcherKey, TaskAuthority};
 use ledger::{ClaimNumber, LedgerAction, LedgerSettings, SlotLedger};
 use model::{
-    AttemptEnd, AttemptId, Contract, ContractVersion, CustomerId, DuplicateDetection, EndpointAddress, EndpointState,
-    FailureReason, IncarnationId, OfferReply, Payload, RetryReason, SessionId, SubmissionBody,
-    SubmissionKind, SubmissionOutcome, TaskBody, TaskOffer, TaskResult, UnknownReason, WithdrawalReply,
+    AttemptEnd, AttemptId, Contract, ContractVersion, CustomerId, DuplicateDetection,
+    EndpointAddress, EndpointState, FailureReason, IncarnationId, OfferReply, Payload, RetryReason,
+    SessionId, SubmissionBody, SubmissionKind, SubmissionOutcome, TaskBody, TaskOffer, TaskResult,
+    UnknownReason, WithdrawalReply,
 };
 
 /// One event of the simulation.
--- a/crates/peer/src/convert.rs
+++ b/crates/peer/src/convert.rs
@@ -5,8 +5,8 @@
 use capnp::struct_list;
 use membership::MemberView;
 use model::{
-    AttemptEnd, AttemptId, CustomerShare, IncarnationId, OfferReply, Payload, RetryReason, SlotCounts,
-    SubmissionId, TaskOffer, TaskResult, WithdrawalReply,
+    AttemptEnd, AttemptId, CustomerShare, IncarnationId, OfferReply, Payload, RetryReason,
+    SlotCounts, SubmissionId, TaskOffer, TaskResult, WithdrawalReply,
 };
 
 use crate::{
--- a/crates/peer/tests/border/faults.rs
+++ b/crates/peer/tests/border/faults.rs
@@ -8,7 +8,8 @@
 };
 
 use model::{
-    AttemptId, CustomerShare, IncarnationId, OfferReply, Payload, SessionId, SubmissionId, TaskOffer, WithdrawalReply,
+    AttemptId, CustomerShare, IncarnationId, OfferReply, Payload, SessionId, SubmissionId,
+    TaskOffer, WithdrawalReply,
 };
 use peer::{ForwardedAnswer, OpenedSession, PeerError, PeerLink};
 use tokio::{
--- a/crates/request-keys/src/recorder.rs
+++ b/crates/request-keys/src/recorder.rs
@@ -3,7 +3,8 @@
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
 use model::FastMap;
-use platform::{ CommitError, ExpectedVersion, PlatformClient, RequestError, RowWrite, StoreKey, TableName,
+use platform::{
+    CommitError, ExpectedVersion, PlatformClient, RequestError, RowWrite, StoreKey, TableName,
     WritePermit,
 };
 use tokio::sync::oneshot;
