--- a/crates/cairnctl/src/load_run.rs
+++ b/crates/cairnctl/src/load_run.rs
@@ -6,7 +6,8 @@
 use eyre::{eyre, Report, Result};
 use indicatif::{ProgressBar, ProgressStyle};
 use load::{
-    draw_curves, run_load, CallEnd, CallRecord, CurveLine, LoadReport, LoadSettings, LoadTargets,
+    draw_curves, run_load, CallOutcome, CallRecord, LoadReport, LoadSettings, LoadTargets,
+    ResponseCurve,
 };
 
 use crate::{options::LoadOptions, render::OutputForm};
@@ -34,7 +35,7 @@
 }
 
 fn load_settings(options: &LoadOptions) -> Result<LoadSettings> {
-    let table = options.shape.table();
+    let table = options.shape.parameters();
     let task_rate = match (options.rate, options.slots) {
         (Some(rate), _) => rate,
         (None, Some(slots)) => table.task_rate(options.percent, slots),
@@ -76,19 +77,19 @@
     bar
 }
 
-fn curves(targets: &LoadTargets, calls: &[CallRecord]) -> Vec<CurveLine> {
-    let mut lines = vec![CurveLine {
+fn curves(targets: &LoadTargets, calls: &[CallRecord]) -> Vec<ResponseCurve> {
+    let mut lines = vec![ResponseCurve {
         name: "all".to_owned(),
-        ..CurveLine::default()
+        ..ResponseCurve::default()
     }];
     for customer in &targets.customers {
-        lines.push(CurveLine {
+        lines.push(ResponseCurve {
             name: customer.clone(),
-            ..CurveLine::default()
+            ..ResponseCurve::default()
         });
     }
     for call in calls {
-        if call.end != CallEnd::Complete {
+        if call.outcome != CallOutcome::Complete {
             continue;
         }
         lines[0].ratios.push(call.ratio());
--- a/crates/load/src/chart.rs
+++ b/crates/load/src/chart.rs
@@ -10,11 +10,11 @@
 use crate::error::LoadError;
 
 /// The size of the drawing, in pixels.
-const SIZE: (u32, u32) = (900, 540);
+const CHART_SIZE_PX: (u32, u32) = (900, 540);
 
 /// One curve: response over ideal against the part of calls that took at most that.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct CurveLine {
+pub struct ResponseCurve {
     /// What the curve is of.
     pub name: String,
     /// Response over ideal of each call, in any order.
@@ -26,28 +26,28 @@
 /// # Errors
 ///
 /// The file cannot be written.
-pub fn draw_curves(path: &Path, lines: &[CurveLine]) -> Result<(), LoadError> {
+pub fn draw_curves(path: &Path, lines: &[ResponseCurve]) -> Result<(), LoadError> {
     draw(path, lines).map_err(|error| LoadError::Chart(error.to_string()))
 }
 
-fn draw(path: &Path, lines: &[CurveLine]) -> Result<(), Box<dyn std::error::Error>> {
-    let mut top = 2.0_f64;
+fn draw(path: &Path, lines: &[ResponseCurve]) -> Result<(), Box<dyn std::error::Error>> {
+    let mut max_ratio = 2.0_f64;
     let mut curves = Vec::new();
     for line in lines {
         let points = tail_points(&line.ratios);
         for (_, ratio) in &points {
-            top = top.max(*ratio);
+            max_ratio = max_ratio.max(*ratio);
         }
         curves.push((line.name.clone(), points));
     }
-    let area = SVGBackend::new(path, SIZE).into_drawing_area();
+    let area = SVGBackend::new(path, CHART_SIZE_PX).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
         .caption("response over ideal", ("sans-serif", 20))
         .margin(12)
         .x_label_area_size(40)
         .y_label_area_size(50)
-        .build_cartesian_2d(0.0..3.0, 0.0..top * 1.05)?;
+        .build_cartesian_2d(0.0..3.0, 0.0..max_ratio * 1.05)?;
     chart
         .configure_mesh()
         .x_desc("calls that took at most this, %")
@@ -78,8 +78,8 @@
     let count = sorted.len() as f64;
     let mut points = Vec::new();
     for (index, ratio) in sorted.into_iter().enumerate() {
-        let left = 1.0 - (index as f64 + 0.5) / count;
-        points.push((-left.log10(), ratio));
+        let tail_fraction = 1.0 - (index as f64 + 0.5) / count;
+        points.push((-tail_fraction.log10(), ratio));
     }
     points.retain(|(nines, _)| *nines <= 3.0);
     points
--- a/crates/load/src/counters.rs
+++ b/crates/load/src/counters.rs
@@ -7,7 +7,7 @@
 
 use crate::error::LoadError;
 
-const MAX_PAGE: usize = 4 * 1024 * 1024;
+const MAX_PAGE_BYTES: usize = 4 * 1024 * 1024;
 
 /// Sums over the processes read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
@@ -66,27 +66,29 @@
     let client = Client::default();
     let mut totals = CounterTotals::default();
     for process in processes {
-        let page = get_page(&client, format!("http://{process}/metrics"), MAX_PAGE).await?;
+        let page = fetch_page(&client, format!("http://{process}/metrics"), MAX_PAGE_BYTES).await?;
         totals.add_page(&String::from_utf8_lossy(&page));
     }
     Ok(totals)
 }
 
 /// Gets a page whole.
-pub(crate) async fn get_page(
+pub(crate) async fn fetch_page(
     client: &Client,
     url: String,
     limit: usize,
 ) -> Result<Vec<u8>, LoadError> {
-    let wrong = |cause: String| LoadError::Page {
+    let page_error = |cause: String| LoadError::Page {
         url: url.clone(),
         cause,
     };
-    let sent = client.get(&url).send().await;
-    let mut answer = sent.map_err(|error| wrong(error.to_string()))?;
+    let response = client.get(&url).send().await;
+    let mut answer = response.map_err(|error| page_error(error.to_string()))?;
     if !answer.status().is_success() {
-        return Err(wrong(answer.status().to_string()));
+        return Err(page_error(answer.status().to_string()));
     }
     let body = answer.body().limit(limit).await;
-    Ok(body.map_err(|error| wrong(error.to_string()))?.to_vec())
+    Ok(body
+        .map_err(|error| page_error(error.to_string()))?
+        .to_vec())
 }
--- a/crates/load/src/driver.rs
+++ b/crates/load/src/driver.rs
@@ -17,12 +17,12 @@
     counters::read_counters,
     error::LoadError,
     plan::{plan_load, CallKind, LoadSettings, PlannedCall},
-    report::{CallEnd, CallRecord, LoadReport, ReportInput},
+    report::{CallOutcome, CallRecord, LoadReport, ReportInput},
     starts::{read_starts, summarise_starts},
 };
 
 /// The most bytes of an answer: a job of 370 results in base64.
-const MAX_ANSWER: usize = 48 * 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 48 * 1024 * 1024;
 /// An idle connection is let go before the entry closes it, so that no call goes into a closing one.
 const KEEP_ALIVE: Duration = Duration::from_secs(3);
 
@@ -66,28 +66,28 @@
     processes.extend(&targets.dispatchers);
     let before = read_counters(&processes).await?;
     let driver = CallDriver {
-        http: open_client(settings.patience),
+        http: build_client(settings.answer_timeout),
         targets: targets.clone(),
         // Endpoints may have run earlier loads of the same seed: the prefix tells this run's tasks from theirs.
         prefix: format!("{:08x}", fastrand::u32(..)),
         round_trips: settings.round_trips,
-        begun: Instant::now(),
+        started: Instant::now(),
     };
     let plan = plan_load(&settings);
     let planned = plan.len() as u64;
-    let mut open = Vec::new();
+    let mut pending_calls = Vec::new();
     for (number, call) in plan.into_iter().enumerate() {
-        let wait = call.at.saturating_sub(driver.begun.elapsed());
+        let wait = call.at.saturating_sub(driver.started.elapsed());
         if !wait.is_zero() {
             actix_rt::time::sleep(wait).await;
         }
         let driver = driver.clone();
-        open.push(actix_rt::spawn(
+        pending_calls.push(actix_rt::spawn(
             async move { driver.call(number, call).await },
         ));
         progress(number as u64, planned);
     }
-    let calls: Vec<CallRecord> = future::join_all(open)
+    let calls: Vec<CallRecord> = future::join_all(pending_calls)
         .await
         .into_iter()
         .filter_map(Result::ok)
@@ -111,11 +111,11 @@
 }
 
 /// A client without a limit of connections: one that waited for a free connection would close the loop.
-fn open_client(patience: Duration) -> Client {
+fn build_client(answer_timeout: Duration) -> Client {
     let connector = Connector::new().limit(0).conn_keep_alive(KEEP_ALIVE);
     Client::builder()
         .connector(connector)
-        .timeout(patience)
+        .timeout(answer_timeout)
         .finish()
 }
 
@@ -125,7 +125,7 @@
     targets: LoadTargets,
     prefix: String,
     round_trips: Duration,
-    begun: Instant,
+    started: Instant,
 }
 
 #[derive(Debug, Deserialize)]
@@ -142,7 +142,7 @@
 impl CallDriver {
     async fn call(self, number: usize, call: PlannedCall) -> CallRecord {
         let payloads = self.payloads(number, &call);
-        let end = self.send(number, &call, &payloads).await;
+        let outcome = self.send(number, &call, &payloads).await;
         CallRecord {
             customer: call.customer,
             kind: call.kind,
@@ -150,9 +150,9 @@
             slot_time: call.slot_time(),
             at: call.at,
             // From the time at which it was meant to be sent, also when this process was late.
-            response: self.begun.elapsed().saturating_sub(call.at),
+            response: self.started.elapsed().saturating_sub(call.at),
             ideal: call.ideal(self.round_trips),
-            end,
+            outcome,
         }
     }
 
@@ -170,7 +170,7 @@
         payloads
     }
 
-    async fn send(&self, number: usize, call: &PlannedCall, payloads: &[Vec<u8>]) -> CallEnd {
+    async fn send(&self, number: usize, call: &PlannedCall, payloads: &[Vec<u8>]) -> CallOutcome {
         let entry = self.targets.entries[number % self.targets.entries.len()];
         let customer = &self.targets.customers[call.customer];
         let task =
@@ -188,34 +188,34 @@
         let url = format!("http://{entry}/v1/{path}");
         let mut answer = match self.http.post(url).send_json(&body).await {
             Ok(answer) => answer,
-            Err(error) => return CallEnd::Lost(error.to_string()),
+            Err(error) => return CallOutcome::Lost(error.to_string()),
         };
-        let bytes = match answer.body().limit(MAX_ANSWER).await {
+        let bytes = match answer.body().limit(MAX_ANSWER_BYTES).await {
             Ok(bytes) => bytes,
-            Err(error) => return CallEnd::Lost(error.to_string()),
+            Err(error) => return CallOutcome::Lost(error.to_string()),
         };
         match serde_json::from_slice(&bytes) {
-            Ok(body) => classify(body, payloads),
-            Err(_) => CallEnd::Wrong,
+            Ok(body) => classify_answer(body, payloads),
+            Err(_) => CallOutcome::Wrong,
         }
     }
 }
 
-fn classify(body: AnswerBody, payloads: &[Vec<u8>]) -> CallEnd {
+fn classify_answer(body: AnswerBody, payloads: &[Vec<u8>]) -> CallOutcome {
     let reason = body.reason.unwrap_or_default();
     match body.status.as_str() {
         "complete" => {
-            let got = body.results.iter().chain(&body.result);
-            let got: Vec<&[u8]> = got.map(|payload| &payload.0[..]).collect();
-            if got == payloads {
-                CallEnd::Complete
+            let results = body.results.iter().chain(&body.result);
+            let results: Vec<&[u8]> = results.map(|payload| &payload.0[..]).collect();
+            if results == payloads {
+                CallOutcome::Complete
             } else {
-                CallEnd::Wrong
+                CallOutcome::Wrong
             }
         }
-        "failed" => CallEnd::Failed(reason),
-        "refused" => CallEnd::Refused(reason),
-        "unknown" => CallEnd::Unknown(reason),
-        _ => CallEnd::Wrong,
+        "failed" => CallOutcome::Failed(reason),
+        "refused" => CallOutcome::Refused(reason),
+        "unknown" => CallOutcome::Unknown(reason),
+        _ => CallOutcome::Wrong,
     }
 }
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -13,12 +13,12 @@
 mod starts;
 
 pub use crate::{
-    chart::{draw_curves, CurveLine},
+    chart::{draw_curves, ResponseCurve},
     counters::{read_counters, CounterTotals},
     driver::{run_load, LoadTargets},
     error::LoadError,
-    plan::{plan_load, CallKind, LoadSettings, PlannedCall, RUSH_FACTOR},
-    report::{CallEnd, CallRecord, CustomerReport, LoadReport, ReportInput, ResponseTimes},
-    shape::{LoadShape, ShapeTable},
+    plan::{plan_load, CallKind, LoadSettings, PlannedCall, BURST_FACTOR},
+    report::{CallOutcome, CallRecord, CustomerReport, LoadReport, ReportInput, ResponseRatios},
+    shape::{LoadShape, ShapeParameters},
     starts::{summarise_starts, StartSummary, TaskStart},
 };
--- a/crates/load/src/plan.rs
+++ b/crates/load/src/plan.rs
@@ -7,9 +7,9 @@
 use crate::shape::LoadShape;
 
 /// How many times the usual rate comes in the morning rush.
-pub const RUSH_FACTOR: f64 = 10.0;
+pub const BURST_FACTOR: f64 = 10.0;
 /// The rush, as parts of the run.
-const RUSH: (f64, f64) = (0.4, 0.5);
+const BURST_WINDOW: (f64, f64) = (0.4, 0.5);
 
 /// What load to make.
 #[derive(Clone, Debug)]
@@ -29,7 +29,7 @@
     /// Added to the longest task's run time to give the ideal response: the round trips from caller to endpoint.
     pub round_trips: Duration,
     /// How long an answer is waited for before the call counts as lost.
-    pub patience: Duration,
+    pub answer_timeout: Duration,
 }
 
 impl Default for LoadSettings {
@@ -42,7 +42,7 @@
             customers: 3,
             burst: false,
             round_trips: Duration::from_millis(2),
-            patience: Duration::from_secs(20),
+            answer_timeout: Duration::from_secs(20),
         }
     }
 }
@@ -84,41 +84,43 @@
 
 /// Plans every call of a run, in the order of their times. Arrivals are a Poisson process.
 pub fn plan_load(settings: &LoadSettings) -> Vec<PlannedCall> {
-    let table = settings.shape.table();
+    let parameters = settings.shape.parameters();
     let mut rng = Rng::with_seed(settings.seed);
-    let usual = settings.task_rate / table.mean_tasks();
+    let base_rate = settings.task_rate / parameters.mean_tasks();
     let end = settings.duration.as_secs_f64();
     let mut calls = Vec::new();
-    if usual <= 0.0 || settings.customers == 0 {
+    if base_rate <= 0.0 || settings.customers == 0 {
         return calls;
     }
-    let most = if settings.burst {
-        usual * RUSH_FACTOR
+    let peak_rate = if settings.burst {
+        base_rate * BURST_FACTOR
     } else {
-        usual
+        base_rate
     };
     let mut at = 0.0;
     loop {
-        at += -(1.0 - rng.f64()).ln() / most;
+        at += -(1.0 - rng.f64()).ln() / peak_rate;
         if at >= end {
             return calls;
         }
         // Thinning: candidates come at the highest rate, and outside the rush only a part of them is taken.
-        if rng.f64() >= rate_at(settings, usual, at / end) / most {
+        if rng.f64() >= rate_at(settings, base_rate, at / end) / peak_rate {
             continue;
         }
-        let request = table.is_request(&mut rng);
-        let count = if request {
+        let is_request = parameters.sample_is_request(&mut rng);
+        let count = if is_request {
             1
         } else {
-            table.job_tasks(&mut rng)
+            parameters.sample_job_tasks(&mut rng)
         };
-        let customer = table.customer(&mut rng, settings.customers);
-        let run_ms = (0..count).map(|_| table.run_ms(&mut rng)).collect();
+        let customer = parameters.sample_customer(&mut rng, settings.customers);
+        let run_ms = (0..count)
+            .map(|_| parameters.sample_run_ms(&mut rng))
+            .collect();
         calls.push(PlannedCall {
             at: Duration::from_secs_f64(at),
             customer,
-            kind: if request {
+            kind: if is_request {
                 CallKind::Request
             } else {
                 CallKind::Job
@@ -128,9 +130,9 @@
     }
 }
 
-fn rate_at(settings: &LoadSettings, usual: f64, part: f64) -> f64 {
-    if settings.burst && part >= RUSH.0 && part < RUSH.1 {
-        return usual * RUSH_FACTOR;
+fn rate_at(settings: &LoadSettings, base_rate: f64, run_fraction: f64) -> f64 {
+    if settings.burst && run_fraction >= BURST_WINDOW.0 && run_fraction < BURST_WINDOW.1 {
+        return base_rate * BURST_FACTOR;
     }
-    usual
+    base_rate
 }
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -8,13 +8,13 @@
 use crate::{counters::CounterTotals, plan::CallKind, starts::StartSummary};
 
 /// The ratio of response to ideal is counted in thousandths.
-const RATIO_UNIT: f64 = 1_000.0;
+const RATIO_SCALE: f64 = 1_000.0;
 /// The largest ratio counted, in thousandths.
-const MAX_RATIO: u64 = 1_000_000_000;
+const MAX_SCALED_RATIO: u64 = 1_000_000_000;
 
 /// How a call ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CallEnd {
+pub enum CallOutcome {
     /// Its answer was complete and byte-exact.
     Complete,
     /// Its answer was complete and not that of its own tasks.
@@ -47,7 +47,7 @@
     /// The response of a system without queues.
     pub ideal: Duration,
     /// How it ended.
-    pub end: CallEnd,
+    pub outcome: CallOutcome,
 }
 
 impl CallRecord {
@@ -59,7 +59,7 @@
 
 /// Response over ideal of complete calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct ResponseTimes {
+pub struct ResponseRatios {
     /// Half of the calls took at most this.
     pub p50: f64,
     /// Nine of ten.
@@ -94,7 +94,7 @@
     /// The slot time of complete calls over that of all calls.
     pub complete_part: f64,
     /// Response over ideal.
-    pub over_ideal: ResponseTimes,
+    pub over_ideal: ResponseRatios,
     /// The most of its tasks that ran at once, where endpoints were read.
     pub peak: Option<u32>,
 }
@@ -149,34 +149,37 @@
     /// Works the report out.
     pub fn new(input: &ReportInput) -> Self {
         let mut report = Self {
-            all: summarise(input, None),
+            all: summarise_customer(input, None),
             counters: input.counters,
             starts: input.starts.clone(),
             ..Self::default()
         };
         for index in 0..input.customers.len() {
-            report.customers.push(summarise(input, Some(index)));
+            report
+                .customers
+                .push(summarise_customer(input, Some(index)));
         }
         let mut useful = Duration::ZERO;
         for call in &input.calls {
-            let (counts, reason) = match &call.end {
-                CallEnd::Complete => {
+            let (counts, reason) = match &call.outcome {
+                CallOutcome::Complete => {
                     report.useful_tasks += call.tasks;
                     useful += call.slot_time;
                     continue;
                 }
-                CallEnd::Wrong => continue,
-                CallEnd::Failed(reason) => (&mut report.failures, reason),
-                CallEnd::Refused(reason) => (&mut report.refusals, reason),
-                CallEnd::Unknown(reason) => (&mut report.unknowns, reason),
-                CallEnd::Lost(cause) => (&mut report.losses, cause),
+                CallOutcome::Wrong => continue,
+                CallOutcome::Failed(reason) => (&mut report.failures, reason),
+                CallOutcome::Refused(reason) => (&mut report.refusals, reason),
+                CallOutcome::Unknown(reason) => (&mut report.unknowns, reason),
+                CallOutcome::Lost(cause) => (&mut report.losses, cause),
             };
             *counts.entry(reason.clone()).or_default() += 1;
         }
-        let given = input
+        let slot_seconds = input
             .slots
             .map(|slots| input.duration.as_secs_f64() * f64::from(slots));
-        report.goodput = given.and_then(|given| quotient(useful.as_secs_f64(), given));
+        report.goodput =
+            slot_seconds.and_then(|slot_seconds| quotient(useful.as_secs_f64(), slot_seconds));
         let tasks = report.useful_tasks as f64;
         report.messages_per_task = input
             .counters
@@ -196,7 +199,7 @@
         )?;
         for line in self.customers.iter().chain([&self.all]) {
             let peak = line.peak.map_or("-".to_owned(), |peak| peak.to_string());
-            let times = line.over_ideal;
+            let ratios = line.over_ideal;
             writeln!(
                 f,
                 "{:<16} {:>5} {:>8} {:>8} {:>7} {:>7} {:>7} {:>4} {:>5} {:>6.2} {:>6.2} {:>6.2} {peak:>5}",
@@ -209,9 +212,9 @@
                 line.unknown,
                 line.lost,
                 line.wrong,
-                times.p50,
-                times.p90,
-                times.p99,
+                ratios.p50,
+                ratios.p90,
+                ratios.p99,
             )?;
         }
         for (name, counts) in [
@@ -245,15 +248,15 @@
     }
 }
 
-fn summarise(input: &ReportInput, customer: Option<usize>) -> CustomerReport {
+fn summarise_customer(input: &ReportInput, customer: Option<usize>) -> CustomerReport {
     let name = customer.map_or("all", |index| input.customers[index].as_str());
     let mut report = CustomerReport {
         customer: name.to_owned(),
         ..CustomerReport::default()
     };
     // The bounds are constants that the library accepts.
-    let mut ratios =
-        Histogram::<u64>::new_with_max(MAX_RATIO, 3).expect("the bounds of the histogram hold");
+    let mut ratios = Histogram::<u64>::new_with_max(MAX_SCALED_RATIO, 3)
+        .expect("the bounds of the histogram hold");
     let (mut offered, mut useful) = (Duration::ZERO, Duration::ZERO);
     for call in &input.calls {
         if customer.is_some_and(|index| index != call.customer) {
@@ -264,27 +267,27 @@
             CallKind::Request => report.requests += 1,
         }
         offered += call.slot_time;
-        match call.end {
-            CallEnd::Complete => {
+        match call.outcome {
+            CallOutcome::Complete => {
                 report.complete += 1;
                 useful += call.slot_time;
-                ratios.saturating_record((call.ratio() * RATIO_UNIT) as u64);
+                ratios.saturating_record((call.ratio() * RATIO_SCALE) as u64);
             }
-            CallEnd::Wrong => report.wrong += 1,
-            CallEnd::Failed(_) => report.failed += 1,
-            CallEnd::Refused(_) => report.refused += 1,
-            CallEnd::Unknown(_) => report.unknown += 1,
-            CallEnd::Lost(_) => report.lost += 1,
+            CallOutcome::Wrong => report.wrong += 1,
+            CallOutcome::Failed(_) => report.failed += 1,
+            CallOutcome::Refused(_) => report.refused += 1,
+            CallOutcome::Unknown(_) => report.unknown += 1,
+            CallOutcome::Lost(_) => report.lost += 1,
         }
     }
     report.complete_part = quotient(useful.as_secs_f64(), offered.as_secs_f64()).unwrap_or(0.0);
     if !ratios.is_empty() {
-        let at = |part| ratios.value_at_quantile(part) as f64 / RATIO_UNIT;
-        report.over_ideal = ResponseTimes {
-            p50: at(0.5),
-            p90: at(0.9),
-            p99: at(0.99),
-            max: ratios.max() as f64 / RATIO_UNIT,
+        let ratio_at = |quantile| ratios.value_at_quantile(quantile) as f64 / RATIO_SCALE;
+        report.over_ideal = ResponseRatios {
+            p50: ratio_at(0.5),
+            p90: ratio_at(0.9),
+            p99: ratio_at(0.99),
+            max: ratios.max() as f64 / RATIO_SCALE,
         };
     }
     report.peak = input.starts.as_ref().map(|starts| match customer {
--- a/crates/load/src/shape.rs
+++ b/crates/load/src/shape.rs
@@ -5,15 +5,15 @@
 use fastrand::Rng;
 
 /// The shortest and longest of the usual tasks; between them, run times are log-uniform.
-const USUAL_MS: (f64, f64) = (50.0, 1_000.0);
+const USUAL_TASK_MS: (f64, f64) = (50.0, 1_000.0);
 /// The shortest and longest of the long tasks; between them, run times are uniform.
-const LONG_MS: (f64, f64) = (2_000.0, 5_000.0);
+const LONG_TASK_MS: (f64, f64) = (2_000.0, 5_000.0);
 /// The part of tasks that are long.
-const LONG_PART: f64 = 0.03;
+const LONG_TASK_FRACTION: f64 = 0.03;
 /// Tasks of a usual job, from one to this many.
-const USUAL_TASKS: u32 = 40;
+const MAX_USUAL_JOB_TASKS: u32 = 40;
 /// Tasks of the largest jobs.
-const LARGEST_TASKS: u32 = 370;
+const LARGEST_JOB_TASKS: u32 = 370;
 
 /// Whose load it is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -27,16 +27,16 @@
 
 impl LoadShape {
     /// The figures of the shape.
-    pub const fn table(self) -> ShapeTable {
+    pub const fn parameters(self) -> ShapeParameters {
         match self {
-            Self::Trust => ShapeTable {
-                request_part: 0.4,
-                largest_part: 0.002,
+            Self::Trust => ShapeParameters {
+                request_fraction: 0.4,
+                largest_job_fraction: 0.002,
                 skewed: false,
             },
-            Self::Utility => ShapeTable {
-                request_part: 0.2,
-                largest_part: 0.004,
+            Self::Utility => ShapeParameters {
+                request_fraction: 0.2,
+                largest_job_fraction: 0.004,
                 skewed: true,
             },
         }
@@ -66,30 +66,32 @@
 
 /// The figures of a shape.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ShapeTable {
+pub struct ShapeParameters {
     /// The part of calls that are single requests.
-    pub request_part: f64,
+    pub request_fraction: f64,
     /// The part of jobs that have 370 tasks.
-    pub largest_part: f64,
+    pub largest_job_fraction: f64,
     /// Whether customer n has 1/n of the first one's calls; otherwise all have the same.
     pub skewed: bool,
 }
 
-impl ShapeTable {
+impl ShapeParameters {
     /// The mean number of tasks of a call.
     pub fn mean_tasks(&self) -> f64 {
-        let usual = f64::from(1 + USUAL_TASKS) / 2.0;
-        let largest = f64::from(LARGEST_TASKS);
-        let job = self.largest_part * largest + (1.0 - self.largest_part) * usual;
-        self.request_part + (1.0 - self.request_part) * job
+        let usual = f64::from(1 + MAX_USUAL_JOB_TASKS) / 2.0;
+        let largest = f64::from(LARGEST_JOB_TASKS);
+        let job = self.largest_job_fraction * largest + (1.0 - self.largest_job_fraction) * usual;
+        self.request_fraction + (1.0 - self.request_fraction) * job
     }
 
     /// The mean run time of a task.
     pub fn mean_run(&self) -> Duration {
-        let (least, most) = USUAL_MS;
+        let (least, most) = USUAL_TASK_MS;
         let usual = (most - least) / (most / least).ln();
-        let long = (LONG_MS.0 + LONG_MS.1) / 2.0;
-        Duration::from_secs_f64((LONG_PART * long + (1.0 - LONG_PART) * usual) / 1e3)
+        let long = (LONG_TASK_MS.0 + LONG_TASK_MS.1) / 2.0;
+        Duration::from_secs_f64(
+            (LONG_TASK_FRACTION * long + (1.0 - LONG_TASK_FRACTION) * usual) / 1e3,
+        )
     }
 
     /// The task starts a second that keep `percent` of `slots` busy.
@@ -97,29 +99,29 @@
         percent / 100.0 * f64::from(slots) / self.mean_run().as_secs_f64()
     }
 
-    pub(crate) fn is_request(&self, rng: &mut Rng) -> bool {
-        rng.f64() < self.request_part
+    pub(crate) fn sample_is_request(&self, rng: &mut Rng) -> bool {
+        rng.f64() < self.request_fraction
     }
 
-    pub(crate) fn job_tasks(&self, rng: &mut Rng) -> u32 {
-        if rng.f64() < self.largest_part {
-            return LARGEST_TASKS;
+    pub(crate) fn sample_job_tasks(&self, rng: &mut Rng) -> u32 {
+        if rng.f64() < self.largest_job_fraction {
+            return LARGEST_JOB_TASKS;
         }
-        rng.u32(1..=USUAL_TASKS)
+        rng.u32(1..=MAX_USUAL_JOB_TASKS)
     }
 
     /// A run time in milliseconds.
-    pub(crate) fn run_ms(&self, rng: &mut Rng) -> u64 {
-        let ms = if rng.f64() < LONG_PART {
-            LONG_MS.0 + rng.f64() * (LONG_MS.1 - LONG_MS.0)
+    pub(crate) fn sample_run_ms(&self, rng: &mut Rng) -> u64 {
+        let ms = if rng.f64() < LONG_TASK_FRACTION {
+            LONG_TASK_MS.0 + rng.f64() * (LONG_TASK_MS.1 - LONG_TASK_MS.0)
         } else {
-            USUAL_MS.0 * (USUAL_MS.1 / USUAL_MS.0).powf(rng.f64())
+            USUAL_TASK_MS.0 * (USUAL_TASK_MS.1 / USUAL_TASK_MS.0).powf(rng.f64())
         };
         ms as u64
     }
 
     /// The index of a customer out of `count`.
-    pub(crate) fn customer(&self, rng: &mut Rng, count: usize) -> usize {
+    pub(crate) fn sample_customer(&self, rng: &mut Rng, count: usize) -> usize {
         if !self.skewed {
             return rng.usize(..count);
         }
--- a/crates/load/src/starts.rs
+++ b/crates/load/src/starts.rs
@@ -7,9 +7,9 @@
 use serde::Serialize;
 use stand_ins::endpoint::{EndpointRecord, TaskScript};
 
-use crate::{counters::get_page, error::LoadError};
+use crate::{counters::fetch_page, error::LoadError};
 
-const MAX_RECORD: usize = 512 * 1024 * 1024;
+const MAX_RECORD_BYTES: usize = 512 * 1024 * 1024;
 
 /// A start of a task of this run.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -40,10 +40,10 @@
 
 /// Counts starts, doubled starts and the most that ran at once.
 pub fn summarise_starts(starts: &[TaskStart]) -> StartSummary {
-    let mut seen = FastMap::<&str, u64>::default();
+    let mut starts_by_label = FastMap::<&str, u64>::default();
     let mut edges = Vec::new();
     for start in starts {
-        *seen.entry(&start.label).or_default() += 1;
+        *starts_by_label.entry(&start.label).or_default() += 1;
         edges.push((start.from_ms, 1_i8, &start.customer));
         edges.push((start.to_ms, -1, &start.customer));
     }
@@ -51,21 +51,21 @@
     edges.sort_by_key(|edge| (edge.0, edge.1));
     let mut summary = StartSummary {
         starts: starts.len() as u64,
-        doubled: seen.values().map(|count| count - 1).sum(),
+        doubled: starts_by_label.values().map(|count| count - 1).sum(),
         ..StartSummary::default()
     };
     let mut running = FastMap::<&CustomerId, u32>::default();
-    let mut all = 0;
+    let mut total_running = 0;
     for (_, step, customer) in edges {
         let count = running.entry(customer).or_default();
         if step < 0 {
             *count = count.saturating_sub(1);
-            all -= 1;
+            total_running -= 1;
             continue;
         }
         *count += 1;
-        all += 1;
-        summary.peak = summary.peak.max(all);
+        total_running += 1;
+        summary.peak = summary.peak.max(total_running);
         let peak = summary.peaks.entry(customer.clone()).or_default();
         *peak = (*peak).max(*count);
     }
@@ -78,18 +78,18 @@
     prefix: &str,
 ) -> Result<Vec<TaskStart>, LoadError> {
     let client = Client::builder().timeout(Duration::from_secs(60)).finish();
-    let begun = std::time::Instant::now();
+    let started = std::time::Instant::now();
     let mut starts = Vec::new();
     for endpoint in endpoints {
         let url = format!("http://{endpoint}/control/starts");
-        let page = get_page(&client, url.clone(), MAX_RECORD).await?;
-        let here_ms = begun.elapsed().as_millis() as i64;
+        let page = fetch_page(&client, url.clone(), MAX_RECORD_BYTES).await?;
+        let local_ms = started.elapsed().as_millis() as i64;
         let record: EndpointRecord =
             serde_json::from_slice(&page).map_err(|error| LoadError::Page {
                 url,
                 cause: error.to_string(),
             })?;
-        let shift = here_ms - record.now_ms as i64;
+        let clock_offset_ms = local_ms - record.now_ms as i64;
         for start in record.starts {
             let Some(payload) = start.payload else {
                 continue;
@@ -98,7 +98,7 @@
             let Some(label) = script.label.filter(|label| label.starts_with(prefix)) else {
                 continue;
             };
-            let from_ms = start.started_ms as i64 + shift;
+            let from_ms = start.started_ms as i64 + clock_offset_ms;
             starts.push(TaskStart {
                 label,
                 customer: start.customer,
--- a/crates/load/tests/fleet.rs
+++ b/crates/load/tests/fleet.rs
@@ -6,7 +6,7 @@
 use load::{run_load, LoadSettings, LoadTargets};
 
 #[test]
-fn a_light_load_is_answered_whole() {
+fn every_call_of_a_light_load_completes() {
     actix_rt::System::new().block_on(async {
         let fleet = DemoFleet::start(FleetSettings::default()).await.unwrap();
         fleet.wait_until_ready().await.unwrap();
--- a/crates/load/tests/report.rs
+++ b/crates/load/tests/report.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 
 use load::{
-    draw_curves, summarise_starts, CallEnd, CallKind, CallRecord, CounterTotals, CurveLine,
-    LoadReport, ReportInput, TaskStart,
+    draw_curves, summarise_starts, CallKind, CallOutcome, CallRecord, CounterTotals, LoadReport,
+    ReportInput, ResponseCurve, TaskStart,
 };
 
-fn call(customer: usize, response_ms: u64, end: CallEnd) -> CallRecord {
+fn call(customer: usize, response_ms: u64, outcome: CallOutcome) -> CallRecord {
     CallRecord {
         customer,
         kind: CallKind::Job,
@@ -16,7 +16,7 @@
         at: Duration::ZERO,
         response: Duration::from_millis(response_ms),
         ideal: Duration::from_millis(100),
-        end,
+        outcome,
     }
 }
 
@@ -39,16 +39,16 @@
 }
 
 #[test]
-fn ends_are_counted_by_kind_and_reason() {
-    let refused = || CallEnd::Refused("overloaded".to_owned());
+fn outcomes_are_counted_by_kind_and_reason() {
+    let refused = || CallOutcome::Refused("overloaded".to_owned());
     let report = LoadReport::new(&input(vec![
-        call(0, 100, CallEnd::Complete),
+        call(0, 100, CallOutcome::Complete),
         call(0, 1, refused()),
         call(1, 1, refused()),
-        call(1, 1, CallEnd::Wrong),
-        call(1, 1, CallEnd::Failed("task_failed".to_owned())),
-        call(1, 1, CallEnd::Unknown("deadline_passed".to_owned())),
-        call(1, 1, CallEnd::Lost("no connection".to_owned())),
+        call(1, 1, CallOutcome::Wrong),
+        call(1, 1, CallOutcome::Failed("task_failed".to_owned())),
+        call(1, 1, CallOutcome::Unknown("deadline_passed".to_owned())),
+        call(1, 1, CallOutcome::Lost("no connection".to_owned())),
     ]));
     let counts = |line: &load::CustomerReport| {
         [
@@ -73,22 +73,22 @@
 }
 
 #[test]
-fn responses_count_over_the_ideal_and_only_of_complete_calls() {
-    let mut calls = vec![call(0, 9_000, CallEnd::Failed("x".to_owned()))];
+fn response_ratios_cover_only_complete_calls() {
+    let mut calls = vec![call(0, 9_000, CallOutcome::Failed("x".to_owned()))];
     for index in 1..=100 {
-        calls.push(call(0, 100 + index, CallEnd::Complete));
+        calls.push(call(0, 100 + index, CallOutcome::Complete));
     }
     let report = LoadReport::new(&input(calls));
-    let times = report.all.over_ideal;
-    assert!((times.p50 - 1.5).abs() < 0.01, "{times:?}");
-    assert!((times.p90 - 1.9).abs() < 0.01, "{times:?}");
-    assert!((times.p99 - 1.99).abs() < 0.01, "{times:?}");
-    assert!((times.max - 2.0).abs() < 0.01, "{times:?}");
+    let ratios = report.all.over_ideal;
+    assert!((ratios.p50 - 1.5).abs() < 0.01, "{ratios:?}");
+    assert!((ratios.p90 - 1.9).abs() < 0.01, "{ratios:?}");
+    assert!((ratios.p99 - 1.99).abs() < 0.01, "{ratios:?}");
+    assert!((ratios.max - 2.0).abs() < 0.01, "{ratios:?}");
     assert_eq!(report.customers[1].over_ideal.max, 0.0);
 }
 
 #[test]
-fn goodput_and_messages_are_of_useful_tasks() {
+fn goodput_and_messages_count_useful_tasks() {
     let report = LoadReport::new(&ReportInput {
         slots: Some(1),
         counters: Some(CounterTotals {
@@ -97,9 +97,9 @@
             ..CounterTotals::default()
         }),
         ..input(vec![
-            call(0, 100, CallEnd::Complete),
-            call(0, 100, CallEnd::Complete),
-            call(0, 100, CallEnd::Failed("x".to_owned())),
+            call(0, 100, CallOutcome::Complete),
+            call(0, 100, CallOutcome::Complete),
+            call(0, 100, CallOutcome::Failed("x".to_owned())),
         ])
     });
     assert_eq!(report.goodput, Some(0.4));
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn starts_tell_doubled_tasks_and_the_most_at_once() {
+fn start_summary_counts_doubled_tasks_and_peaks() {
     let summary = summarise_starts(&[
         start("1", "a", 0, 100),
         start("2", "a", 50, 150),
@@ -157,7 +157,7 @@
 #[test]
 fn curves_are_drawn_into_a_file() {
     let path = std::env::temp_dir().join(format!("load-curves-{}.svg", std::process::id()));
-    let line = CurveLine {
+    let line = ResponseCurve {
         name: "a".to_owned(),
         ratios: vec![1.0, 1.5, 3.0],
     };
--- a/xtask/src/experiment.rs
+++ b/xtask/src/experiment.rs
@@ -129,7 +129,7 @@
     let settings = LoadSettings {
         shape: options.shape,
         seed: options.seed,
-        task_rate: options.shape.table().task_rate(percent, slots),
+        task_rate: options.shape.parameters().task_rate(percent, slots),
         duration: Duration::from_secs(options.seconds),
         ..LoadSettings::default()
     };
@@ -159,14 +159,14 @@
 
 fn print_row(row: &ExperimentRow) {
     let (all, report) = (&row.report.all, &row.report);
-    let times = all.over_ideal;
+    let ratios = all.over_ideal;
     println!(
         "{:<13} {:>4}%  {:>6.2} {:>6.2} {:>6.2}  {:>7.1}% {:>9.2} {:>7.2}%  {:>8} {:>7} {:>7} {:>5}  {} to {}",
         row.placement,
         row.percent,
-        times.p50,
-        times.p90,
-        times.p99,
+        ratios.p50,
+        ratios.p90,
+        ratios.p99,
         report.goodput.unwrap_or(0.0) * 100.0,
         report.messages_per_task.unwrap_or(0.0),
         report.wasted_part.unwrap_or(0.0) * 100.0,
