--- a/crates/demo/examples/grant_cost.rs
+++ b/crates/demo/examples/grant_cost.rs
@@ -9,12 +9,12 @@
 use eyre::{eyre, Result};
 use model::CustomerId;
 
-const CUSTOMERS: u32 = 40;
-const METRIC: &str = "cairnpaddle_grant_asks_total";
+const CUSTOMER_COUNT: u32 = 40;
+const GRANT_ASKS_METRIC: &str = "cairnpaddle_grant_asks_total";
 
 /// Longer than the demonstration's term and margin, so that every home grants.
-const SETTLED: Duration = Duration::from_secs(4);
-const WINDOW: Duration = Duration::from_secs(10);
+const SETTLE_TIME: Duration = Duration::from_secs(4);
+const MEASURE_TIME: Duration = Duration::from_secs(10);
 
 #[actix_rt::main]
 async fn main() -> Result<()> {
@@ -27,7 +27,7 @@
     .await?;
     fleet.wait_until_ready().await?;
     let mut customers: Vec<CustomerId> = Vec::new();
-    for number in 1..=CUSTOMERS {
+    for number in 1..=CUSTOMER_COUNT {
         let customer = format!("school-{number}").parse()?;
         fleet.create_contract(&customer).await?;
         customers.push(customer);
@@ -35,17 +35,17 @@
     for customer in &customers {
         fleet.wait_until_in_force(customer).await?;
     }
-    actix_rt::time::sleep(SETTLED).await;
-    compare_first(&fleet, &customers).await?;
-    for active in [0, 10, CUSTOMERS as usize] {
-        count_asks(&fleet, &customers[..active]).await?;
+    actix_rt::time::sleep(SETTLE_TIME).await;
+    compare_first_and_second(&fleet, &customers).await?;
+    for active in [0, 10, CUSTOMER_COUNT as usize] {
+        measure_grant_asks(&fleet, &customers[..active]).await?;
     }
     fleet.stop().await;
     Ok(())
 }
 
 /// First and second submission of each customer, through the same entry.
-async fn compare_first(fleet: &DemoFleet, customers: &[CustomerId]) -> Result<()> {
+async fn compare_first_and_second(fleet: &DemoFleet, customers: &[CustomerId]) -> Result<()> {
     let entries = fleet.caller_addresses();
     let (mut first, mut second) = (Vec::new(), Vec::new());
     for (number, customer) in customers.iter().enumerate() {
@@ -61,50 +61,50 @@
 }
 
 async fn timed_job(client: &CallerClient, customer: &CustomerId) -> Result<Duration> {
-    let begun = Instant::now();
+    let started = Instant::now();
     let reply = client
         .job(customer, &[TaskSpec::numbered("week", 0)])
         .await?;
     if reply.status != "complete" {
         return Err(eyre!("{}: {:?}", reply.status, reply.reason));
     }
-    Ok(begun.elapsed())
+    Ok(started.elapsed())
 }
 
 /// Each active customer has one job of one task after the other, at each entry in turn.
-async fn count_asks(fleet: &DemoFleet, active: &[CustomerId]) -> Result<()> {
-    let before = asks(fleet).await?;
-    let begun = Instant::now();
+async fn measure_grant_asks(fleet: &DemoFleet, active: &[CustomerId]) -> Result<()> {
+    let before = read_grant_asks(fleet).await?;
+    let started = Instant::now();
     let mut callers = Vec::new();
     for customer in active {
         let client = CallerClient::new(fleet.caller_addresses());
         let customer = customer.clone();
         callers.push(actix_rt::spawn(async move {
             let mut jobs: u32 = 0;
-            while begun.elapsed() < WINDOW {
+            while started.elapsed() < MEASURE_TIME {
                 timed_job(&client, &customer).await?;
                 jobs += 1;
             }
             Ok::<u32, eyre::Report>(jobs)
         }));
     }
-    actix_rt::time::sleep(WINDOW).await;
+    actix_rt::time::sleep(MEASURE_TIME).await;
     let mut jobs = 0;
     for caller in callers {
         jobs += caller.await??;
     }
-    let took = begun.elapsed().as_secs_f64();
-    let sent = asks(fleet).await? - before;
+    let elapsed_s = started.elapsed().as_secs_f64();
+    let grant_asks = read_grant_asks(fleet).await? - before;
     println!(
-        "{} active customers: {:.1} jobs/s, {:.1} batches of asks/s over 8 entries",
+        "{} active customers: {:.1} jobs/s, {:.1} batches of grant asks/s over 8 entries",
         active.len(),
-        f64::from(jobs) / took,
-        sent / took
+        f64::from(jobs) / elapsed_s,
+        grant_asks / elapsed_s
     );
     Ok(())
 }
 
-async fn asks(fleet: &DemoFleet) -> Result<f64> {
+async fn read_grant_asks(fleet: &DemoFleet) -> Result<f64> {
     let client = Client::default();
     let mut sum = 0.0;
     for address in fleet.caller_addresses() {
@@ -112,7 +112,9 @@
         let mut reply = client.get(url).send().await.map_err(|e| eyre!("{e}"))?;
         let body = reply.body().await.map_err(|e| eyre!("{e}"))?;
         let page = String::from_utf8_lossy(&body).into_owned();
-        let line = page.lines().find(|line| line.starts_with(METRIC));
+        let line = page
+            .lines()
+            .find(|line| line.starts_with(GRANT_ASKS_METRIC));
         let value = line.and_then(|line| line.rsplit(' ').next());
         sum += value.map_or(Ok(0.0), str::parse)?;
     }
@@ -121,6 +123,11 @@
 
 fn summary(mut times: Vec<Duration>) -> String {
     times.sort_unstable();
-    let at = |share: usize| times[(times.len() - 1) * share / 100];
-    format!("median {:?}, p90 {:?}, most {:?}", at(50), at(90), at(100))
+    let percentile = |percent: usize| times[(times.len() - 1) * percent / 100];
+    format!(
+        "median {:?}, p90 {:?}, most {:?}",
+        percentile(50),
+        percentile(90),
+        percentile(100)
+    )
 }
--- a/crates/demo/src/calls.rs
+++ b/crates/demo/src/calls.rs
@@ -10,10 +10,10 @@
 use serde_json::{json, Value};
 
 /// How long an answer may take before the client gives up. Answers come by their deadlines, which are shorter.
-const CLIENT_LIMIT: Duration = Duration::from_secs(15);
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// The most bytes of an answer: a job of 370 results of 64 KiB in base64.
-const MAX_ANSWER: usize = 48 * 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 48 * 1024 * 1024;
 
 /// One task of a call.
 #[derive(Clone, Debug)]
@@ -60,10 +60,10 @@
 
 impl CallerReply {
     /// Whether it is complete and brings exactly the payloads of these tasks.
-    pub fn brings(&self, tasks: &[TaskSpec]) -> bool {
-        let got: Vec<&Payload> = self.results.iter().chain(&self.result).collect();
-        let want: Vec<&Payload> = tasks.iter().map(|task| &task.payload).collect();
-        self.status == "complete" && got == want
+    pub fn matches_payloads(&self, tasks: &[TaskSpec]) -> bool {
+        let results: Vec<&Payload> = self.results.iter().chain(&self.result).collect();
+        let payloads: Vec<&Payload> = tasks.iter().map(|task| &task.payload).collect();
+        self.status == "complete" && results == payloads
     }
 }
 
@@ -77,7 +77,7 @@
 impl CallerClient {
     /// A caller of these entries.
     pub fn new(entries: Vec<SocketAddr>) -> Self {
-        let http = Client::builder().timeout(CLIENT_LIMIT).finish();
+        let http = Client::builder().timeout(CLIENT_TIMEOUT).finish();
         Self {
             http,
             entries,
@@ -93,9 +93,9 @@
     pub async fn job(&self, customer: &CustomerId, tasks: &[TaskSpec]) -> Result<CallerReply> {
         let tasks_json: Vec<Value> = tasks.iter().map(TaskSpec::to_json).collect();
         let body = json!({ "customer": customer, "tasks": tasks_json });
-        let reply: CallerReply = self.post(self.turn(), "/v1/jobs", &body).await?;
+        let reply: CallerReply = self.post(self.next_entry(), "/v1/jobs", &body).await?;
         ensure!(
-            reply.status != "complete" || reply.brings(tasks),
+            reply.status != "complete" || reply.matches_payloads(tasks),
             "the job's answer is not its own"
         );
         Ok(reply)
@@ -108,9 +108,9 @@
     /// As [`Self::job`].
     pub async fn request(&self, customer: &CustomerId, task: &TaskSpec) -> Result<CallerReply> {
         let body = json!({ "customer": customer, "task": task.to_json() });
-        let reply: CallerReply = self.post(self.turn(), "/v1/requests", &body).await?;
+        let reply: CallerReply = self.post(self.next_entry(), "/v1/requests", &body).await?;
         ensure!(
-            reply.status != "complete" || reply.brings(std::slice::from_ref(task)),
+            reply.status != "complete" || reply.matches_payloads(std::slice::from_ref(task)),
             "the answer is not its own"
         );
         Ok(reply)
@@ -136,7 +136,7 @@
     /// # Errors
     ///
     /// As [`Self::job`].
-    pub async fn ticketed(
+    pub async fn request_with_ticket(
         &self,
         entry: usize,
         customer: &CustomerId,
@@ -146,13 +146,13 @@
         let body = json!({ "customer": customer, "ticket": ticket, "task": task.to_json() });
         let reply: CallerReply = self.post(entry, "/v1/requests", &body).await?;
         ensure!(
-            reply.status != "complete" || reply.brings(std::slice::from_ref(task)),
+            reply.status != "complete" || reply.matches_payloads(std::slice::from_ref(task)),
             "the answer is not its own"
         );
         Ok(reply)
     }
 
-    fn turn(&self) -> usize {
+    fn next_entry(&self) -> usize {
         self.next.replace(self.next.get() + 1)
     }
 
@@ -168,7 +168,7 @@
             Ok(answer) => answer,
             Err(error) => bail!("no answer from {url}: {error}"),
         };
-        let bytes = answer.body().limit(MAX_ANSWER).await?;
+        let bytes = answer.body().limit(MAX_ANSWER_BYTES).await?;
         Ok(serde_json::from_slice(&bytes)?)
     }
 }
--- a/crates/demo/src/fleet.rs
+++ b/crates/demo/src/fleet.rs
@@ -23,7 +23,7 @@
 };
 
 /// How long the parts may take to find each other.
-const READY_LIMIT: Duration = Duration::from_secs(10);
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How many parts there are.
 #[derive(Clone, Debug)]
@@ -71,14 +71,14 @@
         let mut endpoints = Vec::new();
         for number in 1..=settings.endpoints {
             let id: EndpointId = format!("endpoint-{number}").parse()?;
-            let started = EndpointStandIn::start(EndpointSettings {
+            let endpoint = EndpointStandIn::start(EndpointSettings {
                 id,
                 slots: settings.slots,
                 ..Default::default()
             })
             .wrap_err("endpoint stand-in")?;
-            vms.push(endpoint_entry(&started, &data_centre)?);
-            endpoints.push(started);
+            vms.push(endpoint_entry(&endpoint, &data_centre)?);
+            endpoints.push(endpoint);
         }
         let dispatchers = start_dispatchers(&settings, &platform, &data_centre)?;
         let mut peers = Vec::new();
@@ -113,7 +113,7 @@
     ///
     /// The platform stand-in turned the change away.
     pub async fn create_contract(&self, customer: &CustomerId) -> Result<()> {
-        self.editor()
+        self.contract_editor()
             .create(customer, Contract::default())
             .await
             .wrap_err("contract not created")?;
@@ -126,7 +126,7 @@
     ///
     /// The platform stand-in turned the change away.
     pub async fn retire_contract(&self, customer: &CustomerId) -> Result<()> {
-        self.editor()
+        self.contract_editor()
             .retire(customer, ContractVersion(1))
             .await
             .wrap_err("contract not retired")?;
@@ -138,7 +138,7 @@
         self.platform.set_faults(faults);
     }
 
-    fn editor(&self) -> ContractEditor {
+    fn contract_editor(&self) -> ContractEditor {
         let clock: Arc<dyn ClockSource> = Arc::new(SystemClock);
         let address = self.platform.address();
         let client = PlatformClient::new(
@@ -158,7 +158,7 @@
     /// Not within the limit.
     pub async fn wait_until_ready(&self) -> Result<()> {
         let client = awc::Client::default();
-        let limit = Instant::now() + READY_LIMIT;
+        let deadline = Instant::now() + READY_TIMEOUT;
         for entry in &self.entries {
             let url = format!("http://{}/ready", entry.caller_address());
             loop {
@@ -170,7 +170,7 @@
                 {
                     break;
                 }
-                if Instant::now() > limit {
+                if Instant::now() > deadline {
                     bail!("entry at {} did not become ready", entry.caller_address());
                 }
                 actix_rt::time::sleep(Duration::from_millis(20)).await;
@@ -185,11 +185,11 @@
     ///
     /// Not within the limit.
     pub async fn wait_until_in_force(&self, customer: &CustomerId) -> Result<()> {
-        let limit = Instant::now() + READY_LIMIT;
+        let deadline = Instant::now() + READY_TIMEOUT;
         for address in self.caller_addresses() {
             let client = CallerClient::new(vec![address]);
             while let Err(error) = client.ticket(customer).await {
-                if Instant::now() > limit {
+                if Instant::now() > deadline {
                     return Err(error.wrap_err(format!("contract not in force at {address}")));
                 }
                 actix_rt::time::sleep(Duration::from_millis(20)).await;
@@ -251,12 +251,12 @@
     })
 }
 
-fn any_port() -> SocketAddr {
+fn loopback_any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
 /// No balancer stands before the demonstration, so a stop need not wait for one.
-fn quick_drain() -> DrainSettings {
+fn short_drain() -> DrainSettings {
     DrainSettings {
         notice_ms: DurationMs(50),
         limit_ms: DurationMs(5_000),
@@ -278,23 +278,23 @@
                 data_centre: data_centre.clone(),
             });
         }
-        let started = dispatcher::start(
+        let process = dispatcher::start(
             DispatcherSettings {
                 vm: format!("vm-{number}").parse()?,
                 data_centre: data_centre.clone(),
-                peer_listen: any_port(),
-                admin_listen: any_port(),
+                peer_listen: loopback_any_port(),
+                admin_listen: loopback_any_port(),
                 platform: platform.address(),
                 peers,
                 vm_list_ms: DurationMs(200),
                 grant_term_ms: DurationMs(2_000),
                 refresh_ms: DurationMs(200),
-                drain: quick_drain(),
+                drain: short_drain(),
                 ..Default::default()
             },
             Arc::new(SystemClock),
         )?;
-        dispatchers.push(started);
+        dispatchers.push(process);
     }
     Ok(dispatchers)
 }
@@ -307,19 +307,19 @@
 ) -> Result<Vec<EntryProcess>> {
     let mut entries = Vec::new();
     for number in 1..=settings.vms {
-        let started = entry::start(
+        let process = entry::start(
             EntrySettings {
                 vm: format!("vm-{number}").parse()?,
                 data_centre: data_centre.clone(),
-                caller_listen: any_port(),
+                caller_listen: loopback_any_port(),
                 platform: platform.address(),
                 dispatchers: peers.to_vec(),
-                drain: quick_drain(),
+                drain: short_drain(),
                 ..settings.entry.clone()
             },
             Arc::new(SystemClock),
         )?;
-        entries.push(started);
+        entries.push(process);
     }
     Ok(entries)
 }
--- a/crates/demo/src/lib.rs
+++ b/crates/demo/src/lib.rs
@@ -24,7 +24,7 @@
     fleet.wait_until_ready().await?;
     fleet.create_contract(&customer).await?;
     fleet.wait_until_in_force(&customer).await?;
-    let report = call_all(&fleet, &customer).await;
+    let report = make_calls(&fleet, &customer).await;
     let cut = fleet.stop().await;
     let report = DemoReport { cut, ..report? };
     ensure!(
@@ -35,14 +35,14 @@
     Ok(report)
 }
 
-async fn call_all(fleet: &DemoFleet, customer: &CustomerId) -> Result<DemoReport> {
+async fn make_calls(fleet: &DemoFleet, customer: &CustomerId) -> Result<DemoReport> {
     let mut report = DemoReport::default();
     let client = CallerClient::new(fleet.caller_addresses());
     let tasks: Vec<TaskSpec> = (0..5)
         .map(|index| TaskSpec::numbered("week", index))
         .collect();
-    report.take("a job of five tasks", client.job(customer, &tasks).await?);
-    report.take(
+    report.record("a job of five tasks", client.job(customer, &tasks).await?);
+    report.record(
         "a request without a key",
         client
             .request(customer, &TaskSpec::numbered("hold", 0))
@@ -51,13 +51,17 @@
     let ticket = client.ticket(customer).await?;
     let task = TaskSpec::numbered("confirm", 1);
     // The second arrival comes through another entry and must get the first one's answer.
-    report.take(
+    report.record(
         "a request with a ticket",
-        client.ticketed(0, customer, &ticket, &task).await?,
+        client
+            .request_with_ticket(0, customer, &ticket, &task)
+            .await?,
     );
-    report.take(
+    report.record(
         "the same ticket through another entry",
-        client.ticketed(1, customer, &ticket, &task).await?,
+        client
+            .request_with_ticket(1, customer, &ticket, &task)
+            .await?,
     );
     report.starts = fleet.starts();
     Ok(report)
--- a/crates/demo/src/report.rs
+++ b/crates/demo/src/report.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct DemoReport {
     /// Each call and its answer, in order.
-    pub calls: Vec<CallLine>,
+    pub calls: Vec<CallSummary>,
     /// Tasks that the endpoints started.
     pub starts: usize,
     /// Submissions and tasks that the stop at the end cut.
@@ -19,7 +19,7 @@
 
 /// One call.
 #[derive(Clone, Debug, Serialize)]
-pub struct CallLine {
+pub struct CallSummary {
     /// What was called.
     pub call: String,
     /// The answer's status.
@@ -29,8 +29,8 @@
 }
 
 impl DemoReport {
-    pub(crate) fn take(&mut self, call: &str, reply: CallerReply) {
-        self.calls.push(CallLine {
+    pub(crate) fn record(&mut self, call: &str, reply: CallerReply) {
+        self.calls.push(CallSummary {
             call: call.to_owned(),
             status: reply.status,
             reason: reply.reason,
@@ -39,15 +39,17 @@
 
     /// Whether every call is complete.
     pub fn is_complete(&self) -> bool {
-        self.calls.iter().all(|line| line.status == "complete")
+        self.calls
+            .iter()
+            .all(|summary| summary.status == "complete")
     }
 }
 
 impl fmt::Display for DemoReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for line in &self.calls {
-            write!(f, "{}: {}", line.call, line.status)?;
-            match &line.reason {
+        for summary in &self.calls {
+            write!(f, "{}: {}", summary.call, summary.status)?;
+            match &summary.reason {
                 Some(reason) => writeln!(f, " ({reason})")?,
                 None => writeln!(f)?,
             }
--- a/crates/demo/tests/border/bad_input.rs
+++ b/crates/demo/tests/border/bad_input.rs
@@ -3,165 +3,187 @@
 use std::net::SocketAddr;
 
 use crate::caller::{
-    call, fleet, issue, message, post, post_with, request, send, task, HttpReply, OTHER, RETIRED,
+    call, http_message, issue_ticket, post, post_with, request, send, start_fleet, task, HttpReply,
+    OTHER_CUSTOMER, RETIRED_CUSTOMER,
 };
 use demo::{DemoFleet, FleetSettings};
 use serde_json::json;
 
 /// A refused call: what it is, its bytes, the status and the field or reason that the answer names.
 struct BadCall {
-    what: &'static str,
+    description: &'static str,
     bytes: Vec<u8>,
     status: u16,
-    names: &'static str,
+    expected_name: &'static str,
 }
 
-fn bad(what: &'static str, bytes: Vec<u8>, status: u16, names: &'static str) -> BadCall {
+fn bad_call(
+    description: &'static str,
+    bytes: Vec<u8>,
+    status: u16,
+    expected_name: &'static str,
+) -> BadCall {
     BadCall {
-        what,
+        description,
         bytes,
         status,
-        names,
+        expected_name,
     }
 }
 
-fn bad_job(what: &'static str, body: &str, names: &'static str) -> BadCall {
-    bad(what, raw("/v1/jobs", body.as_bytes()), 400, names)
+fn invalid_job(description: &'static str, body: &str, expected_name: &'static str) -> BadCall {
+    bad_call(
+        description,
+        json_post("/v1/jobs", body.as_bytes()),
+        400,
+        expected_name,
+    )
 }
 
-fn bad_request(what: &'static str, body: &str, names: &'static str) -> BadCall {
-    bad(what, raw("/v1/requests", body.as_bytes()), 400, names)
+fn invalid_request(description: &'static str, body: &str, expected_name: &'static str) -> BadCall {
+    bad_call(
+        description,
+        json_post("/v1/requests", body.as_bytes()),
+        400,
+        expected_name,
+    )
 }
 
-fn raw(path: &str, body: &[u8]) -> Vec<u8> {
-    message("POST", path, "content-type: application/json\r\n", body)
+fn json_post(path: &str, body: &[u8]) -> Vec<u8> {
+    http_message("POST", path, "content-type: application/json\r\n", body)
 }
 
-const TASK: &str = r#"{"kind":"k","payload":"AAAA"}"#;
-const NAMED: &str = r#""customer":"border-school""#;
+const TASK_JSON: &str = r#"{"kind":"k","payload":"AAAA"}"#;
+const CUSTOMER_FIELD: &str = r#""customer":"border-school""#;
 
-fn wrong_bodies() -> Vec<BadCall> {
-    let many = vec![TASK; 1001].join(",");
-    let over_contract = vec![TASK; 371].join(",");
+fn invalid_bodies() -> Vec<BadCall> {
+    let many = vec![TASK_JSON; 1001].join(",");
+    let over_contract = vec![TASK_JSON; 371].join(",");
     let deep = "[".repeat(100_000);
     let large = "A".repeat(65_537_usize.div_ceil(3) * 4);
     vec![
-        bad_job("nothing", "", "body"),
-        bad_job("malformed", "{", "body"),
-        bad_job("cut", &format!("{{{NAMED},\"tasks\":[{TASK}"), "tasks"),
-        bad_job("trailing bytes", &format!("{{{NAMED},\"tasks\":[{TASK}]}}x"), "body"),
-        bad_job("two documents", &format!("{{{NAMED},\"tasks\":[{TASK}]}}{{}}"), "body"),
-        bad_job("unknown field", &format!("{{{NAMED},\"tasks\":[{TASK}],\"size\":1}}"), "size"),
-        bad_job("unknown in task", &format!("{{{NAMED},\"tasks\":[{{\"kind\":\"k\",\"payload\":\"\",\"x\":1}}]}}"), "tasks[0].x"),
-        bad_job("field twice", &format!("{{{NAMED},{NAMED},\"tasks\":[{TASK}]}}"), "body"),
-        bad_job("number for customer", &format!("{{\"customer\":1,\"tasks\":[{TASK}]}}"), "customer"),
-        bad_job("customer with a space", &format!("{{\"customer\":\"a b\",\"tasks\":[{TASK}]}}"), "customer"),
-        bad_job("text for deadline", &format!("{{{NAMED},\"deadline_ms\":\"5\",\"tasks\":[{TASK}]}}"), "deadline_ms"),
-        bad_job("negative deadline", &format!("{{{NAMED},\"deadline_ms\":-1,\"tasks\":[{TASK}]}}"), "deadline_ms"),
-        bad_job("deadline past u64", &format!("{{{NAMED},\"deadline_ms\":1e30,\"tasks\":[{TASK}]}}"), "deadline_ms"),
-        bad_job("zero deadline", &format!("{{{NAMED},\"deadline_ms\":0,\"tasks\":[{TASK}]}}"), "deadline_ms"),
-        bad_job("deadline over contract", &format!("{{{NAMED},\"deadline_ms\":10001,\"tasks\":[{TASK}]}}"), "wrong_deadline"),
-        bad_job("longest deadline", &format!("{{{NAMED},\"deadline_ms\":18446744073709551615,\"tasks\":[{TASK}]}}"), "wrong_deadline"),
-        bad_job("object for tasks", &format!("{{{NAMED},\"tasks\":{TASK}}}"), "tasks"),
-        bad_job("array for body", &format!("[\"border-school\",null,[{TASK}]]"), "body"),
-        bad_job("array for task", &format!("{{{NAMED},\"tasks\":[[\"k\",\"AAAA\",null,null]]}}"), "tasks[0]"),
-        bad_job("zero tasks", &format!("{{{NAMED},\"tasks\":[]}}"), "tasks"),
-        bad_job("no tasks", &format!("{{{NAMED}}}"), "body"),
-        bad_job("no customer", &format!("{{\"tasks\":[{TASK}]}}"), "body"),
-        bad_job("no payload", &format!("{{{NAMED},\"tasks\":[{{\"kind\":\"k\"}}]}}"), "tasks[0]"),
-        bad_job("second not base64", &format!("{{{NAMED},\"tasks\":[{TASK},{{\"kind\":\"k\",\"payload\":\"?\"}}]}}"), "tasks[1].payload"),
-        bad_job("base64 without padding", &format!("{{{NAMED},\"tasks\":[{{\"kind\":\"k\",\"payload\":\"AA\"}}]}}"), "tasks[0].payload"),
-        bad_job("payload too large", &format!("{{{NAMED},\"tasks\":[{{\"kind\":\"k\",\"payload\":\"{large}\"}}]}}"), "tasks[0].payload"),
-        bad_job("needs more than any worker", &format!("{{{NAMED},\"tasks\":[{{\"kind\":\"k\",\"payload\":\"\",\"declared_bytes\":274877906945}}]}}"), "tasks[0].declared_bytes"),
-        bad_job("more tasks than any job", &format!("{{{NAMED},\"tasks\":[{many}]}}"), "tasks"),
-        bad_job("deep arrays", &deep, "body"),
-        bad_job("deep in a task", &format!("{{{NAMED},\"tasks\":{deep}"), "tasks[0]"),
-        bad("not UTF-8", raw("/v1/jobs", b"{\"customer\":\"\xff\xfe\",\"tasks\":[]}"), 400, "customer"),
-        bad("a NUL byte", raw("/v1/jobs", b"\0"), 400, "body"),
-        bad("more tasks than the contract", raw("/v1/jobs", format!("{{{NAMED},\"tasks\":[{over_contract}]}}").as_bytes()), 413, "too_many_tasks"),
-        bad_request("tasks for task", &format!("{{{NAMED},\"tasks\":[{TASK}]}}"), "tasks"),
-        bad_request("array for body", &format!("[\"border-school\",null,{TASK},null]"), "body"),
-        bad_request("null task", &format!("{{{NAMED},\"task\":null}}"), "task"),
-        bad_request("garbage ticket", &format!("{{{NAMED},\"task\":{TASK},\"ticket\":\"t1\"}}"), "ticket"),
-        bad_request("payload too large", &format!("{{{NAMED},\"task\":{{\"kind\":\"k\",\"payload\":\"{large}\"}}}}"), "task.payload"),
-        bad("array for ticket ask", raw("/v1/tickets", b"[\"border-school\"]"), 400, "body"),
+        invalid_job("nothing", "", "body"),
+        invalid_job("malformed", "{", "body"),
+        invalid_job("cut", &format!("{{{CUSTOMER_FIELD},\"tasks\":[{TASK_JSON}"), "tasks"),
+        invalid_job("trailing bytes", &format!("{{{CUSTOMER_FIELD},\"tasks\":[{TASK_JSON}]}}x"), "body"),
+        invalid_job("two documents", &format!("{{{CUSTOMER_FIELD},\"tasks\":[{TASK_JSON}]}}{{}}"), "body"),
+        invalid_job("unknown field", &format!("{{{CUSTOMER_FIELD},\"tasks\":[{TASK_JSON}],\"size\":1}}"), "size"),
+        invalid_job("unknown in task", &format!("{{{CUSTOMER_FIELD},\"tasks\":[{{\"kind\":\"k\",\"payload\":\"\",\"x\":1}}]}}"), "tasks[0].x"),
+        invalid_job("field twice", &format!("{{{CUSTOMER_FIELD},{CUSTOMER_FIELD},\"tasks\":[{TASK_JSON}]}}"), "body"),
+        invalid_job("number for customer", &format!("{{\"customer\":1,\"tasks\":[{TASK_JSON}]}}"), "customer"),
+        invalid_job("customer with a space", &format!("{{\"customer\":\"a b\",\"tasks\":[{TASK_JSON}]}}"), "customer"),
+        invalid_job("text for deadline", &format!("{{{CUSTOMER_FIELD},\"deadline_ms\":\"5\",\"tasks\":[{TASK_JSON}]}}"), "deadline_ms"),
+        invalid_job("negative deadline", &format!("{{{CUSTOMER_FIELD},\"deadline_ms\":-1,\"tasks\":[{TASK_JSON}]}}"), "deadline_ms"),
+        invalid_job("deadline past u64", &format!("{{{CUSTOMER_FIELD},\"deadline_ms\":1e30,\"tasks\":[{TASK_JSON}]}}"), "deadline_ms"),
+        invalid_job("zero deadline", &format!("{{{CUSTOMER_FIELD},\"deadline_ms\":0,\"tasks\":[{TASK_JSON}]}}"), "deadline_ms"),
+        invalid_job("deadline over contract", &format!("{{{CUSTOMER_FIELD},\"deadline_ms\":10001,\"tasks\":[{TASK_JSON}]}}"), "wrong_deadline"),
+        invalid_job("longest deadline", &format!("{{{CUSTOMER_FIELD},\"deadline_ms\":18446744073709551615,\"tasks\":[{TASK_JSON}]}}"), "wrong_deadline"),
+        invalid_job("object for tasks", &format!("{{{CUSTOMER_FIELD},\"tasks\":{TASK_JSON}}}"), "tasks"),
+        invalid_job("array for body", &format!("[\"border-school\",null,[{TASK_JSON}]]"), "body"),
+        invalid_job("array for task", &format!("{{{CUSTOMER_FIELD},\"tasks\":[[\"k\",\"AAAA\",null,null]]}}"), "tasks[0]"),
+        invalid_job("zero tasks", &format!("{{{CUSTOMER_FIELD},\"tasks\":[]}}"), "tasks"),
+        invalid_job("no tasks", &format!("{{{CUSTOMER_FIELD}}}"), "body"),
+        invalid_job("no customer", &format!("{{\"tasks\":[{TASK_JSON}]}}"), "body"),
+        invalid_job("no payload", &format!("{{{CUSTOMER_FIELD},\"tasks\":[{{\"kind\":\"k\"}}]}}"), "tasks[0]"),
+        invalid_job("second not base64", &format!("{{{CUSTOMER_FIELD},\"tasks\":[{TASK_JSON},{{\"kind\":\"k\",\"payload\":\"?\"}}]}}"), "tasks[1].payload"),
+        invalid_job("base64 without padding", &format!("{{{CUSTOMER_FIELD},\"tasks\":[{{\"kind\":\"k\",\"payload\":\"AA\"}}]}}"), "tasks[0].payload"),
+        invalid_job("payload too large", &format!("{{{CUSTOMER_FIELD},\"tasks\":[{{\"kind\":\"k\",\"payload\":\"{large}\"}}]}}"), "tasks[0].payload"),
+        invalid_job("needs more than any worker", &format!("{{{CUSTOMER_FIELD},\"tasks\":[{{\"kind\":\"k\",\"payload\":\"\",\"declared_bytes\":274877906945}}]}}"), "tasks[0].declared_bytes"),
+        invalid_job("more tasks than any job", &format!("{{{CUSTOMER_FIELD},\"tasks\":[{many}]}}"), "tasks"),
+        invalid_job("deep arrays", &deep, "body"),
+        invalid_job("deep in a task", &format!("{{{CUSTOMER_FIELD},\"tasks\":{deep}"), "tasks[0]"),
+        bad_call("not UTF-8", json_post("/v1/jobs", b"{\"customer\":\"\xff\xfe\",\"tasks\":[]}"), 400, "customer"),
+        bad_call("a NUL byte", json_post("/v1/jobs", b"\0"), 400, "body"),
+        bad_call("more tasks than the contract", json_post("/v1/jobs", format!("{{{CUSTOMER_FIELD},\"tasks\":[{over_contract}]}}").as_bytes()), 413, "too_many_tasks"),
+        invalid_request("tasks for task", &format!("{{{CUSTOMER_FIELD},\"tasks\":[{TASK_JSON}]}}"), "tasks"),
+        invalid_request("array for body", &format!("[\"border-school\",null,{TASK_JSON},null]"), "body"),
+        invalid_request("null task", &format!("{{{CUSTOMER_FIELD},\"task\":null}}"), "task"),
+        invalid_request("garbage ticket", &format!("{{{CUSTOMER_FIELD},\"task\":{TASK_JSON},\"ticket\":\"t1\"}}"), "ticket"),
+        invalid_request("payload too large", &format!("{{{CUSTOMER_FIELD},\"task\":{{\"kind\":\"k\",\"payload\":\"{large}\"}}}}"), "task.payload"),
+        bad_call("array for ticket ask", json_post("/v1/tickets", b"[\"border-school\"]"), 400, "body"),
     ]
 }
 
-fn wrong_customers() -> Vec<BadCall> {
+fn customers_without_contract() -> Vec<BadCall> {
     let mut calls = Vec::new();
-    for (path, tail) in [
+    for (path, fields) in [
         ("/v1/jobs", json!({ "tasks": [task(b"x")] })),
         ("/v1/requests", json!({ "task": task(b"x") })),
         ("/v1/tickets", json!({})),
     ] {
-        for (customer, status, names) in [
+        for (customer, status, expected_name) in [
             ("nobody", 404, "unknown_customer"),
-            (RETIRED, 403, "retired_customer"),
+            (RETIRED_CUSTOMER, 403, "retired_customer"),
         ] {
-            let mut body = tail.clone();
+            let mut body = fields.clone();
             body["customer"] = json!(customer);
-            let bytes = raw(path, body.to_string().as_bytes());
-            calls.push(bad("no contract in force", bytes, status, names));
+            let bytes = json_post(path, body.to_string().as_bytes());
+            calls.push(bad_call(
+                "no contract in force",
+                bytes,
+                status,
+                expected_name,
+            ));
         }
     }
     calls
 }
 
-fn wrong_messages() -> Vec<BadCall> {
-    let good = request(b"x").to_string();
-    let with = |headers: &str| message("POST", "/v1/requests", headers, good.as_bytes());
+fn invalid_messages() -> Vec<BadCall> {
+    let valid_body = request(b"x").to_string();
+    let with_headers =
+        |headers: &str| http_message("POST", "/v1/requests", headers, valid_body.as_bytes());
     let long = "k".repeat(65);
     let declared = b"POST /v1/jobs HTTP/1.1\r\nhost: entry\r\nconnection: close\r\ncontent-length: 33554433\r\n\r\n";
     let chunked = b"POST /v1/jobs HTTP/1.1\r\nhost: entry\r\nconnection: close\r\ntransfer-encoding: chunked\r\n\r\nzz\r\n";
     vec![
-        bad("body too large", declared.to_vec(), 413, "body"),
-        bad("broken chunk", chunked.to_vec(), 400, "request"),
-        bad(
+        bad_call("body too large", declared.to_vec(), 413, "body"),
+        bad_call("broken chunk", chunked.to_vec(), 400, "request"),
+        bad_call(
             "empty key",
-            with("idempotency-key:\r\n"),
+            with_headers("idempotency-key:\r\n"),
             400,
             "Idempotency-Key",
         ),
-        bad(
+        bad_call(
             "key with a space",
-            with("idempotency-key: a b\r\n"),
+            with_headers("idempotency-key: a b\r\n"),
             400,
             "Idempotency-Key",
         ),
-        bad(
+        bad_call(
             "key too long",
-            with(&format!("idempotency-key: {long}\r\n")),
+            with_headers(&format!("idempotency-key: {long}\r\n")),
             400,
             "Idempotency-Key",
         ),
-        bad(
+        bad_call(
             "key not ASCII",
-            with("idempotency-key: k\u{e9}\r\n"),
+            with_headers("idempotency-key: k\u{e9}\r\n"),
             400,
             "Idempotency-Key",
         ),
-        bad(
+        bad_call(
             "two keys",
-            with("idempotency-key: a\r\nidempotency-key: b\r\n"),
+            with_headers("idempotency-key: a\r\nidempotency-key: b\r\n"),
             400,
             "Idempotency-Key",
         ),
-        bad(
+        bad_call(
             "id of nothing",
-            message("GET", "/v1/jobs/garbage", "", b""),
+            http_message("GET", "/v1/jobs/garbage", "", b""),
             400,
             "id",
         ),
-        bad(
+        bad_call(
             "id of nothing",
-            message("GET", "/v1/requests/-", "", b""),
+            http_message("GET", "/v1/requests/-", "", b""),
             400,
             "id",
         ),
-        bad(
+        bad_call(
             "id past u64",
-            message(
+            http_message(
                 "GET",
                 "/v1/jobs/0000000000000001-18446744073709551616",
                 "",
@@ -170,71 +192,71 @@
             400,
             "id",
         ),
-        bad(
+        bad_call(
             "id not UTF-8",
-            message("GET", "/v1/jobs/%ff%fe", "", b""),
+            http_message("GET", "/v1/jobs/%ff%fe", "", b""),
             400,
             "id",
         ),
-        bad(
+        bad_call(
             "id to cancel",
-            message("DELETE", "/v1/jobs/garbage", "", b""),
+            http_message("DELETE", "/v1/jobs/garbage", "", b""),
             400,
             "id",
         ),
-        bad(
+        bad_call(
             "id to explain",
-            message("GET", "/v1/explain/garbage", "", b""),
+            http_message("GET", "/v1/explain/garbage", "", b""),
             400,
             "id",
         ),
-        bad(
+        bad_call(
             "PUT a job",
-            message("PUT", "/v1/jobs", "", good.as_bytes()),
+            http_message("PUT", "/v1/jobs", "", valid_body.as_bytes()),
             405,
             "method",
         ),
-        bad(
+        bad_call(
             "GET jobs",
-            message("GET", "/v1/jobs", "", b""),
+            http_message("GET", "/v1/jobs", "", b""),
             405,
             "method",
         ),
-        bad(
+        bad_call(
             "DELETE requests",
-            message("DELETE", "/v1/requests", "", b""),
+            http_message("DELETE", "/v1/requests", "", b""),
             405,
             "method",
         ),
-        bad(
+        bad_call(
             "POST to an id",
-            message(
+            http_message(
                 "POST",
                 "/v1/requests/0000000000000001-1",
                 "",
-                good.as_bytes(),
+                valid_body.as_bytes(),
             ),
             405,
             "method",
         ),
-        bad(
+        bad_call(
             "GET tickets",
-            message("GET", "/v1/tickets", "", b""),
+            http_message("GET", "/v1/tickets", "", b""),
             405,
             "method",
         ),
-        bad(
+        bad_call(
             "unknown path",
-            message("POST", "/v1/job", "", good.as_bytes()),
+            http_message("POST", "/v1/job", "", valid_body.as_bytes()),
             404,
             "path",
         ),
-        bad("root", message("GET", "/", "", b""), 404, "path"),
+        bad_call("root", http_message("GET", "/", "", b""), 404, "path"),
     ]
 }
 
 /// Heads that no route sees: the HTTP library answers by itself.
-fn wrong_heads() -> Vec<(&'static str, Vec<u8>)> {
+fn malformed_heads() -> Vec<(&'static str, Vec<u8>)> {
     vec![
         ("not HTTP", b"\x16\x03\x01\x02\x00garbage\r\n\r\n".to_vec()),
         ("bytes in a name", b"POST /v1/jobs HTTP/1.1\r\nh\xff: 1\r\n\r\n".to_vec()),
@@ -245,13 +267,13 @@
     ]
 }
 
-fn check_refused(what: &str, reply: &HttpReply, status: u16, names: &str) {
-    let fault = fault_of(reply, status, names);
-    assert_eq!(fault, None, "{what}: {reply:?}");
+fn check_refused(description: &str, reply: &HttpReply, status: u16, expected_name: &str) {
+    let mismatch = refusal_mismatch(reply, status, expected_name);
+    assert_eq!(mismatch, None, "{description}: {reply:?}");
 }
 
 /// What is wrong with a refusal.
-fn fault_of(reply: &HttpReply, status: u16, names: &str) -> Option<&'static str> {
+fn refusal_mismatch(reply: &HttpReply, status: u16, expected_name: &str) -> Option<&'static str> {
     let (name, message) = match reply.text("reason") {
         "bad_input" => (reply.text("field"), reply.text("message")),
         reason => (reason, "nothing ran"),
@@ -262,7 +284,7 @@
     if reply.text("status") != "refused" {
         return Some("not said to be refused");
     }
-    if name != names {
+    if name != expected_name {
         return Some("another name");
     }
     if !message.ends_with("nothing ran") || message.len() > 1_000 {
@@ -273,7 +295,7 @@
 
 /// Everything that must not run has been sent; whether anything did shows in the count of starts, and whether the
 /// process is whole shows in the next good call.
-async fn check_serves(fleet: &DemoFleet, entry: SocketAddr, starts: usize) {
+async fn check_nothing_ran(fleet: &DemoFleet, entry: SocketAddr, starts: usize) {
     assert_eq!(fleet.starts(), starts, "something ran");
     let reply = post(entry, "/v1/requests", &request(b"next")).await;
     assert_eq!(reply.status, 200, "{reply:?}");
@@ -285,26 +307,36 @@
 // What happens: bytes that no caller should send come to the border, each followed by a good call on the same entry.
 // Why: a wrong input that runs in part, or ends the process, harms the callers who did nothing wrong.
 #[actix_rt::test]
-async fn bad_input_is_refused_by_name_and_runs_nothing() {
-    let fleet = fleet(FleetSettings::default()).await;
+async fn bad_input_is_refused_with_its_field_and_runs_nothing() {
+    let fleet = start_fleet(FleetSettings::default()).await;
     let entry = fleet.caller_addresses()[0];
-    let (mut starts, mut faults) = (0, String::new());
-    let tables = [wrong_bodies(), wrong_customers(), wrong_messages()];
-    for wrong in tables.into_iter().flatten() {
-        let reply = send(entry, &wrong.bytes).await;
-        if let Some(fault) = fault_of(&reply, wrong.status, wrong.names) {
-            faults += &format!("{}: {fault}: {} {}\n", wrong.what, reply.status, reply.json);
+    let (mut starts, mut mismatches) = (0, String::new());
+    let tables = [
+        invalid_bodies(),
+        customers_without_contract(),
+        invalid_messages(),
+    ];
+    for bad in tables.into_iter().flatten() {
+        let reply = send(entry, &bad.bytes).await;
+        if let Some(mismatch) = refusal_mismatch(&reply, bad.status, bad.expected_name) {
+            mismatches += &format!(
+                "{}: {mismatch}: {} {}\n",
+                bad.description, reply.status, reply.json
+            );
         }
-        check_serves(&fleet, entry, starts).await;
+        check_nothing_ran(&fleet, entry, starts).await;
         starts += 1;
     }
-    for (what, bytes) in wrong_heads() {
+    for (description, bytes) in malformed_heads() {
         let reply = send(entry, &bytes).await;
-        assert!((400..500).contains(&reply.status), "{what}: {reply:?}");
-        check_serves(&fleet, entry, starts).await;
+        assert!(
+            (400..500).contains(&reply.status),
+            "{description}: {reply:?}"
+        );
+        check_nothing_ran(&fleet, entry, starts).await;
         starts += 1;
     }
-    assert_eq!(faults, "");
+    assert_eq!(mismatches, "");
     assert_eq!(fleet.stop().await, 0);
 }
 
@@ -312,18 +344,18 @@
 // What happens: a key or a ticket comes a second time with another body or for another customer.
 // Why: the answer of one request must never reach another, and the second must not run under the first one's name.
 #[actix_rt::test]
-async fn names_used_for_something_else_are_refused() {
-    let fleet = fleet(FleetSettings::default()).await;
+async fn reused_keys_and_tickets_are_refused() {
+    let fleet = start_fleet(FleetSettings::default()).await;
     let entries = fleet.caller_addresses();
     let key = "idempotency-key: reused\r\n";
     let first = post_with(entries[0], "/v1/requests", key, &request(b"first")).await;
     assert_eq!(first.text("status"), "complete", "{first:?}");
-    let ticket = issue(entries[0]).await;
+    let ticket = issue_ticket(entries[0]).await;
     let mut ticketed = request(b"first");
     ticketed["ticket"] = ticket.clone();
     let reply = post(entries[0], "/v1/requests", &ticketed).await;
     assert_eq!(reply.text("status"), "complete", "{reply:?}");
-    let fresh = issue(entries[0]).await;
+    let unused_ticket = issue_ticket(entries[0]).await;
     assert_eq!(fleet.starts(), 2);
     for entry in &entries {
         let reply = post_with(*entry, "/v1/requests", key, &request(b"second")).await;
@@ -332,10 +364,10 @@
         other["ticket"] = ticket.clone();
         let reply = post(*entry, "/v1/requests", &other).await;
         check_refused("ticket with another body", &reply, 409, "key_reused");
-        let mut stolen = request(b"stolen");
-        stolen["customer"] = json!(OTHER);
-        stolen["ticket"] = fresh.clone();
-        let reply = post(*entry, "/v1/requests", &stolen).await;
+        let mut foreign = request(b"stolen");
+        foreign["customer"] = json!(OTHER_CUSTOMER);
+        foreign["ticket"] = unused_ticket.clone();
+        let reply = post(*entry, "/v1/requests", &foreign).await;
         check_refused("ticket of another customer", &reply, 409, "key_reused");
         let both = post_with(*entry, "/v1/requests", key, &ticketed).await;
         check_refused("key and ticket", &both, 400, "ticket");
--- a/crates/demo/tests/border/caller.rs
+++ b/crates/demo/tests/border/caller.rs
@@ -16,16 +16,16 @@
 };
 
 /// How long anything here may take. Far more than it does, so that only a hang reaches it.
-const LIMIT: Duration = Duration::from_secs(30);
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The customer whose contract stands.
 pub(crate) const CUSTOMER: &str = "border-school";
 
 /// A customer with a contract of its own.
-pub(crate) const OTHER: &str = "other-school";
+pub(crate) const OTHER_CUSTOMER: &str = "other-school";
 
 /// A customer whose contract is retired.
-pub(crate) const RETIRED: &str = "retired-school";
+pub(crate) const RETIRED_CUSTOMER: &str = "retired-school";
 
 /// An HTTP answer.
 #[derive(Clone, Debug)]
@@ -33,7 +33,7 @@
     /// The status.
     pub(crate) status: u16,
     /// The first line.
-    pub(crate) first_line: String,
+    pub(crate) status_line: String,
     /// The head in lower case.
     pub(crate) head: String,
     /// The body's text.
@@ -57,28 +57,28 @@
 }
 
 /// Starts a fleet whose customers' contracts are in force at every entry.
-pub(crate) async fn fleet(settings: FleetSettings) -> DemoFleet {
+pub(crate) async fn start_fleet(settings: FleetSettings) -> DemoFleet {
     let fleet = DemoFleet::start(settings).await.expect("fleet");
     fleet.wait_until_ready().await.expect("ready");
-    for name in [CUSTOMER, OTHER, RETIRED] {
+    for name in [CUSTOMER, OTHER_CUSTOMER, RETIRED_CUSTOMER] {
         let customer: CustomerId = name.parse().expect("customer");
         fleet.create_contract(&customer).await.expect("contract");
         fleet.wait_until_in_force(&customer).await.expect("force");
     }
-    let retired: CustomerId = RETIRED.parse().expect("customer");
+    let retired: CustomerId = RETIRED_CUSTOMER.parse().expect("customer");
     fleet.retire_contract(&retired).await.expect("retired");
     for address in fleet.caller_addresses() {
-        let ask = json!({ "customer": RETIRED });
-        wait_for(async || post(address, "/v1/tickets", &ask).await.status == 403).await;
+        let body = json!({ "customer": RETIRED_CUSTOMER });
+        wait_for(async || post(address, "/v1/tickets", &body).await.status == 403).await;
     }
     fleet
 }
 
 /// Waits until a condition holds.
-pub(crate) async fn wait_for(mut holds: impl AsyncFnMut() -> bool) {
-    let limit = Instant::now() + LIMIT;
-    while !holds().await {
-        assert!(Instant::now() < limit, "the condition never held");
+pub(crate) async fn wait_for(mut condition: impl AsyncFnMut() -> bool) {
+    let deadline = Instant::now() + TEST_TIMEOUT;
+    while !condition().await {
+        assert!(Instant::now() < deadline, "the condition never held");
         actix_rt::time::sleep(Duration::from_millis(5)).await;
     }
 }
@@ -100,9 +100,9 @@
 }
 
 /// Gets a ticket.
-pub(crate) async fn issue(entry: SocketAddr) -> Value {
-    let ask = json!({ "customer": CUSTOMER });
-    let reply = post(entry, "/v1/tickets", &ask).await;
+pub(crate) async fn issue_ticket(entry: SocketAddr) -> Value {
+    let body = json!({ "customer": CUSTOMER });
+    let reply = post(entry, "/v1/tickets", &body).await;
     assert_eq!(reply.status, 201, "{reply:?}");
     reply.json["ticket"].clone()
 }
@@ -121,18 +121,18 @@
 ) -> HttpReply {
     send(
         entry,
-        &message("POST", path, headers, body.to_string().as_bytes()),
+        &http_message("POST", path, headers, body.to_string().as_bytes()),
     )
     .await
 }
 
 /// Calls without a body.
 pub(crate) async fn call(entry: SocketAddr, method: &str, path: &str) -> HttpReply {
-    send(entry, &message(method, path, "", b"")).await
+    send(entry, &http_message(method, path, "", b"")).await
 }
 
 /// A whole HTTP message.
-pub(crate) fn message(method: &str, path: &str, headers: &str, body: &[u8]) -> Vec<u8> {
+pub(crate) fn http_message(method: &str, path: &str, headers: &str, body: &[u8]) -> Vec<u8> {
     let length = body.len();
     let head = format!(
         "{method} {path} HTTP/1.1\r\nhost: entry\r\nconnection: close\r\ncontent-length: {length}\r\n{headers}\r\n"
@@ -142,7 +142,7 @@
 
 /// Sends bytes and reads the answer until the connection ends.
 pub(crate) async fn send(entry: SocketAddr, bytes: &[u8]) -> HttpReply {
-    timeout(LIMIT, exchange(entry, bytes))
+    timeout(TEST_TIMEOUT, exchange(entry, bytes))
         .await
         .expect("an answer in time")
 }
@@ -153,23 +153,23 @@
     let _closed = stream.write_all(bytes).await;
     let mut answer = Vec::new();
     let _reset = stream.read_to_end(&mut answer).await;
-    let end = answer
+    let head_end = answer
         .windows(4)
         .position(|part| part == b"\r\n\r\n")
         .expect("a whole head");
-    let head = String::from_utf8_lossy(&answer[..end]).into_owned();
-    let first_line = head.lines().next().unwrap_or_default().to_owned();
+    let head = String::from_utf8_lossy(&answer[..head_end]).into_owned();
+    let status_line = head.lines().next().unwrap_or_default().to_owned();
     let head = head.to_lowercase();
-    let body = String::from_utf8_lossy(&answer[end + 4..]).into_owned();
+    let body = String::from_utf8_lossy(&answer[head_end + 4..]).into_owned();
     let status = head
         .split(' ')
         .nth(1)
         .and_then(|text| text.parse().ok())
         .expect("a status line");
-    let json = serde_json::from_slice(&answer[end + 4..]).unwrap_or(Value::Null);
+    let json = serde_json::from_slice(&answer[head_end + 4..]).unwrap_or(Value::Null);
     HttpReply {
         status,
-        first_line,
+        status_line,
         head,
         body,
         json,
--- a/crates/demo/tests/border/good_calls.rs
+++ b/crates/demo/tests/border/good_calls.rs
@@ -10,7 +10,8 @@
 use stand_ins::platform::{DownMode, FaultSettings};
 
 use crate::caller::{
-    call, fleet, issue, job, message, post, post_with, request, send, wait_for, HttpReply,
+    call, http_message, issue_ticket, job, post, post_with, request, send, start_fleet, wait_for,
+    HttpReply,
 };
 
 /// One slot, so that a second task has to wait for the first.
@@ -23,7 +24,7 @@
 }
 
 /// A payload that runs long enough to be looked at while it runs.
-fn long(label: &str) -> Vec<u8> {
+fn long_payload(label: &str) -> Vec<u8> {
     format!(r#"{{"run_ms":2000,"label":"{label}"}}"#).into_bytes()
 }
 
@@ -35,11 +36,16 @@
 
 #[actix_rt::test]
 async fn payloads_come_back_byte_for_byte() {
-    let fleet = fleet(FleetSettings::default()).await;
+    let fleet = start_fleet(FleetSettings::default()).await;
     let entries = fleet.caller_addresses();
-    let every: Vec<u8> = (0..=255).collect();
-    let largest: Vec<u8> = every.iter().copied().cycle().take(64 * 1024).collect();
-    let payloads: [&[u8]; 4] = [b"", &every, &largest, b"\0"];
+    let all_byte_values: Vec<u8> = (0..=255).collect();
+    let largest: Vec<u8> = all_byte_values
+        .iter()
+        .copied()
+        .cycle()
+        .take(64 * 1024)
+        .collect();
+    let payloads: [&[u8]; 4] = [b"", &all_byte_values, &largest, b"\0"];
     for payload in payloads {
         let reply = post(entries[0], "/v1/requests", &request(payload)).await;
         check_complete(&reply, payload);
@@ -56,8 +62,8 @@
 
 // The content type is not looked at: `curl -d` sends that of a form, and what is read is JSON or refused.
 #[actix_rt::test]
-async fn odd_but_good_calls_run() {
-    let fleet = fleet(FleetSettings::default()).await;
+async fn unusual_but_valid_calls_run() {
+    let fleet = start_fleet(FleetSettings::default()).await;
     let entry = fleet.caller_addresses()[0];
     let mut hints = request(b"hints");
     hints["task"]["declared_run_ms"] = json!(u64::MAX);
@@ -97,10 +103,10 @@
 
 /// Sends the same message through two entries, at once or one after the other, and checks for one start and one
 /// answer.
-async fn check_once(fleet: &DemoFleet, bytes: &[u8], payload: &[u8], at_once: bool) {
+async fn check_runs_once(fleet: &DemoFleet, bytes: &[u8], payload: &[u8], concurrent: bool) {
     let entries = fleet.caller_addresses();
     let starts = fleet.starts();
-    let (first, second) = if at_once {
+    let (first, second) = if concurrent {
         join(send(entries[0], bytes), send(entries[1], bytes)).await
     } else {
         (send(entries[0], bytes).await, send(entries[1], bytes).await)
@@ -117,21 +123,21 @@
 // What happens: the caller, or a proxy for it, sends a request under one name twice, at once or after its answer.
 // Why: the second arrival is a retry and no second request; running it would book twice.
 #[actix_rt::test]
-async fn a_name_runs_once_through_both_entries() {
-    let fleet = fleet(FleetSettings::default()).await;
+async fn a_repeated_request_runs_once_across_entries() {
+    let fleet = start_fleet(FleetSettings::default()).await;
     let entry = fleet.caller_addresses()[0];
-    for at_once in [false, true] {
-        for turn in 0..5 {
-            let payload = format!("ticket {at_once} {turn}").into_bytes();
+    for concurrent in [false, true] {
+        for round in 0..5 {
+            let payload = format!("ticket {concurrent} {round}").into_bytes();
             let mut body = request(&payload);
-            body["ticket"] = issue(entry).await;
-            let bytes = message("POST", "/v1/requests", "", body.to_string().as_bytes());
-            check_once(&fleet, &bytes, &payload, at_once).await;
-            let payload = format!("key {at_once} {turn}").into_bytes();
-            let key = format!("idempotency-key: {at_once}-{turn}\r\n");
+            body["ticket"] = issue_ticket(entry).await;
+            let bytes = http_message("POST", "/v1/requests", "", body.to_string().as_bytes());
+            check_runs_once(&fleet, &bytes, &payload, concurrent).await;
+            let payload = format!("key {concurrent} {round}").into_bytes();
+            let key = format!("idempotency-key: {concurrent}-{round}\r\n");
             let body = request(&payload).to_string();
-            let bytes = message("POST", "/v1/requests", &key, body.as_bytes());
-            check_once(&fleet, &bytes, &payload, at_once).await;
+            let bytes = http_message("POST", "/v1/requests", &key, body.as_bytes());
+            check_runs_once(&fleet, &bytes, &payload, concurrent).await;
         }
     }
     assert_eq!(fleet.stop().await, 0);
@@ -142,8 +148,8 @@
 // Why: without the row a retry through another entry could run too, so nothing may run before the row stands; and a
 // key whose first arrival was refused must not be spent.
 #[actix_rt::test]
-async fn a_key_waits_for_the_platform() {
-    let fleet = fleet(FleetSettings::default()).await;
+async fn a_keyed_request_is_refused_while_the_platform_is_down() {
+    let fleet = start_fleet(FleetSettings::default()).await;
     let entries = fleet.caller_addresses();
     let modes = [
         DownMode::Unavailable,
@@ -155,7 +161,7 @@
         let key = format!("idempotency-key: outage-{index}\r\n");
         let mut body = request(&payload);
         body["deadline_ms"] = json!(1_000);
-        let bytes = message("POST", "/v1/requests", &key, body.to_string().as_bytes());
+        let bytes = http_message("POST", "/v1/requests", &key, body.to_string().as_bytes());
         fleet.set_platform_faults(FaultSettings::down(mode));
         for entry in &entries {
             let reply = send(*entry, &bytes).await;
@@ -186,7 +192,7 @@
     entry: SocketAddr,
     payload: Vec<u8>,
 ) -> (String, actix_rt::task::JoinHandle<HttpReply>) {
-    let ticket = issue(entry).await;
+    let ticket = issue_ticket(entry).await;
     let id = id_of(&ticket);
     let mut body = request(&payload);
     body["ticket"] = ticket;
@@ -212,12 +218,12 @@
 // What happens: one slot is taken by a long request, another request and then a job wait behind it.
 // Why: "cancelled" must be as true as "not run".
 #[actix_rt::test]
-async fn cancelling_says_what_it_did() {
-    let fleet = fleet(one_slot()).await;
+async fn cancelling_reports_whether_the_submission_ran() {
+    let fleet = start_fleet(one_slot()).await;
     let entries = fleet.caller_addresses();
-    let (running, answer) = open_request(entries[0], long("runs")).await;
+    let (running, answer) = open_request(entries[0], long_payload("runs")).await;
     wait_for(async || fleet.starts() == 1).await;
-    let (waiting, refused) = open_request(entries[0], long("waits")).await;
+    let (waiting, refused) = open_request(entries[0], long_payload("waits")).await;
     wait_until_queued(entries[0], &waiting).await;
     let path = format!("/v1/requests/{waiting}");
     let reply = call(entries[0], "DELETE", &path).await;
@@ -234,7 +240,7 @@
         "pending"
     );
     let reply = answer.await.expect("an answer");
-    check_complete(&reply, &long("runs"));
+    check_complete(&reply, &long_payload("runs"));
     assert_eq!(call(entries[0], "DELETE", &path).await.status, 404);
     assert_eq!(call(entries[1], "GET", &path).await.json, reply.json);
     assert_eq!(fleet.starts(), 1, "a cancelled request ran");
@@ -244,7 +250,7 @@
 
 /// The id of the next submission: its serial is the one after a ticket's.
 async fn next_id(entry: SocketAddr) -> SubmissionId {
-    let mut id: SubmissionId = id_of(&issue(entry).await).parse().expect("an id");
+    let mut id: SubmissionId = id_of(&issue_ticket(entry).await).parse().expect("an id");
     id.serial += 1;
     id
 }
@@ -254,16 +260,16 @@
 // the other entry, which finds the row and passes it on to the first.
 // Why: a refusal says that nothing ran, so the key is not spent; only the entry in the row may start it.
 #[actix_rt::test]
-async fn a_refused_key_runs_when_it_comes_again() {
-    let fleet = fleet(one_slot()).await;
+async fn a_cancelled_keyed_request_runs_when_resent() {
+    let fleet = start_fleet(one_slot()).await;
     let entries = fleet.caller_addresses();
-    let (_, holder) = open_request(entries[0], long("holds")).await;
+    let (_, holder) = open_request(entries[0], long_payload("holds")).await;
     wait_for(async || fleet.starts() == 1).await;
     let id = next_id(entries[0]).await.to_string();
     let path = format!("/v1/requests/{id}");
     let body = request(b"again").to_string();
     let key = "idempotency-key: again\r\n";
-    let bytes = message("POST", "/v1/requests", key, body.as_bytes());
+    let bytes = http_message("POST", "/v1/requests", key, body.as_bytes());
     let sent = bytes.clone();
     let entry = entries[0];
     let refused = actix_rt::spawn(async move { send(entry, &sent).await });
@@ -278,14 +284,14 @@
     let (first, second) = join(send(entries[1], &bytes), send(entries[0], &bytes)).await;
     check_complete(&first, b"again");
     assert_eq!(first.json, second.json);
-    check_complete(&holder.await.expect("an answer"), &long("holds"));
+    check_complete(&holder.await.expect("an answer"), &long_payload("holds"));
     assert_eq!(fleet.starts(), 2);
     assert_eq!(fleet.stop().await, 0);
 }
 
 async fn cancel_job(fleet: &DemoFleet, entry: SocketAddr) {
     let path = format!("/v1/jobs/{}", next_id(entry).await);
-    let body = job(&[&long("first"), &long("second")]);
+    let body = job(&[&long_payload("first"), &long_payload("second")]);
     let answer = actix_rt::spawn(async move { post(entry, "/v1/jobs", &body).await });
     wait_for(async || fleet.starts() == 2).await;
     let reply = call(entry, "DELETE", &path).await;
@@ -300,8 +306,8 @@
 }
 
 #[actix_rt::test]
-async fn outcomes_are_told_by_every_entry() {
-    let fleet = fleet(FleetSettings::default()).await;
+async fn every_entry_reports_an_outcome() {
+    let fleet = start_fleet(FleetSettings::default()).await;
     let entries = fleet.caller_addresses();
     let reply = post(entries[0], "/v1/requests", &request(b"told")).await;
     check_complete(&reply, b"told");
@@ -309,18 +315,18 @@
     for entry in &entries {
         assert_eq!(call(*entry, "GET", &path).await.json, reply.json);
         // Neither an entry that is gone nor a serial that was never given out is taken for "not run".
-        let own = reply.text("id").rsplit_once('-').expect("two parts").0;
-        for id in ["0000000000000001-1", &format!("{own}-999999")] {
+        let incarnation = reply.text("id").rsplit_once('-').expect("two parts").0;
+        for id in ["0000000000000001-1", &format!("{incarnation}-999999")] {
             let reply = call(*entry, "GET", &format!("/v1/requests/{id}")).await;
-            let told = (reply.status, reply.text("status"), reply.text("reason"));
-            assert_eq!(told, (200, "unknown", "entry_gone"), "{id}");
+            let outcome = (reply.status, reply.text("status"), reply.text("reason"));
+            assert_eq!(outcome, (200, "unknown", "entry_gone"), "{id}");
         }
     }
-    let (open, answer) = open_request(entries[0], long("open")).await;
+    let (open, answer) = open_request(entries[0], long_payload("open")).await;
     for entry in &entries {
         let reply = call(*entry, "GET", &format!("/v1/requests/{open}")).await;
         assert_eq!((reply.status, reply.text("status")), (202, "pending"));
     }
-    check_complete(&answer.await.expect("an answer"), &long("open"));
+    check_complete(&answer.await.expect("an answer"), &long_payload("open"));
     assert_eq!(fleet.stop().await, 0);
 }
--- a/crates/demo/tests/border/memory.rs
+++ b/crates/demo/tests/border/memory.rs
@@ -5,10 +5,10 @@
 use model::ByteSize;
 use settings::EntrySettings;
 
-use crate::caller::{call, fleet, issue, job, post, request, wait_for};
+use crate::caller::{call, issue_ticket, job, post, request, start_fleet, wait_for};
 
 /// A payload of about 60 KB that runs for a second.
-fn large() -> Vec<u8> {
+fn large_payload() -> Vec<u8> {
     let label = "x".repeat(60_000);
     format!(r#"{{"run_ms":1000,"label":"{label}"}}"#).into_bytes()
 }
@@ -18,7 +18,7 @@
 // Why: bodies without a bound would end the process and with it every caller's answer.
 #[actix_rt::test]
 async fn a_full_entry_refuses_until_it_has_answered() {
-    let fleet = fleet(FleetSettings {
+    let fleet = start_fleet(FleetSettings {
         entry: EntrySettings {
             max_open_bytes: ByteSize(100_000),
             ..Default::default()
@@ -27,18 +27,18 @@
     })
     .await;
     let entry = fleet.caller_addresses()[0];
-    let ticket = issue(entry).await;
+    let ticket = issue_ticket(entry).await;
     let id = ticket
         .as_str()
         .expect("text")
         .trim_start_matches('t')
         .to_owned();
-    let mut body = request(&large());
+    let mut body = request(&large_payload());
     body["ticket"] = ticket;
     let first = actix_rt::spawn(async move { post(entry, "/v1/requests", &body).await });
     let path = format!("/v1/requests/{id}");
     wait_for(async || call(entry, "GET", &path).await.status == 202).await;
-    let refused = post(entry, "/v1/requests", &request(&large())).await;
+    let refused = post(entry, "/v1/requests", &request(&large_payload())).await;
     assert_eq!(
         (refused.status, refused.text("reason")),
         (503, "overloaded")
@@ -46,9 +46,9 @@
     assert!(refused.head.contains("retry-after: 1"), "{refused:?}");
     let small = post(entry, "/v1/requests", &request(b"small")).await;
     assert_eq!(small.text("status"), "complete", "{small:?}");
-    assert_eq!(first.await.expect("an answer").result(), large());
-    let again = post(entry, "/v1/requests", &request(&large())).await;
-    assert_eq!(again.result(), large());
+    assert_eq!(first.await.expect("an answer").result(), large_payload());
+    let again = post(entry, "/v1/requests", &request(&large_payload())).await;
+    assert_eq!(again.result(), large_payload());
     assert_eq!(fleet.starts(), 3);
     assert_eq!(fleet.stop().await, 0);
 }
@@ -57,8 +57,8 @@
 // What happens: several such jobs, 24 MB each, go through both entries at once.
 // Why: batches of offers and of ends are split by bytes, and none may be lost or put out of order by it.
 #[actix_rt::test]
-async fn the_largest_jobs_come_back_whole() {
-    let fleet = fleet(FleetSettings::default()).await;
+async fn the_largest_jobs_return_every_result() {
+    let fleet = start_fleet(FleetSettings::default()).await;
     let mut jobs = Vec::new();
     for (seed, entry) in (1..).zip(fleet.caller_addresses()) {
         let mut rng = fastrand::Rng::with_seed(seed);
--- a/crates/demo/tests/border/page.rs
+++ b/crates/demo/tests/border/page.rs
@@ -6,26 +6,26 @@
 use model::{CustomerId, SubmissionId};
 use stand_ins::platform::{DownMode, FaultSettings};
 
-use crate::caller::{call, fleet, message, send, wait_for, HttpReply};
+use crate::caller::{call, http_message, send, start_fleet, wait_for, HttpReply};
 
-const PAGE: &str = include_str!("../../../../docs/API.md");
+const API_PAGE: &str = include_str!("../../../../docs/API.md");
 
 /// The incarnation that the page shows in place of each run's own.
-const SHOWN: &str = "98ce8a3683357382";
+const SHOWN_INCARNATION: &str = "98ce8a3683357382";
 
 /// The headers that the page shows.
-const HEADERS: [&str; 1] = ["retry-after"];
+const SHOWN_HEADERS: [&str; 1] = ["retry-after"];
 
 /// A payload that runs for two seconds, in base64.
-const LONG: &str = "eyJydW5fbXMiOjIwMDB9";
+const LONG_PAYLOAD: &str = "eyJydW5fbXMiOjIwMDB9";
 
 /// Two entries and what the page should hold.
 struct Examples {
     fleet: DemoFleet,
     entries: Vec<SocketAddr>,
     /// The submission before the first one of the page, which shows it with serial 0.
-    base: SubmissionId,
-    missing: String,
+    base_id: SubmissionId,
+    missing_blocks: String,
 }
 
 /// One call as the page writes it.
@@ -50,7 +50,7 @@
         }
     }
 
-    fn bare(method: &'a str, path: &'a str) -> Self {
+    fn without_body(method: &'a str, path: &'a str) -> Self {
         Self {
             entry: 'A',
             method,
@@ -78,7 +78,7 @@
 
 impl Examples {
     async fn start() -> Self {
-        let fleet = fleet(FleetSettings {
+        let fleet = start_fleet(FleetSettings {
             endpoints: 1,
             slots: 1,
             ..Default::default()
@@ -88,18 +88,18 @@
         fleet.create_contract(&customer).await.expect("contract");
         fleet.wait_until_in_force(&customer).await.expect("force");
         let entries = fleet.caller_addresses();
-        let ask = r#"{"customer":"trust"}"#;
+        let ticket_body = r#"{"customer":"trust"}"#;
         let issued = send(
             entries[0],
-            &message("POST", "/v1/tickets", "", ask.as_bytes()),
+            &http_message("POST", "/v1/tickets", "", ticket_body.as_bytes()),
         )
         .await;
         let base = issued.text("ticket").trim_start_matches('t');
         Self {
             entries,
-            base: base.parse().expect("an id"),
+            base_id: base.parse().expect("an id"),
             fleet,
-            missing: String::new(),
+            missing_blocks: String::new(),
         }
     }
 
@@ -107,65 +107,71 @@
         let entry = self.entries[usize::from(example.entry == 'B')];
         let key = example.key.map(|key| format!("idempotency-key: {key}\r\n"));
         let headers = key.unwrap_or_default();
-        let path = self.to_real(example.path);
-        let body = self.to_real(example.body);
-        let bytes = message(example.method, &path, &headers, body.as_bytes());
+        let path = self.to_actual_ids(example.path);
+        let body = self.to_actual_ids(example.body);
+        let bytes = http_message(example.method, &path, &headers, body.as_bytes());
         send(entry, &bytes).await
     }
 
     async fn run(&mut self, example: Example<'_>) {
         let reply = self.send(example).await;
-        self.show(example, &reply);
+        self.check_shown(example, &reply);
     }
 
-    fn show(&mut self, example: Example<'_>, reply: &HttpReply) {
-        let mut block = format!("{}\n    {}\n", example.command(), reply.first_line);
+    fn check_shown(&mut self, example: Example<'_>, reply: &HttpReply) {
+        let mut block = format!("{}\n    {}\n", example.command(), reply.status_line);
         for line in reply.head.lines() {
-            if HEADERS.iter().any(|name| line.starts_with(name)) {
+            if SHOWN_HEADERS.iter().any(|name| line.starts_with(name)) {
                 block += &format!("    {line}\n");
             }
         }
         block += &format!("\n    {}\n", reply.body);
-        let block = self.to_shown(&block);
-        if !PAGE.contains(&block) {
-            self.missing += &format!("{block}\n");
+        let block = self.to_shown_ids(&block);
+        if !API_PAGE.contains(&block) {
+            self.missing_blocks += &format!("{block}\n");
         }
     }
 
     /// A shown id of this run's next submission.
     async fn next_id(&self) -> String {
-        let ask = r#"{"customer":"trust"}"#;
-        let reply = self.send(Example::post('A', "/v1/tickets", ask)).await;
+        let ticket_body = r#"{"customer":"trust"}"#;
+        let reply = self
+            .send(Example::post('A', "/v1/tickets", ticket_body))
+            .await;
         let id = reply.text("ticket").trim_start_matches('t');
         let mut id: SubmissionId = id.parse().expect("an id");
         id.serial += 1;
-        self.to_shown(&id.to_string())
+        self.to_shown_ids(&id.to_string())
     }
 
     /// The page's ids in place of this run's.
-    fn to_shown(&self, text: &str) -> String {
-        let own = self.base.incarnation.to_string();
-        rename_ids(text, &own, SHOWN, |serial| serial - self.base.serial)
+    fn to_shown_ids(&self, text: &str) -> String {
+        let actual = self.base_id.incarnation.to_string();
+        replace_ids(text, &actual, SHOWN_INCARNATION, |serial| {
+            serial - self.base_id.serial
+        })
     }
 
     /// This run's ids in place of the page's.
-    fn to_real(&self, text: &str) -> String {
-        let own = self.base.incarnation.to_string();
-        rename_ids(text, SHOWN, &own, |serial| serial + self.base.serial)
+    fn to_actual_ids(&self, text: &str) -> String {
+        let actual = self.base_id.incarnation.to_string();
+        replace_ids(text, SHOWN_INCARNATION, &actual, |serial| {
+            serial + self.base_id.serial
+        })
     }
 }
 
-fn rename_ids(text: &str, from: &str, to: &str, renumber: impl Fn(u64) -> u64) -> String {
+fn replace_ids(text: &str, from: &str, to: &str, renumber: impl Fn(u64) -> u64) -> String {
     let from = format!("{from}-");
     let mut parts = text.split(&from);
-    let mut renamed = parts.next().unwrap_or_default().to_owned();
+    let mut replaced = parts.next().unwrap_or_default().to_owned();
     for part in parts {
         let end = part.find(|c: char| !c.is_ascii_hexdigit());
         let (serial, rest) = part.split_at(end.unwrap_or(part.len()));
         let serial = u64::from_str_radix(serial, 16).expect("a serial");
-        renamed += &format!("{to}-{:x}{rest}", renumber(serial));
+        replaced += &format!("{to}-{:x}{rest}", renumber(serial));
     }
-    renamed
+    replaced
 }
 
 async fn run_calls(examples: &mut Examples) {
@@ -185,15 +191,15 @@
     ] {
         examples.run(Example::post('A', "/v1/jobs", body)).await;
     }
-    examples.run(Example::bare("PUT", "/v1/jobs")).await;
+    examples.run(Example::without_body("PUT", "/v1/jobs")).await;
 }
 
 async fn run_ticket(examples: &mut Examples) {
-    let ask = r#"{"customer":"trust"}"#;
-    let example = Example::post('A', "/v1/tickets", ask);
+    let ticket_body = r#"{"customer":"trust"}"#;
+    let example = Example::post('A', "/v1/tickets", ticket_body);
     let reply = examples.send(example).await;
-    examples.show(example, &reply);
-    let ticket = examples.to_shown(reply.text("ticket"));
+    examples.check_shown(example, &reply);
+    let ticket = examples.to_shown_ids(reply.text("ticket"));
     let body = format!(
         r#"{{"customer":"trust","ticket":"{ticket}","task":{{"kind":"confirm","payload":"AAAA"}}}}"#
     );
@@ -203,20 +209,21 @@
             .await;
     }
     let path = format!("/v1/requests/{}", ticket.trim_start_matches('t'));
-    examples.run(Example::bare("GET", &path)).await;
+    examples.run(Example::without_body("GET", &path)).await;
 }
 
 /// One request runs, another waits behind it for the only slot; both are asked for and cancelled.
 async fn run_cancels(examples: &mut Examples) {
-    let long = format!(r#"{{"customer":"trust","task":{{"kind":"hold","payload":"{LONG}"}}}}"#);
+    let long =
+        format!(r#"{{"customer":"trust","task":{{"kind":"hold","payload":"{LONG_PAYLOAD}"}}}}"#);
     let mut paths = Vec::new();
     let mut answers = Vec::new();
     for event in ["started", "queued"] {
         let id = examples.next_id().await;
-        let bytes = message("POST", "/v1/requests", "", long.as_bytes());
+        let bytes = http_message("POST", "/v1/requests", "", long.as_bytes());
         let entry = examples.entries[0];
         answers.push(actix_rt::spawn(async move { send(entry, &bytes).await }));
-        let explain = examples.to_real(&format!("/v1/explain/{id}"));
+        let explain = examples.to_actual_ids(&format!("/v1/explain/{id}"));
         wait_for(async || {
             let report = call(entry, "GET", &explain).await;
             report.json.to_string().contains(event)
@@ -224,11 +231,11 @@
         .await;
         paths.push(format!("/v1/requests/{id}"));
     }
-    examples.run(Example::bare("GET", &paths[0])).await;
+    examples.run(Example::without_body("GET", &paths[0])).await;
     for path in &paths {
-        examples.run(Example::bare("DELETE", path)).await;
+        examples.run(Example::without_body("DELETE", path)).await;
     }
-    examples.run(Example::bare("GET", &paths[1])).await;
+    examples.run(Example::without_body("GET", &paths[1])).await;
     for answer in answers {
         answer.await.expect("an answer");
     }
@@ -244,13 +251,16 @@
 }
 
 #[actix_rt::test]
-async fn the_page_shows_what_comes() {
+async fn documented_examples_match_the_answers() {
     let mut examples = Examples::start().await;
     run_calls(&mut examples).await;
     run_ticket(&mut examples).await;
     run_cancels(&mut examples).await;
     run_outage(&mut examples).await;
-    println!("{}", examples.missing);
-    assert!(examples.missing.is_empty(), "not on the page as it came");
+    println!("{}", examples.missing_blocks);
+    assert!(
+        examples.missing_blocks.is_empty(),
+        "not on the page as it came"
+    );
     assert_eq!(examples.fleet.stop().await, 0);
 }
