--- a/xtask/src/experiment.rs
+++ b/xtask/src/experiment.rs
@@ -9,12 +9,12 @@
 use serde_json::json;
 
 use crate::{
-    fleet::{build_programs, FleetSettings, RealFleet},
+    fleet::{build_programs, FleetSettings, ProcessFleet},
     usage::load_average,
 };
 
 /// The system is left alone between two loads, so that the queue of one is not the start of the next.
-const PAUSE: Duration = Duration::from_secs(2);
+const SETTLE_TIME: Duration = Duration::from_secs(2);
 
 /// What to run.
 #[derive(Debug, Clone, Bpaf)]
@@ -92,14 +92,14 @@
             rows.push(row);
             let file = options.out.join("experiment.json");
             fs::write(file, serde_json::to_vec_pretty(&rows)?)?;
-            actix_rt::time::sleep(PAUSE).await;
+            actix_rt::time::sleep(SETTLE_TIME).await;
         }
     }
     Ok(())
 }
 
-async fn start_fleet(options: &ExperimentOptions, placement: &str) -> Result<RealFleet> {
-    let fleet = RealFleet::start(FleetSettings {
+async fn start_fleet(options: &ExperimentOptions, placement: &str) -> Result<ProcessFleet> {
+    let fleet = ProcessFleet::start(FleetSettings {
         data_centres: options.data_centres,
         vms: options.vms,
         endpoints: options.endpoints,
@@ -115,13 +115,13 @@
     fleet
         .create_contracts("customer", 1..=options.customers, &contract)
         .await?;
-    actix_rt::time::sleep(PAUSE).await;
+    actix_rt::time::sleep(SETTLE_TIME).await;
     Ok(fleet)
 }
 
 async fn run_row(
     options: &ExperimentOptions,
-    fleet: &RealFleet,
+    fleet: &ProcessFleet,
     placement: &str,
     percent: f64,
 ) -> Result<ExperimentRow> {
--- a/xtask/src/fleet.rs
+++ b/xtask/src/fleet.rs
@@ -16,8 +16,8 @@
 
 use crate::{http, ports::PortFinder};
 
-const READY_LIMIT: Duration = Duration::from_secs(30);
-const POLL: Duration = Duration::from_millis(50);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// What to start.
 #[derive(Clone, Debug)]
@@ -47,7 +47,7 @@
     }
 }
 
-struct VmNode {
+struct VmAddresses {
     data_centre: String,
     caller: SocketAddr,
     peer: SocketAddr,
@@ -55,9 +55,9 @@
 }
 
 /// A child that is killed, by its own handle, when dropped.
-struct OwnChild(Child);
+struct KillOnDrop(Child);
 
-impl Drop for OwnChild {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         // Both fail only where the process has ended by itself.
         let _ = self.0.kill();
@@ -66,24 +66,24 @@
 }
 
 /// The running processes.
-pub(crate) struct RealFleet {
+pub(crate) struct ProcessFleet {
     settings: FleetSettings,
     platform: SocketAddr,
-    vms: Vec<VmNode>,
+    vms: Vec<VmAddresses>,
     endpoints: Vec<(String, String, SocketAddr)>,
-    entries: Vec<OwnChild>,
-    dispatchers: Vec<OwnChild>,
-    stand_ins: Vec<OwnChild>,
+    entries: Vec<KillOnDrop>,
+    dispatchers: Vec<KillOnDrop>,
+    stand_ins: Vec<KillOnDrop>,
     client: Client,
 }
 
-impl RealFleet {
+impl ProcessFleet {
     /// Starts everything and waits until all entries are ready and all endpoints owned.
     pub(crate) async fn start(settings: FleetSettings) -> Result<Self> {
         fs::create_dir_all(&settings.dir)?;
         let mut ports = PortFinder::new();
         let mut fleet = Self {
-            platform: ports.one()?,
+            platform: ports.single()?,
             vms: Vec::new(),
             endpoints: Vec::new(),
             entries: Vec::new(),
@@ -94,11 +94,11 @@
         };
         fleet.start_endpoints(&mut ports)?;
         for number in 0..fleet.settings.vms {
-            fleet.vms.push(VmNode {
+            fleet.vms.push(VmAddresses {
                 data_centre: fleet.data_centre(number),
-                caller: ports.one()?,
-                peer: ports.one()?,
-                admin: ports.one()?,
+                caller: ports.single()?,
+                peer: ports.single()?,
+                admin: ports.single()?,
             });
         }
         fleet.start_platform()?;
@@ -120,7 +120,7 @@
             if count == 0 {
                 continue;
             }
-            let first = ports.run(count)?;
+            let first = ports.consecutive(count)?;
             let centre = self.data_centre(number);
             let name = format!("{centre}-e");
             for index in 0..count {
@@ -135,8 +135,8 @@
             let (listen, slots) = (first.to_string(), self.settings.slots.to_string());
             let count = count.to_string();
             let args = ["stand-in", "endpoint", "--listen", &listen];
-            let more = ["--slots", &slots, "--count", &count, &name];
-            let child = self.spawn("cairnctl", &[&args[..], &more[..]].concat(), &name)?;
+            let slot_args = ["--slots", &slots, "--count", &count, &name];
+            let child = self.spawn("cairnctl", &[&args[..], &slot_args[..]].concat(), &name)?;
             self.stand_ins.push(child);
         }
         Ok(())
@@ -166,17 +166,20 @@
     }
 
     async fn wait_for_platform(&self) -> Result<()> {
-        let limit = Instant::now() + READY_LIMIT;
+        let deadline = Instant::now() + READY_TIMEOUT;
         while http::status(&self.client, self.platform, "/control/stats").await != Some(200) {
-            ensure!(Instant::now() < limit, "the platform stand-in is not there");
-            actix_rt::time::sleep(POLL).await;
+            ensure!(
+                Instant::now() < deadline,
+                "the platform stand-in is not there"
+            );
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
 
     fn start_processes(&mut self) -> Result<()> {
         for index in 0..self.vms.len() {
-            let file = self.write_settings(index, "dispatcher", self.dispatcher_file(index))?;
+            let file = self.write_settings(index, "dispatcher", self.dispatcher_settings(index))?;
             let child = self.spawn(
                 "cairnpaddle",
                 &["dispatcher", "--settings", &file],
@@ -185,7 +188,7 @@
             self.dispatchers.push(child);
         }
         for index in 0..self.vms.len() {
-            let file = self.write_settings(index, "entry", self.entry_file(index))?;
+            let file = self.write_settings(index, "entry", self.entry_settings(index))?;
             let child = self.spawn(
                 "cairnpaddle",
                 &["entry", "--settings", &file],
@@ -196,13 +199,13 @@
         Ok(())
     }
 
-    fn write_settings(&self, index: usize, role: &str, file: Value) -> Result<String> {
+    fn write_settings(&self, index: usize, role: &str, settings: Value) -> Result<String> {
         let path = self.settings.dir.join(format!("{role}-{}.json", index + 1));
-        fs::write(&path, serde_json::to_vec_pretty(&file)?)?;
+        fs::write(&path, serde_json::to_vec_pretty(&settings)?)?;
         Ok(path.display().to_string())
     }
 
-    fn entry_file(&self, index: usize) -> Value {
+    fn entry_settings(&self, index: usize) -> Value {
         let vm = &self.vms[index];
         json!({
             "vm": format!("vm-{}", index + 1),
@@ -215,7 +218,7 @@
         })
     }
 
-    fn dispatcher_file(&self, index: usize) -> Value {
+    fn dispatcher_settings(&self, index: usize) -> Value {
         let vm = &self.vms[index];
         json!({
             "vm": format!("vm-{}", index + 1),
@@ -238,7 +241,7 @@
         peers
     }
 
-    fn spawn(&self, program: &str, args: &[&str], name: &str) -> Result<OwnChild> {
+    fn spawn(&self, program: &str, args: &[&str], name: &str) -> Result<KillOnDrop> {
         let log = fs::File::create(self.settings.dir.join(format!("{name}.log")))?;
         let child = Command::new(program_path(program)?)
             .args(args)
@@ -247,19 +250,19 @@
             .stderr(log)
             .spawn()
             .wrap_err_with(|| format!("{program} not started"))?;
-        Ok(OwnChild(child))
+        Ok(KillOnDrop(child))
     }
 
     async fn wait_until_ready(&self) -> Result<()> {
-        let limit = Instant::now() + READY_LIMIT;
+        let deadline = Instant::now() + READY_TIMEOUT;
         loop {
             if self.is_ready().await {
                 return Ok(());
             }
-            if Instant::now() > limit {
-                bail!("not ready within {READY_LIMIT:?}; see the logs in the directory");
+            if Instant::now() > deadline {
+                bail!("not ready within {READY_TIMEOUT:?}; see the logs in the directory");
             }
-            actix_rt::time::sleep(POLL).await;
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -272,12 +275,13 @@
                 }
             }
         }
-        let mut owned = 0.0;
+        let mut owned_endpoints = 0.0;
         for vm in &self.vms {
             let page = http::text(&self.client, vm.admin, "/metrics").await;
-            owned += page.map_or(0.0, |page| gauge(&page, "cairnpaddle_owned_endpoints"));
+            owned_endpoints +=
+                page.map_or(0.0, |page| sum_series(&page, "cairnpaddle_owned_endpoints"));
         }
-        owned as usize == self.endpoints.len()
+        owned_endpoints as usize == self.endpoints.len()
     }
 
     /// Creates contracts of customers `PREFIX-from` to `PREFIX-to`, and waits until they are in force at every entry.
@@ -299,22 +303,22 @@
 
     /// Waits until every entry has the version of the contract in force; gives how long that took.
     pub(crate) async fn wait_for_version(&self, customer: &str, version: u64) -> Result<Duration> {
-        let begun = Instant::now();
+        let started = Instant::now();
         for entry in self.entries() {
             while !self.has_version(entry, customer, version).await? {
-                ensure!(begun.elapsed() < READY_LIMIT, "{customer} not in force");
+                ensure!(started.elapsed() < READY_TIMEOUT, "{customer} not in force");
                 actix_rt::time::sleep(Duration::from_millis(10)).await;
             }
         }
-        Ok(begun.elapsed())
+        Ok(started.elapsed())
     }
 
     async fn has_version(&self, entry: SocketAddr, customer: &str, version: u64) -> Result<bool> {
         let page = http::text(&self.client, entry, "/v1/in-force").await?;
         let page: Value = serde_json::from_str(&page)?;
         let rows = page["contracts"].as_array().into_iter().flatten();
-        let mut own = rows.filter(|row| row["customer"] == customer);
-        Ok(own.any(|row| row["version"].as_u64() >= Some(version)))
+        let mut customer_rows = rows.filter(|row| row["customer"] == customer);
+        Ok(customer_rows.any(|row| row["version"].as_u64() >= Some(version)))
     }
 
     pub(crate) fn client(&self) -> &Client {
@@ -352,7 +356,7 @@
 }
 
 /// The sum of a metric's series on a page.
-fn gauge(page: &str, name: &str) -> f64 {
+fn sum_series(page: &str, name: &str) -> f64 {
     let mut sum = 0.0;
     for line in page.lines() {
         let Some((series, value)) = line.rsplit_once(' ') else {
@@ -378,8 +382,8 @@
 
 /// Programs are measured as release builds, next to this one's directory.
 pub(crate) fn program_path(program: &str) -> Result<PathBuf> {
-    let own = env::current_exe()?;
-    let target = own.parent().and_then(Path::parent);
+    let executable = env::current_exe()?;
+    let target = executable.parent().and_then(Path::parent);
     let path = target
         .unwrap_or(Path::new("target"))
         .join("release")
--- a/xtask/src/http.rs
+++ b/xtask/src/http.rs
@@ -6,12 +6,12 @@
 use eyre::{ensure, eyre, Result};
 use serde_json::Value;
 
-const LIMIT: Duration = Duration::from_secs(5);
-const MAX_BODY: usize = 64 * 1024 * 1024;
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 
 /// A client with short limits.
 pub(crate) fn client() -> Client {
-    Client::builder().timeout(LIMIT).finish()
+    Client::builder().timeout(REQUEST_TIMEOUT).finish()
 }
 
 /// The status of a GET; none where nobody answers.
@@ -24,7 +24,7 @@
 pub(crate) async fn text(client: &Client, to: SocketAddr, path: &str) -> Result<String> {
     let sent = client.get(format!("http://{to}{path}")).send().await;
     let mut answer = sent.map_err(|error| eyre!("GET {to}{path}: {error}"))?;
-    let body = answer.body().limit(MAX_BODY).await?;
+    let body = answer.body().limit(MAX_BODY_BYTES).await?;
     Ok(String::from_utf8_lossy(&body).into_owned())
 }
 
@@ -42,13 +42,13 @@
     let sent = call.send_json(contract).await;
     let mut answer = sent.map_err(|error| eyre!("contract of {customer}: {error}"))?;
     let body = answer.body().await?;
-    let told = String::from_utf8_lossy(&body);
+    let answer_text = String::from_utf8_lossy(&body);
     ensure!(
         answer.status().is_success(),
-        "contract of {customer}: {told}"
+        "contract of {customer}: {answer_text}"
     );
-    let told: Value = serde_json::from_str(&told)?;
-    told["version"]
+    let answer_json: Value = serde_json::from_str(&answer_text)?;
+    answer_json["version"]
         .as_u64()
-        .ok_or_else(|| eyre!("no version in {told}"))
+        .ok_or_else(|| eyre!("no version in {answer_json}"))
 }
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -32,7 +32,7 @@
 
 fn main() -> eyre::Result<()> {
     match task_command().run() {
-        TaskCommand::Codegen => generate_peer(),
+        TaskCommand::Codegen => generate_peer_protocol(),
         TaskCommand::Experiment(options) => {
             actix_rt::System::new().block_on(experiment::run(options))
         }
@@ -41,7 +41,7 @@
     }
 }
 
-fn generate_peer() -> eyre::Result<()> {
+fn generate_peer_protocol() -> eyre::Result<()> {
     capnpc::CompilerCommand::new()
         .src_prefix("crates/peer/schema")
         .file("crates/peer/schema/peer.capnp")
--- a/xtask/src/ports.rs
+++ b/xtask/src/ports.rs
@@ -6,8 +6,8 @@
 
 /// Ports are taken from here up: below those that the system gives to outgoing connections, which could otherwise
 /// take a port between the look and the start of its process.
-const LOWEST: u16 = 12_000;
-const HIGHEST: u16 = 30_000;
+const LOWEST_PORT: u16 = 12_000;
+const HIGHEST_PORT: u16 = 30_000;
 
 /// Hands out ports that were free when looked at, each once.
 pub(crate) struct PortFinder {
@@ -16,20 +16,20 @@
 
 impl PortFinder {
     pub(crate) fn new() -> Self {
-        let spread = u16::try_from(std::process::id() % 100).unwrap_or(0);
+        let offset = u16::try_from(std::process::id() % 100).unwrap_or(0);
         Self {
-            next: LOWEST + spread * 100,
+            next: LOWEST_PORT + offset * 100,
         }
     }
 
-    pub(crate) fn one(&mut self) -> Result<SocketAddr> {
-        self.run(1)
+    pub(crate) fn single(&mut self) -> Result<SocketAddr> {
+        self.consecutive(1)
     }
 
     /// The first of `count` free ports that follow each other.
-    pub(crate) fn run(&mut self, count: u16) -> Result<SocketAddr> {
+    pub(crate) fn consecutive(&mut self, count: u16) -> Result<SocketAddr> {
         let mut length = 0;
-        while self.next < HIGHEST {
+        while self.next < HIGHEST_PORT {
             let address = SocketAddr::from((Ipv4Addr::LOCALHOST, self.next));
             self.next += 1;
             if TcpListener::bind(address).is_err() {
--- a/xtask/src/slopes.rs
+++ b/xtask/src/slopes.rs
@@ -16,17 +16,17 @@
 use serde_json::{json, Value};
 
 use crate::{
-    fleet::{build_programs, FleetSettings, RealFleet},
+    fleet::{build_programs, FleetSettings, ProcessFleet},
     http,
     usage::{load_average, tcp_bytes, ProcessUsage},
 };
 
 /// How long idle processes are watched.
-const WATCH: Duration = Duration::from_secs(8);
+const SAMPLE_TIME: Duration = Duration::from_secs(8);
 /// After a start or a change, what follows from it is left to end before the watch.
-const SETTLE: Duration = Duration::from_secs(3);
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 /// Contracts of the members' and changes' tables: the target's teams.
-const TEAMS: usize = 140;
+const TEAM_COUNT: usize = 140;
 
 /// What to measure.
 #[derive(Debug, Clone, Bpaf)]
@@ -79,7 +79,7 @@
     PathBuf::from("target/slopes")
 }
 
-fn row(table: &str, figures: &[(&'static str, f64)]) -> SlopeRow {
+fn print_row(table: &str, figures: &[(&'static str, f64)]) -> SlopeRow {
     let row = SlopeRow {
         table: table.to_owned(),
         load_average: load_average(),
@@ -95,14 +95,14 @@
 
 /// The use of one role's processes at one moment.
 #[derive(Clone, Copy)]
-struct Snapshot {
+struct UsageSnapshot {
     entry: ProcessUsage,
     dispatcher: ProcessUsage,
     at: Instant,
 }
 
-impl Snapshot {
-    fn take(fleet: &RealFleet) -> Result<Self> {
+impl UsageSnapshot {
+    fn take(fleet: &ProcessFleet) -> Result<Self> {
         Ok(Self {
             entry: ProcessUsage::total(&fleet.entry_pids())?,
             dispatcher: ProcessUsage::total(&fleet.dispatcher_pids())?,
@@ -126,11 +126,11 @@
 }
 
 /// Watches an idle fleet and gives the figures of one entry and one dispatcher.
-async fn watch_idle(fleet: &RealFleet, vms: u16) -> Result<Vec<(&'static str, f64)>> {
-    actix_rt::time::sleep(SETTLE).await;
-    let before = Snapshot::take(fleet)?;
-    actix_rt::time::sleep(WATCH).await;
-    let after = Snapshot::take(fleet)?;
+async fn measure_idle(fleet: &ProcessFleet, vms: u16) -> Result<Vec<(&'static str, f64)>> {
+    actix_rt::time::sleep(SETTLE_TIME).await;
+    let before = UsageSnapshot::take(fleet)?;
+    actix_rt::time::sleep(SAMPLE_TIME).await;
+    let after = UsageSnapshot::take(fleet)?;
     let (entry_cpu, dispatcher_cpu) = after.percent_since(&before, vms);
     let (entry_mib, dispatcher_mib) = after.memory(vms);
     Ok(vec![
@@ -141,7 +141,7 @@
     ])
 }
 
-fn wide_contract() -> Value {
+fn permissive_contract() -> Value {
     json!({ "concurrency": 100_000, "answer_within_ms": 600_000, "may_refuse": "nothing" })
 }
 
@@ -149,7 +149,7 @@
 async fn measure_starts(dir: PathBuf) -> Result<Vec<SlopeRow>> {
     let mut rows = Vec::new();
     for rate in [0.0, 100.0, 300.0, 1_000.0, 2_000.0] {
-        let fleet = RealFleet::start(FleetSettings {
+        let fleet = ProcessFleet::start(FleetSettings {
             endpoints: 30,
             slots: 60,
             dir: dir.clone(),
@@ -157,13 +157,13 @@
         })
         .await?;
         fleet
-            .create_contracts("customer", 1..=5, &wide_contract())
+            .create_contracts("customer", 1..=5, &permissive_contract())
             .await?;
-        actix_rt::time::sleep(SETTLE).await;
-        let before = Snapshot::take(&fleet)?;
+        actix_rt::time::sleep(SETTLE_TIME).await;
+        let before = UsageSnapshot::take(&fleet)?;
         let settings = LoadSettings {
             task_rate: rate,
-            duration: WATCH,
+            duration: SAMPLE_TIME,
             ..LoadSettings::default()
         };
         let targets = LoadTargets {
@@ -174,13 +174,13 @@
         };
         let (report, _) = run_load(&settings, &targets, |_, _| {}).await?;
         if rate == 0.0 {
-            actix_rt::time::sleep(WATCH).await;
+            actix_rt::time::sleep(SAMPLE_TIME).await;
         }
-        let after = Snapshot::take(&fleet)?;
+        let after = UsageSnapshot::take(&fleet)?;
         let seconds = (after.at - before.at).as_secs_f64();
         let (entry_mib, dispatcher_mib) = after.memory(1);
         let offers = report.counters.unwrap_or_default().offers;
-        rows.push(row(
+        rows.push(print_row(
             "starts",
             &[
                 ("rate", rate),
@@ -204,7 +204,7 @@
 
 /// Memory of each open submission, its caller's connection included: single tasks that wait for the one slot.
 async fn measure_open(dir: PathBuf) -> Result<Vec<SlopeRow>> {
-    let fleet = RealFleet::start(FleetSettings {
+    let fleet = ProcessFleet::start(FleetSettings {
         endpoints: 1,
         slots: 1,
         dir,
@@ -212,27 +212,27 @@
     })
     .await?;
     fleet
-        .create_contracts("customer", 1..=1, &wide_contract())
+        .create_contracts("customer", 1..=1, &permissive_contract())
         .await?;
     let entry = fleet.entries()[0];
     let mut rows = Vec::new();
     let mut sent = 0;
-    for wanted in [0, 500, 1_000, 2_000] {
-        while sent < wanted {
+    for target_count in [0, 500, 1_000, 2_000] {
+        while sent < target_count {
             sent += 1;
             actix_rt::spawn(send_long_task(entry));
             if sent % 50 == 0 {
                 actix_rt::time::sleep(Duration::from_millis(50)).await;
             }
         }
-        actix_rt::time::sleep(SETTLE).await;
+        actix_rt::time::sleep(SETTLE_TIME).await;
         let page = http::text(fleet.client(), entry, "/v1/status").await?;
         let status: Value = serde_json::from_str(&page)?;
-        let (entry_mib, dispatcher_mib) = Snapshot::take(&fleet)?.memory(1);
-        rows.push(row(
+        let (entry_mib, dispatcher_mib) = UsageSnapshot::take(&fleet)?.memory(1);
+        rows.push(print_row(
             "open",
             &[
-                ("sent", f64::from(wanted)),
+                ("sent", f64::from(target_count)),
                 (
                     "open",
                     status["open_submissions"].as_f64().unwrap_or(f64::NAN),
@@ -263,39 +263,42 @@
 async fn measure_endpoints(dir: PathBuf) -> Result<Vec<SlopeRow>> {
     let mut rows = Vec::new();
     for endpoints in [10, 100, 200] {
-        let fleet = RealFleet::start(FleetSettings {
+        let fleet = ProcessFleet::start(FleetSettings {
             endpoints,
             dir: dir.clone(),
             ..FleetSettings::default()
         })
         .await?;
         let mut figures = vec![("endpoints", f64::from(endpoints))];
-        figures.extend(watch_idle(&fleet, 1).await?);
-        rows.push(row("endpoints", &figures));
+        figures.extend(measure_idle(&fleet, 1).await?);
+        rows.push(print_row("endpoints", &figures));
     }
     Ok(rows)
 }
 
 /// Idle use for each contract: two VMs.
 async fn measure_contracts(dir: PathBuf) -> Result<Vec<SlopeRow>> {
-    let fleet = RealFleet::start(FleetSettings {
+    let fleet = ProcessFleet::start(FleetSettings {
         vms: 2,
         dir,
         ..FleetSettings::default()
     })
     .await?;
     let mut rows = Vec::new();
-    let mut made = 0;
-    for wanted in [10, 140, 1_400] {
-        let begun = Instant::now();
+    let mut created = 0;
+    for target_count in [10, 140, 1_400] {
+        let started = Instant::now();
         fleet
-            .create_contracts("team", made + 1..=wanted, &json!({}))
+            .create_contracts("team", created + 1..=target_count, &json!({}))
             .await?;
-        made = wanted;
-        let creation = begun.elapsed().as_secs_f64();
-        let mut figures = vec![("contracts", wanted as f64), ("creation_s", creation)];
-        figures.extend(watch_idle(&fleet, 2).await?);
-        rows.push(row("contracts", &figures));
+        created = target_count;
+        let creation_s = started.elapsed().as_secs_f64();
+        let mut figures = vec![
+            ("contracts", target_count as f64),
+            ("creation_s", creation_s),
+        ];
+        figures.extend(measure_idle(&fleet, 2).await?);
+        rows.push(print_row("contracts", &figures));
     }
     Ok(rows)
 }
@@ -304,7 +307,7 @@
 async fn measure_members(dir: PathBuf) -> Result<Vec<SlopeRow>> {
     let mut rows = Vec::new();
     for vms in [2, 4, 8, 16] {
-        let fleet = RealFleet::start(FleetSettings {
+        let fleet = ProcessFleet::start(FleetSettings {
             vms,
             endpoints: 16,
             dir: dir.clone(),
@@ -312,15 +315,15 @@
         })
         .await?;
         fleet
-            .create_contracts("team", 1..=TEAMS, &json!({}))
+            .create_contracts("team", 1..=TEAM_COUNT, &json!({}))
             .await?;
-        actix_rt::time::sleep(SETTLE).await;
+        actix_rt::time::sleep(SETTLE_TIME).await;
         let mut figures = vec![("members", f64::from(vms))];
-        let bytes = all_bytes(&fleet)?;
-        let begun = Instant::now();
-        figures.extend(watch_idle(&fleet, vms).await?);
-        let time = begun.elapsed().as_secs_f64() * f64::from(vms) * 1e3;
-        let after = all_bytes(&fleet)?;
+        let bytes = read_link_bytes(&fleet)?;
+        let started = Instant::now();
+        figures.extend(measure_idle(&fleet, vms).await?);
+        let time = started.elapsed().as_secs_f64() * f64::from(vms) * 1e3;
+        let after = read_link_bytes(&fleet)?;
         let names = [
             "entry_peer_kb_s",
             "entry_platform_kb_s",
@@ -330,14 +333,14 @@
         for (index, name) in names.into_iter().enumerate() {
             figures.push((name, (after[index] - bytes[index]) / time));
         }
-        rows.push(row("members", &figures));
+        rows.push(print_row("members", &figures));
     }
     Ok(rows)
 }
 
 /// Bytes of entries with dispatchers, entries with the platform, dispatchers with all peers, dispatchers with the
 /// platform.
-fn all_bytes(fleet: &RealFleet) -> Result<[f64; 4]> {
+fn read_link_bytes(fleet: &ProcessFleet) -> Result<[f64; 4]> {
     let mut bytes = [0.0; 4];
     let (entries, dispatchers) = (fleet.entry_pids(), fleet.dispatcher_pids());
     let (peers, platform) = (fleet.peer_ports(), fleet.platform_ports());
@@ -356,7 +359,7 @@
 /// Use for each change of a contract, and the time until it is in force everywhere: eight VMs.
 async fn measure_changes(dir: PathBuf) -> Result<Vec<SlopeRow>> {
     let vms = 8;
-    let fleet = RealFleet::start(FleetSettings {
+    let fleet = ProcessFleet::start(FleetSettings {
         data_centres: 3,
         vms,
         endpoints: 16,
@@ -365,24 +368,24 @@
     })
     .await?;
     fleet
-        .create_contracts("team", 1..=TEAMS, &json!({}))
+        .create_contracts("team", 1..=TEAM_COUNT, &json!({}))
         .await?;
-    actix_rt::time::sleep(SETTLE).await;
-    let mut versions = vec![1; TEAMS];
+    actix_rt::time::sleep(SETTLE_TIME).await;
+    let mut versions = vec![1; TEAM_COUNT];
     let mut rows = Vec::new();
     for rate in [0.0, 1.0, 5.0, 20.0] {
-        let before = Snapshot::take(&fleet)?;
-        let count = (rate * WATCH.as_secs_f64()) as usize;
+        let before = UsageSnapshot::take(&fleet)?;
+        let count = (rate * SAMPLE_TIME.as_secs_f64()) as usize;
         for number in 0..count {
             let due = Duration::from_secs_f64(number as f64 / rate);
             actix_rt::time::sleep(due.saturating_sub(before.at.elapsed())).await;
-            change(&fleet, &mut versions, number % TEAMS).await?;
+            change_contract(&fleet, &mut versions, number % TEAM_COUNT).await?;
         }
-        actix_rt::time::sleep(WATCH.saturating_sub(before.at.elapsed())).await;
-        let after = Snapshot::take(&fleet)?;
+        actix_rt::time::sleep(SAMPLE_TIME.saturating_sub(before.at.elapsed())).await;
+        let after = UsageSnapshot::take(&fleet)?;
         let seconds = (after.at - before.at).as_secs_f64();
         let (entry_cpu, dispatcher_cpu) = after.percent_since(&before, vms);
-        rows.push(row(
+        rows.push(print_row(
             "changes",
             &[
                 ("changes_per_s", count as f64 / seconds),
@@ -391,15 +394,15 @@
             ],
         ));
     }
-    rows.push(measure_spread(&fleet, &mut versions).await?);
+    rows.push(measure_propagation(&fleet, &mut versions).await?);
     Ok(rows)
 }
 
 /// The time from the operator's answer until every entry has the change in force.
-async fn measure_spread(fleet: &RealFleet, versions: &mut [u64]) -> Result<SlopeRow> {
+async fn measure_propagation(fleet: &ProcessFleet, versions: &mut [u64]) -> Result<SlopeRow> {
     let mut times = Vec::new();
     for index in 0..20 {
-        let version = change(fleet, versions, index).await?;
+        let version = change_contract(fleet, versions, index).await?;
         let customer = format!("team-{}", index + 1);
         let time = fleet.wait_for_version(&customer, version).await?;
         times.push(time.as_secs_f64());
@@ -407,7 +410,7 @@
         actix_rt::time::sleep(Duration::from_millis(37 * (index as u64 % 11))).await;
     }
     times.sort_by(f64::total_cmp);
-    Ok(row(
+    Ok(print_row(
         "in_force",
         &[
             ("changes", times.len() as f64),
@@ -417,7 +420,7 @@
     ))
 }
 
-async fn change(fleet: &RealFleet, versions: &mut [u64], index: usize) -> Result<u64> {
+async fn change_contract(fleet: &ProcessFleet, versions: &mut [u64], index: usize) -> Result<u64> {
     let customer = format!("team-{}", index + 1);
     let contract = json!({ "concurrency": 40 + versions[index] % 10 });
     let precondition = ("If-Match", format!("\"{}\"", versions[index]));
--- a/xtask/src/soak.rs
+++ b/xtask/src/soak.rs
@@ -51,10 +51,10 @@
 const KNOWN_SEEDS: &str = include_str!("../../crates/soak/known-seeds.txt");
 
 fn known_seeds() -> impl Iterator<Item = u64> {
-    let firsts = KNOWN_SEEDS
+    let seed_columns = KNOWN_SEEDS
         .lines()
         .filter_map(|line| line.split(' ').next());
-    firsts.filter_map(|seed| seed.parse().ok())
+    seed_columns.filter_map(|seed| seed.parse().ok())
 }
 
 /// Runs the seeds, prints a line for each, and fails if a promise was broken.
--- a/xtask/src/usage.rs
+++ b/xtask/src/usage.rs
@@ -5,7 +5,7 @@
 use eyre::{eyre, Result};
 
 /// Processor time is counted in hundredths of a second on Linux, whatever the kernel's own tick.
-const TICKS: f64 = 100.0;
+const TICKS_PER_SECOND: f64 = 100.0;
 
 /// What a process has used so far and holds now.
 #[derive(Clone, Copy, Debug, Default)]
@@ -27,7 +27,7 @@
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
         let rss = line.and_then(|line| line.split_whitespace().next());
         Ok(Self {
-            cpu: ticks / TICKS,
+            cpu: ticks / TICKS_PER_SECOND,
             rss: rss.ok_or_else(|| eyre!("no VmRSS"))?.parse()?,
         })
     }
@@ -55,10 +55,10 @@
 pub(crate) fn tcp_bytes(pids: &[u32], ports: &HashSet<u16>) -> Result<u64> {
     let output = Command::new("ss").args(["-tinHpO"]).output()?;
     let text = String::from_utf8_lossy(&output.stdout);
-    let marks: Vec<String> = pids.iter().map(|pid| format!("pid={pid},")).collect();
+    let pid_patterns: Vec<String> = pids.iter().map(|pid| format!("pid={pid},")).collect();
     let mut total = 0;
     for line in text.lines() {
-        if !marks.iter().any(|mark| line.contains(mark)) {
+        if !pid_patterns.iter().any(|pattern| line.contains(pattern)) {
             continue;
         }
         let fields: Vec<&str> = line.split_whitespace().collect();
@@ -66,8 +66,12 @@
             let (_, port) = field?.rsplit_once(':')?;
             port.parse::<u16>().ok()
         };
-        let ends = [port(fields.get(3)), port(fields.get(4))];
-        if !ends.iter().flatten().any(|port| ports.contains(port)) {
+        let ports_of_ends = [port(fields.get(3)), port(fields.get(4))];
+        if !ports_of_ends
+            .iter()
+            .flatten()
+            .any(|port| ports.contains(port))
+        {
             continue;
         }
         for field in fields {
