--- a/crates/load/src/chart.rs
+++ b/crates/load/src/chart.rs
@@ -9,23 +9,24 @@
 
 use crate::error::LoadError;
 
-/// The size of the drawing, in pixels.
+/// Width and height of the chart, in pixels.
 const CHART_SIZE_PX: (u32, u32) = (900, 540);
 
-/// One curve: response over ideal against the part of calls that took at most that.
+/// One curve of the chart: the ratio of response to ideal response, by the fraction of calls at or below that ratio.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ResponseCurve {
-    /// What the curve is of.
+    /// Name of the curve in the legend.
     pub name: String,
-    /// Response over ideal of each call, in any order.
+    /// Ratio of response to ideal response of each call, in any order.
     pub ratios: Vec<f64>,
 }
 
-/// Draws the curves, with ten, a hundred and a thousand calls of the tail spread evenly.
+/// Draws the curves as an SVG file. The horizontal axis is logarithmic in the tail: 90%, 99% and 99.9% of the calls are
+/// evenly spaced.
 ///
 /// # Errors
 ///
-/// The file cannot be written.
+/// Returns [`LoadError::Chart`] if the chart cannot be drawn or its file cannot be written.
 pub fn draw_curves(path: &Path, lines: &[ResponseCurve]) -> Result<(), LoadError> {
     draw(path, lines).map_err(|error| LoadError::Chart(error.to_string()))
 }
@@ -71,7 +72,8 @@
     Ok(())
 }
 
-/// Points by nines: 1 is 90%, 2 is 99%, 3 is 99.9%.
+/// The points of a curve. The horizontal coordinate counts nines: 1 is 90%, 2 is 99%, 3 is 99.9%. Points beyond 99.9%
+/// are left out.
 fn tail_points(ratios: &[f64]) -> Vec<(f64, f64)> {
     let mut sorted = ratios.to_vec();
     sorted.sort_by(f64::total_cmp);
--- a/crates/load/src/counters.rs
+++ b/crates/load/src/counters.rs
@@ -1,4 +1,4 @@
-//! Counters of the system's processes, read from their metrics pages.
+//! Counters read from the metrics pages of the system's processes.
 
 use std::{net::SocketAddr, ops::Sub};
 
@@ -9,21 +9,21 @@
 
 const MAX_PAGE_BYTES: usize = 4 * 1024 * 1024;
 
-/// Sums over the processes read.
+/// Counters summed over all processes that were read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct CounterTotals {
-    /// Messages about tasks between processes.
+    /// Messages about tasks sent between processes.
     pub messages: f64,
-    /// Those of them that led to no start.
+    /// Messages that did not lead to a task start.
     pub wasted: f64,
-    /// Tasks placed again after a definite not-run.
+    /// Tasks placed again after an attempt that definitely did not run.
     pub retries: f64,
     /// Tasks offered to dispatchers.
     pub offers: f64,
 }
 
 impl CounterTotals {
-    /// Adds what a page of Prometheus text tells.
+    /// Adds the counters of a metrics page in the Prometheus text format.
     pub fn add_page(&mut self, page: &str) {
         for line in page.lines() {
             let Some((name, value)) = line.rsplit_once(' ') else {
@@ -57,11 +57,11 @@
     }
 }
 
-/// Reads the metrics page of every process and adds them up.
+/// Reads the metrics page of every process and sums the counters.
 ///
 /// # Errors
 ///
-/// A page could not be had: a sum without it would be wrong.
+/// Returns [`LoadError::Page`] if any page could not be read, because a sum without that page would be wrong.
 pub async fn read_counters(processes: &[SocketAddr]) -> Result<CounterTotals, LoadError> {
     let client = Client::default();
     let mut totals = CounterTotals::default();
@@ -72,7 +72,7 @@
     Ok(totals)
 }
 
-/// Gets a page whole.
+/// Fetches the whole body of a page of at most `limit` bytes.
 pub(crate) async fn fetch_page(
     client: &Client,
     url: String,
--- a/crates/load/src/driver.rs
+++ b/crates/load/src/driver.rs
@@ -1,4 +1,4 @@
-//! Sends the calls of a plan at their times and collects the answers.
+//! Sends the calls of a plan at their planned times and collects the answers.
 
 use std::{
     net::SocketAddr,
@@ -21,32 +21,37 @@
     starts::{read_starts, summarise_starts},
 };
 
-/// The most bytes of an answer: a job of 370 results in base64.
+/// The largest answer accepted: a job of 370 results in base64.
 const MAX_ANSWER_BYTES: usize = 48 * 1024 * 1024;
-/// An idle connection is let go before the entry closes it, so that no call goes into a closing one.
+/// Idle connections are closed after this time, before the entry closes them, so that no call is sent on a connection
+/// that is being closed.
 const KEEP_ALIVE: Duration = Duration::from_secs(3);
 
-/// Whom the load concerns.
+/// The processes that a load run calls or reads, and the customers it calls for.
 #[derive(Clone, Debug, Default)]
 pub struct LoadTargets {
-    /// Entries; calls go round them, as a balancer would have it.
+    /// Addresses of the entries. Calls go to them in round-robin order, as through a load balancer.
     pub entries: Vec<SocketAddr>,
-    /// Admin addresses of dispatchers, for their counters.
+    /// Admin addresses of the dispatchers whose counters are read.
     pub dispatchers: Vec<SocketAddr>,
-    /// Endpoint stand-ins, for their starts.
+    /// Addresses of the endpoint stand-ins whose task starts are read.
     pub endpoints: Vec<SocketAddr>,
-    /// The customers that call.
+    /// Names of the customers that submit calls.
     pub customers: Vec<String>,
-    /// The slots of the system, where known.
+    /// Number of slots of the system, if known.
     pub slots: Option<u32>,
 }
 
-/// Runs the load and waits for the last answer. `progress` hears how many calls of how many have been answered.
-/// Call it inside an actix system. The records of the calls come with the report, for curves.
+/// Runs the load and waits for the last answer. Must be called inside an actix system.
+///
+/// `progress` is called after each call is sent, with the number of calls sent before it and the number of planned
+/// calls, and with the number of planned calls for both after the last answer. The call records are returned with the
+/// report, for drawing response curves.
 ///
 /// # Errors
 ///
-/// There is no entry or customer, or counters or starts could not be read.
+/// Returns [`LoadError::Missing`] if there is no entry or customer, and [`LoadError::Page`] if counters or task starts
+/// could not be read.
 pub async fn run_load(
     settings: &LoadSettings,
     targets: &LoadTargets,
@@ -68,7 +73,7 @@
     let driver = CallDriver {
         http: build_client(settings.answer_timeout),
         targets: targets.clone(),
-        // Endpoints may have run earlier loads of the same seed: the prefix tells this run's tasks from theirs.
+        // Endpoints may have run earlier loads with the same seed. The prefix distinguishes the tasks of this run.
         prefix: format!("{:08x}", fastrand::u32(..)),
         round_trips: settings.round_trips,
         started: Instant::now(),
@@ -110,7 +115,7 @@
     Ok((LoadReport::new(&input), input.calls))
 }
 
-/// A client without a limit of connections: one that waited for a free connection would close the loop.
+/// Builds a client without a connection limit. A call that waited for a free connection would make the loop closed.
 fn build_client(answer_timeout: Duration) -> Client {
     let connector = Connector::new().limit(0).conn_keep_alive(KEEP_ALIVE);
     Client::builder()
@@ -149,7 +154,7 @@
             tasks: call.run_ms.len() as u64,
             slot_time: call.slot_time(),
             at: call.at,
-            // From the time at which it was meant to be sent, also when this process was late.
+            // Counts from the planned send time, even if this process sent the call late.
             response: self.started.elapsed().saturating_sub(call.at),
             ideal: call.ideal(self.round_trips),
             outcome,
@@ -164,7 +169,7 @@
                 label: Some(format!("{}-{number}-{index}", self.prefix)),
                 ..TaskScript::default()
             };
-            // A script holds only numbers and text, which always serialise.
+            // A script holds only numbers and text, so serialisation cannot fail.
             payloads.push(serde_json::to_vec(&script).unwrap_or_default());
         }
         payloads
--- a/crates/load/src/error.rs
+++ b/crates/load/src/error.rs
@@ -2,21 +2,21 @@
 
 use thiserror::Error;
 
-/// Why a load run gave no report.
+/// An error that prevented a load run, its report or its chart.
 #[derive(Debug, Error)]
 pub enum LoadError {
-    /// There is nothing to send to, or nobody to send for.
+    /// No target of this kind (entry or customer) was given.
     #[error("no {0} given")]
     Missing(&'static str),
-    /// A page of counters or starts could not be had.
-    #[error("{url} not read: {cause}")]
+    /// A page of counters or task starts could not be read.
+    #[error("cannot read {url}: {cause}")]
     Page {
-        /// What was asked for.
+        /// URL of the page.
         url: String,
-        /// Why it failed.
+        /// Why the read failed.
         cause: String,
     },
     /// The chart could not be drawn.
-    #[error("chart not drawn: {0}")]
+    #[error("cannot draw the chart: {0}")]
     Chart(String),
 }
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,7 +1,7 @@
-//! Load as the users' callers make it, and a report of what came of it.
+//! An open-loop load generator that imitates the users' callers, and the report of a run.
 //!
-//! The loop is open: each call has a time at which it is meant to be sent, and its response counts from then. A system
-//! that stalls cannot slow the generator down, so its stall shows in the report.
+//! Each call has a planned send time, and its response time counts from then. A system that stalls cannot slow the
+//! generator down, so the stall shows in the report.
 
 mod chart;
 mod counters;
--- a/crates/load/src/plan.rs
+++ b/crates/load/src/plan.rs
@@ -1,4 +1,4 @@
-//! The plan of a run: every call with the time at which it is meant to be sent.
+//! The plan of a load run: every call with its planned send time.
 
 use std::time::Duration;
 
@@ -6,29 +6,30 @@
 
 use crate::shape::LoadShape;
 
-/// How many times the usual rate comes in the morning rush.
+/// The rate during a burst, which imitates the morning rush, as a multiple of the base rate.
 pub const BURST_FACTOR: f64 = 10.0;
-/// The rush, as parts of the run.
+/// Start and end of the burst, as fractions of the run.
 const BURST_WINDOW: (f64, f64) = (0.4, 0.5);
 
-/// What load to make.
+/// Settings of a load run.
 #[derive(Clone, Debug)]
 pub struct LoadSettings {
-    /// Whose load.
+    /// Shape of the load.
     pub shape: LoadShape,
-    /// The same seed plans the same calls.
+    /// Seed of the plan; the same seed gives the same calls.
     pub seed: u64,
-    /// Task starts a second, outside a rush.
+    /// Task starts per second outside a burst.
     pub task_rate: f64,
-    /// How long calls are sent.
+    /// How long calls are sent for.
     pub duration: Duration,
-    /// How many customers call.
+    /// Number of customers that submit calls.
     pub customers: usize,
-    /// Whether a tenth of the run has ten times the rate.
+    /// Whether a tenth of the run is a burst with ten times the rate.
     pub burst: bool,
-    /// Added to the longest task's run time to give the ideal response: the round trips from caller to endpoint.
+    /// Time of the round trips from caller to endpoint, which is added to the run time of the longest task to give the
+    /// ideal response.
     pub round_trips: Duration,
-    /// How long an answer is waited for before the call counts as lost.
+    /// How long to wait for an answer before the call counts as lost.
     pub answer_timeout: Duration,
 }
 
@@ -47,42 +48,42 @@
     }
 }
 
-/// What a call is.
+/// Kind of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
-    /// Parallel tasks with one answer.
+    /// A job: parallel tasks with one answer.
     Job,
-    /// One non-idempotent task.
+    /// A request: one non-idempotent task.
     Request,
 }
 
-/// A call of the plan.
+/// A planned call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlannedCall {
-    /// When it is meant to be sent, from the start of the run.
+    /// Planned send time, from the start of the run.
     pub at: Duration,
-    /// The index of its customer.
+    /// Index of the customer.
     pub customer: usize,
-    /// What it is.
+    /// Kind of the call.
     pub kind: CallKind,
-    /// The run time of each task, in milliseconds.
+    /// Run time of each task, in milliseconds.
     pub run_ms: Vec<u64>,
 }
 
 impl PlannedCall {
-    /// The response of a system without queues.
+    /// Response time of a system without queues: the longest run time plus the round trips.
     pub fn ideal(&self, round_trips: Duration) -> Duration {
         let longest = self.run_ms.iter().copied().max().unwrap_or(0);
         Duration::from_millis(longest) + round_trips
     }
 
-    /// The slot time of all its tasks.
+    /// Total slot time of the tasks.
     pub fn slot_time(&self) -> Duration {
         Duration::from_millis(self.run_ms.iter().sum())
     }
 }
 
-/// Plans every call of a run, in the order of their times. Arrivals are a Poisson process.
+/// Plans every call of a run, ordered by send time. Arrivals follow a Poisson process.
 pub fn plan_load(settings: &LoadSettings) -> Vec<PlannedCall> {
     let parameters = settings.shape.parameters();
     let mut rng = Rng::with_seed(settings.seed);
@@ -103,7 +104,7 @@
         if at >= end {
             return calls;
         }
-        // Thinning: candidates come at the highest rate, and outside the rush only a part of them is taken.
+        // Thinning: candidates arrive at the peak rate, and only a fraction of them is kept outside the burst.
         if rng.f64() >= rate_at(settings, base_rate, at / end) / peak_rate {
             continue;
         }
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -1,4 +1,4 @@
-//! The report of a run, and its arithmetic.
+//! The report of a load run and its calculation.
 
 use std::{collections::BTreeMap, fmt, time::Duration};
 
@@ -7,73 +7,73 @@
 
 use crate::{counters::CounterTotals, plan::CallKind, starts::StartSummary};
 
-/// The ratio of response to ideal is counted in thousandths.
+/// The ratio of response to ideal response is recorded in thousandths.
 const RATIO_SCALE: f64 = 1_000.0;
-/// The largest ratio counted, in thousandths.
+/// The largest ratio recorded, in thousandths.
 const MAX_SCALED_RATIO: u64 = 1_000_000_000;
 
-/// How a call ended.
+/// Outcome of a call, with the reason or cause where there is one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// Its answer was complete and byte-exact.
+    /// The answer was complete and every result matched its payload byte for byte.
     Complete,
-    /// Its answer was complete and not that of its own tasks.
+    /// The answer was malformed, had an unexpected status, or its results did not match the call's payloads.
     Wrong,
-    /// It failed as a whole.
+    /// The call failed as a whole.
     Failed(String),
-    /// It was refused; nothing ran.
+    /// The call was refused and nothing ran.
     Refused(String),
-    /// Its outcome is unknown.
+    /// The answer said that the outcome is unknown.
     Unknown(String),
-    /// No answer came.
+    /// No answer was received.
     Lost(String),
 }
 
-/// A call and what came of it.
+/// A call and its outcome.
 #[derive(Clone, Debug)]
 pub struct CallRecord {
-    /// The index of the customer.
+    /// Index of the customer.
     pub customer: usize,
-    /// What it was.
+    /// Kind of the call.
     pub kind: CallKind,
-    /// How many tasks it had.
+    /// Number of tasks.
     pub tasks: u64,
-    /// The slot time of its tasks.
+    /// Total slot time of the tasks.
     pub slot_time: Duration,
-    /// When it was meant to be sent, from the start of the run.
+    /// Planned send time, from the start of the run.
     pub at: Duration,
-    /// From the time at which it was meant to be sent to its answer.
+    /// Time from the planned send time to the answer.
     pub response: Duration,
-    /// The response of a system without queues.
+    /// Response time of a system without queues.
     pub ideal: Duration,
-    /// How it ended.
+    /// Outcome of the call.
     pub outcome: CallOutcome,
 }
 
 impl CallRecord {
-    /// Response over ideal.
+    /// Ratio of response to ideal response.
     pub fn ratio(&self) -> f64 {
         self.response.as_secs_f64() / self.ideal.as_secs_f64()
     }
 }
 
-/// Response over ideal of complete calls.
+/// Percentiles of the ratio of response to ideal response over complete calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct ResponseRatios {
-    /// Half of the calls took at most this.
+    /// Median.
     pub p50: f64,
-    /// Nine of ten.
+    /// 90th percentile.
     pub p90: f64,
-    /// Ninety-nine of a hundred.
+    /// 99th percentile.
     pub p99: f64,
-    /// All.
+    /// Maximum.
     pub max: f64,
 }
 
-/// What came of one customer's calls.
+/// Results of one customer's calls, or of all calls together.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct CustomerReport {
-    /// The customer.
+    /// Name of the customer, or `all`.
     pub customer: String,
     /// Jobs sent.
     pub jobs: u64,
@@ -87,41 +87,41 @@
     pub refused: u64,
     /// Calls whose outcome is unknown.
     pub unknown: u64,
-    /// Calls without an answer.
+    /// Calls for which no answer was received.
     pub lost: u64,
-    /// Calls with an answer that was not theirs.
+    /// Calls whose answer was malformed, had an unexpected status, or did not match the call's payloads.
     pub wrong: u64,
-    /// The slot time of complete calls over that of all calls.
+    /// Slot time of complete calls divided by the slot time of all calls.
     pub complete_part: f64,
-    /// Response over ideal.
+    /// Ratios of response to ideal response.
     pub over_ideal: ResponseRatios,
-    /// The most of its tasks that ran at once, where endpoints were read.
+    /// The most tasks that ran at the same time, if task starts were read from the endpoints.
     pub peak: Option<u32>,
 }
 
-/// What a report is made of.
+/// Input of a report.
 #[derive(Clone, Debug, Default)]
 pub struct ReportInput {
-    /// The customers, by index.
+    /// Names of the customers, by index.
     pub customers: Vec<String>,
     /// Every call.
     pub calls: Vec<CallRecord>,
-    /// How long calls were sent.
+    /// How long calls were sent for.
     pub duration: Duration,
-    /// The slots of the system, where known.
+    /// Number of slots of the system, if known.
     pub slots: Option<u32>,
-    /// Counters over the run, where processes were read.
+    /// Counters over the run, if they were read from the processes.
     pub counters: Option<CounterTotals>,
-    /// Starts, where endpoints were read.
+    /// Summary of the task starts, if they were read from the endpoints.
     pub starts: Option<StartSummary>,
 }
 
-/// What came of a run.
+/// Report of a load run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct LoadReport {
     /// All calls together.
     pub all: CustomerReport,
-    /// Each customer's.
+    /// Calls of each customer.
     pub customers: Vec<CustomerReport>,
     /// Refusals by reason.
     pub refusals: BTreeMap<String, u64>,
@@ -129,24 +129,24 @@
     pub failures: BTreeMap<String, u64>,
     /// Unknown outcomes by reason.
     pub unknowns: BTreeMap<String, u64>,
-    /// Lost answers by cause.
+    /// Calls without an answer, by cause.
     pub losses: BTreeMap<String, u64>,
-    /// Tasks of complete calls.
+    /// Number of tasks of complete calls.
     pub useful_tasks: u64,
-    /// The slot time of complete calls over what the slots gave while calls were sent.
+    /// Slot time of complete calls divided by the slot time available while calls were sent.
     pub goodput: Option<f64>,
-    /// Messages between processes for each useful task.
+    /// Messages between processes per useful task.
     pub messages_per_task: Option<f64>,
-    /// Messages that led to no start, as a part of all.
+    /// Messages that did not lead to a task start, as a fraction of all messages.
     pub wasted_part: Option<f64>,
-    /// Counters over the run.
+    /// Change of the counters over the run.
     pub counters: Option<CounterTotals>,
-    /// Starts at the endpoints.
+    /// Summary of the task starts at the endpoints.
     pub starts: Option<StartSummary>,
 }
 
 impl LoadReport {
-    /// Works the report out.
+    /// Calculates the report.
     pub fn new(input: &ReportInput) -> Self {
         let mut report = Self {
             all: summarise_customer(input, None),
@@ -240,7 +240,7 @@
         if let Some(starts) = &self.starts {
             writeln!(
                 f,
-                "starts: {}, doubled {}, at once at most {}",
+                "starts: {}, doubled {}, at most {} at the same time",
                 starts.starts, starts.doubled, starts.peak
             )?;
         }
@@ -254,9 +254,9 @@
         customer: name.to_owned(),
         ..CustomerReport::default()
     };
-    // The bounds are constants that the library accepts.
+    // The bounds are constants that the histogram accepts.
     let mut ratios = Histogram::<u64>::new_with_max(MAX_SCALED_RATIO, 3)
-        .expect("the bounds of the histogram hold");
+        .expect("the histogram bounds are valid");
     let (mut offered, mut useful) = (Duration::ZERO, Duration::ZERO);
     for call in &input.calls {
         if customer.is_some_and(|index| index != call.customer) {
--- a/crates/load/src/shape.rs
+++ b/crates/load/src/shape.rs
@@ -1,32 +1,32 @@
-//! The shapes of load that the two users have.
+//! Load shapes of the two users: the mix of calls, job sizes and run times.
 
 use std::{fmt, str::FromStr, time::Duration};
 
 use fastrand::Rng;
 
-/// The shortest and longest of the usual tasks; between them, run times are log-uniform.
+/// Shortest and longest run time of a usual task, in milliseconds. Run times between them are log-uniform.
 const USUAL_TASK_MS: (f64, f64) = (50.0, 1_000.0);
-/// The shortest and longest of the long tasks; between them, run times are uniform.
+/// Shortest and longest run time of a long task, in milliseconds. Run times between them are uniform.
 const LONG_TASK_MS: (f64, f64) = (2_000.0, 5_000.0);
-/// The part of tasks that are long.
+/// The fraction of tasks that are long.
 const LONG_TASK_FRACTION: f64 = 0.03;
-/// Tasks of a usual job, from one to this many.
+/// A usual job has from one to this many tasks.
 const MAX_USUAL_JOB_TASKS: u32 = 40;
-/// Tasks of the largest jobs.
+/// Number of tasks of the largest jobs.
 const LARGEST_JOB_TASKS: u32 = 370;
 
-/// Whose load it is.
+/// The user whose load is imitated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LoadShape {
-    /// Lesson diaries: many single holds among the jobs, customers alike.
+    /// The Trust, with lesson diaries: many single requests (holds) among the jobs, and customers of equal size.
     #[default]
     Trust,
-    /// Supply teachers: mostly jobs, and the first customers have the most.
+    /// The Utility, with supply teachers: mostly jobs, and the first customers send the most calls.
     Utility,
 }
 
 impl LoadShape {
-    /// The figures of the shape.
+    /// The parameters of the shape.
     pub const fn parameters(self) -> ShapeParameters {
         match self {
             Self::Trust => ShapeParameters {
@@ -64,19 +64,19 @@
     }
 }
 
-/// The figures of a shape.
+/// Parameters of a load shape.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShapeParameters {
-    /// The part of calls that are single requests.
+    /// The fraction of calls that are single requests.
     pub request_fraction: f64,
-    /// The part of jobs that have 370 tasks.
+    /// The fraction of jobs that have 370 tasks.
     pub largest_job_fraction: f64,
-    /// Whether customer n has 1/n of the first one's calls; otherwise all have the same.
+    /// Whether customer n sends 1/n of the calls of the first customer. Otherwise all customers send equally many.
     pub skewed: bool,
 }
 
 impl ShapeParameters {
-    /// The mean number of tasks of a call.
+    /// Mean number of tasks per call.
     pub fn mean_tasks(&self) -> f64 {
         let usual = f64::from(1 + MAX_USUAL_JOB_TASKS) / 2.0;
         let largest = f64::from(LARGEST_JOB_TASKS);
@@ -84,7 +84,7 @@
         self.request_fraction + (1.0 - self.request_fraction) * job
     }
 
-    /// The mean run time of a task.
+    /// Mean run time of a task.
     pub fn mean_run(&self) -> Duration {
         let (least, most) = USUAL_TASK_MS;
         let usual = (most - least) / (most / least).ln();
@@ -94,7 +94,7 @@
         )
     }
 
-    /// The task starts a second that keep `percent` of `slots` busy.
+    /// Task starts per second that keep `percent` of `slots` busy.
     pub fn task_rate(&self, percent: f64, slots: u32) -> f64 {
         percent / 100.0 * f64::from(slots) / self.mean_run().as_secs_f64()
     }
@@ -110,7 +110,7 @@
         rng.u32(1..=MAX_USUAL_JOB_TASKS)
     }
 
-    /// A run time in milliseconds.
+    /// Samples a run time, in milliseconds.
     pub(crate) fn sample_run_ms(&self, rng: &mut Rng) -> u64 {
         let ms = if rng.f64() < LONG_TASK_FRACTION {
             LONG_TASK_MS.0 + rng.f64() * (LONG_TASK_MS.1 - LONG_TASK_MS.0)
@@ -120,7 +120,7 @@
         ms as u64
     }
 
-    /// The index of a customer out of `count`.
+    /// Samples the index of a customer out of `count`.
     pub(crate) fn sample_customer(&self, rng: &mut Rng, count: usize) -> usize {
         if !self.skewed {
             return rng.usize(..count);
--- a/crates/load/src/starts.rs
+++ b/crates/load/src/starts.rs
@@ -1,4 +1,4 @@
-//! What the endpoint stand-ins started: the ground truth of a run.
+//! Task starts recorded by the endpoint stand-ins, which are the ground truth of a run.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,34 +11,34 @@
 
 const MAX_RECORD_BYTES: usize = 512 * 1024 * 1024;
 
-/// A start of a task of this run.
+/// One start of a task of this run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TaskStart {
-    /// The label of its payload, which no other task has.
+    /// Label in the task's payload, unique to the task.
     pub label: String,
-    /// Whose task.
+    /// Customer of the task.
     pub customer: CustomerId,
-    /// When it started, on one time line for all endpoints, in milliseconds.
+    /// Start time in milliseconds, on one timeline for all endpoints.
     pub from_ms: i64,
-    /// When it ended, on the same line.
+    /// End time in milliseconds, on the same timeline.
     pub to_ms: i64,
 }
 
-/// What the starts of a run come to.
+/// Summary of the task starts of a run.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct StartSummary {
-    /// Tasks started, doubled ones counted each time.
+    /// Task starts, including repeated starts of the same task.
     pub starts: u64,
-    /// Starts beyond the first of a task.
+    /// Starts of a task after its first start.
     pub doubled: u64,
-    /// The most tasks of each customer that ran at once, over all endpoints, by customer.
+    /// The most tasks of each customer that ran at the same time over all endpoints.
     #[serde(skip)]
     pub peaks: FastMap<CustomerId, u32>,
-    /// The most tasks that ran at once.
+    /// The most tasks that ran at the same time.
     pub peak: u32,
 }
 
-/// Counts starts, doubled starts and the most that ran at once.
+/// Counts the starts, the repeated starts and the most tasks that ran at the same time.
 pub fn summarise_starts(starts: &[TaskStart]) -> StartSummary {
     let mut starts_by_label = FastMap::<&str, u64>::default();
     let mut edges = Vec::new();
@@ -47,7 +47,8 @@
         edges.push((start.from_ms, 1_i8, &start.customer));
         edges.push((start.to_ms, -1, &start.customer));
     }
-    // At one instant ends go first: a slot that is freed and taken in the same millisecond was never taken twice.
+    // Ends sort before starts of the same millisecond, so a slot that is freed and taken within one millisecond does
+    // not count as taken twice.
     edges.sort_by_key(|edge| (edge.0, edge.1));
     let mut summary = StartSummary {
         starts: starts.len() as u64,
@@ -72,7 +73,7 @@
     summary
 }
 
-/// Reads the starts of the run whose labels begin with `prefix`.
+/// Reads the starts of the tasks whose labels begin with `prefix`.
 pub(crate) async fn read_starts(
     endpoints: &[SocketAddr],
     prefix: &str,
--- a/crates/load/tests/fleet.rs
+++ b/crates/load/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! A short run against the demonstration's fleet, whole path included.
+//! A short load run against the demonstration fleet.
 
 use std::time::Duration;
 
--- a/crates/load/tests/plan.rs
+++ b/crates/load/tests/plan.rs
@@ -1,4 +1,4 @@
-//! The plans of load runs: the users' shapes, and the same calls for the same seed.
+//! Load plans: they follow the users' shapes, and the same seed gives the same calls.
 
 use std::time::Duration;
 
@@ -17,7 +17,10 @@
 fn assert_near(value: f64, expected: f64, tolerance: f64) {
     let least = expected * (1.0 - tolerance);
     let most = expected * (1.0 + tolerance);
-    assert!((least..=most).contains(&value), "{value} is not {expected}");
+    assert!(
+        (least..=most).contains(&value),
+        "{value} is not near {expected}"
+    );
 }
 
 fn run_times(calls: &[PlannedCall]) -> Vec<u64> {
@@ -45,7 +48,7 @@
         assert!(times
             .iter()
             .all(|ms| (50..=1_000).contains(ms) || (2_000..=5_000).contains(ms)));
-        // Log-uniform: as many between 50 and 223 ms as between 224 ms and 1 s.
+        // Log-uniform run times: as many from 50 to 223 ms as from 224 ms to 1 s.
         let short = times.iter().filter(|ms| **ms < 224).count();
         assert_near(short as f64, (times.len() - long) as f64 / 2.0, 0.02);
         let mean = times.iter().sum::<u64>() as f64 / times.len() as f64;
--- a/crates/load/tests/report.rs
+++ b/crates/load/tests/report.rs
@@ -1,4 +1,4 @@
-//! The arithmetic of reports, starts and counters.
+//! Calculation of reports, start summaries and counter totals.
 
 use std::time::Duration;
 
@@ -105,7 +105,7 @@
     assert_eq!(report.goodput, Some(0.4));
     assert_eq!(report.messages_per_task, Some(1.25));
     assert_eq!(report.wasted_part, Some(0.1));
-    // Without a useful task there is nothing to divide by.
+    // Without a useful task or a message, the ratios are undefined.
     let idle = LoadReport::new(&ReportInput {
         counters: Some(CounterTotals::default()),
         ..input(Vec::new())
@@ -120,7 +120,7 @@
         start("1", "a", 0, 100),
         start("2", "a", 50, 150),
         start("2", "b", 60, 160),
-        // It takes the slot that the first one frees.
+        // Task 3 takes the slot that task 1 frees in the same millisecond.
         start("3", "a", 100, 200),
     ]);
     assert_eq!(summary.starts, 4);
