--- a/crates/demo/examples/grant_cost.rs
+++ b/crates/demo/examples/grant_cost.rs
@@ -1,6 +1,7 @@
-//! What grants cost: the wait of a customer's first submission for its grant, and messages a second.
+//! Measures the cost of grants: how long a customer's first submission waits for its grant, and how many messages per
+//! second are sent to ask for grants.
 //!
-//! `cargo run -p demo --example grant_cost`. Everything runs in one process, 8 VMs on one control thread.
+//! `cargo run -p demo --example grant_cost`. All 8 VMs run in one process, on one control thread.
 
 use std::time::{Duration, Instant};
 
@@ -12,7 +13,7 @@
 const CUSTOMER_COUNT: u32 = 40;
 const GRANT_ASKS_METRIC: &str = "cairnpaddle_grant_asks_total";
 
-/// Longer than the demonstration's term and margin, so that every home grants.
+/// Longer than the grant term and margin of the fleet, after which every home dispatcher grants.
 const SETTLE_TIME: Duration = Duration::from_secs(4);
 const MEASURE_TIME: Duration = Duration::from_secs(10);
 
@@ -44,13 +45,13 @@
     Ok(())
 }
 
-/// First and second submission of each customer, through the same entry.
+/// Compares the first and the second submission of each customer, both through the same entry.
 async fn compare_first_and_second(fleet: &DemoFleet, customers: &[CustomerId]) -> Result<()> {
     let entries = fleet.caller_addresses();
     let (mut first, mut second) = (Vec::new(), Vec::new());
     for (number, customer) in customers.iter().enumerate() {
         let client = CallerClient::new(vec![entries[number % entries.len()]]);
-        // Connects, so that neither of the two pays for it.
+        // Opens the connection, so that neither measured submission includes the time to connect.
         client.ticket(customer).await?;
         first.push(timed_job(&client, customer).await?);
         second.push(timed_job(&client, customer).await?);
@@ -71,7 +72,8 @@
     Ok(started.elapsed())
 }
 
-/// Each active customer has one job of one task after the other, at each entry in turn.
+/// Counts the batches of grant asks while each active customer submits jobs of one task, one after another, to the
+/// entries in turn.
 async fn measure_grant_asks(fleet: &DemoFleet, active: &[CustomerId]) -> Result<()> {
     let before = read_grant_asks(fleet).await?;
     let started = Instant::now();
@@ -125,7 +127,7 @@
     times.sort_unstable();
     let percentile = |percent: usize| times[(times.len() - 1) * percent / 100];
     format!(
-        "median {:?}, p90 {:?}, most {:?}",
+        "median {:?}, p90 {:?}, max {:?}",
         percentile(50),
         percentile(90),
         percentile(100)
--- a/crates/demo/src/calls.rs
+++ b/crates/demo/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls as a caller makes them.
+//! An HTTP client for the callers' interface of the entries.
 
 use std::{cell::Cell, net::SocketAddr, time::Duration};
 
@@ -9,23 +9,23 @@
 use serde::Deserialize;
 use serde_json::{json, Value};
 
-/// How long an answer may take before the client gives up. Answers come by their deadlines, which are shorter.
+/// How long the client waits for an answer. Submissions are answered by their deadlines, which are shorter.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The most bytes of an answer: a job of 370 results of 64 KiB in base64.
+/// The largest answer accepted: a job of 370 results of 64 KiB in base64.
 const MAX_ANSWER_BYTES: usize = 48 * 1024 * 1024;
 
-/// One task of a call.
+/// One task of a job or request.
 #[derive(Clone, Debug)]
 pub struct TaskSpec {
-    /// Its kind.
+    /// Kind of the task.
     pub kind: String,
-    /// Its bytes, which come back as its result.
+    /// Payload, which the endpoint stand-ins return as the result.
     pub payload: Payload,
 }
 
 impl TaskSpec {
-    /// A task whose bytes name it.
+    /// A task whose payload is its kind and index.
     pub fn numbered(kind: &str, index: u32) -> Self {
         let payload = Payload::from(format!("{kind} {index}").as_bytes());
         Self {
@@ -39,27 +39,27 @@
     }
 }
 
-/// An answer as a caller sees it.
+/// The answer to a submission, as a caller receives it.
 #[derive(Clone, Debug, Deserialize)]
 pub struct CallerReply {
-    /// The submission, where it had an id.
+    /// Id of the submission, if it had one.
     #[serde(default)]
     pub id: Option<String>,
-    /// Complete, failed, refused, unknown or pending.
+    /// Status: complete, failed, refused, unknown or pending.
     pub status: String,
-    /// The machine-readable reason, unless complete.
+    /// Machine-readable reason, unless the submission is complete.
     #[serde(default)]
     pub reason: Option<String>,
-    /// A job's results in the order of its tasks.
+    /// Results of a job, in the order of its tasks.
     #[serde(default)]
     pub results: Vec<Payload>,
-    /// A request's result.
+    /// Result of a request.
     #[serde(default)]
     pub result: Option<Payload>,
 }
 
 impl CallerReply {
-    /// Whether it is complete and brings exactly the payloads of these tasks.
+    /// Whether the answer is complete and its results are exactly the payloads of these tasks.
     pub fn matches_payloads(&self, tasks: &[TaskSpec]) -> bool {
         let results: Vec<&Payload> = self.results.iter().chain(&self.result).collect();
         let payloads: Vec<&Payload> = tasks.iter().map(|task| &task.payload).collect();
@@ -67,7 +67,7 @@
     }
 }
 
-/// A caller that goes round the entries, as a balancer would have it.
+/// A client that sends its calls to the entries in round-robin order, as through a load balancer.
 pub struct CallerClient {
     http: Client,
     entries: Vec<SocketAddr>,
@@ -75,7 +75,7 @@
 }
 
 impl CallerClient {
-    /// A caller of these entries.
+    /// Creates a client of these entries.
     pub fn new(entries: Vec<SocketAddr>) -> Self {
         let http = Client::builder().timeout(CLIENT_TIMEOUT).finish();
         Self {
@@ -85,23 +85,23 @@
         }
     }
 
-    /// Submits a job and checks that a complete answer is the whole answer.
+    /// Submits a job and checks that the results of a complete answer match the payloads.
     ///
     /// # Errors
     ///
-    /// No answer came, or a complete one does not bring the tasks' payloads.
+    /// No valid answer was received, or the results of a complete answer differ from the tasks' payloads.
     pub async fn job(&self, customer: &CustomerId, tasks: &[TaskSpec]) -> Result<CallerReply> {
         let tasks_json: Vec<Value> = tasks.iter().map(TaskSpec::to_json).collect();
         let body = json!({ "customer": customer, "tasks": tasks_json });
         let reply: CallerReply = self.post(self.next_entry(), "/v1/jobs", &body).await?;
         ensure!(
             reply.status != "complete" || reply.matches_payloads(tasks),
-            "the job's answer is not its own"
+            "the results of the job differ from its tasks' payloads"
         );
         Ok(reply)
     }
 
-    /// Submits a request without a key.
+    /// Submits a request without an idempotency key.
     ///
     /// # Errors
     ///
@@ -111,27 +111,27 @@
         let reply: CallerReply = self.post(self.next_entry(), "/v1/requests", &body).await?;
         ensure!(
             reply.status != "complete" || reply.matches_payloads(std::slice::from_ref(task)),
-            "the answer is not its own"
+            "the result of the request differs from its task's payload"
         );
         Ok(reply)
     }
 
-    /// Takes a ticket from the first entry.
+    /// Gets a ticket from the first entry.
     ///
     /// # Errors
     ///
-    /// None was issued.
+    /// The entry did not issue a ticket.
     pub async fn ticket(&self, customer: &CustomerId) -> Result<String> {
         let reply: Value = self
             .post(0, "/v1/tickets", &json!({ "customer": customer }))
             .await?;
         let ticket = reply["ticket"]
             .as_str()
-            .ok_or_else(|| eyre!("no ticket: {reply}"))?;
+            .ok_or_else(|| eyre!("the entry issued no ticket: {reply}"))?;
         Ok(ticket.to_owned())
     }
 
-    /// Submits a request with a ticket through a given entry.
+    /// Submits a request with a ticket through the entry with this index.
     ///
     /// # Errors
     ///
@@ -147,7 +147,7 @@
         let reply: CallerReply = self.post(entry, "/v1/requests", &body).await?;
         ensure!(
             reply.status != "complete" || reply.matches_payloads(std::slice::from_ref(task)),
-            "the answer is not its own"
+            "the result of the request differs from its task's payload"
         );
         Ok(reply)
     }
--- a/crates/demo/src/fleet.rs
+++ b/crates/demo/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The parts of the demonstration.
+//! The processes and stand-ins of the demonstration.
 
 use std::{
     net::SocketAddr,
@@ -22,19 +22,19 @@
     platform::{FaultSettings, PlatformSettings, PlatformStandIn},
 };
 
-/// How long the parts may take to find each other.
+/// How long the entries may take to become ready or to serve a contract.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How many parts there are.
+/// Size and settings of the demonstration fleet.
 #[derive(Clone, Debug)]
 pub struct FleetSettings {
-    /// VMs, each with one entry and one dispatcher.
+    /// Number of VMs, each with one entry and one dispatcher.
     pub vms: u32,
-    /// Endpoints.
+    /// Number of endpoints.
     pub endpoints: u32,
-    /// Slots of each endpoint.
+    /// Number of slots of each endpoint.
     pub slots: u32,
-    /// What the entries start from; their own fields, such as addresses, are set by the fleet.
+    /// Base settings of the entries. The fleet overrides the fields that differ between entries, such as addresses.
     pub entry: EntrySettings,
 }
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// Everything that runs.
+/// The running dispatchers, entries and stand-ins.
 pub struct DemoFleet {
     platform: PlatformStandIn,
     endpoints: Vec<EndpointStandIn>,
@@ -58,15 +58,15 @@
 }
 
 impl DemoFleet {
-    /// Starts everything within the running actix system, on ports that the system chooses.
+    /// Starts the fleet in the running actix system, on ports chosen by the operating system.
     ///
     /// # Errors
     ///
-    /// A part cannot be started.
+    /// A process or stand-in cannot be started.
     pub async fn start(settings: FleetSettings) -> Result<Self> {
         let data_centre: DataCentreId = "demo-hall".parse()?;
-        let platform =
-            PlatformStandIn::start(PlatformSettings::default()).wrap_err("platform stand-in")?;
+        let platform = PlatformStandIn::start(PlatformSettings::default())
+            .wrap_err("cannot start the platform stand-in")?;
         let mut vms = Vec::new();
         let mut endpoints = Vec::new();
         for number in 1..=settings.endpoints {
@@ -76,7 +76,7 @@
                 slots: settings.slots,
                 ..Default::default()
             })
-            .wrap_err("endpoint stand-in")?;
+            .wrap_err("cannot start an endpoint stand-in")?;
             vms.push(endpoint_entry(&endpoint, &data_centre)?);
             endpoints.push(endpoint);
         }
@@ -107,33 +107,33 @@
         })
     }
 
-    /// Writes a contract as an operator would.
+    /// Creates a contract with default terms, as an operator would.
     ///
     /// # Errors
     ///
-    /// The platform stand-in turned the change away.
+    /// The platform stand-in refused the change.
     pub async fn create_contract(&self, customer: &CustomerId) -> Result<()> {
         self.contract_editor()
             .create(customer, Contract::default())
             .await
-            .wrap_err("contract not created")?;
+            .wrap_err("cannot create the contract")?;
         Ok(())
     }
 
-    /// Retires a contract that was never changed.
+    /// Retires a contract that has not been changed since it was created.
     ///
     /// # Errors
     ///
-    /// The platform stand-in turned the change away.
+    /// The platform stand-in refused the change.
     pub async fn retire_contract(&self, customer: &CustomerId) -> Result<()> {
         self.contract_editor()
             .retire(customer, ContractVersion(1))
             .await
-            .wrap_err("contract not retired")?;
+            .wrap_err("cannot retire the contract")?;
         Ok(())
     }
 
-    /// Switches the platform stand-in's faults.
+    /// Sets the faults of the platform stand-in.
     pub fn set_platform_faults(&self, faults: FaultSettings) {
         self.platform.set_faults(faults);
     }
@@ -151,11 +151,11 @@
         ContractEditor::new(client, EditorSettings::default(), fastrand::Rng::new())
     }
 
-    /// Waits until every entry says that it is ready and knows of slots.
+    /// Waits until every entry is ready, which includes that it knows of slots.
     ///
     /// # Errors
     ///
-    /// Not within the limit.
+    /// An entry is not ready after 10 seconds.
     pub async fn wait_until_ready(&self) -> Result<()> {
         let client = awc::Client::default();
         let deadline = Instant::now() + READY_TIMEOUT;
@@ -171,7 +171,10 @@
                     break;
                 }
                 if Instant::now() > deadline {
-                    bail!("entry at {} did not become ready", entry.caller_address());
+                    bail!(
+                        "entry at {} did not become ready in time",
+                        entry.caller_address()
+                    );
                 }
                 actix_rt::time::sleep(Duration::from_millis(20)).await;
             }
@@ -179,18 +182,20 @@
         Ok(())
     }
 
-    /// Waits until every entry serves the customer's contract.
+    /// Waits until the customer's contract is in force at every entry.
     ///
     /// # Errors
     ///
-    /// Not within the limit.
+    /// The contract is not in force at an entry after 10 seconds.
     pub async fn wait_until_in_force(&self, customer: &CustomerId) -> Result<()> {
         let deadline = Instant::now() + READY_TIMEOUT;
         for address in self.caller_addresses() {
             let client = CallerClient::new(vec![address]);
             while let Err(error) = client.ticket(customer).await {
                 if Instant::now() > deadline {
-                    return Err(error.wrap_err(format!("contract not in force at {address}")));
+                    return Err(error.wrap_err(format!(
+                        "contract did not come into force at {address} in time"
+                    )));
                 }
                 actix_rt::time::sleep(Duration::from_millis(20)).await;
             }
@@ -198,7 +203,7 @@
         Ok(())
     }
 
-    /// Where callers connect, one address an entry.
+    /// Caller addresses of the entries, one per entry.
     pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         self.entries
             .iter()
@@ -206,7 +211,7 @@
             .collect()
     }
 
-    /// Where the endpoints listen.
+    /// Addresses of the endpoint stand-ins.
     pub fn endpoint_addresses(&self) -> Vec<SocketAddr> {
         self.endpoints
             .iter()
@@ -214,7 +219,7 @@
             .collect()
     }
 
-    /// How many tasks the endpoints started.
+    /// Number of tasks that the endpoints started.
     pub fn starts(&self) -> usize {
         self.endpoints
             .iter()
@@ -222,7 +227,8 @@
             .sum()
     }
 
-    /// Stops everything as a planned stop does. Returns how much was cut.
+    /// Stops the entries, dispatchers and stand-ins in this order, as a planned stop does. Returns the number of
+    /// submissions and tasks that were cut.
     pub async fn stop(self) -> usize {
         let mut cut = 0;
         for entry in self.entries {
@@ -255,7 +261,7 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// No balancer stands before the demonstration, so a stop need not wait for one.
+/// Drain settings with a short notice: no load balancer needs time to notice that a process is stopping.
 fn short_drain() -> DrainSettings {
     DrainSettings {
         notice_ms: DurationMs(50),
--- a/crates/demo/src/lib.rs
+++ b/crates/demo/src/lib.rs
@@ -1,4 +1,5 @@
-//! The whole path in one process: stand-ins of the platform and the endpoints, dispatchers, entries, a few callers.
+//! A demonstration of the whole system in one process: stand-ins of the platform and the endpoints, dispatchers,
+//! entries and a few callers.
 
 mod calls;
 mod fleet;
@@ -13,11 +14,12 @@
 use eyre::{ensure, Result};
 use model::CustomerId;
 
-/// Runs the demonstration on stand-ins and says what came of it.
+/// Runs the demonstration on stand-ins and reports the answers of its calls.
 ///
 /// # Errors
 ///
-/// A part could not be started, or an answer was not what it should be.
+/// A process or stand-in could not be started or did not become ready, a call got no answer, a complete answer did not
+/// match the tasks' payloads, or stopping the fleet cut submissions.
 pub async fn run(settings: FleetSettings) -> Result<DemoReport> {
     let fleet = DemoFleet::start(settings).await?;
     let customer: CustomerId = "demo-school".parse()?;
@@ -29,7 +31,7 @@
     let report = DemoReport { cut, ..report? };
     ensure!(
         report.cut == 0,
-        "{} submissions were cut by the stop",
+        "stopping the fleet cut {} submissions",
         report.cut
     );
     Ok(report)
@@ -50,7 +52,7 @@
     );
     let ticket = client.ticket(customer).await?;
     let task = TaskSpec::numbered("confirm", 1);
-    // The second arrival comes through another entry and must get the first one's answer.
+    // The ticket is sent again through another entry and must get the answer of the first request.
     report.record(
         "a request with a ticket",
         client
--- a/crates/demo/src/report.rs
+++ b/crates/demo/src/report.rs
@@ -1,4 +1,4 @@
-//! What came of the demonstration.
+//! The report of the demonstration.
 
 use std::fmt;
 
@@ -6,25 +6,25 @@
 
 use crate::CallerReply;
 
-/// What came of the demonstration.
+/// Report of the demonstration.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct DemoReport {
-    /// Each call and its answer, in order.
+    /// The calls and their answers, in the order of sending.
     pub calls: Vec<CallSummary>,
-    /// Tasks that the endpoints started.
+    /// Number of tasks that the endpoints started.
     pub starts: usize,
-    /// Submissions and tasks that the stop at the end cut.
+    /// Number of submissions and tasks cut when the fleet was stopped.
     pub cut: usize,
 }
 
-/// One call.
+/// One call and its answer.
 #[derive(Clone, Debug, Serialize)]
 pub struct CallSummary {
-    /// What was called.
+    /// Description of the call.
     pub call: String,
-    /// The answer's status.
+    /// Status of the answer.
     pub status: String,
-    /// The answer's reason, unless complete.
+    /// Reason given in the answer, unless the call is complete.
     pub reason: Option<String>,
 }
 
@@ -56,7 +56,7 @@
         }
         writeln!(
             f,
-            "endpoints started {} tasks; the stop cut {}",
+            "the endpoints started {} tasks; stopping the fleet cut {}",
             self.starts, self.cut
         )
     }
--- a/crates/demo/tests/border/bad_input.rs
+++ b/crates/demo/tests/border/bad_input.rs
@@ -1,4 +1,4 @@
-//! What callers must not send, against real entries: each is refused before anything runs, and says so.
+//! Invalid calls to real entries: each is refused before anything runs, and the refusal says so.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,8 @@
 use demo::{DemoFleet, FleetSettings};
 use serde_json::json;
 
-/// A refused call: what it is, its bytes, the status and the field or reason that the answer names.
+/// An invalid call: its description and bytes, and the expected status and the field or reason that the refusal must
+/// name.
 struct BadCall {
     description: &'static str,
     bytes: Vec<u8>,
@@ -100,7 +101,7 @@
         invalid_request("null task", &format!("{{{CUSTOMER_FIELD},\"task\":null}}"), "task"),
         invalid_request("garbage ticket", &format!("{{{CUSTOMER_FIELD},\"task\":{TASK_JSON},\"ticket\":\"t1\"}}"), "ticket"),
         invalid_request("payload too large", &format!("{{{CUSTOMER_FIELD},\"task\":{{\"kind\":\"k\",\"payload\":\"{large}\"}}}}"), "task.payload"),
-        bad_call("array for ticket ask", json_post("/v1/tickets", b"[\"border-school\"]"), 400, "body"),
+        bad_call("array for ticket request", json_post("/v1/tickets", b"[\"border-school\"]"), 400, "body"),
     ]
 }
 
@@ -255,7 +256,7 @@
     ]
 }
 
-/// Heads that no route sees: the HTTP library answers by itself.
+/// Malformed request heads, which the HTTP library answers itself without calling a route.
 fn malformed_heads() -> Vec<(&'static str, Vec<u8>)> {
     vec![
         ("not HTTP", b"\x16\x03\x01\x02\x00garbage\r\n\r\n".to_vec()),
@@ -272,29 +273,28 @@
     assert_eq!(mismatch, None, "{description}: {reply:?}");
 }
 
-/// What is wrong with a refusal.
+/// How a refusal differs from the expected one, or `None` if it does not.
 fn refusal_mismatch(reply: &HttpReply, status: u16, expected_name: &str) -> Option<&'static str> {
     let (name, message) = match reply.text("reason") {
         "bad_input" => (reply.text("field"), reply.text("message")),
         reason => (reason, "nothing ran"),
     };
     if reply.status != status {
-        return Some("another status");
+        return Some("unexpected status");
     }
     if reply.text("status") != "refused" {
-        return Some("not said to be refused");
+        return Some("the answer does not say refused");
     }
     if name != expected_name {
-        return Some("another name");
+        return Some("unexpected field or reason");
     }
     if !message.ends_with("nothing ran") || message.len() > 1_000 {
-        return Some("no short message that nothing ran");
+        return Some("the message is too long or does not say that nothing ran");
     }
     None
 }
 
-/// Everything that must not run has been sent; whether anything did shows in the count of starts, and whether the
-/// process is whole shows in the next good call.
+/// Checks that the calls sent so far started no further task, and that a valid call on the same entry still succeeds.
 async fn check_nothing_ran(fleet: &DemoFleet, entry: SocketAddr, starts: usize) {
     assert_eq!(fleet.starts(), starts, "something ran");
     let reply = post(entry, "/v1/requests", &request(b"next")).await;
@@ -303,9 +303,9 @@
     assert_eq!(fleet.starts(), starts + 1);
 }
 
-// What the caller sees: a refusal that names what to mend and says that nothing ran.
-// What happens: bytes that no caller should send come to the border, each followed by a good call on the same entry.
-// Why: a wrong input that runs in part, or ends the process, harms the callers who did nothing wrong.
+// Guards against invalid input that runs in part, or that ends the process and so harms other callers. Each invalid
+// call is followed by a valid call on the same entry. The refusal must name the field or reason and say that nothing
+// ran.
 #[actix_rt::test]
 async fn bad_input_is_refused_with_its_field_and_runs_nothing() {
     let fleet = start_fleet(FleetSettings::default()).await;
@@ -340,9 +340,8 @@
     assert_eq!(fleet.stop().await, 0);
 }
 
-// What the caller sees: 409 key_reused, and the first request's answer stands.
-// What happens: a key or a ticket comes a second time with another body or for another customer.
-// Why: the answer of one request must never reach another, and the second must not run under the first one's name.
+// A key or ticket is sent again with another body or for another customer. The second request must not get the answer
+// of the first, nor run under its key or ticket: it is refused with 409 key_reused.
 #[actix_rt::test]
 async fn reused_keys_and_tickets_are_refused() {
     let fleet = start_fleet(FleetSettings::default()).await;
--- a/crates/demo/tests/border/caller.rs
+++ b/crates/demo/tests/border/caller.rs
@@ -1,4 +1,4 @@
-//! A fleet with contracts, and an HTTP caller that sends exactly the bytes it is told to.
+//! A fleet with contracts, and an HTTP client that sends exactly the given bytes.
 
 use std::{
     net::SocketAddr,
@@ -15,13 +15,13 @@
     time::timeout,
 };
 
-/// How long anything here may take. Far more than it does, so that only a hang reaches it.
+/// Timeout of each wait. It is far longer than any wait takes, so only a hang reaches it.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The customer whose contract stands.
+/// The customer whose contract is in force.
 pub(crate) const CUSTOMER: &str = "border-school";
 
-/// A customer with a contract of its own.
+/// Another customer with a contract in force.
 pub(crate) const OTHER_CUSTOMER: &str = "other-school";
 
 /// A customer whose contract is retired.
@@ -30,25 +30,25 @@
 /// An HTTP answer.
 #[derive(Clone, Debug)]
 pub(crate) struct HttpReply {
-    /// The status.
+    /// Status code.
     pub(crate) status: u16,
-    /// The first line.
+    /// Status line.
     pub(crate) status_line: String,
-    /// The head in lower case.
+    /// Status line and headers in lower case.
     pub(crate) head: String,
-    /// The body's text.
+    /// Body as text.
     pub(crate) body: String,
-    /// The body, or null where it is not JSON.
+    /// Body as JSON, or null if the body is not JSON.
     pub(crate) json: Value,
 }
 
 impl HttpReply {
-    /// A text field of the body, empty where absent.
+    /// A text field of the JSON body, empty if absent.
     pub(crate) fn text(&self, field: &str) -> &str {
         self.json[field].as_str().unwrap_or_default()
     }
 
-    /// The bytes of a request's result.
+    /// The decoded result of a request.
     pub(crate) fn result(&self) -> Vec<u8> {
         STANDARD
             .decode(self.text("result"))
@@ -56,7 +56,8 @@
     }
 }
 
-/// Starts a fleet whose customers' contracts are in force at every entry.
+/// Starts a fleet and waits until every entry knows the contracts: those of [`CUSTOMER`] and [`OTHER_CUSTOMER`] in
+/// force, that of [`RETIRED_CUSTOMER`] retired.
 pub(crate) async fn start_fleet(settings: FleetSettings) -> DemoFleet {
     let fleet = DemoFleet::start(settings).await.expect("fleet");
     fleet.wait_until_ready().await.expect("ready");
@@ -83,23 +84,23 @@
     }
 }
 
-/// A request of one task.
+/// The body of a request.
 pub(crate) fn request(payload: &[u8]) -> Value {
     json!({ "customer": CUSTOMER, "task": task(payload) })
 }
 
-/// A job.
+/// The body of a job.
 pub(crate) fn job(payloads: &[&[u8]]) -> Value {
     let tasks: Vec<Value> = payloads.iter().map(|payload| task(payload)).collect();
     json!({ "customer": CUSTOMER, "tasks": tasks })
 }
 
-/// A task with a payload.
+/// A task of a request or job body.
 pub(crate) fn task(payload: &[u8]) -> Value {
     json!({ "kind": "border", "payload": STANDARD.encode(payload) })
 }
 
-/// Gets a ticket.
+/// Gets a ticket from an entry.
 pub(crate) async fn issue_ticket(entry: SocketAddr) -> Value {
     let body = json!({ "customer": CUSTOMER });
     let reply = post(entry, "/v1/tickets", &body).await;
@@ -112,7 +113,7 @@
     post_with(entry, path, "", body).await
 }
 
-/// Posts JSON with further header lines.
+/// Posts JSON with additional header lines.
 pub(crate) async fn post_with(
     entry: SocketAddr,
     path: &str,
@@ -126,12 +127,12 @@
     .await
 }
 
-/// Calls without a body.
+/// Sends a message without a body.
 pub(crate) async fn call(entry: SocketAddr, method: &str, path: &str) -> HttpReply {
     send(entry, &http_message(method, path, "", b"")).await
 }
 
-/// A whole HTTP message.
+/// Builds an HTTP/1.1 request message.
 pub(crate) fn http_message(method: &str, path: &str, headers: &str, body: &[u8]) -> Vec<u8> {
     let length = body.len();
     let head = format!(
@@ -149,7 +150,7 @@
 
 async fn exchange(entry: SocketAddr, bytes: &[u8]) -> HttpReply {
     let mut stream = TcpStream::connect(entry).await.expect("connection");
-    // The server may answer and close before it has read everything.
+    // The server may answer and close the connection before it has read everything.
     let _closed = stream.write_all(bytes).await;
     let mut answer = Vec::new();
     let _reset = stream.read_to_end(&mut answer).await;
--- a/crates/demo/tests/border/good_calls.rs
+++ b/crates/demo/tests/border/good_calls.rs
@@ -1,4 +1,4 @@
-//! What callers may send, against real entries: one whole answer each, and one start.
+//! Valid calls to real entries: each gets a complete answer, and each task starts once.
 
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
     HttpReply,
 };
 
-/// One slot, so that a second task has to wait for the first.
+/// A fleet with one slot, so that a second task has to wait for the first.
 fn one_slot() -> FleetSettings {
     FleetSettings {
         endpoints: 1,
@@ -23,7 +23,7 @@
     }
 }
 
-/// A payload that runs long enough to be looked at while it runs.
+/// A payload whose task runs for two seconds, long enough to query its state while it runs.
 fn long_payload(label: &str) -> Vec<u8> {
     format!(r#"{{"run_ms":2000,"label":"{label}"}}"#).into_bytes()
 }
@@ -60,7 +60,7 @@
     assert_eq!(fleet.stop().await, 0);
 }
 
-// The content type is not looked at: `curl -d` sends that of a form, and what is read is JSON or refused.
+// Entries ignore the content type, because `curl -d` sends that of a form. A body that is not JSON is refused.
 #[actix_rt::test]
 async fn unusual_but_valid_calls_run() {
     let fleet = start_fleet(FleetSettings::default()).await;
@@ -101,8 +101,8 @@
     assert_eq!(fleet.stop().await, 0);
 }
 
-/// Sends the same message through two entries, at once or one after the other, and checks for one start and one
-/// answer.
+/// Sends the same message through two entries, concurrently or one after the other, and checks that the task starts
+/// once and all answers are equal.
 async fn check_runs_once(fleet: &DemoFleet, bytes: &[u8], payload: &[u8], concurrent: bool) {
     let entries = fleet.caller_addresses();
     let starts = fleet.starts();
@@ -119,9 +119,9 @@
     assert_eq!(fleet.starts(), starts + 1, "ran twice");
 }
 
-// What the caller sees: the same answer to each arrival of a request, through whichever entry it came.
-// What happens: the caller, or a proxy for it, sends a request under one name twice, at once or after its answer.
-// Why: the second arrival is a retry and no second request; running it would book twice.
+// Guards against running a retried request twice, which would book twice. The caller, or a proxy on its behalf, sends a
+// request with the same key or ticket again, concurrently or after the answer, through either entry. Each attempt must
+// get the same answer.
 #[actix_rt::test]
 async fn a_repeated_request_runs_once_across_entries() {
     let fleet = start_fleet(FleetSettings::default()).await;
@@ -143,10 +143,10 @@
     assert_eq!(fleet.stop().await, 0);
 }
 
-// What the caller sees: 503 key_not_recorded with when to come back; later, through any entry, the answer.
-// What happens: the platform's table is out of reach while a keyed request comes, and back when it comes again.
-// Why: without the row a retry through another entry could run too, so nothing may run before the row stands; and a
-// key whose first arrival was refused must not be spent.
+// A keyed request arrives while the platform's table is unreachable, and again after the table is back. Without the
+// key's row a retry through another entry could run as well, so nothing may run before the row is written: the caller
+// gets 503 key_not_recorded with a retry time. The refusal must not use up the key: the retry gets the answer through
+// any entry.
 #[actix_rt::test]
 async fn a_keyed_request_is_refused_while_the_platform_is_down() {
     let fleet = start_fleet(FleetSettings::default()).await;
@@ -181,13 +181,13 @@
     assert_eq!(fleet.stop().await, 0);
 }
 
-/// The submission that a ticket's request will be.
+/// The submission id that the request with this ticket will have.
 fn id_of(ticket: &Value) -> String {
     let text = ticket.as_str().expect("a ticket is text");
     text.trim_start_matches('t').to_owned()
 }
 
-/// Sends a ticketed request that stays open, and gives its id.
+/// Sends a request with a ticket, waits until it is pending, and returns its id and the task that awaits its answer.
 async fn open_request(
     entry: SocketAddr,
     payload: Vec<u8>,
@@ -202,8 +202,8 @@
     (id, reply)
 }
 
-/// Waits until a submission's task has a reservation at a dispatcher. Before that it may have started, for all that
-/// the entry knows, so it could not be cancelled.
+/// Waits until a submission's task is queued at a dispatcher. Before that, the entry cannot rule out that the task has
+/// started, so the submission could not be cancelled.
 async fn wait_until_queued(entry: SocketAddr, id: &str) {
     let path = format!("/v1/explain/{id}");
     wait_for(async || {
@@ -213,10 +213,9 @@
     .await;
 }
 
-// What the caller sees: a request that waits can be taken back and did not run; one that runs cannot, and gets its
-// own answer; a job can be taken back at any time and gets no partial results.
-// What happens: one slot is taken by a long request, another request and then a job wait behind it.
-// Why: "cancelled" must be as true as "not run".
+// "cancelled" must mean that a request did not run. A long request takes the only slot, and another request and then a
+// job wait for it. The waiting request can be cancelled and does not run; the running request cannot be cancelled and
+// gets its answer. A job can be cancelled at any time and gets no partial results.
 #[actix_rt::test]
 async fn cancelling_reports_whether_the_submission_ran() {
     let fleet = start_fleet(one_slot()).await;
@@ -248,17 +247,16 @@
     assert_eq!(fleet.stop().await, 0);
 }
 
-/// The id of the next submission: its serial is the one after a ticket's.
+/// The id of the next submission, whose serial follows that of a ticket issued now.
 async fn next_id(entry: SocketAddr) -> SubmissionId {
     let mut id: SubmissionId = id_of(&issue_ticket(entry).await).parse().expect("an id");
     id.serial += 1;
     id
 }
 
-// What the caller sees: its keyed request is refused as cancelled, and when it is sent again it runs, once.
-// What happens: the key's row is written, the request waits for a slot and is taken back; then it comes again through
-// the other entry, which finds the row and passes it on to the first.
-// Why: a refusal says that nothing ran, so the key is not spent; only the entry in the row may start it.
+// A keyed request is cancelled while it waits for a slot, after the key's row was written. The refusal says that
+// nothing ran, so the key is not used up: sent again, the request must run once. Only the entry named in the row may
+// start it, so the other entry finds the row and forwards the request.
 #[actix_rt::test]
 async fn a_cancelled_keyed_request_runs_when_resent() {
     let fleet = start_fleet(one_slot()).await;
@@ -314,7 +312,7 @@
     let path = format!("/v1/requests/{}", reply.text("id"));
     for entry in &entries {
         assert_eq!(call(*entry, "GET", &path).await.json, reply.json);
-        // Neither an entry that is gone nor a serial that was never given out is taken for "not run".
+        // An entry that is gone or a serial that was never issued must not be reported as "not run".
         let incarnation = reply.text("id").rsplit_once('-').expect("two parts").0;
         for id in ["0000000000000001-1", &format!("{incarnation}-999999")] {
             let reply = call(*entry, "GET", &format!("/v1/requests/{id}")).await;
--- a/crates/demo/tests/border/main.rs
+++ b/crates/demo/tests/border/main.rs
@@ -1,4 +1,4 @@
-//! The border of callers: real entries and dispatchers on stand-ins, and callers that send any bytes.
+//! Tests of the callers' interface: real entries and dispatchers on stand-ins, and callers that send arbitrary bytes.
 
 mod bad_input;
 mod caller;
--- a/crates/demo/tests/border/memory.rs
+++ b/crates/demo/tests/border/memory.rs
@@ -1,4 +1,4 @@
-//! Large bodies: the largest job, and the bound on the bytes that an entry holds for callers.
+//! Large bodies: the largest jobs, and the limit on the bytes of open submissions that an entry holds.
 
 use demo::FleetSettings;
 use futures::future::join_all;
@@ -7,15 +7,15 @@
 
 use crate::caller::{call, issue_ticket, job, post, request, start_fleet, wait_for};
 
-/// A payload of about 60 KB that runs for a second.
+/// A payload of about 60 KB whose task runs for a second.
 fn large_payload() -> Vec<u8> {
     let label = "x".repeat(60_000);
     format!(r#"{{"run_ms":1000,"label":"{label}"}}"#).into_bytes()
 }
 
-// What the caller sees: 503 overloaded with when to come back, and then the answer.
-// What happens: one payload is held while its task runs, and another comes for which there is no room.
-// Why: bodies without a bound would end the process and with it every caller's answer.
+// Without a limit on the bytes of open submissions, the process could run out of memory and lose every caller's answer.
+// While the entry holds one payload, a second one exceeds the limit and is refused with 503 overloaded and a retry
+// time. Sent again after the first answer, it completes.
 #[actix_rt::test]
 async fn a_full_entry_refuses_until_it_has_answered() {
     let fleet = start_fleet(FleetSettings {
@@ -53,9 +53,8 @@
     assert_eq!(fleet.stop().await, 0);
 }
 
-// What the caller sees: each of 370 results of 64 KiB, byte for byte and in order.
-// What happens: several such jobs, 24 MB each, go through both entries at once.
-// Why: batches of offers and of ends are split by bytes, and none may be lost or put out of order by it.
+// Batches of offers and of task ends are split by their size in bytes, which must not lose or reorder tasks. Jobs of 24
+// MB, with 370 payloads of 64 KiB each, go through both entries concurrently and must return every result in order.
 #[actix_rt::test]
 async fn the_largest_jobs_return_every_result() {
     let fleet = start_fleet(FleetSettings::default()).await;
--- a/crates/demo/tests/border/page.rs
+++ b/crates/demo/tests/border/page.rs
@@ -1,4 +1,4 @@
-//! Runs the callers' examples of `docs/API.md` and checks that the page shows what came.
+//! Runs the callers' examples of `docs/API.md` and checks that the page shows the actual answers.
 
 use std::net::SocketAddr;
 
@@ -10,28 +10,28 @@
 
 const API_PAGE: &str = include_str!("../../../../docs/API.md");
 
-/// The incarnation that the page shows in place of each run's own.
+/// The entry incarnation in the ids on the page, which stands for the actual one of each run.
 const SHOWN_INCARNATION: &str = "98ce8a3683357382";
 
-/// The headers that the page shows.
+/// Headers that the page shows.
 const SHOWN_HEADERS: [&str; 1] = ["retry-after"];
 
-/// A payload that runs for two seconds, in base64.
+/// A payload whose task runs for two seconds, in base64.
 const LONG_PAYLOAD: &str = "eyJydW5fbXMiOjIwMDB9";
 
-/// Two entries and what the page should hold.
+/// A fleet with two entries, and the example blocks that are missing on the page.
 struct Examples {
     fleet: DemoFleet,
     entries: Vec<SocketAddr>,
-    /// The submission before the first one of the page, which shows it with serial 0.
+    /// Id of the submission before the first one on the page. Its serial corresponds to serial 0 on the page.
     base_id: SubmissionId,
     missing_blocks: String,
 }
 
-/// One call as the page writes it.
+/// One example call, with ids as on the page.
 #[derive(Clone, Copy)]
 struct Example<'a> {
-    /// `A` or `B`.
+    /// Entry that is called: `A` or `B`.
     entry: char,
     method: &'a str,
     path: &'a str,
@@ -132,7 +132,7 @@
         }
     }
 
-    /// A shown id of this run's next submission.
+    /// Id of the next submission, as the page shows it.
     async fn next_id(&self) -> String {
         let ticket_body = r#"{"customer":"trust"}"#;
         let reply = self
@@ -144,7 +144,7 @@
         self.to_shown_ids(&id.to_string())
     }
 
-    /// The page's ids in place of this run's.
+    /// Replaces the actual ids of this run by those on the page.
     fn to_shown_ids(&self, text: &str) -> String {
         let actual = self.base_id.incarnation.to_string();
         replace_ids(text, &actual, SHOWN_INCARNATION, |serial| {
@@ -152,7 +152,7 @@
         })
     }
 
-    /// This run's ids in place of the page's.
+    /// Replaces the ids on the page by the actual ids of this run.
     fn to_actual_ids(&self, text: &str) -> String {
         let actual = self.base_id.incarnation.to_string();
         replace_ids(text, SHOWN_INCARNATION, &actual, |serial| {
@@ -212,7 +212,8 @@
     examples.run(Example::without_body("GET", &path)).await;
 }
 
-/// One request runs, another waits behind it for the only slot; both are asked for and cancelled.
+/// One request runs and another waits for the only slot. Gets the state of the running one, tries to cancel both, and
+/// gets the outcome of the cancelled one.
 async fn run_cancels(examples: &mut Examples) {
     let long =
         format!(r#"{{"customer":"trust","task":{{"kind":"hold","payload":"{LONG_PAYLOAD}"}}}}"#);
@@ -260,7 +261,7 @@
     println!("{}", examples.missing_blocks);
     assert!(
         examples.missing_blocks.is_empty(),
-        "not on the page as it came"
+        "docs/API.md does not show the actual answers"
     );
     assert_eq!(examples.fleet.stop().await, 0);
 }
--- a/crates/demo/tests/whole_path.rs
+++ b/crates/demo/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! The whole path on stand-ins, within one process.
+//! Runs the demonstration: the whole system on stand-ins, in one process.
 
 use demo::FleetSettings;
 
@@ -8,6 +8,6 @@
         .await
         .expect("the demonstration runs");
     assert!(report.is_complete(), "{report}");
-    // Five tasks of the job, one request, one ticket; the ticket's second arrival starts nothing.
+    // Five tasks of the job, one request and one request with a ticket. Sending the ticket again starts nothing.
     assert_eq!(report.starts, 7, "{report}");
 }
