--- a/crates/cairnpaddle/src/main.rs
+++ b/crates/cairnpaddle/src/main.rs
@@ -1,4 +1,4 @@
-//! The process of one role: `cairnpaddle entry`, `cairnpaddle dispatcher` or `cairnpaddle node`.
+//! Runs one role as a process: `cairnpaddle entry`, `cairnpaddle dispatcher` or `cairnpaddle node`.
 
 mod options;
 
--- a/crates/cairnpaddle/src/options.rs
+++ b/crates/cairnpaddle/src/options.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line options of `cairnpaddle`.
 
 use std::path::PathBuf;
 
@@ -42,7 +42,7 @@
     },
 }
 
-// bpaf keeps a line break only before a space.
+// bpaf keeps a line break only if a space follows it.
 const EXAMPLES: &str = "Examples:
    cairnpaddle entry --settings docs/examples/entry.json
    cairnpaddle dispatcher --settings docs/examples/dispatcher.json
--- a/crates/cairnpaddle/tests/command_line.rs
+++ b/crates/cairnpaddle/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line of the process: exit codes, messages, help and completion.
+//! Command line of `cairnpaddle`: exit codes, error messages, help and shell completion.
 
 use std::process::{Command, Output};
 
@@ -13,13 +13,13 @@
         .unwrap()
 }
 
-fn error_of(output: &Output) -> String {
+fn stderr_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).replace(EXAMPLES, "EXAMPLES")
 }
 
 #[test]
 fn wrong_usage_and_settings_exit_with_2_and_one_line() {
-    let table: [&[&str]; 8] = [
+    let cases: [&[&str]; 8] = [
         &[],
         &["worker"],
         &["entry"],
@@ -30,9 +30,9 @@
         &["dispatcher", "--settings", "EXAMPLES/entry.json"],
     ];
     let mut text = String::new();
-    for args in table {
+    for args in cases {
         let output = run(args);
-        let error = error_of(&output);
+        let error = stderr_text(&output);
         assert_eq!(output.status.code(), Some(2), "{args:?}: {error}");
         assert!(output.stdout.is_empty(), "{args:?}");
         assert_eq!(error.lines().count(), 1, "{args:?}: {error}");
@@ -42,11 +42,11 @@
 }
 
 #[test]
-fn verbose_adds_the_report() {
+fn verbose_prints_the_causes() {
     let args = ["--verbose", "entry", "--settings", "EXAMPLES/none.json"];
     let output = run(&args);
     assert_eq!(output.status.code(), Some(2));
-    let error = error_of(&output);
+    let error = stderr_text(&output);
     assert!(
         error.starts_with("cairnpaddle: wrong settings: EXAMPLES/none.json: "),
         "{error}"
--- a/xtask/src/experiment.rs
+++ b/xtask/src/experiment.rs
@@ -1,4 +1,4 @@
-//! Response and goodput of real processes at several loads, for each rule of placement.
+//! Measures response times and goodput of real processes at several loads, for each placement policy.
 
 use std::{fs, path::PathBuf, time::Duration};
 
@@ -13,46 +13,46 @@
     usage::load_average,
 };
 
-/// The system is left alone between two loads, so that the queue of one is not the start of the next.
+/// Idle time before each load, so that the queue of one load does not affect the next.
 const SETTLE_TIME: Duration = Duration::from_secs(2);
 
-/// What to run.
+/// Options of an experiment.
 #[derive(Debug, Clone, Bpaf)]
 pub(crate) struct ExperimentOptions {
-    /// Data centres
+    /// Number of data centres
     #[bpaf(argument("COUNT"), fallback(3), display_fallback)]
     data_centres: u16,
-    /// VMs over all data centres, each with an entry and a dispatcher
+    /// Number of VMs over all data centres, each with an entry and a dispatcher
     #[bpaf(argument("COUNT"), fallback(8), display_fallback)]
     vms: u16,
-    /// Endpoints over all data centres
+    /// Number of endpoints over all data centres
     #[bpaf(argument("COUNT"), fallback(50), display_fallback)]
     endpoints: u16,
-    /// Slots of each endpoint
+    /// Number of slots of each endpoint
     #[bpaf(argument("COUNT"), fallback(8), display_fallback)]
     slots: u32,
     /// Loads as percentages of the slots, separated by commas
     #[bpaf(argument("LIST"), fallback("60,80,90,100,130".to_owned()), display_fallback)]
     load: String,
-    /// How long calls are sent at each load
+    /// How long calls are sent at each load, in seconds
     #[bpaf(argument("SECONDS"), fallback(20), display_fallback)]
     seconds: u64,
-    /// Rules of placement, separated by commas
+    /// Placement policies, separated by commas
     #[bpaf(argument("LIST"), fallback("free_slots".to_owned()), display_fallback)]
     placement: String,
-    /// Whose load: trust or utility
+    /// Load shape: trust or utility
     #[bpaf(argument("SHAPE"), fallback(LoadShape::Trust), display_fallback)]
     shape: LoadShape,
-    /// The same seed plans the same calls
+    /// Seed of the load plan; the same seed gives the same calls
     #[bpaf(argument("SEED"), fallback(1), display_fallback)]
     seed: u64,
-    /// Customers that call
+    /// Number of customers that submit calls
     #[bpaf(argument("COUNT"), fallback(5), display_fallback)]
     customers: usize,
-    /// The concurrency of each customer's contract; without it, the slots of all endpoints
+    /// Concurrency of each customer's contract; by default, the number of slots of all endpoints
     #[bpaf(argument("COUNT"), optional)]
     concurrency: Option<u32>,
-    /// Where settings, logs and the report go
+    /// Directory for settings, logs and the report
     #[bpaf(argument("DIR"), fallback(default_out()))]
     out: PathBuf,
 }
@@ -65,7 +65,7 @@
     report: LoadReport,
 }
 
-/// Runs every rule at every load and writes `experiment.json`.
+/// Runs every placement policy at every load, prints a table and writes `experiment.json`.
 pub(crate) async fn run(options: ExperimentOptions) -> Result<()> {
     build_programs()?;
     let mut rows = Vec::new();
@@ -109,7 +109,7 @@
     })
     .await?;
     let concurrency = options.concurrency.unwrap_or(total_slots(options));
-    // The Trust pays for each wasted message, the Utility for each late answer.
+    // The Trust pays for each wasted message, the Utility for each late answer, so only the Utility moves queued tasks.
     let move_queued = options.shape == LoadShape::Utility;
     let contract = json!({ "concurrency": concurrency, "move_queued": move_queued });
     fleet
--- a/xtask/src/fleet.rs
+++ b/xtask/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of real processes on loopback: one entry and one dispatcher a VM, and stand-ins of the platform and the
+//! A fleet of real processes on loopback: one entry and one dispatcher per VM, and stand-ins of the platform and the
 //! endpoints.
 
 use std::{
@@ -19,18 +19,18 @@
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What to start.
+/// Size and settings of a fleet.
 #[derive(Clone, Debug)]
 pub(crate) struct FleetSettings {
     pub(crate) data_centres: u16,
-    /// VMs over all data centres.
+    /// Number of VMs over all data centres.
     pub(crate) vms: u16,
-    /// Endpoints over all data centres.
+    /// Number of endpoints over all data centres.
     pub(crate) endpoints: u16,
     pub(crate) slots: u32,
-    /// How entries choose dispatchers, as their settings name it.
+    /// Placement policy of the entries, as named in their settings.
     pub(crate) placement: String,
-    /// Where settings and logs go.
+    /// Directory for settings and logs.
     pub(crate) dir: PathBuf,
 }
 
@@ -54,18 +54,18 @@
     admin: SocketAddr,
 }
 
-/// A child that is killed, by its own handle, when dropped.
+/// A child process that is killed through its own handle when dropped.
 struct KillOnDrop(Child);
 
 impl Drop for KillOnDrop {
     fn drop(&mut self) {
-        // Both fail only where the process has ended by itself.
+        // Both calls fail only if the process has already ended.
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// The running processes.
+/// A running fleet. Dropping it kills its processes.
 pub(crate) struct ProcessFleet {
     settings: FleetSettings,
     platform: SocketAddr,
@@ -78,7 +78,7 @@
 }
 
 impl ProcessFleet {
-    /// Starts everything and waits until all entries are ready and all endpoints owned.
+    /// Starts the fleet and waits until all processes are ready and all endpoints are owned.
     pub(crate) async fn start(settings: FleetSettings) -> Result<Self> {
         fs::create_dir_all(&settings.dir)?;
         let mut ports = PortFinder::new();
@@ -112,7 +112,7 @@
         format!("dc-{}", number % self.settings.data_centres + 1)
     }
 
-    /// One process for the endpoints of a data centre.
+    /// Starts one process per data centre for its endpoint stand-ins.
     fn start_endpoints(&mut self, ports: &mut PortFinder) -> Result<()> {
         for number in 0..self.settings.data_centres {
             let (all, centres) = (self.settings.endpoints, self.settings.data_centres);
@@ -170,7 +170,7 @@
         while http::status(&self.client, self.platform, "/control/stats").await != Some(200) {
             ensure!(
                 Instant::now() < deadline,
-                "the platform stand-in is not there"
+                "the platform stand-in does not answer"
             );
             actix_rt::time::sleep(POLL_INTERVAL).await;
         }
@@ -249,7 +249,7 @@
             .stdout(log.try_clone()?)
             .stderr(log)
             .spawn()
-            .wrap_err_with(|| format!("{program} not started"))?;
+            .wrap_err_with(|| format!("cannot start {program}"))?;
         Ok(KillOnDrop(child))
     }
 
@@ -260,13 +260,13 @@
                 return Ok(());
             }
             if Instant::now() > deadline {
-                bail!("not ready within {READY_TIMEOUT:?}; see the logs in the directory");
+                bail!("the fleet is not ready after {READY_TIMEOUT:?}; see the logs in the output directory");
             }
             actix_rt::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Whether every process is ready and each endpoint has one owner.
+    /// Whether every entry and dispatcher is ready and the dispatchers together own as many endpoints as there are.
     async fn is_ready(&self) -> bool {
         for vm in &self.vms {
             for address in [vm.caller, vm.admin] {
@@ -284,7 +284,8 @@
         owned_endpoints as usize == self.endpoints.len()
     }
 
-    /// Creates contracts of customers `PREFIX-from` to `PREFIX-to`, and waits until they are in force at every entry.
+    /// Creates the contracts of the customers `prefix-number` for all `numbers`, and waits until the last one is in
+    /// force at every entry.
     pub(crate) async fn create_contracts(
         &self,
         prefix: &str,
@@ -301,12 +302,15 @@
         Ok(())
     }
 
-    /// Waits until every entry has the version of the contract in force; gives how long that took.
+    /// Waits until every entry has at least this version of the contract in force. Returns how long that took.
     pub(crate) async fn wait_for_version(&self, customer: &str, version: u64) -> Result<Duration> {
         let started = Instant::now();
         for entry in self.entries() {
             while !self.has_version(entry, customer, version).await? {
-                ensure!(started.elapsed() < READY_TIMEOUT, "{customer} not in force");
+                ensure!(
+                    started.elapsed() < READY_TIMEOUT,
+                    "the contract of {customer} is not in force in time"
+                );
                 actix_rt::time::sleep(Duration::from_millis(10)).await;
             }
         }
@@ -355,7 +359,7 @@
     }
 }
 
-/// The sum of a metric's series on a page.
+/// Sums all series of a metric on a metrics page.
 fn sum_series(page: &str, name: &str) -> f64 {
     let mut sum = 0.0;
     for line in page.lines() {
@@ -369,18 +373,18 @@
     sum
 }
 
-/// Builds the programs under measurement as release programs.
+/// Builds the programs under measurement in release mode.
 pub(crate) fn build_programs() -> Result<()> {
     let cargo = env::var_os("CARGO").unwrap_or_else(|| "cargo".into());
     let status = Command::new(cargo)
         .args(["build", "--release", "--locked", "-j6"])
         .args(["-p", "cairnpaddle", "-p", "cairnctl"])
         .status()?;
-    ensure!(status.success(), "the programs do not build");
+    ensure!(status.success(), "cannot build the programs");
     Ok(())
 }
 
-/// Programs are measured as release builds, next to this one's directory.
+/// Path of the release build of a program, in the target directory of this executable.
 pub(crate) fn program_path(program: &str) -> Result<PathBuf> {
     let executable = env::current_exe()?;
     let target = executable.parent().and_then(Path::parent);
@@ -388,6 +392,6 @@
         .unwrap_or(Path::new("target"))
         .join("release")
         .join(program);
-    ensure!(path.is_file(), "{} is not there", path.display());
+    ensure!(path.is_file(), "{} does not exist", path.display());
     Ok(path)
 }
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -1,4 +1,4 @@
-//! Chores of the repository, run as `cargo run -p xtask -- codegen`, and measurements of real processes.
+//! Maintenance tasks of the repository and measurements of real processes, run as `cargo run -p xtask -- codegen`.
 
 mod experiment;
 mod fleet;
@@ -12,20 +12,20 @@
 
 use crate::{experiment::ExperimentOptions, slopes::SlopesOptions, soak::SoakOptions};
 
-/// Chores of the repository.
+/// Maintenance tasks of the repository and measurements of real processes.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 enum TaskCommand {
     /// Generates the peer protocol's code from its schema. Needs Debian's package `capnproto`.
     #[bpaf(command)]
     Codegen,
-    /// Starts real processes on loopback, loads them at several levels and writes what came of it
+    /// Starts real processes on loopback, runs them at several loads and writes a report
     #[bpaf(command)]
     Experiment(#[bpaf(external(experiment::experiment_options))] ExperimentOptions),
-    /// Measures what processor time, memory and bytes grow with, on real processes on loopback
+    /// Measures how processor time, memory and network traffic of real processes on loopback grow with load and size
     #[bpaf(command)]
     Slopes(#[bpaf(external(slopes::slopes_options))] SlopesOptions),
-    /// Runs real nodes under random faults and checks what customers and workers see
+    /// Runs real nodes under random faults and checks the promises to customers and workers
     #[bpaf(command)]
     Soak(#[bpaf(external(soak::soak_options))] SoakOptions),
 }
--- a/xtask/src/ports.rs
+++ b/xtask/src/ports.rs
@@ -4,12 +4,12 @@
 
 use eyre::{eyre, Result};
 
-/// Ports are taken from here up: below those that the system gives to outgoing connections, which could otherwise
-/// take a port between the look and the start of its process.
+/// First port to try. The range lies below the ports that the system gives to outgoing connections, which could
+/// otherwise take a port between the check and the start of its process.
 const LOWEST_PORT: u16 = 12_000;
 const HIGHEST_PORT: u16 = 30_000;
 
-/// Hands out ports that were free when looked at, each once.
+/// Hands out ports that were free when checked, each at most once.
 pub(crate) struct PortFinder {
     next: u16,
 }
@@ -26,7 +26,7 @@
         self.consecutive(1)
     }
 
-    /// The first of `count` free ports that follow each other.
+    /// Returns the address of the first of `count` consecutive free ports.
     pub(crate) fn consecutive(&mut self, count: u16) -> Result<SocketAddr> {
         let mut length = 0;
         while self.next < HIGHEST_PORT {
@@ -42,6 +42,6 @@
                 return Ok(SocketAddr::from((Ipv4Addr::LOCALHOST, first)));
             }
         }
-        Err(eyre!("no {count} free ports"))
+        Err(eyre!("there are no {count} consecutive free ports"))
     }
 }
--- a/xtask/src/slopes.rs
+++ b/xtask/src/slopes.rs
@@ -1,6 +1,6 @@
-//! What processor time, memory and bytes of an entry and a dispatcher grow with: one table for each cause, on real
-//! processes. Processor time and memory are the system's own counts, so a busy machine lengthens responses here but
-//! hardly changes these figures.
+//! Measures how processor time, memory and network traffic of an entry and a dispatcher grow, with one table for each
+//! parameter, on real processes. The system counts processor time and memory per process, so a busy machine lengthens
+//! responses but hardly changes these figures.
 
 use std::{
     collections::BTreeMap,
@@ -21,14 +21,14 @@
     usage::{load_average, tcp_bytes, ProcessUsage},
 };
 
-/// How long idle processes are watched.
+/// How long processes are measured, idle or under load.
 const SAMPLE_TIME: Duration = Duration::from_secs(8);
-/// After a start or a change, what follows from it is left to end before the watch.
+/// Wait before a measurement, so that the effects of a start or a change have ended.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
-/// Contracts of the members' and changes' tables: the target's teams.
+/// Number of contracts in the tables `members` and `changes`: the number of teams in the target.
 const TEAM_COUNT: usize = 140;
 
-/// What to measure.
+/// Options of the measurements.
 #[derive(Debug, Clone, Bpaf)]
 pub(crate) struct SlopesOptions {
     /// Tables, separated by commas: starts, open, endpoints, contracts, members, changes
@@ -38,12 +38,12 @@
         display_fallback
     )]
     tables: String,
-    /// Where settings, logs and the figures go
+    /// Directory for settings, logs and the figures
     #[bpaf(argument("DIR"), fallback(default_out()))]
     out: PathBuf,
 }
 
-/// One row: what was set, and what was measured at it.
+/// One row of a table: the value of the parameter and the figures measured at that value.
 #[derive(Debug, Serialize)]
 struct SlopeRow {
     table: String,
@@ -51,7 +51,7 @@
     figures: BTreeMap<&'static str, f64>,
 }
 
-/// Measures the tables asked for, prints each row and writes `slopes.json`.
+/// Measures the requested tables, prints each row and writes `slopes.json`.
 pub(crate) async fn run(options: SlopesOptions) -> Result<()> {
     build_programs()?;
     let mut rows = Vec::new();
@@ -64,7 +64,7 @@
             "contracts" => measure_contracts(dir).await?,
             "members" => measure_members(dir).await?,
             "changes" => measure_changes(dir).await?,
-            other => bail!("there is no table {other}"),
+            other => bail!("unknown table {other}"),
         };
         rows.extend(figures);
         fs::write(
@@ -93,7 +93,7 @@
     row
 }
 
-/// The use of one role's processes at one moment.
+/// Usage of all entries and of all dispatchers at one moment.
 #[derive(Clone, Copy)]
 struct UsageSnapshot {
     entry: ProcessUsage,
@@ -110,7 +110,8 @@
         })
     }
 
-    /// Percent of a core since `before`, of one entry and of one dispatcher out of `count` each.
+    /// Mean processor use of one entry and of one dispatcher since `before`, in percent of a core. There are `count` of
+    /// each.
     fn percent_since(&self, before: &Self, count: u16) -> (f64, f64) {
         let time = (self.at - before.at).as_secs_f64() * f64::from(count) / 100.0;
         let entry = (self.entry.cpu - before.entry.cpu) / time;
@@ -118,14 +119,14 @@
         (entry, dispatcher)
     }
 
-    /// MiB of one entry and of one dispatcher out of `count` each.
+    /// Mean memory of one entry and of one dispatcher, in MiB. There are `count` of each.
     fn memory(&self, count: u16) -> (f64, f64) {
         let mib = |rss: u64| rss as f64 / 1024.0 / f64::from(count);
         (mib(self.entry.rss), mib(self.dispatcher.rss))
     }
 }
 
-/// Watches an idle fleet and gives the figures of one entry and one dispatcher.
+/// Measures an idle fleet and returns the figures of one entry and one dispatcher.
 async fn measure_idle(fleet: &ProcessFleet, vms: u16) -> Result<Vec<(&'static str, f64)>> {
     actix_rt::time::sleep(SETTLE_TIME).await;
     let before = UsageSnapshot::take(fleet)?;
@@ -145,7 +146,7 @@
     json!({ "concurrency": 100_000, "answer_within_ms": 600_000, "may_refuse": "nothing" })
 }
 
-/// Processor time for each task start: one VM, its endpoints with room for all.
+/// Measures processor time per task start, on one VM with enough endpoint slots for all tasks.
 async fn measure_starts(dir: PathBuf) -> Result<Vec<SlopeRow>> {
     let mut rows = Vec::new();
     for rate in [0.0, 100.0, 300.0, 1_000.0, 2_000.0] {
@@ -202,7 +203,8 @@
     Ok(rows)
 }
 
-/// Memory of each open submission, its caller's connection included: single tasks that wait for the one slot.
+/// Measures memory per open submission, including the caller's connection. The submissions have one task each and wait
+/// for the only slot.
 async fn measure_open(dir: PathBuf) -> Result<Vec<SlopeRow>> {
     let fleet = ProcessFleet::start(FleetSettings {
         endpoints: 1,
@@ -245,7 +247,8 @@
     Ok(rows)
 }
 
-/// Sends a job of one task of a minute; nobody waits for its answer, and it ends with the processes.
+/// Sends a job of one task that runs for a minute. Its answer is not used, and the job ends when the processes are
+/// killed.
 async fn send_long_task(entry: std::net::SocketAddr) {
     let connector = awc::Connector::new().limit(0);
     let client = awc::Client::builder()
@@ -259,7 +262,7 @@
     drop(sent.send_json(&body).await);
 }
 
-/// Idle use for each endpoint owned: one dispatcher.
+/// Measures idle usage per owned endpoint, with one dispatcher.
 async fn measure_endpoints(dir: PathBuf) -> Result<Vec<SlopeRow>> {
     let mut rows = Vec::new();
     for endpoints in [10, 100, 200] {
@@ -276,7 +279,7 @@
     Ok(rows)
 }
 
-/// Idle use for each contract: two VMs.
+/// Measures idle usage per contract, on two VMs.
 async fn measure_contracts(dir: PathBuf) -> Result<Vec<SlopeRow>> {
     let fleet = ProcessFleet::start(FleetSettings {
         vms: 2,
@@ -303,7 +306,7 @@
     Ok(rows)
 }
 
-/// Idle use for each member of a data centre, with the target's contracts.
+/// Measures idle usage and network traffic per member of a data centre, with [`TEAM_COUNT`] contracts.
 async fn measure_members(dir: PathBuf) -> Result<Vec<SlopeRow>> {
     let mut rows = Vec::new();
     for vms in [2, 4, 8, 16] {
@@ -338,8 +341,8 @@
     Ok(rows)
 }
 
-/// Bytes of entries with dispatchers, entries with the platform, dispatchers with all peers, dispatchers with the
-/// platform.
+/// Bytes exchanged between entries and dispatchers, entries and the platform, dispatchers and all peers, and
+/// dispatchers and the platform.
 fn read_link_bytes(fleet: &ProcessFleet) -> Result<[f64; 4]> {
     let mut bytes = [0.0; 4];
     let (entries, dispatchers) = (fleet.entry_pids(), fleet.dispatcher_pids());
@@ -356,7 +359,7 @@
     Ok(bytes)
 }
 
-/// Use for each change of a contract, and the time until it is in force everywhere: eight VMs.
+/// Measures processor use per contract change, and the time until a change is in force everywhere, on eight VMs.
 async fn measure_changes(dir: PathBuf) -> Result<Vec<SlopeRow>> {
     let vms = 8;
     let fleet = ProcessFleet::start(FleetSettings {
@@ -398,7 +401,7 @@
     Ok(rows)
 }
 
-/// The time from the operator's answer until every entry has the change in force.
+/// Measures the time from the answer to the operator until every entry has the change in force.
 async fn measure_propagation(fleet: &ProcessFleet, versions: &mut [u64]) -> Result<SlopeRow> {
     let mut times = Vec::new();
     for index in 0..20 {
@@ -406,7 +409,7 @@
         let customer = format!("team-{}", index + 1);
         let time = fleet.wait_for_version(&customer, version).await?;
         times.push(time.as_secs_f64());
-        // Changes must not keep step with the periods of the readers.
+        // Varies the interval, so that changes do not synchronise with the polling of the readers.
         actix_rt::time::sleep(Duration::from_millis(37 * (index as u64 % 11))).await;
     }
     times.sort_by(f64::total_cmp);
--- a/xtask/src/soak.rs
+++ b/xtask/src/soak.rs
@@ -1,4 +1,4 @@
-//! Runs soaks, one seed after another.
+//! Runs soak tests, one seed after another.
 
 use std::{
     path::PathBuf,
@@ -11,34 +11,34 @@
 
 use crate::fleet::{build_programs, program_path};
 
-/// What to run.
+/// Options of a soak test.
 #[derive(Debug, Clone, Bpaf)]
 pub(crate) struct SoakOptions {
-    /// The first seed; left out, one by the time of day
+    /// First seed; by default, the current time
     #[bpaf(argument("SEED"))]
     seed: Option<u64>,
-    /// The seeds that failed once, in place of others
+    /// Run the seeds that failed once, instead of others
     #[bpaf(switch)]
     known: bool,
-    /// How many seeds, one after another
+    /// Number of seeds to run, one after another
     #[bpaf(argument("COUNT"), fallback(1), display_fallback)]
     seeds: u64,
-    /// Go on with fresh seeds for so many minutes instead
+    /// Run new seeds for this many minutes, instead of a number of seeds
     #[bpaf(argument("MINUTES"))]
     minutes: Option<u64>,
-    /// How long faults go on for each seed, in seconds
+    /// How long faults are injected for each seed, in seconds
     #[bpaf(argument("SECONDS"), fallback(20), display_fallback)]
     time: u64,
-    /// Nodes
+    /// Number of nodes
     #[bpaf(argument("COUNT"), fallback(4), display_fallback)]
     nodes: usize,
-    /// Workers
+    /// Number of workers
     #[bpaf(argument("COUNT"), fallback(12), display_fallback)]
     workers: usize,
-    /// Jobs a second
+    /// Jobs per second
     #[bpaf(argument("RATE"), fallback(40.0), display_fallback)]
     rate: f64,
-    /// Where settings and logs of each seed go
+    /// Directory for the settings and logs of each seed
     #[bpaf(
         argument("DIR"),
         fallback(PathBuf::from("target/soak")),
@@ -47,7 +47,7 @@
     out: PathBuf,
 }
 
-/// The seeds that failed once, each with its cause on its line.
+/// Seeds that failed once, one a line, each followed by the cause of its failure.
 const KNOWN_SEEDS: &str = include_str!("../../crates/soak/known-seeds.txt");
 
 fn known_seeds() -> impl Iterator<Item = u64> {
@@ -57,7 +57,7 @@
     seed_columns.filter_map(|seed| seed.parse().ok())
 }
 
-/// Runs the seeds, prints a line for each, and fails if a promise was broken.
+/// Runs the seeds, prints a summary line for each, and fails if a promise was broken under any of them.
 pub(crate) async fn run(options: SoakOptions) -> Result<()> {
     build_programs()?;
     let binary = program_path("cairnpaddle")?;
--- a/xtask/src/usage.rs
+++ b/xtask/src/usage.rs
@@ -1,13 +1,13 @@
-//! What processes use, as the system counts it.
+//! Processor time, memory and network traffic of processes, as counted by the system.
 
 use std::{collections::HashSet, fs, process::Command};
 
 use eyre::{eyre, Result};
 
-/// Processor time is counted in hundredths of a second on Linux, whatever the kernel's own tick.
+/// Linux reports processor time in hundredths of a second, independent of the kernel's own tick.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// What a process has used so far and holds now.
+/// Processor time used so far and memory held now by one process, or by several together.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ProcessUsage {
     /// Processor time since its start, in seconds.
@@ -20,7 +20,9 @@
     pub(crate) fn read(pid: u32) -> Result<Self> {
         let stat = fs::read_to_string(format!("/proc/{pid}/stat"))?;
         // The name is in parentheses and may hold spaces; utime and stime are fields 14 and 15.
-        let (_, after) = stat.rsplit_once(')').ok_or_else(|| eyre!("odd stat"))?;
+        let (_, after) = stat
+            .rsplit_once(')')
+            .ok_or_else(|| eyre!("cannot parse /proc/{pid}/stat"))?;
         let fields: Vec<&str> = after.split_whitespace().collect();
         let ticks: f64 = fields[11].parse::<f64>()? + fields[12].parse::<f64>()?;
         let status = fs::read_to_string(format!("/proc/{pid}/status"))?;
@@ -28,11 +30,13 @@
         let rss = line.and_then(|line| line.split_whitespace().next());
         Ok(Self {
             cpu: ticks / TICKS_PER_SECOND,
-            rss: rss.ok_or_else(|| eyre!("no VmRSS"))?.parse()?,
+            rss: rss
+                .ok_or_else(|| eyre!("/proc/{pid}/status has no VmRSS"))?
+                .parse()?,
         })
     }
 
-    /// The sum over processes.
+    /// Sums the usage of several processes.
     pub(crate) fn total(pids: &[u32]) -> Result<Self> {
         let mut total = Self::default();
         for pid in pids {
@@ -50,8 +54,8 @@
     text.split_whitespace().next().unwrap_or("?").to_owned()
 }
 
-/// The TCP payload bytes, sent and received, of the open connections of these processes that have one of the ports at
-/// either end. Counted by the kernel for each connection and told by `ss`.
+/// TCP payload bytes sent and received on the open connections of these processes that have one of the ports at either
+/// end. The kernel counts the bytes per connection, and `ss` prints them.
 pub(crate) fn tcp_bytes(pids: &[u32], ports: &HashSet<u16>) -> Result<u64> {
     let output = Command::new("ss").args(["-tinHpO"]).output()?;
     let text = String::from_utf8_lossy(&output.stdout);
