--- a/crates/demo/tests/border/good_calls.rs
+++ b/crates/demo/tests/border/good_calls.rs
@@ -127,14 +127,14 @@
     let fleet = start_fleet(FleetSettings::default()).await;
     let entry = fleet.caller_addresses()[0];
     for concurrent in [false, true] {
-        for round in 0..5 {
-            let payload = format!("ticket {concurrent} {round}").into_bytes();
+        for iteration in 0..5 {
+            let payload = format!("ticket {concurrent} {iteration}").into_bytes();
             let mut body = request(&payload);
             body["ticket"] = issue_ticket(entry).await;
             let bytes = http_message("POST", "/v1/requests", "", body.to_string().as_bytes());
             check_runs_once(&fleet, &bytes, &payload, concurrent).await;
-            let payload = format!("key {concurrent} {round}").into_bytes();
-            let key = format!("idempotency-key: {concurrent}-{round}\r\n");
+            let payload = format!("key {concurrent} {iteration}").into_bytes();
+            let key = format!("idempotency-key: {concurrent}-{iteration}\r\n");
             let body = request(&payload).to_string();
             let bytes = http_message("POST", "/v1/requests", &key, body.as_bytes());
             check_runs_once(&fleet, &bytes, &payload, concurrent).await;
--- a/crates/demo/tests/border/page.rs
+++ b/crates/demo/tests/border/page.rs
@@ -24,7 +24,7 @@
     fleet: DemoFleet,
     entries: Vec<SocketAddr>,
     /// Id of the submission before the first one on the page. Its serial corresponds to serial 0 on the page.
-    base_id: SubmissionId,
+    base: SubmissionId,
     missing_blocks: String,
 }
 
@@ -97,7 +97,7 @@
         let base = issued.text("ticket").trim_start_matches('t');
         Self {
             entries,
-            base_id: base.parse().expect("an id"),
+            base: base.parse().expect("an id"),
             fleet,
             missing_blocks: String::new(),
         }
@@ -146,18 +146,14 @@
 
     /// Replaces the actual ids of this run by those on the page.
     fn to_shown_ids(&self, text: &str) -> String {
-        let actual = self.base_id.incarnation.to_string();
-        replace_ids(text, &actual, SHOWN_INCARNATION, |serial| {
-            serial - self.base_id.serial
-        })
+        let actual = self.base.incarnation.to_string();
+        replace_ids(text, &actual, SHOWN_INCARNATION, |n| n - self.base.serial)
     }
 
     /// Replaces the ids on the page by the actual ids of this run.
     fn to_actual_ids(&self, text: &str) -> String {
-        let actual = self.base_id.incarnation.to_string();
-        replace_ids(text, SHOWN_INCARNATION, &actual, |serial| {
-            serial + self.base_id.serial
-        })
+        let actual = self.base.incarnation.to_string();
+        replace_ids(text, SHOWN_INCARNATION, &actual, |n| n + self.base.serial)
     }
 }
 
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -294,8 +294,8 @@
         None => starts.peak,
         Some(_) => {
             let peaks = starts.peaks.iter();
-            let mut own = peaks.filter(|(customer, _)| customer.as_str() == name);
-            own.next().map_or(0, |(_, peak)| *peak)
+            let mut customer_peaks = peaks.filter(|(customer, _)| customer.as_str() == name);
+            customer_peaks.next().map_or(0, |(_, peak)| *peak)
         }
     });
     report
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -1,4 +1,4 @@
-//! Maintenance tasks of the repository and measurements of real processes, run as `cargo run -p xtask -- codegen`.
+//! Maintenance tasks of the repository and measurements of real processes, run as `cargo run -p xtask -- COMMAND`.
 
 mod experiment;
 mod fleet;
