--- a/crates/demo/src/fleet.rs
+++ b/crates/demo/src/fleet.rs
@@ -228,7 +228,7 @@
     }
 
     /// Stops the entries, dispatchers and stand-ins in this order, as a planned stop does. Returns the number of
-    /// submissions and tasks that were cut.
+    /// submissions and tasks that were still open when the drain limit passed and were therefore cut.
     pub async fn stop(self) -> usize {
         let mut cut = 0;
         for entry in self.entries {
--- a/crates/demo/src/report.rs
+++ b/crates/demo/src/report.rs
@@ -13,7 +13,7 @@
     pub calls: Vec<CallSummary>,
     /// Number of tasks that the endpoints started.
     pub starts: usize,
-    /// Number of submissions and tasks cut when the fleet was stopped.
+    /// Number of submissions and tasks that were still open when the drain limit passed and were therefore cut.
     pub cut: usize,
 }
 
--- a/crates/load/src/driver.rs
+++ b/crates/load/src/driver.rs
@@ -82,7 +82,7 @@
     let planned = plan.len() as u64;
     let mut pending_calls = Vec::new();
     for (number, call) in plan.into_iter().enumerate() {
-        let wait = call.at.saturating_sub(driver.started.elapsed());
+        let wait = call.send_at.saturating_sub(driver.started.elapsed());
         if !wait.is_zero() {
             actix_rt::time::sleep(wait).await;
         }
@@ -153,9 +153,9 @@
             kind: call.kind,
             tasks: call.run_ms.len() as u64,
             slot_time: call.slot_time(),
-            at: call.at,
+            send_at: call.send_at,
             // Counts from the planned send time, even if this process sent the call late.
-            response: self.started.elapsed().saturating_sub(call.at),
+            response: self.started.elapsed().saturating_sub(call.send_at),
             ideal: call.ideal(self.round_trips),
             outcome,
         }
--- a/crates/load/src/plan.rs
+++ b/crates/load/src/plan.rs
@@ -61,7 +61,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlannedCall {
     /// Planned send time, from the start of the run.
-    pub at: Duration,
+    pub send_at: Duration,
     /// Index of the customer.
     pub customer: usize,
     /// Kind of the call.
@@ -119,7 +119,7 @@
             .map(|_| parameters.sample_run_ms(&mut rng))
             .collect();
         calls.push(PlannedCall {
-            at: Duration::from_secs_f64(at),
+            send_at: Duration::from_secs_f64(at),
             customer,
             kind: if is_request {
                 CallKind::Request
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -41,7 +41,7 @@
     /// Total slot time of the tasks.
     pub slot_time: Duration,
     /// Planned send time, from the start of the run.
-    pub at: Duration,
+    pub send_at: Duration,
     /// Time from the planned send time to the answer.
     pub response: Duration,
     /// Response time of a system without queues.
--- a/crates/load/tests/plan.rs
+++ b/crates/load/tests/plan.rs
@@ -82,8 +82,10 @@
 fn calls_are_in_order_and_at_the_requested_rate() {
     let settings = long_run_settings(LoadShape::Trust);
     let calls = plan_load(&settings);
-    assert!(calls.windows(2).all(|pair| pair[0].at <= pair[1].at));
-    assert!(calls.last().unwrap().at < settings.duration);
+    assert!(calls
+        .windows(2)
+        .all(|pair| pair[0].send_at <= pair[1].send_at));
+    assert!(calls.last().unwrap().send_at < settings.duration);
     let tasks = run_times(&calls).len() as f64;
     assert_near(tasks / settings.duration.as_secs_f64(), 1_000.0, 0.05);
 }
@@ -97,8 +99,8 @@
     let calls = plan_load(&settings);
     let calls_between = |from: f64, to: f64| {
         let inside = calls.iter().filter(|call| {
-            let at = call.at.as_secs_f64() / settings.duration.as_secs_f64();
-            at >= from && at < to
+            let run_fraction = call.send_at.as_secs_f64() / settings.duration.as_secs_f64();
+            run_fraction >= from && run_fraction < to
         });
         inside.count() as f64
     };
--- a/crates/load/tests/report.rs
+++ b/crates/load/tests/report.rs
@@ -13,7 +13,7 @@
         kind: CallKind::Job,
         tasks: 4,
         slot_time: Duration::from_millis(200),
-        at: Duration::ZERO,
+        send_at: Duration::ZERO,
         response: Duration::from_millis(response_ms),
         ideal: Duration::from_millis(100),
         outcome,
