--- a/crates/demo/tests/border/good_calls.rs
+++ b/crates/demo/tests/border/good_calls.rs
@@ -1,4 +1,4 @@
-//! What callers may send, against real entries: one whole answer each, and one start.
+//! Valid calls to real entries: each gets a complete answer, and each task starts once.
 
 use std::net::SocketAddr;
 
@@ -10,10 +10,11 @@
 use stand_ins::platform::{DownMode, FaultSettings};
 
 use crate::caller::{
-    call, fleet, issue, job, message, post, post_with, request, send, wait_for, HttpReply,
+    call, http_message, issue_ticket, job, post, post_with, request, send, start_fleet, wait_for,
+    HttpReply,
 };
 
-/// One slot, so that a second task has to wait for the first.
+/// A fleet with one slot, so that a second task has to wait for the first.
 fn one_slot() -> FleetSettings {
     FleetSettings {
         endpoints: 1,
@@ -22,8 +23,8 @@
     }
 }
 
-/// A payload that runs long enough to be looked at while it runs.
-fn long(label: &str) -> Vec<u8> {
+/// A payload whose task runs for two seconds, long enough to query its state while it runs.
+fn long_payload(label: &str) -> Vec<u8> {
     format!(r#"{{"run_ms":2000,"label":"{label}"}}"#).into_bytes()
 }
 
@@ -35,11 +36,16 @@
 
 #[actix_rt::test]
 async fn payloads_come_back_byte_for_byte() {
-    let fleet = fleet(FleetSettings::default()).await;
+    let fleet = start_fleet(FleetSettings::default()).await;
     let entries = fleet.caller_addresses();
-    let every: Vec<u8> = (0..=255).collect();
-    let largest: Vec<u8> = every.iter().copied().cycle().take(64 * 1024).collect();
-    let payloads: [&[u8]; 4] = [b"", &every, &largest, b"\0"];
+    let all_byte_values: Vec<u8> = (0..=255).collect();
+    let largest: Vec<u8> = all_byte_values
+        .iter()
+        .copied()
+        .cycle()
+        .take(64 * 1024)
+        .collect();
+    let payloads: [&[u8]; 4] = [b"", &all_byte_values, &largest, b"\0"];
     for payload in payloads {
         let reply = post(entries[0], "/v1/requests", &request(payload)).await;
         check_complete(&reply, payload);
@@ -54,10 +60,10 @@
     assert_eq!(fleet.stop().await, 0);
 }
 
-// The content type is not looked at: `curl -d` sends that of a form, and what is read is JSON or refused.
+// Entries ignore the content type, because `curl -d` sends that of a form. A body that is not JSON is refused.
 #[actix_rt::test]
-async fn odd_but_good_calls_run() {
-    let fleet = fleet(FleetSettings::default()).await;
+async fn unusual_but_valid_calls_run() {
+    let fleet = start_fleet(FleetSettings::default()).await;
     let entry = fleet.caller_addresses()[0];
     let mut hints = request(b"hints");
     hints["task"]["declared_run_ms"] = json!(u64::MAX);
@@ -95,12 +101,12 @@
     assert_eq!(fleet.stop().await, 0);
 }
 
-/// Sends the same message through two entries, at once or one after the other, and checks for one start and one
-/// answer.
-async fn check_once(fleet: &DemoFleet, bytes: &[u8], payload: &[u8], at_once: bool) {
+/// Sends the same message through two entries, concurrently or one after the other, and checks that the task starts
+/// once and all answers are equal.
+async fn check_runs_once(fleet: &DemoFleet, bytes: &[u8], payload: &[u8], concurrent: bool) {
     let entries = fleet.caller_addresses();
     let starts = fleet.starts();
-    let (first, second) = if at_once {
+    let (first, second) = if concurrent {
         join(send(entries[0], bytes), send(entries[1], bytes)).await
     } else {
         (send(entries[0], bytes).await, send(entries[1], bytes).await)
@@ -113,37 +119,37 @@
     assert_eq!(fleet.starts(), starts + 1, "ran twice");
 }
 
-// What the caller sees: the same answer to each arrival of a request, through whichever entry it came.
-// What happens: the caller, or a proxy for it, sends a request under one name twice, at once or after its answer.
-// Why: the second arrival is a retry and no second request; running it would book twice.
+// Guards against running a retried request twice, which would book twice. The caller, or a proxy on its behalf, sends a
+// request with the same key or ticket again, concurrently or after the answer, through either entry. Each attempt must
+// get the same answer.
 #[actix_rt::test]
-async fn a_name_runs_once_through_both_entries() {
-    let fleet = fleet(FleetSettings::default()).await;
+async fn a_repeated_request_runs_once_across_entries() {
+    let fleet = start_fleet(FleetSettings::default()).await;
     let entry = fleet.caller_addresses()[0];
-    for at_once in [false, true] {
-        for turn in 0..5 {
-            let payload = format!("ticket {at_once} {turn}").into_bytes();
+    for concurrent in [false, true] {
+        for iteration in 0..5 {
+            let payload = format!("ticket {concurrent} {iteration}").into_bytes();
             let mut body = request(&payload);
-            body["ticket"] = issue(entry).await;
-            let bytes = message("POST", "/v1/requests", "", body.to_string().as_bytes());
-            check_once(&fleet, &bytes, &payload, at_once).await;
-            let payload = format!("key {at_once} {turn}").into_bytes();
-            let key = format!("idempotency-key: {at_once}-{turn}\r\n");
+            body["ticket"] = issue_ticket(entry).await;
+            let bytes = http_message("POST", "/v1/requests", "", body.to_string().as_bytes());
+            check_runs_once(&fleet, &bytes, &payload, concurrent).await;
+            let payload = format!("key {concurrent} {iteration}").into_bytes();
+            let key = format!("idempotency-key: {concurrent}-{iteration}\r\n");
             let body = request(&payload).to_string();
-            let bytes = message("POST", "/v1/requests", &key, body.as_bytes());
-            check_once(&fleet, &bytes, &payload, at_once).await;
+            let bytes = http_message("POST", "/v1/requests", &key, body.as_bytes());
+            check_runs_once(&fleet, &bytes, &payload, concurrent).await;
         }
     }
     assert_eq!(fleet.stop().await, 0);
 }
 
-// What the caller sees: 503 key_not_recorded with when to come back; later, through any entry, the answer.
-// What happens: the platform's table is out of reach while a keyed request comes, and back when it comes again.
-// Why: without the row a retry through another entry could run too, so nothing may run before the row stands; and a
-// key whose first arrival was refused must not be spent.
+// A keyed request arrives while the platform's table is unreachable, and again after the table is back. Without the
+// key's row a retry through another entry could run as well, so nothing may run before the row is written: the caller
+// gets 503 key_not_recorded with a retry time. The refusal must not use up the key: the retry gets the answer through
+// any entry.
 #[actix_rt::test]
-async fn a_key_waits_for_the_platform() {
-    let fleet = fleet(FleetSettings::default()).await;
+async fn a_keyed_request_is_refused_while_the_platform_is_down() {
+    let fleet = start_fleet(FleetSettings::default()).await;
     let entries = fleet.caller_addresses();
     let modes = [
         DownMode::Unavailable,
@@ -155,7 +161,7 @@
         let key = format!("idempotency-key: outage-{index}\r\n");
         let mut body = request(&payload);
         body["deadline_ms"] = json!(1_000);
-        let bytes = message("POST", "/v1/requests", &key, body.to_string().as_bytes());
+        let bytes = http_message("POST", "/v1/requests", &key, body.to_string().as_bytes());
         fleet.set_platform_faults(FaultSettings::down(mode));
         for entry in &entries {
             let reply = send(*entry, &bytes).await;
@@ -175,18 +181,18 @@
     assert_eq!(fleet.stop().await, 0);
 }
 
-/// The submission that a ticket's request will be.
+/// The submission id that the request with this ticket will have.
 fn id_of(ticket: &Value) -> String {
     let text = ticket.as_str().expect("a ticket is text");
     text.trim_start_matches('t').to_owned()
 }
 
-/// Sends a ticketed request that stays open, and gives its id.
+/// Sends a request with a ticket, waits until it is pending, and returns its id and the task that awaits its answer.
 async fn open_request(
     entry: SocketAddr,
     payload: Vec<u8>,
 ) -> (String, actix_rt::task::JoinHandle<HttpReply>) {
-    let ticket = issue(entry).await;
+    let ticket = issue_ticket(entry).await;
     let id = id_of(&ticket);
     let mut body = request(&payload);
     body["ticket"] = ticket;
@@ -196,8 +202,8 @@
     (id, reply)
 }
 
-/// Waits until a submission's task has a reservation at a dispatcher. Before that it may have started, for all that
-/// the entry knows, so it could not be cancelled.
+/// Waits until a submission's task is queued at a dispatcher. Before that, the entry cannot rule out that the task has
+/// started, so the submission could not be cancelled.
 async fn wait_until_queued(entry: SocketAddr, id: &str) {
     let path = format!("/v1/explain/{id}");
     wait_for(async || {
@@ -207,17 +213,16 @@
     .await;
 }
 
-// What the caller sees: a request that waits can be taken back and did not run; one that runs cannot, and gets its
-// own answer; a job can be taken back at any time and gets no partial results.
-// What happens: one slot is taken by a long request, another request and then a job wait behind it.
-// Why: "cancelled" must be as true as "not run".
+// "cancelled" must mean that a request did not run. A long request takes the only slot, and another request and then a
+// job wait for it. The waiting request can be cancelled and does not run; the running request cannot be cancelled and
+// gets its answer. A job can be cancelled at any time and gets no partial results.
 #[actix_rt::test]
-async fn cancelling_says_what_it_did() {
-    let fleet = fleet(one_slot()).await;
+async fn cancelling_reports_whether_the_submission_ran() {
+    let fleet = start_fleet(one_slot()).await;
     let entries = fleet.caller_addresses();
-    let (running, answer) = open_request(entries[0], long("runs")).await;
+    let (running, answer) = open_request(entries[0], long_payload("runs")).await;
     wait_for(async || fleet.starts() == 1).await;
-    let (waiting, refused) = open_request(entries[0], long("waits")).await;
+    let (waiting, refused) = open_request(entries[0], long_payload("waits")).await;
     wait_until_queued(entries[0], &waiting).await;
     let path = format!("/v1/requests/{waiting}");
     let reply = call(entries[0], "DELETE", &path).await;
@@ -234,7 +239,7 @@
         "pending"
     );
     let reply = answer.await.expect("an answer");
-    check_complete(&reply, &long("runs"));
+    check_complete(&reply, &long_payload("runs"));
     assert_eq!(call(entries[0], "DELETE", &path).await.status, 404);
     assert_eq!(call(entries[1], "GET", &path).await.json, reply.json);
     assert_eq!(fleet.starts(), 1, "a cancelled request ran");
@@ -242,28 +247,27 @@
     assert_eq!(fleet.stop().await, 0);
 }
 
-/// The id of the next submission: its serial is the one after a ticket's.
+/// The id of the next submission, whose serial follows that of a ticket issued now.
 async fn next_id(entry: SocketAddr) -> SubmissionId {
-    let mut id: SubmissionId = id_of(&issue(entry).await).parse().expect("an id");
+    let mut id: SubmissionId = id_of(&issue_ticket(entry).await).parse().expect("an id");
     id.serial += 1;
     id
 }
 
-// What the caller sees: its keyed request is refused as cancelled, and when it is sent again it runs, once.
-// What happens: the key's row is written, the request waits for a slot and is taken back; then it comes again through
-// the other entry, which finds the row and passes it on to the first.
-// Why: a refusal says that nothing ran, so the key is not spent; only the entry in the row may start it.
+// A keyed request is cancelled while it waits for a slot, after the key's row was written. The refusal says that
+// nothing ran, so the key is not used up: sent again, the request must run once. Only the entry named in the row may
+// start it, so the other entry finds the row and forwards the request.
 #[actix_rt::test]
-async fn a_refused_key_runs_when_it_comes_again() {
-    let fleet = fleet(one_slot()).await;
+async fn a_cancelled_keyed_request_runs_when_resent() {
+    let fleet = start_fleet(one_slot()).await;
     let entries = fleet.caller_addresses();
-    let (_, holder) = open_request(entries[0], long("holds")).await;
+    let (_, holder) = open_request(entries[0], long_payload("holds")).await;
     wait_for(async || fleet.starts() == 1).await;
     let id = next_id(entries[0]).await.to_string();
     let path = format!("/v1/requests/{id}");
     let body = request(b"again").to_string();
     let key = "idempotency-key: again\r\n";
-    let bytes = message("POST", "/v1/requests", key, body.as_bytes());
+    let bytes = http_message("POST", "/v1/requests", key, body.as_bytes());
     let sent = bytes.clone();
     let entry = entries[0];
     let refused = actix_rt::spawn(async move { send(entry, &sent).await });
@@ -278,14 +282,14 @@
     let (first, second) = join(send(entries[1], &bytes), send(entries[0], &bytes)).await;
     check_complete(&first, b"again");
     assert_eq!(first.json, second.json);
-    check_complete(&holder.await.expect("an answer"), &long("holds"));
+    check_complete(&holder.await.expect("an answer"), &long_payload("holds"));
     assert_eq!(fleet.starts(), 2);
     assert_eq!(fleet.stop().await, 0);
 }
 
 async fn cancel_job(fleet: &DemoFleet, entry: SocketAddr) {
     let path = format!("/v1/jobs/{}", next_id(entry).await);
-    let body = job(&[&long("first"), &long("second")]);
+    let body = job(&[&long_payload("first"), &long_payload("second")]);
     let answer = actix_rt::spawn(async move { post(entry, "/v1/jobs", &body).await });
     wait_for(async || fleet.starts() == 2).await;
     let reply = call(entry, "DELETE", &path).await;
@@ -300,27 +304,27 @@
 }
 
 #[actix_rt::test]
-async fn outcomes_are_told_by_every_entry() {
-    let fleet = fleet(FleetSettings::default()).await;
+async fn every_entry_reports_an_outcome() {
+    let fleet = start_fleet(FleetSettings::default()).await;
     let entries = fleet.caller_addresses();
     let reply = post(entries[0], "/v1/requests", &request(b"told")).await;
     check_complete(&reply, b"told");
     let path = format!("/v1/requests/{}", reply.text("id"));
     for entry in &entries {
         assert_eq!(call(*entry, "GET", &path).await.json, reply.json);
-        // Neither an entry that is gone nor a serial that was never given out is taken for "not run".
-        let own = reply.text("id").rsplit_once('-').expect("two parts").0;
-        for id in ["0000000000000001-1", &format!("{own}-999999")] {
+        // An entry that is gone or a serial that was never issued must not be reported as "not run".
+        let incarnation = reply.text("id").rsplit_once('-').expect("two parts").0;
+        for id in ["0000000000000001-1", &format!("{incarnation}-999999")] {
             let reply = call(*entry, "GET", &format!("/v1/requests/{id}")).await;
-            let told = (reply.status, reply.text("status"), reply.text("reason"));
-            assert_eq!(told, (200, "unknown", "entry_gone"), "{id}");
+            let outcome = (reply.status, reply.text("status"), reply.text("reason"));
+            assert_eq!(outcome, (200, "unknown", "entry_gone"), "{id}");
         }
     }
-    let (open, answer) = open_request(entries[0], long("open")).await;
+    let (open, answer) = open_request(entries[0], long_payload("open")).await;
     for entry in &entries {
         let reply = call(*entry, "GET", &format!("/v1/requests/{open}")).await;
         assert_eq!((reply.status, reply.text("status")), (202, "pending"));
     }
-    check_complete(&answer.await.expect("an answer"), &long("open"));
+    check_complete(&answer.await.expect("an answer"), &long_payload("open"));
     assert_eq!(fleet.stop().await, 0);
 }
--- a/crates/load/src/counters.rs
+++ b/crates/load/src/counters.rs
@@ -1,4 +1,4 @@
-//! Counters of the system's processes, read from their metrics pages.
+//! Counters read from the metrics pages of the system's processes.
 
 use std::{net::SocketAddr, ops::Sub};
 
@@ -7,23 +7,23 @@
 
 use crate::error::LoadError;
 
-const MAX_PAGE: usize = 4 * 1024 * 1024;
+const MAX_PAGE_BYTES: usize = 4 * 1024 * 1024;
 
-/// Sums over the processes read.
+/// Counters summed over all processes that were read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct CounterTotals {
-    /// Messages about tasks between processes.
+    /// Messages about tasks sent between processes.
     pub messages: f64,
-    /// Those of them that led to no start.
+    /// Messages that did not lead to a task start.
     pub wasted: f64,
-    /// Tasks placed again after a definite not-run.
+    /// Tasks placed again after an attempt that definitely did not run.
     pub retries: f64,
     /// Tasks offered to dispatchers.
     pub offers: f64,
 }
 
 impl CounterTotals {
-    /// Adds what a page of Prometheus text tells.
+    /// Adds the counters of a metrics page in the Prometheus text format.
     pub fn add_page(&mut self, page: &str) {
         for line in page.lines() {
             let Some((name, value)) = line.rsplit_once(' ') else {
@@ -57,36 +57,38 @@
     }
 }
 
-/// Reads the metrics page of every process and adds them up.
+/// Reads the metrics page of every process and sums the counters.
 ///
 /// # Errors
 ///
-/// A page could not be had: a sum without it would be wrong.
+/// Returns [`LoadError::Page`] if any page could not be read, because a sum without that page would be wrong.
 pub async fn read_counters(processes: &[SocketAddr]) -> Result<CounterTotals, LoadError> {
     let client = Client::default();
     let mut totals = CounterTotals::default();
     for process in processes {
-        let page = get_page(&client, format!("http://{process}/metrics"), MAX_PAGE).await?;
+        let page = fetch_page(&client, format!("http://{process}/metrics"), MAX_PAGE_BYTES).await?;
         totals.add_page(&String::from_utf8_lossy(&page));
     }
     Ok(totals)
 }
 
-/// Gets a page whole.
-pub(crate) async fn get_page(
+/// Fetches the whole body of a page of at most `limit` bytes.
+pub(crate) async fn fetch_page(
     client: &Client,
     url: String,
     limit: usize,
 ) -> Result<Vec<u8>, LoadError> {
-    let wrong = |cause: String| LoadError::Page {
+    let page_error = |cause: String| LoadError::Page {
         url: url.clone(),
         cause,
     };
-    let sent = client.get(&url).send().await;
-    let mut answer = sent.map_err(|error| wrong(error.to_string()))?;
+    let response = client.get(&url).send().await;
+    let mut answer = response.map_err(|error| page_error(error.to_string()))?;
     if !answer.status().is_success() {
-        return Err(wrong(answer.status().to_string()));
+        return Err(page_error(answer.status().to_string()));
     }
     let body = answer.body().limit(limit).await;
-    Ok(body.map_err(|error| wrong(error.to_string()))?.to_vec())
+    Ok(body
+        .map_err(|error| page_error(error.to_string()))?
+        .to_vec())
 }
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,7 +1,7 @@
-//! Load as the users' callers make it, and a report of what came of it.
+//! An open-loop load generator that imitates the users' callers, and the report of a run.
 //!
-//! The loop is open: each call has a time at which it is meant to be sent, and its response counts from then. A system
-//! that stalls cannot slow the generator down, so its stall shows in the report.
+//! Each call has a planned send time, and its response time counts from then. A system that stalls cannot slow the
+//! generator down, so the stall shows in the report.
 
 mod chart;
 mod counters;
@@ -13,12 +13,12 @@
 mod starts;
 
 pub use crate::{
-    chart::{draw_curves, CurveLine},
+    chart::{draw_curves, ResponseCurve},
     counters::{read_counters, CounterTotals},
     driver::{run_load, LoadTargets},
     error::LoadError,
-    plan::{plan_load, CallKind, LoadSettings, PlannedCall, RUSH_FACTOR},
-    report::{CallEnd, CallRecord, CustomerReport, LoadReport, ReportInput, ResponseTimes},
-    shape::{LoadShape, ShapeTable},
+    plan::{plan_load, CallKind, LoadSettings, PlannedCall, BURST_FACTOR},
+    report::{CallOutcome, CallRecord, CustomerReport, LoadReport, ReportInput, ResponseRatios},
+    shape::{LoadShape, ShapeParameters},
     starts::{summarise_starts, StartSummary, TaskStart},
 };
--- a/crates/load/src/plan.rs
+++ b/crates/load/src/plan.rs
@@ -1,4 +1,4 @@
-//! The plan of a run: every call with the time at which it is meant to be sent.
+//! The plan of a load run: every call with its planned send time.
 
 use std::time::Duration;
 
@@ -6,30 +6,31 @@
 
 use crate::shape::LoadShape;
 
-/// How many times the usual rate comes in the morning rush.
-pub const RUSH_FACTOR: f64 = 10.0;
-/// The rush, as parts of the run.
-const RUSH: (f64, f64) = (0.4, 0.5);
+/// The rate during a burst, which imitates the morning rush, as a multiple of the base rate.
+pub const BURST_FACTOR: f64 = 10.0;
+/// Start and end of the burst, as fractions of the run.
+const BURST_WINDOW: (f64, f64) = (0.4, 0.5);
 
-/// What load to make.
+/// Settings of a load run.
 #[derive(Clone, Debug)]
 pub struct LoadSettings {
-    /// Whose load.
+    /// Shape of the load.
     pub shape: LoadShape,
-    /// The same seed plans the same calls.
+    /// Seed of the plan; the same seed gives the same calls.
     pub seed: u64,
-    /// Task starts a second, outside a rush.
+    /// Task starts per second outside a burst.
     pub task_rate: f64,
-    /// How long calls are sent.
+    /// How long calls are sent for.
     pub duration: Duration,
-    /// How many customers call.
+    /// Number of customers that submit calls.
     pub customers: usize,
-    /// Whether a tenth of the run has ten times the rate.
+    /// Whether a tenth of the run is a burst with ten times the rate.
     pub burst: bool,
-    /// Added to the longest task's run time to give the ideal response: the round trips from caller to endpoint.
+    /// Time of the round trips from caller to endpoint, which is added to the run time of the longest task to give the
+    /// ideal response.
     pub round_trips: Duration,
-    /// How long an answer is waited for before the call counts as lost.
-    pub patience: Duration,
+    /// How long to wait for an answer before the call counts as lost.
+    pub answer_timeout: Duration,
 }
 
 impl Default for LoadSettings {
@@ -42,83 +43,85 @@
             customers: 3,
             burst: false,
             round_trips: Duration::from_millis(2),
-            patience: Duration::from_secs(20),
+            answer_timeout: Duration::from_secs(20),
         }
     }
 }
 
-/// What a call is.
+/// Kind of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
-    /// Parallel tasks with one answer.
+    /// A job: parallel tasks with one answer.
     Job,
-    /// One non-idempotent task.
+    /// A request: one non-idempotent task.
     Request,
 }
 
-/// A call of the plan.
+/// A planned call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlannedCall {
-    /// When it is meant to be sent, from the start of the run.
-    pub at: Duration,
-    /// The index of its customer.
+    /// Planned send time, from the start of the run.
+    pub send_at: Duration,
+    /// Index of the customer.
     pub customer: usize,
-    /// What it is.
+    /// Kind of the call.
     pub kind: CallKind,
-    /// The run time of each task, in milliseconds.
+    /// Run time of each task, in milliseconds.
     pub run_ms: Vec<u64>,
 }
 
 impl PlannedCall {
-    /// The response of a system without queues.
+    /// Response time of a system without queues: the longest run time plus the round trips.
     pub fn ideal(&self, round_trips: Duration) -> Duration {
         let longest = self.run_ms.iter().copied().max().unwrap_or(0);
         Duration::from_millis(longest) + round_trips
     }
 
-    /// The slot time of all its tasks.
+    /// Total slot time of the tasks.
     pub fn slot_time(&self) -> Duration {
         Duration::from_millis(self.run_ms.iter().sum())
     }
 }
 
-/// Plans every call of a run, in the order of their times. Arrivals are a Poisson process.
+/// Plans every call of a run, ordered by send time. Arrivals follow a Poisson process.
 pub fn plan_load(settings: &LoadSettings) -> Vec<PlannedCall> {
-    let table = settings.shape.table();
+    let parameters = settings.shape.parameters();
     let mut rng = Rng::with_seed(settings.seed);
-    let usual = settings.task_rate / table.mean_tasks();
+    let base_rate = settings.task_rate / parameters.mean_tasks();
     let end = settings.duration.as_secs_f64();
     let mut calls = Vec::new();
-    if usual <= 0.0 || settings.customers == 0 {
+    if base_rate <= 0.0 || settings.customers == 0 {
         return calls;
     }
-    let most = if settings.burst {
-        usual * RUSH_FACTOR
+    let peak_rate = if settings.burst {
+        base_rate * BURST_FACTOR
     } else {
-        usual
+        base_rate
     };
     let mut at = 0.0;
     loop {
-        at += -(1.0 - rng.f64()).ln() / most;
+        at += -(1.0 - rng.f64()).ln() / peak_rate;
         if at >= end {
             return calls;
         }
-        // Thinning: candidates come at the highest rate, and outside the rush only a part of them is taken.
-        if rng.f64() >= rate_at(settings, usual, at / end) / most {
+        // Thinning: candidates arrive at the peak rate, and only a fraction of them is kept outside the burst.
+        if rng.f64() >= rate_at(settings, base_rate, at / end) / peak_rate {
             continue;
         }
-        let request = table.is_request(&mut rng);
-        let count = if request {
+        let is_request = parameters.sample_is_request(&mut rng);
+        let count = if is_request {
             1
         } else {
-            table.job_tasks(&mut rng)
+            parameters.sample_job_tasks(&mut rng)
         };
-        let customer = table.customer(&mut rng, settings.customers);
-        let run_ms = (0..count).map(|_| table.run_ms(&mut rng)).collect();
+        let customer = parameters.sample_customer(&mut rng, settings.customers);
+        let run_ms = (0..count)
+            .map(|_| parameters.sample_run_ms(&mut rng))
+            .collect();
         calls.push(PlannedCall {
-            at: Duration::from_secs_f64(at),
+            send_at: Duration::from_secs_f64(at),
             customer,
-            kind: if request {
+            kind: if is_request {
                 CallKind::Request
             } else {
                 CallKind::Job
@@ -128,9 +131,9 @@
     }
 }
 
-fn rate_at(settings: &LoadSettings, usual: f64, part: f64) -> f64 {
-    if settings.burst && part >= RUSH.0 && part < RUSH.1 {
-        return usual * RUSH_FACTOR;
+fn rate_at(settings: &LoadSettings, base_rate: f64, run_fraction: f64) -> f64 {
+    if settings.burst && run_fraction >= BURST_WINDOW.0 && run_fraction < BURST_WINDOW.1 {
+        return base_rate * BURST_FACTOR;
     }
-    usual
+    base_rate
 }
