--- a/crates/scenario/src/load.rs
+++ b/crates/scenario/src/load.rs
@@ -28,21 +28,21 @@
 
 /// Whether an entry takes submissions, as the balancer knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum DoorState {
+pub(crate) enum BackendState {
     /// It was ready, so the balancer sends submissions there.
-    Open,
+    Ready,
     /// It was started but not ready yet: whoever calls it all the same must get an answer.
     Unready,
     /// It was not started, or told to end, or frozen: whoever calls it all the same can ask for no answer.
-    Closed,
+    Down,
 }
 
 /// An entry as the balancer sees it.
 #[derive(Clone, Debug)]
-pub(crate) struct EntryDoor {
+pub(crate) struct EntryBackend {
     pub(crate) vm: Label,
     pub(crate) address: SocketAddr,
-    pub(crate) state: DoorState,
+    pub(crate) state: BackendState,
 }
 
 /// A group of submissions of one step.
@@ -60,7 +60,7 @@
 /// What callers and operators know.
 #[derive(Default)]
 struct LoadInner {
-    doors: Vec<EntryDoor>,
+    backends: Vec<EntryBackend>,
     groups: Vec<GroupState>,
     submissions: Vec<OpenSubmission>,
     tickets: NameMap<(CustomerId, String)>,
@@ -70,10 +70,10 @@
 }
 
 impl LoadInner {
-    fn open_doors(&self) -> Vec<EntryDoor> {
-        let open = self.doors.iter();
-        let open = open.filter(|door| door.state == DoorState::Open);
-        open.cloned().collect()
+    fn ready_backends(&self) -> Vec<EntryBackend> {
+        let ready = self.backends.iter();
+        let ready = ready.filter(|backend| backend.state == BackendState::Ready);
+        ready.cloned().collect()
     }
 }
 
@@ -85,9 +85,9 @@
 }
 
 impl CallerLoad {
-    pub(crate) fn new(seed: u64, doors: Vec<EntryDoor>) -> Self {
+    pub(crate) fn new(seed: u64, backends: Vec<EntryBackend>) -> Self {
         let inner = LoadInner {
-            doors,
+            backends,
             rng: Rng::with_seed(seed),
             ..LoadInner::default()
         };
@@ -98,10 +98,10 @@
     }
 
     /// Notes the state of a VM's entry.
-    pub(crate) fn set_door(&self, vm: &str, state: DoorState) {
-        for door in &mut self.inner.borrow_mut().doors {
-            if door.vm == vm {
-                door.state = state;
+    pub(crate) fn set_backend_state(&self, vm: &str, state: BackendState) {
+        for backend in &mut self.inner.borrow_mut().backends {
+            if backend.vm == vm {
+                backend.state = state;
             }
         }
     }
@@ -116,24 +116,24 @@
     }
 
     /// The door of a VM, or one of the open ones.
-    pub(crate) fn door(&self, via: Option<&Label>) -> Result<EntryDoor, StepError> {
+    pub(crate) fn backend(&self, via: Option<&Label>) -> Result<EntryBackend, StepError> {
         let mut inner = self.inner.borrow_mut();
         if let Some(vm) = via {
-            let found = inner.doors.iter().find(|door| door.vm == *vm);
+            let found = inner.backends.iter().find(|backend| backend.vm == *vm);
             return found
                 .cloned()
                 .ok_or_else(|| StepError::UnknownVm(vm.clone()));
         }
-        let open = inner.open_doors();
+        let ready = inner.ready_backends();
         inner
             .rng
-            .choice(open)
+            .choice(ready)
             .ok_or_else(|| StepError::UnknownVm("with an open entry".to_owned()))
     }
 
     /// The entries that take submissions.
-    pub(crate) fn open_doors(&self) -> Vec<EntryDoor> {
-        self.inner.borrow().open_doors()
+    pub(crate) fn ready_backends(&self) -> Vec<EntryBackend> {
+        self.inner.borrow().ready_backends()
     }
 
     pub(crate) fn keep_ticket(&self, name: &str, customer: &CustomerId, ticket: String) {
@@ -148,7 +148,7 @@
     pub(crate) fn submit(&self, step: &SubmitStep) -> Result<(), StepError> {
         let mark = self.mark(step)?;
         if let Some(vm) = &step.via {
-            self.door(Some(vm))?;
+            self.backend(Some(vm))?;
         }
         self.inner.borrow_mut().groups.push(GroupState {
             name: step.name.clone(),
@@ -187,7 +187,7 @@
         };
         let run_label = run_label(step, &name);
         let payloads = payloads(step, &run_label);
-        let door = self.door(step.via.as_ref());
+        let backend = self.backend(step.via.as_ref());
         let mut record = SubmissionRecord {
             group: step.name.clone(),
             name,
@@ -202,14 +202,14 @@
             took: Duration::ZERO,
             disturbed: false,
         };
-        let Ok(door) = door else {
+        let Ok(backend) = backend else {
             record.disturbed = true;
             record.answer = Some(caller::lost("no entry takes submissions".to_owned()));
             self.push(record);
             return;
         };
-        record.disturbed = door.state == DoorState::Closed;
-        record.via = door.vm;
+        record.disturbed = backend.state == BackendState::Down;
+        record.via = backend.vm;
         let index = self.push(record);
         let request = CallerRequest {
             customer: step.customer.clone(),
@@ -221,7 +221,7 @@
         let load = self.clone();
         actix_rt::spawn(async move {
             let limit = request.deadline + CALLER_PATIENCE;
-            let answer = caller::submit(door.address, &request, limit).await;
+            let answer = caller::submit(backend.address, &request, limit).await;
             load.keep_answer(index, answer);
         });
     }
@@ -327,12 +327,12 @@
     /// Looks at the contracts of every open entry again and again, until the run ends.
     pub(crate) async fn watch_contracts(self) {
         loop {
-            for door in self.open_doors() {
-                if let Some(shown) = caller::contracts(door.address).await {
+            for backend in self.ready_backends() {
+                if let Some(shown) = caller::contracts(backend.address).await {
                     self.inner
                         .borrow_mut()
                         .sightings
-                        .extend(read_sightings(&door.vm, &shown));
+                        .extend(read_sightings(&backend.vm, &shown));
                 }
             }
             actix_rt::time::sleep(SIGHTING_PAUSE).await;
--- a/crates/scenario/src/runner/conditions.rs
+++ b/crates/scenario/src/runner/conditions.rs
@@ -149,10 +149,10 @@
         expected: &ExpectedAnswer,
     ) -> Result<Look, StepError> {
         let mut names = Vec::new();
-        for door in self.load.open_doors() {
+        for backend in self.load.ready_backends() {
             self.probes += 1;
             let name = format!("probe{}", self.probes);
-            self.load.submit(&probe_job(&name, customer, door.vm))?;
+            self.load.submit(&probe_job(&name, customer, backend.vm))?;
             names.push(name);
         }
         let mut state = Vec::new();
--- a/crates/scenario/src/runner/mod.rs
+++ b/crates/scenario/src/runner/mod.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     error::StepError,
-    load::{CallerLoad, DoorState, EntryDoor},
+    load::{BackendState, CallerLoad, EntryBackend},
     operator,
     process::{ChildProcess, ChildSignal, ProcessName},
     promises::{check_promises, BrokenPromise, PromiseLimits},
@@ -160,15 +160,15 @@
         }
         let seed = settings.seed.or(seed).unwrap_or(DEFAULT_SEED);
         let world = ScenarioWorld::build(script, fields, settings.binary, settings.dir)?;
-        let mut doors = Vec::new();
+        let mut backends = Vec::new();
         for vm in &world.vms {
-            doors.push(EntryDoor {
+            backends.push(EntryBackend {
                 vm: vm.name.clone(),
                 address: vm.caller,
-                state: DoorState::Closed,
+                state: BackendState::Down,
             });
         }
-        let load = CallerLoad::new(seed, doors);
+        let load = CallerLoad::new(seed, backends);
         Ok(Self {
             seed,
             world,
--- a/crates/scenario/src/runner/steps.rs
+++ b/crates/scenario/src/runner/steps.rs
@@ -12,7 +12,7 @@
 use crate::{
     caller,
     error::StepError,
-    load::DoorState,
+    load::BackendState,
     operator,
     process::{ChildSignal, ProcessName},
     script::{
@@ -54,7 +54,7 @@
         for name in &names {
             self.world.start(name)?;
             if name.role == ProcessRole::Entry {
-                self.load.set_door(&name.vm, DoorState::Unready);
+                self.load.set_backend_state(&name.vm, BackendState::Unready);
             }
         }
         if unready {
@@ -80,14 +80,14 @@
         let address = self.world.vm(&name.vm)?.probe_address(name.role);
         let ready = caller::probe(address, "ready").await;
         if ready && name.role == ProcessRole::Entry {
-            self.load.set_door(&name.vm, DoorState::Open);
+            self.load.set_backend_state(&name.vm, BackendState::Ready);
         }
         Ok(ready)
     }
 
     async fn get_ticket(&mut self, step: &TicketStep) -> Result<(), StepError> {
-        let door = self.load.door(step.via.as_ref())?;
-        let ticket = caller::ticket(door.address, &step.customer).await;
+        let backend = self.load.backend(step.via.as_ref())?;
+        let ticket = caller::ticket(backend.address, &step.customer).await;
         let ticket = ticket.map_err(StepError::NoTicket)?;
         self.load.keep_ticket(&step.name, &step.customer, ticket);
         Ok(())
@@ -113,8 +113,8 @@
                 continue;
             };
             let id = start.attempt.submission;
-            let door = self.load.door(Some(&submission.via))?;
-            actix_rt::spawn(caller::cancel(door.address, !submission.request, id));
+            let backend = self.load.backend(Some(&submission.via))?;
+            actix_rt::spawn(caller::cancel(backend.address, !submission.request, id));
         }
         Ok(())
     }
@@ -126,10 +126,10 @@
                 continue;
             }
             let state = match signal {
-                ChildSignal::Thaw => DoorState::Open,
-                _ => DoorState::Closed,
+                ChildSignal::Thaw => BackendState::Ready,
+                _ => BackendState::Down,
             };
-            self.load.set_door(&name.vm, state);
+            self.load.set_backend_state(&name.vm, state);
             if matches!(signal, ChildSignal::Kill | ChildSignal::Freeze) {
                 self.load.disturb(&name.vm);
             }
@@ -172,11 +172,11 @@
     }
 
     fn change_contract(&mut self, step: &ChangeStep) -> Result<(), StepError> {
-        let door = self.load.door(step.via.as_ref())?;
+        let backend = self.load.backend(step.via.as_ref())?;
         self.load.change_begins(&step.name);
         let (load, step) = (self.load.clone(), step.clone());
         actix_rt::spawn(async move {
-            let end = operator::change(door.address, &step.line).await;
+            let end = operator::change(backend.address, &step.line).await;
             load.change_ends(&step.name, end);
         });
         Ok(())
