--- a/crates/scenario/src/load.rs
+++ b/crates/scenario/src/load.rs
@@ -22,7 +22,7 @@
 };
 
 /// The time between two looks at the contracts of the entries.
-const SIGHTING_PAUSE: Duration = Duration::from_millis(300);
+const CONTRACT_POLL_INTERVAL: Duration = Duration::from_millis(300);
 /// How long after its deadline a caller still waits, so that a late answer shows as late and not as lost.
 const CALLER_PATIENCE: Duration = Duration::from_secs(10);
 
@@ -325,7 +325,7 @@
     }
 
     /// Looks at the contracts of every open entry again and again, until the run ends.
-    pub(crate) async fn watch_contracts(self) {
+    pub(crate) async fn poll_contracts(self) {
         loop {
             for backend in self.ready_backends() {
                 if let Some(shown) = caller::contracts(backend.address).await {
@@ -335,7 +335,7 @@
                         .extend(read_sightings(&backend.vm, &shown));
                 }
             }
-            actix_rt::time::sleep(SIGHTING_PAUSE).await;
+            actix_rt::time::sleep(CONTRACT_POLL_INTERVAL).await;
         }
     }
 
--- a/crates/scenario/src/runner/conditions.rs
+++ b/crates/scenario/src/runner/conditions.rs
@@ -7,7 +7,7 @@
 
 use super::{
     expectations::{describe, fits},
-    ScenarioRun, LOOK_PAUSE,
+    ScenarioRun, POLL_INTERVAL,
 };
 use crate::{
     caller,
@@ -19,7 +19,7 @@
 const PROBE_DEADLINE: Duration = Duration::from_secs(2);
 
 /// Whether a condition holds, and how things stand.
-struct Look {
+struct ConditionStatus {
     holds: bool,
     state: String,
 }
@@ -32,39 +32,42 @@
     ) -> Result<(), StepError> {
         let begun = Instant::now();
         loop {
-            let look = self.look(condition).await?;
-            if look.holds {
+            let status = self.check_condition(condition).await?;
+            if status.holds {
                 return Ok(());
             }
             if begun.elapsed() > within {
-                let state = look.state;
+                let state = status.state;
                 return Err(StepError::TimedOut { within, state });
             }
-            actix_rt::time::sleep(LOOK_PAUSE).await;
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    async fn look(&mut self, condition: &Condition) -> Result<Look, StepError> {
+    async fn check_condition(
+        &mut self,
+        condition: &Condition,
+    ) -> Result<ConditionStatus, StepError> {
         match condition {
-            Condition::Running { bound, endpoint } => Ok(count_look(
+            Condition::Running { bound, endpoint } => Ok(count_status(
                 self.running(endpoint.as_deref())?,
                 *bound,
                 "running",
             )),
             Condition::Started { group, bound } => {
-                Ok(count_look(self.starts(group)?, *bound, "started"))
+                Ok(count_status(self.starts(group)?, *bound, "started"))
             }
             Condition::Answered { group, bound } => {
                 let (answered, all) = self.load.answered(group)?;
                 let bound = bound.unwrap_or(CountBound::Exactly(all));
-                Ok(count_look(answered, bound, "answered"))
+                Ok(count_status(answered, bound, "answered"))
             }
-            Condition::Ready(target) => self.look_ready(target, true).await,
-            Condition::Unready(target) => self.look_ready(target, false).await,
-            Condition::Live(target) => self.look_live(target).await,
-            Condition::Exited(target) => self.look_exited(target),
+            Condition::Ready(target) => self.check_ready(target, true).await,
+            Condition::Unready(target) => self.check_ready(target, false).await,
+            Condition::Live(target) => self.check_live(target).await,
+            Condition::Exited(target) => self.check_exited(target),
             Condition::EntriesAnswer { customer, answer } => {
-                self.look_entries(customer, answer).await
+                self.check_entry_answers(customer, answer).await
             }
         }
     }
@@ -97,24 +100,24 @@
         Ok(count)
     }
 
-    async fn look_ready(
+    async fn check_ready(
         &mut self,
         target: &ProcessTarget,
         expect: bool,
-    ) -> Result<Look, StepError> {
+    ) -> Result<ConditionStatus, StepError> {
         let mut state = Vec::new();
         for name in self.world.targets(target)? {
             if self.is_ready(&name).await? != expect {
                 state.push(format!("{name} {}", self.world.describe(&name)));
             }
         }
-        Ok(Look {
+        Ok(ConditionStatus {
             holds: state.is_empty(),
             state: state.join(", "),
         })
     }
 
-    async fn look_live(&mut self, target: &ProcessTarget) -> Result<Look, StepError> {
+    async fn check_live(&mut self, target: &ProcessTarget) -> Result<ConditionStatus, StepError> {
         let mut state = Vec::new();
         for name in self.world.targets(target)? {
             let address = self.world.vm(&name.vm)?.probe_address(name.role);
@@ -122,20 +125,20 @@
                 state.push(format!("{name} {}", self.world.describe(&name)));
             }
         }
-        Ok(Look {
+        Ok(ConditionStatus {
             holds: state.is_empty(),
             state: state.join(", "),
         })
     }
 
-    fn look_exited(&mut self, target: &ProcessTarget) -> Result<Look, StepError> {
+    fn check_exited(&mut self, target: &ProcessTarget) -> Result<ConditionStatus, StepError> {
         let mut state = Vec::new();
         for name in self.world.targets(target)? {
             if self.world.is_running(&name)? {
                 state.push(format!("{name} runs"));
             }
         }
-        Ok(Look {
+        Ok(ConditionStatus {
             holds: state.is_empty(),
             state: state.join(", "),
         })
@@ -143,11 +146,11 @@
 
     /// Sends a small job to every entry that takes submissions. The jobs are recorded like any other, so the promises
     /// hold for them too.
-    async fn look_entries(
+    async fn check_entry_answers(
         &mut self,
         customer: &CustomerId,
         expected: &ExpectedAnswer,
-    ) -> Result<Look, StepError> {
+    ) -> Result<ConditionStatus, StepError> {
         let mut names = Vec::new();
         for backend in self.load.ready_backends() {
             self.probes += 1;
@@ -162,7 +165,7 @@
                 state.extend(answer.map(|answer| format!("{} {}", record.via, describe(&answer))));
             }
         }
-        Ok(Look {
+        Ok(ConditionStatus {
             holds: state.is_empty(),
             state: state.join(", "),
         })
@@ -185,8 +188,8 @@
     }
 }
 
-fn count_look(count: usize, bound: CountBound, what: &str) -> Look {
-    Look {
+fn count_status(count: usize, bound: CountBound, what: &str) -> ConditionStatus {
+    ConditionStatus {
         holds: bound.holds(count),
         state: format!("{count} {what}"),
     }
--- a/crates/scenario/src/runner/expectations.rs
+++ b/crates/scenario/src/runner/expectations.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::{ScenarioRun, LOOK_PAUSE};
+use super::{ScenarioRun, POLL_INTERVAL};
 use crate::{
     error::StepError,
     record::{AnswerRecord, SubmissionRecord},
@@ -73,7 +73,7 @@
                 let state = format!("{answered} of {all} answered");
                 return Err(StepError::TimedOut { within, state });
             }
-            actix_rt::time::sleep(LOOK_PAUSE).await;
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -127,7 +127,7 @@
                     state: format!("change {name} is under way"),
                 });
             }
-            actix_rt::time::sleep(LOOK_PAUSE).await;
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/scenario/src/runner/mod.rs
+++ b/crates/scenario/src/runner/mod.rs
@@ -23,7 +23,7 @@
 };
 
 /// The time between two looks at a condition.
-const LOOK_PAUSE: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// How long processes may take to end once told to, which is more than their drain limit.
 const EXIT_LIMIT: Duration = Duration::from_secs(15);
 /// The seed where neither the scenario nor the settings name one.
@@ -119,10 +119,10 @@
     let begun = Instant::now();
     let limits = settings.limits;
     let mut run = ScenarioRun::new(script, settings)?;
-    let watch = actix_rt::spawn(run.load.clone().watch_contracts());
+    let contract_poll = actix_rt::spawn(run.load.clone().poll_contracts());
     let failure = run.make_steps(script).await;
     let record = run.end(limits.answer_margin).await;
-    watch.abort();
+    contract_poll.abort();
     let broken = check_promises(&record, &limits);
     Ok(RunReport {
         seed: run.seed,
@@ -219,7 +219,7 @@
     /// Waits for the answers, ends every process as a planned stop does, and gathers what is left behind.
     async fn end(&mut self, margin: Duration) -> RunRecord {
         while !self.load.is_settled(margin) {
-            actix_rt::time::sleep(LOOK_PAUSE).await;
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
         let submissions = self.load.records();
         self.end_processes().await;
@@ -246,7 +246,7 @@
             if processes.all(|process| process.has_ended()) {
                 return;
             }
-            actix_rt::time::sleep(LOOK_PAUSE).await;
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/scenario/src/runner/steps.rs
+++ b/crates/scenario/src/runner/steps.rs
@@ -8,7 +8,7 @@
     platform::{DownMode, FaultSettings, RacingWrite},
 };
 
-use super::{ScenarioRun, LOOK_PAUSE};
+use super::{ScenarioRun, POLL_INTERVAL};
 use crate::{
     caller,
     error::StepError,
@@ -69,7 +69,7 @@
                         state: format!("{name} is not ready, {}", self.world.describe(name)),
                     });
                 }
-                actix_rt::time::sleep(LOOK_PAUSE).await;
+                actix_rt::time::sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
