--- a/crates/scenario/src/load.rs
+++ b/crates/scenario/src/load.rs
@@ -16,7 +16,7 @@
     caller::{self, CallerMark, CallerRequest},
     error::StepError,
     operator::ChangeEnd,
-    record::{AnswerRecord, SubmissionRecord, VersionSighting},
+    record::{AnswerRecord, SubmissionRecord, VersionObservation},
     script::{Label, RequestMark, SubmitKind, SubmitStep},
     world::NameMap,
 };
@@ -65,7 +65,7 @@
     submissions: Vec<OpenSubmission>,
     tickets: NameMap<(CustomerId, String)>,
     changes: NameMap<Option<ChangeEnd>>,
-    sightings: Vec<VersionSighting>,
+    observations: Vec<VersionObservation>,
     rng: Rng,
 }
 
@@ -107,10 +107,10 @@
     }
 
     /// Notes that the entry of a VM was killed or frozen: what waits there can ask for no answer in time.
-    pub(crate) fn disturb(&self, vm: &str) {
+    pub(crate) fn mark_entry_unavailable(&self, vm: &str) {
         for open in &mut self.inner.borrow_mut().submissions {
             if open.record.via == vm && open.record.answer.is_none() {
-                open.record.disturbed = true;
+                open.record.entry_unavailable = true;
             }
         }
     }
@@ -200,15 +200,15 @@
             answer: None,
             sent: self.begun.elapsed(),
             took: Duration::ZERO,
-            disturbed: false,
+            entry_unavailable: false,
         };
         let Ok(backend) = backend else {
-            record.disturbed = true;
+            record.entry_unavailable = true;
             record.answer = Some(caller::lost("no entry takes submissions".to_owned()));
             self.push(record);
             return;
         };
-        record.disturbed = backend.state == BackendState::Down;
+        record.entry_unavailable = backend.state == BackendState::Down;
         record.via = backend.vm;
         let index = self.push(record);
         let request = CallerRequest {
@@ -331,16 +331,16 @@
                 if let Some(shown) = caller::contracts(backend.address).await {
                     self.inner
                         .borrow_mut()
-                        .sightings
-                        .extend(read_sightings(&backend.vm, &shown));
+                        .observations
+                        .extend(parse_observations(&backend.vm, &shown));
                 }
             }
             actix_rt::time::sleep(CONTRACT_POLL_INTERVAL).await;
         }
     }
 
-    pub(crate) fn sightings(&self) -> Vec<VersionSighting> {
-        self.inner.borrow().sightings.clone()
+    pub(crate) fn observations(&self) -> Vec<VersionObservation> {
+        self.inner.borrow().observations.clone()
     }
 }
 
@@ -375,19 +375,19 @@
 }
 
 /// Reads a list of objects with a customer and a version, wherever it stands in what an entry shows.
-fn read_sightings(vm: &str, shown: &Value) -> Vec<VersionSighting> {
+fn parse_observations(vm: &str, shown: &Value) -> Vec<VersionObservation> {
     let list = shown.get("contracts").unwrap_or(shown);
-    let mut sightings = Vec::new();
+    let mut observations = Vec::new();
     for item in list.as_array().into_iter().flatten() {
         let customer = item["customer"].as_str().and_then(|text| text.parse().ok());
         let (Some(customer), Some(version)) = (customer, item["version"].as_u64()) else {
             continue;
         };
-        sightings.push(VersionSighting {
+        observations.push(VersionObservation {
             vm: vm.to_owned(),
             customer,
             version: ContractVersion(version),
         });
     }
-    sightings
+    observations
 }
--- a/crates/scenario/src/process.rs
+++ b/crates/scenario/src/process.rs
@@ -93,7 +93,7 @@
         Ok(Self {
             name,
             child,
-            cause: ExitCause::Itself,
+            cause: ExitCause::Unrequested,
             frozen: false,
             status: None,
         })
@@ -115,7 +115,7 @@
 
     /// Whether it has been told to end.
     pub(crate) fn is_ending(&self) -> bool {
-        self.cause != ExitCause::Itself
+        self.cause != ExitCause::Unrequested
     }
 
     /// Whether it has ended.
--- a/crates/scenario/src/promises.rs
+++ b/crates/scenario/src/promises.rs
@@ -304,7 +304,7 @@
     broken: &mut Vec<BrokenPromise>,
 ) {
     let in_time = submission.took <= submission.deadline + limits.answer_margin;
-    if submission.disturbed || (in_time && submission.answer.is_some()) {
+    if submission.entry_unavailable || (in_time && submission.answer.is_some()) {
         return;
     }
     broken.push(BrokenPromise::LateAnswer {
@@ -343,10 +343,12 @@
                 attempt: start.attempt,
             });
         }
-        AnswerStatus::Lost if !submission.disturbed => broken.push(BrokenPromise::LostAnswer {
-            name,
-            reason: answer.reason.clone(),
-        }),
+        AnswerStatus::Lost if !submission.entry_unavailable => {
+            broken.push(BrokenPromise::LostAnswer {
+                name,
+                reason: answer.reason.clone(),
+            })
+        }
         AnswerStatus::Lost | AnswerStatus::Failed | AnswerStatus::Unknown => {}
     }
 }
@@ -432,19 +434,19 @@
 
 fn check_versions(record: &RunRecord, broken: &mut Vec<BrokenPromise>) {
     let mut newest = FastMap::default();
-    for sighting in &record.sightings {
-        let key = (&sighting.vm, &sighting.customer);
-        let before = *newest.entry(key).or_insert(sighting.version);
-        if sighting.version < before {
+    for observation in &record.observations {
+        let key = (&observation.vm, &observation.customer);
+        let before = *newest.entry(key).or_insert(observation.version);
+        if observation.version < before {
             broken.push(BrokenPromise::VersionWentBack {
-                vm: sighting.vm.clone(),
-                customer: sighting.customer.clone(),
+                vm: observation.vm.clone(),
+                customer: observation.customer.clone(),
                 before,
-                after: sighting.version,
+                after: observation.version,
             });
             continue;
         }
-        newest.insert(key, sighting.version);
+        newest.insert(key, observation.version);
     }
 }
 
@@ -481,7 +483,7 @@
         let right = match exit.cause {
             ExitCause::Terminated => exit.code == Some(0),
             ExitCause::Killed => true,
-            ExitCause::Itself => false,
+            ExitCause::Unrequested => false,
         };
         if right {
             continue;
--- a/crates/scenario/src/record.rs
+++ b/crates/scenario/src/record.rs
@@ -15,7 +15,7 @@
     /// Every endpoint, as its stand-in remembers.
     pub endpoints: Vec<EndpointRecord>,
     /// Every look at the contracts of an entry, in order.
-    pub sightings: Vec<VersionSighting>,
+    pub observations: Vec<VersionObservation>,
     /// Every process that has ended.
     pub exits: Vec<ExitRecord>,
 }
@@ -61,12 +61,12 @@
     /// The time from sending to the answer, or until the end of the run.
     pub took: Duration,
     /// Whether the scenario killed or froze its entry meanwhile, so that no answer can be asked for in time.
-    pub disturbed: bool,
+    pub entry_unavailable: bool,
 }
 
 /// One contract version seen at one entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct VersionSighting {
+pub struct VersionObservation {
     /// The VM of the entry.
     pub vm: Label,
     /// Whose contract.
@@ -83,7 +83,7 @@
     /// By SIGKILL.
     Killed,
     /// Not at all.
-    Itself,
+    Unrequested,
 }
 
 /// A process that has ended.
--- a/crates/scenario/src/runner/mod.rs
+++ b/crates/scenario/src/runner/mod.rs
@@ -226,7 +226,7 @@
         RunRecord {
             submissions,
             endpoints: self.world.records(),
-            sightings: self.load.sightings(),
+            observations: self.load.observations(),
             exits: self.world.take_exits(),
         }
     }
--- a/crates/scenario/src/runner/steps.rs
+++ b/crates/scenario/src/runner/steps.rs
@@ -131,7 +131,7 @@
             };
             self.load.set_backend_state(&name.vm, state);
             if matches!(signal, ChildSignal::Kill | ChildSignal::Freeze) {
-                self.load.disturb(&name.vm);
+                self.load.mark_entry_unavailable(&name.vm);
             }
         }
         Ok(())
--- a/crates/scenario/tests/promises.rs
+++ b/crates/scenario/tests/promises.rs
@@ -5,7 +5,9 @@
 use model::{AttemptId, ContractVersion, IncarnationId, SubmissionId};
 use scenario::{
     promises::{check_promises, PromiseLimits},
-    record::{AnswerRecord, ExitCause, ExitRecord, RunRecord, SubmissionRecord, VersionSighting},
+    record::{
+        AnswerRecord, ExitCause, ExitRecord, RunRecord, SubmissionRecord, VersionObservation,
+    },
     script::AnswerStatus,
 };
 use stand_ins::endpoint::{digest, EndpointRecord, RunEnd, StartRecord};
@@ -83,7 +85,7 @@
         }),
         sent: Duration::ZERO,
         took: Duration::from_millis(20),
-        disturbed: false,
+        entry_unavailable: false,
     };
     let request = SubmissionRecord {
         group: "r1".to_owned(),
@@ -106,7 +108,7 @@
             ),
             endpoint("east-e2", vec![start(1, 1, 1, "j1#1")]),
         ],
-        sightings: Vec::new(),
+        observations: Vec::new(),
         exits: Vec::new(),
     }
 }
@@ -123,8 +125,8 @@
     assert_eq!(found, expect);
 }
 
-fn sighting(vm: &str, version: u64) -> VersionSighting {
-    VersionSighting {
+fn observation(vm: &str, version: u64) -> VersionObservation {
+    VersionObservation {
         vm: vm.to_owned(),
         customer: "c1".parse().unwrap(),
         version: ContractVersion(version),
@@ -277,7 +279,7 @@
         |record| {
             record.submissions[0].answer = Some(answer(1, AnswerStatus::Lost));
             record.submissions[1].answer = Some(answer(2, AnswerStatus::Lost));
-            record.submissions[1].disturbed = true;
+            record.submissions[1].entry_unavailable = true;
         },
         &["j1 lost its answer without cause: "],
     );
@@ -298,13 +300,13 @@
 fn a_version_that_goes_back_at_one_entry_is_found() {
     check(
         |record| {
-            record.sightings = vec![
-                sighting("east-vm1", 1),
-                sighting("east-vm1", 3),
-                sighting("east-vm2", 2),
-                sighting("east-vm2", 2),
-                sighting("east-vm1", 2),
-                sighting("east-vm1", 3),
+            record.observations = vec![
+                observation("east-vm1", 1),
+                observation("east-vm1", 3),
+                observation("east-vm2", 2),
+                observation("east-vm2", 2),
+                observation("east-vm1", 2),
+                observation("east-vm1", 3),
             ];
         },
         &["east-vm1 showed version 2 of c1's contract after version 3"],
@@ -349,9 +351,9 @@
             Some("east-vm1 entry ended with code None (Terminated)"),
         ),
         (
-            ExitCause::Itself,
+            ExitCause::Unrequested,
             Some(0),
-            Some("east-vm1 entry ended with code Some(0) (Itself)"),
+            Some("east-vm1 entry ended with code Some(0) (Unrequested)"),
         ),
     ];
     for (cause, code, expect) in cases {
