--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -15,13 +15,13 @@
 mod places;
 mod platform_view;
 mod process;
-mod process_files;
+mod process_settings;
 pub mod promises;
 pub mod record;
 mod runner;
 pub mod script;
 mod sources;
-mod world;
+mod testbed;
 
 pub use crate::{
     binary::find_binary,
--- a/crates/scenario/src/load.rs
+++ b/crates/scenario/src/load.rs
@@ -18,7 +18,7 @@
     operator::ChangeEnd,
     record::{AnswerRecord, SubmissionRecord, VersionObservation},
     script::{Label, RequestMark, SubmitKind, SubmitStep},
-    world::NameMap,
+    testbed::NameMap,
 };
 
 /// The time between two looks at the contracts of the entries.
--- a/crates/scenario/src/parse/step.rs
+++ b/crates/scenario/src/parse/step.rs
@@ -28,7 +28,7 @@
 };
 
 pub(super) fn step(input: &mut Input<'_>) -> ModalResult<Step> {
-    alt((process_step, work_step, world_step, check_step)).parse_next(input)
+    alt((process_step, client_step, fault_step, check_step)).parse_next(input)
 }
 
 fn process_step(input: &mut Input<'_>) -> ModalResult<Step> {
@@ -42,7 +42,7 @@
     .parse_next(input)
 }
 
-fn work_step(input: &mut Input<'_>) -> ModalResult<Step> {
+fn client_step(input: &mut Input<'_>) -> ModalResult<Step> {
     alt((
         preceded(keyword("ticket"), cut_err(ticket)).map(Step::Ticket),
         preceded(keyword("submit"), cut_err(submit)).map(Step::Submit),
@@ -52,7 +52,7 @@
     .parse_next(input)
 }
 
-fn world_step(input: &mut Input<'_>) -> ModalResult<Step> {
+fn fault_step(input: &mut Input<'_>) -> ModalResult<Step> {
     alt((
         preceded(keyword("cut"), cut_err(cut)).map(Step::Link),
         preceded(keyword("cut-one-way"), cut_err(link(LinkChange::CutOneWay))).map(Step::Link),
--- a/crates/scenario/src/process_files.rs
+++ b/crates/scenario/src/process_settings.rs
@@ -16,7 +16,7 @@
 }
 
 /// What the settings of a VM's two processes say.
-pub(crate) struct VmFile<'a> {
+pub(crate) struct VmSettings<'a> {
     pub(crate) vm: &'a str,
     pub(crate) data_centre: &'a str,
     pub(crate) caller: SocketAddr,
@@ -29,7 +29,7 @@
     pub(crate) dispatchers: Vec<(SocketAddr, String)>,
 }
 
-impl VmFile<'_> {
+impl VmSettings<'_> {
     /// Writes the settings of one role, with the scenario's own on top.
     pub(crate) fn write(
         &self,
@@ -43,7 +43,7 @@
         };
         for line in lines {
             if line.role == role {
-                set(&mut settings, &line.path, line.value.clone());
+                set_field(&mut settings, &line.path, line.value.clone());
             }
         }
         fs::write(path, serde_json::to_vec_pretty(&settings)?)
@@ -94,13 +94,13 @@
 }
 
 /// Sets the field at a path of parts joined by dots.
-fn set(settings: &mut Value, path: &str, value: Value) {
-    let mut place = settings;
+fn set_field(settings: &mut Value, path: &str, value: Value) {
+    let mut field = settings;
     for part in path.split('.') {
-        if !place.is_object() {
-            *place = Value::Object(Map::new());
+        if !field.is_object() {
+            *field = Value::Object(Map::new());
         }
-        place = &mut place[part];
+        field = &mut field[part];
     }
-    *place = value;
+    *field = value;
 }
--- a/crates/scenario/src/runner/conditions.rs
+++ b/crates/scenario/src/runner/conditions.rs
@@ -74,9 +74,9 @@
 
     fn running(&self, endpoint: Option<&str>) -> Result<usize, StepError> {
         if let Some(name) = endpoint {
-            return Ok(self.world.endpoint(name)?.stand_in.record().running as usize);
+            return Ok(self.testbed.endpoint(name)?.stand_in.record().running as usize);
         }
-        let records = self.world.records();
+        let records = self.testbed.records();
         Ok(records.iter().map(|record| record.running as usize).sum())
     }
 
@@ -87,7 +87,7 @@
             labels.push(submission.run_label);
         }
         let mut count = 0;
-        for record in self.world.records() {
+        for record in self.testbed.records() {
             for start in record.starts {
                 let payload = start.payload.unwrap_or_default();
                 let label = TaskScript::read(payload.as_bytes())
@@ -106,9 +106,9 @@
         expect: bool,
     ) -> Result<ConditionStatus, StepError> {
         let mut state = Vec::new();
-        for name in self.world.targets(target)? {
+        for name in self.testbed.targets(target)? {
             if self.is_ready(&name).await? != expect {
-                state.push(format!("{name} {}", self.world.describe(&name)));
+                state.push(format!("{name} {}", self.testbed.describe(&name)));
             }
         }
         Ok(ConditionStatus {
@@ -119,10 +119,10 @@
 
     async fn check_live(&mut self, target: &ProcessTarget) -> Result<ConditionStatus, StepError> {
         let mut state = Vec::new();
-        for name in self.world.targets(target)? {
-            let address = self.world.vm(&name.vm)?.probe_address(name.role);
+        for name in self.testbed.targets(target)? {
+            let address = self.testbed.vm(&name.vm)?.probe_address(name.role);
             if !caller::probe(address, "live").await {
-                state.push(format!("{name} {}", self.world.describe(&name)));
+                state.push(format!("{name} {}", self.testbed.describe(&name)));
             }
         }
         Ok(ConditionStatus {
@@ -133,8 +133,8 @@
 
     fn check_exited(&mut self, target: &ProcessTarget) -> Result<ConditionStatus, StepError> {
         let mut state = Vec::new();
-        for name in self.world.targets(target)? {
-            if self.world.is_running(&name)? {
+        for name in self.testbed.targets(target)? {
+            if self.testbed.is_running(&name)? {
                 state.push(format!("{name} runs"));
             }
         }
--- a/crates/scenario/src/runner/mod.rs
+++ b/crates/scenario/src/runner/mod.rs
@@ -19,7 +19,7 @@
     promises::{check_promises, BrokenPromise, PromiseLimits},
     record::RunRecord,
     script::{AnswerStatus, ContractLine, Script, ScriptLine, Setup, Statement},
-    world::ScenarioWorld,
+    testbed::ScenarioTestbed,
 };
 
 /// The time between two looks at a condition.
@@ -136,7 +136,7 @@
 /// A scenario under way.
 struct ScenarioRun {
     seed: u64,
-    world: ScenarioWorld,
+    testbed: ScenarioTestbed,
     load: CallerLoad,
     contracts: Vec<ContractLine>,
     /// Counts the small jobs sent to ask how entries answer.
@@ -159,9 +159,9 @@
             }
         }
         let seed = settings.seed.or(seed).unwrap_or(DEFAULT_SEED);
-        let world = ScenarioWorld::build(script, fields, settings.binary, settings.dir)?;
+        let testbed = ScenarioTestbed::build(script, fields, settings.binary, settings.dir)?;
         let mut backends = Vec::new();
-        for vm in &world.vms {
+        for vm in &testbed.vms {
             backends.push(EntryBackend {
                 vm: vm.name.clone(),
                 address: vm.caller,
@@ -171,7 +171,7 @@
         let load = CallerLoad::new(seed, backends);
         Ok(Self {
             seed,
-            world,
+            testbed,
             load,
             contracts,
             probes: 0,
@@ -208,7 +208,7 @@
     }
 
     async fn make_contracts(&self) -> Result<(), StepError> {
-        let platform = self.world.platform.address();
+        let platform = self.testbed.platform.address();
         for line in &self.contracts {
             let made = operator::create(platform, line).await;
             made.map_err(StepError::Contract)?;
@@ -225,14 +225,14 @@
         self.end_processes().await;
         RunRecord {
             submissions,
-            endpoints: self.world.records(),
+            endpoints: self.testbed.records(),
             observations: self.load.observations(),
-            exits: self.world.take_exits(),
+            exits: self.testbed.take_exits(),
         }
     }
 
     async fn end_processes(&mut self) {
-        for process in self.world.processes() {
+        for process in self.testbed.processes() {
             if process.is_frozen() {
                 signal_at_end(process, ChildSignal::Thaw);
             }
@@ -242,7 +242,7 @@
         }
         let begun = Instant::now();
         while begun.elapsed() < EXIT_LIMIT {
-            let mut processes = self.world.processes().into_iter();
+            let mut processes = self.testbed.processes().into_iter();
             if processes.all(|process| process.has_ended()) {
                 return;
             }
--- a/crates/scenario/src/runner/peak.rs
+++ b/crates/scenario/src/runner/peak.rs
@@ -18,7 +18,7 @@
                 labels.push(submission.run_label);
             }
         }
-        let records = self.world.records();
+        let records = self.testbed.records();
         let mut steps = Vec::new();
         let mut first = from.map(|_| i64::MAX);
         for record in &records {
@@ -39,7 +39,7 @@
 
     pub(super) fn turned_away(&self) -> usize {
         let mut count = 0;
-        for record in self.world.records() {
+        for record in self.testbed.records() {
             let full = record
                 .refusals
                 .iter()
--- a/crates/scenario/src/runner/steps.rs
+++ b/crates/scenario/src/runner/steps.rs
@@ -36,10 +36,12 @@
             Step::Freeze(target) => self.signal(target, ChildSignal::Freeze),
             Step::Thaw(target) => self.signal(target, ChildSignal::Thaw),
             Step::Link(step) => self.change_link(step).await,
-            Step::Heal => self.world.order_link(None, LinkMode::Pass).await,
+            Step::Heal => self.testbed.order_link(None, LinkMode::Pass).await,
             Step::Platform(step) => {
-                change_faults(&mut self.world.faults, step);
-                self.world.platform.set_faults(self.world.faults.clone());
+                change_faults(&mut self.testbed.faults, step);
+                self.testbed
+                    .platform
+                    .set_faults(self.testbed.faults.clone());
                 Ok(())
             }
             Step::Endpoint(step) => self.change_endpoint(step).await,
@@ -50,9 +52,9 @@
     }
 
     async fn start(&mut self, target: &ProcessTarget, unready: bool) -> Result<(), StepError> {
-        let names = self.world.targets(target)?;
+        let names = self.testbed.targets(target)?;
         for name in &names {
-            self.world.start(name)?;
+            self.testbed.start(name)?;
             if name.role == ProcessRole::Entry {
                 self.load.set_backend_state(&name.vm, BackendState::Unready);
             }
@@ -63,10 +65,10 @@
         let begun = Instant::now();
         for name in &names {
             while !self.is_ready(name).await? {
-                if begun.elapsed() > READY_LIMIT || !self.world.is_running(name)? {
+                if begun.elapsed() > READY_LIMIT || !self.testbed.is_running(name)? {
                     return Err(StepError::TimedOut {
                         within: begun.elapsed(),
-                        state: format!("{name} is not ready, {}", self.world.describe(name)),
+                        state: format!("{name} is not ready, {}", self.testbed.describe(name)),
                     });
                 }
                 actix_rt::time::sleep(POLL_INTERVAL).await;
@@ -77,7 +79,7 @@
 
     /// Asks a process whether it is ready, and tells the callers of an entry that is.
     pub(super) async fn is_ready(&mut self, name: &ProcessName) -> Result<bool, StepError> {
-        let address = self.world.vm(&name.vm)?.probe_address(name.role);
+        let address = self.testbed.vm(&name.vm)?.probe_address(name.role);
         let ready = caller::probe(address, "ready").await;
         if ready && name.role == ProcessRole::Entry {
             self.load.set_backend_state(&name.vm, BackendState::Ready);
@@ -96,7 +98,7 @@
     /// Cancels what has no answer yet. A caller learns the id of a job only with its answer, so the id is taken from
     /// the endpoints' records: a job of which nothing has started is left alone.
     fn cancel(&mut self, group: &str) -> Result<(), StepError> {
-        let records = self.world.records();
+        let records = self.testbed.records();
         for submission in self.load.group(group)? {
             if submission.answer.is_some() {
                 continue;
@@ -120,8 +122,8 @@
     }
 
     fn signal(&mut self, target: &ProcessTarget, signal: ChildSignal) -> Result<(), StepError> {
-        for name in self.world.targets(target)? {
-            self.world.signal(&name, signal)?;
+        for name in self.testbed.targets(target)? {
+            self.testbed.signal(&name, signal)?;
             if name.role != ProcessRole::Entry {
                 continue;
             }
@@ -138,7 +140,7 @@
     }
 
     async fn change_link(&mut self, step: &LinkStep) -> Result<(), StepError> {
-        for (link, forward) in self.world.links_between(&step.from, &step.to)? {
+        for (link, forward) in self.testbed.links_between(&step.from, &step.to)? {
             let mode = match step.change {
                 LinkChange::Cut(connects) => LinkMode::Cut { connects },
                 LinkChange::CutOneWay if forward => LinkMode::OneWay {
@@ -152,20 +154,20 @@
                 },
                 LinkChange::Reset => LinkMode::Reset,
             };
-            self.world.order_link(Some(link), mode).await?;
+            self.testbed.order_link(Some(link), mode).await?;
         }
         Ok(())
     }
 
     async fn change_endpoint(&mut self, step: &EndpointStep) -> Result<(), StepError> {
-        let endpoint = self.world.endpoint(&step.name)?;
+        let endpoint = self.testbed.endpoint(&step.name)?;
         match step.change {
             EndpointChange::Fault(order) => endpoint.stand_in.order_fault(order),
             EndpointChange::Stop => endpoint.stand_in.stop().await,
             EndpointChange::Leave => {
                 let order = FaultOrder::always(Fault::LeavingSilently);
                 endpoint.stand_in.order_fault(order);
-                self.world.leave(&step.name)?;
+                self.testbed.leave(&step.name)?;
             }
         }
         Ok(())
--- a/crates/scenario/src/world.rs
+++ b/crates/scenario/src/testbed.rs
@@ -18,7 +18,7 @@
     places::{PlaceMap, PlaceName, PLATFORM},
     platform_view::{EndpointLinks, PlatformView},
     process::{ChildPlan, ChildProcess, ChildSignal, ProcessName},
-    process_files::{self, VmFile},
+    process_settings::{self, VmSettings},
     record::ExitRecord,
     script::{
         DataCentreLine, Label, ProcessRole, ProcessTarget, Script, SettingLine, Setup, Statement,
@@ -52,7 +52,7 @@
 }
 
 /// Everything that runs.
-pub(crate) struct ScenarioWorld {
+pub(crate) struct ScenarioTestbed {
     pub(crate) platform: PlatformStandIn,
     pub(crate) faults: FaultSettings,
     pub(crate) forwarder: NetForwarder,
@@ -92,7 +92,7 @@
     }
 }
 
-impl ScenarioWorld {
+impl ScenarioTestbed {
     /// Starts the stand-ins and links; no process yet.
     pub(crate) fn build(
         script: &Script,
@@ -102,7 +102,7 @@
     ) -> io::Result<Self> {
         fs::create_dir_all(&dir)?;
         let platform = PlatformStandIn::start(PlatformSettings::default())?;
-        let mut world = Self {
+        let mut testbed = Self {
             platform,
             faults: FaultSettings::default(),
             forwarder: NetForwarder::start()?,
@@ -118,14 +118,14 @@
         };
         for line in &script.lines {
             if let Statement::Setup(Setup::DataCentre(line)) = &line.statement {
-                world.add_endpoints(line)?;
+                testbed.add_endpoints(line)?;
             }
         }
-        for place in world.places.vms.clone() {
-            world.add_vm(place)?;
+        for place in testbed.places.vms.clone() {
+            testbed.add_vm(place)?;
         }
-        world.publish_vms();
-        Ok(world)
+        testbed.publish_vms();
+        Ok(testbed)
     }
 
     fn add_endpoints(&mut self, line: &DataCentreLine) -> io::Result<()> {
@@ -197,7 +197,7 @@
         if links.is_empty() {
             return Ok(peer);
         }
-        if !process_files::can_announce() {
+        if !process_settings::can_announce() {
             return Err(io::Error::other(
                 "links between VMs need the setting peer_announce of dispatchers",
             ));
@@ -336,7 +336,7 @@
             .map(|vm| (vm.announced, vm.data_centre.clone()));
         let dispatchers = dispatchers.collect();
         let vm = self.vm(&name.vm)?;
-        let file = VmFile {
+        let settings = VmSettings {
             vm: &vm.name,
             data_centre: &vm.data_centre,
             caller: vm.caller,
@@ -346,7 +346,7 @@
             platform: vm.platform,
             dispatchers,
         };
-        Ok(file.write(name.role, &lines, path)?)
+        Ok(settings.write(name.role, &lines, path)?)
     }
 
     pub(crate) fn signal(
