--- a/crates/scenario/src/caller.rs
+++ b/crates/scenario/src/caller.rs
@@ -24,12 +24,12 @@
     pub(crate) payloads: Vec<Vec<u8>>,
     pub(crate) declared: Duration,
     pub(crate) deadline: Duration,
-    pub(crate) mark: CallerMark,
+    pub(crate) dedup: CallerDedup,
 }
 
 /// What kind of submission, and how a second arrival of it is known.
 #[derive(Clone, Debug)]
-pub(crate) enum CallerMark {
+pub(crate) enum CallerDedup {
     Job,
     Plain,
     Key(IdempotencyKey),
@@ -55,12 +55,12 @@
     limit: Duration,
 ) -> AnswerRecord {
     let client = client(limit);
-    let path = match request.mark {
-        CallerMark::Job => "jobs",
+    let path = match request.dedup {
+        CallerDedup::Job => "jobs",
         _ => "requests",
     };
     let mut call = client.post(format!("http://{entry}/v1/{path}"));
-    if let CallerMark::Key(key) = &request.mark {
+    if let CallerDedup::Key(key) = &request.dedup {
         call = call.insert_header(("Idempotency-Key", key.as_str()));
     }
     match call.send_json(&body(request)).await {
@@ -130,10 +130,10 @@
     }
     let deadline = u64::try_from(request.deadline.as_millis()).unwrap_or(u64::MAX);
     let mut body = json!({ "customer": request.customer, "deadline_ms": deadline });
-    match &request.mark {
-        CallerMark::Job => body["tasks"] = Value::Array(tasks),
-        CallerMark::Plain | CallerMark::Key(_) => body["task"] = tasks.swap_remove(0),
-        CallerMark::Ticket(ticket) => {
+    match &request.dedup {
+        CallerDedup::Job => body["tasks"] = Value::Array(tasks),
+        CallerDedup::Plain | CallerDedup::Key(_) => body["task"] = tasks.swap_remove(0),
+        CallerDedup::Ticket(ticket) => {
             body["task"] = tasks.swap_remove(0);
             body["ticket"] = Value::String(ticket.clone());
         }
--- a/crates/scenario/src/load.rs
+++ b/crates/scenario/src/load.rs
@@ -13,11 +13,11 @@
 use stand_ins::endpoint::TaskScript;
 
 use crate::{
-    caller::{self, CallerMark, CallerRequest},
+    caller::{self, CallerDedup, CallerRequest},
     error::StepError,
     operator::ChangeEnd,
     record::{AnswerRecord, SubmissionRecord, VersionObservation},
-    script::{Label, RequestMark, SubmitKind, SubmitStep},
+    script::{Label, RequestDedup, SubmitKind, SubmitStep},
     testbed::NameMap,
 };
 
@@ -146,7 +146,7 @@
 
     /// Sends the submissions of a step, each on its own connection, and goes on at once.
     pub(crate) fn submit(&self, step: &SubmitStep) -> Result<(), StepError> {
-        let mark = self.mark(step)?;
+        let dedup = self.dedup(step)?;
         if let Some(vm) = &step.via {
             self.backend(Some(vm))?;
         }
@@ -157,7 +157,7 @@
         let (load, step) = (self.clone(), step.clone());
         actix_rt::spawn(async move {
             for number in 1..=step.times {
-                load.send_one(&step, number, mark.clone());
+                load.send_one(&step, number, dedup.clone());
                 if !step.every.is_zero() && number < step.times {
                     actix_rt::time::sleep(step.every).await;
                 }
@@ -166,21 +166,21 @@
         Ok(())
     }
 
-    fn mark(&self, step: &SubmitStep) -> Result<CallerMark, StepError> {
+    fn dedup(&self, step: &SubmitStep) -> Result<CallerDedup, StepError> {
         Ok(match &step.kind {
-            SubmitKind::Job { .. } => CallerMark::Job,
-            SubmitKind::Request(RequestMark::Plain) => CallerMark::Plain,
-            SubmitKind::Request(RequestMark::Key(key)) => CallerMark::Key(key.clone()),
-            SubmitKind::Request(RequestMark::Ticket(name)) => {
+            SubmitKind::Job { .. } => CallerDedup::Job,
+            SubmitKind::Request(RequestDedup::Plain) => CallerDedup::Plain,
+            SubmitKind::Request(RequestDedup::Key(key)) => CallerDedup::Key(key.clone()),
+            SubmitKind::Request(RequestDedup::Ticket(name)) => {
                 let inner = self.inner.borrow();
                 let found = inner.tickets.get(name);
                 let (_, ticket) = found.ok_or_else(|| StepError::UnknownName(name.clone()))?;
-                CallerMark::Ticket(ticket.clone())
+                CallerDedup::Ticket(ticket.clone())
             }
         })
     }
 
-    fn send_one(&self, step: &SubmitStep, number: u32, mark: CallerMark) {
+    fn send_one(&self, step: &SubmitStep, number: u32, dedup: CallerDedup) {
         let name = match step.times {
             1 => step.name.clone(),
             _ => format!("{}.{number}", step.name),
@@ -216,7 +216,7 @@
             payloads,
             declared: step.declared.unwrap_or(step.run),
             deadline: step.deadline,
-            mark,
+            dedup,
         };
         let load = self.clone();
         actix_rt::spawn(async move {
@@ -347,9 +347,9 @@
 /// The name by which a submission's runs are known: shared by all that have one key or ticket.
 fn run_label(step: &SubmitStep, name: &str) -> Label {
     match &step.kind {
-        SubmitKind::Request(RequestMark::Key(key)) => format!("key-{key}"),
-        SubmitKind::Request(RequestMark::Ticket(ticket)) => format!("ticket-{ticket}"),
-        SubmitKind::Job { .. } | SubmitKind::Request(RequestMark::Plain) => name.to_owned(),
+        SubmitKind::Request(RequestDedup::Key(key)) => format!("key-{key}"),
+        SubmitKind::Request(RequestDedup::Ticket(ticket)) => format!("ticket-{ticket}"),
+        SubmitKind::Job { .. } | SubmitKind::Request(RequestDedup::Plain) => name.to_owned(),
     }
 }
 
--- a/crates/scenario/src/parse/step.rs
+++ b/crates/scenario/src/parse/step.rs
@@ -23,7 +23,7 @@
     script::{
         AnswerStatus, ChangeStatus, ChangeStep, Condition, EndpointChange, EndpointStep,
         Expectation, ExpectedAnswer, Label, LinkChange, LinkStep, PlatformStep, ProcessTarget,
-        RequestMark, Step, SubmitKind, SubmitStep, TicketStep,
+        RequestDedup, Step, SubmitKind, SubmitStep, TicketStep,
     },
 };
 
@@ -129,8 +129,8 @@
 fn submit_request(input: &mut Input<'_>) -> ModalResult<SubmitStep> {
     let name = group.parse_next(input)?;
     let customer = field("customer", "a customer").parse_next(input)?;
-    let mark = request_mark.parse_next(input)?;
-    submit_fields(name, customer, SubmitKind::Request(mark), input)
+    let dedup = request_dedup.parse_next(input)?;
+    submit_fields(name, customer, SubmitKind::Request(dedup), input)
 }
 
 fn submit_fields(
@@ -158,13 +158,13 @@
     })
 }
 
-fn request_mark(input: &mut Input<'_>) -> ModalResult<RequestMark> {
+fn request_dedup(input: &mut Input<'_>) -> ModalResult<RequestDedup> {
     one_of(
         "plain, key or ticket",
         alt((
-            keyword("plain").value(RequestMark::Plain),
-            field("key", "an idempotency key").map(RequestMark::Key),
-            field("ticket", "a ticket").map(RequestMark::Ticket),
+            keyword("plain").value(RequestDedup::Plain),
+            field("key", "an idempotency key").map(RequestDedup::Key),
+            field("ticket", "a ticket").map(RequestDedup::Ticket),
         )),
     )
     .parse_next(input)
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -159,7 +159,7 @@
 
 /// How a second arrival of a request is known.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum RequestMark {
+pub enum RequestDedup {
     /// It is not.
     Plain,
     /// By an idempotency key.
@@ -177,7 +177,7 @@
         tasks: u32,
     },
     /// A non-idempotent request.
-    Request(RequestMark),
+    Request(RequestDedup),
 }
 
 /// Submits jobs or requests.
