--- a/crates/scenario/src/caller.rs
+++ b/crates/scenario/src/caller.rs
@@ -13,7 +13,7 @@
 /// The largest answer read, in bytes: a job of 370 tasks of 64 KiB in base64.
 const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
 /// How long short calls may take.
-const SHORT_CALL: Duration = Duration::from_secs(2);
+const SHORT_CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// The kind of every task that scenarios submit.
 const TASK_KIND: &str = "scenario";
 
@@ -52,9 +52,9 @@
 pub(crate) async fn submit(
     entry: SocketAddr,
     request: &CallerRequest,
-    limit: Duration,
+    timeout: Duration,
 ) -> AnswerRecord {
-    let client = client(limit);
+    let client = client(timeout);
     let path = match request.dedup {
         CallerDedup::Job => "jobs",
         _ => "requests",
@@ -71,7 +71,7 @@
 
 /// Gets a ticket.
 pub(crate) async fn ticket(entry: SocketAddr, customer: &CustomerId) -> Result<String, String> {
-    let call = client(SHORT_CALL).post(format!("http://{entry}/v1/tickets"));
+    let call = client(SHORT_CALL_TIMEOUT).post(format!("http://{entry}/v1/tickets"));
     let body = json!({ "customer": customer });
     let mut answer = call
         .send_json(&body)
@@ -87,7 +87,7 @@
 /// Asks that a submission be cancelled. Whatever comes back, the submission's own answer tells what became of it.
 pub(crate) async fn cancel(entry: SocketAddr, job: bool, id: SubmissionId) {
     let kind = if job { "jobs" } else { "requests" };
-    let call = client(SHORT_CALL).delete(format!("http://{entry}/v1/{kind}/{id}"));
+    let call = client(SHORT_CALL_TIMEOUT).delete(format!("http://{entry}/v1/{kind}/{id}"));
     if let Err(error) = call.send().await {
         log::warn!("scenario: cancel of {id} not answered: {error}");
     }
@@ -95,7 +95,7 @@
 
 /// Whether a process says yes at one of its probes, `ready` or `live`.
 pub(crate) async fn probe(address: SocketAddr, probe: &str) -> bool {
-    let call = client(SHORT_CALL).get(format!("http://{address}/{probe}"));
+    let call = client(SHORT_CALL_TIMEOUT).get(format!("http://{address}/{probe}"));
     call.send()
         .await
         .is_ok_and(|answer| answer.status().is_success())
@@ -103,7 +103,7 @@
 
 /// The contracts that an entry shows, or nothing where it shows none.
 pub(crate) async fn contracts(entry: SocketAddr) -> Option<Value> {
-    let call = client(SHORT_CALL).get(format!("http://{entry}/v1/in-force"));
+    let call = client(SHORT_CALL_TIMEOUT).get(format!("http://{entry}/v1/in-force"));
     let mut answer = call.send().await.ok()?;
     if !answer.status().is_success() {
         return None;
@@ -111,9 +111,9 @@
     answer.json().await.ok()
 }
 
-fn client(limit: Duration) -> Client {
+fn client(timeout: Duration) -> Client {
     Client::builder()
-        .timeout(limit)
+        .timeout(timeout)
         .disable_redirects()
         .finish()
 }
--- a/crates/scenario/src/load.rs
+++ b/crates/scenario/src/load.rs
@@ -24,7 +24,7 @@
 /// The time between two looks at the contracts of the entries.
 const CONTRACT_POLL_INTERVAL: Duration = Duration::from_millis(300);
 /// How long after its deadline a caller still waits, so that a late answer shows as late and not as lost.
-const CALLER_PATIENCE: Duration = Duration::from_secs(10);
+const CALLER_GRACE: Duration = Duration::from_secs(10);
 
 /// Whether an entry takes submissions, as the balancer knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -220,8 +220,8 @@
         };
         let load = self.clone();
         actix_rt::spawn(async move {
-            let limit = request.deadline + CALLER_PATIENCE;
-            let answer = caller::submit(backend.address, &request, limit).await;
+            let timeout = request.deadline + CALLER_GRACE;
+            let answer = caller::submit(backend.address, &request, timeout).await;
             load.keep_answer(index, answer);
         });
     }
--- a/crates/scenario/src/operator.rs
+++ b/crates/scenario/src/operator.rs
@@ -11,7 +11,7 @@
 use crate::script::{ChangeStatus, ContractLine};
 
 /// How long an operator waits for an answer: longer than an entry tries.
-const CALL_LIMIT: Duration = Duration::from_secs(8);
+const CALL_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// What became of a change.
 #[derive(Clone, Debug)]
@@ -46,7 +46,7 @@
 
 async fn try_change(entry: SocketAddr, line: &ContractLine) -> Result<ChangeEnd, String> {
     let client = Client::builder()
-        .timeout(CALL_LIMIT)
+        .timeout(CALL_TIMEOUT)
         .disable_redirects()
         .finish();
     let url = format!("http://{entry}/v1/contracts/{}", line.customer);
--- a/crates/scenario/src/promises.rs
+++ b/crates/scenario/src/promises.rs
@@ -13,7 +13,7 @@
 };
 
 /// How long after it left an endpoint may still get a task that was on its way.
-const LEAVING_LIMIT_MS: u64 = 2000;
+const LEAVING_GRACE_MS: u64 = 2000;
 
 /// What the checks allow for.
 #[derive(Clone, Copy, Debug)]
@@ -421,7 +421,7 @@
 fn check_leaving(starts: &StartIndex<'_>, broken: &mut Vec<BrokenPromise>) {
     for start in &starts.all {
         match start.leaving_for_ms {
-            Some(leaving_for_ms) if leaving_for_ms > LEAVING_LIMIT_MS => {
+            Some(leaving_for_ms) if leaving_for_ms > LEAVING_GRACE_MS => {
                 broken.push(BrokenPromise::StartWhileLeaving {
                     attempt: start.attempt,
                     leaving_for_ms,
--- a/crates/scenario/src/runner/expectations.rs
+++ b/crates/scenario/src/runner/expectations.rs
@@ -10,9 +10,9 @@
 };
 
 /// How long after the deadline an answer is waited for here. The promise check says that it was late.
-const PATIENCE: Duration = Duration::from_secs(5);
+const ANSWER_GRACE: Duration = Duration::from_secs(5);
 /// How long an operator's change may be under way.
-const CHANGE_LIMIT: Duration = Duration::from_secs(20);
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(20);
 
 impl ScenarioRun {
     pub(super) async fn expect(&mut self, expectation: &Expectation) -> Result<(), StepError> {
@@ -67,7 +67,7 @@
                 return Ok(members);
             }
             let deadline = members.iter().map(|record| record.deadline).max();
-            let within = deadline.unwrap_or_default() + PATIENCE;
+            let within = deadline.unwrap_or_default() + ANSWER_GRACE;
             let sending = members.len() < all;
             if begun.elapsed() > within && !sending {
                 let state = format!("{answered} of {all} answered");
@@ -121,9 +121,9 @@
             if let Some(end) = self.load.change(name)? {
                 return Ok((end.status, end.message));
             }
-            if begun.elapsed() > CHANGE_LIMIT {
+            if begun.elapsed() > CHANGE_TIMEOUT {
                 return Err(StepError::TimedOut {
-                    within: CHANGE_LIMIT,
+                    within: CHANGE_TIMEOUT,
                     state: format!("change {name} is under way"),
                 });
             }
--- a/crates/scenario/src/runner/mod.rs
+++ b/crates/scenario/src/runner/mod.rs
@@ -25,7 +25,7 @@
 /// The time between two looks at a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// How long processes may take to end once told to, which is more than their drain limit.
-const EXIT_LIMIT: Duration = Duration::from_secs(15);
+const EXIT_TIMEOUT: Duration = Duration::from_secs(15);
 /// The seed where neither the scenario nor the settings name one.
 const DEFAULT_SEED: u64 = 1;
 
@@ -241,7 +241,7 @@
             }
         }
         let begun = Instant::now();
-        while begun.elapsed() < EXIT_LIMIT {
+        while begun.elapsed() < EXIT_TIMEOUT {
             let mut processes = self.testbed.processes().into_iter();
             if processes.all(|process| process.has_ended()) {
                 return;
--- a/crates/scenario/src/runner/steps.rs
+++ b/crates/scenario/src/runner/steps.rs
@@ -22,7 +22,7 @@
 };
 
 /// How long a process may take to become ready.
-const READY_LIMIT: Duration = Duration::from_secs(10);
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl ScenarioRun {
     pub(super) async fn make_step(&mut self, step: &Step) -> Result<(), StepError> {
@@ -65,7 +65,7 @@
         let begun = Instant::now();
         for name in &names {
             while !self.is_ready(name).await? {
-                if begun.elapsed() > READY_LIMIT || !self.testbed.is_running(name)? {
+                if begun.elapsed() > READY_TIMEOUT || !self.testbed.is_running(name)? {
                     return Err(StepError::TimedOut {
                         within: begun.elapsed(),
                         state: format!("{name} is not ready, {}", self.testbed.describe(name)),
