--- a/crates/scenario/src/load.rs
+++ b/crates/scenario/src/load.rs
@@ -46,30 +46,30 @@
 }
 
 /// A group of submissions of one step.
-struct GroupState {
+struct SubmissionGroup {
     name: Label,
     times: usize,
 }
 
 /// A submission and when it was sent.
-struct OpenSubmission {
+struct SentSubmission {
     record: SubmissionRecord,
     sent: Instant,
 }
 
 /// What callers and operators know.
 #[derive(Default)]
-struct LoadInner {
+struct LoadState {
     backends: Vec<EntryBackend>,
-    groups: Vec<GroupState>,
-    submissions: Vec<OpenSubmission>,
+    groups: Vec<SubmissionGroup>,
+    submissions: Vec<SentSubmission>,
     tickets: NameMap<(CustomerId, String)>,
     changes: NameMap<Option<ChangeEnd>>,
     observations: Vec<VersionObservation>,
     rng: Rng,
 }
 
-impl LoadInner {
+impl LoadState {
     fn ready_backends(&self) -> Vec<EntryBackend> {
         let ready = self.backends.iter();
         let ready = ready.filter(|backend| backend.state == BackendState::Ready);
@@ -81,15 +81,15 @@
 #[derive(Clone)]
 pub(crate) struct CallerLoad {
     begun: Instant,
-    inner: Rc<RefCell<LoadInner>>,
+    inner: Rc<RefCell<LoadState>>,
 }
 
 impl CallerLoad {
     pub(crate) fn new(seed: u64, backends: Vec<EntryBackend>) -> Self {
-        let inner = LoadInner {
+        let inner = LoadState {
             backends,
             rng: Rng::with_seed(seed),
-            ..LoadInner::default()
+            ..LoadState::default()
         };
         Self {
             begun: Instant::now(),
@@ -108,9 +108,9 @@
 
     /// Notes that the entry of a VM was killed or frozen: what waits there can ask for no answer in time.
     pub(crate) fn mark_entry_unavailable(&self, vm: &str) {
-        for open in &mut self.inner.borrow_mut().submissions {
-            if open.record.via == vm && open.record.answer.is_none() {
-                open.record.entry_unavailable = true;
+        for submission in &mut self.inner.borrow_mut().submissions {
+            if submission.record.via == vm && submission.record.answer.is_none() {
+                submission.record.entry_unavailable = true;
             }
         }
     }
@@ -136,7 +136,7 @@
         self.inner.borrow().ready_backends()
     }
 
-    pub(crate) fn keep_ticket(&self, name: &str, customer: &CustomerId, ticket: String) {
+    pub(crate) fn store_ticket(&self, name: &str, customer: &CustomerId, ticket: String) {
         let value = (customer.clone(), ticket);
         self.inner
             .borrow_mut()
@@ -150,14 +150,14 @@
         if let Some(vm) = &step.via {
             self.backend(Some(vm))?;
         }
-        self.inner.borrow_mut().groups.push(GroupState {
+        self.inner.borrow_mut().groups.push(SubmissionGroup {
             name: step.name.clone(),
             times: step.times as usize,
         });
         let (load, step) = (self.clone(), step.clone());
         actix_rt::spawn(async move {
             for number in 1..=step.times {
-                load.send_one(&step, number, dedup.clone());
+                load.send_submission(&step, number, dedup.clone());
                 if !step.every.is_zero() && number < step.times {
                     actix_rt::time::sleep(step.every).await;
                 }
@@ -180,7 +180,7 @@
         })
     }
 
-    fn send_one(&self, step: &SubmitStep, number: u32, dedup: CallerDedup) {
+    fn send_submission(&self, step: &SubmitStep, number: u32, dedup: CallerDedup) {
         let name = match step.times {
             1 => step.name.clone(),
             _ => format!("{}.{number}", step.name),
@@ -222,30 +222,30 @@
         actix_rt::spawn(async move {
             let timeout = request.deadline + CALLER_GRACE;
             let answer = caller::submit(backend.address, &request, timeout).await;
-            load.keep_answer(index, answer);
+            load.store_answer(index, answer);
         });
     }
 
     fn push(&self, record: SubmissionRecord) -> usize {
         let submissions = &mut self.inner.borrow_mut().submissions;
-        submissions.push(OpenSubmission {
+        submissions.push(SentSubmission {
             record,
             sent: Instant::now(),
         });
         submissions.len() - 1
     }
 
-    fn keep_answer(&self, index: usize, answer: AnswerRecord) {
-        let open = &mut self.inner.borrow_mut().submissions[index];
+    fn store_answer(&self, index: usize, answer: AnswerRecord) {
+        let submission = &mut self.inner.borrow_mut().submissions[index];
         log::info!(
             "scenario: {} answered {:?} {} after {:?}",
-            open.record.name,
+            submission.record.name,
             answer.status,
             answer.reason,
-            open.sent.elapsed()
+            submission.sent.elapsed()
         );
-        open.record.took = open.sent.elapsed();
-        open.record.answer = Some(answer);
+        submission.record.took = submission.sent.elapsed();
+        submission.record.answer = Some(answer);
     }
 
     /// The submissions of a group.
@@ -257,8 +257,10 @@
         let members = inner
             .submissions
             .iter()
-            .filter(|open| open.record.group == name);
-        Ok(members.map(|open| open.record.clone()).collect())
+            .filter(|submission| submission.record.group == name);
+        Ok(members
+            .map(|submission| submission.record.clone())
+            .collect())
     }
 
     /// Answered submissions of a group, and how many it will have.
@@ -280,9 +282,9 @@
         if inner.submissions.len() < expected {
             return false;
         }
-        for open in &inner.submissions {
-            let overdue = open.sent.elapsed() > open.record.deadline + margin;
-            if open.record.answer.is_none() && !overdue {
+        for submission in &inner.submissions {
+            let overdue = submission.sent.elapsed() > submission.record.deadline + margin;
+            if submission.record.answer.is_none() && !overdue {
                 return false;
             }
         }
@@ -292,10 +294,10 @@
     /// Every submission; the time of one without an answer runs until now.
     pub(crate) fn records(&self) -> Vec<SubmissionRecord> {
         let mut records = Vec::new();
-        for open in &self.inner.borrow().submissions {
-            let mut record = open.record.clone();
+        for submission in &self.inner.borrow().submissions {
+            let mut record = submission.record.clone();
             if record.answer.is_none() {
-                record.took = open.sent.elapsed();
+                record.took = submission.sent.elapsed();
             }
             records.push(record);
         }
--- a/crates/scenario/src/runner/steps.rs
+++ b/crates/scenario/src/runner/steps.rs
@@ -91,7 +91,7 @@
         let backend = self.load.backend(step.via.as_ref())?;
         let ticket = caller::ticket(backend.address, &step.customer).await;
         let ticket = ticket.map_err(StepError::NoTicket)?;
-        self.load.keep_ticket(&step.name, &step.customer, ticket);
+        self.load.store_ticket(&step.name, &step.customer, ticket);
         Ok(())
     }
 
