--- a/crates/scenario/src/load.rs
+++ b/crates/scenario/src/load.rs
@@ -15,7 +15,7 @@
 use crate::{
     caller::{self, CallerDedup, CallerRequest},
     error::StepError,
-    operator::ChangeEnd,
+    operator::ChangeOutcome,
     record::{AnswerRecord, SubmissionRecord, VersionObservation},
     script::{Label, RequestDedup, SubmitKind, SubmitStep},
     testbed::NameMap,
@@ -64,7 +64,7 @@
     groups: Vec<SubmissionGroup>,
     submissions: Vec<SentSubmission>,
     tickets: NameMap<(CustomerId, String)>,
-    changes: NameMap<Option<ChangeEnd>>,
+    changes: NameMap<Option<ChangeOutcome>>,
     observations: Vec<VersionObservation>,
     rng: Rng,
 }
@@ -304,23 +304,27 @@
         records
     }
 
-    pub(crate) fn change_begins(&self, name: &str) {
+    pub(crate) fn record_change_start(&self, name: &str) {
         self.inner
             .borrow_mut()
             .changes
             .insert(name.to_owned(), None);
     }
 
-    pub(crate) fn change_ends(&self, name: &str, end: ChangeEnd) {
-        log::info!("scenario: change {name} {:?}: {}", end.status, end.message);
+    pub(crate) fn record_change_outcome(&self, name: &str, outcome: ChangeOutcome) {
+        log::info!(
+            "scenario: change {name} {:?}: {}",
+            outcome.status,
+            outcome.message
+        );
         self.inner
             .borrow_mut()
             .changes
-            .insert(name.to_owned(), Some(end));
+            .insert(name.to_owned(), Some(outcome));
     }
 
     /// What became of a change; nothing while it is under way.
-    pub(crate) fn change(&self, name: &str) -> Result<Option<ChangeEnd>, StepError> {
+    pub(crate) fn change(&self, name: &str) -> Result<Option<ChangeOutcome>, StepError> {
         let inner = self.inner.borrow();
         let found = inner.changes.get(name).cloned();
         found.ok_or_else(|| StepError::UnknownName(name.to_owned()))
--- a/crates/scenario/src/operator.rs
+++ b/crates/scenario/src/operator.rs
@@ -15,7 +15,7 @@
 
 /// What became of a change.
 #[derive(Clone, Debug)]
-pub(crate) struct ChangeEnd {
+pub(crate) struct ChangeOutcome {
     pub(crate) status: ChangeStatus,
     /// What the operator was told.
     pub(crate) message: String,
@@ -34,17 +34,17 @@
 }
 
 /// Reads the contract at an entry and changes that version, or creates it where there is none.
-pub(crate) async fn change(entry: SocketAddr, line: &ContractLine) -> ChangeEnd {
+pub(crate) async fn change(entry: SocketAddr, line: &ContractLine) -> ChangeOutcome {
     match try_change(entry, line).await {
-        Ok(end) => end,
-        Err(message) => ChangeEnd {
+        Ok(outcome) => outcome,
+        Err(message) => ChangeOutcome {
             status: ChangeStatus::Failed,
             message,
         },
     }
 }
 
-async fn try_change(entry: SocketAddr, line: &ContractLine) -> Result<ChangeEnd, String> {
+async fn try_change(entry: SocketAddr, line: &ContractLine) -> Result<ChangeOutcome, String> {
     let client = Client::builder()
         .timeout(CALL_TIMEOUT)
         .disable_redirects()
@@ -65,7 +65,7 @@
     let mut answer = match call.send_json(&line.contract).await {
         Ok(answer) => answer,
         Err(error) => {
-            return Ok(ChangeEnd {
+            return Ok(ChangeOutcome {
                 status: ChangeStatus::Unknown,
                 message: error.to_string(),
             })
@@ -78,7 +78,7 @@
         _ => ChangeStatus::Failed,
     };
     let body: Value = answer.json().await.unwrap_or_default();
-    Ok(ChangeEnd {
+    Ok(ChangeOutcome {
         status,
         message: format!("{} {body}", answer.status()),
     })
--- a/crates/scenario/src/runner/expectations.rs
+++ b/crates/scenario/src/runner/expectations.rs
@@ -104,9 +104,9 @@
     ) -> Result<(), StepError> {
         let (mut count, mut state) = (0, Vec::new());
         for name in names {
-            let end = self.change_end(name).await?;
-            count += usize::from(ends.contains(&end.0));
-            state.push(format!("{name} {:?}: {}", end.0, end.1));
+            let outcome = self.change_outcome(name).await?;
+            count += usize::from(ends.contains(&outcome.0));
+            state.push(format!("{name} {:?}: {}", outcome.0, outcome.1));
         }
         let bound = bound.unwrap_or(CountBound::Exactly(names.len()));
         if bound.holds(count) {
@@ -115,11 +115,11 @@
         Err(StepError::Unexpected(state.join(", ")))
     }
 
-    async fn change_end(&self, name: &str) -> Result<(ChangeStatus, String), StepError> {
+    async fn change_outcome(&self, name: &str) -> Result<(ChangeStatus, String), StepError> {
         let begun = Instant::now();
         loop {
-            if let Some(end) = self.load.change(name)? {
-                return Ok((end.status, end.message));
+            if let Some(outcome) = self.load.change(name)? {
+                return Ok((outcome.status, outcome.message));
             }
             if begun.elapsed() > CHANGE_TIMEOUT {
                 return Err(StepError::TimedOut {
--- a/crates/scenario/src/runner/steps.rs
+++ b/crates/scenario/src/runner/steps.rs
@@ -175,11 +175,11 @@
 
     fn change_contract(&mut self, step: &ChangeStep) -> Result<(), StepError> {
         let backend = self.load.backend(step.via.as_ref())?;
-        self.load.change_begins(&step.name);
+        self.load.record_change_start(&step.name);
         let (load, step) = (self.load.clone(), step.clone());
         actix_rt::spawn(async move {
-            let end = operator::change(backend.address, &step.line).await;
-            load.change_ends(&step.name, end);
+            let outcome = operator::change(backend.address, &step.line).await;
+            load.record_change_outcome(&step.name, outcome);
         });
         Ok(())
     }
