--- a/crates/scenario/src/load.rs
+++ b/crates/scenario/src/load.rs
@@ -80,7 +80,7 @@
 /// The load of a run. Clones share it.
 #[derive(Clone)]
 pub(crate) struct CallerLoad {
-    begun: Instant,
+    started: Instant,
     inner: Rc<RefCell<LoadState>>,
 }
 
@@ -92,7 +92,7 @@
             ..LoadState::default()
         };
         Self {
-            begun: Instant::now(),
+            started: Instant::now(),
             inner: Rc::new(RefCell::new(inner)),
         }
     }
@@ -198,7 +198,7 @@
             deadline: step.deadline,
             via: String::new(),
             answer: None,
-            sent: self.begun.elapsed(),
+            sent: self.started.elapsed(),
             took: Duration::ZERO,
             entry_unavailable: false,
         };
--- a/crates/scenario/src/runner/conditions.rs
+++ b/crates/scenario/src/runner/conditions.rs
@@ -6,7 +6,7 @@
 use stand_ins::endpoint::TaskScript;
 
 use super::{
-    expectations::{describe, fits},
+    expectations::{describe, matches_expected},
     ScenarioRun, POLL_INTERVAL,
 };
 use crate::{
@@ -30,13 +30,13 @@
         condition: &Condition,
         within: Duration,
     ) -> Result<(), StepError> {
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
             let status = self.check_condition(condition).await?;
             if status.holds {
                 return Ok(());
             }
-            if begun.elapsed() > within {
+            if started.elapsed() > within {
                 let state = status.state;
                 return Err(StepError::TimedOut { within, state });
             }
@@ -161,7 +161,9 @@
         let mut state = Vec::new();
         for name in names {
             for record in self.answers(&name).await? {
-                let answer = record.answer.filter(|answer| !fits(answer, expected));
+                let answer = record
+                    .answer
+                    .filter(|answer| !matches_expected(answer, expected));
                 state.extend(answer.map(|answer| format!("{} {}", record.via, describe(&answer))));
             }
         }
--- a/crates/scenario/src/runner/expectations.rs
+++ b/crates/scenario/src/runner/expectations.rs
@@ -50,7 +50,7 @@
                 }
                 Err(StepError::Unexpected(format!("{count} at once")))
             }
-            Expectation::SameAnswer(first, second) => self.check_same(first, second).await,
+            Expectation::SameAnswer(first, second) => self.check_same_answer(first, second).await,
             Expectation::Changes { names, bound, ends } => {
                 self.check_changes(names, *bound, ends).await
             }
@@ -59,7 +59,7 @@
 
     /// The answers of a group, once all are there.
     pub(super) async fn answers(&self, group: &str) -> Result<Vec<SubmissionRecord>, StepError> {
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
             let members = self.load.group(group)?;
             let (answered, all) = self.load.answered(group)?;
@@ -69,7 +69,7 @@
             let deadline = members.iter().map(|record| record.deadline).max();
             let within = deadline.unwrap_or_default() + ANSWER_GRACE;
             let sending = members.len() < all;
-            if begun.elapsed() > within && !sending {
+            if started.elapsed() > within && !sending {
                 let state = format!("{answered} of {all} answered");
                 return Err(StepError::TimedOut { within, state });
             }
@@ -77,7 +77,7 @@
         }
     }
 
-    async fn check_same(&self, first: &str, second: &str) -> Result<(), StepError> {
+    async fn check_same_answer(&self, first: &str, second: &str) -> Result<(), StepError> {
         let first = self.answers(first).await?;
         let second = self.answers(second).await?;
         let mut answers = first
@@ -116,12 +116,12 @@
     }
 
     async fn change_outcome(&self, name: &str) -> Result<(ChangeStatus, String), StepError> {
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
             if let Some(outcome) = self.load.change(name)? {
                 return Ok((outcome.status, outcome.message));
             }
-            if begun.elapsed() > CHANGE_TIMEOUT {
+            if started.elapsed() > CHANGE_TIMEOUT {
                 return Err(StepError::TimedOut {
                     within: CHANGE_TIMEOUT,
                     state: format!("change {name} is under way"),
@@ -142,7 +142,10 @@
         let Some(answer) = &submission.answer else {
             continue;
         };
-        if expected.iter().any(|expected| fits(answer, expected)) {
+        if expected
+            .iter()
+            .any(|expected| matches_expected(answer, expected))
+        {
             count += 1;
         } else {
             others.push(format!("{} {}", submission.name, describe(answer)));
@@ -160,7 +163,7 @@
 }
 
 /// Whether an answer is the expected one.
-pub(super) fn fits(answer: &AnswerRecord, expected: &ExpectedAnswer) -> bool {
+pub(super) fn matches_expected(answer: &AnswerRecord, expected: &ExpectedAnswer) -> bool {
     let reason = expected.reason.as_ref();
     answer.status == expected.status && reason.is_none_or(|reason| *reason == answer.reason)
 }
--- a/crates/scenario/src/runner/mod.rs
+++ b/crates/scenario/src/runner/mod.rs
@@ -70,7 +70,7 @@
 
 impl RunReport {
     /// Whether every step and every promise held.
-    pub fn is_good(&self) -> bool {
+    pub fn passed(&self) -> bool {
         self.failure.is_none() && self.broken.is_empty()
     }
 
@@ -116,17 +116,17 @@
 ///
 /// The stand-ins cannot be started. Whatever goes wrong afterwards is in the report.
 pub async fn run_script(script: &Script, settings: RunSettings) -> io::Result<RunReport> {
-    let begun = Instant::now();
+    let started = Instant::now();
     let limits = settings.limits;
     let mut run = ScenarioRun::new(script, settings)?;
     let contract_poll = actix_rt::spawn(run.load.clone().poll_contracts());
-    let failure = run.make_steps(script).await;
-    let record = run.end(limits.answer_margin).await;
+    let failure = run.run_steps(script).await;
+    let record = run.finish(limits.answer_margin).await;
     contract_poll.abort();
     let broken = check_promises(&record, &limits);
     Ok(RunReport {
         seed: run.seed,
-        took: begun.elapsed(),
+        took: started.elapsed(),
         record,
         failure,
         broken,
@@ -178,8 +178,8 @@
         })
     }
 
-    async fn make_steps(&mut self, script: &Script) -> Option<StepFailure> {
-        if let Err(cause) = self.make_contracts().await {
+    async fn run_steps(&mut self, script: &Script) -> Option<StepFailure> {
+        if let Err(cause) = self.create_contracts().await {
             return Some(StepFailure {
                 line: 0,
                 text: "contracts of the set-up".to_owned(),
@@ -196,7 +196,7 @@
                 continue;
             };
             log::info!("scenario: line {number}: {text}");
-            if let Err(cause) = self.make_step(step).await {
+            if let Err(cause) = self.run_step(step).await {
                 return Some(StepFailure {
                     line: *number,
                     text: text.clone(),
@@ -207,7 +207,7 @@
         None
     }
 
-    async fn make_contracts(&self) -> Result<(), StepError> {
+    async fn create_contracts(&self) -> Result<(), StepError> {
         let platform = self.testbed.platform.address();
         for line in &self.contracts {
             let made = operator::create(platform, line).await;
@@ -217,12 +217,12 @@
     }
 
     /// Waits for the answers, ends every process as a planned stop does, and gathers what is left behind.
-    async fn end(&mut self, margin: Duration) -> RunRecord {
+    async fn finish(&mut self, margin: Duration) -> RunRecord {
         while !self.load.is_settled(margin) {
             actix_rt::time::sleep(POLL_INTERVAL).await;
         }
         let submissions = self.load.records();
-        self.end_processes().await;
+        self.stop_processes().await;
         RunRecord {
             submissions,
             endpoints: self.testbed.records(),
@@ -231,17 +231,17 @@
         }
     }
 
-    async fn end_processes(&mut self) {
+    async fn stop_processes(&mut self) {
         for process in self.testbed.processes() {
             if process.is_frozen() {
-                signal_at_end(process, ChildSignal::Thaw);
+                signal_for_shutdown(process, ChildSignal::Thaw);
             }
             if !process.is_ending() {
-                signal_at_end(process, ChildSignal::Terminate);
+                signal_for_shutdown(process, ChildSignal::Terminate);
             }
         }
-        let begun = Instant::now();
-        while begun.elapsed() < EXIT_TIMEOUT {
+        let started = Instant::now();
+        while started.elapsed() < EXIT_TIMEOUT {
             let mut processes = self.testbed.processes().into_iter();
             if processes.all(|process| process.has_ended()) {
                 return;
@@ -251,7 +251,7 @@
     }
 }
 
-fn signal_at_end(process: &mut ChildProcess<ProcessName>, signal: ChildSignal) {
+fn signal_for_shutdown(process: &mut ChildProcess<ProcessName>, signal: ChildSignal) {
     if let Err(error) = process.signal(signal) {
         log::warn!("scenario: {signal:?} to {}: {error}", process.name());
     }
--- a/crates/scenario/src/runner/peak.rs
+++ b/crates/scenario/src/runner/peak.rs
@@ -26,15 +26,15 @@
                 if start.customer != *customer {
                     continue;
                 }
-                let (begun, ended) = span(record, start);
-                steps.push((begun, 1));
+                let (started, ended) = run_interval(record, start);
+                steps.push((started, 1));
                 steps.push((ended, -1));
                 if labels.contains(&run_label(start)) {
-                    first = first.map(|at| at.min(begun));
+                    first = first.map(|at| at.min(started));
                 }
             }
         }
-        Ok(most_at_once(steps, first))
+        Ok(peak_concurrency(steps, first))
     }
 
     pub(super) fn turned_away(&self) -> usize {
@@ -52,14 +52,14 @@
 
 /// When a task began and ended, in microseconds before now (so both are at most 0): the stand-ins started at
 /// different times, and this is what their clocks have in common.
-fn span(record: &EndpointRecord, start: &StartRecord) -> (i64, i64) {
+fn run_interval(record: &EndpointRecord, start: &StartRecord) -> (i64, i64) {
     let before_now = |at: u64| at as i64 - record.age_us as i64;
     let ended = start.ended_us.map_or(0, before_now);
     (before_now(start.started_us), ended)
 }
 
 /// An end and a start at one moment do not overlap: ends sort first.
-fn most_at_once(mut steps: Vec<(i64, i64)>, first: Option<i64>) -> usize {
+fn peak_concurrency(mut steps: Vec<(i64, i64)>, first: Option<i64>) -> usize {
     steps.sort_unstable();
     let (mut running, mut most) = (0, 0);
     for (at, change) in steps {
--- a/crates/scenario/src/runner/steps.rs
+++ b/crates/scenario/src/runner/steps.rs
@@ -25,7 +25,7 @@
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl ScenarioRun {
-    pub(super) async fn make_step(&mut self, step: &Step) -> Result<(), StepError> {
+    pub(super) async fn run_step(&mut self, step: &Step) -> Result<(), StepError> {
         match step {
             Step::Start { target, unready } => self.start(target, *unready).await,
             Step::Ticket(step) => self.get_ticket(step).await,
@@ -62,12 +62,12 @@
         if unready {
             return Ok(());
         }
-        let begun = Instant::now();
+        let started = Instant::now();
         for name in &names {
             while !self.is_ready(name).await? {
-                if begun.elapsed() > READY_TIMEOUT || !self.testbed.is_running(name)? {
+                if started.elapsed() > READY_TIMEOUT || !self.testbed.is_running(name)? {
                     return Err(StepError::TimedOut {
-                        within: begun.elapsed(),
+                        within: started.elapsed(),
                         state: format!("{name} is not ready, {}", self.testbed.describe(name)),
                     });
                 }
--- a/crates/scenario/tests/scenarios.rs
+++ b/crates/scenario/tests/scenarios.rs
@@ -39,7 +39,7 @@
         .block_on(run_script(&script, settings))
         .unwrap();
     println!("{name}: {report}");
-    if !report.is_good() {
+    if !report.passed() {
         panic!("{name}: {report}\n{}", logs(&dir));
     }
 }
