--- a/crates/scenario/src/caller.rs
+++ b/crates/scenario/src/caller.rs
@@ -24,7 +24,7 @@
     pub(crate) payloads: Vec<Vec<u8>>,
     pub(crate) declared: Duration,
     pub(crate) deadline: Duration,
-    pub(crate) dedup: CallerDedup,
+    pub(crate) deduplication: CallerDedup,
 }
 
 /// What kind of submission, and how a second arrival of it is known.
@@ -55,12 +55,12 @@
     timeout: Duration,
 ) -> AnswerRecord {
     let client = client(timeout);
-    let path = match request.dedup {
+    let path = match request.deduplication {
         CallerDedup::Job => "jobs",
         _ => "requests",
     };
     let mut call = client.post(format!("http://{entry}/v1/{path}"));
-    if let CallerDedup::Key(key) = &request.dedup {
+    if let CallerDedup::Key(key) = &request.deduplication {
         call = call.insert_header(("Idempotency-Key", key.as_str()));
     }
     match call.send_json(&body(request)).await {
@@ -130,7 +130,7 @@
     }
     let deadline = u64::try_from(request.deadline.as_millis()).unwrap_or(u64::MAX);
     let mut body = json!({ "customer": request.customer, "deadline_ms": deadline });
-    match &request.dedup {
+    match &request.deduplication {
         CallerDedup::Job => body["tasks"] = Value::Array(tasks),
         CallerDedup::Plain | CallerDedup::Key(_) => body["task"] = tasks.swap_remove(0),
         CallerDedup::Ticket(ticket) => {
--- a/crates/scenario/src/load.rs
+++ b/crates/scenario/src/load.rs
@@ -146,7 +146,7 @@
 
     /// Sends the submissions of a step, each on its own connection, and goes on at once.
     pub(crate) fn submit(&self, step: &SubmitStep) -> Result<(), StepError> {
-        let dedup = self.dedup(step)?;
+        let deduplication = self.deduplication(step)?;
         if let Some(vm) = &step.via {
             self.backend(Some(vm))?;
         }
@@ -157,7 +157,7 @@
         let (load, step) = (self.clone(), step.clone());
         actix_rt::spawn(async move {
             for number in 1..=step.times {
-                load.send_submission(&step, number, dedup.clone());
+                load.send_submission(&step, number, deduplication.clone());
                 if !step.every.is_zero() && number < step.times {
                     actix_rt::time::sleep(step.every).await;
                 }
@@ -166,7 +166,7 @@
         Ok(())
     }
 
-    fn dedup(&self, step: &SubmitStep) -> Result<CallerDedup, StepError> {
+    fn deduplication(&self, step: &SubmitStep) -> Result<CallerDedup, StepError> {
         Ok(match &step.kind {
             SubmitKind::Job { .. } => CallerDedup::Job,
             SubmitKind::Request(RequestDedup::Plain) => CallerDedup::Plain,
@@ -180,7 +180,7 @@
         })
     }
 
-    fn send_submission(&self, step: &SubmitStep, number: u32, dedup: CallerDedup) {
+    fn send_submission(&self, step: &SubmitStep, number: u32, deduplication: CallerDedup) {
         let name = match step.times {
             1 => step.name.clone(),
             _ => format!("{}.{number}", step.name),
@@ -216,7 +216,7 @@
             payloads,
             declared: step.declared.unwrap_or(step.run),
             deadline: step.deadline,
-            dedup,
+            deduplication,
         };
         let load = self.clone();
         actix_rt::spawn(async move {
--- a/crates/scenario/src/parse/contract.rs
+++ b/crates/scenario/src/parse/contract.rs
@@ -42,8 +42,8 @@
     let mut object = Map::new();
     for (name, text) in fields {
         let value = serde_json::from_str(&text).unwrap_or(Value::String(text));
-        let twice = object.insert(name.replace('-', "_"), value);
-        if twice.is_some() {
+        let previous = object.insert(name.replace('-', "_"), value);
+        if previous.is_some() {
             return None;
         }
     }
--- a/crates/scenario/src/parse/mod.rs
+++ b/crates/scenario/src/parse/mod.rs
@@ -47,7 +47,7 @@
 /// Says the first line that is wrong, where and what should stand there.
 pub fn parse_script(text: &str) -> Result<Script, ScriptError> {
     let mut lines = Vec::new();
-    let mut stepped = false;
+    let mut seen_step = false;
     for (index, line) in text.lines().enumerate() {
         let number = index + 1;
         let text = line.split('#').next().unwrap_or_default().trim_end();
@@ -56,9 +56,9 @@
         }
         let statement = parse_line(number, text)?;
         match statement {
-            Statement::Setup(_) if stepped => return Err(ScriptError::LateSetup(number)),
+            Statement::Setup(_) if seen_step => return Err(ScriptError::LateSetup(number)),
             Statement::Setup(_) => {}
-            Statement::Step(_) => stepped = true,
+            Statement::Step(_) => seen_step = true,
         }
         lines.push(ScriptLine {
             number,
--- a/crates/scenario/src/parse/step.rs
+++ b/crates/scenario/src/parse/step.rs
@@ -129,8 +129,8 @@
 fn submit_request(input: &mut Input<'_>) -> ModalResult<SubmitStep> {
     let name = group.parse_next(input)?;
     let customer = field("customer", "a customer").parse_next(input)?;
-    let dedup = request_dedup.parse_next(input)?;
-    submit_fields(name, customer, SubmitKind::Request(dedup), input)
+    let deduplication = request_dedup.parse_next(input)?;
+    submit_fields(name, customer, SubmitKind::Request(deduplication), input)
 }
 
 fn submit_fields(
--- a/crates/scenario/src/parse/word.rs
+++ b/crates/scenario/src/parse/word.rs
@@ -45,13 +45,13 @@
 }
 
 /// The end of a word.
-fn edge(input: &mut Input<'_>) -> ModalResult<()> {
+fn word_end(input: &mut Input<'_>) -> ModalResult<()> {
     peek(alt((eof.void(), blank1))).parse_next(input)
 }
 
 /// Exactly this word, with the blanks before it.
 pub(super) fn keyword<'a>(text: &'static str) -> impl Parser<Input<'a>, (), ErrMode<ContextError>> {
-    (blank0, text, edge)
+    (blank0, text, word_end)
         .void()
         .context(StrContext::Expected(StrContextValue::StringLiteral(text)))
 }
@@ -94,7 +94,7 @@
 pub(super) fn time(input: &mut Input<'_>) -> ModalResult<Duration> {
     let number = digit1.parse_to::<u64>();
     let unit = alt(("ms".value(1), "s".value(1000)));
-    preceded(blank0, terminated((number, unit), edge))
+    preceded(blank0, terminated((number, unit), word_end))
         .map(|(count, unit): (u64, u64)| Duration::from_millis(count * unit))
         .context(StrContext::Expected(StrContextValue::Description(
             "a time like 500ms or 10s",
--- a/crates/scenario/src/places.rs
+++ b/crates/scenario/src/places.rs
@@ -72,9 +72,9 @@
             return Ok(vec![place.to_owned()]);
         }
         let mut members = Vec::new();
-        for one in self.vms.iter().chain(&self.endpoints) {
-            if one.name == place || one.data_centre == place {
-                members.push(one.name.clone());
+        for candidate in self.vms.iter().chain(&self.endpoints) {
+            if candidate.name == place || candidate.data_centre == place {
+                members.push(candidate.name.clone());
             }
         }
         if members.is_empty() {
--- a/crates/scenario/src/platform_view.rs
+++ b/crates/scenario/src/platform_view.rs
@@ -49,7 +49,7 @@
             App::new()
                 .app_data(Data::new(Rc::new(state)))
                 .app_data(web::PayloadConfig::new(MAX_BODY_BYTES))
-                .default_service(web::to(pass_on))
+                .default_service(web::to(proxy_request))
         })
         .workers(1)
         .disable_signals()
@@ -76,11 +76,15 @@
     }
 }
 
-async fn pass_on(state: Data<Rc<ViewState>>, request: HttpRequest, body: Bytes) -> HttpResponse {
+async fn proxy_request(
+    state: Data<Rc<ViewState>>,
+    request: HttpRequest,
+    body: Bytes,
+) -> HttpResponse {
     let url = format!("http://{}{}", state.upstream, request.uri());
     let mut call = state.client.request(request.method().clone(), url);
-    if let Some(kind) = request.headers().get("content-type") {
-        call = call.insert_header(("content-type", kind.clone()));
+    if let Some(content_type) = request.headers().get("content-type") {
+        call = call.insert_header(("content-type", content_type.clone()));
     }
     // No answer from the platform and this one mean the same to its clients: a write may have taken effect.
     let Ok(mut answer) = call.send_body(body).await else {
@@ -90,16 +94,16 @@
         return HttpResponse::BadGateway().finish();
     };
     let mut builder = HttpResponse::build(answer.status());
-    if let Some(kind) = answer.headers().get("content-type") {
-        builder.insert_header(("content-type", kind.clone()));
+    if let Some(content_type) = answer.headers().get("content-type") {
+        builder.insert_header(("content-type", content_type.clone()));
     }
     if request.path() == "/vms" && answer.status() == StatusCode::OK {
-        return builder.body(with_links(&body, &state.links).unwrap_or(body));
+        return builder.body(rewrite_addresses(&body, &state.links).unwrap_or(body));
     }
     builder.body(body)
 }
 
-fn with_links(body: &[u8], links: &EndpointLinks) -> Option<Bytes> {
+fn rewrite_addresses(body: &[u8], links: &EndpointLinks) -> Option<Bytes> {
     let mut list: Value = serde_json::from_slice(body).ok()?;
     for vm in list["vms"].as_array_mut()? {
         let link = vm["id"].as_str().and_then(|id| links.get(id));
--- a/crates/scenario/src/promises.rs
+++ b/crates/scenario/src/promises.rs
@@ -206,15 +206,15 @@
 pub fn check_promises(record: &RunRecord, limits: &PromiseLimits) -> Vec<BrokenPromise> {
     let starts = StartIndex::new(record);
     let mut broken = Vec::new();
-    check_tasks(&starts, &mut broken);
-    check_requests(record, &starts, &mut broken);
+    check_task_starts(&starts, &mut broken);
+    check_request_runs(record, &starts, &mut broken);
     for submission in &record.submissions {
-        check_time(submission, limits, &mut broken);
+        check_answer_time(submission, limits, &mut broken);
         check_answer(record, submission, &starts, &mut broken);
     }
-    check_leaving(&starts, &mut broken);
-    check_versions(record, &mut broken);
-    check_accepting_versions(record, &mut broken);
+    check_leaving_endpoints(&starts, &mut broken);
+    check_observed_versions(record, &mut broken);
+    check_accepted_versions(record, &mut broken);
     check_exits(record, &mut broken);
     broken
 }
@@ -264,7 +264,7 @@
     Some(label.split('#').next().unwrap_or_default().to_owned())
 }
 
-fn check_tasks(starts: &StartIndex<'_>, broken: &mut Vec<BrokenPromise>) {
+fn check_task_starts(starts: &StartIndex<'_>, broken: &mut Vec<BrokenPromise>) {
     for ((submission, task), list) in &starts.by_task {
         if list.len() < 2 {
             continue;
@@ -277,7 +277,11 @@
     }
 }
 
-fn check_requests(record: &RunRecord, starts: &StartIndex<'_>, broken: &mut Vec<BrokenPromise>) {
+fn check_request_runs(
+    record: &RunRecord,
+    starts: &StartIndex<'_>,
+    broken: &mut Vec<BrokenPromise>,
+) {
     let mut labels = Vec::new();
     for submission in &record.submissions {
         if submission.request && !labels.contains(&&submission.run_label) {
@@ -298,7 +302,7 @@
     }
 }
 
-fn check_time(
+fn check_answer_time(
     submission: &SubmissionRecord,
     limits: &PromiseLimits,
     broken: &mut Vec<BrokenPromise>,
@@ -418,7 +422,7 @@
     None
 }
 
-fn check_leaving(starts: &StartIndex<'_>, broken: &mut Vec<BrokenPromise>) {
+fn check_leaving_endpoints(starts: &StartIndex<'_>, broken: &mut Vec<BrokenPromise>) {
     for start in &starts.all {
         match start.leaving_for_ms {
             Some(leaving_for_ms) if leaving_for_ms > LEAVING_GRACE_MS => {
@@ -432,7 +436,7 @@
     }
 }
 
-fn check_versions(record: &RunRecord, broken: &mut Vec<BrokenPromise>) {
+fn check_observed_versions(record: &RunRecord, broken: &mut Vec<BrokenPromise>) {
     let mut newest = FastMap::default();
     for observation in &record.observations {
         let key = (&observation.vm, &observation.customer);
@@ -452,7 +456,7 @@
 
 /// A job sent after the answer of another, to the same entry, is accepted under the same contract or a newer one.
 /// Requests are left out: a second arrival gets the answer of the first, with its old version.
-fn check_accepting_versions(record: &RunRecord, broken: &mut Vec<BrokenPromise>) {
+fn check_accepted_versions(record: &RunRecord, broken: &mut Vec<BrokenPromise>) {
     let mut jobs = Vec::new();
     for submission in record
         .submissions
--- a/crates/scenario/src/testbed.rs
+++ b/crates/scenario/src/testbed.rs
@@ -149,7 +149,7 @@
 
     fn add_vm(&mut self, place: PlaceName) -> io::Result<()> {
         let PlaceName { name, data_centre } = place;
-        let mut seen = EndpointLinks::default();
+        let mut endpoint_links = EndpointLinks::default();
         for index in 0..self.endpoints.len() {
             let endpoint = &self.endpoints[index];
             if !self.places.is_linked(&name, &endpoint.name) {
@@ -157,11 +157,11 @@
             }
             let (to, target) = (endpoint.name.clone(), endpoint.stand_in.address());
             let address = self.add_link(&name, &to, target)?;
-            seen.insert(to, address);
+            endpoint_links.insert(to, address);
         }
         let (mut platform, mut view) = (self.platform.address(), None);
-        if !seen.is_empty() {
-            let started = PlatformView::start(platform, &seen)?;
+        if !endpoint_links.is_empty() {
+            let started = PlatformView::start(platform, &endpoint_links)?;
             platform = started.address();
             view = Some(started);
         }
@@ -274,9 +274,9 @@
 
     /// The processes that a target names, dispatchers first: an entry is ready once it has one.
     pub(crate) fn targets(&self, target: &ProcessTarget) -> Result<Vec<ProcessName>, StepError> {
-        let both = [ProcessRole::Dispatcher, ProcessRole::Entry];
+        let roles = [ProcessRole::Dispatcher, ProcessRole::Entry];
         let mut names = Vec::new();
-        for role in both {
+        for role in roles {
             for vm in &self.vms {
                 let named = match target {
                     ProcessTarget::All => true,
@@ -311,7 +311,7 @@
         if slot.as_mut().is_some_and(|process| !process.has_ended()) {
             return Err(StepError::Running(name.to_string()));
         }
-        let before = slot.take();
+        let previous = slot.take();
         let process = ChildProcess::start(
             name.clone(),
             ChildPlan {
@@ -324,7 +324,7 @@
         let pid = process.pid();
         *slot = Some(process);
         self.sources.add(pid, &name.vm);
-        self.exits.extend(before.map(ChildProcess::into_exit));
+        self.exits.extend(previous.map(ChildProcess::into_exit));
         Ok(())
     }
 
