--- a/crates/scenario/tests/language.rs
+++ b/crates/scenario/tests/language.rs
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn blank_lines_and_comments_are_skipped_and_lines_numbered() {
+fn blank_lines_and_comments_are_skipped_but_counted() {
     let text =
         "# A comment.\n\n  data-centre east vms 1 endpoints 1 slots 1  # one of each\nstart all\n";
     let script = parse_script(text).unwrap();
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn wrong_lines_say_where_and_what() {
+fn syntax_errors_name_the_column_and_what_is_expected() {
     check_error("restart all", "1: expected a statement");
     check_error("kill", "5: expected all, vm, entry or dispatcher");
     check_error("kill vm", "8: expected a VM");
@@ -193,13 +193,13 @@
 }
 
 #[test]
-fn setup_after_a_step_is_wrong() {
+fn setup_after_a_step_is_rejected() {
     let error = parse_script(&format!("{SETUP}start all\nseed 7")).unwrap_err();
     assert_eq!(error, ScriptError::LateSetup(3));
 }
 
 #[test]
-fn a_script_needs_a_data_centre() {
+fn a_script_without_a_data_centre_is_rejected() {
     assert_eq!(
         parse_script("seed 7").unwrap_err(),
         ScriptError::NoDataCentre
--- a/crates/scenario/tests/promises.rs
+++ b/crates/scenario/tests/promises.rs
@@ -247,7 +247,7 @@
 // Order: r1 runs; r2, with the same key and body, is refused before it could be recorded.
 // Why: "not run" is said of r2, which has a submission id of its own, and is true.
 #[test]
-fn a_refused_retry_of_a_request_that_ran_is_right() {
+fn a_refused_retry_of_a_request_that_ran_is_no_violation() {
     check(
         |record| {
             let mut retry = record.submissions[1].clone();
@@ -274,7 +274,7 @@
 }
 
 #[test]
-fn an_answer_lost_with_its_entry_is_right_and_one_lost_otherwise_is_found() {
+fn an_answer_lost_with_its_entry_is_no_violation_and_one_lost_otherwise_is_found() {
     check(
         |record| {
             record.submissions[0].answer = Some(answer(1, AnswerStatus::Lost));
--- a/crates/scenario/tests/scenarios.rs
+++ b/crates/scenario/tests/scenarios.rs
@@ -11,7 +11,7 @@
 use scenario::{find_binary, parse_script, promises::PromiseLimits, run_script, RunSettings};
 
 /// Scenarios measure answer times, so no two run at once.
-static TURN: Mutex<()> = Mutex::new(());
+static RUN_LOCK: Mutex<()> = Mutex::new(());
 
 /// The last lines of each log that a failed run shows.
 const LOG_LINES: usize = 40;
@@ -21,7 +21,7 @@
 }
 
 fn run(name: &str) {
-    let _turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
+    let _guard = RUN_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let path = scenarios_dir().join(format!("{name}.scenario"));
     let script = parse_script(&fs::read_to_string(&path).unwrap())
         .unwrap_or_else(|error| panic!("{name}.scenario: {error}"));
@@ -72,7 +72,7 @@
             }
         )+
 
-        const LISTED: &[&str] = &[$(stringify!($name),)+];
+        const LISTED_SCENARIOS: &[&str] = &[$(stringify!($name),)+];
     };
 }
 
@@ -133,5 +133,5 @@
         files.push(path.file_stem().unwrap().to_string_lossy().into_owned());
     }
     files.sort();
-    assert_eq!(files, LISTED);
+    assert_eq!(files, LISTED_SCENARIOS);
 }
