--- a/crates/scenario/src/binary.rs
+++ b/crates/scenario/src/binary.rs
@@ -9,17 +9,18 @@
 
 use crate::error::BinaryError;
 
-/// Builds one at a time: two builds would only wait for each other's lock.
+/// Whether the binary has been built. Held during the build, because concurrent builds would only wait for cargo's
+/// lock.
 static BUILT: Mutex<bool> = Mutex::new(false);
 
-/// The path of `cairnpaddle` in the target directory of the running test.
+/// Returns the path of `cairnpaddle` in the target directory of the running test.
 ///
-/// Under cargo the binary is built first, with the test's profile. Failure: a stale binary from an earlier build.
-/// Symptom: scenarios pass or fail for code that is no longer there. Cargo itself decides what is stale.
+/// Under cargo the binary is built first, with the test's profile; otherwise scenarios could pass or fail on a stale
+/// binary from an earlier build. Cargo itself decides whether the binary is stale.
 ///
 /// # Errors
 ///
-/// The build fails, or outside cargo the binary is not there.
+/// Fails if the test executable is not in a target directory, if the build fails, or if the binary does not exist.
 pub fn find_binary() -> Result<PathBuf, BinaryError> {
     let profile_dir = profile_dir().ok_or(BinaryError::NoTargetDirectory)?;
     if let Some(cargo) = env::var_os("CARGO") {
@@ -38,7 +39,7 @@
     Ok(binary)
 }
 
-/// `target/<profile>` of the running test, which lies in its `deps`.
+/// Returns `target/<profile>` of the running test, whose executable is there or in its `deps` directory.
 fn profile_dir() -> Option<PathBuf> {
     let exe = env::current_exe().ok()?;
     let dir = exe.parent()?;
--- a/crates/scenario/src/caller.rs
+++ b/crates/scenario/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of an entry over HTTP/JSON. Each call has a connection of its own, as from another phone.
+//! HTTP/JSON client of an entry. Each call opens its own connection, as separate callers would.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,14 +10,14 @@
 
 use crate::{record::AnswerRecord, script::AnswerStatus};
 
-/// The largest answer read, in bytes: a job of 370 tasks of 64 KiB in base64.
+/// The largest answer read, in bytes: enough for a job of 370 tasks with results of 64 KiB each in base64.
 const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
-/// How long short calls may take.
+/// Timeout of every call other than a submission.
 const SHORT_CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// The kind of every task that scenarios submit.
 const TASK_KIND: &str = "scenario";
 
-/// One submission as it is sent.
+/// A submission to send to an entry.
 #[derive(Clone, Debug)]
 pub(crate) struct CallerRequest {
     pub(crate) customer: CustomerId,
@@ -27,7 +27,7 @@
     pub(crate) deduplication: CallerDedup,
 }
 
-/// What kind of submission, and how a second arrival of it is known.
+/// Whether a submission is a job or a request, and how the entry recognises a repeat of a request.
 #[derive(Clone, Debug)]
 pub(crate) enum CallerDedup {
     Job,
@@ -48,7 +48,7 @@
     contract_version: Option<ContractVersion>,
 }
 
-/// Submits and waits for the answer, at most for `limit`.
+/// Sends a submission and waits for the answer, at most for `timeout`.
 pub(crate) async fn submit(
     entry: SocketAddr,
     request: &CallerRequest,
@@ -69,7 +69,7 @@
     }
 }
 
-/// Gets a ticket.
+/// Gets a ticket for a customer. The error is the reason as text.
 pub(crate) async fn ticket(entry: SocketAddr, customer: &CustomerId) -> Result<String, String> {
     let call = client(SHORT_CALL_TIMEOUT).post(format!("http://{entry}/v1/tickets"));
     let body = json!({ "customer": customer });
@@ -84,16 +84,16 @@
     }
 }
 
-/// Asks that a submission be cancelled. Whatever comes back, the submission's own answer tells what became of it.
+/// Asks an entry to cancel a submission. The reply is ignored, because the answer to the submission shows the outcome.
 pub(crate) async fn cancel(entry: SocketAddr, job: bool, id: SubmissionId) {
     let kind = if job { "jobs" } else { "requests" };
     let call = client(SHORT_CALL_TIMEOUT).delete(format!("http://{entry}/v1/{kind}/{id}"));
     if let Err(error) = call.send().await {
-        log::warn!("scenario: cancel of {id} not answered: {error}");
+        log::warn!("scenario: cancel request for {id} got no answer: {error}");
     }
 }
 
-/// Whether a process says yes at one of its probes, `ready` or `live`.
+/// Whether a probe of a process, `ready` or `live`, succeeds.
 pub(crate) async fn probe(address: SocketAddr, probe: &str) -> bool {
     let call = client(SHORT_CALL_TIMEOUT).get(format!("http://{address}/{probe}"));
     call.send()
@@ -101,7 +101,7 @@
         .is_ok_and(|answer| answer.status().is_success())
 }
 
-/// The contracts that an entry shows, or nothing where it shows none.
+/// Reads the contracts in force at an entry; `None` if the call fails.
 pub(crate) async fn contracts(entry: SocketAddr) -> Option<Value> {
     let call = client(SHORT_CALL_TIMEOUT).get(format!("http://{entry}/v1/in-force"));
     let mut answer = call.send().await.ok()?;
@@ -147,12 +147,12 @@
 {
     let body = match answer.body().limit(MAX_ANSWER_BYTES).await {
         Ok(body) => body,
-        Err(error) => return lost(format!("answer broke off: {error}")),
+        Err(error) => return lost(format!("answer ended early: {error}")),
     };
     let read = serde_json::from_slice(&body).map_err(|error| error.to_string());
     match read.and_then(answer_record) {
         Ok(record) => record,
-        Err(error) => lost(format!("not an answer ({}): {error}", answer.status())),
+        Err(error) => lost(format!("invalid answer ({}): {error}", answer.status())),
     }
 }
 
@@ -162,7 +162,7 @@
         "failed" => AnswerStatus::Failed,
         "refused" => AnswerStatus::Refused,
         "unknown" => AnswerStatus::Unknown,
-        other => return Err(format!("status {other:?}")),
+        other => return Err(format!("unknown status {other:?}")),
     };
     let mut results = Vec::new();
     for text in body.results.into_iter().chain(body.result) {
--- a/crates/scenario/src/error.rs
+++ b/crates/scenario/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a scenario could not be run on.
+//! Errors of scenario steps and of the search for the binary under test.
 
 use std::{io, time::Duration};
 
@@ -21,49 +21,49 @@
     /// No place of that name.
     #[error("no VM, endpoint or data centre {0:?}")]
     UnknownPlace(Label),
-    /// No submissions, changes or tickets of that name.
-    #[error("nothing was named {0:?}")]
+    /// No submission group, change or ticket of that name.
+    #[error("no submission group, change or ticket {0:?}")]
     UnknownName(Label),
-    /// The process is not there to be signalled.
+    /// The process cannot be signalled because it is not running or was already told to end.
     #[error("{0} is not running")]
     NotRunning(String),
-    /// A process runs already.
-    #[error("{0} is running")]
+    /// The process to start is already running.
+    #[error("{0} is already running")]
     Running(String),
-    /// A condition did not come about.
-    #[error("did not come about within {within:?}: {state}")]
+    /// A condition was not met in time.
+    #[error("condition not met within {within:?}: {state}")]
     TimedOut {
         /// The longest wait.
         within: Duration,
-        /// What was there in its place.
+        /// The state that was found instead.
         state: String,
     },
-    /// Something else than expected.
+    /// The result differs from the expected one.
     #[error("found {0}")]
     Unexpected(String),
-    /// A ticket could not be had.
-    #[error("no ticket: {0}")]
+    /// The entry issued no ticket.
+    #[error("ticket not issued: {0}")]
     NoTicket(String),
-    /// A contract of the set-up could not be made.
-    #[error("contract not made: {0}")]
+    /// A contract of the set-up could not be created.
+    #[error("contract not created: {0}")]
     Contract(String),
 }
 
-/// Why the binary under test is not there.
+/// Why the binary under test could not be found or built.
 #[derive(Debug, Error)]
 pub enum BinaryError {
     /// The test executable is not in a target directory.
     #[error(
-        "this executable is in no cargo target directory, so cairnpaddle cannot be found beside it"
+        "this executable is not in a cargo target directory, so cairnpaddle cannot be found next to it"
     )]
     NoTargetDirectory,
     /// Cargo could not be started.
     #[error("cargo build could not be started: {0}")]
     Cargo(#[from] io::Error),
-    /// Cargo could not build it.
+    /// Cargo could not build the binary.
     #[error("cargo build -p cairnpaddle failed:\n{0}")]
     Build(String),
-    /// It is not there.
-    #[error("{0} is not there; build it with: cargo build -p cairnpaddle --locked")]
+    /// The binary does not exist.
+    #[error("{0} does not exist; build it with: cargo build -p cairnpaddle --locked")]
     Absent(String),
 }
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -1,10 +1,11 @@
-//! A small test language for failure scenarios, run against real processes.
+//! A test language for failure scenarios, which run against real processes.
 //!
-//! A scenario is a text file, one statement a line: first the set-up (data centres, contracts, settings), then steps
-//! in order (submit, kill, freeze, cut, wait until, expect). [`run_script`] starts `cairnpaddle` entries and
-//! dispatchers as child processes on loopback, with stand-ins for the platform, the endpoints and the network, makes
-//! the steps, and at the end of every scenario checks every promise on what the endpoints recorded and the callers
-//! were told (see [`promises`]). The language is described in `docs/SCENARIOS.md`.
+//! A scenario is a text file with one statement per line: first the set-up (data centres, contracts, settings), then
+//! the steps in order (submit, kill, freeze, cut, wait until, expect). [`run_script`] runs the steps on loopback, with
+//! `cairnpaddle` entries and dispatchers as child processes and stand-ins for the platform, the endpoints and the
+//! network. At the end of every scenario it checks every promise, that is every invariant of the system, against the
+//! endpoints' records and the answers that callers received (see [`promises`]). The language is described in
+//! `docs/SCENARIOS.md`.
 
 mod binary;
 mod caller;
--- a/crates/scenario/src/load.rs
+++ b/crates/scenario/src/load.rs
@@ -1,4 +1,4 @@
-//! Submissions under way, shared between the steps and the callers that wait for answers.
+//! Submissions, changes and tickets of a run, shared between the steps and the tasks that wait for answers.
 
 use std::{
     cell::RefCell,
@@ -21,23 +21,24 @@
     testbed::NameMap,
 };
 
-/// The time between two looks at the contracts of the entries.
+/// Interval at which the contracts in force at the entries are polled.
 const CONTRACT_POLL_INTERVAL: Duration = Duration::from_millis(300);
-/// How long after its deadline a caller still waits, so that a late answer shows as late and not as lost.
+/// How long after its deadline a caller still waits, so that a late answer is reported as late and not as lost.
 const CALLER_GRACE: Duration = Duration::from_secs(10);
 
-/// Whether an entry takes submissions, as the balancer knows it.
+/// Whether an entry takes submissions, as known to the load balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BackendState {
-    /// It was ready, so the balancer sends submissions there.
+    /// The entry was ready, so the balancer sends submissions to it.
     Ready,
-    /// It was started but not ready yet: whoever calls it all the same must get an answer.
+    /// The entry was started but is not ready yet. A caller that addresses it directly must still get an answer.
     Unready,
-    /// It was not started, or told to end, or frozen: whoever calls it all the same can ask for no answer.
+    /// The entry was not started, was told to end, or is frozen. A caller that addresses it directly need not get an
+    /// answer.
     Down,
 }
 
-/// An entry as the balancer sees it.
+/// An entry as a backend of the load balancer.
 #[derive(Clone, Debug)]
 pub(crate) struct EntryBackend {
     pub(crate) vm: Label,
@@ -45,19 +46,19 @@
     pub(crate) state: BackendState,
 }
 
-/// A group of submissions of one step.
+/// The submissions of one step.
 struct SubmissionGroup {
     name: Label,
     times: usize,
 }
 
-/// A submission and when it was sent.
+/// A submission, answered or not, and when it was sent.
 struct SentSubmission {
     record: SubmissionRecord,
     sent: Instant,
 }
 
-/// What callers and operators know.
+/// The state of callers and operators.
 #[derive(Default)]
 struct LoadState {
     backends: Vec<EntryBackend>,
@@ -77,7 +78,7 @@
     }
 }
 
-/// The load of a run. Clones share it.
+/// The load of a run. Clones share its state.
 #[derive(Clone)]
 pub(crate) struct CallerLoad {
     started: Instant,
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Notes the state of a VM's entry.
+    /// Sets the state of a VM's entry.
     pub(crate) fn set_backend_state(&self, vm: &str, state: BackendState) {
         for backend in &mut self.inner.borrow_mut().backends {
             if backend.vm == vm {
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Notes that the entry of a VM was killed or frozen: what waits there can ask for no answer in time.
+    /// Records that the entry of a VM was killed or frozen, so that its unanswered submissions need no timely answer.
     pub(crate) fn mark_entry_unavailable(&self, vm: &str) {
         for submission in &mut self.inner.borrow_mut().submissions {
             if submission.record.via == vm && submission.record.answer.is_none() {
@@ -115,7 +116,7 @@
         }
     }
 
-    /// The door of a VM, or one of the open ones.
+    /// The backend of a VM, or a random ready one.
     pub(crate) fn backend(&self, via: Option<&Label>) -> Result<EntryBackend, StepError> {
         let mut inner = self.inner.borrow_mut();
         if let Some(vm) = via {
@@ -128,10 +129,10 @@
         inner
             .rng
             .choice(ready)
-            .ok_or_else(|| StepError::UnknownVm("with an open entry".to_owned()))
+            .ok_or_else(|| StepError::UnknownVm("with a ready entry".to_owned()))
     }
 
-    /// The entries that take submissions.
+    /// The entries that are ready.
     pub(crate) fn ready_backends(&self) -> Vec<EntryBackend> {
         self.inner.borrow().ready_backends()
     }
@@ -144,7 +145,7 @@
             .insert(name.to_owned(), value);
     }
 
-    /// Sends the submissions of a step, each on its own connection, and goes on at once.
+    /// Sends the submissions of a step in the background, each on its own connection.
     pub(crate) fn submit(&self, step: &SubmitStep) -> Result<(), StepError> {
         let deduplication = self.deduplication(step)?;
         if let Some(vm) = &step.via {
@@ -204,7 +205,7 @@
         };
         let Ok(backend) = backend else {
             record.entry_unavailable = true;
-            record.answer = Some(caller::lost("no entry takes submissions".to_owned()));
+            record.answer = Some(caller::lost("no entry is ready".to_owned()));
             self.push(record);
             return;
         };
@@ -263,7 +264,7 @@
             .collect())
     }
 
-    /// Answered submissions of a group, and how many it will have.
+    /// The number of answered submissions of a group, and the number that the group will have in all.
     pub(crate) fn answered(&self, name: &str) -> Result<(usize, usize), StepError> {
         let members = self.group(name)?;
         let answered = members
@@ -275,7 +276,7 @@
         Ok((answered, groups.map(|group| group.times).sum()))
     }
 
-    /// Whether every submission was sent, and has its answer or is overdue by `margin`.
+    /// Whether every submission was sent and is answered or overdue by more than `margin`.
     pub(crate) fn is_settled(&self, margin: Duration) -> bool {
         let inner = self.inner.borrow();
         let expected: usize = inner.groups.iter().map(|group| group.times).sum();
@@ -291,7 +292,7 @@
         true
     }
 
-    /// Every submission; the time of one without an answer runs until now.
+    /// Every submission. Without an answer, the time taken is the time since it was sent.
     pub(crate) fn records(&self) -> Vec<SubmissionRecord> {
         let mut records = Vec::new();
         for submission in &self.inner.borrow().submissions {
@@ -313,7 +314,7 @@
 
     pub(crate) fn record_change_outcome(&self, name: &str, outcome: ChangeOutcome) {
         log::info!(
-            "scenario: change {name} {:?}: {}",
+            "scenario: change {name} ended {:?}: {}",
             outcome.status,
             outcome.message
         );
@@ -323,14 +324,14 @@
             .insert(name.to_owned(), Some(outcome));
     }
 
-    /// What became of a change; nothing while it is under way.
+    /// The outcome of a change; `None` while the change is under way.
     pub(crate) fn change(&self, name: &str) -> Result<Option<ChangeOutcome>, StepError> {
         let inner = self.inner.borrow();
         let found = inner.changes.get(name).cloned();
         found.ok_or_else(|| StepError::UnknownName(name.to_owned()))
     }
 
-    /// Looks at the contracts of every open entry again and again, until the run ends.
+    /// Polls the contracts of every ready entry until the task is aborted.
     pub(crate) async fn poll_contracts(self) {
         loop {
             for backend in self.ready_backends() {
@@ -350,7 +351,7 @@
     }
 }
 
-/// The name by which a submission's runs are known: shared by all that have one key or ticket.
+/// The label that identifies the runs of a submission. Submissions with the same key or ticket share it.
 fn run_label(step: &SubmitStep, name: &str) -> Label {
     match &step.kind {
         SubmitKind::Request(RequestDedup::Key(key)) => format!("key-{key}"),
@@ -380,7 +381,8 @@
     payloads
 }
 
-/// Reads a list of objects with a customer and a version, wherever it stands in what an entry shows.
+/// Reads the customers and versions from an entry's list of contracts, which is the field `contracts` or the whole
+/// value.
 fn parse_observations(vm: &str, shown: &Value) -> Vec<VersionObservation> {
     let list = shown.get("contracts").unwrap_or(shown);
     let mut observations = Vec::new();
--- a/crates/scenario/src/operator.rs
+++ b/crates/scenario/src/operator.rs
@@ -1,4 +1,5 @@
-//! Operators: contracts of the set-up go into the platform's tables, changes go through an entry over HTTP.
+//! Contract changes by operators. Contracts of the set-up are written to the platform's tables directly; later changes
+//! go through an entry over HTTP.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -10,18 +11,18 @@
 
 use crate::script::{ChangeStatus, ContractLine};
 
-/// How long an operator waits for an answer: longer than an entry tries.
+/// How long an operator waits for an answer. An entry gives up its own tries earlier.
 const CALL_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// What became of a change.
+/// The outcome of a change.
 #[derive(Clone, Debug)]
 pub(crate) struct ChangeOutcome {
     pub(crate) status: ChangeStatus,
-    /// What the operator was told.
+    /// The status line and body of the answer, or the error.
     pub(crate) message: String,
 }
 
-/// Writes the first version of a contract, before there is any process.
+/// Writes the first version of a contract to the platform, before any process is started.
 pub(crate) async fn create(platform: SocketAddr, line: &ContractLine) -> Result<(), String> {
     let settings = ClientSettings {
         address: platform,
@@ -33,7 +34,7 @@
     made.map(|_| ()).map_err(|error| error.to_string())
 }
 
-/// Reads the contract at an entry and changes that version, or creates it where there is none.
+/// Reads a contract from an entry and replaces exactly that version, or creates the contract if there is none.
 pub(crate) async fn change(entry: SocketAddr, line: &ContractLine) -> ChangeOutcome {
     match try_change(entry, line).await {
         Ok(outcome) => outcome,
@@ -57,11 +58,14 @@
         .map_err(|error| error.to_string())?;
     let precondition = match (shown.status(), shown.headers().get("etag")) {
         (StatusCode::OK, Some(tag)) => ("if-match", tag.clone()),
-        (StatusCode::NOT_FOUND, _) => ("if-none-match", "*".parse().map_err(|_| "not a header")?),
-        (status, _) => return Err(format!("not shown: {status}")),
+        (StatusCode::NOT_FOUND, _) => (
+            "if-none-match",
+            "*".parse().map_err(|_| "invalid header value")?,
+        ),
+        (status, _) => return Err(format!("contract could not be read: {status}")),
     };
     let call = client.put(&url).insert_header(precondition);
-    // A write without an answer may have been made.
+    // Without an answer it is unknown whether the write took effect.
     let mut answer = match call.send_json(&line.contract).await {
         Ok(answer) => answer,
         Err(error) => {
--- a/crates/scenario/src/parse/contract.rs
+++ b/crates/scenario/src/parse/contract.rs
@@ -1,4 +1,4 @@
-//! Contracts: a customer and `field value` pairs over the default contract.
+//! Contracts: a customer and `field value` pairs that override the default contract.
 
 use model::{Contract, CustomerId};
 use serde_json::{Map, Value};
@@ -16,7 +16,7 @@
     script::ContractLine,
 };
 
-/// A customer and the fields of its contract. Fields are those of the contract's JSON, with `-` for `_`.
+/// A customer and the fields of its contract. The field names are those of the contract's JSON, with `-` for `_`.
 pub(super) fn contract_line(input: &mut Input<'_>) -> ModalResult<ContractLine> {
     let customer = value("a customer").parse_next(input)?;
     let fields: Vec<(String, String)> = repeat(0.., contract_field).parse_next(input)?;
--- a/crates/scenario/src/parse/mod.rs
+++ b/crates/scenario/src/parse/mod.rs
@@ -17,34 +17,34 @@
 
 type Input<'a> = LocatingSlice<&'a str>;
 
-/// A text that is not a scenario.
+/// Why a text is not a valid scenario.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ScriptError {
-    /// A line that is no statement.
+    /// A line is not a valid statement.
     #[error("line {line}, column {column}: {expected}\n  {text}")]
     Syntax {
-        /// The line, from 1.
+        /// The line number, from 1.
         line: usize,
-        /// The column, from 1.
+        /// The column number, from 1.
         column: usize,
-        /// What should stand there.
+        /// What was expected at that column.
         expected: String,
-        /// The line.
+        /// The text of the line.
         text: String,
     },
-    /// A set-up line after the first step.
-    #[error("line {0}: set-up comes before the first step")]
+    /// A set-up line follows the first step.
+    #[error("line {0}: set-up line after the first step")]
     LateSetup(usize),
-    /// No data centre.
+    /// There is no data-centre line.
     #[error("no data-centre line")]
     NoDataCentre,
 }
 
-/// Reads a scenario.
+/// Parses a scenario.
 ///
 /// # Errors
 ///
-/// Says the first line that is wrong, where and what should stand there.
+/// Reports the first invalid line, with the column and what was expected there, or a missing data-centre line.
 pub fn parse_script(text: &str) -> Result<Script, ScriptError> {
     let mut lines = Vec::new();
     let mut seen_step = false;
--- a/crates/scenario/src/parse/setup.rs
+++ b/crates/scenario/src/parse/setup.rs
@@ -1,4 +1,4 @@
-//! Set-up lines.
+//! Parsers of set-up lines.
 
 use serde_json::Value;
 use winnow::{
--- a/crates/scenario/src/parse/step.rs
+++ b/crates/scenario/src/parse/step.rs
@@ -1,4 +1,4 @@
-//! Steps.
+//! Parsers of steps.
 
 use std::time::Duration;
 
--- a/crates/scenario/src/parse/word.rs
+++ b/crates/scenario/src/parse/word.rs
@@ -1,4 +1,4 @@
-//! Words, numbers, times and named fields.
+//! Parsers of words, numbers, times and named fields.
 
 use std::{str::FromStr, time::Duration};
 
@@ -12,7 +12,7 @@
 
 use crate::{parse::Input, script::CountBound};
 
-/// Any blanks.
+/// Any number of blanks.
 pub(super) fn blank0(input: &mut Input<'_>) -> ModalResult<()> {
     take_while(0.., is_blank).void().parse_next(input)
 }
@@ -25,7 +25,7 @@
     c == ' ' || c == '\t'
 }
 
-/// One of several forms. Where none fits, the error says `what` rather than naming the last form tried.
+/// One of several forms. If none matches, the error says that `what` was expected instead of the last form tried.
 pub(super) fn one_of<'a, O>(
     what: &'static str,
     mut forms: impl Parser<Input<'a>, O, ErrMode<ContextError>>,
@@ -56,7 +56,7 @@
         .context(StrContext::Expected(StrContextValue::StringLiteral(text)))
 }
 
-/// Any word, with the blanks before it, as `T` reads it.
+/// Any word, with the blanks before it, parsed as `T`.
 pub(super) fn value<'a, T: FromStr>(
     what: &'static str,
 ) -> impl Parser<Input<'a>, T, ErrMode<ContextError>> {
@@ -67,7 +67,7 @@
     .context(StrContext::Expected(StrContextValue::Description(what)))
 }
 
-/// A keyword and its value. Once the keyword is there, the value must follow.
+/// A keyword and its value. If the keyword is there, a missing or invalid value is an error without backtracking.
 pub(super) fn field<'a, T: FromStr>(
     name: &'static str,
     what: &'static str,
@@ -75,7 +75,7 @@
     preceded(keyword(name), cut_err(value(what)))
 }
 
-/// A keyword and its value, or neither.
+/// An optional keyword and its value.
 pub(super) fn opt_field<'a, T: FromStr>(
     name: &'static str,
     what: &'static str,
@@ -115,7 +115,7 @@
     .parse_next(input)
 }
 
-/// A name that is not one of the words that would read otherwise there.
+/// A name that is not one of `words`, which have another meaning at that place.
 pub(super) fn name_except<'a>(
     what: &'static str,
     words: &'static [&'static str],
--- a/crates/scenario/src/places.rs
+++ b/crates/scenario/src/places.rs
@@ -1,24 +1,24 @@
-//! Names of places, and between which of them a scenario changes the network.
+//! Names of places, and the pairs of places between which a scenario changes the network.
 //!
-//! Processes connect directly unless some step names the two places: a link in between hides that a process is gone,
-//! since the forwarder takes a connection before it knows whether the target still does.
+//! Processes connect directly unless some link step names the two places. A link would hide that a process is gone,
+//! because the forwarder accepts a connection before it knows whether the target still accepts one.
 
 use crate::{
     error::StepError,
     script::{DataCentreLine, Label, Script, Setup, Statement, Step},
 };
 
-/// The name of the platform among places.
+/// The place name of the platform.
 pub(crate) const PLATFORM: &str = "platform";
 
-/// A VM or an endpoint.
+/// The name of a VM or an endpoint, and its data centre.
 #[derive(Clone, Debug)]
 pub(crate) struct PlaceName {
     pub(crate) name: Label,
     pub(crate) data_centre: Label,
 }
 
-/// Every place of a scenario, and the pairs that link steps name.
+/// Every VM and endpoint of a scenario, and the pairs of places named by link steps.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PlaceMap {
     pub(crate) vms: Vec<PlaceName>,
@@ -52,7 +52,7 @@
             .extend((1..=line.endpoints).map(|number| place("e", number)));
     }
 
-    /// Whether some step changes the network between two places.
+    /// Whether a link step changes the network between two VMs, endpoints or the platform, in either order.
     pub(crate) fn is_linked(&self, a: &str, b: &str) -> bool {
         let within = |place: &str, name: &str| {
             self.members(place)
@@ -66,7 +66,7 @@
         false
     }
 
-    /// The VMs and endpoints of a place.
+    /// The VMs and endpoints that a place name covers. The platform covers itself.
     pub(crate) fn members(&self, place: &str) -> Result<Vec<Label>, StepError> {
         if place == PLATFORM {
             return Ok(vec![place.to_owned()]);
--- a/crates/scenario/src/platform_view.rs
+++ b/crates/scenario/src/platform_view.rs
@@ -1,7 +1,9 @@
-//! The platform as one VM sees it: the same store, and a VM list whose endpoint addresses lead through links.
+//! A proxy of the platform for one VM. It forwards every call and rewrites the endpoint addresses in the VM list, so
+//! that they lead through links.
 //!
-//! A cut between a VM and an endpoint must not touch other VMs, so each VM reaches each endpoint over a link of its
-//! own and needs a VM list that says so. Dispatchers keep their own addresses: they know each other by them.
+//! A cut between a VM and an endpoint must not affect other VMs, so each VM reaches the endpoint over its own link and
+//! needs a VM list with the address of that link. The addresses of dispatchers are not rewritten, because dispatchers
+//! identify each other by address.
 
 use std::{io, net::SocketAddr, rc::Rc};
 
@@ -15,13 +17,13 @@
 use model::FastMap;
 use serde_json::Value;
 
-/// The largest answer passed on, in bytes.
+/// The largest request or answer body forwarded, in bytes.
 const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
-/// The addresses of endpoints, by id, as one VM sees them.
+/// The link address of each endpoint, by endpoint id, for one VM.
 pub(crate) type EndpointLinks = FastMap<String, SocketAddr>;
 
-/// A running view.
+/// A running proxy. Dropping it stops the server.
 pub(crate) struct PlatformView {
     address: SocketAddr,
     handle: ServerHandle,
@@ -34,7 +36,7 @@
 }
 
 impl PlatformView {
-    /// Serves the platform at `upstream` under an address of its own.
+    /// Starts a proxy of the platform at `upstream` on an address of its own.
     pub(crate) fn start(upstream: SocketAddr, links: &EndpointLinks) -> io::Result<Self> {
         let links = links.clone();
         let server = HttpServer::new(move || {
@@ -59,7 +61,7 @@
         let handle = server.handle();
         actix_rt::spawn(async move {
             if let Err(error) = server.await {
-                log::warn!("scenario: platform view ended: {error}");
+                log::warn!("scenario: platform proxy ended: {error}");
             }
         });
         Ok(Self { address, handle })
@@ -86,7 +88,7 @@
     if let Some(content_type) = request.headers().get("content-type") {
         call = call.insert_header(("content-type", content_type.clone()));
     }
-    // No answer from the platform and this one mean the same to its clients: a write may have taken effect.
+    // Clients treat this status like a missing answer from the platform: a write may have taken effect.
     let Ok(mut answer) = call.send_body(body).await else {
         return HttpResponse::BadGateway().finish();
     };
--- a/crates/scenario/src/process.rs
+++ b/crates/scenario/src/process.rs
@@ -1,4 +1,4 @@
-//! A child process of the run. It never outlives its handle.
+//! Child processes of a run. A child process is killed when its handle is dropped.
 
 use std::{
     fmt,
@@ -14,7 +14,7 @@
     script::{Label, ProcessRole},
 };
 
-/// Which process of which VM.
+/// The name of a process: its VM and its role.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct ProcessName {
     pub(crate) vm: Label,
@@ -37,35 +37,35 @@
     }
 }
 
-/// A signal that a process of the system is sent.
+/// A signal to a process of the system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChildSignal {
-    /// Asks it to end.
+    /// SIGTERM: asks the process to end.
     Terminate,
-    /// Ends it at once.
+    /// SIGKILL: ends the process at once.
     Kill,
-    /// Stops its clock, so to say: it does not run until it is thawed.
+    /// SIGSTOP: suspends the process until it is thawed.
     Freeze,
-    /// Lets it run on.
+    /// SIGCONT: resumes the process.
     Thaw,
-    /// Tells it that its settings file has changed.
+    /// SIGHUP: tells the process to reload its settings file.
     Reload,
 }
 
-/// What a process is started with.
+/// The parameters to start a process with.
 #[derive(Clone, Copy, Debug)]
 pub struct ChildPlan<'a> {
     /// The program.
     pub binary: &'a Path,
     /// The subcommand.
     pub role: &'a str,
-    /// Its settings file.
+    /// The settings file.
     pub settings: &'a Path,
-    /// Where its output is appended.
+    /// The file to which standard output and standard error are appended.
     pub log: &'a Path,
 }
 
-/// A process of the system, under the name `N`. Dropping it kills it.
+/// A child process with a name of type `N`. Dropping the handle kills the process.
 pub struct ChildProcess<N> {
     name: N,
     child: Child,
@@ -99,12 +99,12 @@
         })
     }
 
-    /// Its name.
+    /// The name of the process.
     pub fn name(&self) -> &N {
         &self.name
     }
 
-    /// Its process id.
+    /// The process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
@@ -113,12 +113,12 @@
         self.frozen
     }
 
-    /// Whether it has been told to end.
+    /// Whether the process has been told to end.
     pub(crate) fn is_ending(&self) -> bool {
         self.cause != ExitCause::Unrequested
     }
 
-    /// Whether it has ended.
+    /// Whether the process has ended.
     pub fn has_ended(&mut self) -> bool {
         if self.status.is_none() {
             self.status = self.child.try_wait().ok().flatten();
@@ -126,11 +126,11 @@
         self.status.is_some()
     }
 
-    /// Sends a signal; one to a process that has ended does nothing.
+    /// Sends a signal. Does nothing if the process has ended.
     ///
     /// # Errors
     ///
-    /// The system does not take the signal.
+    /// The operating system rejects the signal.
     pub fn signal(&mut self, signal: ChildSignal) -> io::Result<()> {
         if self.has_ended() {
             return Ok(());
@@ -153,7 +153,7 @@
         Ok(())
     }
 
-    /// How it ended. A process that still runs is killed, and has no code.
+    /// Returns how the process ended. A process that still runs is killed and has no exit code.
     pub(crate) fn into_exit(mut self) -> ExitRecord {
         let status = self.has_ended().then_some(self.status).flatten();
         ExitRecord {
@@ -163,7 +163,7 @@
         }
     }
 
-    /// How it ended, in words.
+    /// Whether the process runs or how it ended, as text.
     pub(crate) fn describe(&mut self) -> String {
         if !self.has_ended() {
             return "runs".to_owned();
@@ -183,7 +183,7 @@
         if matches!(self.child.try_wait(), Ok(Some(_))) {
             return;
         }
-        // Both fail only where the process has ended by itself meanwhile.
+        // Both calls fail only if the process has ended in the meantime.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -191,8 +191,8 @@
 
 fn send_signal(pid: u32, signal: libc::c_int) -> io::Result<()> {
     let pid = libc::pid_t::try_from(pid).map_err(io::Error::other)?;
-    // SAFETY: `kill` takes plain numbers and touches no memory of this process. The pid is that of a child which has
-    // not been waited for, so no other process can have got it meanwhile.
+    // SAFETY: `kill` takes plain numbers and accesses no memory of this process. The pid belongs to a child that has
+    // not been waited for, so no other process can have been given it.
     let result = unsafe { libc::kill(pid, signal) };
     if result == 0 {
         return Ok(());
--- a/crates/scenario/src/process_settings.rs
+++ b/crates/scenario/src/process_settings.rs
@@ -6,22 +6,22 @@
 
 use crate::script::{ProcessRole, SettingLine};
 
-/// The field that names the address a dispatcher announces to its peers.
+/// The settings field for the address that a dispatcher announces to its peers.
 const ANNOUNCE: &str = "peer_announce";
 
-/// Whether dispatchers can be told an address to announce other than the one that they listen on.
+/// Whether the settings let dispatchers announce an address other than the one that they listen on.
 pub(crate) fn can_announce() -> bool {
     let schema = settings::dispatcher_schema();
     schema["properties"].get(ANNOUNCE).is_some()
 }
 
-/// What the settings of a VM's two processes say.
+/// The values from which the settings files of a VM's two processes are written.
 pub(crate) struct VmSettings<'a> {
     pub(crate) vm: &'a str,
     pub(crate) data_centre: &'a str,
     pub(crate) caller: SocketAddr,
     pub(crate) peer: SocketAddr,
-    /// The peer address that others are told.
+    /// The peer address announced to others.
     pub(crate) announced: SocketAddr,
     pub(crate) admin: SocketAddr,
     pub(crate) platform: SocketAddr,
@@ -30,7 +30,7 @@
 }
 
 impl VmSettings<'_> {
-    /// Writes the settings of one role, with the scenario's own on top.
+    /// Writes the settings file of one role. Settings of the scenario override the defaults.
     pub(crate) fn write(
         &self,
         role: ProcessRole,
@@ -49,7 +49,8 @@
         fs::write(path, serde_json::to_vec_pretty(&settings)?)
     }
 
-    // Times are shorter than in deployments, where the defaults spare the platform: scenarios wait for many of them.
+    // Scenarios wait for many of these times, so they are shorter than in deployments, where the defaults limit the
+    // load on the platform.
     fn entry(&self) -> Value {
         json!({
             "vm": self.vm,
@@ -93,7 +94,7 @@
     }
 }
 
-/// Sets the field at a path of parts joined by dots.
+/// Sets the field at a dotted path, replacing anything on the way that is not an object.
 fn set_field(settings: &mut Value, path: &str, value: Value) {
     let mut field = settings;
     for part in path.split('.') {
--- a/crates/scenario/src/promises.rs
+++ b/crates/scenario/src/promises.rs
@@ -1,6 +1,7 @@
-//! The promises that hold in every scenario, checked on what a run left behind.
+//! The promises of the system, that is the invariants that hold in every scenario, checked against the records of a
+//! run.
 //!
-//! The endpoints' own records are the ground truth of what started; the answers are what callers were told.
+//! The endpoints' records show which tasks really started; the answers show what callers were told.
 
 use std::{fmt, time::Duration};
 
@@ -12,14 +13,14 @@
     script::{AnswerStatus, Label},
 };
 
-/// How long after it left an endpoint may still get a task that was on its way.
+/// How long, in milliseconds, a leaving endpoint may still get tasks that were already on their way.
 const LEAVING_GRACE_MS: u64 = 2000;
 
-/// What the checks allow for.
+/// Tolerances of the promise checks.
 #[derive(Clone, Copy, Debug)]
 pub struct PromiseLimits {
-    /// The time after its deadline by which a submission must have its answer: the way to the caller and a busy test
-    /// machine.
+    /// How long after its deadline a submission must be answered at the latest. It covers the way to the caller and a
+    /// busy test machine.
     pub answer_margin: Duration,
 }
 
@@ -31,7 +32,7 @@
     }
 }
 
-/// A promise that did not hold.
+/// A violation of a promise.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BrokenPromise {
     /// A task of a submission started more than once.
@@ -54,75 +55,75 @@
     WrongResults {
         /// The submission.
         name: Label,
-        /// What is wrong.
+        /// The difference, as text.
         what: String,
     },
-    /// An answer that is not complete has results.
+    /// An answer with a status other than complete contains results.
     PartialResults {
         /// The submission.
         name: Label,
         /// How many results.
         results: usize,
     },
-    /// A complete answer though a task did not run to its end.
+    /// A submission was answered as complete although one of its tasks did not run to its end.
     CompleteWithoutRun {
         /// The submission.
         name: Label,
         /// The task.
         task: usize,
     },
-    /// A refused submission had started.
+    /// A submission was answered as refused although one of its tasks started.
     RefusedButStarted {
         /// The submission.
         name: Label,
-        /// The reason that it was refused for.
+        /// The reason of the refusal.
         reason: String,
         /// An attempt that started.
         attempt: AttemptId,
     },
-    /// No answer within the deadline and the margin.
+    /// A submission was not answered within its deadline plus the margin.
     LateAnswer {
         /// The submission.
         name: Label,
-        /// Its deadline.
+        /// The deadline of the submission.
         deadline: Duration,
-        /// The time that the answer took, or for which it has been out.
+        /// The time until the answer, or until the end of the run if there was none.
         took: Duration,
-        /// Whether it came at all.
+        /// Whether the submission was answered at all.
         answered: bool,
     },
-    /// The connection to the caller broke though nothing was done to the entry.
+    /// The caller lost its answer although its entry was not down, killed or frozen.
     LostAnswer {
         /// The submission.
         name: Label,
-        /// What the caller saw.
+        /// The error that the caller saw.
         reason: String,
     },
-    /// An endpoint got a new task long after it left.
+    /// An endpoint got a new task long after it began to leave.
     StartWhileLeaving {
         /// The attempt.
         attempt: AttemptId,
-        /// How long it had been leaving.
+        /// How long the endpoint had been leaving, in milliseconds.
         leaving_for_ms: u64,
     },
-    /// An entry showed an older contract than before.
+    /// An entry used an older version of a contract than before.
     VersionWentBack {
         /// The VM of the entry.
         vm: Label,
-        /// Whose contract.
+        /// The customer of the contract.
         customer: CustomerId,
         /// The version seen before.
         before: ContractVersion,
-        /// The older one seen after it.
+        /// The older version seen after it.
         after: ContractVersion,
     },
-    /// A terminated process did not exit with 0, or one ended that nobody ended.
+    /// A process did not exit with 0 after SIGTERM, or ended without a signal from the run.
     WrongExit {
         /// The process.
         process: String,
-        /// Why it ended.
+        /// How the process was told to end.
         cause: ExitCause,
-        /// The exit code.
+        /// The exit code; absent if a signal ended the process or it still ran.
         code: Option<i32>,
     },
 }
@@ -202,7 +203,7 @@
     }
 }
 
-/// Checks every promise and gives each one that did not hold.
+/// Checks every promise and returns the violations.
 pub fn check_promises(record: &RunRecord, limits: &PromiseLimits) -> Vec<BrokenPromise> {
     let starts = StartIndex::new(record);
     let mut broken = Vec::new();
@@ -219,7 +220,7 @@
     broken
 }
 
-/// Every start, by what the checks ask for.
+/// Every start, indexed by the keys that the checks use.
 struct StartIndex<'a> {
     all: Vec<&'a StartRecord>,
     by_task: FastMap<(SubmissionId, TaskIndex), Vec<&'a StartRecord>>,
@@ -257,7 +258,7 @@
     }
 }
 
-/// The run label of a start: the label in its payload without the task's number.
+/// The run label of a start: the label in its payload without the task number.
 fn run_label(start: &StartRecord) -> Option<String> {
     let script = TaskScript::read(start.payload.as_deref()?.as_bytes());
     let label = script.label?;
@@ -394,7 +395,7 @@
     }
 }
 
-/// A start that certainly belongs to the submission: by the id in its answer, or by a payload that no other
+/// Finds a start that certainly belongs to the submission, by the id in its answer or by a payload that no other
 /// submission shares.
 fn own_start<'a>(
     record: &RunRecord,
@@ -454,8 +455,9 @@
     }
 }
 
-/// A job sent after the answer of another, to the same entry, is accepted under the same contract or a newer one.
-/// Requests are left out: a second arrival gets the answer of the first, with its old version.
+/// Checks that a job sent after the answer to another job, to the same entry and for the same customer, is accepted
+/// under the same contract version or a newer one. Requests are skipped, because a repeated request gets the first
+/// answer with its old version.
 fn check_accepted_versions(record: &RunRecord, broken: &mut Vec<BrokenPromise>) {
     let mut jobs = Vec::new();
     for submission in record
--- a/crates/scenario/src/record.rs
+++ b/crates/scenario/src/record.rs
@@ -1,4 +1,4 @@
-//! What a run leaves behind: the evidence on which the promises are checked.
+//! The records of a run, on which the promises are checked.
 
 use std::time::Duration;
 
@@ -7,23 +7,23 @@
 
 use crate::script::{AnswerStatus, Label};
 
-/// Everything that a run leaves behind.
+/// The records of a whole run.
 #[derive(Clone, Debug, Default)]
 pub struct RunRecord {
     /// Every submission.
     pub submissions: Vec<SubmissionRecord>,
-    /// Every endpoint, as its stand-in remembers.
+    /// The record of every endpoint, kept by its stand-in.
     pub endpoints: Vec<EndpointRecord>,
-    /// Every look at the contracts of an entry, in order.
+    /// The contract versions read from entries by polling, in order.
     pub observations: Vec<VersionObservation>,
     /// Every process that has ended.
     pub exits: Vec<ExitRecord>,
 }
 
-/// The answer of a submission as the caller got it.
+/// The answer to a submission as the caller received it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AnswerRecord {
-    /// The submission, where the answer names it.
+    /// The id of the submission, where the answer contains it.
     pub id: Option<SubmissionId>,
     /// The status.
     pub status: AnswerStatus,
@@ -31,68 +31,70 @@
     pub reason: String,
     /// The results in the order of the tasks.
     pub results: Vec<Vec<u8>>,
-    /// The contract version under which it was accepted, where the answer names it.
+    /// The contract version under which the submission was accepted, where the answer contains it.
     pub version: Option<ContractVersion>,
 }
 
-/// A submission and what became of it.
+/// A submission and its answer.
 #[derive(Clone, Debug)]
 pub struct SubmissionRecord {
-    /// The group that it belongs to.
+    /// The group that the submission belongs to.
     pub group: Label,
-    /// Its own name.
+    /// The name of this submission.
     pub name: Label,
-    /// Whose.
+    /// The customer that submitted it.
     pub customer: CustomerId,
     /// Whether it is a non-idempotent request.
     pub request: bool,
-    /// The name by which its payloads are known at the endpoints. Requests with one key or ticket share it.
+    /// The label in its payloads, without the task number, that identifies them in the endpoints' records. Requests
+    /// with the same key or ticket share it.
     pub run_label: Label,
-    /// The payloads of its tasks; each is also its task's result.
+    /// The payloads of its tasks. Each payload is also the expected result of its task.
     pub payloads: Vec<Vec<u8>>,
-    /// The deadline that the caller named.
+    /// The deadline that the caller sent, counted from the submission.
     pub deadline: Duration,
-    /// The VM whose entry took it.
+    /// The VM whose entry it was sent to; empty where no entry was ready.
     pub via: Label,
-    /// The answer; absent while it is out.
+    /// The answer; absent until it arrives.
     pub answer: Option<AnswerRecord>,
-    /// When it was sent, since the run began.
+    /// When it was sent, counted from the start of the run.
     pub sent: Duration,
     /// The time from sending to the answer, or until the end of the run.
     pub took: Duration,
-    /// Whether the scenario killed or froze its entry meanwhile, so that no answer can be asked for in time.
+    /// Whether its entry was down when it was sent, or was killed or frozen before the answer, so that a timely answer
+    /// is not required.
     pub entry_unavailable: bool,
 }
 
-/// One contract version seen at one entry.
+/// A contract version read from one entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VersionObservation {
     /// The VM of the entry.
     pub vm: Label,
-    /// Whose contract.
+    /// The customer of the contract.
     pub customer: CustomerId,
     /// The version.
     pub version: ContractVersion,
 }
 
-/// How a process was told to end.
+/// The signal by which the run told a process to end, if any.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitCause {
-    /// By SIGTERM: it has to drain and exit with 0.
+    /// By SIGTERM: the process has to drain and exit with 0.
     Terminated,
     /// By SIGKILL.
     Killed,
-    /// Not at all.
+    /// The process ended without a signal from the run.
     Unrequested,
 }
 
 /// A process that has ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExitRecord {
-    /// Its name, for example `rajkot-east-vm1 entry`.
+    /// The name of the process, for example `rajkot-east-vm1 entry`.
     pub process: String,
-    /// Why it ended.
+    /// How it was told to end.
     pub cause: ExitCause,
-    /// Its exit code; absent when a signal ended it, or when it had not ended in time.
+    /// The exit code; absent when a signal ended the process, or when it still ran at the end of the run.
     pub code: Option<i32>,
 }
--- a/crates/scenario/src/runner/conditions.rs
+++ b/crates/scenario/src/runner/conditions.rs
@@ -1,4 +1,4 @@
-//! Conditions that steps wait for.
+//! Polling of the conditions that `wait` steps name.
 
 use std::time::{Duration, Instant};
 
@@ -15,10 +15,10 @@
     script::{Condition, CountBound, ExpectedAnswer, Label, ProcessTarget, SubmitKind, SubmitStep},
 };
 
-/// The deadline of the small jobs by which entries are asked how they answer.
+/// The deadline of the probe jobs that show how entries answer.
 const PROBE_DEADLINE: Duration = Duration::from_secs(2);
 
-/// Whether a condition holds, and how things stand.
+/// Whether a condition holds, and the state found, as text.
 struct ConditionStatus {
     holds: bool,
     state: String,
@@ -80,7 +80,7 @@
         Ok(records.iter().map(|record| record.running as usize).sum())
     }
 
-    /// Tasks of a group that have started, over all endpoints.
+    /// The number of tasks of a group that have started, over all endpoints.
     pub(super) fn starts(&self, group: &str) -> Result<usize, StepError> {
         let mut labels = Vec::new();
         for submission in self.load.group(group)? {
@@ -144,8 +144,8 @@
         })
     }
 
-    /// Sends a small job to every entry that takes submissions. The jobs are recorded like any other, so the promises
-    /// hold for them too.
+    /// Sends a probe job to every ready entry and compares the answers. The jobs are recorded like any other, so the
+    /// promises are checked for them too.
     async fn check_entry_answers(
         &mut self,
         customer: &CustomerId,
--- a/crates/scenario/src/runner/expectations.rs
+++ b/crates/scenario/src/runner/expectations.rs
@@ -1,4 +1,4 @@
-//! Expectations: wait for what they are about, then compare.
+//! `expect` steps: wait for the answers or changes concerned, then compare.
 
 use std::time::{Duration, Instant};
 
@@ -9,9 +9,9 @@
     script::{ChangeStatus, CountBound, Expectation, ExpectedAnswer, Label},
 };
 
-/// How long after the deadline an answer is waited for here. The promise check says that it was late.
+/// How long after the deadline an `expect` step still waits for an answer. The promise check reports that it was late.
 const ANSWER_GRACE: Duration = Duration::from_secs(5);
-/// How long an operator's change may be under way.
+/// How long an `expect` step waits for the outcome of an operator's change.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(20);
 
 impl ScenarioRun {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The answers of a group, once all are there.
+    /// Waits until every submission of a group is answered and returns them.
     pub(super) async fn answers(&self, group: &str) -> Result<Vec<SubmissionRecord>, StepError> {
         let started = Instant::now();
         loop {
@@ -124,7 +124,7 @@
             if started.elapsed() > CHANGE_TIMEOUT {
                 return Err(StepError::TimedOut {
                     within: CHANGE_TIMEOUT,
-                    state: format!("change {name} is under way"),
+                    state: format!("change {name} is still under way"),
                 });
             }
             actix_rt::time::sleep(POLL_INTERVAL).await;
@@ -162,13 +162,13 @@
     )))
 }
 
-/// Whether an answer is the expected one.
+/// Whether an answer has the expected status and, where one is expected, the expected reason.
 pub(super) fn matches_expected(answer: &AnswerRecord, expected: &ExpectedAnswer) -> bool {
     let reason = expected.reason.as_ref();
     answer.status == expected.status && reason.is_none_or(|reason| *reason == answer.reason)
 }
 
-/// An answer in words.
+/// An answer as text.
 pub(super) fn describe(answer: &AnswerRecord) -> String {
     format!("{:?} {}", answer.status, answer.reason)
         .trim_end()
--- a/crates/scenario/src/runner/mod.rs
+++ b/crates/scenario/src/runner/mod.rs
@@ -1,4 +1,4 @@
-//! Runs a scenario against real processes and checks every promise at its end.
+//! Runs a scenario against real processes and then checks every promise.
 
 mod conditions;
 mod expectations;
@@ -22,49 +22,49 @@
     testbed::ScenarioTestbed,
 };
 
-/// The time between two looks at a condition.
+/// Interval at which conditions are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// How long processes may take to end once told to, which is more than their drain limit.
+/// How long processes may take to end once told to. It is longer than their drain limit.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(15);
-/// The seed where neither the scenario nor the settings name one.
+/// The seed if neither the settings nor the scenario set one.
 const DEFAULT_SEED: u64 = 1;
 
 /// Settings of a run.
 #[derive(Clone, Debug)]
 pub struct RunSettings {
-    /// The binary `cairnpaddle`.
+    /// The path of the `cairnpaddle` binary.
     pub binary: PathBuf,
-    /// A directory for settings files and logs, of this run alone.
+    /// A directory for settings files and logs, used by this run only.
     pub dir: PathBuf,
-    /// The seed, before that of the scenario.
+    /// The seed; overrides that of the scenario.
     pub seed: Option<u64>,
-    /// What the promise checks allow for.
+    /// Tolerances of the promise checks.
     pub limits: PromiseLimits,
 }
 
 /// A step that failed.
 #[derive(Debug)]
 pub struct StepFailure {
-    /// The line, from 1; 0 for the set-up.
+    /// The line number, from 1; 0 for the set-up.
     pub line: usize,
     /// The text of the line.
     pub text: String,
-    /// Why.
+    /// The error.
     pub cause: StepError,
 }
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Debug)]
 pub struct RunReport {
     /// The seed that was used.
     pub seed: u64,
-    /// How long it took.
+    /// The duration of the run.
     pub took: Duration,
-    /// What it left behind.
+    /// The records on which the promises were checked.
     pub record: RunRecord,
-    /// The step that failed, after which no other was made.
+    /// The step that failed; the run stops at the first failure.
     pub failure: Option<StepFailure>,
-    /// The promises that did not hold.
+    /// The violations of promises.
     pub broken: Vec<BrokenPromise>,
 }
 
@@ -110,11 +110,11 @@
     }
 }
 
-/// Runs a scenario. Call it inside an actix `System`.
+/// Runs a scenario. It must be called inside an actix `System`.
 ///
 /// # Errors
 ///
-/// The stand-ins cannot be started. Whatever goes wrong afterwards is in the report.
+/// Fails if the stand-ins cannot be started. Later failures are in the report.
 pub async fn run_script(script: &Script, settings: RunSettings) -> io::Result<RunReport> {
     let started = Instant::now();
     let limits = settings.limits;
@@ -133,13 +133,13 @@
     })
 }
 
-/// A scenario under way.
+/// A running scenario.
 struct ScenarioRun {
     seed: u64,
     testbed: ScenarioTestbed,
     load: CallerLoad,
     contracts: Vec<ContractLine>,
-    /// Counts the small jobs sent to ask how entries answer.
+    /// The number of probe jobs sent, used to give each its own name.
     probes: usize,
 }
 
@@ -216,7 +216,7 @@
         Ok(())
     }
 
-    /// Waits for the answers, ends every process as a planned stop does, and gathers what is left behind.
+    /// Waits for the answers, stops every process as in a planned stop, and collects the records.
     async fn finish(&mut self, margin: Duration) -> RunRecord {
         while !self.load.is_settled(margin) {
             actix_rt::time::sleep(POLL_INTERVAL).await;
@@ -253,6 +253,6 @@
 
 fn signal_for_shutdown(process: &mut ChildProcess<ProcessName>, signal: ChildSignal) {
     if let Err(error) = process.signal(signal) {
-        log::warn!("scenario: {signal:?} to {}: {error}", process.name());
+        log::warn!("scenario: {signal:?} to {} failed: {error}", process.name());
     }
 }
--- a/crates/scenario/src/runner/peak.rs
+++ b/crates/scenario/src/runner/peak.rs
@@ -1,4 +1,4 @@
-//! How full endpoints were, by what they remember: the most tasks of a customer at once, and tasks turned away.
+//! Figures from the endpoints' records: the peak of a customer's concurrent tasks, and tasks turned away.
 
 use model::CustomerId;
 use stand_ins::endpoint::{EndpointRecord, StartRecord, TaskScript, TurnedAway};
@@ -50,15 +50,16 @@
     }
 }
 
-/// When a task began and ended, in microseconds before now (so both are at most 0): the stand-ins started at
-/// different times, and this is what their clocks have in common.
+/// The start and end of a task in microseconds relative to now, so both are at most 0. The clocks of the stand-ins
+/// started at different times, so only times relative to now can be compared.
 fn run_interval(record: &EndpointRecord, start: &StartRecord) -> (i64, i64) {
     let before_now = |at: u64| at as i64 - record.age_us as i64;
     let ended = start.ended_us.map_or(0, before_now);
     (before_now(start.started_us), ended)
 }
 
-/// An end and a start at one moment do not overlap: ends sort first.
+/// The peak concurrency, from time `first` on if given. An end and a start at the same time do not overlap, because
+/// ends sort first.
 fn peak_concurrency(mut steps: Vec<(i64, i64)>, first: Option<i64>) -> usize {
     steps.sort_unstable();
     let (mut running, mut most) = (0, 0);
--- a/crates/scenario/src/runner/steps.rs
+++ b/crates/scenario/src/runner/steps.rs
@@ -1,4 +1,4 @@
-//! What each step does.
+//! Execution of steps.
 
 use std::time::{Duration, Instant};
 
@@ -21,7 +21,7 @@
     },
 };
 
-/// How long a process may take to become ready.
+/// How long processes may take to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl ScenarioRun {
@@ -77,7 +77,7 @@
         Ok(())
     }
 
-    /// Asks a process whether it is ready, and tells the callers of an entry that is.
+    /// Probes whether a process is ready. A ready entry becomes a ready backend of the load balancer.
     pub(super) async fn is_ready(&mut self, name: &ProcessName) -> Result<bool, StepError> {
         let address = self.testbed.vm(&name.vm)?.probe_address(name.role);
         let ready = caller::probe(address, "ready").await;
@@ -95,8 +95,9 @@
         Ok(())
     }
 
-    /// Cancels what has no answer yet. A caller learns the id of a job only with its answer, so the id is taken from
-    /// the endpoints' records: a job of which nothing has started is left alone.
+    /// Cancels the submissions of a group that have no answer yet. A caller learns the id of a submission only with its
+    /// answer, so the id is taken from the endpoints' records, and a submission of which no task has started is not
+    /// cancelled.
     fn cancel(&mut self, group: &str) -> Result<(), StepError> {
         let records = self.testbed.records();
         for submission in self.load.group(group)? {
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -12,36 +12,36 @@
     pub lines: Vec<ScriptLine>,
 }
 
-/// One statement and where it stands.
+/// One statement with its line number and text.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScriptLine {
-    /// The line, from 1.
+    /// The line number, from 1.
     pub number: usize,
-    /// The text, for reports.
+    /// The text of the line, for reports.
     pub text: String,
-    /// What it says.
+    /// The parsed statement.
     pub statement: Statement,
 }
 
-/// What a line says.
+/// A set-up line or a step.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Statement {
     /// Part of the set-up, which comes before every step.
     Setup(Setup),
-    /// Something to do, in order.
+    /// A step; steps run in order.
     Step(Step),
 }
 
-/// What is there when the steps begin.
+/// Part of the state in which the first step finds the system.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Setup {
     /// The seed of every random choice of the run.
     Seed(u64),
     /// A data centre with its VMs and endpoints.
     DataCentre(DataCentreLine),
-    /// A contract, made by an operator once the first entry is ready.
+    /// A contract, written to the platform before any process starts.
     Contract(ContractLine),
-    /// A field of the settings files.
+    /// A field in the settings files of one role.
     Setting(SettingLine),
 }
 
@@ -50,27 +50,27 @@
 pub struct DataCentreLine {
     /// The name.
     pub name: DataCentreId,
-    /// VMs of the system.
+    /// The number of VMs of the system.
     pub vms: usize,
-    /// Endpoints.
+    /// The number of endpoints.
     pub endpoints: usize,
-    /// Slots of each endpoint.
+    /// The number of slots of each endpoint.
     pub slots: u32,
 }
 
 /// A contract of the set-up.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ContractLine {
-    /// Whose contract.
+    /// The customer of the contract.
     pub customer: CustomerId,
-    /// The contract: the defaults with the fields named on the line.
+    /// The default contract with the fields on the line replaced.
     pub contract: Contract,
 }
 
 /// A field of one role's settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingLine {
-    /// Whose settings.
+    /// The role whose settings are changed.
     pub role: ProcessRole,
     /// The path of the field, parts joined by dots.
     pub path: String,
@@ -90,7 +90,7 @@
 /// A name in a scenario: of a submission group, a VM, an endpoint and so on.
 pub type Label = String;
 
-/// Which processes a step is about.
+/// The processes that a step acts on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProcessTarget {
     /// Every process.
@@ -101,14 +101,14 @@
     One(ProcessRole, Label),
 }
 
-/// Something to do.
+/// One step of a scenario.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     /// Starts processes and waits until they are ready, unless told not to.
     Start {
-        /// Which.
+        /// The processes to start.
         target: ProcessTarget,
-        /// Whether to go on at once.
+        /// Whether to go on without waiting until they are ready.
         unready: bool,
     },
     /// Gets a ticket for a request.
@@ -123,57 +123,57 @@
     Terminate(ProcessTarget),
     /// Stops processes by SIGSTOP.
     Freeze(ProcessTarget),
-    /// Lets them go on by SIGCONT.
+    /// Resumes stopped processes by SIGCONT.
     Thaw(ProcessTarget),
-    /// Changes the network between two places.
+    /// Changes the links between two places.
     Link(LinkStep),
-    /// Heals every link.
+    /// Returns every link to normal operation.
     Heal,
-    /// Changes what the platform does.
+    /// Injects a fault at the platform, or ends its faults.
     Platform(PlatformStep),
-    /// Changes what an endpoint does.
+    /// Injects a fault at an endpoint, or takes it out of service.
     Endpoint(EndpointStep),
     /// An operator changes a contract; goes on without waiting.
     Change(ChangeStep),
     /// Waits for a condition.
     Wait {
-        /// What to wait for.
+        /// The condition.
         condition: Condition,
         /// The longest wait.
         within: Duration,
     },
-    /// Waits for answers and compares.
+    /// Waits for the answers or changes concerned, then compares them or a count with what is expected.
     Expect(Expectation),
 }
 
-/// Gets a ticket.
+/// Gets a ticket from an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TicketStep {
-    /// The name that the scenario gives it.
+    /// The name of the ticket within the scenario.
     pub name: Label,
-    /// Whose.
+    /// The customer that the ticket is for.
     pub customer: CustomerId,
-    /// The VM whose entry issues it; the seed chooses where absent.
+    /// The VM whose entry issues the ticket; chosen at random with the seed where absent.
     pub via: Option<Label>,
 }
 
-/// How a second arrival of a request is known.
+/// How an entry recognises a repeated request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestDedup {
-    /// It is not.
+    /// Repeats are not recognised.
     Plain,
     /// By an idempotency key.
     Key(IdempotencyKey),
-    /// By a ticket of the scenario.
+    /// By the ticket of this name.
     Ticket(Label),
 }
 
-/// Job or request.
+/// Whether a job or a request is submitted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SubmitKind {
     /// A job of this many tasks.
     Job {
-        /// How many.
+        /// The number of tasks.
         tasks: u32,
     },
     /// A non-idempotent request.
@@ -185,36 +185,36 @@
 pub struct SubmitStep {
     /// The name of the group.
     pub name: Label,
-    /// What.
+    /// Whether jobs or requests are submitted.
     pub kind: SubmitKind,
-    /// Whose.
+    /// The customer of the submissions.
     pub customer: CustomerId,
     /// Run time of each task.
     pub run: Duration,
-    /// The deadline that the caller names.
+    /// The deadline that the caller sends, counted from the submission.
     pub deadline: Duration,
-    /// The run time that the caller declares; the true one where absent.
+    /// The run time that the caller declares for each task; `run` where absent.
     pub declared: Option<Duration>,
-    /// The task, from 0, that fails.
+    /// The index, from 0, of the task that fails.
     pub fail_task: Option<u32>,
-    /// Names another body under the same key or ticket.
+    /// Number that makes the body differ from other bodies under the same key or ticket.
     pub variant: Option<u32>,
-    /// How many submissions.
+    /// The number of submissions.
     pub times: u32,
-    /// The time between them.
+    /// The time between two submissions.
     pub every: Duration,
-    /// The VM whose entry takes them; the seed chooses each where absent.
+    /// The VM whose entry takes the submissions; chosen at random for each with the seed where absent.
     pub via: Option<Label>,
 }
 
-/// What a link step does to the network.
+/// What a link step does to the links between its places.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkChange {
-    /// Nothing passes.
+    /// No data passes in either direction.
     Cut(CutConnect),
-    /// Nothing passes from the first place to the second.
+    /// No data passes from the first place to the second.
     CutOneWay,
-    /// Everything passes this much later each way.
+    /// Data is delayed by this time in each direction.
     Delay(Duration),
     /// Open connections are reset.
     Reset,
@@ -227,70 +227,71 @@
     pub from: Label,
     /// The second place.
     pub to: Label,
-    /// What happens.
+    /// The change to the links.
     pub change: LinkChange,
 }
 
-/// Changes what the platform does. Faults add up until `up`.
+/// A fault of the platform. Faults accumulate until `Up`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlatformStep {
     /// Ends every fault.
     Up,
-    /// Each call fails without effect.
+    /// Each call is answered as unavailable and has no effect.
     Down,
-    /// Each connection closes without an answer.
+    /// Each connection is closed without an answer.
     Closed,
-    /// Writes fail, reads get through.
+    /// Writes are answered as unavailable; reads succeed.
     ReadOnly,
-    /// Each call takes longer.
+    /// Each call takes this much longer.
     Slow(Duration),
-    /// The next writes take effect, and their answers are lost.
+    /// The next writes, this many, take effect but their answers are lost.
     LoseAnswers(u32),
-    /// The next writes of a customer's contract lose against another writer.
+    /// The next writes, this many, of a customer's contract lose a race against another writer.
     Race(CustomerId, u32),
-    /// The VM list is as of this long ago.
+    /// The VM list lags by this time.
     Stale(Duration),
 }
 
-/// Changes what an endpoint does.
+/// Changes the behaviour of an endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointStep {
     /// The endpoint.
     pub name: Label,
-    /// What.
+    /// The new behaviour.
     pub change: EndpointChange,
 }
 
-/// What an endpoint does from now on.
+/// The behaviour of an endpoint from the step on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EndpointChange {
-    /// Shows a fault.
+    /// Injects a fault, or returns to healthy.
     Fault(FaultOrder),
-    /// Leaves: the VM list says so; it takes what still comes, and the record shows when.
+    /// Marks the endpoint as leaving in the VM list. It still accepts tasks, and its record shows how long it had been
+    /// leaving at each start.
     Leave,
-    /// Its process ends.
+    /// Stops the stand-in of the endpoint, as if its process had ended.
     Stop,
 }
 
-/// An operator changes a contract.
+/// A change of a contract by an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChangeStep {
     /// The name of the change.
     pub name: Label,
-    /// The contract from then on.
+    /// The customer and its new contract.
     pub line: ContractLine,
-    /// The VM whose entry takes it; the seed chooses where absent.
+    /// The VM whose entry takes the change; chosen at random with the seed where absent.
     pub via: Option<Label>,
 }
 
 /// A bound on a count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CountBound {
-    /// At least so many.
+    /// At least this many.
     AtLeast(usize),
-    /// At most so many.
+    /// At most this many.
     AtMost(usize),
-    /// So many.
+    /// Exactly this many.
     Exactly(usize),
 }
 
@@ -305,123 +306,123 @@
     }
 }
 
-/// What to wait for.
+/// A condition that a step waits for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Condition {
-    /// Tasks that run now, at one endpoint or all.
+    /// The number of tasks running now, at one endpoint or at all.
     Running {
-        /// How many.
+        /// The bound on the count.
         bound: CountBound,
-        /// The endpoint; all where absent.
+        /// The endpoint; all endpoints where absent.
         endpoint: Option<Label>,
     },
-    /// Tasks of a group that have started.
+    /// The number of tasks of a group that have started.
     Started {
         /// The group.
         group: Label,
-        /// How many.
+        /// The bound on the count.
         bound: CountBound,
     },
-    /// Submissions of a group that have an answer.
+    /// The number of submissions of a group that have an answer.
     Answered {
         /// The group.
         group: Label,
-        /// How many; all where absent.
+        /// The bound on the count; all submissions of the group where absent.
         bound: Option<CountBound>,
     },
-    /// The processes say that they are ready.
+    /// The readiness probe of each process succeeds.
     Ready(ProcessTarget),
-    /// The processes say that they are not ready, or are gone.
+    /// The readiness probe of each process fails, also because the process is gone.
     Unready(ProcessTarget),
-    /// The processes answer at all, ready or not.
+    /// The liveness probe of each process succeeds, whether it is ready or not.
     Live(ProcessTarget),
-    /// The processes have ended.
+    /// Every process has ended.
     Exited(ProcessTarget),
-    /// Every entry that takes submissions answers a small job of the customer so.
+    /// Every ready entry gives the expected answer to a small job of the customer.
     EntriesAnswer {
-        /// Whose jobs.
+        /// The customer of the jobs.
         customer: CustomerId,
-        /// The answer.
+        /// The expected answer.
         answer: ExpectedAnswer,
     },
 }
 
-/// The status of an answer as the caller gets it.
+/// The status of an answer as the caller receives it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AnswerStatus {
-    /// Every task ran.
+    /// Every task ran to its end.
     Complete,
-    /// Failed as a whole.
+    /// The submission failed as a whole.
     Failed,
-    /// Nothing ran.
+    /// Refused; no task ran.
     Refused,
-    /// May or may not have run.
+    /// The submission may or may not have run.
     Unknown,
-    /// No answer came: the connection to the entry broke.
+    /// No valid answer came: the connection broke or timed out, the answer could not be read, or no entry was ready.
     Lost,
 }
 
-/// The end of an operator's change.
+/// The outcome of an operator's change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ChangeStatus {
-    /// In force.
+    /// The change was written.
     Accepted,
-    /// Another change was first; nothing was changed.
+    /// Another change was written first; nothing was changed.
     Conflict,
-    /// Refused or failed: nothing was changed.
+    /// The change was refused or failed, and nothing was changed.
     Failed,
-    /// May have been made.
+    /// The change may or may not have been written.
     Unknown,
 }
 
-/// An expected status, with its reason where that matters.
+/// An expected status, and the reason where the scenario names one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExpectedAnswer {
     /// The status.
     pub status: AnswerStatus,
-    /// The reason; any where absent.
+    /// The reason; any reason where absent.
     pub reason: Option<String>,
 }
 
-/// What is expected.
+/// What an `expect` step compares.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Expectation {
-    /// Answers of a group are among these.
+    /// The answers of a group are among the given ones.
     Answers {
         /// The group.
         group: Label,
-        /// How many of the group; all where absent.
+        /// The bound on the count; all submissions of the group where absent.
         bound: Option<CountBound>,
-        /// The answers that count.
+        /// The answers that are counted.
         answers: Vec<ExpectedAnswer>,
     },
-    /// Tasks of a group that have started.
+    /// The number of tasks of a group that have started.
     Starts {
         /// The group.
         group: Label,
-        /// How many.
+        /// The bound on the count.
         bound: CountBound,
     },
-    /// Tasks that endpoints turned away because no slot was free.
+    /// The number of tasks that endpoints turned away because no slot was free.
     TurnedAway(CountBound),
     /// The most tasks of a customer that ran at once, over all endpoints.
     Peak {
-        /// Whose.
+        /// The customer of the tasks.
         customer: CustomerId,
-        /// How many.
+        /// The bound on the count.
         bound: CountBound,
-        /// Counted from the first start of this group on; over the whole run where absent.
+        /// The group from whose first start on the peak is counted; the whole run where absent.
         from: Option<Label>,
     },
-    /// Two groups got the same answer with the same result.
+    /// All answers of two groups have the same status and results.
     SameAnswer(Label, Label),
-    /// Ends of changes.
+    /// The outcomes of operators' changes.
     Changes {
-        /// Which.
+        /// The names of the changes.
         names: Vec<Label>,
-        /// How many of them; all where absent.
+        /// The bound on the count; all named changes where absent.
         bound: Option<CountBound>,
-        /// The ends that count.
+        /// The outcomes that are counted.
         ends: Vec<ChangeStatus>,
     },
 }
--- a/crates/scenario/src/sources.rs
+++ b/crates/scenario/src/sources.rs
@@ -1,6 +1,6 @@
-//! Finds which VM opened a connection, so that links that share an address can be told apart.
+//! Finds the VM that opened a connection, so that links that share an address can be told apart.
 //!
-//! Everything runs on one machine, so the kernel's own tables say which process has the other end of a loopback
+//! All processes run on one machine, so the kernel's socket table shows which process owns the other end of a loopback
 //! connection.
 
 use std::{
@@ -13,7 +13,7 @@
 
 use crate::script::Label;
 
-/// The processes of the run and their VMs. Clones share the list.
+/// The process ids of the run with their VMs. Clones share the list.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SourceList {
     pids: Arc<Mutex<Vec<(u32, Label)>>>,
@@ -25,7 +25,7 @@
         pids.push((pid, vm.to_owned()));
     }
 
-    /// Looks a connection up by the address it comes from.
+    /// Returns a function that maps the source address of a connection to its VM.
     pub(crate) fn finder(&self) -> SourceFinder {
         let list = self.clone();
         Arc::new(move |from| list.find(from))
@@ -34,22 +34,22 @@
     fn find(&self, from: SocketAddr) -> Option<Label> {
         let inode = socket_inode(&fs::read_to_string("/proc/net/tcp").ok()?, from)?;
         let pids = self.pids.lock().unwrap_or_else(PoisonError::into_inner);
-        // Newest first: a pid of a process that has ended may have been given to a later one.
+        // Newest first, because the pid of an ended process may have been reused by a later one.
         let found = pids.iter().rev().find(|(pid, _)| has_socket(*pid, &inode));
         found.map(|(_, vm)| vm.clone())
     }
 }
 
-/// The inode of the socket whose own address is `from`.
+/// The inode of the socket whose local address is `from`.
 fn socket_inode(table: &str, from: SocketAddr) -> Option<String> {
-    // Only the socket's own address follows a colon and a space, that of the other side follows one space.
+    // In the table only the local address follows a colon and a space; the remote address follows a space alone.
     let own = format!(": {} ", table_address(from)?);
     let line = table.lines().find(|line| line.contains(&own))?;
     line.split_whitespace().nth(9).map(str::to_owned)
 }
 
-/// An address as the kernel's table has it: the IPv4 address as a hexadecimal number in this machine's byte order, and the
-/// port.
+/// Formats an address as in the kernel's table: the IPv4 address as a hexadecimal number in native byte order, then the
+/// port in hexadecimal. `None` for IPv6.
 fn table_address(address: SocketAddr) -> Option<String> {
     let SocketAddr::V4(address) = address else {
         return None;
--- a/crates/scenario/src/testbed.rs
+++ b/crates/scenario/src/testbed.rs
@@ -1,4 +1,4 @@
-//! The world of a run: stand-ins, links and the VMs with their processes.
+//! The testbed of a run: stand-ins, links and the VMs with their processes.
 
 use std::{
     fs, io,
@@ -26,16 +26,16 @@
     sources::SourceList,
 };
 
-/// A VM of the system.
+/// A VM with its addresses and its two processes.
 pub(crate) struct VmNode {
     pub(crate) name: Label,
     pub(crate) data_centre: Label,
     pub(crate) caller: SocketAddr,
     peer: SocketAddr,
-    /// Where others reach its dispatcher: behind links, or the same.
+    /// The address at which others reach its dispatcher: that of the shared links in front of it, or `peer`.
     announced: SocketAddr,
     admin: SocketAddr,
-    /// The platform as seen from here, behind a link where a step names it.
+    /// The address of the platform for this VM: behind a proxy or a link where the scenario needs one.
     pub(crate) platform: SocketAddr,
     _view: Option<PlatformView>,
     entry: Option<ChildProcess<ProcessName>>,
@@ -51,7 +51,7 @@
     slots: u32,
 }
 
-/// Everything that runs.
+/// The stand-ins, links and processes of a run.
 pub(crate) struct ScenarioTestbed {
     pub(crate) platform: PlatformStandIn,
     pub(crate) faults: FaultSettings,
@@ -64,11 +64,11 @@
     settings: Vec<SettingLine>,
     binary: PathBuf,
     dir: PathBuf,
-    /// Processes that have ended and been replaced.
+    /// Exits of processes that have been replaced.
     exits: Vec<ExitRecord>,
 }
 
-/// Where a link goes: from a VM to an endpoint, the platform or another VM.
+/// The two ends of a link: from a VM to an endpoint, the platform or another VM.
 struct LinkEnds {
     name: String,
     from: Label,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Where the process of a role answers probes.
+    /// The address at which the process of a role answers probes.
     pub(crate) fn probe_address(&self, role: ProcessRole) -> SocketAddr {
         match role {
             ProcessRole::Entry => self.caller,
@@ -93,7 +93,7 @@
 }
 
 impl ScenarioTestbed {
-    /// Starts the stand-ins and links; no process yet.
+    /// Starts the stand-ins and links, but no process.
     pub(crate) fn build(
         script: &Script,
         settings: Vec<SettingLine>,
@@ -185,8 +185,8 @@
         Ok(())
     }
 
-    /// Puts links from the other VMs in front of a dispatcher, where a step names them. Dispatchers know each other by
-    /// one address, so the links share one.
+    /// Adds links from other VMs to a dispatcher, where a step names them, and returns the address to announce. A
+    /// dispatcher has one address for all its peers, so the links share it.
     fn add_peer_links(&mut self, to: &str, peer: SocketAddr) -> io::Result<SocketAddr> {
         let mut links = Vec::new();
         for vm in &self.places.vms {
@@ -199,7 +199,7 @@
         }
         if !process_settings::can_announce() {
             return Err(io::Error::other(
-                "links between VMs need the setting peer_announce of dispatchers",
+                "links between VMs require the dispatcher setting peer_announce",
             ));
         }
         let finder = self.sources.finder();
@@ -222,7 +222,7 @@
         Ok(address)
     }
 
-    /// Tells the platform which VMs there are.
+    /// Publishes the list of VMs and endpoints to the platform.
     pub(crate) fn publish_vms(&self) {
         let mut list = Vec::new();
         for vm in &self.vms {
@@ -272,7 +272,7 @@
         Ok(())
     }
 
-    /// The processes that a target names, dispatchers first: an entry is ready once it has one.
+    /// The processes of a target. Dispatchers come first, because an entry becomes ready only when it has one.
     pub(crate) fn targets(&self, target: &ProcessTarget) -> Result<Vec<ProcessName>, StepError> {
         let roles = [ProcessRole::Dispatcher, ProcessRole::Entry];
         let mut names = Vec::new();
@@ -297,7 +297,7 @@
         Ok(names)
     }
 
-    /// Starts a process, in the place of one that has ended.
+    /// Starts a process. An ended process of the same name is replaced and its exit recorded.
     pub(crate) fn start(&mut self, name: &ProcessName) -> Result<(), StepError> {
         let settings = self
             .dir
@@ -367,13 +367,13 @@
         Ok(())
     }
 
-    /// Whether a process is there and has not ended.
+    /// Whether a process was started and has not ended.
     pub(crate) fn is_running(&mut self, name: &ProcessName) -> Result<bool, StepError> {
         let slot = self.vm(&name.vm)?.process(name.role);
         Ok(slot.as_mut().is_some_and(|process| !process.has_ended()))
     }
 
-    /// How a process stands, in words.
+    /// The state of a process as text.
     pub(crate) fn describe(&mut self, name: &ProcessName) -> String {
         match self.vm(&name.vm).map(|vm| vm.process(name.role)) {
             Ok(Some(process)) => process.describe(),
@@ -381,7 +381,7 @@
         }
     }
 
-    /// Every process that is there.
+    /// Every process that was started and not replaced, whether or not it has ended.
     pub(crate) fn processes(&mut self) -> Vec<&mut ChildProcess<ProcessName>> {
         let mut list = Vec::new();
         for vm in &mut self.vms {
@@ -391,7 +391,7 @@
         list
     }
 
-    /// Takes every process away and gives how each ended; what still runs is killed.
+    /// Removes every process and returns all exits of the run. Processes that still run are killed.
     pub(crate) fn take_exits(&mut self) -> Vec<ExitRecord> {
         let mut exits = std::mem::take(&mut self.exits);
         for vm in &mut self.vms {
@@ -409,7 +409,7 @@
             .collect()
     }
 
-    /// The links between two places, each with whether it runs from the first to the second.
+    /// The links between two places, each with whether its direction is from the first place to the second.
     pub(crate) fn links_between(&self, a: &str, b: &str) -> Result<Vec<(String, bool)>, StepError> {
         let (a_members, b_members) = (self.places.members(a)?, self.places.members(b)?);
         let mut links = Vec::new();
@@ -448,7 +448,8 @@
     })
 }
 
-/// Addresses that were free a moment ago: bound by the system all at once, so that they differ, then let go.
+/// Returns three free loopback addresses. All are bound at the same time, so that they differ, and then released, so
+/// another process could still take one.
 fn free_addresses() -> io::Result<[SocketAddr; 3]> {
     let bind = || TcpListener::bind((Ipv4Addr::LOCALHOST, 0));
     let listeners = [bind()?, bind()?, bind()?];
@@ -459,5 +460,5 @@
     ])
 }
 
-/// Names to look things up by.
+/// A map keyed by scenario names.
 pub(crate) type NameMap<V> = FastMap<Label, V>;
