--- a/crates/scenario/tests/language.rs
+++ b/crates/scenario/tests/language.rs
@@ -1,10 +1,10 @@
-//! The scenario language: what each line means, and what is said of wrong ones.
+//! The scenario language: how each line is parsed, and the errors for invalid lines.
 
 use scenario::{parse_script, script::Statement, ScriptError};
 
 const SETUP: &str = "data-centre east vms 1 endpoints 1 slots 1\n";
 
-/// The debug form of one line's statement.
+/// The debug output of one parsed line.
 fn parsed(line: &str) -> String {
     let script = parse_script(&format!("{SETUP}{line}")).unwrap();
     match &script.lines[1].statement {
--- a/crates/scenario/tests/promises.rs
+++ b/crates/scenario/tests/promises.rs
@@ -1,4 +1,4 @@
-//! Each promise check, seen to pass on a good record and to fail on one with a violation made by hand.
+//! Each promise check passes on a good record and reports a record with a violation made by hand.
 
 use std::time::Duration;
 
@@ -68,7 +68,7 @@
     }
 }
 
-/// A job of two tasks that completed, and a request that completed; all is well.
+/// A record without violations: a completed job of two tasks and a completed request.
 fn good_record() -> RunRecord {
     let job = SubmissionRecord {
         group: "j1".to_owned(),
@@ -113,7 +113,7 @@
     }
 }
 
-/// Changes the good record and checks what is found, one line a broken promise.
+/// Changes the good record and compares the violations found, as sorted lines.
 fn check(change: impl FnOnce(&mut RunRecord), expect: &[&str]) {
     let mut record = good_record();
     change(&mut record);
@@ -154,9 +154,8 @@
     );
 }
 
-// What the caller sees: one hold, placed twice.
-// Order: two submissions with one key reach two entries, and both start.
-// Why: each task of each submission started once, so only the label in the payload shows it.
+// Two submissions with the same key reach two entries and both start, so one hold is placed twice. Each task of each
+// submission started once, so only the label in the payload shows it.
 #[test]
 fn a_request_that_ran_under_two_submissions_is_found() {
     check(
@@ -243,9 +242,8 @@
     );
 }
 
-// What the caller sees: its retry with the same key is refused, though the first try ran.
-// Order: r1 runs; r2, with the same key and body, is refused before it could be recorded.
-// Why: "not run" is said of r2, which has a submission id of its own, and is true.
+// r1 runs; its retry r2, with the same key and body, is refused before it could be recorded. The refusal is about r2,
+// which has its own submission id and did not run.
 #[test]
 fn a_refused_retry_of_a_request_that_ran_is_no_violation() {
     check(
@@ -313,9 +311,9 @@
     );
 }
 
-// What the caller sees: a job is accepted under an older contract than the one before it.
-// Order: a job under version 3 is answered; two are sent to the same entry, one before that answer and one after it.
-// Why: only the one that was sent after it shows that the entry went back.
+// A job is accepted under an older contract than the job before it. A job under version 3 is answered; of two more jobs
+// to the same entry, one was sent before that answer and one after it. Only the later one shows that the entry went
+// back to an older version.
 #[test]
 fn a_job_accepted_under_an_older_contract_is_found() {
     let later = |record: &RunRecord, name: &str, sent, version| {
--- a/crates/scenario/tests/scenarios.rs
+++ b/crates/scenario/tests/scenarios.rs
@@ -1,6 +1,6 @@
 //! Runs the scenario files against real processes, one after the other.
 //!
-//! `SCENARIO_SEED` takes the place of the seed in the files; each report names the seed that was used.
+//! `SCENARIO_SEED` overrides the seed in the files; each report names the seed that was used.
 
 use std::{
     env, fs,
@@ -10,10 +10,10 @@
 
 use scenario::{find_binary, parse_script, promises::PromiseLimits, run_script, RunSettings};
 
-/// Scenarios measure answer times, so no two run at once.
+/// Held while a scenario runs. Scenarios measure answer times, so no two may run at once.
 static RUN_LOCK: Mutex<()> = Mutex::new(());
 
-/// The last lines of each log that a failed run shows.
+/// How many of the last lines of each log a failed run prints.
 const LOG_LINES: usize = 40;
 
 fn scenarios_dir() -> PathBuf {
