--- a/crates/scenario/src/load.rs
+++ b/crates/scenario/src/load.rs
@@ -108,10 +108,10 @@
     }
 
     /// Records that the entry of a VM was killed or frozen, so that its unanswered submissions need no timely answer.
-    pub(crate) fn mark_entry_unavailable(&self, vm: &str) {
+    pub(crate) fn mark_entry_down(&self, vm: &str) {
         for submission in &mut self.inner.borrow_mut().submissions {
             if submission.record.via == vm && submission.record.answer.is_none() {
-                submission.record.entry_unavailable = true;
+                submission.record.entry_down = true;
             }
         }
     }
@@ -201,15 +201,15 @@
             answer: None,
             sent: self.started.elapsed(),
             took: Duration::ZERO,
-            entry_unavailable: false,
+            entry_down: false,
         };
         let Ok(backend) = backend else {
-            record.entry_unavailable = true;
+            record.entry_down = true;
             record.answer = Some(caller::lost("no entry is ready".to_owned()));
             self.push(record);
             return;
         };
-        record.entry_unavailable = backend.state == BackendState::Down;
+        record.entry_down = backend.state == BackendState::Down;
         record.via = backend.vm;
         let index = self.push(record);
         let request = CallerRequest {
--- a/crates/scenario/src/promises.rs
+++ b/crates/scenario/src/promises.rs
@@ -309,7 +309,7 @@
     broken: &mut Vec<BrokenPromise>,
 ) {
     let in_time = submission.took <= submission.deadline + limits.answer_margin;
-    if submission.entry_unavailable || (in_time && submission.answer.is_some()) {
+    if submission.entry_down || (in_time && submission.answer.is_some()) {
         return;
     }
     broken.push(BrokenPromise::LateAnswer {
@@ -348,12 +348,10 @@
                 attempt: start.attempt,
             });
         }
-        AnswerStatus::Lost if !submission.entry_unavailable => {
-            broken.push(BrokenPromise::LostAnswer {
-                name,
-                reason: answer.reason.clone(),
-            })
-        }
+        AnswerStatus::Lost if !submission.entry_down => broken.push(BrokenPromise::LostAnswer {
+            name,
+            reason: answer.reason.clone(),
+        }),
         AnswerStatus::Lost | AnswerStatus::Failed | AnswerStatus::Unknown => {}
     }
 }
--- a/crates/scenario/src/record.rs
+++ b/crates/scenario/src/record.rs
@@ -63,7 +63,7 @@
     pub took: Duration,
     /// Whether its entry was down when it was sent, or was killed or frozen before the answer, so that a timely answer
     /// is not required.
-    pub entry_unavailable: bool,
+    pub entry_down: bool,
 }
 
 /// A contract version read from one entry.
--- a/crates/scenario/src/runner/steps.rs
+++ b/crates/scenario/src/runner/steps.rs
@@ -134,7 +134,7 @@
             };
             self.load.set_backend_state(&name.vm, state);
             if matches!(signal, ChildSignal::Kill | ChildSignal::Freeze) {
-                self.load.mark_entry_unavailable(&name.vm);
+                self.load.mark_entry_down(&name.vm);
             }
         }
         Ok(())
--- a/crates/scenario/tests/promises.rs
+++ b/crates/scenario/tests/promises.rs
@@ -85,7 +85,7 @@
         }),
         sent: Duration::ZERO,
         took: Duration::from_millis(20),
-        entry_unavailable: false,
+        entry_down: false,
     };
     let request = SubmissionRecord {
         group: "r1".to_owned(),
@@ -277,7 +277,7 @@
         |record| {
             record.submissions[0].answer = Some(answer(1, AnswerStatus::Lost));
             record.submissions[1].answer = Some(answer(2, AnswerStatus::Lost));
-            record.submissions[1].entry_unavailable = true;
+            record.submissions[1].entry_down = true;
         },
         &["j1 lost its answer without cause: "],
     );
