--- a/crates/scenario/src/binary.rs
+++ b/crates/scenario/src/binary.rs
@@ -34,7 +34,7 @@
     }
     let binary = profile_dir.join("cairnpaddle");
     if !binary.is_file() {
-        return Err(BinaryError::Absent(binary.display().to_string()));
+        return Err(BinaryError::NotFound(binary.display().to_string()));
     }
     Ok(binary)
 }
--- a/crates/scenario/src/caller.rs
+++ b/crates/scenario/src/caller.rs
@@ -63,14 +63,14 @@
     if let CallerDedup::Key(key) = &request.deduplication {
         call = call.insert_header(("Idempotency-Key", key.as_str()));
     }
-    match call.send_json(&body(request)).await {
+    match call.send_json(&request_body(request)).await {
         Ok(answer) => read_answer(answer).await,
-        Err(error) => lost(format!("no answer: {error}")),
+        Err(error) => lost_answer(format!("no answer: {error}")),
     }
 }
 
 /// Gets a ticket for a customer. The error is the reason as text.
-pub(crate) async fn ticket(entry: SocketAddr, customer: &CustomerId) -> Result<String, String> {
+pub(crate) async fn get_ticket(entry: SocketAddr, customer: &CustomerId) -> Result<String, String> {
     let call = client(SHORT_CALL_TIMEOUT).post(format!("http://{entry}/v1/tickets"));
     let body = json!({ "customer": customer });
     let mut answer = call
@@ -102,7 +102,7 @@
 }
 
 /// Reads the contracts in force at an entry; `None` if the call fails.
-pub(crate) async fn contracts(entry: SocketAddr) -> Option<Value> {
+pub(crate) async fn read_contracts(entry: SocketAddr) -> Option<Value> {
     let call = client(SHORT_CALL_TIMEOUT).get(format!("http://{entry}/v1/in-force"));
     let mut answer = call.send().await.ok()?;
     if !answer.status().is_success() {
@@ -118,7 +118,7 @@
         .finish()
 }
 
-fn body(request: &CallerRequest) -> Value {
+fn request_body(request: &CallerRequest) -> Value {
     let declared = request.declared.as_millis();
     let mut tasks = Vec::new();
     for payload in &request.payloads {
@@ -147,12 +147,12 @@
 {
     let body = match answer.body().limit(MAX_ANSWER_BYTES).await {
         Ok(body) => body,
-        Err(error) => return lost(format!("answer ended early: {error}")),
+        Err(error) => return lost_answer(format!("answer ended early: {error}")),
     };
     let read = serde_json::from_slice(&body).map_err(|error| error.to_string());
     match read.and_then(answer_record) {
         Ok(record) => record,
-        Err(error) => lost(format!("invalid answer ({}): {error}", answer.status())),
+        Err(error) => lost_answer(format!("invalid answer ({}): {error}", answer.status())),
     }
 }
 
@@ -177,7 +177,7 @@
     })
 }
 
-pub(crate) fn lost(reason: String) -> AnswerRecord {
+pub(crate) fn lost_answer(reason: String) -> AnswerRecord {
     AnswerRecord {
         id: None,
         status: AnswerStatus::Lost,
--- a/crates/scenario/src/error.rs
+++ b/crates/scenario/src/error.rs
@@ -29,7 +29,7 @@
     NotRunning(String),
     /// The process to start is already running.
     #[error("{0} is already running")]
-    Running(String),
+    AlreadyRunning(String),
     /// A condition was not met in time.
     #[error("condition not met within {within:?}: {state}")]
     TimedOut {
@@ -46,7 +46,7 @@
     NoTicket(String),
     /// A contract of the set-up could not be created.
     #[error("contract not created: {0}")]
-    Contract(String),
+    ContractNotCreated(String),
 }
 
 /// Why the binary under test could not be found or built.
@@ -65,5 +65,5 @@
     Build(String),
     /// The binary does not exist.
     #[error("{0} does not exist; build it with: cargo build -p cairnpaddle --locked")]
-    Absent(String),
+    NotFound(String),
 }
--- a/crates/scenario/src/load.rs
+++ b/crates/scenario/src/load.rs
@@ -205,7 +205,7 @@
         };
         let Ok(backend) = backend else {
             record.entry_down = true;
-            record.answer = Some(caller::lost("no entry is ready".to_owned()));
+            record.answer = Some(caller::lost_answer("no entry is ready".to_owned()));
             self.push(record);
             return;
         };
@@ -325,7 +325,7 @@
     }
 
     /// The outcome of a change; `None` while the change is under way.
-    pub(crate) fn change(&self, name: &str) -> Result<Option<ChangeOutcome>, StepError> {
+    pub(crate) fn change_outcome(&self, name: &str) -> Result<Option<ChangeOutcome>, StepError> {
         let inner = self.inner.borrow();
         let found = inner.changes.get(name).cloned();
         found.ok_or_else(|| StepError::UnknownName(name.to_owned()))
@@ -335,7 +335,7 @@
     pub(crate) async fn poll_contracts(self) {
         loop {
             for backend in self.ready_backends() {
-                if let Some(shown) = caller::contracts(backend.address).await {
+                if let Some(shown) = caller::read_contracts(backend.address).await {
                     self.inner
                         .borrow_mut()
                         .observations
--- a/crates/scenario/src/operator.rs
+++ b/crates/scenario/src/operator.rs
@@ -23,7 +23,10 @@
 }
 
 /// Writes the first version of a contract to the platform, before any process is started.
-pub(crate) async fn create(platform: SocketAddr, line: &ContractLine) -> Result<(), String> {
+pub(crate) async fn create_contract(
+    platform: SocketAddr,
+    line: &ContractLine,
+) -> Result<(), String> {
     let settings = ClientSettings {
         address: platform,
         ..ClientSettings::default()
@@ -35,8 +38,8 @@
 }
 
 /// Reads a contract from an entry and replaces exactly that version, or creates the contract if there is none.
-pub(crate) async fn change(entry: SocketAddr, line: &ContractLine) -> ChangeOutcome {
-    match try_change(entry, line).await {
+pub(crate) async fn change_contract(entry: SocketAddr, line: &ContractLine) -> ChangeOutcome {
+    match try_change_contract(entry, line).await {
         Ok(outcome) => outcome,
         Err(message) => ChangeOutcome {
             status: ChangeStatus::Failed,
@@ -45,7 +48,10 @@
     }
 }
 
-async fn try_change(entry: SocketAddr, line: &ContractLine) -> Result<ChangeOutcome, String> {
+async fn try_change_contract(
+    entry: SocketAddr,
+    line: &ContractLine,
+) -> Result<ChangeOutcome, String> {
     let client = Client::builder()
         .timeout(CALL_TIMEOUT)
         .disable_redirects()
--- a/crates/scenario/src/places.rs
+++ b/crates/scenario/src/places.rs
@@ -31,7 +31,7 @@
         let mut map = Self::default();
         for line in &script.lines {
             match &line.statement {
-                Statement::Setup(Setup::DataCentre(line)) => map.add(line),
+                Statement::Setup(Setup::DataCentre(line)) => map.add_data_centre(line),
                 Statement::Step(Step::Link(step)) => {
                     map.pairs.push((step.from.clone(), step.to.clone()));
                 }
@@ -41,7 +41,7 @@
         map
     }
 
-    fn add(&mut self, line: &DataCentreLine) {
+    fn add_data_centre(&mut self, line: &DataCentreLine) {
         let place = |kind, number| PlaceName {
             name: format!("{}-{kind}{number}", line.name),
             data_centre: line.name.to_string(),
--- a/crates/scenario/src/promises.rs
+++ b/crates/scenario/src/promises.rs
@@ -139,13 +139,13 @@
                 f,
                 "task {task} of {submission} started {} times: {}",
                 attempts.len(),
-                list(attempts)
+                join_attempts(attempts)
             ),
             Self::RequestRanTwice { label, attempts } => write!(
                 f,
                 "request {label} ran {} times: {}",
                 attempts.len(),
-                list(attempts)
+                join_attempts(attempts)
             ),
             Self::WrongResults { name, what } => write!(f, "{name} is complete, but {what}"),
             Self::PartialResults { name, results } => {
@@ -273,7 +273,7 @@
         broken.push(BrokenPromise::TaskStartedTwice {
             submission: *submission,
             task: *task,
-            attempts: attempts(list),
+            attempts: attempt_ids(list),
         });
     }
 }
@@ -298,7 +298,7 @@
         }
         broken.push(BrokenPromise::RequestRanTwice {
             label: label.clone(),
-            attempts: attempts(list),
+            attempts: attempt_ids(list),
         });
     }
 }
@@ -339,7 +339,7 @@
     match answer.status {
         AnswerStatus::Complete => check_results(submission, &answer.results, starts, broken),
         AnswerStatus::Refused => {
-            let Some(start) = own_start(record, submission, answer.id, starts) else {
+            let Some(start) = find_own_start(record, submission, answer.id, starts) else {
                 return;
             };
             broken.push(BrokenPromise::RefusedButStarted {
@@ -395,7 +395,7 @@
 
 /// Finds a start that certainly belongs to the submission, by the id in its answer or by a payload that no other
 /// submission shares.
-fn own_start<'a>(
+fn find_own_start<'a>(
     record: &RunRecord,
     submission: &SubmissionRecord,
     id: Option<SubmissionId>,
@@ -484,12 +484,12 @@
 
 fn check_exits(record: &RunRecord, broken: &mut Vec<BrokenPromise>) {
     for exit in &record.exits {
-        let right = match exit.cause {
+        let expected = match exit.cause {
             ExitCause::Terminated => exit.code == Some(0),
             ExitCause::Killed => true,
             ExitCause::Unrequested => false,
         };
-        if right {
+        if expected {
             continue;
         }
         broken.push(BrokenPromise::WrongExit {
@@ -500,11 +500,11 @@
     }
 }
 
-fn attempts(starts: &[&StartRecord]) -> Vec<AttemptId> {
+fn attempt_ids(starts: &[&StartRecord]) -> Vec<AttemptId> {
     starts.iter().map(|start| start.attempt).collect()
 }
 
-fn list(attempts: &[AttemptId]) -> String {
+fn join_attempts(attempts: &[AttemptId]) -> String {
     let texts: Vec<_> = attempts.iter().map(ToString::to_string).collect();
     texts.join(", ")
 }
--- a/crates/scenario/src/runner/conditions.rs
+++ b/crates/scenario/src/runner/conditions.rs
@@ -50,12 +50,12 @@
     ) -> Result<ConditionStatus, StepError> {
         match condition {
             Condition::Running { bound, endpoint } => Ok(count_status(
-                self.running(endpoint.as_deref())?,
+                self.running_count(endpoint.as_deref())?,
                 *bound,
                 "running",
             )),
             Condition::Started { group, bound } => {
-                Ok(count_status(self.starts(group)?, *bound, "started"))
+                Ok(count_status(self.start_count(group)?, *bound, "started"))
             }
             Condition::Answered { group, bound } => {
                 let (answered, all) = self.load.answered(group)?;
@@ -72,7 +72,7 @@
         }
     }
 
-    fn running(&self, endpoint: Option<&str>) -> Result<usize, StepError> {
+    fn running_count(&self, endpoint: Option<&str>) -> Result<usize, StepError> {
         if let Some(name) = endpoint {
             return Ok(self.testbed.endpoint(name)?.stand_in.record().running as usize);
         }
@@ -81,7 +81,7 @@
     }
 
     /// The number of tasks of a group that have started, over all endpoints.
-    pub(super) fn starts(&self, group: &str) -> Result<usize, StepError> {
+    pub(super) fn start_count(&self, group: &str) -> Result<usize, StepError> {
         let mut labels = Vec::new();
         for submission in self.load.group(group)? {
             labels.push(submission.run_label);
--- a/crates/scenario/src/runner/expectations.rs
+++ b/crates/scenario/src/runner/expectations.rs
@@ -26,14 +26,14 @@
                 check_answers(&found, *bound, answers)
             }
             Expectation::Starts { group, bound } => {
-                let count = self.starts(group)?;
+                let count = self.start_count(group)?;
                 if bound.holds(count) {
                     return Ok(());
                 }
                 Err(StepError::Unexpected(format!("{count} starts")))
             }
             Expectation::TurnedAway(bound) => {
-                let count = self.turned_away();
+                let count = self.turned_away_count();
                 if bound.holds(count) {
                     return Ok(());
                 }
@@ -118,7 +118,7 @@
     async fn change_outcome(&self, name: &str) -> Result<(ChangeStatus, String), StepError> {
         let started = Instant::now();
         loop {
-            if let Some(outcome) = self.load.change(name)? {
+            if let Some(outcome) = self.load.change_outcome(name)? {
                 return Ok((outcome.status, outcome.message));
             }
             if started.elapsed() > CHANGE_TIMEOUT {
--- a/crates/scenario/src/runner/mod.rs
+++ b/crates/scenario/src/runner/mod.rs
@@ -210,8 +210,8 @@
     async fn create_contracts(&self) -> Result<(), StepError> {
         let platform = self.testbed.platform.address();
         for line in &self.contracts {
-            let made = operator::create(platform, line).await;
-            made.map_err(StepError::Contract)?;
+            let made = operator::create_contract(platform, line).await;
+            made.map_err(StepError::ContractNotCreated)?;
         }
         Ok(())
     }
--- a/crates/scenario/src/runner/peak.rs
+++ b/crates/scenario/src/runner/peak.rs
@@ -37,7 +37,7 @@
         Ok(peak_concurrency(steps, first))
     }
 
-    pub(super) fn turned_away(&self) -> usize {
+    pub(super) fn turned_away_count(&self) -> usize {
         let mut count = 0;
         for record in self.testbed.records() {
             let full = record
--- a/crates/scenario/src/runner/steps.rs
+++ b/crates/scenario/src/runner/steps.rs
@@ -36,7 +36,7 @@
             Step::Freeze(target) => self.signal(target, ChildSignal::Freeze),
             Step::Thaw(target) => self.signal(target, ChildSignal::Thaw),
             Step::Link(step) => self.change_link(step).await,
-            Step::Heal => self.testbed.order_link(None, LinkMode::Pass).await,
+            Step::Heal => self.testbed.set_link_mode(None, LinkMode::Pass).await,
             Step::Platform(step) => {
                 change_faults(&mut self.testbed.faults, step);
                 self.testbed
@@ -89,7 +89,7 @@
 
     async fn get_ticket(&mut self, step: &TicketStep) -> Result<(), StepError> {
         let backend = self.load.backend(step.via.as_ref())?;
-        let ticket = caller::ticket(backend.address, &step.customer).await;
+        let ticket = caller::get_ticket(backend.address, &step.customer).await;
         let ticket = ticket.map_err(StepError::NoTicket)?;
         self.load.store_ticket(&step.name, &step.customer, ticket);
         Ok(())
@@ -155,7 +155,7 @@
                 },
                 LinkChange::Reset => LinkMode::Reset,
             };
-            self.testbed.order_link(Some(link), mode).await?;
+            self.testbed.set_link_mode(Some(link), mode).await?;
         }
         Ok(())
     }
@@ -168,7 +168,7 @@
             EndpointChange::Leave => {
                 let order = FaultOrder::always(Fault::LeavingSilently);
                 endpoint.stand_in.order_fault(order);
-                self.testbed.leave(&step.name)?;
+                self.testbed.mark_leaving(&step.name)?;
             }
         }
         Ok(())
@@ -179,7 +179,7 @@
         self.load.record_change_start(&step.name);
         let (load, step) = (self.load.clone(), step.clone());
         actix_rt::spawn(async move {
-            let outcome = operator::change(backend.address, &step.line).await;
+            let outcome = operator::change_contract(backend.address, &step.line).await;
             load.record_change_outcome(&step.name, outcome);
         });
         Ok(())
--- a/crates/scenario/src/sources.rs
+++ b/crates/scenario/src/sources.rs
@@ -20,7 +20,7 @@
 }
 
 impl SourceList {
-    pub(crate) fn add(&self, pid: u32, vm: &str) {
+    pub(crate) fn add_process(&self, pid: u32, vm: &str) {
         let mut pids = self.pids.lock().unwrap_or_else(PoisonError::into_inner);
         pids.push((pid, vm.to_owned()));
     }
@@ -28,10 +28,10 @@
     /// Returns a function that maps the source address of a connection to its VM.
     pub(crate) fn finder(&self) -> SourceFinder {
         let list = self.clone();
-        Arc::new(move |from| list.find(from))
+        Arc::new(move |from| list.find_vm(from))
     }
 
-    fn find(&self, from: SocketAddr) -> Option<Label> {
+    fn find_vm(&self, from: SocketAddr) -> Option<Label> {
         let inode = socket_inode(&fs::read_to_string("/proc/net/tcp").ok()?, from)?;
         let pids = self.pids.lock().unwrap_or_else(PoisonError::into_inner);
         // Newest first, because the pid of an ended process may have been reused by a later one.
--- a/crates/scenario/src/testbed.rs
+++ b/crates/scenario/src/testbed.rs
@@ -261,7 +261,7 @@
     }
 
     /// Marks an endpoint as leaving in the VM list.
-    pub(crate) fn leave(&mut self, name: &str) -> Result<(), StepError> {
+    pub(crate) fn mark_leaving(&mut self, name: &str) -> Result<(), StepError> {
         let found = self
             .endpoints
             .iter_mut()
@@ -309,7 +309,7 @@
         let binary = self.binary.clone();
         let slot = self.vm(&name.vm)?.process(name.role);
         if slot.as_mut().is_some_and(|process| !process.has_ended()) {
-            return Err(StepError::Running(name.to_string()));
+            return Err(StepError::AlreadyRunning(name.to_string()));
         }
         let previous = slot.take();
         let process = ChildProcess::start(
@@ -323,7 +323,7 @@
         )?;
         let pid = process.pid();
         *slot = Some(process);
-        self.sources.add(pid, &name.vm);
+        self.sources.add_process(pid, &name.vm);
         self.exits.extend(previous.map(ChildProcess::into_exit));
         Ok(())
     }
@@ -426,7 +426,7 @@
         Ok(links)
     }
 
-    pub(crate) async fn order_link(
+    pub(crate) async fn set_link_mode(
         &self,
         link: Option<String>,
         mode: LinkMode,
