--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -32,7 +32,7 @@
     Step(Step),
 }
 
-/// Part of the state in which the first step finds the system.
+/// Part of the initial state of the system.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Setup {
     /// The seed of every random choice of the run.
@@ -197,7 +197,7 @@
     pub declared: Option<Duration>,
     /// The index, from 0, of the task that fails.
     pub fail_task: Option<u32>,
-    /// Number that makes the body differ from other bodies under the same key or ticket.
+    /// A number that makes the body differ from other bodies under the same key or ticket.
     pub variant: Option<u32>,
     /// The number of submissions.
     pub times: u32,
@@ -244,9 +244,9 @@
     ReadOnly,
     /// Each call takes this much longer.
     Slow(Duration),
-    /// The next writes, this many, take effect but their answers are lost.
+    /// This many of the next writes take effect, but their answers are lost.
     LoseAnswers(u32),
-    /// The next writes, this many, of a customer's contract lose a race against another writer.
+    /// This many of the next writes of a customer's contract lose a race against another writer.
     Race(CustomerId, u32),
     /// The VM list lags by this time.
     Stale(Duration),
