--- a/crates/scenario/src/caller.rs
+++ b/crates/scenario/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of an entry over HTTP/JSON. Each call has a connection of its own, as from another phone.
+//! HTTP/JSON client of an entry. Each call opens its own connection, as separate callers would.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,26 +10,26 @@
 
 use crate::{record::AnswerRecord, script::AnswerStatus};
 
-/// The largest answer read, in bytes: a job of 370 tasks of 64 KiB in base64.
+/// The largest answer read, in bytes: enough for a job of 370 tasks with results of 64 KiB each in base64.
 const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
-/// How long short calls may take.
-const SHORT_CALL: Duration = Duration::from_secs(2);
+/// Timeout of every call other than a submission.
+const SHORT_CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// The kind of every task that scenarios submit.
 const TASK_KIND: &str = "scenario";
 
-/// One submission as it is sent.
+/// A submission to send to an entry.
 #[derive(Clone, Debug)]
 pub(crate) struct CallerRequest {
     pub(crate) customer: CustomerId,
     pub(crate) payloads: Vec<Vec<u8>>,
     pub(crate) declared: Duration,
     pub(crate) deadline: Duration,
-    pub(crate) mark: CallerMark,
+    pub(crate) deduplication: CallerDedup,
 }
 
-/// What kind of submission, and how a second arrival of it is known.
+/// Whether a submission is a job or a request, and how the entry recognises a repeat of a request.
 #[derive(Clone, Debug)]
-pub(crate) enum CallerMark {
+pub(crate) enum CallerDedup {
     Job,
     Plain,
     Key(IdempotencyKey),
@@ -48,30 +48,30 @@
     contract_version: Option<ContractVersion>,
 }
 
-/// Submits and waits for the answer, at most for `limit`.
+/// Sends a submission and waits for the answer, at most for `timeout`.
 pub(crate) async fn submit(
     entry: SocketAddr,
     request: &CallerRequest,
-    limit: Duration,
+    timeout: Duration,
 ) -> AnswerRecord {
-    let client = client(limit);
-    let path = match request.mark {
-        CallerMark::Job => "jobs",
+    let client = client(timeout);
+    let path = match request.deduplication {
+        CallerDedup::Job => "jobs",
         _ => "requests",
     };
     let mut call = client.post(format!("http://{entry}/v1/{path}"));
-    if let CallerMark::Key(key) = &request.mark {
+    if let CallerDedup::Key(key) = &request.deduplication {
         call = call.insert_header(("Idempotency-Key", key.as_str()));
     }
-    match call.send_json(&body(request)).await {
+    match call.send_json(&request_body(request)).await {
         Ok(answer) => read_answer(answer).await,
-        Err(error) => lost(format!("no answer: {error}")),
+        Err(error) => lost_answer(format!("no answer: {error}")),
     }
 }
 
-/// Gets a ticket.
-pub(crate) async fn ticket(entry: SocketAddr, customer: &CustomerId) -> Result<String, String> {
-    let call = client(SHORT_CALL).post(format!("http://{entry}/v1/tickets"));
+/// Gets a ticket for a customer. The error is the reason as text.
+pub(crate) async fn get_ticket(entry: SocketAddr, customer: &CustomerId) -> Result<String, String> {
+    let call = client(SHORT_CALL_TIMEOUT).post(format!("http://{entry}/v1/tickets"));
     let body = json!({ "customer": customer });
     let mut answer = call
         .send_json(&body)
@@ -84,26 +84,26 @@
     }
 }
 
-/// Asks that a submission be cancelled. Whatever comes back, the submission's own answer tells what became of it.
+/// Asks an entry to cancel a submission. The reply is ignored, because the answer to the submission shows the outcome.
 pub(crate) async fn cancel(entry: SocketAddr, job: bool, id: SubmissionId) {
     let kind = if job { "jobs" } else { "requests" };
-    let call = client(SHORT_CALL).delete(format!("http://{entry}/v1/{kind}/{id}"));
+    let call = client(SHORT_CALL_TIMEOUT).delete(format!("http://{entry}/v1/{kind}/{id}"));
     if let Err(error) = call.send().await {
-        log::warn!("scenario: cancel of {id} not answered: {error}");
+        log::warn!("scenario: cancel request for {id} got no answer: {error}");
     }
 }
 
-/// Whether a process says yes at one of its probes, `ready` or `live`.
+/// Whether a probe of a process, `ready` or `live`, succeeds.
 pub(crate) async fn probe(address: SocketAddr, probe: &str) -> bool {
-    let call = client(SHORT_CALL).get(format!("http://{address}/{probe}"));
+    let call = client(SHORT_CALL_TIMEOUT).get(format!("http://{address}/{probe}"));
     call.send()
         .await
         .is_ok_and(|answer| answer.status().is_success())
 }
 
-/// The contracts that an entry shows, or nothing where it shows none.
-pub(crate) async fn contracts(entry: SocketAddr) -> Option<Value> {
-    let call = client(SHORT_CALL).get(format!("http://{entry}/v1/in-force"));
+/// Reads the contracts in force at an entry; `None` if the call fails.
+pub(crate) async fn read_contracts(entry: SocketAddr) -> Option<Value> {
+    let call = client(SHORT_CALL_TIMEOUT).get(format!("http://{entry}/v1/in-force"));
     let mut answer = call.send().await.ok()?;
     if !answer.status().is_success() {
         return None;
@@ -111,14 +111,14 @@
     answer.json().await.ok()
 }
 
-fn client(limit: Duration) -> Client {
+fn client(timeout: Duration) -> Client {
     Client::builder()
-        .timeout(limit)
+        .timeout(timeout)
         .disable_redirects()
         .finish()
 }
 
-fn body(request: &CallerRequest) -> Value {
+fn request_body(request: &CallerRequest) -> Value {
     let declared = request.declared.as_millis();
     let mut tasks = Vec::new();
     for payload in &request.payloads {
@@ -130,10 +130,10 @@
     }
     let deadline = u64::try_from(request.deadline.as_millis()).unwrap_or(u64::MAX);
     let mut body = json!({ "customer": request.customer, "deadline_ms": deadline });
-    match &request.mark {
-        CallerMark::Job => body["tasks"] = Value::Array(tasks),
-        CallerMark::Plain | CallerMark::Key(_) => body["task"] = tasks.swap_remove(0),
-        CallerMark::Ticket(ticket) => {
+    match &request.deduplication {
+        CallerDedup::Job => body["tasks"] = Value::Array(tasks),
+        CallerDedup::Plain | CallerDedup::Key(_) => body["task"] = tasks.swap_remove(0),
+        CallerDedup::Ticket(ticket) => {
             body["task"] = tasks.swap_remove(0);
             body["ticket"] = Value::String(ticket.clone());
         }
@@ -147,12 +147,12 @@
 {
     let body = match answer.body().limit(MAX_ANSWER_BYTES).await {
         Ok(body) => body,
-        Err(error) => return lost(format!("answer broke off: {error}")),
+        Err(error) => return lost_answer(format!("answer ended early: {error}")),
     };
     let read = serde_json::from_slice(&body).map_err(|error| error.to_string());
     match read.and_then(answer_record) {
         Ok(record) => record,
-        Err(error) => lost(format!("not an answer ({}): {error}", answer.status())),
+        Err(error) => lost_answer(format!("invalid answer ({}): {error}", answer.status())),
     }
 }
 
@@ -162,7 +162,7 @@
         "failed" => AnswerStatus::Failed,
         "refused" => AnswerStatus::Refused,
         "unknown" => AnswerStatus::Unknown,
-        other => return Err(format!("status {other:?}")),
+        other => return Err(format!("unknown status {other:?}")),
     };
     let mut results = Vec::new();
     for text in body.results.into_iter().chain(body.result) {
@@ -177,7 +177,7 @@
     })
 }
 
-pub(crate) fn lost(reason: String) -> AnswerRecord {
+pub(crate) fn lost_answer(reason: String) -> AnswerRecord {
     AnswerRecord {
         id: None,
         status: AnswerStatus::Lost,
--- a/crates/scenario/src/parse/contract.rs
+++ b/crates/scenario/src/parse/contract.rs
@@ -1,4 +1,4 @@
-//! Contracts: a customer and `field value` pairs over the default contract.
+//! Contracts: a customer and `field value` pairs that override the default contract.
 
 use model::{Contract, CustomerId};
 use serde_json::{Map, Value};
@@ -16,7 +16,7 @@
     script::ContractLine,
 };
 
-/// A customer and the fields of its contract. Fields are those of the contract's JSON, with `-` for `_`.
+/// A customer and the fields of its contract. The field names are those of the contract's JSON, with `-` for `_`.
 pub(super) fn contract_line(input: &mut Input<'_>) -> ModalResult<ContractLine> {
     let customer = value("a customer").parse_next(input)?;
     let fields: Vec<(String, String)> = repeat(0.., contract_field).parse_next(input)?;
@@ -42,8 +42,8 @@
     let mut object = Map::new();
     for (name, text) in fields {
         let value = serde_json::from_str(&text).unwrap_or(Value::String(text));
-        let twice = object.insert(name.replace('-', "_"), value);
-        if twice.is_some() {
+        let previous = object.insert(name.replace('-', "_"), value);
+        if previous.is_some() {
             return None;
         }
     }
--- a/crates/scenario/src/parse/step.rs
+++ b/crates/scenario/src/parse/step.rs
@@ -1,4 +1,4 @@
-//! Steps.
+//! Parsers of steps.
 
 use std::time::Duration;
 
@@ -23,12 +23,12 @@
     script::{
         AnswerStatus, ChangeStatus, ChangeStep, Condition, EndpointChange, EndpointStep,
         Expectation, ExpectedAnswer, Label, LinkChange, LinkStep, PlatformStep, ProcessTarget,
-        RequestMark, Step, SubmitKind, SubmitStep, TicketStep,
+        RequestDedup, Step, SubmitKind, SubmitStep, TicketStep,
     },
 };
 
 pub(super) fn step(input: &mut Input<'_>) -> ModalResult<Step> {
-    alt((process_step, work_step, world_step, check_step)).parse_next(input)
+    alt((process_step, client_step, fault_step, check_step)).parse_next(input)
 }
 
 fn process_step(input: &mut Input<'_>) -> ModalResult<Step> {
@@ -42,7 +42,7 @@
     .parse_next(input)
 }
 
-fn work_step(input: &mut Input<'_>) -> ModalResult<Step> {
+fn client_step(input: &mut Input<'_>) -> ModalResult<Step> {
     alt((
         preceded(keyword("ticket"), cut_err(ticket)).map(Step::Ticket),
         preceded(keyword("submit"), cut_err(submit)).map(Step::Submit),
@@ -52,7 +52,7 @@
     .parse_next(input)
 }
 
-fn world_step(input: &mut Input<'_>) -> ModalResult<Step> {
+fn fault_step(input: &mut Input<'_>) -> ModalResult<Step> {
     alt((
         preceded(keyword("cut"), cut_err(cut)).map(Step::Link),
         preceded(keyword("cut-one-way"), cut_err(link(LinkChange::CutOneWay))).map(Step::Link),
@@ -129,8 +129,8 @@
 fn submit_request(input: &mut Input<'_>) -> ModalResult<SubmitStep> {
     let name = group.parse_next(input)?;
     let customer = field("customer", "a customer").parse_next(input)?;
-    let mark = request_mark.parse_next(input)?;
-    submit_fields(name, customer, SubmitKind::Request(mark), input)
+    let deduplication = request_dedup.parse_next(input)?;
+    submit_fields(name, customer, SubmitKind::Request(deduplication), input)
 }
 
 fn submit_fields(
@@ -158,13 +158,13 @@
     })
 }
 
-fn request_mark(input: &mut Input<'_>) -> ModalResult<RequestMark> {
+fn request_dedup(input: &mut Input<'_>) -> ModalResult<RequestDedup> {
     one_of(
         "plain, key or ticket",
         alt((
-            keyword("plain").value(RequestMark::Plain),
-            field("key", "an idempotency key").map(RequestMark::Key),
-            field("ticket", "a ticket").map(RequestMark::Ticket),
+            keyword("plain").value(RequestDedup::Plain),
+            field("key", "an idempotency key").map(RequestDedup::Key),
+            field("ticket", "a ticket").map(RequestDedup::Ticket),
         )),
     )
     .parse_next(input)
--- a/crates/scenario/src/places.rs
+++ b/crates/scenario/src/places.rs
@@ -1,24 +1,24 @@
-//! Names of places, and between which of them a scenario changes the network.
+//! Names of places, and the pairs of places between which a scenario changes the network.
 //!
-//! Processes connect directly unless some step names the two places: a link in between hides that a process is gone,
-//! since the forwarder takes a connection before it knows whether the target still does.
+//! Processes connect directly unless some link step names the two places. A link would hide that a process is gone,
+//! because the forwarder accepts a connection before it knows whether the target still accepts one.
 
 use crate::{
     error::StepError,
     script::{DataCentreLine, Label, Script, Setup, Statement, Step},
 };
 
-/// The name of the platform among places.
+/// The place name of the platform.
 pub(crate) const PLATFORM: &str = "platform";
 
-/// A VM or an endpoint.
+/// The name of a VM or an endpoint, and its data centre.
 #[derive(Clone, Debug)]
 pub(crate) struct PlaceName {
     pub(crate) name: Label,
     pub(crate) data_centre: Label,
 }
 
-/// Every place of a scenario, and the pairs that link steps name.
+/// Every VM and endpoint of a scenario, and the pairs of places named by link steps.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PlaceMap {
     pub(crate) vms: Vec<PlaceName>,
@@ -31,7 +31,7 @@
         let mut map = Self::default();
         for line in &script.lines {
             match &line.statement {
-                Statement::Setup(Setup::DataCentre(line)) => map.add(line),
+                Statement::Setup(Setup::DataCentre(line)) => map.add_data_centre(line),
                 Statement::Step(Step::Link(step)) => {
                     map.pairs.push((step.from.clone(), step.to.clone()));
                 }
@@ -41,7 +41,7 @@
         map
     }
 
-    fn add(&mut self, line: &DataCentreLine) {
+    fn add_data_centre(&mut self, line: &DataCentreLine) {
         let place = |kind, number| PlaceName {
             name: format!("{}-{kind}{number}", line.name),
             data_centre: line.name.to_string(),
@@ -52,7 +52,7 @@
             .extend((1..=line.endpoints).map(|number| place("e", number)));
     }
 
-    /// Whether some step changes the network between two places.
+    /// Whether a link step changes the network between two VMs, endpoints or the platform, in either order.
     pub(crate) fn is_linked(&self, a: &str, b: &str) -> bool {
         let within = |place: &str, name: &str| {
             self.members(place)
@@ -66,15 +66,15 @@
         false
     }
 
-    /// The VMs and endpoints of a place.
+    /// The VMs and endpoints that a place name covers. The platform covers itself.
     pub(crate) fn members(&self, place: &str) -> Result<Vec<Label>, StepError> {
         if place == PLATFORM {
             return Ok(vec![place.to_owned()]);
         }
         let mut members = Vec::new();
-        for one in self.vms.iter().chain(&self.endpoints) {
-            if one.name == place || one.data_centre == place {
-                members.push(one.name.clone());
+        for candidate in self.vms.iter().chain(&self.endpoints) {
+            if candidate.name == place || candidate.data_centre == place {
+                members.push(candidate.name.clone());
             }
         }
         if members.is_empty() {
--- a/crates/scenario/src/promises.rs
+++ b/crates/scenario/src/promises.rs
@@ -1,6 +1,7 @@
-//! The promises that hold in every scenario, checked on what a run left behind.
+//! The promises of the system, that is the invariants that hold in every scenario, checked against the records of a
+//! run.
 //!
-//! The endpoints' own records are the ground truth of what started; the answers are what callers were told.
+//! The endpoints' records show which tasks really started; the answers show what callers were told.
 
 use std::{fmt, time::Duration};
 
@@ -12,14 +13,14 @@
     script::{AnswerStatus, Label},
 };
 
-/// How long after it left an endpoint may still get a task that was on its way.
-const LEAVING_LIMIT_MS: u64 = 2000;
+/// How long, in milliseconds, a leaving endpoint may still get tasks that were already on their way.
+const LEAVING_GRACE_MS: u64 = 2000;
 
-/// What the checks allow for.
+/// Tolerances of the promise checks.
 #[derive(Clone, Copy, Debug)]
 pub struct PromiseLimits {
-    /// The time after its deadline by which a submission must have its answer: the way to the caller and a busy test
-    /// machine.
+    /// How long after its deadline a submission must be answered at the latest. It covers the way to the caller and a
+    /// busy test machine.
     pub answer_margin: Duration,
 }
 
@@ -31,7 +32,7 @@
     }
 }
 
-/// A promise that did not hold.
+/// A violation of a promise.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BrokenPromise {
     /// A task of a submission started more than once.
@@ -54,75 +55,75 @@
     WrongResults {
         /// The submission.
         name: Label,
-        /// What is wrong.
+        /// The difference, as text.
         what: String,
     },
-    /// An answer that is not complete has results.
+    /// An answer with a status other than complete contains results.
     PartialResults {
         /// The submission.
         name: Label,
         /// How many results.
         results: usize,
     },
-    /// A complete answer though a task did not run to its end.
+    /// A submission was answered as complete although one of its tasks did not run to its end.
     CompleteWithoutRun {
         /// The submission.
         name: Label,
         /// The task.
         task: usize,
     },
-    /// A refused submission had started.
+    /// A submission was answered as refused although one of its tasks started.
     RefusedButStarted {
         /// The submission.
         name: Label,
-        /// The reason that it was refused for.
+        /// The reason of the refusal.
         reason: String,
         /// An attempt that started.
         attempt: AttemptId,
     },
-    /// No answer within the deadline and the margin.
+    /// A submission was not answered within its deadline plus the margin.
     LateAnswer {
         /// The submission.
         name: Label,
-        /// Its deadline.
+        /// The deadline of the submission.
         deadline: Duration,
-        /// The time that the answer took, or for which it has been out.
+        /// The time until the answer, or until the end of the run if there was none.
         took: Duration,
-        /// Whether it came at all.
+        /// Whether the submission was answered at all.
         answered: bool,
     },
-    /// The connection to the caller broke though nothing was done to the entry.
+    /// The caller lost its answer although its entry was not down, killed or frozen.
     LostAnswer {
         /// The submission.
         name: Label,
-        /// What the caller saw.
+        /// The error that the caller saw.
         reason: String,
     },
-    /// An endpoint got a new task long after it left.
+    /// An endpoint got a new task long after it began to leave.
     StartWhileLeaving {
         /// The attempt.
         attempt: AttemptId,
-        /// How long it had been leaving.
+        /// How long the endpoint had been leaving, in milliseconds.
         leaving_for_ms: u64,
     },
-    /// An entry showed an older contract than before.
+    /// An entry used an older version of a contract than before.
     VersionWentBack {
         /// The VM of the entry.
         vm: Label,
-        /// Whose contract.
+        /// The customer of the contract.
         customer: CustomerId,
         /// The version seen before.
         before: ContractVersion,
-        /// The older one seen after it.
+        /// The older version seen after it.
         after: ContractVersion,
     },
-    /// A terminated process did not exit with 0, or one ended that nobody ended.
+    /// A process did not exit with 0 after SIGTERM, or ended without a signal from the run.
     WrongExit {
         /// The process.
         process: String,
-        /// Why it ended.
+        /// How the process was told to end.
         cause: ExitCause,
-        /// The exit code.
+        /// The exit code; absent if a signal ended the process or it still ran.
         code: Option<i32>,
     },
 }
@@ -138,13 +139,13 @@
                 f,
                 "task {task} of {submission} started {} times: {}",
                 attempts.len(),
-                list(attempts)
+                join_attempts(attempts)
             ),
             Self::RequestRanTwice { label, attempts } => write!(
                 f,
                 "request {label} ran {} times: {}",
                 attempts.len(),
-                list(attempts)
+                join_attempts(attempts)
             ),
             Self::WrongResults { name, what } => write!(f, "{name} is complete, but {what}"),
             Self::PartialResults { name, results } => {
@@ -202,24 +203,24 @@
     }
 }
 
-/// Checks every promise and gives each one that did not hold.
+/// Checks every promise and returns the violations.
 pub fn check_promises(record: &RunRecord, limits: &PromiseLimits) -> Vec<BrokenPromise> {
     let starts = StartIndex::new(record);
     let mut broken = Vec::new();
-    check_tasks(&starts, &mut broken);
-    check_requests(record, &starts, &mut broken);
+    check_task_starts(&starts, &mut broken);
+    check_request_runs(record, &starts, &mut broken);
     for submission in &record.submissions {
-        check_time(submission, limits, &mut broken);
+        check_answer_time(submission, limits, &mut broken);
         check_answer(record, submission, &starts, &mut broken);
     }
-    check_leaving(&starts, &mut broken);
-    check_versions(record, &mut broken);
-    check_accepting_versions(record, &mut broken);
+    check_leaving_endpoints(&starts, &mut broken);
+    check_observed_versions(record, &mut broken);
+    check_accepted_versions(record, &mut broken);
     check_exits(record, &mut broken);
     broken
 }
 
-/// Every start, by what the checks ask for.
+/// Every start, indexed by the keys that the checks use.
 struct StartIndex<'a> {
     all: Vec<&'a StartRecord>,
     by_task: FastMap<(SubmissionId, TaskIndex), Vec<&'a StartRecord>>,
@@ -257,14 +258,14 @@
     }
 }
 
-/// The run label of a start: the label in its payload without the task's number.
+/// The run label of a start: the label in its payload without the task number.
 fn run_label(start: &StartRecord) -> Option<String> {
     let script = TaskScript::read(start.payload.as_deref()?.as_bytes());
     let label = script.label?;
     Some(label.split('#').next().unwrap_or_default().to_owned())
 }
 
-fn check_tasks(starts: &StartIndex<'_>, broken: &mut Vec<BrokenPromise>) {
+fn check_task_starts(starts: &StartIndex<'_>, broken: &mut Vec<BrokenPromise>) {
     for ((submission, task), list) in &starts.by_task {
         if list.len() < 2 {
             continue;
@@ -272,12 +273,16 @@
         broken.push(BrokenPromise::TaskStartedTwice {
             submission: *submission,
             task: *task,
-            attempts: attempts(list),
+            attempts: attempt_ids(list),
         });
     }
 }
 
-fn check_requests(record: &RunRecord, starts: &StartIndex<'_>, broken: &mut Vec<BrokenPromise>) {
+fn check_request_runs(
+    record: &RunRecord,
+    starts: &StartIndex<'_>,
+    broken: &mut Vec<BrokenPromise>,
+) {
     let mut labels = Vec::new();
     for submission in &record.submissions {
         if submission.request && !labels.contains(&&submission.run_label) {
@@ -293,18 +298,18 @@
         }
         broken.push(BrokenPromise::RequestRanTwice {
             label: label.clone(),
-            attempts: attempts(list),
+            attempts: attempt_ids(list),
         });
     }
 }
 
-fn check_time(
+fn check_answer_time(
     submission: &SubmissionRecord,
     limits: &PromiseLimits,
     broken: &mut Vec<BrokenPromise>,
 ) {
     let in_time = submission.took <= submission.deadline + limits.answer_margin;
-    if submission.disturbed || (in_time && submission.answer.is_some()) {
+    if submission.entry_down || (in_time && submission.answer.is_some()) {
         return;
     }
     broken.push(BrokenPromise::LateAnswer {
@@ -334,7 +339,7 @@
     match answer.status {
         AnswerStatus::Complete => check_results(submission, &answer.results, starts, broken),
         AnswerStatus::Refused => {
-            let Some(start) = own_start(record, submission, answer.id, starts) else {
+            let Some(start) = find_own_start(record, submission, answer.id, starts) else {
                 return;
             };
             broken.push(BrokenPromise::RefusedButStarted {
@@ -343,7 +348,7 @@
                 attempt: start.attempt,
             });
         }
-        AnswerStatus::Lost if !submission.disturbed => broken.push(BrokenPromise::LostAnswer {
+        AnswerStatus::Lost if !submission.entry_down => broken.push(BrokenPromise::LostAnswer {
             name,
             reason: answer.reason.clone(),
         }),
@@ -388,9 +393,9 @@
     }
 }
 
-/// A start that certainly belongs to the submission: by the id in its answer, or by a payload that no other
+/// Finds a start that certainly belongs to the submission, by the id in its answer or by a payload that no other
 /// submission shares.
-fn own_start<'a>(
+fn find_own_start<'a>(
     record: &RunRecord,
     submission: &SubmissionRecord,
     id: Option<SubmissionId>,
@@ -416,10 +421,10 @@
     None
 }
 
-fn check_leaving(starts: &StartIndex<'_>, broken: &mut Vec<BrokenPromise>) {
+fn check_leaving_endpoints(starts: &StartIndex<'_>, broken: &mut Vec<BrokenPromise>) {
     for start in &starts.all {
         match start.leaving_for_ms {
-            Some(leaving_for_ms) if leaving_for_ms > LEAVING_LIMIT_MS => {
+            Some(leaving_for_ms) if leaving_for_ms > LEAVING_GRACE_MS => {
                 broken.push(BrokenPromise::StartWhileLeaving {
                     attempt: start.attempt,
                     leaving_for_ms,
@@ -430,27 +435,28 @@
     }
 }
 
-fn check_versions(record: &RunRecord, broken: &mut Vec<BrokenPromise>) {
+fn check_observed_versions(record: &RunRecord, broken: &mut Vec<BrokenPromise>) {
     let mut newest = FastMap::default();
-    for sighting in &record.sightings {
-        let key = (&sighting.vm, &sighting.customer);
-        let before = *newest.entry(key).or_insert(sighting.version);
-        if sighting.version < before {
+    for observation in &record.observations {
+        let key = (&observation.vm, &observation.customer);
+        let before = *newest.entry(key).or_insert(observation.version);
+        if observation.version < before {
             broken.push(BrokenPromise::VersionWentBack {
-                vm: sighting.vm.clone(),
-                customer: sighting.customer.clone(),
+                vm: observation.vm.clone(),
+                customer: observation.customer.clone(),
                 before,
-                after: sighting.version,
+                after: observation.version,
             });
             continue;
         }
-        newest.insert(key, sighting.version);
+        newest.insert(key, observation.version);
     }
 }
 
-/// A job sent after the answer of another, to the same entry, is accepted under the same contract or a newer one.
-/// Requests are left out: a second arrival gets the answer of the first, with its old version.
-fn check_accepting_versions(record: &RunRecord, broken: &mut Vec<BrokenPromise>) {
+/// Checks that a job sent after the answer to another job, to the same entry and for the same customer, is accepted
+/// under the same contract version or a newer one. Requests are skipped, because a repeated request gets the first
+/// answer with its old version.
+fn check_accepted_versions(record: &RunRecord, broken: &mut Vec<BrokenPromise>) {
     let mut jobs = Vec::new();
     for submission in record
         .submissions
@@ -478,12 +484,12 @@
 
 fn check_exits(record: &RunRecord, broken: &mut Vec<BrokenPromise>) {
     for exit in &record.exits {
-        let right = match exit.cause {
+        let expected = match exit.cause {
             ExitCause::Terminated => exit.code == Some(0),
             ExitCause::Killed => true,
-            ExitCause::Itself => false,
+            ExitCause::Unrequested => false,
         };
-        if right {
+        if expected {
             continue;
         }
         broken.push(BrokenPromise::WrongExit {
@@ -494,11 +500,11 @@
     }
 }
 
-fn attempts(starts: &[&StartRecord]) -> Vec<AttemptId> {
+fn attempt_ids(starts: &[&StartRecord]) -> Vec<AttemptId> {
     starts.iter().map(|start| start.attempt).collect()
 }
 
-fn list(attempts: &[AttemptId]) -> String {
+fn join_attempts(attempts: &[AttemptId]) -> String {
     let texts: Vec<_> = attempts.iter().map(ToString::to_string).collect();
     texts.join(", ")
 }
--- a/crates/scenario/src/runner/peak.rs
+++ b/crates/scenario/src/runner/peak.rs
@@ -1,4 +1,4 @@
-//! How full endpoints were, by what they remember: the most tasks of a customer at once, and tasks turned away.
+//! Figures from the endpoints' records: the peak of a customer's concurrent tasks, and tasks turned away.
 
 use model::CustomerId;
 use stand_ins::endpoint::{EndpointRecord, StartRecord, TaskScript, TurnedAway};
@@ -18,7 +18,7 @@
                 labels.push(submission.run_label);
             }
         }
-        let records = self.world.records();
+        let records = self.testbed.records();
         let mut steps = Vec::new();
         let mut first = from.map(|_| i64::MAX);
         for record in &records {
@@ -26,20 +26,20 @@
                 if start.customer != *customer {
                     continue;
                 }
-                let (begun, ended) = span(record, start);
-                steps.push((begun, 1));
+                let (started, ended) = run_interval(record, start);
+                steps.push((started, 1));
                 steps.push((ended, -1));
                 if labels.contains(&run_label(start)) {
-                    first = first.map(|at| at.min(begun));
+                    first = first.map(|at| at.min(started));
                 }
             }
         }
-        Ok(most_at_once(steps, first))
+        Ok(peak_concurrency(steps, first))
     }
 
-    pub(super) fn turned_away(&self) -> usize {
+    pub(super) fn turned_away_count(&self) -> usize {
         let mut count = 0;
-        for record in self.world.records() {
+        for record in self.testbed.records() {
             let full = record
                 .refusals
                 .iter()
@@ -50,16 +50,17 @@
     }
 }
 
-/// When a task began and ended, in microseconds before now (so both are at most 0): the stand-ins started at
-/// different times, and this is what their clocks have in common.
-fn span(record: &EndpointRecord, start: &StartRecord) -> (i64, i64) {
+/// The start and end of a task in microseconds relative to now, so both are at most 0. The clocks of the stand-ins
+/// started at different times, so only times relative to now can be compared.
+fn run_interval(record: &EndpointRecord, start: &StartRecord) -> (i64, i64) {
     let before_now = |at: u64| at as i64 - record.age_us as i64;
     let ended = start.ended_us.map_or(0, before_now);
     (before_now(start.started_us), ended)
 }
 
-/// An end and a start at one moment do not overlap: ends sort first.
-fn most_at_once(mut steps: Vec<(i64, i64)>, first: Option<i64>) -> usize {
+/// The peak concurrency, from time `first` on if given. An end and a start at the same time do not overlap, because
+/// ends sort first.
+fn peak_concurrency(mut steps: Vec<(i64, i64)>, first: Option<i64>) -> usize {
     steps.sort_unstable();
     let (mut running, mut most) = (0, 0);
     for (at, change) in steps {
--- a/crates/scenario/tests/scenarios.rs
+++ b/crates/scenario/tests/scenarios.rs
@@ -1,6 +1,6 @@
 //! Runs the scenario files against real processes, one after the other.
 //!
-//! `SCENARIO_SEED` takes the place of the seed in the files; each report names the seed that was used.
+//! `SCENARIO_SEED` overrides the seed in the files; each report names the seed that was used.
 
 use std::{
     env, fs,
@@ -10,10 +10,10 @@
 
 use scenario::{find_binary, parse_script, promises::PromiseLimits, run_script, RunSettings};
 
-/// Scenarios measure answer times, so no two run at once.
-static TURN: Mutex<()> = Mutex::new(());
+/// Held while a scenario runs. Scenarios measure answer times, so no two may run at once.
+static RUN_LOCK: Mutex<()> = Mutex::new(());
 
-/// The last lines of each log that a failed run shows.
+/// How many of the last lines of each log a failed run prints.
 const LOG_LINES: usize = 40;
 
 fn scenarios_dir() -> PathBuf {
@@ -21,7 +21,7 @@
 }
 
 fn run(name: &str) {
-    let _turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
+    let _guard = RUN_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let path = scenarios_dir().join(format!("{name}.scenario"));
     let script = parse_script(&fs::read_to_string(&path).unwrap())
         .unwrap_or_else(|error| panic!("{name}.scenario: {error}"));
@@ -39,7 +39,7 @@
         .block_on(run_script(&script, settings))
         .unwrap();
     println!("{name}: {report}");
-    if !report.is_good() {
+    if !report.passed() {
         panic!("{name}: {report}\n{}", logs(&dir));
     }
 }
@@ -72,7 +72,7 @@
             }
         )+
 
-        const LISTED: &[&str] = &[$(stringify!($name),)+];
+        const LISTED_SCENARIOS: &[&str] = &[$(stringify!($name),)+];
     };
 }
 
@@ -133,5 +133,5 @@
         files.push(path.file_stem().unwrap().to_string_lossy().into_owned());
     }
     files.sort();
-    assert_eq!(files, LISTED);
+    assert_eq!(files, LISTED_SCENARIOS);
 }
