--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -8,10 +8,10 @@
 use crate::record::{AttemptEnd, AttemptTrace, JobTrace, RunTrace, SoakRecord};
 
 /// The most runs that fit on a worker at the same time: two of the soak's tasks.
-const ROOM: usize = 2;
+const MAX_WORKER_RUNS: usize = 2;
 
 /// How long after a fault its effects may last: what the platform allows before it counts a machine as in touch.
-const AFTERMATH: Duration = Duration::from_secs(3);
+const FAULT_AFTERMATH: Duration = Duration::from_secs(3);
 
 /// How much later than its deadline an answer may come on a machine that is shared with all stand-ins.
 const ANSWER_SLACK: Duration = Duration::from_millis(700);
@@ -27,14 +27,14 @@
 
 /// From this time on after its request was sent, a connection that ends without an answer has been cut: before, the
 /// request may have met a connection that was just being closed.
-const CUT_AFTER: Duration = Duration::from_millis(250);
+const CUT_THRESHOLD: Duration = Duration::from_millis(250);
 
 /// How long a start may come after its customer's last answer: a lease of 0.8 s, and some slack. One that a worker
 /// carried out late is turned away by then.
-const START_AFTER_END: Duration = Duration::from_millis(1_300);
+const ORPHAN_START_LIMIT: Duration = Duration::from_millis(1_300);
 
 /// How long after all faults are mended jobs must be served again.
-const RECOVERY: Duration = Duration::from_secs(6);
+const RECOVERY_LIMIT: Duration = Duration::from_secs(6);
 
 text_set! {
     /// What the system promises.
@@ -66,59 +66,59 @@
 
 /// A promise that was broken.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Broken {
+pub struct PromiseViolation {
     /// Which.
     pub promise: Promise,
     /// How it showed.
-    pub what: String,
+    pub details: String,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for PromiseViolation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.promise, self.what)
+        write!(f, "{}: {}", self.promise, self.details)
     }
 }
 
 /// All promises that were broken.
-pub fn check_promises(record: &SoakRecord) -> Vec<Broken> {
+pub fn check_promises(record: &SoakRecord) -> Vec<PromiseViolation> {
     let mut checker = PromiseChecker {
         record,
-        broken: Vec::new(),
+        violations: Vec::new(),
     };
-    checker.check_room();
-    checker.check_twice();
+    checker.check_worker_capacity();
+    checker.check_concurrent_runs();
     checker.check_answers();
     checker.check_orphans();
     checker.check_stops();
     checker.check_drains();
     checker.check_config();
     checker.check_recovery();
-    checker.broken
+    checker.violations
 }
 
 struct PromiseChecker<'a> {
     record: &'a SoakRecord,
-    broken: Vec<Broken>,
+    violations: Vec<PromiseViolation>,
 }
 
 impl PromiseChecker<'_> {
-    fn fail(&mut self, promise: Promise, what: String) {
-        self.broken.push(Broken { promise, what });
+    fn add_violation(&mut self, promise: Promise, details: String) {
+        self.violations.push(PromiseViolation { promise, details });
     }
 
-    fn check_room(&mut self) {
+    fn check_worker_capacity(&mut self) {
         for run in &self.record.runs {
             let here = self.record.runs.iter().filter(|r| r.life == run.life);
             let beside = here.filter(|r| r.began <= run.began && !has_ended(r, run.began));
             let count = beside.count();
-            if count > ROOM {
-                let what = format!("{count} runs on life {} at {:?}", run.life, run.began);
-                self.fail(Promise::Room, what);
+            if count > MAX_WORKER_RUNS {
+                let details = format!("{count} runs on life {} at {:?}", run.life, run.began);
+                self.add_violation(Promise::Room, details);
             }
         }
     }
 
-    fn check_twice(&mut self) {
+    fn check_concurrent_runs(&mut self) {
         let mut by_task: FastMap<TaskId, Vec<&RunTrace>> = FastMap::default();
         for run in &self.record.runs {
             by_task.entry(run.task).or_default().push(run);
@@ -127,11 +127,11 @@
             runs.sort_by_key(|run| run.began);
             for pair in runs.windows(2) {
                 if !has_ended(pair[0], pair[1].began + CLOCK_SLACK) {
-                    let what = format!(
+                    let details = format!(
                         "{task} as {} and {} at {:?}",
                         pair[0].run, pair[1].run, pair[1].began
                     );
-                    self.fail(Promise::Twice, what);
+                    self.add_violation(Promise::Twice, details);
                 }
             }
         }
@@ -155,19 +155,23 @@
     fn check_job(&mut self, job: &JobTrace, done: usize, begun: bool) {
         let completed = job.ended_with(200);
         if completed && done < job.tasks as usize {
-            let what = format!("{} with {done} of {} tasks done", job.id, job.tasks);
-            self.fail(Promise::Completed, what);
+            let details = format!("{} with {done} of {} tasks done", job.id, job.tasks);
+            self.add_violation(Promise::Completed, details);
         }
         if begun && job.attempts.iter().all(|attempt| is_refusal(attempt.end)) {
-            self.fail(Promise::Refused, format!("{} ran", job.id));
+            self.add_violation(Promise::Refused, format!("{} ran", job.id));
         }
         for attempt in &job.attempts {
             let took = attempt.ended - attempt.sent;
             let late = took > job.deadline + ANSWER_SLACK;
-            let from = attempt.sent.saturating_sub(AFTERMATH);
-            if late && self.record.is_in_touch(attempt.node, from, attempt.ended) {
-                let what = format!("{} by node {} after {took:?}", job.id, attempt.node);
-                self.fail(Promise::InTime, what);
+            let from = attempt.sent.saturating_sub(FAULT_AFTERMATH);
+            if late
+                && self
+                    .record
+                    .is_node_undisturbed(attempt.node, from, attempt.ended)
+            {
+                let details = format!("{} by node {} after {took:?}", job.id, attempt.node);
+                self.add_violation(Promise::InTime, details);
             }
         }
     }
@@ -180,9 +184,9 @@
         }
         for run in &self.record.runs {
             let ended = last.get(&run.task.job).copied();
-            if ended.is_none_or(|ended| run.began > ended + START_AFTER_END) {
-                let what = format!("{} began at {:?}, answered {ended:?}", run.task, run.began);
-                self.fail(Promise::Orphan, what);
+            if ended.is_none_or(|ended| run.began > ended + ORPHAN_START_LIMIT) {
+                let details = format!("{} began at {:?}, answered {ended:?}", run.task, run.began);
+                self.add_violation(Promise::Orphan, details);
             }
         }
     }
@@ -196,8 +200,8 @@
             let starts = begun.get(&job.id).map_or(&[][..], Vec::as_slice);
             for attempt in &job.attempts {
                 if self.is_cut_by_stop(attempt, starts) {
-                    let what = format!("{} cut at node {}", job.id, attempt.node);
-                    self.fail(Promise::Stop, what);
+                    let details = format!("{} cut at node {}", job.id, attempt.node);
+                    self.add_violation(Promise::Stop, details);
                 }
             }
         }
@@ -211,27 +215,32 @@
         }
         let stops = self.record.stops.iter();
         let mut stops = stops.filter(|stop| {
-            stop.node == attempt.node && attempt.ended >= stop.told && attempt.sent <= stop.gone
+            stop.node == attempt.node
+                && attempt.ended >= stop.requested
+                && attempt.sent <= stop.exited
         });
-        let waited = attempt.ended - attempt.sent > CUT_AFTER;
+        let waited = attempt.ended - attempt.sent > CUT_THRESHOLD;
         let mut starts = starts.iter();
         let began = starts.any(|began| (attempt.sent..=attempt.ended).contains(began));
-        let from = attempt.sent.saturating_sub(AFTERMATH);
-        stops.next().is_some() && (waited || began) && self.record.is_calm(from, attempt.ended)
+        let from = attempt.sent.saturating_sub(FAULT_AFTERMATH);
+        stops.next().is_some()
+            && (waited || began)
+            && self.record.has_no_unplanned_fault(from, attempt.ended)
     }
 
     fn check_drains(&mut self) {
         for drain in &self.record.drains {
-            let limit = drain.said + DRAIN_LIMIT;
+            let limit = drain.announced + DRAIN_LIMIT;
             for run in &self.record.runs {
                 let late = run.life == drain.life && run.began > limit;
                 if late
-                    && self
-                        .record
-                        .is_calm(drain.said.saturating_sub(AFTERMATH), run.began)
+                    && self.record.has_no_unplanned_fault(
+                        drain.announced.saturating_sub(FAULT_AFTERMATH),
+                        run.began,
+                    )
                 {
-                    let what = format!("{} on life {} at {:?}", run.task, run.life, run.began);
-                    self.fail(Promise::Drain, what);
+                    let details = format!("{} on life {} at {:?}", run.task, run.life, run.began);
+                    self.add_violation(Promise::Drain, details);
                 }
             }
         }
@@ -246,21 +255,25 @@
                 continue;
             }
             if probe.version <= *newest {
-                let what = format!("node {} lost version {}", probe.node, probe.version);
-                self.fail(Promise::ConfigBack, what);
+                let details = format!("node {} lost version {}", probe.node, probe.version);
+                self.add_violation(Promise::ConfigBack, details);
                 continue;
             }
             let late = probe.asked > probe.written + CONFIG_LIMIT;
-            let from = probe.written.saturating_sub(AFTERMATH);
-            if late && self.record.is_in_touch(probe.node, from, probe.asked) {
-                let what = format!("node {} without version {}", probe.node, probe.version);
-                self.fail(Promise::Config, what);
+            let from = probe.written.saturating_sub(FAULT_AFTERMATH);
+            if late
+                && self
+                    .record
+                    .is_node_undisturbed(probe.node, from, probe.asked)
+            {
+                let details = format!("node {} without version {}", probe.node, probe.version);
+                self.add_violation(Promise::Config, details);
             }
         }
     }
 
     fn check_recovery(&mut self) {
-        let from = self.record.healed + RECOVERY;
+        let from = self.record.healed + RECOVERY_LIMIT;
         let after = self.record.jobs.iter();
         let after = after.filter(|job| job.attempts.first().is_some_and(|a| a.sent >= from));
         let (mut all, mut served) = (0, 0);
@@ -269,8 +282,8 @@
             served += usize::from(job.ended_with(200));
         }
         if all == 0 || served * 10 < all * 9 {
-            let what = format!("{served} of {all} jobs served");
-            self.fail(Promise::Recovery, what);
+            let details = format!("{served} of {all} jobs served");
+            self.add_violation(Promise::Recovery, details);
         }
     }
 }
--- a/crates/soak/src/customers.rs
+++ b/crates/soak/src/customers.rs
@@ -17,32 +17,32 @@
 const DEADLINE: Duration = Duration::from_millis(2_500);
 
 /// How much longer they wait than they say.
-const PATIENCE: Duration = Duration::from_millis(1_000);
+const CLIENT_WAIT_MARGIN: Duration = Duration::from_millis(1_000);
 
 /// When a job is handed in again that got no answer: above the leases of workers.
-const RETRY: Duration = Duration::from_millis(1_300);
+const RETRY_DELAY: Duration = Duration::from_millis(1_300);
 
 /// How often at most.
-const MOST_ATTEMPTS: usize = 3;
+const MAX_ATTEMPTS: usize = 3;
 
 /// The share of customers that leave early.
-const LEAVERS: f64 = 0.04;
+const EARLY_LEAVE_SHARE: f64 = 0.04;
 
 /// How long a probe waits.
-const PROBE_LIMIT: Duration = Duration::from_millis(800);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// The connections of customers to one node.
-const CLIENTS: usize = 8;
+const CLIENTS_PER_NODE: usize = 8;
 
 /// What customers share.
-pub(crate) struct CustomerCrowd {
+pub(crate) struct CustomerSimulator {
     began: std::time::Instant,
     nodes: Vec<SocketAddr>,
     clients: Vec<Vec<Client>>,
     pub(crate) record: Rc<RefCell<SoakRecord>>,
 }
 
-impl CustomerCrowd {
+impl CustomerSimulator {
     pub(crate) fn new(
         began: std::time::Instant,
         nodes: Vec<SocketAddr>,
@@ -50,7 +50,7 @@
     ) -> Self {
         let clients = nodes
             .iter()
-            .map(|_| (0..CLIENTS).map(|_| Client::default()).collect());
+            .map(|_| (0..CLIENTS_PER_NODE).map(|_| Client::default()).collect());
         Self {
             began,
             clients: clients.collect(),
@@ -64,7 +64,7 @@
     }
 
     /// Hands one job in, up to its last answer.
-    pub(crate) async fn hand_in(&self, mut rng: Rng) {
+    pub(crate) async fn submit_job(&self, mut rng: Rng) {
         let id = JobId(rng.u64(..));
         let tasks = rng.u32(1..7);
         let index = {
@@ -77,23 +77,23 @@
             });
             record.jobs.len() - 1
         };
-        for _ in 0..MOST_ATTEMPTS {
-            let leaves = rng.f64() < LEAVERS;
-            let patience = if leaves {
+        for _ in 0..MAX_ATTEMPTS {
+            let leaves_early = rng.f64() < EARLY_LEAVE_SHARE;
+            let wait_limit = if leaves_early {
                 Duration::from_millis(rng.u64(5..300))
             } else {
-                DEADLINE + PATIENCE
+                DEADLINE + CLIENT_WAIT_MARGIN
             };
-            let attempt = self.attempt(&mut rng, id, tasks, patience).await;
+            let attempt = self.attempt(&mut rng, id, tasks, wait_limit).await;
             self.record.borrow_mut().jobs[index].attempts.push(attempt);
             let unanswered = matches!(
                 attempt.end,
                 AttemptEnd::Broken | AttemptEnd::GaveUp | AttemptEnd::Answered(502 | 504)
             );
-            if leaves || !unanswered {
+            if leaves_early || !unanswered {
                 return;
             }
-            actix_rt::time::sleep(RETRY).await;
+            actix_rt::time::sleep(RETRY_DELAY).await;
         }
     }
 
@@ -102,15 +102,15 @@
         rng: &mut Rng,
         id: JobId,
         tasks: u32,
-        patience: Duration,
+        wait_limit: Duration,
     ) -> AttemptTrace {
         let node = rng.usize(..self.nodes.len());
-        let client = &self.clients[node][rng.usize(..CLIENTS)];
+        let client = &self.clients[node][rng.usize(..CLIENTS_PER_NODE)];
         let request = client
             .post(format!("http://{}{PREFIX}{id}", self.nodes[node]))
             .insert_header(("Host", HOST))
             .insert_header((DEADLINE_HEADER, DEADLINE.as_millis().to_string()))
-            .timeout(DEADLINE + PATIENCE * 2);
+            .timeout(DEADLINE + CLIENT_WAIT_MARGIN * 2);
         let body = job_body(tasks, 100).to_string();
         let sent = self.now();
         let whole = async {
@@ -119,7 +119,7 @@
             answer.body().await.ok()?;
             Some(status)
         };
-        let end = match actix_rt::time::timeout(patience, whole).await {
+        let end = match actix_rt::time::timeout(wait_limit, whole).await {
             Ok(Some(status)) => AttemptEnd::Answered(status),
             Ok(None) => AttemptEnd::Broken,
             Err(_) => AttemptEnd::GaveUp,
@@ -138,7 +138,7 @@
         let request = self.clients[node][0]
             .get(format!("http://{}{prefix}", self.nodes[node]))
             .insert_header(("Host", HOST))
-            .timeout(PROBE_LIMIT);
+            .timeout(PROBE_TIMEOUT);
         match request.send().await.ok()?.status().as_u16() {
             200 => Some(true),
             404 => Some(false),
@@ -147,7 +147,7 @@
     }
 
     /// Writes a probe down.
-    pub(crate) fn note_probe(&self, trace: ProbeTrace) {
+    pub(crate) fn record_probe(&self, trace: ProbeTrace) {
         self.record.borrow_mut().probes.push(trace);
     }
 }
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -30,16 +30,16 @@
 
 /// What has to be done when a fault's time is over.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Mend {
+pub(crate) enum FollowUp {
     Thaw(usize),
     StoreLink(usize),
     WorkerLink(usize, usize),
     Store,
     Worker(usize),
-    Unlist(usize),
-    Leave(usize),
-    Rebirth(usize),
-    Tell(usize),
+    RemoveEntry(usize),
+    FinishDrain(usize),
+    StartWorker(usize),
+    WriteEntry(usize),
 }
 
 /// What follows from a fault.
@@ -48,11 +48,11 @@
     pub(crate) disturbances: Vec<Disturbance>,
     pub(crate) drains: Vec<DrainTrace>,
     /// What has to be mended, and after which time.
-    pub(crate) mends: Vec<(Duration, Mend)>,
+    pub(crate) follow_ups: Vec<(Duration, FollowUp)>,
 }
 
 /// Carries out one fault.
-pub(crate) async fn carry_out(
+pub(crate) async fn inject_fault(
     fleet: &mut SoakFleet,
     kind: FaultKind,
 ) -> Result<FaultTrace, SoakError> {
@@ -60,9 +60,9 @@
     let FaultTrace {
         mut disturbances,
         mut drains,
-        mut mends,
+        mut follow_ups,
     } = FaultTrace::default();
-    let mut note = |scope, planned, length| {
+    let mut add_disturbance = |scope, planned, length| {
         disturbances.push(Disturbance {
             scope,
             planned,
@@ -72,83 +72,83 @@
     };
     match kind {
         FaultKind::Stop(node) => {
-            note(FaultScope::Node(node), true, STOP_TIME);
-            fleet.signal(node, ChildSignal::Terminate)?;
+            add_disturbance(FaultScope::Node(node), true, STOP_TIME);
+            fleet.signal_node(node, ChildSignal::Terminate)?;
         }
         FaultKind::Kill(node, length) => {
-            note(FaultScope::Node(node), false, length + START_TIME);
-            fleet.kill(node, length);
+            add_disturbance(FaultScope::Node(node), false, length + START_TIME);
+            fleet.kill_node(node, length);
         }
         FaultKind::KillAll => {
-            note(FaultScope::Store, false, START_TIME);
+            add_disturbance(FaultScope::Store, false, START_TIME);
             for node in 0..fleet.nodes.len() {
-                fleet.kill(node, Duration::ZERO);
+                fleet.kill_node(node, Duration::ZERO);
             }
         }
         FaultKind::Freeze(node, length) => {
-            note(FaultScope::Node(node), false, length);
-            fleet.hold_down(node, length);
-            fleet.signal(node, ChildSignal::Freeze)?;
-            mends.push((length, Mend::Thaw(node)));
+            add_disturbance(FaultScope::Node(node), false, length);
+            fleet.extend_down_time(node, length);
+            fleet.signal_node(node, ChildSignal::Freeze)?;
+            follow_ups.push((length, FollowUp::Thaw(node)));
         }
-        FaultKind::Reload(node) => fleet.signal(node, ChildSignal::Reload)?,
+        FaultKind::Reload(node) => fleet.signal_node(node, ChildSignal::Reload)?,
         FaultKind::StoreLink(node, mode, length) => {
-            note(FaultScope::Node(node), false, length);
+            add_disturbance(FaultScope::Node(node), false, length);
             fleet.set_store_link(node, mode).await;
-            mends.push((length, Mend::StoreLink(node)));
+            follow_ups.push((length, FollowUp::StoreLink(node)));
         }
         FaultKind::WorkerLink(worker, node, mode, length) => {
-            note(FaultScope::Worker(worker), false, length);
+            add_disturbance(FaultScope::Worker(worker), false, length);
             fleet.set_worker_link(worker, node, mode).await;
-            mends.push((length, Mend::WorkerLink(worker, node)));
+            follow_ups.push((length, FollowUp::WorkerLink(worker, node)));
         }
         FaultKind::Store(fault, length) => {
-            note(FaultScope::Store, false, length);
-            fleet.set_store(fault);
-            mends.push((length, Mend::Store));
+            add_disturbance(FaultScope::Store, false, length);
+            fleet.set_store_fault(fault);
+            follow_ups.push((length, FollowUp::Store));
         }
         FaultKind::Forget => {
-            note(FaultScope::Store, false, Duration::ZERO);
+            add_disturbance(FaultScope::Store, false, Duration::ZERO);
             fleet.forget_history();
         }
         FaultKind::Worker(worker, fault, length) => {
             // What a worker carries out late may come after the fault's end.
-            note(
+            add_disturbance(
                 FaultScope::Worker(worker),
                 false,
                 length + Duration::from_secs(2),
             );
-            fleet.set_worker(worker, fault);
-            mends.push((length, Mend::Worker(worker)));
+            fleet.set_worker_fault(worker, fault);
+            follow_ups.push((length, FollowUp::Worker(worker)));
         }
         FaultKind::Crash(worker, length) => {
-            note(
+            add_disturbance(
                 FaultScope::Worker(worker),
                 false,
                 length + ENTRY_TIME + START_TIME,
             );
             if let Some(life) = fleet.worker_life(worker) {
-                fleet.crash(worker);
-                mends.push((ENTRY_TIME, Mend::Unlist(life)));
-                mends.push((length, Mend::Rebirth(worker)));
+                fleet.crash_worker(worker);
+                follow_ups.push((ENTRY_TIME, FollowUp::RemoveEntry(life)));
+                follow_ups.push((length, FollowUp::StartWorker(worker)));
             }
         }
         FaultKind::StartAgain(worker) => {
-            note(
+            add_disturbance(
                 FaultScope::Worker(worker),
                 false,
                 HEARTBEAT_TIME + START_TIME,
             );
-            fleet.start_again(worker);
-            mends.push((HEARTBEAT_TIME, Mend::Tell(worker)));
+            fleet.restart_worker(worker);
+            follow_ups.push((HEARTBEAT_TIME, FollowUp::WriteEntry(worker)));
         }
         FaultKind::Drain(worker) => {
             if let Some(life) = fleet.worker_life(worker) {
-                fleet.say_draining(worker);
-                let said = now;
-                drains.push(DrainTrace { life, said });
-                mends.push((DRAIN_TIME, Mend::Leave(worker)));
-                mends.push((DRAIN_TIME + START_TIME, Mend::Rebirth(worker)));
+                fleet.announce_draining(worker);
+                let announced = now;
+                drains.push(DrainTrace { life, announced });
+                follow_ups.push((DRAIN_TIME, FollowUp::FinishDrain(worker)));
+                follow_ups.push((DRAIN_TIME + START_TIME, FollowUp::StartWorker(worker)));
             }
         }
         FaultKind::Configure => (),
@@ -156,29 +156,32 @@
     Ok(FaultTrace {
         disturbances,
         drains,
-        mends,
+        follow_ups,
     })
 }
 
 /// Mends what a fault left behind.
-pub(crate) async fn mend(fleet: &mut SoakFleet, mend: Mend) -> Result<(), SoakError> {
-    match mend {
-        Mend::Thaw(node) => fleet.signal(node, ChildSignal::Thaw)?,
-        Mend::StoreLink(node) => fleet.set_store_link(node, LinkMode::Pass).await,
-        Mend::WorkerLink(worker, node) => {
+pub(crate) async fn run_follow_up(
+    fleet: &mut SoakFleet,
+    follow_up: FollowUp,
+) -> Result<(), SoakError> {
+    match follow_up {
+        FollowUp::Thaw(node) => fleet.signal_node(node, ChildSignal::Thaw)?,
+        FollowUp::StoreLink(node) => fleet.set_store_link(node, LinkMode::Pass).await,
+        FollowUp::WorkerLink(worker, node) => {
             fleet.set_worker_link(worker, node, LinkMode::Pass).await;
         }
-        Mend::Store => fleet.set_store(StoreFault::None),
-        Mend::Worker(worker) => fleet.set_worker(worker, ExecutorFault::None),
-        Mend::Unlist(life) => fleet.unlist(life),
-        Mend::Leave(worker) => {
+        FollowUp::Store => fleet.set_store_fault(StoreFault::None),
+        FollowUp::Worker(worker) => fleet.set_worker_fault(worker, ExecutorFault::None),
+        FollowUp::RemoveEntry(life) => fleet.remove_entry(life),
+        FollowUp::FinishDrain(worker) => {
             if let Some(life) = fleet.worker_life(worker) {
-                fleet.crash(worker);
-                fleet.unlist(life);
+                fleet.crash_worker(worker);
+                fleet.remove_entry(life);
             }
         }
-        Mend::Rebirth(worker) => fleet.start_worker(worker).await?,
-        Mend::Tell(worker) => fleet.tell_worker(worker),
+        FollowUp::StartWorker(worker) => fleet.start_worker(worker).await?,
+        FollowUp::WriteEntry(worker) => fleet.write_ready_entry(worker),
     }
     Ok(())
 }
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -43,16 +43,16 @@
 const RESTART_PAUSE: Duration = Duration::from_millis(100);
 
 /// Run times of workers, by turns, in milliseconds.
-const RUN_TIMES: [u64; 4] = [40, 70, 110, 160];
+const RUN_TIMES_MS: [u64; 4] = [40, 70, 110, 160];
 
 /// Clocks of workers may be 2% slow.
 const CLOCK_RATES: [f64; 3] = [1.0, 0.98, 0.99];
 
 /// When the first worker's life begins, in Unix milliseconds.
-const FIRST_BIRTH: u64 = 1_764_751_000_000;
+const FIRST_START_MS: u64 = 1_764_751_000_000;
 
 /// By how much every other rebirth seems later, so that clocks seem to be set back between them.
-const BIRTH_JUMP: u64 = 60_000;
+const START_JUMP_MS: u64 = 60_000;
 
 /// A node.
 pub(crate) struct SoakNode {
@@ -63,14 +63,14 @@
     log: PathBuf,
     pub(crate) customer_address: SocketAddr,
     /// When it was told to stop.
-    told: Option<Duration>,
-    restart: Option<Duration>,
+    stop_requested: Option<Duration>,
+    restart_due: Option<Duration>,
     /// When the fault that keeps it down ends.
     down_until: Duration,
 }
 
 /// A worker's place: one life after another lives there.
-struct WorkerPlace {
+struct WorkerInstance {
     life: usize,
     stand_in: Option<ExecutorStandIn>,
 }
@@ -82,17 +82,17 @@
     forwarder: NetForwarder,
     store: StoreStandIn,
     /// The store as each node sees it.
-    views: Vec<StoreView>,
+    store_views: Vec<StoreView>,
     pub(crate) nodes: Vec<SoakNode>,
-    workers: Vec<WorkerPlace>,
-    lives: usize,
+    workers: Vec<WorkerInstance>,
+    life_count: usize,
     /// Workers that started again under their ids.
-    rebirths: u64,
+    restart_count: u64,
     runs: Vec<RunTrace>,
     routes: Vec<RoutePlan>,
     pub(crate) stops: Vec<StopTrace>,
     /// Processes that ended without being told to, and stops that hang.
-    pub(crate) died: Vec<String>,
+    pub(crate) process_failures: Vec<String>,
 }
 
 impl SoakFleet {
@@ -108,25 +108,25 @@
             binary,
             forwarder: NetForwarder::start()?,
             store,
-            views: Vec::new(),
+            store_views: Vec::new(),
             nodes: Vec::new(),
             workers: Vec::new(),
-            lives: 0,
-            rebirths: 0,
+            life_count: 0,
+            restart_count: 0,
             runs: Vec::new(),
             routes: vec![route(PREFIX)],
             stops: Vec::new(),
-            died: Vec::new(),
+            process_failures: Vec::new(),
         };
         fleet.write_config();
         for number in 0..plan.nodes {
             let view = fleet.store.view().await;
             let node = fleet.add_node(number, &view, dir)?;
             fleet.nodes.push(node);
-            fleet.views.push(view);
+            fleet.store_views.push(view);
         }
         for _ in 0..plan.workers {
-            fleet.workers.push(WorkerPlace {
+            fleet.workers.push(WorkerInstance {
                 life: 0,
                 stand_in: None,
             });
@@ -163,7 +163,7 @@
             .add_link(&store_link(number), view.address())?;
         let settings = NodeSettings {
             vm: node_name(number).parse().map_err(SoakError::setup)?,
-            data_centre: centre(number).parse().map_err(SoakError::setup)?,
+            data_centre: data_centre(number).parse().map_err(SoakError::setup)?,
             customer_listen: customer_address,
             ready_listen: SocketAddr::new(ip, 8_167),
             peer_listen: SocketAddr::new(ip, 7_720),
@@ -182,8 +182,8 @@
             settings: path,
             log: dir.join(format!("{}.log", node_name(number))),
             customer_address,
-            told: None,
-            restart: None,
+            stop_requested: None,
+            restart_due: None,
             down_until: Duration::ZERO,
         })
     }
@@ -199,40 +199,40 @@
         let process = ChildProcess::start(node_name(number), plan)?;
         node.process = Some(process);
         node.life += 1;
-        node.told = None;
-        node.restart = None;
+        node.stop_requested = None;
+        node.restart_due = None;
         Ok(())
     }
 
     /// Sees which processes have ended, and starts those that are due.
-    pub(crate) fn watch(&mut self) -> io::Result<()> {
+    pub(crate) fn poll_processes(&mut self) -> io::Result<()> {
         let now = self.now();
         for number in 0..self.nodes.len() {
             let node = &mut self.nodes[number];
             let ended = node.process.as_mut().is_some_and(ChildProcess::has_ended);
             if ended {
                 node.process = None;
-                node.restart = Some((now + RESTART_PAUSE).max(node.down_until));
-                match node.told {
-                    Some(told) => self.stops.push(StopTrace {
+                node.restart_due = Some((now + RESTART_PAUSE).max(node.down_until));
+                match node.stop_requested {
+                    Some(stop_requested) => self.stops.push(StopTrace {
                         node: number,
-                        told,
-                        gone: now,
+                        requested: stop_requested,
+                        exited: now,
                     }),
                     None => self
-                        .died
+                        .process_failures
                         .push(format!("node {number} ended by itself at {now:?}")),
                 }
             }
-            let hangs = node.told.is_some_and(|told| {
-                now > told + STOP_GRACE + STOP_SLACK && now > node.down_until + STOP_GRACE
+            let hangs = node.stop_requested.is_some_and(|stop_requested| {
+                now > stop_requested + STOP_GRACE + STOP_SLACK && now > node.down_until + STOP_GRACE
             });
             if hangs && node.process.is_some() {
-                self.died
+                self.process_failures
                     .push(format!("node {number} did not stop by {now:?}"));
-                self.kill(number, Duration::ZERO);
+                self.kill_node(number, Duration::ZERO);
             }
-            if self.nodes[number].restart.is_some_and(|due| now >= due) {
+            if self.nodes[number].restart_due.is_some_and(|due| now >= due) {
                 self.start_node(number)?;
             }
         }
@@ -240,33 +240,33 @@
     }
 
     /// Sends a signal to a node's process, if it has one.
-    pub(crate) fn signal(&mut self, number: usize, signal: ChildSignal) -> io::Result<()> {
+    pub(crate) fn signal_node(&mut self, number: usize, signal: ChildSignal) -> io::Result<()> {
         let now = self.now();
         let node = &mut self.nodes[number];
         let Some(process) = &mut node.process else {
             return Ok(());
         };
-        if signal == ChildSignal::Terminate && node.told.is_none() {
-            node.told = Some(now);
+        if signal == ChildSignal::Terminate && node.stop_requested.is_none() {
+            node.stop_requested = Some(now);
         }
         process.signal(signal)
     }
 
     /// Notes that a node stands still until then, so that its stop may take longer.
-    pub(crate) fn hold_down(&mut self, number: usize, length: Duration) {
+    pub(crate) fn extend_down_time(&mut self, number: usize, length: Duration) {
         let until = self.now() + length;
         let node = &mut self.nodes[number];
         node.down_until = node.down_until.max(until);
     }
 
     /// Kills a node; it starts again after a while.
-    pub(crate) fn kill(&mut self, number: usize, length: Duration) {
-        self.hold_down(number, length);
+    pub(crate) fn kill_node(&mut self, number: usize, length: Duration) {
+        self.extend_down_time(number, length);
         let node = &mut self.nodes[number];
         // Dropping it kills it.
         if node.process.take().is_some() {
-            node.told = None;
-            node.restart = Some(node.down_until);
+            node.stop_requested = None;
+            node.restart_due = Some(node.down_until);
         }
     }
 
@@ -291,7 +291,7 @@
     }
 
     /// Changes what is wrong with the store.
-    pub(crate) fn set_store(&self, fault: StoreFault) {
+    pub(crate) fn set_store_fault(&self, fault: StoreFault) {
         self.store.set_fault(fault);
     }
 
@@ -301,7 +301,7 @@
     }
 
     /// Changes what is wrong with a worker.
-    pub(crate) fn set_worker(&self, worker: usize, fault: ExecutorFault) {
+    pub(crate) fn set_worker_fault(&self, worker: usize, fault: ExecutorFault) {
         if let Some(stand_in) = &self.workers[worker].stand_in {
             stand_in.set_fault(fault);
         }
@@ -309,17 +309,17 @@
 
     /// A worker's current life.
     pub(crate) fn worker_life(&self, worker: usize) -> Option<usize> {
-        let place = &self.workers[worker];
-        place.stand_in.as_ref().map(|_| place.life)
+        let instance = &self.workers[worker];
+        instance.stand_in.as_ref().map(|_| instance.life)
     }
 
     /// A worker dies: what ran on it is over. Its entry is gone some time later.
-    pub(crate) fn crash(&mut self, worker: usize) {
+    pub(crate) fn crash_worker(&mut self, worker: usize) {
         let now = self.now();
         let began = self.began;
-        let place = &mut self.workers[worker];
-        if let Some(stand_in) = place.stand_in.take() {
-            let runs = run_traces(&stand_in, worker, place.life, began);
+        let instance = &mut self.workers[worker];
+        if let Some(stand_in) = instance.stand_in.take() {
+            let runs = run_traces(&stand_in, worker, instance.life, began);
             self.runs.extend(runs.into_iter().map(|run| RunTrace {
                 ended: run.ended.or(Some(now)),
                 ..run
@@ -328,39 +328,39 @@
     }
 
     /// A worker dies and starts again under its id. Its entry tells of it later.
-    pub(crate) fn start_again(&mut self, worker: usize) {
-        self.rebirths += 1;
+    pub(crate) fn restart_worker(&mut self, worker: usize) {
+        self.restart_count += 1;
         if let Some(stand_in) = &self.workers[worker].stand_in {
             // Clocks may have been set back meanwhile.
-            let jump = if self.rebirths.is_multiple_of(2) {
+            let jump_ms = if self.restart_count.is_multiple_of(2) {
                 0
             } else {
-                BIRTH_JUMP
+                START_JUMP_MS
             };
-            stand_in.restart(FIRST_BIRTH + self.rebirths + jump);
+            stand_in.restart(FIRST_START_MS + self.restart_count + jump_ms);
         }
     }
 
     /// A worker writes its entry.
-    pub(crate) fn tell_worker(&self, worker: usize) {
+    pub(crate) fn write_ready_entry(&self, worker: usize) {
         self.write_entry(worker, "ready");
     }
 
     fn write_entry(&self, worker: usize, state: &str) {
-        let place = &self.workers[worker];
-        if let Some(stand_in) = &place.stand_in {
-            let entry = stand_in.entry(SERVICE, centre(worker), state);
-            self.store.put("servers", &life_name(place.life), &entry);
+        let instance = &self.workers[worker];
+        if let Some(stand_in) = &instance.stand_in {
+            let entry = stand_in.entry(SERVICE, data_centre(worker), state);
+            self.store.put("servers", &life_name(instance.life), &entry);
         }
     }
 
     /// Removes the entry of a worker that is gone.
-    pub(crate) fn unlist(&self, life: usize) {
+    pub(crate) fn remove_entry(&self, life: usize) {
         self.store.remove("servers", &life_name(life));
     }
 
     /// A worker says that it will leave.
-    pub(crate) fn say_draining(&self, worker: usize) {
+    pub(crate) fn announce_draining(&self, worker: usize) {
         self.write_entry(worker, "draining");
     }
 
@@ -369,26 +369,26 @@
         if self.workers[worker].stand_in.is_some() {
             return Ok(());
         }
-        self.lives += 1;
-        let life = self.lives;
+        self.life_count += 1;
+        let life = self.life_count;
         let plan = ExecutorPlan {
             id: life_name(life),
-            run_time: Duration::from_millis(RUN_TIMES[worker % RUN_TIMES.len()]),
+            run_time: Duration::from_millis(RUN_TIMES_MS[worker % RUN_TIMES_MS.len()]),
             initial_clock_ms: 400_000 + 10_000 * life as u64,
             clock_rate: CLOCK_RATES[life % CLOCK_RATES.len()],
-            born: Some(FIRST_BIRTH + life as u64),
+            born: Some(FIRST_START_MS + life as u64),
         };
         let stand_in = ExecutorStandIn::start(plan).await;
-        for (node, view) in self.views.iter().enumerate() {
+        for (node, view) in self.store_views.iter().enumerate() {
             let link = worker_link(life, node);
             let address = self.forwarder.add_link(&link, stand_in.address())?;
             view.override_address(&life_name(life), address);
         }
-        self.workers[worker] = WorkerPlace {
+        self.workers[worker] = WorkerInstance {
             life,
             stand_in: Some(stand_in),
         };
-        self.tell_worker(worker);
+        self.write_ready_entry(worker);
         Ok(())
     }
 
@@ -412,9 +412,9 @@
     /// All runs so far.
     pub(crate) fn take_runs(&mut self) -> Vec<RunTrace> {
         let mut runs = std::mem::take(&mut self.runs);
-        for (worker, place) in self.workers.iter().enumerate() {
-            if let Some(stand_in) = &place.stand_in {
-                runs.extend(run_traces(stand_in, worker, place.life, self.began));
+        for (worker, instance) in self.workers.iter().enumerate() {
+            if let Some(stand_in) = &instance.stand_in {
+                runs.extend(run_traces(stand_in, worker, instance.life, self.began));
             }
         }
         runs
@@ -461,7 +461,7 @@
     traces
 }
 
-fn centre(number: usize) -> &'static str {
+fn data_centre(number: usize) -> &'static str {
     DATA_CENTRES[number % DATA_CENTRES.len()]
 }
 
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -15,7 +15,7 @@
 mod run;
 
 pub use crate::{
-    checks::{check_promises, Broken, Promise},
+    checks::{check_promises, Promise, PromiseViolation},
     plan::{FaultKind, FaultStep, SoakPlan},
     record::{
         AttemptEnd, AttemptTrace, Disturbance, DrainTrace, FaultScope, JobTrace, ProbeTrace,
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -107,7 +107,7 @@
     /// The worker's life.
     pub life: usize,
     /// When its entry said so.
-    pub said: Duration,
+    pub announced: Duration,
 }
 
 /// A planned stop of a node.
@@ -116,9 +116,9 @@
     /// The node.
     pub node: usize,
     /// When it was told to stop.
-    pub told: Duration,
+    pub requested: Duration,
     /// When its process was gone.
-    pub gone: Duration,
+    pub exited: Duration,
 }
 
 /// All that was seen.
@@ -144,19 +144,19 @@
 
 impl SoakRecord {
     /// Whether nothing unplanned was wrong with the store, a node or a worker in a time.
-    pub fn is_calm(&self, from: Duration, until: Duration) -> bool {
+    pub fn has_no_unplanned_fault(&self, from: Duration, until: Duration) -> bool {
         let unplanned = self.disturbances.iter().filter(|fault| !fault.planned);
-        let mut near = unplanned.filter(|fault| fault.from <= until && fault.until >= from);
-        near.next().is_none()
+        let mut overlapping = unplanned.filter(|fault| fault.from <= until && fault.until >= from);
+        overlapping.next().is_none()
     }
 
     /// Whether nothing was wrong with a node or the store in a time.
-    pub fn is_in_touch(&self, node: usize, from: Duration, until: Duration) -> bool {
-        let mut near = self.disturbances.iter().filter(|fault| {
-            let concerns =
+    pub fn is_node_undisturbed(&self, node: usize, from: Duration, until: Duration) -> bool {
+        let mut overlapping = self.disturbances.iter().filter(|fault| {
+            let affects_node =
                 matches!(fault.scope, FaultScope::Store) || fault.scope == FaultScope::Node(node);
-            concerns && fault.from <= until && fault.until >= from
+            affects_node && fault.from <= until && fault.until >= from
         });
-        near.next().is_none()
+        overlapping.next().is_none()
     }
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -12,31 +12,31 @@
 use thiserror::Error;
 
 use crate::{
-    checks::{check_promises, Broken},
-    customers::CustomerCrowd,
-    faults::{carry_out, mend, Mend},
+    checks::{check_promises, PromiseViolation},
+    customers::CustomerSimulator,
+    faults::{inject_fault, run_follow_up, FollowUp},
     fleet::SoakFleet,
     plan::{FaultKind, FaultStep, SoakPlan},
     record::{AttemptEnd, ProbeTrace, SoakRecord},
 };
 
 /// How long everything gets to start before the load.
-const START: Duration = Duration::from_millis(2_500);
+const STARTUP_WAIT: Duration = Duration::from_millis(2_500);
 
 /// How long the load goes on after the last fault is mended: the promise of recovery, and some jobs after it.
-const RECOVERY: Duration = Duration::from_secs(8);
+const RECOVERY_LOAD: Duration = Duration::from_secs(8);
 
 /// How long the last customers get.
-const LAST_ANSWERS: Duration = Duration::from_secs(4);
+const FINAL_ANSWER_WAIT: Duration = Duration::from_secs(4);
 
 /// The time between two looks at what is due.
-const STEP: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The time between two rounds of probes.
-const PROBE_BEAT: Duration = Duration::from_millis(250);
+const PROBE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// The seed of the customers is that of the plan with these bits changed, so that they draw other numbers.
-const CUSTOMER_BITS: u64 = 0x5eed_5eed;
+const CUSTOMER_SEED_MASK: u64 = 0x5eed_5eed;
 
 /// Why a soak could not be run.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct SoakReport {
     /// Promises that were broken, and processes that ended by themselves or did not stop.
-    pub broken: Vec<String>,
+    pub failures: Vec<String>,
     /// Jobs handed in.
     pub jobs: usize,
     /// Those completed.
@@ -79,69 +79,69 @@
     let fleet = SoakFleet::start(plan, PathBuf::from(binary), dir).await?;
     let addresses = fleet.nodes.iter().map(|node| node.customer_address);
     let record = Rc::new(RefCell::new(SoakRecord::default()));
-    let crowd = CustomerCrowd::new(fleet.began(), addresses.collect(), record.clone());
+    let simulator = CustomerSimulator::new(fleet.began(), addresses.collect(), record.clone());
     let mut run = SoakRun {
         plan,
         fleet,
-        crowd: Rc::new(crowd),
+        simulator: Rc::new(simulator),
         record,
-        mends: Vec::new(),
+        follow_ups: Vec::new(),
         versions: Vec::new(),
-        rng: Rng::with_seed(plan.seed ^ CUSTOMER_BITS),
+        rng: Rng::with_seed(plan.seed ^ CUSTOMER_SEED_MASK),
     };
-    run.go().await?;
+    run.run().await?;
     run.report(dir)
 }
 
 struct SoakRun<'a> {
     plan: &'a SoakPlan,
     fleet: SoakFleet,
-    crowd: Rc<CustomerCrowd>,
+    simulator: Rc<CustomerSimulator>,
     record: Rc<RefCell<SoakRecord>>,
-    mends: Vec<(Duration, Mend)>,
+    follow_ups: Vec<(Duration, FollowUp)>,
     /// Versions of the configuration and when they were written.
     versions: Vec<(u64, Duration)>,
     rng: Rng,
 }
 
 impl SoakRun<'_> {
-    async fn go(&mut self) -> Result<(), SoakError> {
-        actix_rt::time::sleep(START).await;
+    async fn run(&mut self) -> Result<(), SoakError> {
+        actix_rt::time::sleep(STARTUP_WAIT).await;
         let begun = self.fleet.now();
         let mut steps = self.plan.steps();
         steps.reverse();
         let (mut next_job, mut next_probe) = (begun, begun);
         let mut healed = None;
         loop {
-            actix_rt::time::sleep(STEP).await;
+            actix_rt::time::sleep(POLL_INTERVAL).await;
             let now = self.fleet.now();
-            self.fleet.watch()?;
+            self.fleet.poll_processes()?;
             while steps.last().is_some_and(|step| begun + step.at <= now) {
                 let Some(FaultStep { kind, .. }) = steps.pop() else {
                     break;
                 };
-                self.carry_out(kind).await?;
+                self.inject_fault(kind).await?;
             }
-            self.mend_due(now).await?;
+            self.run_due_follow_ups(now).await?;
             while now >= next_job {
                 next_job += Duration::from_secs_f64(1.0 / self.plan.rate);
-                let (crowd, rng) = (self.crowd.clone(), self.rng.fork());
-                actix_rt::spawn(async move { crowd.hand_in(rng).await });
+                let (simulator, rng) = (self.simulator.clone(), self.rng.fork());
+                actix_rt::spawn(async move { simulator.submit_job(rng).await });
             }
             if now >= next_probe {
-                next_probe = now + PROBE_BEAT;
+                next_probe = now + PROBE_INTERVAL;
                 self.probe_all();
             }
-            if healed.is_none() && steps.is_empty() && self.mends.is_empty() {
+            if healed.is_none() && steps.is_empty() && self.follow_ups.is_empty() {
                 healed = Some(now);
                 self.record.borrow_mut().healed = self.last_fault_end(now);
             }
-            let end = self.record.borrow().healed + RECOVERY;
+            let end = self.record.borrow().healed + RECOVERY_LOAD;
             if healed.is_some() && now >= end {
                 break;
             }
         }
-        actix_rt::time::sleep(LAST_ANSWERS).await;
+        actix_rt::time::sleep(FINAL_ANSWER_WAIT).await;
         Ok(())
     }
 
@@ -152,28 +152,28 @@
         ends.max().unwrap_or(now).max(now)
     }
 
-    async fn carry_out(&mut self, kind: FaultKind) -> Result<(), SoakError> {
+    async fn inject_fault(&mut self, kind: FaultKind) -> Result<(), SoakError> {
         if kind == FaultKind::Configure {
             let version = self.fleet.add_route();
             self.versions.push((version, self.fleet.now()));
         }
         let now = self.fleet.now();
-        let trace = carry_out(&mut self.fleet, kind).await?;
-        let mends = trace.mends.into_iter();
-        self.mends
-            .extend(mends.map(|(after, mend)| (now + after, mend)));
+        let trace = inject_fault(&mut self.fleet, kind).await?;
+        let follow_ups = trace.follow_ups.into_iter();
+        self.follow_ups
+            .extend(follow_ups.map(|(after, follow_up)| (now + after, follow_up)));
         let mut record = self.record.borrow_mut();
         record.disturbances.extend(trace.disturbances);
         record.drains.extend(trace.drains);
         Ok(())
     }
 
-    async fn mend_due(&mut self, now: Duration) -> Result<(), SoakError> {
-        let (due, later) = self.mends.drain(..).partition(|(at, _)| *at <= now);
-        self.mends = later;
-        let due: Vec<(Duration, Mend)> = due;
+    async fn run_due_follow_ups(&mut self, now: Duration) -> Result<(), SoakError> {
+        let (due, later) = self.follow_ups.drain(..).partition(|(at, _)| *at <= now);
+        self.follow_ups = later;
+        let due: Vec<(Duration, FollowUp)> = due;
         for (_, due) in due {
-            mend(&mut self.fleet, due).await?;
+            run_follow_up(&mut self.fleet, due).await?;
         }
         Ok(())
     }
@@ -183,11 +183,11 @@
         let newest = self.versions.iter().rev().take(2);
         for (version, written) in newest.copied() {
             for (node, process) in self.fleet.nodes.iter().enumerate() {
-                let (crowd, life) = (self.crowd.clone(), process.life);
+                let (simulator, life) = (self.simulator.clone(), process.life);
                 let asked = self.fleet.now();
                 actix_rt::spawn(async move {
-                    if let Some(known) = crowd.probe(node, version).await {
-                        crowd.note_probe(ProbeTrace {
+                    if let Some(known) = simulator.probe(node, version).await {
+                        simulator.record_probe(ProbeTrace {
                             node,
                             life,
                             version,
@@ -209,15 +209,17 @@
         let mut faults: Vec<String> = self.plan.steps().iter().map(|s| format!("{s:?}")).collect();
         faults.extend(record.disturbances.iter().map(|fault| format!("{fault:?}")));
         fs::write(dir.join("faults.txt"), faults.join("\n"))?;
-        let broken = check_promises(&record);
-        let broken = broken.iter().map(Broken::to_string);
+        let violations = check_promises(&record);
+        let violations = violations.iter().map(PromiseViolation::to_string);
         let count = |status: &dyn Fn(u16) -> bool| {
             let ends = record.jobs.iter().filter_map(|job| job.attempts.last());
             let answered = ends.filter(|a| matches!(a.end, AttemptEnd::Answered(s) if status(s)));
             answered.count()
         };
         Ok(SoakReport {
-            broken: broken.chain(self.fleet.died.iter().cloned()).collect(),
+            failures: violations
+                .chain(self.fleet.process_failures.iter().cloned())
+                .collect(),
             jobs: record.jobs.len(),
             completed: count(&|status| status == 200),
             refused: count(&|status| status == 429 || status == 503),
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -52,7 +52,7 @@
 }
 
 /// A soak in which one job was served by two workers, and another one after all faults.
-fn kept() -> SoakRecord {
+fn record_without_violations() -> SoakRecord {
     let mut later = job(vec![attempt(9_000, 9_100, AttemptEnd::Answered(200))]);
     later.id = JobId(2);
     let mut later_run = run(0, 2, 9_010, 9_090);
@@ -70,14 +70,17 @@
 }
 
 fn check(change: impl FnOnce(&mut SoakRecord), expected: &[Promise]) {
-    let mut record = kept();
+    let mut record = record_without_violations();
     change(&mut record);
-    let broken = check_promises(&record);
-    let promises: Vec<Promise> = broken.iter().map(|broken| broken.promise).collect();
-    assert_eq!(promises, expected, "{broken:?}");
+    let violations = check_promises(&record);
+    let promises: Vec<Promise> = violations
+        .iter()
+        .map(|violation| violation.promise)
+        .collect();
+    assert_eq!(promises, expected, "{violations:?}");
 }
 
-fn wrong(scope: FaultScope, from: u64, until: u64) -> Disturbance {
+fn disturbance(scope: FaultScope, from: u64, until: u64) -> Disturbance {
     Disturbance {
         scope,
         planned: false,
@@ -142,7 +145,7 @@
     check(
         |record| {
             record.jobs[0].attempts = vec![late];
-            record.disturbances = vec![wrong(FaultScope::Node(0), 1_500, 2_000)];
+            record.disturbances = vec![disturbance(FaultScope::Node(0), 1_500, 2_000)];
         },
         &[],
     );
@@ -154,8 +157,8 @@
         record.jobs[0].attempts = vec![attempt(1_000, 1_400, AttemptEnd::Broken)];
         record.stops = vec![StopTrace {
             node: 0,
-            told: ms(900),
-            gone: ms(1_400),
+            requested: ms(900),
+            exited: ms(1_400),
         }];
     };
     check(cut, &[Promise::Stop]);
@@ -164,14 +167,14 @@
             cut(record);
             // Before anything of the job began, and soon: its connection may just have been closed.
             record.jobs[0].attempts[0].ended = ms(1_040);
-            record.stops[0].gone = ms(1_040);
+            record.stops[0].exited = ms(1_040);
         },
         &[],
     );
     check(
         |record| {
             cut(record);
-            record.disturbances = vec![wrong(FaultScope::Worker(3), 1_100, 1_200)];
+            record.disturbances = vec![disturbance(FaultScope::Worker(3), 1_100, 1_200)];
         },
         &[],
     );
@@ -179,9 +182,9 @@
 
 #[test]
 fn work_for_a_worker_that_leaves() {
-    let drain = |said| DrainTrace {
+    let drain = |announced| DrainTrace {
         life: 2,
-        said: ms(said),
+        announced: ms(announced),
     };
     check(
         |record| record.drains = vec![drain(6_000)],
--- a/crates/soak/tests/soak.rs
+++ b/crates/soak/tests/soak.rs
@@ -14,9 +14,9 @@
 
 async fn check(seed: u64) {
     let plan = SoakPlan {
-        rebirths: true,
+        worker_restarts: true,
         seed,
-        time: Duration::from_secs(8),
+        fault_duration: Duration::from_secs(8),
         nodes: 3,
         workers: 8,
         rate: 15.0,
@@ -24,7 +24,7 @@
     let binary = find_binary().expect("the program");
     let dir = std::env::temp_dir().join(format!("soak-{}-{seed}", std::process::id()));
     let report = run_soak(&plan, &binary, &dir).await.expect("a soak");
-    assert!(report.broken.is_empty(), "{report:#?}\nlogs: {dir:?}");
+    assert!(report.failures.is_empty(), "{report:#?}\nlogs: {dir:?}");
     assert!(report.completed > report.jobs / 2, "{report:#?}");
     std::fs::remove_dir_all(&dir).expect("the logs are removed");
 }
--- a/xtask/src/soak.rs
+++ b/xtask/src/soak.rs
@@ -79,9 +79,9 @@
             break;
         }
         let plan = SoakPlan {
-            rebirths: !options.known,
+            worker_restarts: !options.known,
             seed,
-            time: Duration::from_secs(options.time),
+            fault_duration: Duration::from_secs(options.time),
             nodes: options.nodes,
             workers: options.workers,
             rate: options.rate,
@@ -94,12 +94,12 @@
             report.completed,
             report.refused,
             report.runs,
-            report.broken.len()
+            report.failures.len()
         );
-        for broken in &report.broken {
-            println!("  {broken}");
+        for failure in &report.failures {
+            println!("  {failure}");
         }
-        if !report.broken.is_empty() {
+        if !report.failures.is_empty() {
             failed.push(seed);
         }
     }
