--- a/crates/endpoint-client/tests/contract.rs
+++ b/crates/endpoint-client/tests/contract.rs
@@ -7,8 +7,8 @@
 use endpoint_client::{ClientSettings, EndpointClient};
 use model::{AttemptEnd, Payload, RetryReason, TaskResult, UnknownReason, MAX_PAYLOAD_BYTES};
 use stand_ins::{
-    endpoint::{EndpointSettings, EndpointStandIn, Fault, FaultOrder, RunEnd},
-    forwarder::{CutConnect, LinkMode, LinkOrder, NetForwarder},
+    endpoint::{EndpointSettings, EndpointStandIn, Fault, FaultRequest, RunEnd},
+    forwarder::{CutConnect, LinkMode, LinkRequest, NetForwarder},
 };
 
 use crate::support::{endpoint_at, offer, RawAnswer, RawEndpoint};
@@ -131,7 +131,7 @@
 async fn classifies_each_fault_and_sends_once() {
     for case in fault_cases() {
         let stand_in = stand_in(8);
-        stand_in.order_fault(FaultOrder::next(case.fault, 1));
+        stand_in.set_fault(FaultRequest::next(case.fault, 1));
         let client = EndpointClient::new(ClientSettings::default());
         let mut offer = offer(1, case.payload);
         offer.time_left = Duration::from_millis(300);
@@ -157,7 +157,7 @@
             continue;
         }
         let stand_in = stand_in(8);
-        stand_in.order_fault(FaultOrder::next(case.fault, 1));
+        stand_in.set_fault(FaultRequest::next(case.fault, 1));
         let client = EndpointClient::new(ClientSettings::default());
         let mut first = offer(1, case.payload);
         first.time_left = Duration::from_millis(100);
@@ -178,7 +178,7 @@
 #[actix_rt::test]
 async fn crossed_answers_are_not_delivered() {
     let stand_in = stand_in(8);
-    stand_in.order_fault(FaultOrder::next(Fault::Crossed { ms: 1000 }, 2));
+    stand_in.set_fault(FaultRequest::next(Fault::Crossed { ms: 1000 }, 2));
     let client = EndpointClient::new(ClientSettings::default());
     let endpoint = stand_in.endpoint_address();
     let (first, second) = (offer(1, "first"), offer(2, "second"));
@@ -326,7 +326,7 @@
     let second = offer(2, QUICK);
     let leave = async {
         wait_until("the start", || stand_in.record().running == 1).await;
-        stand_in.order_fault(FaultOrder::always(Fault::Leaving));
+        stand_in.set_fault(FaultRequest::always(Fault::Leaving));
         client.run(&endpoint, &second, || ()).await
     };
     let (first, second) = futures::join!(client.run(&endpoint, &first, || ()), leave);
@@ -397,6 +397,6 @@
 }
 
 async fn order(forwarder: &NetForwarder, mode: LinkMode) {
-    let order = LinkOrder { link: None, mode };
-    forwarder.order(order).await.unwrap();
+    let order = LinkRequest { link: None, mode };
+    forwarder.apply(order).await.unwrap();
 }
--- a/crates/platform/tests/border.rs
+++ b/crates/platform/tests/border.rs
@@ -229,7 +229,7 @@
         "{read:?}"
     );
 
-    let stand_in = stand_in.start_again().unwrap();
+    let stand_in = stand_in.restart().unwrap();
     let read = client.get_row(TableName::RequestKeys, &key("before")).await;
     assert_eq!(read.unwrap().unwrap().version, RowVersion(1));
     assert_eq!(stand_in.row("request-keys", "during"), None);
--- a/crates/request-keys/tests/recorder.rs
+++ b/crates/request-keys/tests/recorder.rs
@@ -204,7 +204,7 @@
     );
     assert!(start.elapsed() < ms(400), "{:?}", start.elapsed());
 
-    let stand_in = stand_in.start_again().unwrap();
+    let stand_in = stand_in.restart().unwrap();
     let up_again = recorder.record(request("up", record(1, 2), ms(3000))).await;
     assert_eq!(up_again, KeyResult::Recorded);
     stand_in.set_faults(FaultSettings::down(DownMode::Unavailable));
--- a/crates/scenario/src/parse/step.rs
+++ b/crates/scenario/src/parse/step.rs
@@ -4,7 +4,7 @@
 
 use model::CustomerId;
 use stand_ins::{
-    endpoint::{Fault, FaultOrder},
+    endpoint::{Fault, FaultRequest},
     forwarder::CutConnect,
 };
 use winnow::{
@@ -246,8 +246,8 @@
     .parse_next(input)
 }
 
-fn fault_order(input: &mut Input<'_>) -> ModalResult<FaultOrder> {
-    seq! {FaultOrder {
+fn fault_order(input: &mut Input<'_>) -> ModalResult<FaultRequest> {
+    seq! {FaultRequest {
         fault: fault,
         times: opt_field("next", "a number"),
     }}
--- a/crates/scenario/src/runner/peak.rs
+++ b/crates/scenario/src/runner/peak.rs
@@ -1,7 +1,7 @@
 //! How full endpoints were, by what they remember: the most tasks of a customer at once, and tasks turned away.
 
 use model::CustomerId;
-use stand_ins::endpoint::{EndpointRecord, StartRecord, TaskScript, TurnedAway};
+use stand_ins::endpoint::{EndpointRecord, RefusalCause, StartRecord, TaskScript};
 
 use super::ScenarioRun;
 use crate::error::StepError;
@@ -43,7 +43,7 @@
             let full = record
                 .refusals
                 .iter()
-                .filter(|refusal| refusal.cause == TurnedAway::Busy);
+                .filter(|refusal| refusal.cause == RefusalCause::Busy);
             count += full.count();
         }
         count
--- a/crates/scenario/src/runner/steps.rs
+++ b/crates/scenario/src/runner/steps.rs
@@ -3,8 +3,8 @@
 use std::time::{Duration, Instant};
 
 use stand_ins::{
-    endpoint::{Fault, FaultOrder, TaskScript},
-    forwarder::{LinkMode, OpenWay},
+    endpoint::{Fault, FaultRequest, TaskScript},
+    forwarder::{LinkMode, OpenDirection},
     platform::{DownMode, FaultSettings, RacingWrite},
 };
 
@@ -142,10 +142,10 @@
             let mode = match step.change {
                 LinkChange::Cut(connects) => LinkMode::Cut { connects },
                 LinkChange::CutOneWay if forward => LinkMode::OneWay {
-                    open: OpenWay::Back,
+                    open: OpenDirection::Back,
                 },
                 LinkChange::CutOneWay => LinkMode::OneWay {
-                    open: OpenWay::Forward,
+                    open: OpenDirection::Forward,
                 },
                 LinkChange::Delay(time) => LinkMode::Delay {
                     ms: u64::try_from(time.as_millis()).unwrap_or(u64::MAX),
@@ -160,11 +160,11 @@
     async fn change_endpoint(&mut self, step: &EndpointStep) -> Result<(), StepError> {
         let endpoint = self.world.endpoint(&step.name)?;
         match step.change {
-            EndpointChange::Fault(order) => endpoint.stand_in.order_fault(order),
+            EndpointChange::Fault(order) => endpoint.stand_in.set_fault(order),
             EndpointChange::Stop => endpoint.stand_in.stop().await,
             EndpointChange::Leave => {
-                let order = FaultOrder::always(Fault::LeavingSilently);
-                endpoint.stand_in.order_fault(order);
+                let order = FaultRequest::always(Fault::LeavingSilently);
+                endpoint.stand_in.set_fault(order);
                 self.world.leave(&step.name)?;
             }
         }
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use model::{Contract, CustomerId, DataCentreId, IdempotencyKey};
-use stand_ins::{endpoint::FaultOrder, forwarder::CutConnect};
+use stand_ins::{endpoint::FaultRequest, forwarder::CutConnect};
 
 /// A whole scenario.
 #[derive(Clone, Debug, PartialEq)]
@@ -265,7 +265,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EndpointChange {
     /// Shows a fault.
-    Fault(FaultOrder),
+    Fault(FaultRequest),
     /// Leaves: the VM list says so; it takes what still comes, and the record shows when.
     Leave,
     /// Its process ends.
--- a/crates/scenario/src/world.rs
+++ b/crates/scenario/src/world.rs
@@ -9,7 +9,7 @@
 use model::{EndpointState, FastMap, VmEntry, VmRole};
 use stand_ins::{
     endpoint::{EndpointRecord, EndpointSettings, EndpointStandIn},
-    forwarder::{LinkMode, LinkOrder, NetForwarder},
+    forwarder::{LinkMode, LinkRequest, NetForwarder},
     platform::{FaultSettings, PlatformSettings, PlatformStandIn},
 };
 
@@ -431,8 +431,8 @@
         link: Option<String>,
         mode: LinkMode,
     ) -> Result<(), StepError> {
-        let order = LinkOrder { link, mode };
-        let result = self.forwarder.order(order).await;
+        let order = LinkRequest { link, mode };
+        let result = self.forwarder.apply(order).await;
         result.map_err(|error| StepError::UnknownPlace(error.0))
     }
 }
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -13,7 +13,7 @@
 };
 use scenario::{ChildPlan, ChildProcess, ChildSignal};
 use settings::NodeSettings;
-use stand_ins::forwarder::{LinkMode, LinkOrder, NetForwarder};
+use stand_ins::forwarder::{LinkMode, LinkRequest, NetForwarder};
 
 use crate::{
     plan::SoakPlan,
@@ -282,12 +282,12 @@
     }
 
     async fn set_link(&self, name: String, mode: LinkMode) {
-        let order = LinkOrder {
+        let request = LinkRequest {
             link: Some(name),
             mode,
         };
         // The link of a worker's former life may be gone: there is nothing to change then.
-        let _gone = self.forwarder.order(order).await;
+        let _gone = self.forwarder.apply(request).await;
     }
 
     /// Changes what is wrong with the store.
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -4,7 +4,7 @@
 
 use fastrand::Rng;
 use platform_stand_ins::{ExecutorFault, StoreFault};
-use stand_ins::forwarder::{CutConnect, LinkMode, OpenWay};
+use stand_ins::forwarder::{CutConnect, LinkMode, OpenDirection};
 
 /// What a run is made of.
 #[derive(Clone, Debug, PartialEq)]
@@ -162,10 +162,10 @@
     match rng.u32(..5) {
         0 => LinkMode::Cut { connects },
         1 => LinkMode::OneWay {
-            open: OpenWay::Forward,
+            open: OpenDirection::Forward,
         },
         2 => LinkMode::OneWay {
-            open: OpenWay::Back,
+            open: OpenDirection::Back,
         },
         3 => LinkMode::Reset,
         _ => LinkMode::Delay {
--- a/crates/stand-ins/src/endpoint/answer.rs
+++ b/crates/stand-ins/src/endpoint/answer.rs
@@ -20,7 +20,7 @@
 
 use crate::endpoint::{
     fault::Fault,
-    record::{RunEnd, TurnedAway},
+    record::{RefusalCause, RunEnd},
 };
 
 pub(super) const ATTEMPT_ID: HeaderName = HeaderName::from_static("attempt-id");
@@ -39,13 +39,17 @@
 
 impl TaskAnswer {
     /// The answer as the border has it.
-    pub(super) fn whole(self) -> HttpResponse {
+    pub(super) fn into_response(self) -> HttpResponse {
         let attempt = self.attempt;
         self.with_attempt(attempt)
     }
 
     /// The answer as `fault` breaks it.
-    pub(super) fn broken(self, fault: Fault, connection: &Arc<TcpStream>) -> HttpResponse {
+    pub(super) fn into_faulty_response(
+        self,
+        fault: Fault,
+        connection: &Arc<TcpStream>,
+    ) -> HttpResponse {
         match fault {
             Fault::WrongAttempt => {
                 let other = other_attempt(self.attempt);
@@ -62,7 +66,7 @@
             Fault::ServerError => HttpResponse::InternalServerError()
                 .insert_header((ATTEMPT_ID, self.attempt.to_string()))
                 .finish(),
-            _ => self.whole(),
+            _ => self.into_response(),
         }
     }
 
@@ -98,10 +102,10 @@
 }
 
 /// The answer to a task that was turned away.
-pub(super) fn turned_away(attempt: AttemptId, cause: TurnedAway) -> HttpResponse {
+pub(super) fn refuse_task(attempt: AttemptId, cause: RefusalCause) -> HttpResponse {
     let status = match cause {
-        TurnedAway::Busy => "busy",
-        TurnedAway::Leaving => "leaving",
+        RefusalCause::Busy => "busy",
+        RefusalCause::Leaving => "leaving",
     };
     HttpResponse::build(StatusCode::SERVICE_UNAVAILABLE)
         .insert_header((ATTEMPT_ID, attempt.to_string()))
--- a/crates/stand-ins/src/endpoint/fault.rs
+++ b/crates/stand-ins/src/endpoint/fault.rs
@@ -57,7 +57,7 @@
 
 /// A fault and for how many tasks it is shown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct FaultOrder {
+pub struct FaultRequest {
     /// The fault. It takes the place of the one before.
     #[serde(flatten)]
     pub fault: Fault,
@@ -66,7 +66,7 @@
     pub times: Option<u32>,
 }
 
-impl FaultOrder {
+impl FaultRequest {
     /// The fault for every task from now on.
     pub fn always(fault: Fault) -> Self {
         Self { fault, times: None }
--- a/crates/stand-ins/src/endpoint/mod.rs
+++ b/crates/stand-ins/src/endpoint/mod.rs
@@ -1,7 +1,7 @@
 //! Stand-in of an endpoint: runs tasks by sleeping, records every start and shows faults on demand.
 //!
 //! It serves the HTTP border of an endpoint (`POST /v1/tasks`) and two control calls: `GET /control/starts` gives an
-//! [`EndpointRecord`], `POST /control/faults` takes a [`FaultOrder`]. What it records is the ground truth by which
+//! [`EndpointRecord`], `POST /control/faults` takes a [`FaultRequest`]. What it records is the ground truth by which
 //! tests judge that nothing started twice, so a run goes on and is recorded also when its caller has gone.
 
 mod answer;
@@ -18,8 +18,8 @@
 
 use crate::endpoint::state::EndpointState;
 pub use crate::endpoint::{
-    fault::{Fault, FaultOrder},
-    record::{EndpointRecord, RefusalRecord, RunEnd, StartRecord, TurnedAway},
+    fault::{Fault, FaultRequest},
+    record::{EndpointRecord, RefusalCause, RefusalRecord, RunEnd, StartRecord},
     task::{digest, TaskScript},
 };
 
@@ -97,8 +97,8 @@
     }
 
     /// Shows a fault from the next task on.
-    pub fn order_fault(&self, order: FaultOrder) {
-        self.state.order_fault(order);
+    pub fn set_fault(&self, request: FaultRequest) {
+        self.state.set_fault(request);
     }
 
     /// Closes the listener and every connection, runs included, as when the process dies.
--- a/crates/stand-ins/src/endpoint/record.rs
+++ b/crates/stand-ins/src/endpoint/record.rs
@@ -43,7 +43,7 @@
 /// Why a task was turned away unstarted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum TurnedAway {
+pub enum RefusalCause {
     /// No slot was free.
     Busy,
     /// The endpoint is leaving.
@@ -56,7 +56,7 @@
     /// The attempt.
     pub attempt: AttemptId,
     /// Why.
-    pub cause: TurnedAway,
+    pub cause: RefusalCause,
     /// When it came, in milliseconds since the stand-in started.
     pub came_ms: u64,
     /// How long the endpoint had been leaving, in milliseconds.
--- a/crates/stand-ins/src/endpoint/server.rs
+++ b/crates/stand-ins/src/endpoint/server.rs
@@ -18,9 +18,9 @@
 
 use crate::endpoint::{
     answer::{self, TaskAnswer},
-    fault::{Fault, FaultOrder},
+    fault::{Fault, FaultRequest},
     record::{EndpointRecord, RunEnd},
-    state::{ArrivedTask, EndpointState, StartedRun},
+    state::{EndpointState, ReceivedTask, StartedRun},
     task::TaskScript,
 };
 
@@ -39,7 +39,7 @@
             .app_data(PayloadConfig::new(limit))
             .route("/v1/tasks", web::post().to(run_task))
             .route("/control/starts", web::get().to(show_record))
-            .route("/control/faults", web::post().to(order_fault))
+            .route("/control/faults", web::post().to(set_fault))
     })
     .on_connect(move |connection, extensions| keep_connection(&state, connection, extensions))
     .workers(1)
@@ -75,41 +75,41 @@
     Json(state.record())
 }
 
-async fn order_fault(state: Data<EndpointState>, order: Json<FaultOrder>) -> HttpResponse {
-    state.order_fault(order.into_inner());
+async fn set_fault(state: Data<EndpointState>, request: Json<FaultRequest>) -> HttpResponse {
+    state.set_fault(request.into_inner());
     HttpResponse::NoContent().finish()
 }
 
 async fn run_task(state: Data<EndpointState>, request: HttpRequest, body: Bytes) -> HttpResponse {
-    let Some(arrived) = read_task(&request, &body) else {
+    let Some(received) = read_task(&request, &body) else {
         return HttpResponse::BadRequest().finish();
     };
     let Some(connection) = request.conn_data::<OpenConnection>().cloned() else {
         return HttpResponse::InternalServerError().finish();
     };
-    let attempt = arrived.attempt;
-    let started = match state.admit(&arrived) {
+    let attempt = received.attempt;
+    let started = match state.admit(&received) {
         Ok(started) => started,
-        Err(cause) => return answer::turned_away(attempt, cause),
+        Err(cause) => return answer::refuse_task(attempt, cause),
     };
     let fault = started.fault;
     // A task of its own: the library drops this handler when the caller goes away, but a run that started goes on.
-    let run = actix_rt::spawn(run_to_end(Arc::clone(&state), arrived, started));
+    let run = actix_rt::spawn(run_to_end(Arc::clone(&state), received, started));
     if fault == Fault::CloseAtStart {
         return close_silently(&connection).await;
     }
     match run.await {
-        Ok(answer) => answer_under(&state, answer, fault, &connection).await,
+        Ok(answer) => answer_with_fault(&state, answer, fault, &connection).await,
         Err(error) => HttpResponse::InternalServerError().body(error.to_string()),
     }
 }
 
 async fn run_to_end(
     state: Arc<EndpointState>,
-    arrived: ArrivedTask,
+    received: ReceivedTask,
     started: StartedRun,
 ) -> TaskAnswer {
-    let script = TaskScript::read(&arrived.payload);
+    let script = TaskScript::read(&received.payload);
     let factor = match started.fault {
         Fault::Slow { factor } => factor,
         _ => 1.0,
@@ -121,15 +121,15 @@
     } else {
         RunEnd::Done
     };
-    state.finish(started.order, end);
+    state.finish(started.start_index, end);
     TaskAnswer {
-        attempt: arrived.attempt,
+        attempt: received.attempt,
         end,
-        body: script.result(&arrived.payload),
+        body: script.result(&received.payload),
     }
 }
 
-async fn answer_under(
+async fn answer_with_fault(
     state: &EndpointState,
     answer: TaskAnswer,
     fault: Fault,
@@ -143,13 +143,13 @@
         }
         Fault::Late { ms } => {
             actix_rt::time::sleep(Duration::from_millis(ms)).await;
-            answer.whole()
+            answer.into_response()
         }
         Fault::Crossed { ms } => {
-            let answer = state.cross(answer, Duration::from_millis(ms)).await;
-            answer.whole()
+            let answer = state.swap_answer(answer, Duration::from_millis(ms)).await;
+            answer.into_response()
         }
-        other => answer.broken(other, &connection.0),
+        other => answer.into_faulty_response(other, &connection.0),
     }
 }
 
@@ -159,9 +159,9 @@
     HttpResponse::InternalServerError().finish()
 }
 
-fn read_task(request: &HttpRequest, body: &Bytes) -> Option<ArrivedTask> {
+fn read_task(request: &HttpRequest, body: &Bytes) -> Option<ReceivedTask> {
     let text = |name: &str| request.headers().get(name)?.to_str().ok();
-    Some(ArrivedTask {
+    Some(ReceivedTask {
         attempt: text(answer::ATTEMPT_ID.as_str())?.parse().ok()?,
         customer: text("customer")?.parse().ok()?,
         kind: text("task-kind")?.parse().ok()?,
--- a/crates/stand-ins/src/endpoint/state.rs
+++ b/crates/stand-ins/src/endpoint/state.rs
@@ -14,17 +14,17 @@
 
 use crate::endpoint::{
     answer::TaskAnswer,
-    fault::{Fault, FaultOrder},
-    record::{EndpointRecord, RefusalRecord, RunEnd, StartRecord, TurnedAway},
+    fault::{Fault, FaultRequest},
+    record::{EndpointRecord, RefusalCause, RefusalRecord, RunEnd, StartRecord},
     task, EndpointSettings,
 };
 
 /// The longest payload that the record keeps as text, in bytes.
 const MAX_TEXT_BYTES: usize = 1024;
 
-/// A task as it arrived.
+/// A task as it received.
 #[derive(Clone, Debug)]
-pub(super) struct ArrivedTask {
+pub(super) struct ReceivedTask {
     pub(super) attempt: AttemptId,
     pub(super) customer: CustomerId,
     pub(super) kind: TaskKind,
@@ -33,33 +33,33 @@
 
 /// A task that started: its place in the record and the fault to show for it.
 pub(super) struct StartedRun {
-    pub(super) order: usize,
+    pub(super) start_index: usize,
     pub(super) fault: Fault,
 }
 
 /// An answer that waits to be swapped with another.
-struct CrossingAnswer {
+struct PendingSwap {
     id: u64,
     own: TaskAnswer,
     other: oneshot::Sender<TaskAnswer>,
 }
 
 struct MutableState {
-    order: FaultOrder,
+    fault_request: FaultRequest,
     leaving_since: Option<Instant>,
-    refuses_when_leaving: bool,
+    refuse_when_leaving: bool,
     running: u32,
     most_running: u32,
     starts: Vec<StartRecord>,
     refusals: Vec<RefusalRecord>,
-    crossing: Option<CrossingAnswer>,
+    pending_swap: Option<PendingSwap>,
     connections: Vec<Weak<TcpStream>>,
 }
 
 pub(super) struct EndpointState {
     settings: EndpointSettings,
-    born: Instant,
-    next_crossing: AtomicU64,
+    started_at: Instant,
+    next_swap_id: AtomicU64,
     mutable: Mutex<MutableState>,
 }
 
@@ -67,17 +67,17 @@
     pub(super) fn new(settings: EndpointSettings) -> Self {
         Self {
             settings,
-            born: Instant::now(),
-            next_crossing: AtomicU64::new(0),
+            started_at: Instant::now(),
+            next_swap_id: AtomicU64::new(0),
             mutable: Mutex::new(MutableState {
-                order: FaultOrder::default(),
+                fault_request: FaultRequest::default(),
                 leaving_since: None,
-                refuses_when_leaving: false,
+                refuse_when_leaving: false,
                 running: 0,
                 most_running: 0,
                 starts: Vec::new(),
                 refusals: Vec::new(),
-                crossing: None,
+                pending_swap: None,
                 connections: Vec::new(),
             }),
         }
@@ -91,9 +91,9 @@
         let mutable = self.lock();
         EndpointRecord {
             id: self.settings.id.clone(),
-            now_ms: millis(self.born.elapsed()),
+            now_ms: millis(self.started_at.elapsed()),
             slots: self.settings.slots,
-            age_us: micros(self.born.elapsed()),
+            age_us: micros(self.started_at.elapsed()),
             most_running: mutable.most_running,
             running: mutable.running,
             leaving: mutable.leaving_since.is_some(),
@@ -102,71 +102,71 @@
         }
     }
 
-    pub(super) fn order_fault(&self, order: FaultOrder) {
+    pub(super) fn set_fault(&self, request: FaultRequest) {
         let mut mutable = self.lock();
-        match order.fault {
+        match request.fault {
             Fault::Leaving | Fault::LeavingSilently => {
                 mutable.leaving_since.get_or_insert_with(Instant::now);
-                mutable.refuses_when_leaving = order.fault == Fault::Leaving;
+                mutable.refuse_when_leaving = request.fault == Fault::Leaving;
                 return;
             }
             Fault::Healthy => mutable.leaving_since = None,
             _ => {}
         }
-        mutable.order = order;
+        mutable.fault_request = request;
     }
 
     /// Takes a slot and records the start, or says why not.
-    pub(super) fn admit(&self, arrived: &ArrivedTask) -> Result<StartedRun, TurnedAway> {
+    pub(super) fn admit(&self, received: &ReceivedTask) -> Result<StartedRun, RefusalCause> {
         let mut mutable = self.lock();
         let leaving_for = mutable.leaving_since.map(|since| since.elapsed());
         let fault = mutable.take_fault();
-        let cause = if leaving_for.is_some() && mutable.refuses_when_leaving {
-            Some(TurnedAway::Leaving)
+        let cause = if leaving_for.is_some() && mutable.refuse_when_leaving {
+            Some(RefusalCause::Leaving)
         } else if fault == Fault::Busy || mutable.running >= self.settings.slots {
-            Some(TurnedAway::Busy)
+            Some(RefusalCause::Busy)
         } else {
             None
         };
         if let Some(cause) = cause {
             mutable.refusals.push(RefusalRecord {
-                attempt: arrived.attempt,
+                attempt: received.attempt,
                 cause,
-                came_ms: millis(self.born.elapsed()),
+                came_ms: millis(self.started_at.elapsed()),
                 leaving_for_ms: leaving_for.map(millis),
             });
             return Err(cause);
         }
         mutable.running += 1;
         mutable.most_running = mutable.most_running.max(mutable.running);
-        let order = mutable.starts.len();
+        let start_index = mutable.starts.len();
         mutable
             .starts
-            .push(self.start_record(order, arrived, leaving_for));
-        Ok(StartedRun { order, fault })
+            .push(self.start_record(start_index, received, leaving_for));
+        Ok(StartedRun { start_index, fault })
     }
 
     /// Frees the slot of a run and records its end.
-    pub(super) fn finish(&self, order: usize, end: RunEnd) {
+    pub(super) fn finish(&self, start_index: usize, end: RunEnd) {
         let mut mutable = self.lock();
         mutable.running -= 1;
-        mutable.starts[order].end = Some(end);
-        mutable.starts[order].ended_us = Some(micros(self.born.elapsed()));
+        mutable.starts[start_index].end = Some(end);
+        mutable.starts[start_index].ended_us = Some(micros(self.started_at.elapsed()));
     }
 
     /// Swaps an answer with one that waits, or waits for the next for at most `limit`.
-    pub(super) async fn cross(&self, own: TaskAnswer, limit: Duration) -> TaskAnswer {
-        let id = self.next_crossing.fetch_add(1, Ordering::Relaxed);
+    pub(super) async fn swap_answer(&self, own: TaskAnswer, limit: Duration) -> TaskAnswer {
+        let id = self.next_swap_id.fetch_add(1, Ordering::Relaxed);
         let receiver = {
             let mut mutable = self.lock();
-            if let Some(waiting) = mutable.crossing.take() {
+            if let Some(waiting) = mutable.pending_swap.take() {
                 return match waiting.other.send(own) {
                     Ok(()) => waiting.own,
                     Err(own) => own,
                 };
             }
             let (sender, receiver) = oneshot::channel();
-            mutable.crossing = Some(CrossingAnswer {
+            mutable.pending_swap = Some(PendingSwap {
                 id,
                 own: own.clone(),
                 other: sender,
@@ -177,7 +177,7 @@
             Ok(Ok(other)) => other,
             _ => {
                 let mut mutable = self.lock();
-                mutable.crossing.take_if(|waiting| waiting.id == id);
+                mutable.pending_swap.take_if(|waiting| waiting.id == id);
                 own
             }
         }
@@ -201,20 +201,20 @@
 
     fn start_record(
         &self,
-        order: usize,
-        arrived: &ArrivedTask,
+        start_index: usize,
+        received: &ReceivedTask,
         leaving_for: Option<Duration>,
     ) -> StartRecord {
-        let age = self.born.elapsed();
-        let text = std::str::from_utf8(&arrived.payload)
+        let age = self.started_at.elapsed();
+        let text = std::str::from_utf8(&received.payload)
             .ok()
             .filter(|text| text.len() <= MAX_TEXT_BYTES);
         StartRecord {
-            order: order as u64,
-            attempt: arrived.attempt,
-            customer: arrived.customer.clone(),
-            kind: arrived.kind.clone(),
-            digest: task::digest(&arrived.payload),
+            order: start_index as u64,
+            attempt: received.attempt,
+            customer: received.customer.clone(),
+            kind: received.kind.clone(),
+            digest: task::digest(&received.payload),
             payload: text.map(str::to_owned),
             started_ms: millis(age),
             started_us: micros(age),
@@ -232,8 +232,8 @@
 impl MutableState {
     /// The fault for this task; a counted order is used up by one.
     fn take_fault(&mut self) -> Fault {
-        let fault = self.order.fault;
-        if let Some(times) = &mut self.order.times {
+        let fault = self.fault_request.fault;
+        if let Some(times) = &mut self.fault_request.times {
             if *times == 0 {
                 return Fault::Healthy;
             }
--- a/crates/stand-ins/src/forwarder/control.rs
+++ b/crates/stand-ins/src/forwarder/control.rs
@@ -8,7 +8,7 @@
     App, HttpResponse, HttpServer,
 };
 
-use crate::forwarder::{LinkOrder, LinkStatus, SharedLinks};
+use crate::forwarder::{LinkRequest, LinkStatus, SharedLinks};
 
 pub(super) fn serve(
     shared: Arc<SharedLinks>,
@@ -19,7 +19,7 @@
         App::new()
             .app_data(data.clone())
             .route("/control/links", web::get().to(show_links))
-            .route("/control/links", web::post().to(order_link))
+            .route("/control/links", web::post().to(change_link))
     })
     .workers(1)
     .disable_signals()
@@ -39,8 +39,8 @@
     Json(shared.status())
 }
 
-async fn order_link(shared: Data<SharedLinks>, order: Json<LinkOrder>) -> HttpResponse {
-    match shared.order(order.into_inner()).await {
+async fn change_link(shared: Data<SharedLinks>, request: Json<LinkRequest>) -> HttpResponse {
+    match shared.apply(request.into_inner()).await {
         Ok(()) => HttpResponse::NoContent().finish(),
         Err(error) => HttpResponse::NotFound().body(error.to_string()),
     }
--- a/crates/stand-ins/src/forwarder/link.rs
+++ b/crates/stand-ins/src/forwarder/link.rs
@@ -15,7 +15,7 @@
     sync::{mpsc, oneshot, watch},
 };
 
-use crate::forwarder::{listen::LinkListener, pump, CutConnect, LinkMode, OpenWay};
+use crate::forwarder::{listen::LinkListener, pump, CutConnect, LinkMode, OpenDirection};
 
 /// A change of mode; `done` is told when it is in force.
 pub(super) struct LinkCommand {
@@ -89,10 +89,10 @@
                     let Some(command) = command else {
                         return Ok(());
                     };
-                    flow.send_modify(|state| change_flow(state, command.mode));
+                    flow.send_modify(|state| apply_mode(state, command.mode));
                     // The port is free only once the socket before is closed.
                     drop(listener);
-                    listener = listen_as(command.mode, address).await?;
+                    listener = listen_in_mode(command.mode, address).await?;
                     let _ = command.done.send(());
                 }
                 accepted = listener.accept() => match accepted {
@@ -120,7 +120,7 @@
 }
 
 /// Puts a mode in force for the connections of a link.
-pub(super) fn change_flow(state: &mut FlowState, mode: LinkMode) {
+pub(super) fn apply_mode(state: &mut FlowState, mode: LinkMode) {
     let resets = state.resets;
     *state = match mode {
         LinkMode::Pass => FlowState::default(),
@@ -131,8 +131,8 @@
             ..FlowState::default()
         },
         LinkMode::OneWay { open } => FlowState {
-            forward_silent: open != OpenWay::Forward,
-            back_silent: open != OpenWay::Back,
+            forward_silent: open != OpenDirection::Forward,
+            back_silent: open != OpenDirection::Back,
             ..FlowState::default()
         },
         LinkMode::Reset => FlowState::default(),
@@ -144,7 +144,7 @@
     state.resets = resets + u64::from(mode == LinkMode::Reset);
 }
 
-async fn listen_as(mode: LinkMode, address: SocketAddr) -> io::Result<LinkListener> {
+async fn listen_in_mode(mode: LinkMode, address: SocketAddr) -> io::Result<LinkListener> {
     match mode {
         LinkMode::Pass | LinkMode::Reset | LinkMode::Delay { .. } => LinkListener::open(address),
         LinkMode::Cut {
--- a/crates/stand-ins/src/forwarder/listen.rs
+++ b/crates/stand-ins/src/forwarder/listen.rs
@@ -10,7 +10,7 @@
 /// Connections that may wait to be accepted on an open link.
 const BACKLOG: u32 = 1024;
 /// A filler that takes longer than this to connect has found the queue full.
-const FILL_LIMIT: Duration = Duration::from_millis(30);
+const FILLER_TIMEOUT: Duration = Duration::from_millis(30);
 /// The most fillers tried. The smallest queue that the kernel makes takes one or two.
 const MAX_FILLERS: usize = 8;
 
@@ -40,7 +40,7 @@
         let listener = bind(address)?.listen(0)?;
         let mut fillers = Vec::new();
         for _ in 0..MAX_FILLERS {
-            match timeout(FILL_LIMIT, TcpStream::connect(address)).await {
+            match timeout(FILLER_TIMEOUT, TcpStream::connect(address)).await {
                 Ok(Ok(filler)) => fillers.push(filler),
                 _ => break,
             }
--- a/crates/stand-ins/src/forwarder/mod.rs
+++ b/crates/stand-ins/src/forwarder/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! A process under test is told a link's address in place of its peer's. A cut does what a network partition does:
 //! open connections go silent, with bytes neither delivered nor reset, and what was written comes through when the
-//! link heals. The control calls are `GET /control/links` and `POST /control/links` with a [`LinkOrder`].
+//! link heals. The control calls are `GET /control/links` and `POST /control/links` with a [`LinkRequest`].
 
 mod control;
 mod link;
@@ -24,8 +24,8 @@
 use tokio::sync::{mpsc, oneshot, watch};
 
 use crate::forwarder::{
-    link::{change_flow, FlowState, LinkCommand, LinkCounters, LinkTask},
-    shared::{SharedTask, SourceFlow},
+    link::{apply_mode, FlowState, LinkCommand, LinkCounters, LinkTask},
+    shared::{SharedLinkTask, SourceFlow},
 };
 
 /// What happens to a new connection on a cut link.
@@ -42,7 +42,7 @@
 /// The way in which bytes still pass on a link cut one way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum OpenWay {
+pub enum OpenDirection {
     /// From the side that connects to the target.
     Forward,
     /// From the target to the side that connects.
@@ -65,7 +65,7 @@
     /// Open connections pass bytes one way only. New ones hang, since a handshake needs both ways.
     OneWay {
         /// The way that is open.
-        open: OpenWay,
+        open: OpenDirection,
     },
     /// Resets every open connection, then forwards.
     Reset,
@@ -78,7 +78,7 @@
 
 /// A change of one link, or of all.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LinkOrder {
+pub struct LinkRequest {
     /// The link; every one where absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub link: Option<String>,
@@ -129,11 +129,11 @@
 
 enum ForwarderTask {
     Link(LinkTask),
-    Shared(SharedTask),
+    Shared(SharedLinkTask),
 }
 
 /// How a link is told its mode.
-enum LinkPower {
+enum ModeControl {
     /// By its own task, which has a listener to change too.
     Task(mpsc::UnboundedSender<LinkCommand>),
     /// By its flow alone: the listener belongs to several links.
@@ -145,7 +145,7 @@
     target: SocketAddr,
     mode: LinkMode,
     counters: Arc<LinkCounters>,
-    power: LinkPower,
+    mode_control: ModeControl,
 }
 
 impl NetForwarder {
@@ -206,7 +206,7 @@
             target,
             mode: LinkMode::Pass,
             counters,
-            power: LinkPower::Task(commands),
+            mode_control: ModeControl::Task(commands),
         };
         self.shared.lock().insert(name.to_owned(), handle);
         Ok(address)
@@ -247,11 +247,11 @@
                 target,
                 mode: LinkMode::Pass,
                 counters,
-                power: LinkPower::Flow(flow),
+                mode_control: ModeControl::Flow(flow),
             };
             handles.push((name.clone(), handle));
         }
-        self.run(ForwarderTask::Shared(SharedTask {
+        self.run(ForwarderTask::Shared(SharedLinkTask {
             listener,
             target,
             flows,
@@ -271,8 +271,8 @@
     /// # Errors
     ///
     /// The order names no link.
-    pub async fn order(&self, order: LinkOrder) -> Result<(), UnknownLink> {
-        self.shared.order(order).await
+    pub async fn apply(&self, request: LinkRequest) -> Result<(), UnknownLink> {
+        self.shared.apply(request).await
     }
 
     /// What the links are doing, by name.
@@ -293,25 +293,25 @@
 }
 
 impl SharedLinks {
-    async fn order(&self, order: LinkOrder) -> Result<(), UnknownLink> {
-        for done in self.send(&order)? {
+    async fn apply(&self, request: LinkRequest) -> Result<(), UnknownLink> {
+        for done in self.send(&request)? {
             // An error says that the link was closed meanwhile: nothing is left to change.
             let _ = done.await;
         }
         Ok(())
     }
 
-    fn send(&self, order: &LinkOrder) -> Result<Vec<oneshot::Receiver<()>>, UnknownLink> {
+    fn send(&self, request: &LinkRequest) -> Result<Vec<oneshot::Receiver<()>>, UnknownLink> {
         let mut links = self.lock();
-        if let Some(name) = &order.link {
+        if let Some(name) = &request.link {
             let link = links
                 .get_mut(name)
                 .ok_or_else(|| UnknownLink(name.clone()))?;
-            return Ok(vec![link.send(order.mode)]);
+            return Ok(vec![link.send(request.mode)]);
         }
         let mut receivers = Vec::with_capacity(links.len());
         for link in links.values_mut() {
-            receivers.push(link.send(order.mode));
+            receivers.push(link.send(request.mode));
         }
         Ok(receivers)
     }
@@ -335,13 +335,13 @@
             other => other,
         };
         let (done, receiver) = oneshot::channel();
-        match &self.power {
-            LinkPower::Task(commands) => {
+        match &self.mode_control {
+            ModeControl::Task(commands) => {
                 // The link's task ends only after this handle is dropped.
                 let _ = commands.send(LinkCommand { mode, done });
             }
-            LinkPower::Flow(flow) => {
-                flow.send_modify(|state| change_flow(state, mode));
+            ModeControl::Flow(flow) => {
+                flow.send_modify(|state| apply_mode(state, mode));
                 let _ = done.send(());
             }
         }
--- a/crates/stand-ins/src/forwarder/pump.rs
+++ b/crates/stand-ins/src/forwarder/pump.rs
@@ -30,13 +30,13 @@
 }
 
 #[derive(Clone, Copy)]
-enum FlowWay {
+enum FlowDirection {
     Forward,
     Back,
 }
 
-impl FlowWay {
-    fn silent(self, state: &FlowState) -> bool {
+impl FlowDirection {
+    fn is_silent(self, state: &FlowState) -> bool {
         match self {
             Self::Forward => state.forward_silent,
             Self::Back => state.back_silent,
@@ -67,23 +67,23 @@
     let ended = {
         let (near_read, near_write) = near.split();
         let (far_read, far_write) = far.split();
-        let there = one_way(
+        let forward = copy_one_way(
             near_read,
             far_write,
-            FlowWay::Forward,
+            FlowDirection::Forward,
             flow.clone(),
             &counters.forward_bytes,
         );
-        let back = one_way(
+        let back = copy_one_way(
             far_read,
             near_write,
-            FlowWay::Back,
+            FlowDirection::Back,
             flow.clone(),
             &counters.back_bytes,
         );
         tokio::select! {
-            ended = async { tokio::try_join!(there, back).map(|_| ()) } => ended,
-            () = reset(&mut flow, resets) => Err(io::ErrorKind::ConnectionReset.into()),
+            ended = async { tokio::try_join!(forward, back).map(|_| ()) } => ended,
+            () = wait_for_reset(&mut flow, resets) => Err(io::ErrorKind::ConnectionReset.into()),
         }
     };
     if ended.is_err() {
@@ -94,21 +94,21 @@
 }
 
 /// Ends when the connection is to be reset, or the link closes.
-async fn reset(flow: &mut watch::Receiver<FlowState>, resets: u64) {
+async fn wait_for_reset(flow: &mut watch::Receiver<FlowState>, resets: u64) {
     let _ = flow.wait_for(|state| state.resets != resets).await;
 }
 
 /// Moves bytes one way until the sender's end, and passes that end on.
-async fn one_way(
+async fn copy_one_way(
     from: ReadHalf<'_>,
     to: WriteHalf<'_>,
-    way: FlowWay,
+    direction: FlowDirection,
     flow: watch::Receiver<FlowState>,
     delivered: &AtomicU64,
 ) -> io::Result<()> {
     let (sender, receiver) = mpsc::channel(MAX_CHUNKS);
     let reader = read_chunks(from, sender, flow.clone());
-    let writer = write_chunks(to, receiver, way, flow, delivered);
+    let writer = write_chunks(to, receiver, direction, flow, delivered);
     tokio::try_join!(reader, writer).map(|_| ())
 }
 
@@ -132,13 +132,17 @@
 async fn write_chunks(
     mut to: WriteHalf<'_>,
     mut receiver: mpsc::Receiver<DelayedChunk>,
-    way: FlowWay,
+    direction: FlowDirection,
     mut flow: watch::Receiver<FlowState>,
     delivered: &AtomicU64,
 ) -> io::Result<()> {
     while let Some(chunk) = receiver.recv().await {
         sleep_until(chunk.due).await;
-        if flow.wait_for(|state| !way.silent(state)).await.is_err() {
+        if flow
+            .wait_for(|state| !direction.is_silent(state))
+            .await
+            .is_err()
+        {
             return Err(io::ErrorKind::ConnectionReset.into());
         }
         if chunk.bytes.is_empty() {
--- a/crates/stand-ins/src/forwarder/shared.rs
+++ b/crates/stand-ins/src/forwarder/shared.rs
@@ -20,14 +20,14 @@
 }
 
 /// The links before their task runs.
-pub(super) struct SharedTask {
+pub(super) struct SharedLinkTask {
     pub(super) listener: std::net::TcpListener,
     pub(super) target: SocketAddr,
     pub(super) flows: FastMap<String, SourceFlow>,
     pub(super) finder: SourceFinder,
 }
 
-impl SharedTask {
+impl SharedLinkTask {
     /// Serves until the links' handles are dropped.
     pub(super) async fn run(self) {
         let target = self.target;
@@ -46,20 +46,21 @@
         let listener = TcpListener::from_std(listener)?;
         // What no source is known of has a flow of its own, which lasts as long as this task.
         let (_pass, pass) = watch::channel(FlowState::default());
-        let others = SourceFlow {
+        let unknown_source = SourceFlow {
             flow: pass,
             counters: Arc::default(),
         };
         let flows = Arc::new(flows);
-        let others = Arc::new(others);
-        let closed = watch_end(&flows);
+        let unknown_source = Arc::new(unknown_source);
+        let closed = wait_for_close(&flows);
         tokio::pin!(closed);
         loop {
             let (near, from) = tokio::select! {
                 accepted = listener.accept() => accepted?,
                 () = &mut closed => return Ok(()),
             };
-            let (finder, flows, others) = (finder.clone(), flows.clone(), others.clone());
+            let (finder, flows, unknown_source) =
+                (finder.clone(), flows.clone(), unknown_source.clone());
             tokio::spawn(async move {
                 // The search reads tables of the kernel for tens of milliseconds where there are many sockets. On this
                 // thread it would hold up the bytes of all links, and processes take each other for dead.
@@ -69,7 +70,7 @@
                     None
                 });
                 let flow = source.and_then(|source| flows.get(&source));
-                forward(near, target, flow.unwrap_or(&others));
+                forward(near, target, flow.unwrap_or(&unknown_source));
             });
         }
     }
@@ -86,7 +87,7 @@
 }
 
 /// Ends when the handle of some flow is dropped, which happens to all at once.
-async fn watch_end(flows: &FastMap<String, SourceFlow>) {
+async fn wait_for_close(flows: &FastMap<String, SourceFlow>) {
     let Some(one) = flows.values().next() else {
         return std::future::pending().await;
     };
--- a/crates/stand-ins/src/platform/connection.rs
+++ b/crates/stand-ins/src/platform/connection.rs
@@ -27,7 +27,7 @@
 
 impl OpenConnections {
     /// Takes a handle on a new connection.
-    pub(super) fn remember(&self, connection: &dyn Any, extensions: &mut Extensions) {
+    pub(super) fn register(&self, connection: &dyn Any, extensions: &mut Extensions) {
         let Some(stream) = connection.downcast_ref::<TcpStream>() else {
             return;
         };
--- a/crates/stand-ins/src/platform/faults.rs
+++ b/crates/stand-ins/src/platform/faults.rs
@@ -134,8 +134,8 @@
 
 /// What becomes of one transaction's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum AnswerFate {
-    Given,
+pub(super) enum AnswerDelivery {
+    Sent,
     Lost(LossTime),
 }
 
@@ -152,20 +152,20 @@
         Self { settings, rng }
     }
 
-    pub(super) fn answer_fate(&mut self) -> AnswerFate {
+    pub(super) fn draw_answer_delivery(&mut self) -> AnswerDelivery {
         let loss = &mut self.settings.answer_loss;
         if loss.next > 0 {
             loss.next -= 1;
-            return AnswerFate::Lost(loss.when);
+            return AnswerDelivery::Lost(loss.when);
         }
         if loss.fraction > 0.0 && self.rng.f64() < loss.fraction {
-            return AnswerFate::Lost(loss.when);
+            return AnswerDelivery::Lost(loss.when);
         }
-        AnswerFate::Given
+        AnswerDelivery::Sent
     }
 
     /// Takes the racing writes that come before this transaction.
-    pub(super) fn take_races(&mut self, writes: &[WriteRequest]) -> Vec<RacingWrite> {
+    pub(super) fn take_racing_writes(&mut self, writes: &[WriteRequest]) -> Vec<RacingWrite> {
         let mut races = Vec::new();
         for race in &mut self.settings.racing_writes {
             let touched = writes
--- a/crates/stand-ins/src/platform/mod.rs
+++ b/crates/stand-ins/src/platform/mod.rs
@@ -82,14 +82,14 @@
     /// # Errors
     ///
     /// Fails when the address cannot be bound.
-    pub fn start_again(&self) -> io::Result<Self> {
+    pub fn restart(&self) -> io::Result<Self> {
         Self::serve(self.address, Arc::clone(&self.state))
     }
 
     fn serve(address: SocketAddr, state: Arc<PlatformState>) -> io::Result<Self> {
         let shared = web::Data::from(Arc::clone(&state));
         let connections = OpenConnections::default();
-        let remembered = connections.clone();
+        let registry = connections.clone();
         let server = HttpServer::new(move || {
             App::new()
                 .app_data(shared.clone())
@@ -98,7 +98,7 @@
                 .configure(routes::configure)
                 .configure(control::configure)
         })
-        .on_connect(move |connection, extensions| remembered.remember(connection, extensions))
+        .on_connect(move |connection, extensions| registry.register(connection, extensions))
         .workers(1)
         .disable_signals()
         .shutdown_timeout(1)
--- a/crates/stand-ins/src/platform/routes.rs
+++ b/crates/stand-ins/src/platform/routes.rs
@@ -6,7 +6,7 @@
 
 use super::{
     connection::close_connection,
-    faults::{AnswerFate, DownMode, LossTime},
+    faults::{AnswerDelivery, DownMode, LossTime},
     state::PlatformState,
     table::{RowConflict, TableRow, WriteRequest},
 };
@@ -65,7 +65,7 @@
     path: web::Path<(String, String)>,
     state: State,
 ) -> HttpResponse {
-    if let Some(answer) = turned_away(&request, &state, false).await {
+    if let Some(answer) = apply_outage(&request, &state, false).await {
         return answer;
     }
     let (table, key) = path.into_inner();
@@ -82,7 +82,7 @@
     query: web::Query<ListQuery>,
     state: State,
 ) -> HttpResponse {
-    if let Some(answer) = turned_away(&request, &state, false).await {
+    if let Some(answer) = apply_outage(&request, &state, false).await {
         return answer;
     }
     let limit = query.limit.unwrap_or(MAX_LIST_ROWS).min(MAX_LIST_ROWS);
@@ -99,29 +99,29 @@
     transaction: web::Json<Transaction>,
     state: State,
 ) -> HttpResponse {
-    if let Some(answer) = turned_away(&request, &state, true).await {
+    if let Some(answer) = apply_outage(&request, &state, true).await {
         return answer;
     }
     let writes = transaction.into_inner().writes;
     let end = state.write_end(writes.len());
-    let fate = state.answer_fate();
-    match fate {
-        AnswerFate::Lost(LossTime::BeforeWrite) => return close_connection(&request),
-        AnswerFate::Lost(LossTime::LandsLater(ms)) => {
-            land(
+    let delivery = state.draw_answer_delivery();
+    match delivery {
+        AnswerDelivery::Lost(LossTime::BeforeWrite) => return close_connection(&request),
+        AnswerDelivery::Lost(LossTime::LandsLater(ms)) => {
+            commit_at(
                 &state,
                 writes,
                 Instant::from_std(end) + Duration::from_millis(ms),
             );
             return close_connection(&request);
         }
-        AnswerFate::Given | AnswerFate::Lost(LossTime::AfterWrite) => {}
+        AnswerDelivery::Sent | AnswerDelivery::Lost(LossTime::AfterWrite) => {}
     }
     // A task of its own: the write takes effect also when the caller gives up and closes its connection.
-    let Ok(result) = land(&state, writes, Instant::from_std(end)).await else {
+    let Ok(result) = commit_at(&state, writes, Instant::from_std(end)).await else {
         return unavailable();
     };
-    if fate != AnswerFate::Given {
+    if delivery != AnswerDelivery::Sent {
         return close_connection(&request);
     }
     match result {
@@ -136,7 +136,7 @@
     body: web::Bytes,
     state: State,
 ) -> HttpResponse {
-    if let Some(answer) = turned_away(&request, &state, true).await {
+    if let Some(answer) = apply_outage(&request, &state, true).await {
         return answer;
     }
     sleep_until(state.write_end(1).into()).await;
@@ -145,7 +145,7 @@
 }
 
 async fn get_object(request: HttpRequest, path: web::Path<String>, state: State) -> HttpResponse {
-    if let Some(answer) = turned_away(&request, &state, false).await {
+    if let Some(answer) = apply_outage(&request, &state, false).await {
         return answer;
     }
     sleep_until(state.read_end(1).into()).await;
@@ -158,7 +158,7 @@
 }
 
 async fn list_vms(request: HttpRequest, state: State) -> HttpResponse {
-    if let Some(answer) = turned_away(&request, &state, false).await {
+    if let Some(answer) = apply_outage(&request, &state, false).await {
         return answer;
     }
     sleep_until(state.read_end(1).into()).await;
@@ -166,16 +166,16 @@
 }
 
 /// Slows the call, and answers it here when the service is down.
-async fn turned_away(
+async fn apply_outage(
     request: &HttpRequest,
     state: &PlatformState,
     writes: bool,
 ) -> Option<HttpResponse> {
-    let slowness = state.slowness();
-    if !slowness.is_zero() {
-        sleep(slowness).await;
+    let extra_delay = state.extra_delay();
+    if !extra_delay.is_zero() {
+        sleep(extra_delay).await;
     }
-    match state.down() {
+    match state.down_mode() {
         DownMode::Up => None,
         DownMode::WritesUnavailable if !writes => None,
         DownMode::Unavailable | DownMode::WritesUnavailable => Some(unavailable()),
@@ -184,7 +184,7 @@
 }
 
 /// Commits at a time to come.
-fn land(
+fn commit_at(
     state: &State,
     writes: Vec<WriteRequest>,
     at: Instant,
--- a/crates/stand-ins/src/platform/state.rs
+++ b/crates/stand-ins/src/platform/state.rs
@@ -11,14 +11,14 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    faults::{AnswerFate, DownMode, FaultPlan, FaultSettings},
+    faults::{AnswerDelivery, DownMode, FaultPlan, FaultSettings},
     table::{ExpectedVersion, RowConflict, TableRow, TableStore, WriteRequest},
-    timing::TurnQueue,
+    timing::ServiceQueue,
     PlatformSettings,
 };
 
 /// Old VM lists kept for a stale answer.
-const MAX_OLD_LISTS: usize = 1000;
+const MAX_KEPT_VM_LISTS: usize = 1000;
 
 /// Counts since the start. Calls turned away by a fault are not counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -46,7 +46,7 @@
     /// VM lists with the time since which each held, newest last.
     vm_lists: VecDeque<(Instant, Vec<VmEntry>)>,
     faults: FaultPlan,
-    turns: TurnQueue,
+    service_queue: ServiceQueue,
     stats: PlatformStats,
 }
 
@@ -59,7 +59,7 @@
                 objects: BTreeMap::new(),
                 vm_lists: VecDeque::from([(now, settings.vms)]),
                 faults: FaultPlan::new(settings.faults),
-                turns: TurnQueue::new(settings.times, now),
+                service_queue: ServiceQueue::new(settings.times, now),
                 stats: PlatformStats::default(),
             }),
         }
@@ -73,22 +73,22 @@
         self.lock().faults.settings.clone()
     }
 
-    pub(super) fn down(&self) -> DownMode {
+    pub(super) fn down_mode(&self) -> DownMode {
         self.lock().faults.settings.down
     }
 
-    pub(super) fn slowness(&self) -> Duration {
+    pub(super) fn extra_delay(&self) -> Duration {
         Duration::from_millis(self.lock().faults.settings.slow_ms)
     }
 
-    pub(super) fn answer_fate(&self) -> AnswerFate {
-        self.lock().faults.answer_fate()
+    pub(super) fn draw_answer_delivery(&self) -> AnswerDelivery {
+        self.lock().faults.draw_answer_delivery()
     }
 
     pub(super) fn set_vms(&self, vms: Vec<VmEntry>) {
         let lists = &mut self.lock().vm_lists;
         lists.push_back((Instant::now(), vms));
-        if lists.len() > MAX_OLD_LISTS {
+        if lists.len() > MAX_KEPT_VM_LISTS {
             lists.pop_front();
         }
     }
@@ -107,12 +107,12 @@
 
     /// When a read that came now gets its answer.
     pub(super) fn read_end(&self, rows: usize) -> Instant {
-        self.lock().turns.read_end(Instant::now(), rows)
+        self.lock().service_queue.read_end(Instant::now(), rows)
     }
 
     /// When a transaction that came now takes effect.
     pub(super) fn write_end(&self, rows: usize) -> Instant {
-        self.lock().turns.write_end(Instant::now(), rows)
+        self.lock().service_queue.write_end(Instant::now(), rows)
     }
 
     pub(super) fn row(&self, table: &str, key: &str) -> Option<TableRow> {
@@ -137,7 +137,7 @@
     /// Lets racing writers go first, then commits.
     pub(super) fn commit(&self, writes: &[WriteRequest]) -> Result<Vec<u64>, Vec<RowConflict>> {
         let mut inner = self.lock();
-        inner.run_races(writes);
+        inner.apply_racing_writes(writes);
         let result = inner.tables.commit(writes);
         match &result {
             Ok(_) => {
@@ -181,8 +181,8 @@
 }
 
 impl Inner {
-    fn run_races(&mut self, writes: &[WriteRequest]) {
-        for race in self.faults.take_races(writes) {
+    fn apply_racing_writes(&mut self, writes: &[WriteRequest]) {
+        for race in self.faults.take_racing_writes(writes) {
             if race.writes.is_empty() {
                 self.tables.bump(&race.table, &race.key);
                 continue;
--- a/crates/stand-ins/src/platform/table.rs
+++ b/crates/stand-ins/src/platform/table.rs
@@ -99,12 +99,12 @@
         let mut conflicts = Vec::new();
         for write in writes {
             let version = self.get(&write.table, &write.key).map(|row| row.version);
-            let met = match write.expect {
+            let holds = match write.expect {
                 ExpectedVersion::Absent => version.is_none(),
                 ExpectedVersion::Any => true,
                 ExpectedVersion::Version(v) => version == Some(v),
             };
-            if met {
+            if holds {
                 continue;
             }
             conflicts.push(RowConflict {
--- a/crates/stand-ins/src/platform/timing.rs
+++ b/crates/stand-ins/src/platform/timing.rs
@@ -25,13 +25,13 @@
 
 /// When the next write and the next read get their turn.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct TurnQueue {
+pub(super) struct ServiceQueue {
     times: ServiceTimes,
     write_free: Instant,
     read_free: Instant,
 }
 
-impl TurnQueue {
+impl ServiceQueue {
     pub(super) fn new(times: ServiceTimes, now: Instant) -> Self {
         Self {
             times,
@@ -42,16 +42,16 @@
 
     /// When a transaction that came now takes effect.
     pub(super) fn write_end(&mut self, now: Instant, rows: usize) -> Instant {
-        let more_rows = u32::try_from(rows.saturating_sub(1)).unwrap_or(u32::MAX);
-        let time = self.times.write + self.times.write_row * more_rows;
+        let extra_rows = u32::try_from(rows.saturating_sub(1)).unwrap_or(u32::MAX);
+        let time = self.times.write + self.times.write_row * extra_rows;
         self.write_free = self.write_free.max(now) + time;
         self.write_free
     }
 
     /// When a read that came now gets its answer.
     pub(super) fn read_end(&mut self, now: Instant, rows: usize) -> Instant {
-        let units = u32::try_from(1 + rows / 100).unwrap_or(u32::MAX);
-        self.read_free = self.read_free.max(now) + self.times.read * units;
+        let read_units = u32::try_from(1 + rows / 100).unwrap_or(u32::MAX);
+        self.read_free = self.read_free.max(now) + self.times.read * read_units;
         self.read_free
     }
 }
--- a/crates/stand-ins/tests/forwarder.rs
+++ b/crates/stand-ins/tests/forwarder.rs
@@ -7,7 +7,9 @@
     time::{Duration, Instant},
 };
 
-use stand_ins::forwarder::{CutConnect, LinkMode, LinkOrder, NetForwarder, OpenWay, UnknownLink};
+use stand_ins::forwarder::{
+    CutConnect, LinkMode, LinkRequest, NetForwarder, OpenDirection, UnknownLink,
+};
 use tokio::{
     io::{AsyncReadExt as _, AsyncWriteExt as _},
     net::{TcpListener, TcpSocket, TcpStream},
@@ -44,9 +46,9 @@
     (near, far)
 }
 
-async fn order(forwarder: &NetForwarder, mode: LinkMode) {
-    let order = LinkOrder { link: None, mode };
-    forwarder.order(order).await.unwrap();
+async fn set_mode(forwarder: &NetForwarder, mode: LinkMode) {
+    let request = LinkRequest { link: None, mode };
+    forwarder.apply(request).await.unwrap();
 }
 
 async fn echoed(stream: &mut TcpStream, text: &str) -> io::Result<String> {
@@ -86,7 +88,7 @@
 async fn cut_holds_bytes_until_the_heal() {
     let forwarder = NetForwarder::start().unwrap();
     let (mut near, mut far) = open_pair(&forwarder).await;
-    order(
+    set_mode(
         &forwarder,
         LinkMode::Cut {
             connects: CutConnect::Hang,
@@ -97,7 +99,7 @@
     far.write_all(b"back").await.unwrap();
     assert!(is_silent(&mut far).await);
     assert!(is_silent(&mut near).await);
-    order(&forwarder, LinkMode::Pass).await;
+    set_mode(&forwarder, LinkMode::Pass).await;
     let (mut there, mut back) = ([0; 5], [0; 4]);
     timeout(LONG, far.read_exact(&mut there))
         .await
@@ -117,7 +119,7 @@
 async fn cut_holds_a_close_back() {
     let forwarder = NetForwarder::start().unwrap();
     let (near, mut far) = open_pair(&forwarder).await;
-    order(
+    set_mode(
         &forwarder,
         LinkMode::Cut {
             connects: CutConnect::Hang,
@@ -126,22 +128,22 @@
     .await;
     drop(near);
     assert!(is_silent(&mut far).await);
-    order(&forwarder, LinkMode::Pass).await;
+    set_mode(&forwarder, LinkMode::Pass).await;
     let count = timeout(LONG, far.read(&mut [0; 1])).await.unwrap().unwrap();
     assert_eq!(count, 0);
 }
 
 #[actix_rt::test]
 async fn one_way_passes_only_that_way() {
-    for open in [OpenWay::Forward, OpenWay::Back] {
+    for open in [OpenDirection::Forward, OpenDirection::Back] {
         let forwarder = NetForwarder::start().unwrap();
         let (mut near, mut far) = open_pair(&forwarder).await;
-        order(&forwarder, LinkMode::OneWay { open }).await;
+        set_mode(&forwarder, LinkMode::OneWay { open }).await;
         near.write_all(b"n").await.unwrap();
         far.write_all(b"f").await.unwrap();
         let (passing, silent) = match open {
-            OpenWay::Forward => (&mut far, &mut near),
-            OpenWay::Back => (&mut near, &mut far),
+            OpenDirection::Forward => (&mut far, &mut near),
+            OpenDirection::Back => (&mut near, &mut far),
         };
         let count = timeout(LONG, passing.read(&mut [0; 1]))
             .await
@@ -163,13 +165,13 @@
         ),
         (
             LinkMode::OneWay {
-                open: OpenWay::Forward,
+                open: OpenDirection::Forward,
             },
             None,
         ),
         (
             LinkMode::OneWay {
-                open: OpenWay::Back,
+                open: OpenDirection::Back,
             },
             None,
         ),
@@ -183,14 +185,14 @@
     for (mode, expect) in cases {
         let forwarder = NetForwarder::start().unwrap();
         let link = forwarder.add_link("a-b", echo_target().await).unwrap();
-        order(&forwarder, mode).await;
+        set_mode(&forwarder, mode).await;
         // The second must hang like the first: the first may not have taken the last place of a queue.
         for _ in 0..2 {
             let connected = timeout(WATCH, TcpStream::connect(link)).await;
             let error = connected.ok().map(|result| result.unwrap_err().kind());
             assert_eq!(error, expect, "{mode:?}");
         }
-        order(&forwarder, LinkMode::Pass).await;
+        set_mode(&forwarder, LinkMode::Pass).await;
         let mut stream = TcpStream::connect(link).await.unwrap();
         assert_eq!(
             echoed(&mut stream, "again").await.unwrap(),
@@ -204,7 +206,7 @@
 async fn reset_ends_open_connections_and_takes_new_ones() {
     let forwarder = NetForwarder::start().unwrap();
     let (mut near, mut far) = open_pair(&forwarder).await;
-    order(&forwarder, LinkMode::Reset).await;
+    set_mode(&forwarder, LinkMode::Reset).await;
     for stream in [&mut near, &mut far] {
         let read = timeout(LONG, stream.read(&mut [0; 1])).await.unwrap();
         assert_eq!(read.unwrap_err().kind(), io::ErrorKind::ConnectionReset);
@@ -218,7 +220,7 @@
 async fn delay_counts_each_way_and_does_not_add_up() {
     let forwarder = NetForwarder::start().unwrap();
     let link = forwarder.add_link("a-b", echo_target().await).unwrap();
-    order(&forwarder, LinkMode::Delay { ms: 100 }).await;
+    set_mode(&forwarder, LinkMode::Delay { ms: 100 }).await;
     let mut stream = TcpStream::connect(link).await.unwrap();
     let start = Instant::now();
     // Many chunks: on their way together, so all take one delay and not one each.
@@ -257,11 +259,11 @@
         shown.contains(r#""link":"a-b""#) && shown.contains(r#""mode":"cut""#),
         "{shown}"
     );
-    let unknown = LinkOrder {
+    let unknown = LinkRequest {
         link: Some("a-x".to_owned()),
         mode: LinkMode::Pass,
     };
-    let error = forwarder.order(unknown).await.unwrap_err();
+    let error = forwarder.apply(unknown).await.unwrap_err();
     assert_eq!(error, UnknownLink("a-x".to_owned()));
 }
 
@@ -296,23 +298,23 @@
     let (mut a, mut b) = (connect("a").await, connect("b").await);
     assert_eq!(echoed(&mut a, "a1").await.unwrap(), "a1");
     assert_eq!(echoed(&mut b, "b1").await.unwrap(), "b1");
-    let order = |mode| LinkOrder {
+    let request = |mode| LinkRequest {
         link: Some("a>target".to_owned()),
         mode,
     };
-    let cut = |connects| order(LinkMode::Cut { connects });
-    forwarder.order(cut(CutConnect::Hang)).await.unwrap();
+    let cut = |connects| request(LinkMode::Cut { connects });
+    forwarder.apply(cut(CutConnect::Hang)).await.unwrap();
     a.write_all(b"a2").await.unwrap();
     let mut new = connect("a").await;
     new.write_all(b"n1").await.unwrap();
     assert!(is_silent(&mut a).await);
     assert!(is_silent(&mut new).await);
     assert_eq!(echoed(&mut b, "b2").await.unwrap(), "b2");
-    forwarder.order(cut(CutConnect::Refuse)).await.unwrap();
+    forwarder.apply(cut(CutConnect::Refuse)).await.unwrap();
     let mut refused = connect("a").await;
     let read = timeout(LONG, refused.read(&mut [0; 1])).await.unwrap();
     assert_eq!(read.unwrap_err().kind(), io::ErrorKind::ConnectionReset);
-    forwarder.order(order(LinkMode::Pass)).await.unwrap();
+    forwarder.apply(request(LinkMode::Pass)).await.unwrap();
     for (stream, expect) in [(&mut a, b"a2"), (&mut new, b"n1")] {
         let mut bytes = [0; 2];
         timeout(LONG, stream.read_exact(&mut bytes))
