--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -1,4 +1,5 @@
-//! The promises, checked on what customers and workers saw. Bounds of time hold only where nothing was wrong nearby.
+//! Checks the promises against the record of what customers and workers observed. Time limits apply only while no
+//! fault is active nearby.
 
 use std::{fmt, time::Duration};
 
@@ -7,69 +8,71 @@
 
 use crate::record::{AttemptEnd, AttemptTrace, JobTrace, RunTrace, SoakRecord};
 
-/// The most runs that fit on a worker at the same time: two of the soak's tasks.
+/// The most concurrent runs that fit on a worker: two of the soak's tasks.
 const MAX_WORKER_RUNS: usize = 2;
 
-/// How long after a fault its effects may last: what the platform allows before it counts a machine as in touch.
+/// How long the effects of a fault may last after it: the time that the platform allows before it counts a machine as
+/// reachable again.
 const FAULT_AFTERMATH: Duration = Duration::from_secs(3);
 
-/// How much later than its deadline an answer may come on a machine that is shared with all stand-ins.
+/// How much later than its deadline an answer may arrive, since the machine is shared with all stand-ins.
 const ANSWER_SLACK: Duration = Duration::from_millis(700);
 
-/// How long after an end a customer may still hear of it late, or a worker write it down: one step of a stand-in.
+/// How much later than the actual end of a run a worker may record it, or a customer learn of it: one step of a
+/// stand-in.
 const CLOCK_SLACK: Duration = Duration::from_millis(20);
 
-/// How long after it was said to leave a worker may still get work, and some slack.
+/// How long after it was announced as draining a worker may still get work, with some slack.
 const DRAIN_LIMIT: Duration = Duration::from_millis(2_500);
 
-/// How soon a configuration is in force, and some slack.
+/// How long after it was written a configuration takes to be in force, with some slack.
 const CONFIG_LIMIT: Duration = Duration::from_millis(2_500);
 
-/// From this time on after its request was sent, a connection that ends without an answer has been cut: before, the
-/// request may have met a connection that was just being closed.
+/// A connection that ends without an answer this long after its request was sent counts as cut. If it ends earlier, the
+/// request may have arrived on a connection that was just being closed.
 const CUT_THRESHOLD: Duration = Duration::from_millis(250);
 
-/// How long a start may come after its customer's last answer: a lease of 0.8 s, and some slack. One that a worker
-/// carried out late is turned away by then.
+/// How long after the customer's last answer a run may still start: a lease of 0.8 s, with some slack. By then a start
+/// that a worker executes late is refused.
 const ORPHAN_START_LIMIT: Duration = Duration::from_millis(1_300);
 
-/// How long after all faults are mended jobs must be served again.
+/// How long after the end of all faults jobs must be served again.
 const RECOVERY_LIMIT: Duration = Duration::from_secs(6);
 
 text_set! {
-    /// What the system promises.
+    /// A promise of the system.
     Promise, "promise", WrongReason {
-        /// A worker never has more runs than fit.
+        /// A worker never has more concurrent runs than fit.
         Room => "room",
-        /// A task never has two runs at the same time.
+        /// A task never has two concurrent runs.
         Twice => "twice",
-        /// "Completed" is said only after all tasks were done.
+        /// A job is reported as completed only after all its tasks were done.
         Completed => "completed",
-        /// Nothing of a job runs of which "not run" was said.
+        /// No task runs of a job that was refused, which tells the customer that nothing was run.
         Refused => "refused",
-        /// Each answer comes in time.
+        /// Each answer arrives before its deadline.
         InTime => "in_time",
         /// A planned stop cuts no request.
         Stop => "stop",
-        /// A worker that leaves gets no new work.
+        /// A draining worker gets no new work.
         Drain => "drain",
-        /// A configuration is in force soon.
+        /// A new configuration comes into force within the limit.
         Config => "config",
-        /// A configuration never goes back.
+        /// A node never returns to an older configuration.
         ConfigBack => "config_back",
-        /// Nothing starts long after its customer was answered.
+        /// No task starts long after its customer got the last answer.
         Orphan => "orphan",
-        /// Jobs are served again once all faults are mended.
+        /// Jobs are served again after all faults have ended.
         Recovery => "recovery",
     }
 }
 
-/// A promise that was broken.
+/// A violation of a promise.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PromiseViolation {
-    /// Which.
+    /// The violated promise.
     pub promise: Promise,
-    /// How it showed.
+    /// What was observed.
     pub details: String,
 }
 
@@ -79,7 +82,7 @@
     }
 }
 
-/// All promises that were broken.
+/// Checks all promises and returns their violations.
 pub fn check_promises(record: &SoakRecord) -> Vec<PromiseViolation> {
     let mut checker = PromiseChecker {
         record,
@@ -207,8 +210,8 @@
         }
     }
 
-    /// Whether a planned stop broke off an attempt that had been read: a run of its job began meanwhile, or it had
-    /// waited for long.
+    /// Returns whether a planned stop cut an attempt whose request the node had read: a run of the job began during the
+    /// attempt, or the attempt had waited for more than [`CUT_THRESHOLD`].
     fn is_cut_by_stop(&self, attempt: &AttemptTrace, starts: &[Duration]) -> bool {
         if attempt.end != AttemptEnd::Broken {
             return false;
@@ -295,7 +298,7 @@
     }
 }
 
-/// Statuses that say that nothing of the job has run or will.
+/// Returns whether the status says that no part of the job has run or will run.
 fn is_refusal(end: AttemptEnd) -> bool {
     matches!(end, AttemptEnd::Answered(404 | 429 | 503))
 }
--- a/crates/soak/src/customers.rs
+++ b/crates/soak/src/customers.rs
@@ -1,4 +1,4 @@
-//! Customers: hand jobs in, again where they got no answer, and ask which routes are known.
+//! Simulated customers: submit jobs, retry unanswered ones, and probe which routes the nodes know.
 
 use std::{cell::RefCell, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -13,28 +13,28 @@
     record::{AttemptEnd, AttemptTrace, JobTrace, ProbeTrace, SoakRecord},
 };
 
-/// How long customers wait for an answer.
+/// The deadline that customers send with a job.
 const DEADLINE: Duration = Duration::from_millis(2_500);
 
-/// How much longer they wait than they say.
+/// How much longer than the deadline customers wait for an answer.
 const CLIENT_WAIT_MARGIN: Duration = Duration::from_millis(1_000);
 
-/// When a job is handed in again that got no answer: above the leases of workers.
+/// Delay before an unanswered job is submitted again. It exceeds the leases of workers.
 const RETRY_DELAY: Duration = Duration::from_millis(1_300);
 
-/// How often at most.
+/// The most attempts for one job.
 const MAX_ATTEMPTS: usize = 3;
 
-/// The share of customers that leave early.
+/// The share of attempts that customers abandon early.
 const EARLY_LEAVE_SHARE: f64 = 0.04;
 
-/// How long a probe waits.
+/// How long a probe waits for an answer.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The connections of customers to one node.
+/// The HTTP clients that customers share for each node.
 const CLIENTS_PER_NODE: usize = 8;
 
-/// What customers share.
+/// The state that all simulated customers share.
 pub(crate) struct CustomerSimulator {
     began: std::time::Instant,
     nodes: Vec<SocketAddr>,
@@ -63,7 +63,7 @@
         self.began.elapsed()
     }
 
-    /// Hands one job in, up to its last answer.
+    /// Submits one job, with retries, until it gets a final answer, its customer leaves early, or no attempt is left.
     pub(crate) async fn submit_job(&self, mut rng: Rng) {
         let id = JobId(rng.u64(..));
         let tasks = rng.u32(1..7);
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Asks a node whether it knows the route that came with a version. None without an answer that says so.
+    /// Asks a node whether it knows the route added by `version`. Returns `None` if the answer does not tell.
     pub(crate) async fn probe(&self, node: usize, version: u64) -> Option<bool> {
         let prefix = added_prefix(version);
         let request = self.clients[node][0]
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Writes a probe down.
+    /// Adds a probe to the record.
     pub(crate) fn record_probe(&self, trace: ProbeTrace) {
         self.record.borrow_mut().probes.push(trace);
     }
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! Carries out the faults of a plan, and mends them when their time is over.
+//! Injects the faults of a plan and runs their follow-ups when they are due.
 
 use std::{io, time::Duration};
 
@@ -13,22 +13,22 @@
     run::SoakError,
 };
 
-/// How long a planned stop takes at most, its restart included.
+/// The longest that a planned stop takes, including the restart.
 const STOP_TIME: Duration = Duration::from_millis(7_500);
 
-/// How long a worker serves on after it has said that it leaves.
+/// How long a worker keeps serving after it was announced as draining.
 const DRAIN_TIME: Duration = Duration::from_millis(3_500);
 
-/// How long a dead worker's entry stays: three heartbeats of the platform, shortened.
+/// How long the entry of a crashed worker remains: three heartbeats of the platform, shortened.
 const ENTRY_TIME: Duration = Duration::from_millis(1_500);
 
-/// How long a worker's entry still tells of its former life.
+/// How long the entry of a restarted worker still describes its former life.
 const HEARTBEAT_TIME: Duration = Duration::from_millis(700);
 
-/// How long it takes after a new life until nodes have begun to use it, and after a start until a node serves.
+/// How long it takes until nodes use a newly started worker, and until a newly started node serves.
 const START_TIME: Duration = Duration::from_millis(1_500);
 
-/// What has to be done when a fault's time is over.
+/// An action that ends a fault or continues it, due some time after the injection.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum FollowUp {
     Thaw(usize),
@@ -42,16 +42,16 @@
     WriteEntry(usize),
 }
 
-/// What follows from a fault.
+/// The records and follow-ups of an injected fault.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FaultTrace {
     pub(crate) disturbances: Vec<Disturbance>,
     pub(crate) drains: Vec<DrainTrace>,
-    /// What has to be mended, and after which time.
+    /// The follow-ups, each with its delay.
     pub(crate) follow_ups: Vec<(Duration, FollowUp)>,
 }
 
-/// Carries out one fault.
+/// Injects one fault. `FaultKind::Configure` needs nothing here: the caller adds the route.
 pub(crate) async fn inject_fault(
     fleet: &mut SoakFleet,
     kind: FaultKind,
@@ -112,7 +112,7 @@
             fleet.forget_history();
         }
         FaultKind::Worker(worker, fault, length) => {
-            // What a worker carries out late may come after the fault's end.
+            // A late start may still be executed after the end of the fault.
             add_disturbance(
                 FaultScope::Worker(worker),
                 false,
@@ -160,7 +160,7 @@
     })
 }
 
-/// Mends what a fault left behind.
+/// Runs one follow-up of a fault.
 pub(crate) async fn run_follow_up(
     fleet: &mut SoakFleet,
     follow_up: FollowUp,
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The nodes, the workers and the store of a soak, and the links between them.
+//! Starts and controls the nodes, workers and store of a soak, and the links between them.
 
 use std::{
     fs, io,
@@ -30,73 +30,74 @@
 /// The service of all workers.
 const SERVICE: &str = "svc";
 
-/// Nodes and workers are in these by turns.
+/// Nodes and workers are assigned to these data centres in turn.
 const DATA_CENTRES: [&str; 2] = ["east", "west"];
 
-/// How long a node may take to stop, as it is told by its settings.
+/// The stop grace that the settings of the nodes give.
 const STOP_GRACE: Duration = Duration::from_secs(6);
 
-/// How much longer than that a stop may take here before it counts as hanging.
+/// How long beyond [`STOP_GRACE`] a stop may take before it counts as hanging.
 const STOP_SLACK: Duration = Duration::from_secs(1);
 
-/// The pause before a node that has stopped is started again.
+/// The pause before a node that has exited is started again.
 const RESTART_PAUSE: Duration = Duration::from_millis(100);
 
-/// Run times of workers, by turns, in milliseconds.
+/// Run times of tasks, assigned to workers in turn, in milliseconds.
 const RUN_TIMES_MS: [u64; 4] = [40, 70, 110, 160];
 
-/// Clocks of workers may be 2% slow.
+/// Rates of the workers' clocks, which may be up to 2% slow.
 const CLOCK_RATES: [f64; 3] = [1.0, 0.98, 0.99];
 
-/// When the first worker's life begins, in Unix milliseconds.
+/// Base of the workers' start times, in Unix milliseconds.
 const FIRST_START_MS: u64 = 1_764_751_000_000;
 
-/// By how much every other rebirth seems later, so that clocks seem to be set back between them.
+/// Added to the start time of every other worker restart, in milliseconds, so that clocks appear to be set back in
+/// between.
 const START_JUMP_MS: u64 = 60_000;
 
-/// A node.
+/// A node, its process and its restart state.
 pub(crate) struct SoakNode {
     process: Option<ChildProcess<String>>,
-    /// How often it was started.
+    /// How many times the node has been started.
     pub(crate) life: usize,
     settings: PathBuf,
     log: PathBuf,
     pub(crate) customer_address: SocketAddr,
-    /// When it was told to stop.
+    /// When the node was asked to stop.
     stop_requested: Option<Duration>,
     restart_due: Option<Duration>,
-    /// When the fault that keeps it down ends.
+    /// When the last fault that kills or freezes the node ends.
     down_until: Duration,
 }
 
-/// A worker's place: one life after another lives there.
+/// The current life of a worker, if it has one; a replacement takes its place.
 struct WorkerInstance {
     life: usize,
     stand_in: Option<ExecutorStandIn>,
 }
 
-/// All of it.
+/// All processes and stand-ins of a soak.
 pub(crate) struct SoakFleet {
     began: Instant,
     binary: PathBuf,
     forwarder: NetForwarder,
     store: StoreStandIn,
-    /// The store as each node sees it.
+    /// The view of the store that each node connects to.
     store_views: Vec<StoreView>,
     pub(crate) nodes: Vec<SoakNode>,
     workers: Vec<WorkerInstance>,
     life_count: usize,
-    /// Workers that started again under their ids.
+    /// The number of worker restarts under the same id.
     restart_count: u64,
     runs: Vec<RunTrace>,
     routes: Vec<RoutePlan>,
     pub(crate) stops: Vec<StopTrace>,
-    /// Processes that ended without being told to, and stops that hang.
+    /// Descriptions of processes that exited without being asked to, and of stops that hang.
     pub(crate) process_failures: Vec<String>,
 }
 
 impl SoakFleet {
-    /// Starts everything.
+    /// Starts the store, all workers and all nodes.
     pub(crate) async fn start(
         plan: &SoakPlan,
         binary: PathBuf,
@@ -140,12 +141,12 @@
         Ok(fleet)
     }
 
-    /// The time since the start.
+    /// Returns the time since the start of the soak.
     pub(crate) fn now(&self) -> Duration {
         self.began.elapsed()
     }
 
-    /// When the soak began.
+    /// Returns when the soak began.
     pub(crate) fn began(&self) -> Instant {
         self.began
     }
@@ -204,7 +205,7 @@
         Ok(())
     }
 
-    /// Sees which processes have ended, and starts those that are due.
+    /// Detects node processes that exited or hang while stopping, and starts the nodes whose restart is due.
     pub(crate) fn poll_processes(&mut self) -> io::Result<()> {
         let now = self.now();
         for number in 0..self.nodes.len() {
@@ -219,9 +220,9 @@
                         requested: stop_requested,
                         exited: now,
                     }),
-                    None => self
-                        .process_failures
-                        .push(format!("node {number} ended by itself at {now:?}")),
+                    None => self.process_failures.push(format!(
+                        "node {number} exited without a stop request at {now:?}"
+                    )),
                 }
             }
             let hangs = node.stop_requested.is_some_and(|stop_requested| {
@@ -252,30 +253,30 @@
         process.signal(signal)
     }
 
-    /// Notes that a node stands still until then, so that its stop may take longer.
+    /// Extends the time during which a node is killed or frozen, so that its stop may take longer.
     pub(crate) fn extend_down_time(&mut self, number: usize, length: Duration) {
         let until = self.now() + length;
         let node = &mut self.nodes[number];
         node.down_until = node.down_until.max(until);
     }
 
-    /// Kills a node; it starts again after a while.
+    /// Kills a node, which is started again after `length`.
     pub(crate) fn kill_node(&mut self, number: usize, length: Duration) {
         self.extend_down_time(number, length);
         let node = &mut self.nodes[number];
-        // Dropping it kills it.
+        // Dropping the process kills it.
         if node.process.take().is_some() {
             node.stop_requested = None;
             node.restart_due = Some(node.down_until);
         }
     }
 
-    /// Changes what lies between a node and the store.
+    /// Sets the mode of the link between a node and the store.
     pub(crate) async fn set_store_link(&self, node: usize, mode: LinkMode) {
         self.set_link(store_link(node), mode).await;
     }
 
-    /// Changes what lies between a worker and a node.
+    /// Sets the mode of the link between a worker and a node.
     pub(crate) async fn set_worker_link(&self, worker: usize, node: usize, mode: LinkMode) {
         let life = self.workers[worker].life;
         self.set_link(worker_link(life, node), mode).await;
@@ -286,34 +287,34 @@
             link: Some(name),
             mode,
         };
-        // The link of a worker's former life may be gone: there is nothing to change then.
+        // The link may no longer exist if it belonged to a former life of a worker; nothing needs to change then.
         let _gone = self.forwarder.apply(request).await;
     }
 
-    /// Changes what is wrong with the store.
+    /// Sets the fault of the store.
     pub(crate) fn set_store_fault(&self, fault: StoreFault) {
         self.store.set_fault(fault);
     }
 
-    /// The store forgets its history.
+    /// Truncates the history of the store.
     pub(crate) fn forget_history(&self) {
         self.store.truncate_history();
     }
 
-    /// Changes what is wrong with a worker.
+    /// Sets the fault of a worker, if it is running.
     pub(crate) fn set_worker_fault(&self, worker: usize, fault: ExecutorFault) {
         if let Some(stand_in) = &self.workers[worker].stand_in {
             stand_in.set_fault(fault);
         }
     }
 
-    /// A worker's current life.
+    /// Returns the current life of a worker, if it is running.
     pub(crate) fn worker_life(&self, worker: usize) -> Option<usize> {
         let instance = &self.workers[worker];
         instance.stand_in.as_ref().map(|_| instance.life)
     }
 
-    /// A worker dies: what ran on it is over. Its entry is gone some time later.
+    /// Crashes a worker and ends the runs on it. Its entry in the store is removed later.
     pub(crate) fn crash_worker(&mut self, worker: usize) {
         let now = self.now();
         let began = self.began;
@@ -327,11 +328,11 @@
         }
     }
 
-    /// A worker dies and starts again under its id. Its entry tells of it later.
+    /// Restarts a worker under the same id. Its entry in the store is updated later.
     pub(crate) fn restart_worker(&mut self, worker: usize) {
         self.restart_count += 1;
         if let Some(stand_in) = &self.workers[worker].stand_in {
-            // Clocks may have been set back meanwhile.
+            // Simulates a clock that was set back between restarts.
             let jump_ms = if self.restart_count.is_multiple_of(2) {
                 0
             } else {
@@ -341,7 +342,7 @@
         }
     }
 
-    /// A worker writes its entry.
+    /// Writes the `ready` entry of a worker to the store.
     pub(crate) fn write_ready_entry(&self, worker: usize) {
         self.write_entry(worker, "ready");
     }
@@ -354,17 +355,17 @@
         }
     }
 
-    /// Removes the entry of a worker that is gone.
+    /// Removes the entry of a worker that has ended.
     pub(crate) fn remove_entry(&self, life: usize) {
         self.store.remove("servers", &life_name(life));
     }
 
-    /// A worker says that it will leave.
+    /// Announces in its entry that a worker is draining.
     pub(crate) fn announce_draining(&self, worker: usize) {
         self.write_entry(worker, "draining");
     }
 
-    /// Starts another life of a worker.
+    /// Starts a new life of a worker, under a new id, unless it is running.
     pub(crate) async fn start_worker(&mut self, worker: usize) -> Result<(), SoakError> {
         if self.workers[worker].stand_in.is_some() {
             return Ok(());
@@ -392,7 +393,7 @@
         Ok(())
     }
 
-    /// Adds a route to the configuration and gives the version.
+    /// Adds a route to the configuration and returns the new version.
     pub(crate) fn add_route(&mut self) -> u64 {
         let version = self.version() + 1;
         self.routes.push(route(&added_prefix(version)));
@@ -409,7 +410,7 @@
         self.store.put("op", "config", &row);
     }
 
-    /// All runs so far.
+    /// Takes all runs so far, including those of ended lives.
     pub(crate) fn take_runs(&mut self) -> Vec<RunTrace> {
         let mut runs = std::mem::take(&mut self.runs);
         for (worker, instance) in self.workers.iter().enumerate() {
@@ -421,7 +422,7 @@
     }
 }
 
-/// The prefix of the route that came with a version.
+/// Returns the path prefix of the route that `version` added.
 pub(crate) fn added_prefix(version: u64) -> String {
     format!("/added-{version}/")
 }
@@ -444,7 +445,7 @@
     let since = |at: Instant| at.saturating_duration_since(began);
     let mut traces = Vec::new();
     for run in stand_in.runs() {
-        // A name that is no task's would be a fault of its own; it shows as a run of a job that nobody sent.
+        // Skips runs whose name is not a task id. Such a name would be a fault of its own, which no promise covers.
         let Ok(task) = run.task.parse() else {
             continue;
         };
@@ -481,10 +482,11 @@
     format!("{} {}", life_name(life), node_name(node))
 }
 
-/// A loopback address of the node's own, so that the ports of several soaks at once do not meet.
+/// Returns a loopback address of the node's own, derived from the process id, so that the ports of concurrent soaks
+/// do not collide.
 fn node_ip(number: usize) -> IpAddr {
     let run = std::process::id();
-    // The casts keep the lowest byte, which is meant.
+    // The casts keep the lowest byte on purpose.
     let (high, low) = ((run >> 8) as u8, run as u8);
     let host = u8::try_from(number + 1).unwrap_or(u8::MAX);
     IpAddr::V4(Ipv4Addr::new(127, high.max(1), low, host))
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,10 +1,10 @@
-//! A randomized soak: real nodes as processes of their own on one machine, stand-ins of the platform around them, and
-//! faults from outside, in series and overlapping. What customers and workers see is recorded, and the promises are
-//! checked on it.
+//! Randomized soak test: runs real node processes on one machine against stand-ins of the platform and injects faults
+//! from outside, one after another and overlapping. Records what customers and workers observe and checks the
+//! system's promises against that record.
 //!
-//! A seed decides the faults and their times; how processes interleave with them differs from run to run, so a seed
-//! that failed once is run several times. Faults between nodes are those of their processes (killed, stopped, frozen):
-//! their heartbeats are datagrams, which the forwarder does not carry.
+//! The seed determines the faults and their times, but not how the processes interleave with them, so a seed that
+//! failed once is run several times. Nodes are isolated from each other only by faults of their processes (killed,
+//! stopped, frozen): their heartbeats are datagrams, which the forwarder does not carry.
 
 mod checks;
 mod customers;
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! Which faults a seed stands for.
+//! Generates the sequence of faults from a seed.
 
 use std::time::Duration;
 
@@ -6,20 +6,21 @@
 use platform_stand_ins::{ExecutorFault, StoreFault};
 use stand_ins::forwarder::{CutConnect, LinkMode, OpenDirection};
 
-/// What a run is made of.
+/// Parameters of one soak run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SoakPlan {
-    /// Decides the faults and their times.
+    /// Seed that determines the faults and their times.
     pub seed: u64,
-    /// How long faults go on. Some seconds of recovery come after them.
+    /// How long faults are injected. Some seconds of recovery follow.
     pub fault_duration: Duration,
     /// The number of nodes.
     pub nodes: usize,
-    /// The number of workers. Two tasks fit on each.
+    /// The number of workers. Each runs up to two tasks at a time.
     pub workers: usize,
-    /// Jobs a second.
+    /// Submitted jobs per second.
     pub rate: f64,
-    /// Whether workers start again under their ids. Seeds that failed before there was that are played without.
+    /// Whether workers are restarted under their ids. Known seeds are replayed without it, since they failed in runs
+    /// that had no such restarts.
     pub worker_restarts: bool,
 }
 
@@ -36,68 +37,69 @@
     }
 }
 
-/// Something that goes wrong, or is changed.
+/// A fault, or a planned change such as a stop, a drain or a new route.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultKind {
-    /// A node is told to stop, and started again.
+    /// Asks a node to stop, then starts it again.
     Stop(usize),
-    /// A node is killed, and started again after a while.
+    /// Kills a node and starts it again after this time.
     Kill(usize, Duration),
-    /// All nodes are killed at once.
+    /// Kills all nodes at once.
     KillAll,
-    /// A node stands still for a while.
+    /// Freezes the process of a node for this time.
     Freeze(usize, Duration),
-    /// A node is told that its settings have changed.
+    /// Signals a node to reload its settings.
     Reload(usize),
-    /// What lies between a node and the store.
+    /// Sets the mode of the link between a node and the store for this time.
     StoreLink(usize, LinkMode, Duration),
-    /// What lies between a worker and one node.
+    /// Sets the mode of the link between a worker and a node for this time.
     WorkerLink(usize, usize, LinkMode, Duration),
-    /// The store itself.
+    /// Sets a fault of the store for this time.
     Store(StoreFault, Duration),
-    /// The store forgets its history.
+    /// Truncates the history of the store.
     Forget,
-    /// A worker.
+    /// Sets a fault of a worker for this time.
     Worker(usize, ExecutorFault, Duration),
-    /// A worker dies, and another life of it comes after a while.
+    /// Crashes a worker; a new one under another id replaces it after this time.
     Crash(usize, Duration),
-    /// A worker dies and starts again at once, under its id.
+    /// Restarts a worker at once under the same id.
     StartAgain(usize),
-    /// A worker says that it leaves, then does; another life of it comes after a while.
+    /// Announces that a worker is draining, then stops it; a new one under another id replaces it later.
     Drain(usize),
-    /// The configuration gets one more route.
+    /// Adds a route to the configuration.
     Configure,
 }
 
-/// When it happens.
+/// A fault and when it is injected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FaultStep {
-    /// From the start of the load.
+    /// Time since the start of the load.
     pub at: Duration,
-    /// What.
+    /// The fault.
     pub kind: FaultKind,
 }
 
-/// The bounds of a fault's length: below and above what the nodes' own limits are.
+/// Bounds of a fault's duration, in milliseconds. The range reaches below and above the nodes' own time limits.
 const FAULT_LENGTHS_MS: (u64, u64) = (100, 4_000);
 
-/// The bounds of the time between two faults, so that they come in series and overlap.
+/// Bounds of the time between the starts of two faults, in milliseconds, so that faults both follow each other and
+/// overlap.
 const FAULT_GAPS_MS: (u64, u64) = (30, 900);
 
-/// One seed in so many has planned work alone.
+/// One seed in this many gets planned work only.
 const PLANNED_ONLY_ONE_IN: u32 = 3;
 
-/// The bounds of the time between two pieces of planned work.
+/// Bounds of the time between two pieces of planned work, in milliseconds.
 const PLANNED_GAPS_MS: (u64, u64) = (100, 2_000);
 
-/// The bounds of the time between two workers that start again under their ids.
+/// Bounds of the time between two worker restarts under the same id, in milliseconds.
 const RESTART_GAPS_MS: (u64, u64) = (500, 4_000);
 
 impl SoakPlan {
-    /// The faults, in order of time.
+    /// Returns the faults in order of time. The same plan always gives the same faults.
     pub fn steps(&self) -> Vec<FaultStep> {
         let mut rng = Rng::with_seed(self.seed);
-        // Bounds of time hold only where nothing unplanned is near, so some seeds have planned work alone.
+        // Some time limits are checked only while no unplanned fault is active, so some seeds have planned work only.
         let planned_only = rng.u32(..PLANNED_ONLY_ONE_IN) == 0;
         let mut steps = Vec::new();
         let mut at = Duration::from_millis(rng.u64(200..1_500));
@@ -110,7 +112,7 @@
             at += Duration::from_millis(rng.u64(gaps.0..gaps.1));
         }
         if self.worker_restarts && !planned_only {
-            // From a generator of their own: a seed's other faults stay what they were.
+            // Restarts use a forked generator, so that the other faults of a seed stay the same.
             self.add_worker_restarts(&mut rng.fork(), &mut steps);
         }
         steps
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -1,63 +1,63 @@
-//! What was seen from outside while a soak ran. All times count from its start.
+//! Record of a soak run as observed from outside the nodes. All times are relative to the start of the run.
 
 use std::time::Duration;
 
 use jobs::{JobId, TaskId};
 
-/// What a fault may affect.
+/// The part of the system that a fault may affect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultScope {
     /// One node.
     Node(usize),
     /// One worker.
     Worker(usize),
-    /// The store, and so all nodes.
+    /// The store, and thereby all nodes.
     Store,
 }
 
-/// A time in which something was wrong.
+/// A period during which a fault or planned work was active.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Disturbance {
-    /// Where.
+    /// The affected part of the system.
     pub scope: FaultScope,
-    /// Whether it was planned work: a stop that is to cut nothing.
+    /// Whether this was planned work: a stop that must not cut any request.
     pub planned: bool,
-    /// From when.
+    /// When the period began.
     pub from: Duration,
-    /// Until when; the soak's end if it was not mended before.
+    /// When the period ends.
     pub until: Duration,
 }
 
-/// How an attempt of a customer ended.
+/// How a customer's attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// A whole answer with this status.
+    /// A complete answer with this HTTP status.
     Answered(u16),
-    /// The connection was refused, or broke before a whole answer.
+    /// The connection was refused, or broke before the answer was complete.
     Broken,
-    /// The customer gave up.
+    /// The customer stopped waiting.
     GaveUp,
 }
 
-/// One attempt of a customer to have a job run.
+/// One request of a customer to run a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptTrace {
-    /// The node that was asked.
+    /// The node that received the request.
     pub node: usize,
     /// When the request was sent.
     pub sent: Duration,
     /// When the attempt ended.
     pub ended: Duration,
-    /// How.
+    /// How the attempt ended.
     pub end: AttemptEnd,
 }
 
-/// One job, from the customer's side.
+/// One job as the customer observed it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobTrace {
-    /// The job.
+    /// The id of the job.
     pub id: JobId,
-    /// Its number of tasks.
+    /// The number of tasks.
     pub tasks: u32,
     /// How long the customer waits for each answer.
     pub deadline: Duration,
@@ -65,48 +65,48 @@
     pub attempts: Vec<AttemptTrace>,
 }
 
-/// One run, from the worker's side.
+/// One run of a task as the worker observed it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunTrace {
     /// The task.
     pub task: TaskId,
-    /// The run's number.
+    /// The number of the run.
     pub run: u64,
-    /// The worker, which is one of several lives at the same place.
+    /// The index of the worker, which its replacements share.
     pub worker: usize,
-    /// The life: its number over all workers.
+    /// The life (incarnation) of the worker, numbered across all workers.
     pub life: usize,
-    /// When it began.
+    /// When the run began.
     pub began: Duration,
-    /// When it ended; none if it still ran at the soak's end.
+    /// When the run ended; `None` if it was still running at the end of the soak.
     pub ended: Option<Duration>,
-    /// Whether it ended as done.
+    /// Whether the run ended as done.
     pub done: bool,
 }
 
-/// Whether a node knew a route of the configuration.
+/// The answer of a node to a probe for a route of the configuration.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ProbeTrace {
     /// The node.
     pub node: usize,
-    /// Which life of the node's process.
+    /// How many times the process of the node had been started.
     pub life: usize,
-    /// The version with which the route came.
+    /// The configuration version that added the route.
     pub version: u64,
-    /// When that version was written.
+    /// When the version was written to the store.
     pub written: Duration,
-    /// When the node was asked.
+    /// When the probe was sent.
     pub asked: Duration,
-    /// Whether it knew the route.
+    /// Whether the node knew the route.
     pub known: bool,
 }
 
-/// A worker that was said to leave.
+/// A worker that was announced as draining.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DrainTrace {
     /// The worker's life.
     pub life: usize,
-    /// When its entry said so.
+    /// When its entry in the store was set to `draining`.
     pub announced: Duration,
 }
 
@@ -115,42 +115,42 @@
 pub struct StopTrace {
     /// The node.
     pub node: usize,
-    /// When it was told to stop.
+    /// When the node was asked to stop.
     pub requested: Duration,
-    /// When its process was gone.
+    /// When its process was found to have exited.
     pub exited: Duration,
 }
 
-/// All that was seen.
+/// Everything recorded during a soak.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SoakRecord {
-    /// Jobs.
+    /// Jobs submitted by customers.
     pub jobs: Vec<JobTrace>,
-    /// Runs.
+    /// Runs of tasks on workers.
     pub runs: Vec<RunTrace>,
     /// Probes of routes.
     pub probes: Vec<ProbeTrace>,
-    /// Workers that left.
+    /// Workers that were drained.
     pub drains: Vec<DrainTrace>,
-    /// Planned stops.
+    /// Planned stops of nodes.
     pub stops: Vec<StopTrace>,
-    /// Faults.
+    /// Periods of faults and planned work.
     pub disturbances: Vec<Disturbance>,
-    /// From when on nothing was wrong any more.
+    /// When the last fault had ended.
     pub healed: Duration,
     /// When the soak ended.
     pub ended: Duration,
 }
 
 impl SoakRecord {
-    /// Whether nothing unplanned was wrong with the store, a node or a worker in a time.
+    /// Returns whether no unplanned fault of the store, a node or a worker was active at any time in `from..=until`.
     pub fn has_no_unplanned_fault(&self, from: Duration, until: Duration) -> bool {
         let unplanned = self.disturbances.iter().filter(|fault| !fault.planned);
         let mut overlapping = unplanned.filter(|fault| fault.from <= until && fault.until >= from);
         overlapping.next().is_none()
     }
 
-    /// Whether nothing was wrong with a node or the store in a time.
+    /// Returns whether neither a fault nor planned work affected this node or the store at any time in `from..=until`.
     pub fn is_node_undisturbed(&self, node: usize, from: Duration, until: Duration) -> bool {
         let mut overlapping = self.disturbances.iter().filter(|fault| {
             let affects_node =
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs a plan and checks what came of it.
+//! Runs a plan and checks the resulting record.
 
 use std::{
     cell::RefCell,
@@ -20,29 +20,29 @@
     record::{AttemptEnd, ProbeTrace, SoakRecord},
 };
 
-/// How long everything gets to start before the load.
+/// Time for all processes to start before the load begins.
 const STARTUP_WAIT: Duration = Duration::from_millis(2_500);
 
-/// How long the load goes on after the last fault is mended: the promise of recovery, and some jobs after it.
+/// How long the load continues after the last fault has ended: the recovery limit, plus time for some jobs after it.
 const RECOVERY_LOAD: Duration = Duration::from_secs(8);
 
-/// How long the last customers get.
+/// Time for the last customers to get their answers after the load ends.
 const FINAL_ANSWER_WAIT: Duration = Duration::from_secs(4);
 
-/// The time between two looks at what is due.
+/// Interval at which the main loop polls processes and due actions.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The time between two rounds of probes.
+/// Interval between two rounds of probes.
 const PROBE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The seed of the customers is that of the plan with these bits changed, so that they draw other numbers.
+/// XORed with the plan's seed to seed the customers, so that they draw other numbers than the faults.
 const CUSTOMER_SEED_MASK: u64 = 0x5eed_5eed;
 
-/// Why a soak could not be run.
+/// Error that prevents a soak from running.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SoakError {
-    /// A process, file or link could not be made.
-    #[error("the soak could not be set up: {0}")]
+    /// A process, file or link could not be created.
+    #[error("soak setup failed: {0}")]
     Setup(String),
 }
 
@@ -52,28 +52,29 @@
     }
 }
 
-/// What came of a run.
+/// Result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct SoakReport {
-    /// Promises that were broken, and processes that ended by themselves or did not stop.
+    /// Violated promises, and processes that exited on their own or did not stop.
     pub failures: Vec<String>,
-    /// Jobs handed in.
+    /// Number of jobs submitted.
     pub jobs: usize,
-    /// Those completed.
+    /// Number of jobs completed.
     pub completed: usize,
-    /// Those refused.
+    /// Number of jobs refused.
     pub refused: usize,
-    /// Runs of tasks.
+    /// Number of task runs on workers.
     pub runs: usize,
-    /// Faults.
+    /// Number of faults injected.
     pub faults: usize,
 }
 
-/// Runs one plan with `binary`. Settings, logs of the nodes and the list of faults go to `dir`.
+/// Runs one plan with the node program `binary`. Writes the settings and logs of the nodes and the list of faults to
+/// `dir`.
 ///
 /// # Errors
 ///
-/// Something could not be set up; that the system fails is in the report.
+/// A process, file or link could not be created. Failures of the system under test are in the report instead.
 pub async fn run_soak(plan: &SoakPlan, binary: &Path, dir: &Path) -> Result<SoakReport, SoakError> {
     fs::create_dir_all(dir)?;
     let fleet = SoakFleet::start(plan, PathBuf::from(binary), dir).await?;
@@ -99,7 +100,7 @@
     simulator: Rc<CustomerSimulator>,
     record: Rc<RefCell<SoakRecord>>,
     follow_ups: Vec<(Duration, FollowUp)>,
-    /// Versions of the configuration and when they were written.
+    /// Versions of the configuration and when each was written.
     versions: Vec<(u64, Duration)>,
     rng: Rng,
 }
@@ -145,7 +146,8 @@
         Ok(())
     }
 
-    /// A stop may still be under way when the last fault has been mended.
+    /// Returns when the last recorded fault ends, at least `now`: a planned stop may still be in progress after the
+    /// last follow-up has run.
     fn last_fault_end(&self, now: Duration) -> Duration {
         let record = self.record.borrow();
         let ends = record.disturbances.iter().map(|fault| fault.until);
@@ -178,7 +180,7 @@
         Ok(())
     }
 
-    /// Asks each node for the newest routes.
+    /// Asks each node for the two newest routes.
     fn probe_all(&self) {
         let newest = self.versions.iter().rev().take(2);
         for (version, written) in newest.copied() {
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -1,4 +1,4 @@
-//! Each promise is seen to be broken by a record that breaks it, and kept by one that does not.
+//! Each check reports a record that violates its promise and accepts one that does not.
 
 use std::time::Duration;
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// A soak in which one job was served by two workers, and another one after all faults.
+/// A record of two jobs, each served by a worker of its own, the second one after all faults have ended.
 fn record_without_violations() -> SoakRecord {
     let mut later = job(vec![attempt(9_000, 9_100, AttemptEnd::Answered(200))]);
     later.id = JobId(2);
@@ -90,12 +90,12 @@
 }
 
 #[test]
-fn a_record_that_keeps_all_promises() {
+fn accepts_a_record_without_violations() {
     check(|_| (), &[]);
 }
 
 #[test]
-fn three_runs_on_a_worker_for_two() {
+fn too_many_runs_on_a_worker() {
     check(
         |record| {
             record.jobs[0].tasks = 4;
@@ -165,7 +165,7 @@
     check(
         |record| {
             cut(record);
-            // Before anything of the job began, and soon: its connection may just have been closed.
+            // Cut early and before any run of the job began: the connection may just have been closing.
             record.jobs[0].attempts[0].ended = ms(1_040);
             record.stops[0].exited = ms(1_040);
         },
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn work_for_a_worker_that_leaves() {
+fn work_for_a_draining_worker() {
     let drain = |announced| DrainTrace {
         life: 2,
         announced: ms(announced),
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn a_configuration_that_comes_late_or_goes_back() {
+fn a_configuration_that_is_late_or_reverted() {
     let probe = |asked, known| ProbeTrace {
         node: 0,
         life: 1,
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn a_start_long_after_the_answer() {
+fn a_run_started_long_after_the_answer() {
     check(
         |record| record.runs.push(run(0, 3, 2_600, 2_700)),
         &[Promise::Orphan],
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn jobs_that_are_not_served_after_all_faults() {
+fn jobs_not_served_after_all_faults() {
     check(
         |record| {
             let refused = attempt(9_000, 9_010, AttemptEnd::Answered(503));
--- a/crates/soak/tests/soak.rs
+++ b/crates/soak/tests/soak.rs
@@ -1,12 +1,12 @@
-//! Short soaks of the real program. `cargo run -p xtask -- soak` runs longer ones.
+//! Short soak of the real program. `cargo run -p xtask -- soak` runs longer ones.
 
 use std::time::Duration;
 
 use scenario::find_binary;
 use soak::{run_soak, SoakPlan};
 
-/// Every fault may come in these seconds, on any node or worker, more than once and over another one. Customers see
-/// answers that are true and in time, workers never too many runs or one task twice, and afterwards all is served.
+/// Any fault may occur on any node or worker, repeatedly and overlapping others. Answers must still be true and in
+/// time, no worker may get too many runs, no task may run twice at once, and all jobs must be served afterwards.
 #[actix_rt::test]
 async fn a_short_soak_keeps_all_promises() {
     check(1).await;
