--- a/crates/stand-ins/src/endpoint/answer.rs
+++ b/crates/stand-ins/src/endpoint/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of the endpoint stand-in, whole and broken.
+//! HTTP answers of the endpoint stand-in, correct and faulty.
 
 use std::{
     net::{Shutdown, TcpStream},
@@ -26,10 +26,10 @@
 pub(super) const ATTEMPT_ID: HeaderName = HeaderName::from_static("attempt-id");
 const TASK_STATUS: HeaderName = HeaderName::from_static("task-status");
 
-/// How long a cut answer waits between its bytes and the close, so that the bytes go out first.
+/// Delay between the bytes of a cut answer and closing the connection, so that the bytes are sent first.
 const CUT_PAUSE: Duration = Duration::from_millis(20);
 
-/// The answer of a run before faults are put to it.
+/// The answer of a run before any fault is applied.
 #[derive(Clone, Debug)]
 pub(super) struct TaskAnswer {
     pub(super) attempt: AttemptId,
@@ -38,13 +38,13 @@
 }
 
 impl TaskAnswer {
-    /// The answer as the border has it.
+    /// Returns the answer that the endpoint interface specifies.
     pub(super) fn into_response(self) -> HttpResponse {
         let attempt = self.attempt;
         self.with_attempt(attempt)
     }
 
-    /// The answer as `fault` breaks it.
+    /// Returns the answer with `fault` applied.
     pub(super) fn into_faulty_response(
         self,
         fault: Fault,
@@ -101,7 +101,7 @@
     }
 }
 
-/// The answer to a task that was turned away.
+/// Returns the answer to a task that was refused without being started.
 pub(super) fn refuse_task(attempt: AttemptId, cause: RefusalCause) -> HttpResponse {
     let status = match cause {
         RefusalCause::Busy => "busy",
@@ -113,7 +113,7 @@
         .finish()
 }
 
-/// The bytes, then a closed connection.
+/// Streams the bytes, then closes the connection.
 fn cut_body(
     body: Vec<u8>,
     connection: &Arc<TcpStream>,
--- a/crates/stand-ins/src/endpoint/fault.rs
+++ b/crates/stand-ins/src/endpoint/fault.rs
@@ -1,4 +1,4 @@
-//! Faults that the endpoint stand-in shows on demand.
+//! Faults that the endpoint stand-in injects on request.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,18 +6,18 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "fault", rename_all = "snake_case")]
 pub enum Fault {
-    /// None: ends the fault before and any leaving.
+    /// No fault. Ends the previous fault and leaving.
     #[default]
     Healthy,
-    /// Runs each task and says that it failed.
+    /// Runs each task and reports that it failed.
     FailAll,
     /// Answers `busy` though slots are free.
     Busy,
-    /// From now on answers `leaving`; finishes what runs.
+    /// Answers `leaving` to new tasks and finishes the running ones.
     Leaving,
-    /// Leaving by the VM list only: still takes what comes, but records how long it had been leaving.
+    /// Leaving according to the VM list only: still accepts tasks, but records how long it had been leaving.
     LeavingSilently,
-    /// Runs take this many times as long.
+    /// Multiplies the run time by a factor.
     Slow {
         /// The factor.
         factor: f64,
@@ -26,53 +26,53 @@
     WrongAttempt,
     /// Echoes no attempt id.
     NoAttempt,
-    /// Names a body longer than the one sent, then closes the connection.
+    /// Announces a longer body than it sends, then closes the connection.
     CutAnswer,
-    /// Sends a body of unnamed length, then closes the connection.
+    /// Sends a chunked body without announcing its length, then closes the connection before its end.
     CutChunks,
     /// Runs the task, then closes the connection without an answer.
     CloseAfterStart,
     /// Closes the connection as soon as the task has started. The run goes on.
     CloseAtStart,
-    /// Runs the task, keeps silent for `ms`, then closes the connection.
+    /// Runs the task, sends nothing for `ms`, then closes the connection.
     Silent {
-        /// Milliseconds of silence.
+        /// Duration of the silence in milliseconds.
         ms: u64,
     },
-    /// Holds the answer back for `ms` after the run; the slot is free meanwhile.
+    /// Delays the answer by `ms` after the run; the slot is already free.
     Late {
-        /// Milliseconds of delay.
+        /// Delay in milliseconds.
         ms: u64,
     },
-    /// Swaps the whole answers, echoed attempt ids included, of two tasks that end within `ms` of each other.
+    /// Swaps the complete answers, including the echoed attempt ids, of two tasks that end within `ms` of each other.
     Crossed {
-        /// Milliseconds that the first waits for the second.
+        /// How long the first answer waits for the second, in milliseconds.
         ms: u64,
     },
     /// Runs the task, then answers with a redirect to itself, which a client must not follow.
     Redirect,
-    /// Answers with a status that the border does not know.
+    /// Answers with a status that the endpoint interface does not define.
     ServerError,
 }
 
-/// A fault and for how many tasks it is shown.
+/// A request to inject a fault, for all further tasks or a number of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FaultRequest {
-    /// The fault. It takes the place of the one before.
+    /// The fault, which replaces the previous one.
     #[serde(flatten)]
     pub fault: Fault,
-    /// For the next this many tasks only; always where absent.
+    /// The number of tasks to which the fault applies; all further tasks if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub times: Option<u32>,
 }
 
 impl FaultRequest {
-    /// The fault for every task from now on.
+    /// Applies the fault to every task from now on.
     pub fn always(fault: Fault) -> Self {
         Self { fault, times: None }
     }
 
-    /// The fault for the next `times` tasks.
+    /// Applies the fault to the next `times` tasks.
     pub fn next(fault: Fault, times: u32) -> Self {
         Self {
             fault,
--- a/crates/stand-ins/src/endpoint/mod.rs
+++ b/crates/stand-ins/src/endpoint/mod.rs
@@ -1,8 +1,8 @@
-//! Stand-in of an endpoint: runs tasks by sleeping, records every start and shows faults on demand.
+//! Stand-in for an endpoint: runs tasks by sleeping, records every start and injects faults on request.
 //!
-//! It serves the HTTP border of an endpoint (`POST /v1/tasks`) and two control calls: `GET /control/starts` gives an
-//! [`EndpointRecord`], `POST /control/faults` takes a [`FaultRequest`]. What it records is the ground truth by which
-//! tests judge that nothing started twice, so a run goes on and is recorded also when its caller has gone.
+//! It serves the HTTP interface of an endpoint (`POST /v1/tasks`) and two control calls: `GET /control/starts` returns
+//! an [`EndpointRecord`], `POST /control/faults` takes a [`FaultRequest`]. The record is the ground truth by which
+//! tests check that no task started twice, so a run continues and is recorded even if its caller disconnects.
 
 mod answer;
 mod fault;
@@ -26,15 +26,15 @@
 /// Settings of an [`EndpointStandIn`].
 #[derive(Clone, Debug)]
 pub struct EndpointSettings {
-    /// Its name in the VM list.
+    /// The id of the endpoint in the VM list.
     pub id: EndpointId,
-    /// Where to listen; port 0 lets the system choose.
+    /// The address to listen on; with port 0 the system chooses a port.
     pub address: SocketAddr,
-    /// Tasks at once; one more is answered `busy`.
+    /// The most concurrent tasks; further ones are answered `busy`.
     pub slots: u32,
-    /// Run time of a task whose payload names none.
+    /// Run time of a task whose payload does not set one.
     pub run_time: Duration,
-    /// How long an idle connection is kept. A client must let go of it earlier.
+    /// How long an idle connection is kept open. Clients must close it earlier.
     pub keep_alive: Duration,
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// A running stand-in. Dropping it closes its listener and its connections.
+/// A running endpoint stand-in. Dropping it closes its listener and its connections.
 pub struct EndpointStandIn {
     state: Arc<EndpointState>,
     address: SocketAddr,
@@ -58,7 +58,7 @@
 }
 
 impl EndpointStandIn {
-    /// Listens and serves on threads of its own. Call it inside an actix `System`.
+    /// Starts listening and serves on its own threads. Must be called inside an actix `System`.
     ///
     /// # Errors
     ///
@@ -67,7 +67,7 @@
         let state = Arc::new(EndpointState::new(settings));
         let (address, handle) = server::serve(Arc::clone(&state))?;
         log::info!(
-            "endpoint stand-in: {} listens on {address}",
+            "endpoint stand-in: {} is listening on {address}",
             state.settings().id
         );
         Ok(Self {
@@ -77,12 +77,12 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Its address as the dispatcher keeps it.
+    /// Returns its address in the form that the dispatcher uses.
     pub fn endpoint_address(&self) -> EndpointAddress {
         EndpointAddress {
             id: self.state.settings().id.clone(),
@@ -91,17 +91,17 @@
         }
     }
 
-    /// What it has run and turned away so far.
+    /// Returns the record of all tasks started and refused so far.
     pub fn record(&self) -> EndpointRecord {
         self.state.record()
     }
 
-    /// Shows a fault from the next task on.
+    /// Injects a fault from the next task on.
     pub fn set_fault(&self, request: FaultRequest) {
         self.state.set_fault(request);
     }
 
-    /// Closes the listener and every connection, runs included, as when the process dies.
+    /// Closes the listener and every connection, including those of running tasks, like a crash of the process.
     pub async fn stop(&self) {
         self.state.cut_connections();
         self.handle.stop(false).await;
@@ -111,7 +111,7 @@
 impl Drop for EndpointStandIn {
     fn drop(&mut self) {
         self.state.cut_connections();
-        // The stop message is sent here; nobody needs to wait for its answer.
+        // `stop` sends its message right away; its future need not be awaited.
         drop(self.handle.stop(false));
     }
 }
--- a/crates/stand-ins/src/endpoint/record.rs
+++ b/crates/stand-ins/src/endpoint/record.rs
@@ -1,46 +1,46 @@
-//! What the endpoint stand-in remembers of every task that reached it.
+//! Records of every task that reached the endpoint stand-in.
 
 use model::{AttemptId, CustomerId, EndpointId, TaskKind};
 use serde::{Deserialize, Serialize};
 
-/// How a run ended.
+/// The outcome of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunEnd {
-    /// It ran to its end.
+    /// The task completed.
     Done,
-    /// It ran and failed.
+    /// The task ran and failed.
     Failed,
 }
 
-/// A task that started.
+/// Record of a task that started.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StartRecord {
-    /// Counts the starts of this endpoint, from 0.
+    /// Index of the start at this endpoint, from 0.
     pub order: u64,
     /// The attempt.
     pub attempt: AttemptId,
-    /// Whose task.
+    /// The customer that owns the task.
     pub customer: CustomerId,
-    /// The kind.
+    /// The kind of the task.
     pub kind: TaskKind,
     /// Digest of the payload, see [`digest`](super::digest).
     pub digest: String,
-    /// The payload where it is text of at most 1 KiB.
+    /// The payload, if it is text of at most 1 KiB.
     pub payload: Option<String>,
-    /// When it started, in milliseconds since the stand-in did.
+    /// When the task started, in milliseconds since the start of the stand-in.
     pub started_ms: u64,
-    /// The same in microseconds.
+    /// When the task started, in microseconds since the start of the stand-in.
     pub started_us: u64,
-    /// When it ended, in microseconds since the stand-in did; absent while it runs.
+    /// When the run ended, in microseconds since the start of the stand-in; absent while it runs.
     pub ended_us: Option<u64>,
     /// How long the endpoint had been leaving at the start, in milliseconds.
     pub leaving_for_ms: Option<u64>,
-    /// How it ended; absent while it runs.
+    /// The outcome; absent while the task runs.
     pub end: Option<RunEnd>,
 }
 
-/// Why a task was turned away unstarted.
+/// Why a task was refused without being started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalCause {
@@ -50,39 +50,39 @@
     Leaving,
 }
 
-/// A task that was turned away unstarted.
+/// Record of a task that was refused without being started.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RefusalRecord {
     /// The attempt.
     pub attempt: AttemptId,
-    /// Why.
+    /// Why the task was refused.
     pub cause: RefusalCause,
-    /// When it came, in milliseconds since the stand-in started.
+    /// When the task arrived, in milliseconds since the start of the stand-in.
     pub came_ms: u64,
-    /// How long the endpoint had been leaving, in milliseconds.
+    /// How long the endpoint had been leaving on arrival, in milliseconds.
     pub leaving_for_ms: Option<u64>,
 }
 
-/// Everything that an endpoint stand-in remembers.
+/// Everything that an endpoint stand-in has recorded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointRecord {
-    /// The endpoint.
+    /// The id of the endpoint.
     pub id: EndpointId,
-    /// When this was read, in milliseconds since the stand-in started.
+    /// When this record was read, in milliseconds since the start of the stand-in.
     #[serde(default)]
     pub now_ms: u64,
-    /// Tasks at once.
+    /// The most concurrent tasks that the endpoint accepts.
     pub slots: u32,
     /// The time since the stand-in started, in microseconds.
     pub age_us: u64,
-    /// The most that ran at once.
+    /// The most tasks that ran concurrently.
     pub most_running: u32,
-    /// What runs now.
+    /// The number of tasks running now.
     pub running: u32,
-    /// Whether it is leaving.
+    /// Whether the endpoint is leaving.
     pub leaving: bool,
     /// Every start, in order.
     pub starts: Vec<StartRecord>,
-    /// Every task turned away, in order.
+    /// Every refused task, in order.
     pub refusals: Vec<RefusalRecord>,
 }
--- a/crates/stand-ins/src/endpoint/server.rs
+++ b/crates/stand-ins/src/endpoint/server.rs
@@ -1,4 +1,4 @@
-//! HTTP side of the endpoint stand-in.
+//! HTTP server of the endpoint stand-in.
 
 use std::{
     any::Any,
@@ -24,11 +24,11 @@
     task::TaskScript,
 };
 
-/// A connection, kept so that a fault can close it under the library's hands.
+/// A duplicated handle on a connection, by which a fault can close it without going through the HTTP library.
 #[derive(Clone)]
 struct OpenConnection(Arc<TcpStream>);
 
-/// Binds, serves on a thread of its own, and gives the address and the handle to stop it.
+/// Binds the address, serves on a separate thread, and returns the bound address and a handle to stop the server.
 pub(super) fn serve(state: Arc<EndpointState>) -> io::Result<(SocketAddr, ServerHandle)> {
     let data = Data::from(Arc::clone(&state));
     let settings = state.settings().clone();
@@ -51,7 +51,7 @@
     let handle = server.handle();
     actix_rt::spawn(async move {
         if let Err(error) = server.await {
-            log::warn!("endpoint stand-in: server ended: {error}");
+            log::warn!("endpoint stand-in: server failed: {error}");
         }
     });
     Ok((address, handle))
@@ -67,7 +67,9 @@
             state.add_connection(&connection);
             extensions.insert(OpenConnection(connection));
         }
-        Err(error) => log::warn!("endpoint stand-in: connection not kept: {error}"),
+        Err(error) => {
+            log::warn!("endpoint stand-in: cannot duplicate a connection handle: {error}")
+        }
     }
 }
 
@@ -93,7 +95,7 @@
         Err(cause) => return answer::refuse_task(attempt, cause),
     };
     let fault = started.fault;
-    // A task of its own: the library drops this handler when the caller goes away, but a run that started goes on.
+    // Spawned, since the library drops this handler when the caller disconnects, but a started run must continue.
     let run = actix_rt::spawn(run_to_end(Arc::clone(&state), received, started));
     if fault == Fault::CloseAtStart {
         return close_silently(&connection).await;
@@ -153,7 +155,7 @@
     }
 }
 
-/// Closes the connection; the answer given back then has nowhere to go.
+/// Closes the connection. The returned answer cannot be sent any more.
 async fn close_silently(connection: &OpenConnection) -> HttpResponse {
     let _ = connection.0.shutdown(Shutdown::Both);
     HttpResponse::InternalServerError().finish()
--- a/crates/stand-ins/src/endpoint/state.rs
+++ b/crates/stand-ins/src/endpoint/state.rs
@@ -1,4 +1,4 @@
-//! State of the endpoint stand-in: slots, the fault on show, the record, open connections.
+//! State of the endpoint stand-in: slots, the requested fault, the record and open connections.
 
 use std::{
     net::{Shutdown, TcpStream},
@@ -19,10 +19,10 @@
     task, EndpointSettings,
 };
 
-/// The longest payload that the record keeps as text, in bytes.
+/// The longest payload that is recorded as text, in bytes.
 const MAX_TEXT_BYTES: usize = 1024;
 
-/// A task as it received.
+/// A task received in a request.
 #[derive(Clone, Debug)]
 pub(super) struct ReceivedTask {
     pub(super) attempt: AttemptId,
@@ -31,13 +31,13 @@
     pub(super) payload: Vec<u8>,
 }
 
-/// A task that started: its place in the record and the fault to show for it.
+/// A task that started, with its index in the record and the fault to inject.
 pub(super) struct StartedRun {
     pub(super) start_index: usize,
     pub(super) fault: Fault,
 }
 
-/// An answer that waits to be swapped with another.
+/// An answer that is waiting to be swapped with another.
 struct PendingSwap {
     id: u64,
     own: TaskAnswer,
@@ -116,7 +116,7 @@
         mutable.fault_request = request;
     }
 
-    /// Takes a slot and records the start, or says why not.
+    /// Takes a slot and records the start, or records and returns why the task is refused.
     pub(super) fn admit(&self, received: &ReceivedTask) -> Result<StartedRun, RefusalCause> {
         let mut mutable = self.lock();
         let leaving_for = mutable.leaving_since.map(|since| since.elapsed());
@@ -146,7 +146,7 @@
         Ok(StartedRun { start_index, fault })
     }
 
-    /// Frees the slot of a run and records its end.
+    /// Frees the slot of a run and records its outcome.
     pub(super) fn finish(&self, start_index: usize, end: RunEnd) {
         let mut mutable = self.lock();
         mutable.running -= 1;
@@ -154,7 +154,8 @@
         mutable.starts[start_index].ended_us = Some(micros(self.started_at.elapsed()));
     }
 
-    /// Swaps an answer with one that waits, or waits for the next for at most `limit`.
+    /// Swaps an answer with the waiting one, or waits at most `limit` for the next one. Returns the answer unchanged if
+    /// none arrives.
     pub(super) async fn swap_answer(&self, own: TaskAnswer, limit: Duration) -> TaskAnswer {
         let id = self.next_swap_id.fetch_add(1, Ordering::Relaxed);
         let receiver = {
@@ -194,7 +195,7 @@
             let Some(connection) = weak.upgrade() else {
                 continue;
             };
-            // It fails only where the other side has closed already.
+            // Fails only if the peer has already closed the connection.
             let _ = connection.shutdown(Shutdown::Both);
         }
     }
@@ -230,7 +231,7 @@
 }
 
 impl MutableState {
-    /// The fault for this task; a counted order is used up by one.
+    /// Returns the fault for this task and uses up one of a limited number of times.
     fn take_fault(&mut self) -> Fault {
         let fault = self.fault_request.fault;
         if let Some(times) = &mut self.fault_request.times {
--- a/crates/stand-ins/src/endpoint/task.rs
+++ b/crates/stand-ins/src/endpoint/task.rs
@@ -1,43 +1,43 @@
-//! What a payload asks of the endpoint stand-in.
+//! Instructions for the endpoint stand-in in the payload of a task.
 
 use std::{hash::Hasher, time::Duration};
 
 use rustc_hash::FxHasher;
 use serde::{Deserialize, Serialize};
 
-/// The JSON form of a payload. Any other payload runs for the default time and is its own result.
+/// The instructions of a JSON payload. Any other payload runs for the default time and is returned as the result.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct TaskScript {
     /// Run time in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub run_ms: Option<u64>,
-    /// The result; the payload itself where absent.
+    /// The result; the payload itself if absent.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub echo: Option<String>,
-    /// Fails after its run.
+    /// Whether the task fails after its run.
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     pub fail: bool,
-    /// The result is this many zero bytes, for results that are too large.
+    /// Makes the result this many zero bytes, to test results that are too large.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub result_bytes: Option<usize>,
-    /// A name by which a test finds the task again. The stand-in only records it with the payload.
+    /// A name by which a test identifies the task. The stand-in only records it with the payload.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub label: Option<String>,
 }
 
 impl TaskScript {
-    /// Reads a payload; all defaults where it is not a script.
+    /// Parses a payload; returns the defaults if it is not a valid script.
     pub fn read(payload: &[u8]) -> Self {
         serde_json::from_slice(payload).unwrap_or_default()
     }
 
-    /// The run time.
+    /// Returns the run time, or `default` if the script sets none.
     pub fn run_time(&self, default: Duration) -> Duration {
         self.run_ms.map_or(default, Duration::from_millis)
     }
 
-    /// The result of a run with this payload.
+    /// Returns the result of a run with this payload.
     pub fn result(&self, payload: &[u8]) -> Vec<u8> {
         if let Some(size) = self.result_bytes {
             return vec![0; size];
@@ -49,7 +49,7 @@
     }
 }
 
-/// A digest by which equal payloads are known: 16 hexadecimal digits, the same in every run.
+/// Returns a digest that identifies equal payloads: 16 hexadecimal digits, the same in every process.
 pub fn digest(payload: &[u8]) -> String {
     let mut hasher = FxHasher::default();
     hasher.write(payload);
--- a/crates/stand-ins/src/forwarder/control.rs
+++ b/crates/stand-ins/src/forwarder/control.rs
@@ -1,4 +1,4 @@
-//! Control calls of the forwarder.
+//! HTTP control calls of the forwarder.
 
 use std::{io, net::SocketAddr, sync::Arc};
 
@@ -29,7 +29,7 @@
     let handle = server.handle();
     actix_rt::spawn(async move {
         if let Err(error) = server.await {
-            log::warn!("net forwarder: control server ended: {error}");
+            log::warn!("net forwarder: control server failed: {error}");
         }
     });
     Ok((address, handle))
--- a/crates/stand-ins/src/forwarder/link.rs
+++ b/crates/stand-ins/src/forwarder/link.rs
@@ -1,4 +1,4 @@
-//! One link: its listener, its connections, its mode.
+//! A link with a listener of its own, its connections and its mode.
 
 use std::{
     io,
@@ -17,13 +17,13 @@
 
 use crate::forwarder::{listen::LinkListener, pump, CutConnect, LinkMode, OpenDirection};
 
-/// A change of mode; `done` is told when it is in force.
+/// A change of mode; `done` is notified when it is in force.
 pub(super) struct LinkCommand {
     pub(super) mode: LinkMode,
     pub(super) done: oneshot::Sender<()>,
 }
 
-/// What a link counts.
+/// Counters of a link.
 #[derive(Default)]
 pub(super) struct LinkCounters {
     pub(super) open: AtomicU64,
@@ -32,7 +32,7 @@
 }
 
 impl LinkCounters {
-    /// Open connections, bytes forward, bytes back.
+    /// Returns the open connections, the bytes forward and the bytes back.
     pub(super) fn read(&self) -> (u64, u64, u64) {
         let read = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         (
@@ -43,19 +43,19 @@
     }
 }
 
-/// What the connections of a link see of its mode.
+/// The state that a mode sets for the connections of a link.
 #[derive(Clone, Copy, Default)]
 pub(super) struct FlowState {
-    /// New connections are closed at once, where the listener cannot refuse them.
+    /// Whether new connections are closed at once, used if a shared listener cannot refuse them.
     pub(super) refuses: bool,
     pub(super) forward_silent: bool,
     pub(super) back_silent: bool,
     pub(super) delay: Duration,
-    /// Counts the resets; a connection ends when it changes.
+    /// Number of resets. A connection ends when it changes.
     pub(super) resets: u64,
 }
 
-/// A link before its task runs.
+/// The parameters of the task that serves a link.
 pub(super) struct LinkTask {
     pub(super) listener: std::net::TcpListener,
     pub(super) address: SocketAddr,
@@ -65,11 +65,11 @@
 }
 
 impl LinkTask {
-    /// Serves until the link's handle is dropped; its connections end then too.
+    /// Serves until the link's handle is dropped, which also ends its connections.
     pub(super) async fn run(self) {
         let address = self.address;
         if let Err(error) = self.serve().await {
-            log::warn!("net forwarder: link at {address} ended: {error}");
+            log::warn!("net forwarder: link at {address} failed: {error}");
         }
     }
 
@@ -90,7 +90,7 @@
                         return Ok(());
                     };
                     flow.send_modify(|state| apply_mode(state, command.mode));
-                    // The port is free only once the socket before is closed.
+                    // The port becomes free only when the previous socket is closed.
                     drop(listener);
                     listener = listen_in_mode(command.mode, address).await?;
                     let _ = command.done.send(());
@@ -119,7 +119,7 @@
     });
 }
 
-/// Puts a mode in force for the connections of a link.
+/// Applies a mode to the connections of a link.
 pub(super) fn apply_mode(state: &mut FlowState, mode: LinkMode) {
     let resets = state.resets;
     *state = match mode {
--- a/crates/stand-ins/src/forwarder/listen.rs
+++ b/crates/stand-ins/src/forwarder/listen.rs
@@ -7,20 +7,20 @@
     time::timeout,
 };
 
-/// Connections that may wait to be accepted on an open link.
+/// The most connections waiting to be accepted on an open link.
 const BACKLOG: u32 = 1024;
-/// A filler that takes longer than this to connect has found the queue full.
+/// If a filler connection takes longer than this to connect, the queue is full.
 const FILLER_TIMEOUT: Duration = Duration::from_millis(30);
-/// The most fillers tried. The smallest queue that the kernel makes takes one or two.
+/// The most filler connections tried. The smallest accept queue of the kernel takes one or two.
 const MAX_FILLERS: usize = 8;
 
-/// A socket on the link's port.
+/// The socket that holds the port of a link.
 pub(super) enum LinkListener {
-    /// Takes connections.
+    /// Accepts connections.
     Open(TcpListener),
-    /// Holds the port without listening, so that connects are refused and nobody else gets the port.
+    /// Binds the port without listening, so that connects are refused and no other process gets the port.
     Refusing(#[expect(dead_code, reason = "held for its port")] TcpSocket),
-    /// Listens with a full queue that nobody empties: the kernel drops further connects, which hang.
+    /// Listens with a full accept queue that is never drained: the kernel drops further connects, so they hang.
     Hanging(
         #[expect(dead_code, reason = "held for its queue")] TcpListener,
         #[expect(dead_code, reason = "held to fill the queue")] Vec<TcpStream>,
@@ -48,7 +48,7 @@
         Ok(Self::Hanging(listener, fillers))
     }
 
-    /// The next connection; never one unless the listener is open.
+    /// Returns the next connection; waits forever unless the listener is open.
     pub(super) async fn accept(&self) -> io::Result<TcpStream> {
         match self {
             Self::Open(listener) => Ok(listener.accept().await?.0),
@@ -62,7 +62,7 @@
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
         SocketAddr::V6(_) => TcpSocket::new_v6()?,
     };
-    // Connections of the listener before are still open on this port.
+    // Connections accepted by the previous listener are still open on this port.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     Ok(socket)
--- a/crates/stand-ins/src/forwarder/mod.rs
+++ b/crates/stand-ins/src/forwarder/mod.rs
@@ -1,8 +1,8 @@
-//! Stand-in of the network: forwards TCP on loopback over named links that can be cut, slowed and reset.
+//! Stand-in for the network: forwards TCP on loopback over named links that can be cut, delayed and reset.
 //!
-//! A process under test is told a link's address in place of its peer's. A cut does what a network partition does:
-//! open connections go silent, with bytes neither delivered nor reset, and what was written comes through when the
-//! link heals. The control calls are `GET /control/links` and `POST /control/links` with a [`LinkRequest`].
+//! A process under test gets the address of a link instead of that of its peer. A cut behaves like a network partition:
+//! open connections go silent without a reset, and written bytes are delivered only when the link heals.
+//! The control calls are `GET /control/links` and `POST /control/links` with a [`LinkRequest`].
 
 mod control;
 mod link;
@@ -39,7 +39,7 @@
     Refuse,
 }
 
-/// The way in which bytes still pass on a link cut one way.
+/// The direction that still passes bytes on a link that is cut in the other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OpenDirection {
@@ -49,79 +49,79 @@
     Back,
 }
 
-/// What a link does.
+/// How a link treats connections and bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "mode", rename_all = "snake_case")]
 pub enum LinkMode {
-    /// Forwards.
+    /// Forwards in both directions.
     #[default]
     Pass,
-    /// Nothing passes; open connections are silent.
+    /// Passes nothing; open connections go silent.
     Cut {
-        /// New connections.
+        /// What happens to new connections.
         #[serde(default)]
         connects: CutConnect,
     },
-    /// Open connections pass bytes one way only. New ones hang, since a handshake needs both ways.
+    /// Open connections pass bytes in one direction only. New ones hang, since a handshake needs both directions.
     OneWay {
-        /// The way that is open.
+        /// The direction that is open.
         open: OpenDirection,
     },
     /// Resets every open connection, then forwards.
     Reset,
-    /// Forwards each byte this much later, both ways.
+    /// Delays each byte in both directions.
     Delay {
-        /// Milliseconds one way.
+        /// Delay in each direction, in milliseconds.
         ms: u64,
     },
 }
 
-/// A change of one link, or of all.
+/// A request to change the mode of one link, or of all.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LinkRequest {
-    /// The link; every one where absent.
+    /// The name of the link; all links if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub link: Option<String>,
-    /// What it does from now on.
+    /// The new mode.
     #[serde(flatten)]
     pub mode: LinkMode,
 }
 
-/// What a link is doing.
+/// Status of a link.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LinkStatus {
-    /// Its name.
+    /// The name of the link.
     pub link: String,
-    /// Where it listens.
+    /// The address that the link listens on.
     pub address: SocketAddr,
-    /// Where it forwards to.
+    /// The address that it forwards to.
     pub target: SocketAddr,
-    /// What it does.
+    /// The current mode.
     #[serde(flatten)]
     pub mode: LinkMode,
-    /// Connections open now.
+    /// Number of open connections.
     pub open: u64,
     /// Bytes delivered to the target.
     pub forward_bytes: u64,
-    /// Bytes delivered back.
+    /// Bytes delivered back to the connecting side.
     pub back_bytes: u64,
 }
 
-/// An order that names no link.
+/// Error for a request that names a link which does not exist.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("no link {0:?}")]
+#[error("link {0:?} does not exist")]
 pub struct UnknownLink(pub String);
 
-/// Says who opened a connection, by the address that it comes from.
+/// Finds the name of the source that opened a connection from its source address; `None` if it is unknown.
 pub type SourceFinder = Arc<dyn Fn(SocketAddr) -> Option<String> + Send + Sync>;
 
-/// A running forwarder with a thread of its own. Dropping it closes every link.
+/// A forwarder that runs on its own thread. Dropping it closes every link.
 pub struct NetForwarder {
     shared: Arc<SharedLinks>,
     control: Option<(SocketAddr, ServerHandle)>,
 }
 
-/// The links, shared with the control server.
+/// The links, shared between the forwarder and the control server.
 struct SharedLinks {
     links: Mutex<FastMap<String, LinkHandle>>,
     tasks: mpsc::UnboundedSender<ForwarderTask>,
@@ -132,11 +132,11 @@
     Shared(SharedLinkTask),
 }
 
-/// How a link is told its mode.
+/// How a change of mode reaches a link.
 enum ModeControl {
-    /// By its own task, which has a listener to change too.
+    /// Through its own task, which also changes its listener.
     Task(mpsc::UnboundedSender<LinkCommand>),
-    /// By its flow alone: the listener belongs to several links.
+    /// Through its flow state only, since the listener is shared by several links.
     Flow(watch::Sender<FlowState>),
 }
 
@@ -149,11 +149,11 @@
 }
 
 impl NetForwarder {
-    /// Starts without links.
+    /// Starts a forwarder without links.
     ///
     /// # Errors
     ///
-    /// The thread or its runtime cannot be made.
+    /// The thread or its runtime cannot be created.
     pub fn start() -> io::Result<Self> {
         let (tasks, receiver) = mpsc::unbounded_channel();
         let runtime = tokio::runtime::Builder::new_current_thread()
@@ -169,8 +169,8 @@
         })
     }
 
-    /// Serves the control calls, for forwarders that are driven from another process. Call it inside an actix
-    /// `System`.
+    /// Serves the control calls, for forwarders controlled from another process, and returns the bound address. Must be
+    /// called inside an actix `System`.
     ///
     /// # Errors
     ///
@@ -181,8 +181,8 @@
         Ok(address)
     }
 
-    /// Adds a link to `target` and gives the address that stands for it. The target need not listen yet. A link of
-    /// the same name is replaced and closed.
+    /// Adds a link to `target` and returns the address to connect to in its place. The target need not listen yet. A
+    /// link of the same name is replaced and closed.
     ///
     /// # Errors
     ///
@@ -212,13 +212,13 @@
         Ok(address)
     }
 
-    /// Adds one address for `target` that stands for several links, one for each source, and gives that address.
-    /// `links` has the name of each source with that of its link; `finder` tells the source of a connection. One of
-    /// no source named passes.
+    /// Adds one address for `target` that is shared by several links, one per source, and returns that address.
+    /// `links` lists the name of each source with the name of its link; `finder` determines the source of a
+    /// connection. Connections of other sources always pass.
     ///
-    /// It is for targets that are known by one address to everybody. Since the listener is shared, a new connection
-    /// over a link that is cut comes about here and then stays silent, or is closed at once, where a link of its own
-    /// would hang or refuse.
+    /// This is for targets that all sources know by the same address. Since the listener is shared, a new connection
+    /// over a cut link is accepted and then stays silent, or is closed at once, where a link with a listener of its
+    /// own would let it hang or refuse it.
     ///
     /// # Errors
     ///
@@ -263,19 +263,19 @@
 
     fn run(&self, task: ForwarderTask) -> io::Result<()> {
         let sent = self.shared.tasks.send(task);
-        sent.map_err(|_| io::Error::other("the forwarder's thread has ended"))
+        sent.map_err(|_| io::Error::other("the thread of the forwarder has ended"))
     }
 
-    /// Changes a link, or all, and waits until the change is in force.
+    /// Changes the mode of a link, or of all, and waits until the change is in force.
     ///
     /// # Errors
     ///
-    /// The order names no link.
+    /// The request names a link that does not exist.
     pub async fn apply(&self, request: LinkRequest) -> Result<(), UnknownLink> {
         self.shared.apply(request).await
     }
 
-    /// What the links are doing, by name.
+    /// Returns the status of all links, sorted by name.
     pub fn status(&self) -> Vec<LinkStatus> {
         self.shared.status()
     }
@@ -283,8 +283,8 @@
 
 impl Drop for NetForwarder {
     fn drop(&mut self) {
-        // The control server may outlive this by a moment, so the links are closed here: a link ends when its
-        // command channel does.
+        // The control server may briefly outlive the forwarder and keep the shared links alive, so they are closed
+        // here: a link ends when its command channel closes.
         self.shared.lock().clear();
         if let Some((_, handle)) = &self.control {
             drop(handle.stop(false));
@@ -295,7 +295,7 @@
 impl SharedLinks {
     async fn apply(&self, request: LinkRequest) -> Result<(), UnknownLink> {
         for done in self.send(&request)? {
-            // An error says that the link was closed meanwhile: nothing is left to change.
+            // Fails only if the link has been closed in the meantime, so there is nothing left to change.
             let _ = done.await;
         }
         Ok(())
@@ -337,7 +337,7 @@
         let (done, receiver) = oneshot::channel();
         match &self.mode_control {
             ModeControl::Task(commands) => {
-                // The link's task ends only after this handle is dropped.
+                // Fails only if the link's task has failed; normally it ends after this handle is dropped.
                 let _ = commands.send(LinkCommand { mode, done });
             }
             ModeControl::Flow(flow) => {
@@ -363,7 +363,7 @@
 }
 
 async fn run_links(mut tasks: mpsc::UnboundedReceiver<ForwarderTask>) {
-    // The runtime, and with it every link, ends when the forwarder and its control server are gone.
+    // The runtime ends, and with it every link, when the forwarder and its control server are dropped.
     while let Some(task) = tasks.recv().await {
         match task {
             ForwarderTask::Link(task) => tokio::spawn(task.run()),
--- a/crates/stand-ins/src/forwarder/pump.rs
+++ b/crates/stand-ins/src/forwarder/pump.rs
@@ -1,4 +1,4 @@
-//! Moves the bytes of one connection, each way through a bounded delay line.
+//! Copies the bytes of one connection, with a bounded delay queue for each direction.
 
 use std::{
     io,
@@ -18,12 +18,12 @@
 
 use crate::forwarder::link::{FlowState, LinkCounters};
 
-/// The most bytes read at once.
+/// The most bytes read at a time.
 const CHUNK_BYTES: usize = 16 * 1024;
-/// The most chunks of one direction on their way. Beyond it the sender feels back pressure, as on a full network.
+/// The most chunks in transit in one direction. More put back pressure on the sender, like a congested network.
 const MAX_CHUNKS: usize = 64;
 
-/// Bytes on their way, with the time they may arrive.
+/// Bytes in transit, with the time from which they may be delivered.
 struct DelayedChunk {
     due: Instant,
     bytes: Vec<u8>,
@@ -46,8 +46,8 @@
 
 /// Forwards one connection to `target` until it ends, is reset, or the link closes.
 ///
-/// A connection that was accepted while nothing could pass reaches the target only after the heal, since a handshake
-/// needs both ways.
+/// A connection accepted while either direction is silent reaches the target only after the link heals, since a
+/// handshake needs both directions.
 pub(super) async fn forward(
     mut near: TcpStream,
     target: SocketAddr,
@@ -56,8 +56,8 @@
 ) -> io::Result<()> {
     near.set_nodelay(true)?;
     let passes = |state: &FlowState| !state.forward_silent && !state.back_silent;
-    // Counted before the connect: the target has the connection as soon as its kernel took it, and a reset that comes
-    // before this side goes on would otherwise be missed.
+    // Read before connecting: the target may use the connection as soon as its kernel has accepted it, and a reset
+    // that arrives before this task continues would otherwise be missed.
     let resets = match flow.wait_for(passes).await {
         Ok(state) => state.resets,
         Err(_) => return Err(io::ErrorKind::ConnectionReset.into()),
@@ -93,12 +93,12 @@
     ended
 }
 
-/// Ends when the connection is to be reset, or the link closes.
+/// Waits until the connection is to be reset or the link closes.
 async fn wait_for_reset(flow: &mut watch::Receiver<FlowState>, resets: u64) {
     let _ = flow.wait_for(|state| state.resets != resets).await;
 }
 
-/// Moves bytes one way until the sender's end, and passes that end on.
+/// Copies bytes in one direction until the sender closes, and passes the close on.
 async fn copy_one_way(
     from: ReadHalf<'_>,
     to: WriteHalf<'_>,
@@ -122,7 +122,7 @@
         let count = from.read(&mut bytes).await?;
         bytes.truncate(count);
         let due = Instant::now() + flow.borrow().delay;
-        // An empty chunk stands for the end, so that it too waits for a cut link to heal.
+        // An empty chunk marks the end of the stream, so that the close also waits until a cut link heals.
         if sender.send(DelayedChunk { due, bytes }).await.is_err() || count == 0 {
             return Ok(());
         }
--- a/crates/stand-ins/src/forwarder/shared.rs
+++ b/crates/stand-ins/src/forwarder/shared.rs
@@ -1,4 +1,4 @@
-//! Several links behind one address, told apart by who opens a connection.
+//! Several links that share one address, distinguished by the source of a connection.
 
 use std::{io, net::SocketAddr, sync::Arc};
 
@@ -13,13 +13,13 @@
     SourceFinder,
 };
 
-/// The flow of one source.
+/// The flow state and counters of the link of one source.
 pub(super) struct SourceFlow {
     pub(super) flow: watch::Receiver<FlowState>,
     pub(super) counters: Arc<LinkCounters>,
 }
 
-/// The links before their task runs.
+/// The parameters of the task that serves the links of one shared address.
 pub(super) struct SharedLinkTask {
     pub(super) listener: std::net::TcpListener,
     pub(super) target: SocketAddr,
@@ -32,7 +32,7 @@
     pub(super) async fn run(self) {
         let target = self.target;
         if let Err(error) = self.serve().await {
-            log::warn!("net forwarder: links to {target} ended: {error}");
+            log::warn!("net forwarder: links to {target} failed: {error}");
         }
     }
 
@@ -44,7 +44,7 @@
             finder,
         } = self;
         let listener = TcpListener::from_std(listener)?;
-        // What no source is known of has a flow of its own, which lasts as long as this task.
+        // Connections of an unknown source use a flow of their own, which always passes and lasts as long as this task.
         let (_pass, pass) = watch::channel(FlowState::default());
         let unknown_source = SourceFlow {
             flow: pass,
@@ -62,11 +62,11 @@
             let (finder, flows, unknown_source) =
                 (finder.clone(), flows.clone(), unknown_source.clone());
             tokio::spawn(async move {
-                // The search reads tables of the kernel for tens of milliseconds where there are many sockets. On this
-                // thread it would hold up the bytes of all links, and processes take each other for dead.
+                // The search reads tables of the kernel, which takes tens of milliseconds with many sockets. On this
+                // thread it would delay the bytes of all links, and processes would take each other for dead.
                 let source = tokio::task::spawn_blocking(move || finder(from)).await;
                 let source = source.unwrap_or_else(|error| {
-                    log::warn!("net forwarder: search for a source failed: {error}");
+                    log::warn!("net forwarder: cannot find the source of a connection: {error}");
                     None
                 });
                 let flow = source.and_then(|source| flows.get(&source));
@@ -78,7 +78,7 @@
 
 fn forward(near: TcpStream, target: SocketAddr, source: &SourceFlow) {
     if source.flow.borrow().refuses {
-        // Fails only where the connection is gone already.
+        // Fails only if the connection is already closed.
         let _ = near.set_zero_linger();
         return;
     }
@@ -86,7 +86,7 @@
     spawn_forward(near, target, source.flow.clone(), counters);
 }
 
-/// Ends when the handle of some flow is dropped, which happens to all at once.
+/// Waits until the sender of a flow is dropped. Those of all flows are dropped together.
 async fn wait_for_close(flows: &FastMap<String, SourceFlow>) {
     let Some(one) = flows.values().next() else {
         return std::future::pending().await;
--- a/crates/stand-ins/src/lib.rs
+++ b/crates/stand-ins/src/lib.rs
@@ -1,4 +1,4 @@
-//! Small stand-ins of the platform, endpoints and the network, for tests and the demo.
+//! Lightweight stand-ins for the platform, endpoints and the network, for tests and the demo.
 
 pub mod endpoint;
 pub mod forwarder;
--- a/crates/stand-ins/src/platform/connection.rs
+++ b/crates/stand-ins/src/platform/connection.rs
@@ -1,4 +1,4 @@
-//! Handles on the callers' connections, by which a fault closes one without an answer.
+//! Handles on the callers' connections, which let a fault close a connection without an answer.
 
 use std::{
     any::Any,
@@ -9,24 +9,24 @@
 
 use actix_web::{dev::Extensions, rt::net::TcpStream, HttpRequest, HttpResponse};
 
-/// A second handle on one connection.
+/// A duplicated handle on a connection.
 struct ConnectionHandle(StdTcpStream);
 
 impl ConnectionHandle {
     fn close(&self) {
-        // It fails only when the caller closed first, which comes to the same.
+        // Fails only if the caller has already closed the connection, which has the same effect.
         let _ = self.0.shutdown(Shutdown::Both);
     }
 }
 
-/// Every open connection of a server. Clones share the list.
+/// The open connections of a server. Clones share the same list.
 #[derive(Clone, Default)]
 pub(super) struct OpenConnections {
     handles: Arc<Mutex<Vec<Weak<ConnectionHandle>>>>,
 }
 
 impl OpenConnections {
-    /// Takes a handle on a new connection.
+    /// Registers a handle on a new connection.
     pub(super) fn register(&self, connection: &dyn Any, extensions: &mut Extensions) {
         let Some(stream) = connection.downcast_ref::<TcpStream>() else {
             return;
@@ -50,8 +50,8 @@
     }
 }
 
-/// Closes the caller's connection. The response that the handler has to give is written to the closed connection
-/// and gets no further.
+/// Closes the caller's connection. The returned response, which a handler must give, is written to the closed
+/// connection and never sent.
 pub(super) fn close_connection(request: &HttpRequest) -> HttpResponse {
     if let Some(handle) = request.conn_data::<Arc<ConnectionHandle>>() {
         handle.close();
--- a/crates/stand-ins/src/platform/control.rs
+++ b/crates/stand-ins/src/platform/control.rs
@@ -1,6 +1,6 @@
-//! Control endpoints of tests and experimenters, untouched by faults.
+//! Control endpoints for tests and manual experiments, not affected by faults.
 //!
-//! `GET/PUT /control/faults` ([`FaultSettings`], as a whole), `PUT /control/vms` (`{"vms":[…]}`),
+//! `GET/PUT /control/faults` ([`FaultSettings`], always complete), `PUT /control/vms` (`{"vms":[…]}`),
 //! `GET /control/stats`.
 
 use actix_web::{web, HttpResponse};
--- a/crates/stand-ins/src/platform/faults.rs
+++ b/crates/stand-ins/src/platform/faults.rs
@@ -1,27 +1,27 @@
-//! Faults of the service that a test switches on.
+//! Faults of the platform service that a test can enable.
 
 use serde::{Deserialize, Serialize};
 
 use super::table::WriteRequest;
 
-/// Every fault. The default is none.
+/// All faults. The default is no fault.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FaultSettings {
-    /// Whether calls get through at all.
+    /// Whether calls are served at all.
     pub down: DownMode,
-    /// Added before each call is looked at, in milliseconds.
+    /// Delay before each call is processed, in milliseconds.
     pub slow_ms: u64,
     /// Which transactions get no answer.
     pub answer_loss: AnswerLoss,
-    /// Writes of others that come first.
+    /// Writes by other writers that are committed before certain transactions.
     pub racing_writes: Vec<RacingWrite>,
-    /// The VM list is given as of so many milliseconds ago.
+    /// Age of the VM list that is returned, in milliseconds.
     pub stale_vms_ms: u64,
 }
 
 impl FaultSettings {
-    /// Only this kind of outage.
+    /// Enables only this kind of outage.
     pub fn down(down: DownMode) -> Self {
         Self {
             down,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Only a racing writer.
+    /// Enables only a racing write.
     pub fn racing(write: RacingWrite) -> Self {
         Self {
             racing_writes: vec![write],
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Only the loss of the next answers.
+    /// Loses only the next `next` answers.
     pub fn losing(next: u32, when: LossTime) -> Self {
         let answer_loss = AnswerLoss {
             next,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Only the loss of a part of all answers after the write took effect, chosen by a seed.
+    /// Loses only a fraction of all answers, chosen by a seed, after the write took effect.
     pub fn losing_part(fraction: f64, seed: u64) -> Self {
         let answer_loss = AnswerLoss {
             fraction,
@@ -65,7 +65,7 @@
 }
 
 impl RacingWrite {
-    /// Others write these rows just before the next transactions that touch a row.
+    /// Creates writes that are committed just before each of the next `times` transactions that touch the row.
     pub fn before(table: &str, key: &str, times: u32, writes: Vec<WriteRequest>) -> Self {
         Self {
             table: table.to_owned(),
@@ -76,36 +76,36 @@
     }
 }
 
-/// Whether calls get through.
+/// Which calls are served.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DownMode {
-    /// They do.
+    /// All calls are served.
     #[default]
     Up,
-    /// Each is answered 503 and has no effect.
+    /// Each call is answered 503 and has no effect.
     Unavailable,
     /// Each connection is closed without an answer; the call has no effect.
     Closed,
-    /// Transactions are answered 503 without effect; reads get through.
+    /// Transactions and object writes are answered 503 without effect; reads are served.
     WritesUnavailable,
 }
 
-/// Which transactions get no answer: their connection is closed.
+/// Which transactions get no answer. Their connection is closed instead.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct AnswerLoss {
-    /// The next so many, whatever the fraction.
+    /// The number of next transactions without an answer, regardless of the fraction.
     pub next: u32,
-    /// The part of all transactions, from 0 to 1.
+    /// The fraction of all transactions, from 0 to 1.
     pub fraction: f64,
-    /// Seed of the choice by fraction.
+    /// Seed for choosing transactions by `fraction`.
     pub seed: u64,
-    /// What becomes of a transaction without an answer.
+    /// Whether and when a transaction without an answer takes effect.
     pub when: LossTime,
 }
 
-/// When the answer is lost.
+/// When the answer is lost relative to the write.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LossTime {
@@ -114,11 +114,12 @@
     AfterWrite,
     /// Before it: the write never takes effect.
     BeforeWrite,
-    /// At once, and the write takes effect so many milliseconds later, if its expectations still hold.
+    /// Immediately; the write takes effect this many milliseconds after its normal time, if its expected versions
+    /// still hold.
     LandsLater(u64),
 }
 
-/// Writes of others just before the next transaction that touches a row.
+/// Writes by other writers just before the next transactions that touch a row.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RacingWrite {
@@ -126,20 +127,20 @@
     pub table: String,
     /// The key of the row.
     pub key: String,
-    /// How many transactions are raced.
+    /// The number of transactions that are preceded by these writes.
     pub times: u32,
-    /// What the other writes, without regard to versions; nothing: it writes the row again as it is.
+    /// The writes of the other writer, which ignore versions. If empty, it rewrites the row with its current value.
     pub writes: Vec<WriteRequest>,
 }
 
-/// What becomes of one transaction's answer.
+/// Whether the answer to a transaction is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AnswerDelivery {
     Sent,
     Lost(LossTime),
 }
 
-/// The faults with the state of their choices.
+/// The fault settings with the generator that decides on random faults.
 #[derive(Debug)]
 pub(super) struct FaultPlan {
     pub(super) settings: FaultSettings,
@@ -164,7 +165,7 @@
         AnswerDelivery::Sent
     }
 
-    /// Takes the racing writes that come before this transaction.
+    /// Returns the racing writes to commit before this transaction, and counts them as used.
     pub(super) fn take_racing_writes(&mut self, writes: &[WriteRequest]) -> Vec<RacingWrite> {
         let mut races = Vec::new();
         for race in &mut self.settings.racing_writes {
--- a/crates/stand-ins/src/platform/mod.rs
+++ b/crates/stand-ins/src/platform/mod.rs
@@ -1,8 +1,8 @@
 //! Stand-in for the platform's HTTP service: tables, objects and the VM list, all in memory, with faults that a test
-//! switches on and off.
+//! can enable and disable.
 //!
-//! The borders are those of `docs/design/0001-interfaces.md`. Faults are set in process or by `PUT /control/faults`;
-//! calls under `/control/` are never slowed, cut or counted.
+//! The interfaces are specified in `docs/design/0001-interfaces.md`. Faults are set in process or by
+//! `PUT /control/faults`; calls under `/control/` are never delayed, cut or counted.
 
 mod connection;
 mod control;
@@ -30,13 +30,13 @@
     timing::ServiceTimes,
 };
 
-/// The largest request body, in bytes. A group commit of keys is the largest that the system sends.
+/// The largest request body, in bytes. The largest that the system sends is a group commit of keys.
 const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 
-/// How a stand-in starts.
+/// Settings of a [`PlatformStandIn`].
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
-    /// Where to listen. Port 0 lets the system choose.
+    /// The address to listen on; with port 0 the system chooses a port.
     pub address: SocketAddr,
     /// How long reads and writes take.
     pub times: ServiceTimes,
@@ -57,7 +57,8 @@
     }
 }
 
-/// A running stand-in. Dropping it leaves it running until the actix system ends; [`Self::stop`] ends it.
+/// A running platform stand-in. It keeps running after it is dropped, until the actix system ends; [`Self::stop`] ends
+/// it.
 pub struct PlatformStandIn {
     address: SocketAddr,
     handle: ServerHandle,
@@ -77,7 +78,7 @@
         Self::serve(address, state)
     }
 
-    /// Starts again after [`Self::stop`], at the same address and with the same rows, like a store that was down.
+    /// Restarts after [`Self::stop`] at the same address with the same rows, like a store after an outage.
     ///
     /// # Errors
     ///
@@ -115,7 +116,7 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -123,7 +124,8 @@
     /// Stops listening and closes every connection at once. Later connections are refused.
     pub async fn stop(&self) {
         self.handle.stop(false).await;
-        // The server does not wait for its workers here, so a kept-alive connection might answer once more.
+        // The server does not wait for its workers here, so a keep-alive connection could still answer one more
+        // request.
         self.connections.close_all();
     }
 
@@ -132,7 +134,7 @@
         self.state.set_faults(faults);
     }
 
-    /// The faults with what is left of them.
+    /// Returns the faults with their remaining counts.
     pub fn faults(&self) -> FaultSettings {
         self.state.faults()
     }
@@ -142,17 +144,17 @@
         self.state.set_vms(vms);
     }
 
-    /// Counts since the start.
+    /// Returns the counts since the start.
     pub fn stats(&self) -> PlatformStats {
         self.state.stats()
     }
 
-    /// A row as it stands, past every fault.
+    /// Returns the current row, bypassing all faults.
     pub fn row(&self, table: &str, key: &str) -> Option<TableRow> {
         self.state.peek(table, key)
     }
 
-    /// Writes rows past every fault and wait, like another writer would.
+    /// Commits writes immediately, bypassing all faults and service times, like another writer.
     pub fn write_now(&self, writes: Vec<WriteRequest>) -> Result<Vec<u64>, Vec<RowConflict>> {
         self.state.write_now(&writes)
     }
--- a/crates/stand-ins/src/platform/routes.rs
+++ b/crates/stand-ins/src/platform/routes.rs
@@ -1,4 +1,4 @@
-//! The HTTP routes that the system uses.
+//! The HTTP routes of the platform that the system uses.
 
 use actix_web::{web, HttpRequest, HttpResponse};
 use serde::{Deserialize, Serialize};
@@ -11,7 +11,7 @@
     table::{RowConflict, TableRow, WriteRequest},
 };
 
-/// Rows of a list when the caller names no limit, and the most that one may name.
+/// The default and the maximum number of rows in a list.
 const MAX_LIST_ROWS: usize = 1000;
 
 type State = web::Data<PlatformState>;
@@ -117,7 +117,7 @@
         }
         AnswerDelivery::Sent | AnswerDelivery::Lost(LossTime::AfterWrite) => {}
     }
-    // A task of its own: the write takes effect also when the caller gives up and closes its connection.
+    // Spawned, so that the write takes effect even if the caller gives up and closes its connection.
     let Ok(result) = commit_at(&state, writes, Instant::from_std(end)).await else {
         return unavailable();
     };
@@ -165,7 +165,7 @@
     HttpResponse::Ok().json(serde_json::json!({ "vms": state.vms() }))
 }
 
-/// Slows the call, and answers it here when the service is down.
+/// Delays the call, and returns the answer if an outage prevents it from being served.
 async fn apply_outage(
     request: &HttpRequest,
     state: &PlatformState,
@@ -183,7 +183,7 @@
     }
 }
 
-/// Commits at a time to come.
+/// Spawns a task that commits the writes at the given time.
 fn commit_at(
     state: &State,
     writes: Vec<WriteRequest>,
@@ -196,7 +196,7 @@
     })
 }
 
-/// The answer of a service that is down.
+/// Returns the answer of a service that is down.
 fn unavailable() -> HttpResponse {
     HttpResponse::ServiceUnavailable().body("unavailable")
 }
--- a/crates/stand-ins/src/platform/state.rs
+++ b/crates/stand-ins/src/platform/state.rs
@@ -1,4 +1,4 @@
-//! The state behind the HTTP routes.
+//! Shared state of the HTTP routes.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -17,25 +17,25 @@
     PlatformSettings,
 };
 
-/// Old VM lists kept for a stale answer.
+/// The most VM lists kept, including old ones for stale answers.
 const MAX_KEPT_VM_LISTS: usize = 1000;
 
-/// Counts since the start. Calls turned away by a fault are not counted.
+/// Counts since the start. Calls rejected by a fault are not counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlatformStats {
     /// Reads of rows, lists, objects and the VM list.
     pub reads: u64,
-    /// Rows given by reads of rows and lists.
+    /// Rows returned by reads of rows and lists.
     pub rows_read: u64,
     /// Transactions that took effect.
     pub transactions: u64,
-    /// Transactions that met a conflict.
+    /// Transactions that failed with a conflict.
     pub conflicts: u64,
     /// Rows written by transactions.
     pub rows_written: u64,
 }
 
-/// Everything behind one lock: each use is short and none waits.
+/// The state behind a single lock, which is held only briefly and never across a wait.
 pub(super) struct PlatformState {
     inner: Mutex<Inner>,
 }
@@ -43,7 +43,7 @@
 struct Inner {
     tables: TableStore,
     objects: BTreeMap<String, Bytes>,
-    /// VM lists with the time since which each held, newest last.
+    /// VM lists with the time from which each was valid, newest last.
     vm_lists: VecDeque<(Instant, Vec<VmEntry>)>,
     faults: FaultPlan,
     service_queue: ServiceQueue,
@@ -105,12 +105,12 @@
         self.lock().tables.commit(writes)
     }
 
-    /// When a read that came now gets its answer.
+    /// Reserves a read that arrives now and returns when it is answered.
     pub(super) fn read_end(&self, rows: usize) -> Instant {
         self.lock().service_queue.read_end(Instant::now(), rows)
     }
 
-    /// When a transaction that came now takes effect.
+    /// Reserves a write that arrives now and returns when it takes effect.
     pub(super) fn write_end(&self, rows: usize) -> Instant {
         self.lock().service_queue.write_end(Instant::now(), rows)
     }
@@ -134,7 +134,7 @@
         rows
     }
 
-    /// Lets racing writers go first, then commits.
+    /// Applies racing writes, then commits the transaction.
     pub(super) fn commit(&self, writes: &[WriteRequest]) -> Result<Vec<u64>, Vec<RowConflict>> {
         let mut inner = self.lock();
         inner.apply_racing_writes(writes);
@@ -159,7 +159,7 @@
         inner.objects.get(name).cloned()
     }
 
-    /// The VM list, as old as the fault says.
+    /// Returns the VM list of the age that the faults set, or the oldest one kept.
     pub(super) fn vms(&self) -> Vec<VmEntry> {
         let mut inner = self.lock();
         inner.stats.reads += 1;
@@ -190,7 +190,7 @@
             for mut write in race.writes {
                 write.expect = ExpectedVersion::Any;
                 let single = std::slice::from_ref(&write);
-                // A write that expects nothing cannot conflict.
+                // A write that accepts any version cannot conflict.
                 let _ = self.tables.commit(single);
             }
         }
--- a/crates/stand-ins/src/platform/table.rs
+++ b/crates/stand-ins/src/platform/table.rs
@@ -1,29 +1,29 @@
-//! Rows with versions, and transactions that take effect as a whole or not at all.
+//! Versioned rows and atomic transactions.
 
 use std::{collections::BTreeMap, ops::Bound};
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// A row as reads give it.
+/// A row as returned by reads.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TableRow {
-    /// Counts the writes of the row, from 1.
+    /// Number of writes of the row, from 1.
     pub version: u64,
-    /// The content.
+    /// The value of the row.
     pub value: Value,
 }
 
-/// What a write expects to find.
+/// The version of a row that a write requires.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExpectedVersion {
-    /// No row.
+    /// The row must not exist.
     Absent,
-    /// Whatever is there.
+    /// Any version, or no row.
     #[default]
     Any,
-    /// A row of just this version.
+    /// The row must have exactly this version.
     Version(u64),
 }
 
@@ -35,24 +35,24 @@
     pub table: String,
     /// The row's key.
     pub key: String,
-    /// What the write expects to find.
+    /// The version that the write requires.
     pub expect: ExpectedVersion,
-    /// The new content.
+    /// The new value of the row.
     pub value: Value,
 }
 
-/// A write that found something else than it expected.
+/// A write that did not find the version that it requires.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowConflict {
     /// The table.
     pub table: String,
     /// The row's key.
     pub key: String,
-    /// The version that is there, or nothing for no row.
+    /// The current version, or `None` if there is no row.
     pub version: Option<u64>,
 }
 
-/// Every table of the service.
+/// All tables of the service.
 #[derive(Debug, Default)]
 pub(super) struct TableStore {
     rows: BTreeMap<(String, String), TableRow>,
@@ -63,7 +63,7 @@
         self.rows.get(&(table.to_owned(), key.to_owned()))
     }
 
-    /// Rows of a table in key order, from the first key greater than `after`.
+    /// Returns at most `limit` rows of a table in key order, starting after the key `after`.
     pub(super) fn list(&self, table: &str, after: &str, limit: usize) -> Vec<(&str, &TableRow)> {
         let start = Bound::Excluded((table.to_owned(), after.to_owned()));
         self.rows
@@ -74,7 +74,7 @@
             .collect()
     }
 
-    /// Takes effect as a whole, or gives every conflict and changes nothing.
+    /// Commits all writes and returns the new versions, or returns every conflict and changes nothing.
     pub(super) fn commit(&mut self, writes: &[WriteRequest]) -> Result<Vec<u64>, Vec<RowConflict>> {
         let conflicts = self.conflicts(writes);
         if !conflicts.is_empty() {
@@ -83,7 +83,8 @@
         Ok(writes.iter().map(|w| self.put(w)).collect())
     }
 
-    /// Writes a row again with the content that it has, or an empty one, so that only its version changes.
+    /// Increments the version of a row without changing its value. A row that does not exist is created with an empty
+    /// object.
     pub(super) fn bump(&mut self, table: &str, key: &str) {
         let row = self
             .rows
--- a/crates/stand-ins/src/platform/timing.rs
+++ b/crates/stand-ins/src/platform/timing.rs
@@ -1,15 +1,17 @@
-//! How long the service takes: writes one after the other, reads at a bounded rate.
+//! Service times of the platform: writes are executed one after another, reads at a bounded rate.
 
 use std::time::{Duration, Instant};
 
-/// The times of the service.
+/// Service times of reads and writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServiceTimes {
-    /// One transaction, from its turn to its synced effect. Transactions take turns, so 4 ms are 250 a second.
+    /// Time of one transaction until it is synced. Transactions are executed one after another, so 4 ms allow 250 per
+    /// second.
     pub write: Duration,
-    /// Added for each row of a transaction after the first.
+    /// Additional time for each row of a transaction after the first.
     pub write_row: Duration,
-    /// One read, and one for each full hundred rows of a list. Reads take turns, so 0.5 ms are 2,000 a second.
+    /// Time of one read; a list takes one more for each full hundred rows. Reads are executed one after another, so
+    /// 0.5 ms allow 2,000 per second.
     pub read: Duration,
 }
 
@@ -23,7 +25,7 @@
     }
 }
 
-/// When the next write and the next read get their turn.
+/// Tracks when the service is free for the next write and the next read.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ServiceQueue {
     times: ServiceTimes,
@@ -40,7 +42,7 @@
         }
     }
 
-    /// When a transaction that came now takes effect.
+    /// Queues a transaction that arrives at `now` and returns when it takes effect.
     pub(super) fn write_end(&mut self, now: Instant, rows: usize) -> Instant {
         let extra_rows = u32::try_from(rows.saturating_sub(1)).unwrap_or(u32::MAX);
         let time = self.times.write + self.times.write_row * extra_rows;
@@ -48,7 +50,7 @@
         self.write_free
     }
 
-    /// When a read that came now gets its answer.
+    /// Queues a read that arrives at `now` and returns when it is answered.
     pub(super) fn read_end(&mut self, now: Instant, rows: usize) -> Instant {
         let read_units = u32::try_from(1 + rows / 100).unwrap_or(u32::MAX);
         self.read_free = self.read_free.max(now) + self.times.read * read_units;
--- a/crates/stand-ins/tests/forwarder.rs
+++ b/crates/stand-ins/tests/forwarder.rs
@@ -1,4 +1,4 @@
-//! The network stand-in: what each link mode does to open and to new connections.
+//! The effects of each link mode of the network stand-in on open and new connections.
 
 use std::{
     io,
@@ -16,11 +16,11 @@
     time::timeout,
 };
 
-/// Long enough for bytes to pass on loopback, and the time for which silence is watched.
+/// How long a connection is watched for silence. Bytes on loopback take less.
 const WATCH: Duration = Duration::from_millis(150);
 const LONG: Duration = Duration::from_secs(5);
 
-/// A target that answers each byte by the same byte.
+/// Starts a target that echoes each byte.
 async fn echo_target() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -35,7 +35,7 @@
     address
 }
 
-/// A target that hands out the connections it accepts.
+/// Connects through a new link and returns both ends of the connection.
 async fn open_pair(forwarder: &NetForwarder) -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let link = forwarder
@@ -81,9 +81,8 @@
     assert_eq!(status.back_bytes, text.len() as u64);
 }
 
-// What both sides see: silence, no error; after the heal, everything that was written, in order.
-// Order: an open connection, the cut, writes on both sides, the heal.
-// Why: a partition drops packets; it sends no resets, and TCP sends again after it.
+// A partition drops packets without a reset, and TCP retransmits afterwards. So bytes written on both sides of an open
+// connection during a cut must cause no error, and must arrive in order after the link heals.
 #[actix_rt::test]
 async fn cut_holds_bytes_until_the_heal() {
     let forwarder = NetForwarder::start().unwrap();
@@ -112,11 +111,9 @@
     assert_eq!((&there, &back), (b"there", b"back"));
 }
 
-// What the far side sees: nothing of the near side's close until the heal.
-// Order: the cut, the near side closes, the heal.
-// Why: the close is a packet too.
+// A close is a packet too: if the near side closes during a cut, the far side must not see it until the link heals.
 #[actix_rt::test]
-async fn cut_holds_a_close_back() {
+async fn cut_delays_a_close_until_the_heal() {
     let forwarder = NetForwarder::start().unwrap();
     let (near, mut far) = open_pair(&forwarder).await;
     set_mode(
@@ -186,7 +183,7 @@
         let forwarder = NetForwarder::start().unwrap();
         let link = forwarder.add_link("a-b", echo_target().await).unwrap();
         set_mode(&forwarder, mode).await;
-        // The second must hang like the first: the first may not have taken the last place of a queue.
+        // The second must hang like the first, which must not have taken the last place in the accept queue.
         for _ in 0..2 {
             let connected = timeout(WATCH, TcpStream::connect(link)).await;
             let error = connected.ok().map(|result| result.unwrap_err().kind());
@@ -223,7 +220,7 @@
     set_mode(&forwarder, LinkMode::Delay { ms: 100 }).await;
     let mut stream = TcpStream::connect(link).await.unwrap();
     let start = Instant::now();
-    // Many chunks: on their way together, so all take one delay and not one each.
+    // The many chunks are in transit together, so they take one delay in total, not one each.
     let text = "x".repeat(200_000);
     assert_eq!(echoed(&mut stream, &text).await.unwrap().len(), text.len());
     let took = start.elapsed();
@@ -267,9 +264,9 @@
     assert_eq!(error, UnknownLink("a-x".to_owned()));
 }
 
-// What each side sees: of two sources that use one address, only the cut one goes silent.
-// Order: a connection of each, a cut of one link, traffic on both; new connections while it is cut; the heal.
-// Why: dispatchers are known by one address to everybody, and a partition still lies between two of them only.
+// Everybody knows a dispatcher by the same address, yet a partition may separate only two dispatchers. So with two
+// sources that connect to one address, a cut of the link of one must silence its open and new connections until the
+// link heals, and must not affect those of the other.
 #[actix_rt::test]
 async fn shared_links_are_cut_by_source() {
     let forwarder = NetForwarder::start().unwrap();
@@ -325,11 +322,11 @@
     }
 }
 
-/// Finding out who opened a connection reads tables of the kernel, which takes tens of milliseconds on a machine with
-/// many sockets. Bytes of other connections must pass meanwhile: a delay here looks like a silent peer to processes
-/// whose sessions live by answers within half a second.
+/// Finding the source of a connection reads tables of the kernel, which takes tens of milliseconds on a machine with
+/// many sockets. Bytes of other connections must pass meanwhile: sessions need answers within half a second, so a delay
+/// here would make a peer look silent.
 #[actix_rt::test]
-async fn a_slow_search_for_the_source_delays_nobody_else() {
+async fn a_slow_source_search_does_not_delay_other_connections() {
     let forwarder = NetForwarder::start().unwrap();
     let plain = forwarder.add_link("plain", echo_target().await).unwrap();
     let mut open = TcpStream::connect(plain).await.unwrap();
