--- a/crates/stand-ins/src/endpoint/server.rs
+++ b/crates/stand-ins/src/endpoint/server.rs
@@ -68,7 +68,7 @@
             extensions.insert(OpenConnection(connection));
         }
         Err(error) => {
-            log::warn!("endpoint stand-in: cannot duplicate a connection handle: {error}")
+            log::warn!("endpoint stand-in: connection not duplicated: {error}")
         }
     }
 }
