--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -111,9 +111,9 @@
 
     fn check_worker_capacity(&mut self) {
         for run in &self.record.runs {
-            let here = self.record.runs.iter().filter(|r| r.life == run.life);
-            let beside = here.filter(|r| r.began <= run.began && !has_ended(r, run.began));
-            let count = beside.count();
+            let on_worker = self.record.runs.iter().filter(|r| r.life == run.life);
+            let concurrent = on_worker.filter(|r| r.began <= run.began && !has_ended(r, run.began));
+            let count = concurrent.count();
             if count > MAX_WORKER_RUNS {
                 let details = format!("{count} runs on life {} at {:?}", run.life, run.began);
                 self.add_violation(Promise::Room, details);
@@ -180,13 +180,13 @@
     }
 
     fn check_orphans(&mut self) {
-        let mut last: FastMap<JobId, Duration> = FastMap::default();
+        let mut last_ends: FastMap<JobId, Duration> = FastMap::default();
         for job in &self.record.jobs {
             let ended = job.attempts.iter().map(|attempt| attempt.ended).max();
-            last.insert(job.id, ended.unwrap_or(self.record.ended));
+            last_ends.insert(job.id, ended.unwrap_or(self.record.ended));
         }
         for run in &self.record.runs {
-            let ended = last.get(&run.task.job).copied();
+            let ended = last_ends.get(&run.task.job).copied();
             if ended.is_none_or(|ended| run.began > ended + ORPHAN_START_LIMIT) {
                 let details = format!("{} began at {:?}, answered {ended:?}", run.task, run.began);
                 self.add_violation(Promise::Orphan, details);
@@ -250,9 +250,9 @@
     }
 
     fn check_config(&mut self) {
-        let mut known: FastMap<(usize, usize), u64> = FastMap::default();
+        let mut newest_versions: FastMap<(usize, usize), u64> = FastMap::default();
         for probe in &self.record.probes {
-            let newest = known.entry((probe.node, probe.life)).or_default();
+            let newest = newest_versions.entry((probe.node, probe.life)).or_default();
             if probe.known {
                 *newest = probe.version.max(*newest);
                 continue;
@@ -277,10 +277,10 @@
 
     fn check_recovery(&mut self) {
         let from = self.record.healed + RECOVERY_LIMIT;
-        let after = self.record.jobs.iter();
-        let after = after.filter(|job| job.attempts.first().is_some_and(|a| a.sent >= from));
+        let jobs = self.record.jobs.iter();
+        let jobs = jobs.filter(|job| job.attempts.first().is_some_and(|a| a.sent >= from));
         let (mut all, mut served) = (0, 0);
-        for job in after {
+        for job in jobs {
             all += 1;
             served += usize::from(job.ended_with(200));
         }
--- a/crates/soak/src/customers.rs
+++ b/crates/soak/src/customers.rs
@@ -113,13 +113,13 @@
             .timeout(DEADLINE + CLIENT_WAIT_MARGIN * 2);
         let body = job_body(tasks, 100).to_string();
         let sent = self.now();
-        let whole = async {
+        let complete_answer = async {
             let mut answer = request.send_body(body).await.ok()?;
             let status = answer.status().as_u16();
             answer.body().await.ok()?;
             Some(status)
         };
-        let end = match actix_rt::time::timeout(wait_limit, whole).await {
+        let end = match actix_rt::time::timeout(wait_limit, complete_answer).await {
             Ok(Some(status)) => AttemptEnd::Answered(status),
             Ok(None) => AttemptEnd::Broken,
             Err(_) => AttemptEnd::GaveUp,
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -44,7 +44,7 @@
 
 /// The records and follow-ups of an injected fault.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct FaultTrace {
+pub(crate) struct InjectionTrace {
     pub(crate) disturbances: Vec<Disturbance>,
     pub(crate) drains: Vec<DrainTrace>,
     /// The follow-ups, each with its delay.
@@ -55,13 +55,13 @@
 pub(crate) async fn inject_fault(
     fleet: &mut SoakFleet,
     kind: FaultKind,
-) -> Result<FaultTrace, SoakError> {
+) -> Result<InjectionTrace, SoakError> {
     let now = fleet.now();
-    let FaultTrace {
+    let InjectionTrace {
         mut disturbances,
         mut drains,
         mut follow_ups,
-    } = FaultTrace::default();
+    } = InjectionTrace::default();
     let mut add_disturbance = |scope, planned, length| {
         disturbances.push(Disturbance {
             scope,
@@ -153,7 +153,7 @@
         }
         FaultKind::Configure => (),
     }
-    Ok(FaultTrace {
+    Ok(InjectionTrace {
         disturbances,
         drains,
         follow_ups,
--- a/crates/stand-ins/tests/forwarder.rs
+++ b/crates/stand-ins/tests/forwarder.rs
@@ -17,8 +17,8 @@
 };
 
 /// How long a connection is watched for silence. Bytes on loopback take less.
-const WATCH: Duration = Duration::from_millis(150);
-const LONG: Duration = Duration::from_secs(5);
+const SILENCE_WINDOW: Duration = Duration::from_millis(150);
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Starts a target that echoes each byte.
 async fn echo_target() -> SocketAddr {
@@ -54,12 +54,14 @@
 async fn echoed(stream: &mut TcpStream, text: &str) -> io::Result<String> {
     stream.write_all(text.as_bytes()).await?;
     let mut bytes = vec![0; text.len()];
-    timeout(LONG, stream.read_exact(&mut bytes)).await??;
+    timeout(READ_TIMEOUT, stream.read_exact(&mut bytes)).await??;
     Ok(String::from_utf8(bytes).unwrap())
 }
 
 async fn is_silent(stream: &mut TcpStream) -> bool {
-    timeout(WATCH, stream.read(&mut [0; 1])).await.is_err()
+    timeout(SILENCE_WINDOW, stream.read(&mut [0; 1]))
+        .await
+        .is_err()
 }
 
 #[actix_rt::test]
@@ -100,11 +102,11 @@
     assert!(is_silent(&mut near).await);
     set_mode(&forwarder, LinkMode::Pass).await;
     let (mut there, mut back) = ([0; 5], [0; 4]);
-    timeout(LONG, far.read_exact(&mut there))
+    timeout(READ_TIMEOUT, far.read_exact(&mut there))
         .await
         .unwrap()
         .unwrap();
-    timeout(LONG, near.read_exact(&mut back))
+    timeout(READ_TIMEOUT, near.read_exact(&mut back))
         .await
         .unwrap()
         .unwrap();
@@ -126,7 +128,10 @@
     drop(near);
     assert!(is_silent(&mut far).await);
     set_mode(&forwarder, LinkMode::Pass).await;
-    let count = timeout(LONG, far.read(&mut [0; 1])).await.unwrap().unwrap();
+    let count = timeout(READ_TIMEOUT, far.read(&mut [0; 1]))
+        .await
+        .unwrap()
+        .unwrap();
     assert_eq!(count, 0);
 }
 
@@ -142,7 +147,7 @@
             OpenDirection::Forward => (&mut far, &mut near),
             OpenDirection::Back => (&mut near, &mut far),
         };
-        let count = timeout(LONG, passing.read(&mut [0; 1]))
+        let count = timeout(READ_TIMEOUT, passing.read(&mut [0; 1]))
             .await
             .unwrap()
             .unwrap();
@@ -185,7 +190,7 @@
         set_mode(&forwarder, mode).await;
         // The second must hang like the first, which must not have taken the last place in the accept queue.
         for _ in 0..2 {
-            let connected = timeout(WATCH, TcpStream::connect(link)).await;
+            let connected = timeout(SILENCE_WINDOW, TcpStream::connect(link)).await;
             let error = connected.ok().map(|result| result.unwrap_err().kind());
             assert_eq!(error, expect, "{mode:?}");
         }
@@ -205,7 +210,9 @@
     let (mut near, mut far) = open_pair(&forwarder).await;
     set_mode(&forwarder, LinkMode::Reset).await;
     for stream in [&mut near, &mut far] {
-        let read = timeout(LONG, stream.read(&mut [0; 1])).await.unwrap();
+        let read = timeout(READ_TIMEOUT, stream.read(&mut [0; 1]))
+            .await
+            .unwrap();
         assert_eq!(read.unwrap_err().kind(), io::ErrorKind::ConnectionReset);
     }
     let link = forwarder.add_link("other", echo_target().await).unwrap();
@@ -309,12 +316,14 @@
     assert_eq!(echoed(&mut b, "b2").await.unwrap(), "b2");
     forwarder.apply(cut(CutConnect::Refuse)).await.unwrap();
     let mut refused = connect("a").await;
-    let read = timeout(LONG, refused.read(&mut [0; 1])).await.unwrap();
+    let read = timeout(READ_TIMEOUT, refused.read(&mut [0; 1]))
+        .await
+        .unwrap();
     assert_eq!(read.unwrap_err().kind(), io::ErrorKind::ConnectionReset);
     forwarder.apply(request(LinkMode::Pass)).await.unwrap();
     for (stream, expect) in [(&mut a, b"a2"), (&mut new, b"n1")] {
         let mut bytes = [0; 2];
-        timeout(LONG, stream.read_exact(&mut bytes))
+        timeout(READ_TIMEOUT, stream.read_exact(&mut bytes))
             .await
             .unwrap()
             .unwrap();
