--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -22,10 +22,10 @@
 /// stand-in.
 const CLOCK_SLACK: Duration = Duration::from_millis(20);
 
-/// How long after it was announced as draining a worker may still get work, with some slack.
+/// How long a worker may still get work after it was announced as draining, with some slack.
 const DRAIN_LIMIT: Duration = Duration::from_millis(2_500);
 
-/// How long after it was written a configuration takes to be in force, with some slack.
+/// How long a configuration takes to be in force after it was written, with some slack.
 const CONFIG_LIMIT: Duration = Duration::from_millis(2_500);
 
 /// A connection that ends without an answer this long after its request was sent counts as cut. If it ends earlier, the
