--- a/crates/stand-ins/src/endpoint/server.rs
+++ b/crates/stand-ins/src/endpoint/server.rs
@@ -67,9 +67,7 @@
             state.add_connection(&connection);
             extensions.insert(OpenConnection(connection));
         }
-        Err(error) => {
-            log::warn!("endpoint stand-in: connection not duplicated: {error}")
-        }
+        Err(error) => log::warn!("endpoint stand-in: connection not duplicated: {error}"),
     }
 }
 
