--- a/crates/request-keys/tests/recorder.rs
+++ b/crates/request-keys/tests/recorder.rs
@@ -204,7 +204,7 @@
     );
     assert!(start.elapsed() < ms(400), "{:?}", start.elapsed());
 
-    let stand_in = stand_in.start_again().unwrap();
+    let stand_in = stand_in.restart().unwrap();
     let after_restart = recorder.record(request("up", record(1, 2), ms(3000))).await;
     assert_eq!(after_restart, KeyResult::Recorded);
     stand_in.set_faults(FaultSettings::down(DownMode::Unavailable));
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use model::{Contract, CustomerId, DataCentreId, IdempotencyKey};
-use stand_ins::{endpoint::FaultOrder, forwarder::CutConnect};
+use stand_ins::{endpoint::FaultRequest, forwarder::CutConnect};
 
 /// A whole scenario.
 #[derive(Clone, Debug, PartialEq)]
@@ -265,7 +265,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EndpointChange {
     /// Injects a fault, or returns to healthy.
-    Fault(FaultOrder),
+    Fault(FaultRequest),
     /// Marks the endpoint as leaving in the VM list. It still accepts tasks, and its record shows how long it had been
     /// leaving at each start.
     Leave,
--- a/crates/soak/src/customers.rs
+++ b/crates/soak/src/customers.rs
@@ -1,4 +1,4 @@
-//! Customers: hand jobs in, again where they got no answer, and ask which routes are known.
+//! Simulated customers: submit jobs, retry unanswered ones, and probe which routes the nodes know.
 
 use std::{cell::RefCell, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -13,36 +13,36 @@
     record::{AttemptEnd, AttemptTrace, JobTrace, ProbeTrace, SoakRecord},
 };
 
-/// How long customers wait for an answer.
+/// The deadline that customers send with a job.
 const DEADLINE: Duration = Duration::from_millis(2_500);
 
-/// How much longer they wait than they say.
-const PATIENCE: Duration = Duration::from_millis(1_000);
+/// How much longer than the deadline customers wait for an answer.
+const CLIENT_WAIT_MARGIN: Duration = Duration::from_millis(1_000);
 
-/// When a job is handed in again that got no answer: above the leases of workers.
-const RETRY: Duration = Duration::from_millis(1_300);
+/// Delay before an unanswered job is submitted again. It exceeds the leases of workers.
+const RETRY_DELAY: Duration = Duration::from_millis(1_300);
 
-/// How often at most.
-const MOST_ATTEMPTS: usize = 3;
+/// The most attempts for one job.
+const MAX_ATTEMPTS: usize = 3;
 
-/// The share of customers that leave early.
-const LEAVERS: f64 = 0.04;
+/// The share of attempts that customers abandon early.
+const EARLY_LEAVE_SHARE: f64 = 0.04;
 
-/// How long a probe waits.
-const PROBE_LIMIT: Duration = Duration::from_millis(800);
+/// How long a probe waits for an answer.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The connections of customers to one node.
-const CLIENTS: usize = 8;
+/// The HTTP clients that customers share for each node.
+const CLIENTS_PER_NODE: usize = 8;
 
-/// What customers share.
-pub(crate) struct CustomerCrowd {
+/// The state that all simulated customers share.
+pub(crate) struct CustomerSimulator {
     began: std::time::Instant,
     nodes: Vec<SocketAddr>,
     clients: Vec<Vec<Client>>,
     pub(crate) record: Rc<RefCell<SoakRecord>>,
 }
 
-impl CustomerCrowd {
+impl CustomerSimulator {
     pub(crate) fn new(
         began: std::time::Instant,
         nodes: Vec<SocketAddr>,
@@ -50,7 +50,7 @@
     ) -> Self {
         let clients = nodes
             .iter()
-            .map(|_| (0..CLIENTS).map(|_| Client::default()).collect());
+            .map(|_| (0..CLIENTS_PER_NODE).map(|_| Client::default()).collect());
         Self {
             began,
             clients: clients.collect(),
@@ -63,8 +63,8 @@
         self.began.elapsed()
     }
 
-    /// Hands one job in, up to its last answer.
-    pub(crate) async fn hand_in(&self, mut rng: Rng) {
+    /// Submits one job, with retries, until it gets a final answer, its customer leaves early, or no attempt is left.
+    pub(crate) async fn submit_job(&self, mut rng: Rng) {
         let id = JobId(rng.u64(..));
         let tasks = rng.u32(1..7);
         let index = {
@@ -77,23 +77,23 @@
             });
             record.jobs.len() - 1
         };
-        for _ in 0..MOST_ATTEMPTS {
-            let leaves = rng.f64() < LEAVERS;
-            let patience = if leaves {
+        for _ in 0..MAX_ATTEMPTS {
+            let leaves_early = rng.f64() < EARLY_LEAVE_SHARE;
+            let wait_limit = if leaves_early {
                 Duration::from_millis(rng.u64(5..300))
             } else {
-                DEADLINE + PATIENCE
+                DEADLINE + CLIENT_WAIT_MARGIN
             };
-            let attempt = self.attempt(&mut rng, id, tasks, patience).await;
+            let attempt = self.attempt(&mut rng, id, tasks, wait_limit).await;
             self.record.borrow_mut().jobs[index].attempts.push(attempt);
             let unanswered = matches!(
                 attempt.end,
                 AttemptEnd::Broken | AttemptEnd::GaveUp | AttemptEnd::Answered(502 | 504)
             );
-            if leaves || !unanswered {
+            if leaves_early || !unanswered {
                 return;
             }
-            actix_rt::time::sleep(RETRY).await;
+            actix_rt::time::sleep(RETRY_DELAY).await;
         }
     }
 
@@ -102,24 +102,24 @@
         rng: &mut Rng,
         id: JobId,
         tasks: u32,
-        patience: Duration,
+        wait_limit: Duration,
     ) -> AttemptTrace {
         let node = rng.usize(..self.nodes.len());
-        let client = &self.clients[node][rng.usize(..CLIENTS)];
+        let client = &self.clients[node][rng.usize(..CLIENTS_PER_NODE)];
         let request = client
             .post(format!("http://{}{PREFIX}{id}", self.nodes[node]))
             .insert_header(("Host", HOST))
             .insert_header((DEADLINE_HEADER, DEADLINE.as_millis().to_string()))
-            .timeout(DEADLINE + PATIENCE * 2);
+            .timeout(DEADLINE + CLIENT_WAIT_MARGIN * 2);
         let body = job_body(tasks, 100).to_string();
         let sent = self.now();
-        let whole = async {
+        let complete_answer = async {
             let mut answer = request.send_body(body).await.ok()?;
             let status = answer.status().as_u16();
             answer.body().await.ok()?;
             Some(status)
         };
-        let end = match actix_rt::time::timeout(patience, whole).await {
+        let end = match actix_rt::time::timeout(wait_limit, complete_answer).await {
             Ok(Some(status)) => AttemptEnd::Answered(status),
             Ok(None) => AttemptEnd::Broken,
             Err(_) => AttemptEnd::GaveUp,
@@ -132,13 +132,13 @@
         }
     }
 
-    /// Asks a node whether it knows the route that came with a version. None without an answer that says so.
+    /// Asks a node whether it knows the route added by `version`. Returns `None` if the answer does not tell.
     pub(crate) async fn probe(&self, node: usize, version: u64) -> Option<bool> {
         let prefix = added_prefix(version);
         let request = self.clients[node][0]
             .get(format!("http://{}{prefix}", self.nodes[node]))
             .insert_header(("Host", HOST))
-            .timeout(PROBE_LIMIT);
+            .timeout(PROBE_TIMEOUT);
         match request.send().await.ok()?.status().as_u16() {
             200 => Some(true),
             404 => Some(false),
@@ -146,8 +146,8 @@
         }
     }
 
-    /// Writes a probe down.
-    pub(crate) fn note_probe(&self, trace: ProbeTrace) {
+    /// Adds a probe to the record.
+    pub(crate) fn record_probe(&self, trace: ProbeTrace) {
         self.record.borrow_mut().probes.push(trace);
     }
 }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,132 +1,134 @@
-//! Which faults a seed stands for.
+//! Generates the sequence of faults from a seed.
 
 use std::time::Duration;
 
 use fastrand::Rng;
 use platform_stand_ins::{ExecutorFault, StoreFault};
-use stand_ins::forwarder::{CutConnect, LinkMode, OpenWay};
+use stand_ins::forwarder::{CutConnect, LinkMode, OpenDirection};
 
-/// What a run is made of.
+/// Parameters of one soak run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SoakPlan {
-    /// Decides the faults and their times.
+    /// Seed that determines the faults and their times.
     pub seed: u64,
-    /// How long faults go on. Some seconds of recovery come after them.
-    pub time: Duration,
+    /// How long faults are injected. Some seconds of recovery follow.
+    pub fault_duration: Duration,
     /// The number of nodes.
     pub nodes: usize,
-    /// The number of workers. Two tasks fit on each.
+    /// The number of workers. Each runs up to two tasks at a time.
     pub workers: usize,
-    /// Jobs a second.
+    /// Submitted jobs per second.
     pub rate: f64,
-    /// Whether workers start again under their ids. Seeds that failed before there was that are played without.
-    pub rebirths: bool,
+    /// Whether workers are restarted under their ids. Known seeds are replayed without it, since they failed in runs
+    /// that had no such restarts.
+    pub worker_restarts: bool,
 }
 
 impl Default for SoakPlan {
     fn default() -> Self {
         Self {
             seed: 1,
-            time: Duration::from_secs(20),
+            fault_duration: Duration::from_secs(20),
             nodes: 4,
             workers: 12,
             rate: 40.0,
-            rebirths: true,
+            worker_restarts: true,
         }
     }
 }
 
-/// Something that goes wrong, or is changed.
+/// A fault, or a planned change such as a stop, a drain or a new route.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultKind {
-    /// A node is told to stop, and started again.
+    /// Asks a node to stop, then starts it again.
     Stop(usize),
-    /// A node is killed, and started again after a while.
+    /// Kills a node and starts it again after this time.
     Kill(usize, Duration),
-    /// All nodes are killed at once.
+    /// Kills all nodes at once.
     KillAll,
-    /// A node stands still for a while.
+    /// Freezes the process of a node for this time.
     Freeze(usize, Duration),
-    /// A node is told that its settings have changed.
+    /// Signals a node to reload its settings.
     Reload(usize),
-    /// What lies between a node and the store.
+    /// Sets the mode of the link between a node and the store for this time.
     StoreLink(usize, LinkMode, Duration),
-    /// What lies between a worker and one node.
+    /// Sets the mode of the link between a worker and a node for this time.
     WorkerLink(usize, usize, LinkMode, Duration),
-    /// The store itself.
+    /// Sets a fault of the store for this time.
     Store(StoreFault, Duration),
-    /// The store forgets its history.
+    /// Truncates the history of the store.
     Forget,
-    /// A worker.
+    /// Sets a fault of a worker for this time.
     Worker(usize, ExecutorFault, Duration),
-    /// A worker dies, and another life of it comes after a while.
+    /// Crashes a worker; a new one under another id replaces it after this time.
     Crash(usize, Duration),
-    /// A worker dies and starts again at once, under its id.
+    /// Restarts a worker at once under the same id.
     StartAgain(usize),
-    /// A worker says that it leaves, then does; another life of it comes after a while.
+    /// Announces that a worker is draining, then stops it; a new one under another id replaces it later.
     Drain(usize),
-    /// The configuration gets one more route.
+    /// Adds a route to the configuration.
     Configure,
 }
 
-/// When it happens.
+/// A fault and when it is injected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FaultStep {
-    /// From the start of the load.
+    /// Time since the start of the load.
     pub at: Duration,
-    /// What.
+    /// The fault.
     pub kind: FaultKind,
 }
 
-/// The bounds of a fault's length: below and above what the nodes' own limits are.
-const LENGTHS: (u64, u64) = (100, 4_000);
+/// Bounds of a fault's duration, in milliseconds. The range reaches below and above the nodes' own time limits.
+const FAULT_LENGTHS_MS: (u64, u64) = (100, 4_000);
 
-/// The bounds of the time between two faults, so that they come in series and overlap.
-const GAPS: (u64, u64) = (30, 900);
+/// Bounds of the time between the starts of two faults, in milliseconds, so that faults both follow each other and
+/// overlap.
+const FAULT_GAPS_MS: (u64, u64) = (30, 900);
 
-/// One seed in so many has planned work alone.
-const PLANNED_ONE_IN: u32 = 3;
+/// One seed in this many gets planned work only.
+const PLANNED_ONLY_ONE_IN: u32 = 3;
 
-/// The bounds of the time between two pieces of planned work.
-const PLANNED_GAPS: (u64, u64) = (100, 2_000);
+/// Bounds of the time between two pieces of planned work, in milliseconds.
+const PLANNED_GAPS_MS: (u64, u64) = (100, 2_000);
 
-/// The bounds of the time between two workers that start again under their ids.
-const REBIRTH_GAPS: (u64, u64) = (500, 4_000);
+/// Bounds of the time between two worker restarts under the same id, in milliseconds.
+const RESTART_GAPS_MS: (u64, u64) = (500, 4_000);
 
 impl SoakPlan {
-    /// The faults, in order of time.
+    /// Returns the faults in order of time. The same plan always gives the same faults.
     pub fn steps(&self) -> Vec<FaultStep> {
         let mut rng = Rng::with_seed(self.seed);
-        // Bounds of time hold only where nothing unplanned is near, so some seeds have planned work alone.
-        let planned = rng.u32(..PLANNED_ONE_IN) == 0;
+        // Some time limits are checked only while no unplanned fault is active, so some seeds have planned work only.
+        let planned_only = rng.u32(..PLANNED_ONLY_ONE_IN) == 0;
         let mut steps = Vec::new();
         let mut at = Duration::from_millis(rng.u64(200..1_500));
-        while at < self.time {
-            let (kind, gaps) = match planned {
-                true => (self.draw_planned(&mut rng), PLANNED_GAPS),
-                false => (self.draw(&mut rng), GAPS),
+        while at < self.fault_duration {
+            let (kind, gaps) = match planned_only {
+                true => (self.draw_planned_work(&mut rng), PLANNED_GAPS_MS),
+                false => (self.draw_fault(&mut rng), FAULT_GAPS_MS),
             };
             steps.push(FaultStep { at, kind });
             at += Duration::from_millis(rng.u64(gaps.0..gaps.1));
         }
-        if self.rebirths && !planned {
-            // From a generator of their own: a seed's other faults stay what they were.
-            self.add_rebirths(&mut rng.fork(), &mut steps);
+        if self.worker_restarts && !planned_only {
+            // Restarts use a forked generator, so that the other faults of a seed stay the same.
+            self.add_worker_restarts(&mut rng.fork(), &mut steps);
         }
         steps
     }
 
-    fn add_rebirths(&self, rng: &mut Rng, steps: &mut Vec<FaultStep>) {
+    fn add_worker_restarts(&self, rng: &mut Rng, steps: &mut Vec<FaultStep>) {
         let mut at = Duration::ZERO;
-        while at < self.time {
-            at += Duration::from_millis(rng.u64(REBIRTH_GAPS.0..REBIRTH_GAPS.1));
+        while at < self.fault_duration {
+            at += Duration::from_millis(rng.u64(RESTART_GAPS_MS.0..RESTART_GAPS_MS.1));
             let kind = FaultKind::StartAgain(rng.usize(..self.workers));
             steps.push(FaultStep { at, kind });
         }
         steps.sort_by_key(|step| step.at);
     }
 
-    fn draw_planned(&self, rng: &mut Rng) -> FaultKind {
+    fn draw_planned_work(&self, rng: &mut Rng) -> FaultKind {
         match rng.u32(..10) {
             0..4 => FaultKind::Stop(rng.usize(..self.nodes)),
             4..7 => FaultKind::Drain(rng.usize(..self.workers)),
@@ -135,21 +137,21 @@
         }
     }
 
-    fn draw(&self, rng: &mut Rng) -> FaultKind {
+    fn draw_fault(&self, rng: &mut Rng) -> FaultKind {
         let node = rng.usize(..self.nodes);
         let worker = rng.usize(..self.workers);
-        let length = Duration::from_millis(rng.u64(LENGTHS.0..LENGTHS.1));
+        let length = Duration::from_millis(rng.u64(FAULT_LENGTHS_MS.0..FAULT_LENGTHS_MS.1));
         match rng.u32(..100) {
             0..12 => FaultKind::Stop(node),
             12..20 => FaultKind::Kill(node, length),
             20..22 => FaultKind::KillAll,
             22..30 => FaultKind::Freeze(node, length),
             30..33 => FaultKind::Reload(node),
-            33..43 => FaultKind::StoreLink(node, draw_mode(rng), length),
-            43..58 => FaultKind::WorkerLink(worker, node, draw_mode(rng), length),
-            58..66 => FaultKind::Store(draw_store(rng), length),
+            33..43 => FaultKind::StoreLink(node, draw_link_mode(rng), length),
+            43..58 => FaultKind::WorkerLink(worker, node, draw_link_mode(rng), length),
+            58..66 => FaultKind::Store(draw_store_fault(rng), length),
             66..69 => FaultKind::Forget,
-            69..82 => FaultKind::Worker(worker, draw_worker(rng), length),
+            69..82 => FaultKind::Worker(worker, draw_worker_fault(rng), length),
             82..87 => FaultKind::Crash(worker, length),
             87..93 => FaultKind::Drain(worker),
             _ => FaultKind::Configure,
@@ -157,15 +159,15 @@
     }
 }
 
-fn draw_mode(rng: &mut Rng) -> LinkMode {
+fn draw_link_mode(rng: &mut Rng) -> LinkMode {
     let connects = CutConnect::Hang;
     match rng.u32(..5) {
         0 => LinkMode::Cut { connects },
         1 => LinkMode::OneWay {
-            open: OpenWay::Forward,
+            open: OpenDirection::Forward,
         },
         2 => LinkMode::OneWay {
-            open: OpenWay::Back,
+            open: OpenDirection::Back,
         },
         3 => LinkMode::Reset,
         _ => LinkMode::Delay {
@@ -174,7 +176,7 @@
     }
 }
 
-fn draw_store(rng: &mut Rng) -> StoreFault {
+fn draw_store_fault(rng: &mut Rng) -> StoreFault {
     match rng.u32(..3) {
         0 => StoreFault::Silent,
         1 => StoreFault::Busy,
@@ -182,7 +184,7 @@
     }
 }
 
-fn draw_worker(rng: &mut Rng) -> ExecutorFault {
+fn draw_worker_fault(rng: &mut Rng) -> ExecutorFault {
     match rng.u32(..5) {
         0 => ExecutorFault::Silent,
         1 => ExecutorFault::StartsUnanswered,
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs a plan and checks what came of it.
+//! Runs a plan and checks the resulting record.
 
 use std::{
     cell::RefCell,
@@ -12,37 +12,37 @@
 use thiserror::Error;
 
 use crate::{
-    checks::{check_promises, Broken},
-    customers::CustomerCrowd,
-    faults::{carry_out, mend, Mend},
+    checks::{check_promises, PromiseViolation},
+    customers::CustomerSimulator,
+    faults::{inject_fault, run_follow_up, FollowUp},
     fleet::SoakFleet,
     plan::{FaultKind, FaultStep, SoakPlan},
     record::{AttemptEnd, ProbeTrace, SoakRecord},
 };
 
-/// How long everything gets to start before the load.
-const START: Duration = Duration::from_millis(2_500);
+/// Time for all processes to start before the load begins.
+const STARTUP_WAIT: Duration = Duration::from_millis(2_500);
 
-/// How long the load goes on after the last fault is mended: the promise of recovery, and some jobs after it.
-const RECOVERY: Duration = Duration::from_secs(8);
+/// How long the load continues after the last fault has ended: the recovery limit, plus time for some jobs after it.
+const RECOVERY_LOAD: Duration = Duration::from_secs(8);
 
-/// How long the last customers get.
-const LAST_ANSWERS: Duration = Duration::from_secs(4);
+/// Time for the last customers to get their answers after the load ends.
+const FINAL_ANSWER_WAIT: Duration = Duration::from_secs(4);
 
-/// The time between two looks at what is due.
-const STEP: Duration = Duration::from_millis(10);
+/// Interval at which the main loop polls processes and due actions.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The time between two rounds of probes.
-const PROBE_BEAT: Duration = Duration::from_millis(250);
+/// Interval between two rounds of probes.
+const PROBE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The seed of the customers is that of the plan with these bits changed, so that they draw other numbers.
-const CUSTOMER_BITS: u64 = 0x5eed_5eed;
+/// XORed with the plan's seed to seed the customers, so that they draw other numbers than the faults.
+const CUSTOMER_SEED_MASK: u64 = 0x5eed_5eed;
 
-/// Why a soak could not be run.
+/// Error that prevents a soak from running.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SoakError {
-    /// A process, file or link could not be made.
-    #[error("the soak could not be set up: {0}")]
+    /// A process, file or link could not be created.
+    #[error("soak setup failed: {0}")]
     Setup(String),
 }
 
@@ -52,142 +52,144 @@
     }
 }
 
-/// What came of a run.
+/// Result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct SoakReport {
-    /// Promises that were broken, and processes that ended by themselves or did not stop.
-    pub broken: Vec<String>,
-    /// Jobs handed in.
+    /// Violated promises, and processes that exited on their own or did not stop.
+    pub failures: Vec<String>,
+    /// Number of jobs submitted.
     pub jobs: usize,
-    /// Those completed.
+    /// Number of jobs completed.
     pub completed: usize,
-    /// Those refused.
+    /// Number of jobs refused.
     pub refused: usize,
-    /// Runs of tasks.
+    /// Number of task runs on workers.
     pub runs: usize,
-    /// Faults.
+    /// Number of faults injected.
     pub faults: usize,
 }
 
-/// Runs one plan with `binary`. Settings, logs of the nodes and the list of faults go to `dir`.
+/// Runs one plan with the node program `binary`. Writes the settings and logs of the nodes and the list of faults to
+/// `dir`.
 ///
 /// # Errors
 ///
-/// Something could not be set up; that the system fails is in the report.
+/// A process, file or link could not be created. Failures of the system under test are in the report instead.
 pub async fn run_soak(plan: &SoakPlan, binary: &Path, dir: &Path) -> Result<SoakReport, SoakError> {
     fs::create_dir_all(dir)?;
     let fleet = SoakFleet::start(plan, PathBuf::from(binary), dir).await?;
     let addresses = fleet.nodes.iter().map(|node| node.customer_address);
     let record = Rc::new(RefCell::new(SoakRecord::default()));
-    let crowd = CustomerCrowd::new(fleet.began(), addresses.collect(), record.clone());
+    let simulator = CustomerSimulator::new(fleet.began(), addresses.collect(), record.clone());
     let mut run = SoakRun {
         plan,
         fleet,
-        crowd: Rc::new(crowd),
+        simulator: Rc::new(simulator),
         record,
-        mends: Vec::new(),
+        follow_ups: Vec::new(),
         versions: Vec::new(),
-        rng: Rng::with_seed(plan.seed ^ CUSTOMER_BITS),
+        rng: Rng::with_seed(plan.seed ^ CUSTOMER_SEED_MASK),
     };
-    run.go().await?;
+    run.run().await?;
     run.report(dir)
 }
 
 struct SoakRun<'a> {
     plan: &'a SoakPlan,
     fleet: SoakFleet,
-    crowd: Rc<CustomerCrowd>,
+    simulator: Rc<CustomerSimulator>,
     record: Rc<RefCell<SoakRecord>>,
-    mends: Vec<(Duration, Mend)>,
-    /// Versions of the configuration and when they were written.
+    follow_ups: Vec<(Duration, FollowUp)>,
+    /// Versions of the configuration and when each was written.
     versions: Vec<(u64, Duration)>,
     rng: Rng,
 }
 
 impl SoakRun<'_> {
-    async fn go(&mut self) -> Result<(), SoakError> {
-        actix_rt::time::sleep(START).await;
+    async fn run(&mut self) -> Result<(), SoakError> {
+        actix_rt::time::sleep(STARTUP_WAIT).await;
         let begun = self.fleet.now();
         let mut steps = self.plan.steps();
         steps.reverse();
         let (mut next_job, mut next_probe) = (begun, begun);
         let mut healed = None;
         loop {
-            actix_rt::time::sleep(STEP).await;
+            actix_rt::time::sleep(POLL_INTERVAL).await;
             let now = self.fleet.now();
-            self.fleet.watch()?;
+            self.fleet.poll_processes()?;
             while steps.last().is_some_and(|step| begun + step.at <= now) {
                 let Some(FaultStep { kind, .. }) = steps.pop() else {
                     break;
                 };
-                self.carry_out(kind).await?;
+                self.inject_fault(kind).await?;
             }
-            self.mend_due(now).await?;
+            self.run_due_follow_ups(now).await?;
             while now >= next_job {
                 next_job += Duration::from_secs_f64(1.0 / self.plan.rate);
-                let (crowd, rng) = (self.crowd.clone(), self.rng.fork());
-                actix_rt::spawn(async move { crowd.hand_in(rng).await });
+                let (simulator, rng) = (self.simulator.clone(), self.rng.fork());
+                actix_rt::spawn(async move { simulator.submit_job(rng).await });
             }
             if now >= next_probe {
-                next_probe = now + PROBE_BEAT;
+                next_probe = now + PROBE_INTERVAL;
                 self.probe_all();
             }
-            if healed.is_none() && steps.is_empty() && self.mends.is_empty() {
+            if healed.is_none() && steps.is_empty() && self.follow_ups.is_empty() {
                 healed = Some(now);
                 self.record.borrow_mut().healed = self.last_fault_end(now);
             }
-            let end = self.record.borrow().healed + RECOVERY;
+            let end = self.record.borrow().healed + RECOVERY_LOAD;
             if healed.is_some() && now >= end {
                 break;
             }
         }
-        actix_rt::time::sleep(LAST_ANSWERS).await;
+        actix_rt::time::sleep(FINAL_ANSWER_WAIT).await;
         Ok(())
     }
 
-    /// A stop may still be under way when the last fault has been mended.
+    /// Returns when the last recorded fault ends, at least `now`: a planned stop may still be in progress after the
+    /// last follow-up has run.
     fn last_fault_end(&self, now: Duration) -> Duration {
         let record = self.record.borrow();
         let ends = record.disturbances.iter().map(|fault| fault.until);
         ends.max().unwrap_or(now).max(now)
     }
 
-    async fn carry_out(&mut self, kind: FaultKind) -> Result<(), SoakError> {
+    async fn inject_fault(&mut self, kind: FaultKind) -> Result<(), SoakError> {
         if kind == FaultKind::Configure {
             let version = self.fleet.add_route();
             self.versions.push((version, self.fleet.now()));
         }
         let now = self.fleet.now();
-        let trace = carry_out(&mut self.fleet, kind).await?;
-        let mends = trace.mends.into_iter();
-        self.mends
-            .extend(mends.map(|(after, mend)| (now + after, mend)));
+        let trace = inject_fault(&mut self.fleet, kind).await?;
+        let follow_ups = trace.follow_ups.into_iter();
+        self.follow_ups
+            .extend(follow_ups.map(|(after, follow_up)| (now + after, follow_up)));
         let mut record = self.record.borrow_mut();
         record.disturbances.extend(trace.disturbances);
         record.drains.extend(trace.drains);
         Ok(())
     }
 
-    async fn mend_due(&mut self, now: Duration) -> Result<(), SoakError> {
-        let (due, later) = self.mends.drain(..).partition(|(at, _)| *at <= now);
-        self.mends = later;
-        let due: Vec<(Duration, Mend)> = due;
+    async fn run_due_follow_ups(&mut self, now: Duration) -> Result<(), SoakError> {
+        let (due, later) = self.follow_ups.drain(..).partition(|(at, _)| *at <= now);
+        self.follow_ups = later;
+        let due: Vec<(Duration, FollowUp)> = due;
         for (_, due) in due {
-            mend(&mut self.fleet, due).await?;
+            run_follow_up(&mut self.fleet, due).await?;
         }
         Ok(())
     }
 
-    /// Asks each node for the newest routes.
+    /// Asks each node for the two newest routes.
     fn probe_all(&self) {
         let newest = self.versions.iter().rev().take(2);
         for (version, written) in newest.copied() {
             for (node, process) in self.fleet.nodes.iter().enumerate() {
-                let (crowd, life) = (self.crowd.clone(), process.life);
+                let (simulator, life) = (self.simulator.clone(), process.life);
                 let asked = self.fleet.now();
                 actix_rt::spawn(async move {
-                    if let Some(known) = crowd.probe(node, version).await {
-                        crowd.note_probe(ProbeTrace {
+                    if let Some(known) = simulator.probe(node, version).await {
+                        simulator.record_probe(ProbeTrace {
                             node,
                             life,
                             version,
@@ -209,15 +211,17 @@
         let mut faults: Vec<String> = self.plan.steps().iter().map(|s| format!("{s:?}")).collect();
         faults.extend(record.disturbances.iter().map(|fault| format!("{fault:?}")));
         fs::write(dir.join("faults.txt"), faults.join("\n"))?;
-        let broken = check_promises(&record);
-        let broken = broken.iter().map(Broken::to_string);
+        let violations = check_promises(&record);
+        let violations = violations.iter().map(PromiseViolation::to_string);
         let count = |status: &dyn Fn(u16) -> bool| {
             let ends = record.jobs.iter().filter_map(|job| job.attempts.last());
             let answered = ends.filter(|a| matches!(a.end, AttemptEnd::Answered(s) if status(s)));
             answered.count()
         };
         Ok(SoakReport {
-            broken: broken.chain(self.fleet.died.iter().cloned()).collect(),
+            failures: violations
+                .chain(self.fleet.process_failures.iter().cloned())
+                .collect(),
             jobs: record.jobs.len(),
             completed: count(&|status| status == 200),
             refused: count(&|status| status == 429 || status == 503),
--- a/crates/stand-ins/src/endpoint/server.rs
+++ b/crates/stand-ins/src/endpoint/server.rs
@@ -1,4 +1,4 @@
-//! HTTP side of the endpoint stand-in.
+//! HTTP server of the endpoint stand-in.
 
 use std::{
     any::Any,
@@ -18,17 +18,17 @@
 
 use crate::endpoint::{
     answer::{self, TaskAnswer},
-    fault::{Fault, FaultOrder},
+    fault::{Fault, FaultRequest},
     record::{EndpointRecord, RunEnd},
-    state::{ArrivedTask, EndpointState, StartedRun},
+    state::{EndpointState, ReceivedTask, StartedRun},
     task::TaskScript,
 };
 
-/// A connection, kept so that a fault can close it under the library's hands.
+/// A duplicated handle on a connection, by which a fault can close it without going through the HTTP library.
 #[derive(Clone)]
 struct OpenConnection(Arc<TcpStream>);
 
-/// Binds, serves on a thread of its own, and gives the address and the handle to stop it.
+/// Binds the address, serves on a separate thread, and returns the bound address and a handle to stop the server.
 pub(super) fn serve(state: Arc<EndpointState>) -> io::Result<(SocketAddr, ServerHandle)> {
     let data = Data::from(Arc::clone(&state));
     let settings = state.settings().clone();
@@ -39,7 +39,7 @@
             .app_data(PayloadConfig::new(limit))
             .route("/v1/tasks", web::post().to(run_task))
             .route("/control/starts", web::get().to(show_record))
-            .route("/control/faults", web::post().to(order_fault))
+            .route("/control/faults", web::post().to(set_fault))
     })
     .on_connect(move |connection, extensions| keep_connection(&state, connection, extensions))
     .workers(1)
@@ -51,7 +51,7 @@
     let handle = server.handle();
     actix_rt::spawn(async move {
         if let Err(error) = server.await {
-            log::warn!("endpoint stand-in: server ended: {error}");
+            log::warn!("endpoint stand-in: server failed: {error}");
         }
     });
     Ok((address, handle))
@@ -67,7 +67,7 @@
             state.add_connection(&connection);
             extensions.insert(OpenConnection(connection));
         }
-        Err(error) => log::warn!("endpoint stand-in: connection not kept: {error}"),
+        Err(error) => log::warn!("endpoint stand-in: connection not duplicated: {error}"),
     }
 }
 
@@ -75,41 +75,41 @@
     Json(state.record())
 }
 
-async fn order_fault(state: Data<EndpointState>, order: Json<FaultOrder>) -> HttpResponse {
-    state.order_fault(order.into_inner());
+async fn set_fault(state: Data<EndpointState>, request: Json<FaultRequest>) -> HttpResponse {
+    state.set_fault(request.into_inner());
     HttpResponse::NoContent().finish()
 }
 
 async fn run_task(state: Data<EndpointState>, request: HttpRequest, body: Bytes) -> HttpResponse {
-    let Some(arrived) = read_task(&request, &body) else {
+    let Some(received) = read_task(&request, &body) else {
         return HttpResponse::BadRequest().finish();
     };
     let Some(connection) = request.conn_data::<OpenConnection>().cloned() else {
         return HttpResponse::InternalServerError().finish();
     };
-    let attempt = arrived.attempt;
-    let started = match state.admit(&arrived) {
+    let attempt = received.attempt;
+    let started = match state.admit(&received) {
         Ok(started) => started,
-        Err(cause) => return answer::turned_away(attempt, cause),
+        Err(cause) => return answer::refuse_task(attempt, cause),
     };
     let fault = started.fault;
-    // A task of its own: the library drops this handler when the caller goes away, but a run that started goes on.
-    let run = actix_rt::spawn(run_to_end(Arc::clone(&state), arrived, started));
+    // Spawned, since the library drops this handler when the caller disconnects, but a started run must continue.
+    let run = actix_rt::spawn(run_to_end(Arc::clone(&state), received, started));
     if fault == Fault::CloseAtStart {
         return close_silently(&connection).await;
     }
     match run.await {
-        Ok(answer) => answer_under(&state, answer, fault, &connection).await,
+        Ok(answer) => answer_with_fault(&state, answer, fault, &connection).await,
         Err(error) => HttpResponse::InternalServerError().body(error.to_string()),
     }
 }
 
 async fn run_to_end(
     state: Arc<EndpointState>,
-    arrived: ArrivedTask,
+    received: ReceivedTask,
     started: StartedRun,
 ) -> TaskAnswer {
-    let script = TaskScript::read(&arrived.payload);
+    let script = TaskScript::read(&received.payload);
     let factor = match started.fault {
         Fault::Slow { factor } => factor,
         _ => 1.0,
@@ -121,15 +121,15 @@
     } else {
         RunEnd::Done
     };
-    state.finish(started.order, end);
+    state.finish(started.start_index, end);
     TaskAnswer {
-        attempt: arrived.attempt,
+        attempt: received.attempt,
         end,
-        body: script.result(&arrived.payload),
+        body: script.result(&received.payload),
     }
 }
 
-async fn answer_under(
+async fn answer_with_fault(
     state: &EndpointState,
     answer: TaskAnswer,
     fault: Fault,
@@ -143,25 +143,25 @@
         }
         Fault::Late { ms } => {
             actix_rt::time::sleep(Duration::from_millis(ms)).await;
-            answer.whole()
+            answer.into_response()
         }
         Fault::Crossed { ms } => {
-            let answer = state.cross(answer, Duration::from_millis(ms)).await;
-            answer.whole()
+            let answer = state.swap_answer(answer, Duration::from_millis(ms)).await;
+            answer.into_response()
         }
-        other => answer.broken(other, &connection.0),
+        other => answer.into_faulty_response(other, &connection.0),
     }
 }
 
-/// Closes the connection; the answer given back then has nowhere to go.
+/// Closes the connection. The returned answer cannot be sent any more.
 async fn close_silently(connection: &OpenConnection) -> HttpResponse {
     let _ = connection.0.shutdown(Shutdown::Both);
     HttpResponse::InternalServerError().finish()
 }
 
-fn read_task(request: &HttpRequest, body: &Bytes) -> Option<ArrivedTask> {
+fn read_task(request: &HttpRequest, body: &Bytes) -> Option<ReceivedTask> {
     let text = |name: &str| request.headers().get(name)?.to_str().ok();
-    Some(ArrivedTask {
+    Some(ReceivedTask {
         attempt: text(answer::ATTEMPT_ID.as_str())?.parse().ok()?,
         customer: text("customer")?.parse().ok()?,
         kind: text("task-kind")?.parse().ok()?,
--- a/crates/stand-ins/src/forwarder/pump.rs
+++ b/crates/stand-ins/src/forwarder/pump.rs
@@ -1,4 +1,4 @@
-//! Moves the bytes of one connection, each way through a bounded delay line.
+//! Copies the bytes of one connection, with a bounded delay queue for each direction.
 
 use std::{
     io,
@@ -18,25 +18,25 @@
 
 use crate::forwarder::link::{FlowState, LinkCounters};
 
-/// The most bytes read at once.
+/// The most bytes read at a time.
 const CHUNK_BYTES: usize = 16 * 1024;
-/// The most chunks of one direction on their way. Beyond it the sender feels back pressure, as on a full network.
+/// The most chunks in transit in one direction. More put back pressure on the sender, like a congested network.
 const MAX_CHUNKS: usize = 64;
 
-/// Bytes on their way, with the time they may arrive.
+/// Bytes in transit, with the time from which they may be delivered.
 struct DelayedChunk {
     due: Instant,
     bytes: Vec<u8>,
 }
 
 #[derive(Clone, Copy)]
-enum FlowWay {
+enum FlowDirection {
     Forward,
     Back,
 }
 
-impl FlowWay {
-    fn silent(self, state: &FlowState) -> bool {
+impl FlowDirection {
+    fn is_silent(self, state: &FlowState) -> bool {
         match self {
             Self::Forward => state.forward_silent,
             Self::Back => state.back_silent,
@@ -46,8 +46,8 @@
 
 /// Forwards one connection to `target` until it ends, is reset, or the link closes.
 ///
-/// A connection that was accepted while nothing could pass reaches the target only after the heal, since a handshake
-/// needs both ways.
+/// A connection accepted while either direction is silent reaches the target only after the link heals, since a
+/// handshake needs both directions.
 pub(super) async fn forward(
     mut near: TcpStream,
     target: SocketAddr,
@@ -56,8 +56,8 @@
 ) -> io::Result<()> {
     near.set_nodelay(true)?;
     let passes = |state: &FlowState| !state.forward_silent && !state.back_silent;
-    // Counted before the connect: the target has the connection as soon as its kernel took it, and a reset that comes
-    // before this side goes on would otherwise be missed.
+    // Read before connecting: the target may use the connection as soon as its kernel has accepted it, and a reset
+    // that arrives before this task continues would otherwise be missed.
     let resets = match flow.wait_for(passes).await {
         Ok(state) => state.resets,
         Err(_) => return Err(io::ErrorKind::ConnectionReset.into()),
@@ -67,23 +67,23 @@
     let ended = {
         let (near_read, near_write) = near.split();
         let (far_read, far_write) = far.split();
-        let there = one_way(
+        let forward = copy_one_way(
             near_read,
             far_write,
-            FlowWay::Forward,
+            FlowDirection::Forward,
             flow.clone(),
             &counters.forward_bytes,
         );
-        let back = one_way(
+        let back = copy_one_way(
             far_read,
             near_write,
-            FlowWay::Back,
+            FlowDirection::Back,
             flow.clone(),
             &counters.back_bytes,
         );
         tokio::select! {
-            ended = async { tokio::try_join!(there, back).map(|_| ()) } => ended,
-            () = reset(&mut flow, resets) => Err(io::ErrorKind::ConnectionReset.into()),
+            ended = async { tokio::try_join!(forward, back).map(|_| ()) } => ended,
+            () = wait_for_reset(&mut flow, resets) => Err(io::ErrorKind::ConnectionReset.into()),
         }
     };
     if ended.is_err() {
@@ -93,22 +93,22 @@
     ended
 }
 
-/// Ends when the connection is to be reset, or the link closes.
-async fn reset(flow: &mut watch::Receiver<FlowState>, resets: u64) {
+/// Waits until the connection is to be reset or the link closes.
+async fn wait_for_reset(flow: &mut watch::Receiver<FlowState>, resets: u64) {
     let _ = flow.wait_for(|state| state.resets != resets).await;
 }
 
-/// Moves bytes one way until the sender's end, and passes that end on.
-async fn one_way(
+/// Copies bytes in one direction until the sender closes, and passes the close on.
+async fn copy_one_way(
     from: ReadHalf<'_>,
     to: WriteHalf<'_>,
-    way: FlowWay,
+    direction: FlowDirection,
     flow: watch::Receiver<FlowState>,
     delivered: &AtomicU64,
 ) -> io::Result<()> {
     let (sender, receiver) = mpsc::channel(MAX_CHUNKS);
     let reader = read_chunks(from, sender, flow.clone());
-    let writer = write_chunks(to, receiver, way, flow, delivered);
+    let writer = write_chunks(to, receiver, direction, flow, delivered);
     tokio::try_join!(reader, writer).map(|_| ())
 }
 
@@ -122,7 +122,7 @@
         let count = from.read(&mut bytes).await?;
         bytes.truncate(count);
         let due = Instant::now() + flow.borrow().delay;
-        // An empty chunk stands for the end, so that it too waits for a cut link to heal.
+        // An empty chunk marks the end of the stream, so that the close also waits until a cut link heals.
         if sender.send(DelayedChunk { due, bytes }).await.is_err() || count == 0 {
             return Ok(());
         }
@@ -132,13 +132,17 @@
 async fn write_chunks(
     mut to: WriteHalf<'_>,
     mut receiver: mpsc::Receiver<DelayedChunk>,
-    way: FlowWay,
+    direction: FlowDirection,
     mut flow: watch::Receiver<FlowState>,
     delivered: &AtomicU64,
 ) -> io::Result<()> {
     while let Some(chunk) = receiver.recv().await {
         sleep_until(chunk.due).await;
-        if flow.wait_for(|state| !way.silent(state)).await.is_err() {
+        if flow
+            .wait_for(|state| !direction.is_silent(state))
+            .await
+            .is_err()
+        {
             return Err(io::ErrorKind::ConnectionReset.into());
         }
         if chunk.bytes.is_empty() {
