--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -168,7 +168,11 @@
             let took = attempt.ended - attempt.sent;
             let late = took > job.deadline + ANSWER_SLACK;
             let from = attempt.sent.saturating_sub(FAULT_AFTERMATH);
-            if late && self.record.is_node_undisturbed(attempt.node, from, attempt.ended) {
+            if late
+                && self
+                    .record
+                    .is_node_undisturbed(attempt.node, from, attempt.ended)
+            {
                 let details = format!("{} by node {} after {took:?}", job.id, attempt.node);
                 self.add_violation(Promise::InTime, details);
             }
@@ -214,13 +218,17 @@
         }
         let stops = self.record.stops.iter();
         let mut stops = stops.filter(|stop| {
-            stop.node == attempt.node && attempt.ended >= stop.requested && attempt.sent <= stop.exited
+            stop.node == attempt.node
+                && attempt.ended >= stop.requested
+                && attempt.sent <= stop.exited
         });
         let waited = attempt.ended - attempt.sent > CUT_THRESHOLD;
         let mut starts = starts.iter();
         let began = starts.any(|began| (attempt.sent..=attempt.ended).contains(began));
         let from = attempt.sent.saturating_sub(FAULT_AFTERMATH);
-        stops.next().is_some() && (waited || began) && self.record.has_no_unplanned_fault(from, attempt.ended)
+        stops.next().is_some()
+            && (waited || began)
+            && self.record.has_no_unplanned_fault(from, attempt.ended)
     }
 
     fn check_drains(&mut self) {
@@ -229,9 +237,10 @@
             for run in &self.record.runs {
                 let late = run.life == drain.life && run.began > limit;
                 if late
-                    && self
-                        .record
-                        .has_no_unplanned_fault(drain.announced.saturating_sub(FAULT_AFTERMATH), run.began)
+                    && self.record.has_no_unplanned_fault(
+                        drain.announced.saturating_sub(FAULT_AFTERMATH),
+                        run.began,
+                    )
                 {
                     let details = format!("{} on life {} at {:?}", run.task, run.life, run.began);
                     self.add_violation(Promise::Drain, details);
@@ -255,7 +264,11 @@
             }
             let late = probe.asked > probe.written + CONFIG_LIMIT;
             let from = probe.written.saturating_sub(FAULT_AFTERMATH);
-            if late && self.record.is_node_undisturbed(probe.node, from, probe.asked) {
+            if late
+                && self
+                    .record
+                    .is_node_undisturbed(probe.node, from, probe.asked)
+            {
                 let details = format!("node {} without version {}", probe.node, probe.version);
                 self.add_violation(Promise::Config, details);
             }
