--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -388,10 +388,10 @@
 /// Returns the pools whose owners are alive and connected.
 fn reachable_pools(state: &NodeState) -> Vec<(PoolId, OwnerView)> {
     let now = state.now();
-    let keeper = state.keeper.borrow();
+    let controller = state.claim_controller.borrow();
     let mut pools = Vec::new();
-    for pool in keeper.pools() {
-        let Some(owner) = keeper.owner(now, &pool) else {
+    for pool in controller.pools() {
+        let Some(owner) = controller.owner(now, &pool) else {
             continue;
         };
         let reached = owner.here || state.links.get(owner.address).is_some();
--- a/crates/node/src/event_lines.rs
+++ b/crates/node/src/event_lines.rs
@@ -1,4 +1,4 @@
-//! Writes the log lines of pools and of the claim keeper.
+//! Writes the log lines of pools and of the claim controller.
 
 use claims::ClaimEvent;
 use jobs::{FenceToken, JobOutcome, PoolId};
@@ -285,7 +285,7 @@
     }
 }
 
-/// Logs what the claim keeper learned.
+/// Logs what the claim controller learned.
 pub(crate) fn log_claim_note(state: &NodeState, note: &ClaimEvent) {
     let line = match note {
         ClaimEvent::PeerHeard(node) => EventLine::new("peer_heard").text("peer", node),
--- a/crates/node/src/feeds.rs
+++ b/crates/node/src/feeds.rs
@@ -148,7 +148,7 @@
     if age < STARTUP_MEMBERS_PERIOD {
         return STARTUP_MEMBERS_READ_INTERVAL;
     }
-    match state.keeper.borrow().is_isolated(state.now()) {
+    match state.claim_controller.borrow().is_isolated(state.now()) {
         true => ISOLATED_MEMBERS_READ_INTERVAL,
         false => MEMBERS_READ_INTERVAL,
     }
@@ -221,13 +221,13 @@
             RowChange::Put(row) => match serde_json::from_slice::<MemberRow>(&row.value) {
                 Ok(member) => {
                     import_waits(state, &member);
-                    state.keeper.borrow_mut().on_member(now, member);
+                    state.claim_controller.borrow_mut().on_member(now, member);
                 }
                 Err(error) => log_unreadable_row(state, &row, &error),
             },
             RowChange::Removed { key } => {
                 state
-                    .keeper
+                    .claim_controller
                     .borrow_mut()
                     .on_member_gone(&NodeId::from(key.as_str()));
             }
--- a/crates/node/src/groups.rs
+++ b/crates/node/src/groups.rs
@@ -91,7 +91,7 @@
     for group in 0..row.groups {
         let data_centre = centre.clone();
         let pool = PoolId { data_centre, group };
-        state.keeper.borrow_mut().on_workers(&pool, true);
+        state.claim_controller.borrow_mut().on_workers(&pool, true);
     }
 }
 
@@ -119,11 +119,11 @@
             .get(&pool)
             .map(|owned| owned.pool.fence());
         if fence.is_some_and(|fence| fence.0 < version.0) {
-            state.keeper.borrow_mut().on_released(&pool);
+            state.claim_controller.borrow_mut().on_released(&pool);
             owner::release_pool(state, &pool, "divided_anew");
         }
         if group >= row.groups {
-            state.keeper.borrow_mut().on_workers(&pool, false);
+            state.claim_controller.borrow_mut().on_workers(&pool, false);
         }
     }
 }
@@ -133,7 +133,7 @@
     let Some(pool) = state.directory.borrow().pool_of(&record) else {
         return;
     };
-    state.keeper.borrow_mut().on_workers(&pool, true);
+    state.claim_controller.borrow_mut().on_workers(&pool, true);
     owner::upsert_worker(state, &pool, record);
 }
 
@@ -163,7 +163,7 @@
                 .borrow()
                 .groups(&centre)
                 .map(|row| row.groups);
-            let vms = state.keeper.borrow().vm_capacities(&centre);
+            let vms = state.claim_controller.borrow().vm_capacities(&centre);
             if groups.is_none() && !listed.have_settled(state.now(), &centre, workers, vms.len()) {
                 continue;
             }
--- a/crates/node/src/list_schedule.rs
+++ b/crates/node/src/list_schedule.rs
@@ -88,7 +88,7 @@
     let now = state.now();
     let mut directory = state.directory.borrow_mut();
     let known = directory.known_list()?;
-    match state.keeper.borrow().poll_decision(now, known) {
+    match state.claim_controller.borrow().poll_decision(now, known) {
         PollDecision::Read => None,
         PollDecision::Confirmed { version, at } => {
             directory.record_confirmation(at, version);
@@ -153,11 +153,11 @@
 
 /// Returns whether this process owns a pool or is among the first that would claim one.
 fn owns_or_may_claim(state: &NodeState) -> bool {
-    !state.pools.borrow().is_empty() || state.keeper.borrow().may_claim_soon()
+    !state.pools.borrow().is_empty() || state.claim_controller.borrow().may_claim_soon()
 }
 
 fn is_standby(state: &NodeState, now: Instant) -> bool {
     let centre = &state.settings.data_centre;
     let divided = state.directory.borrow().groups(centre).is_some();
-    state.keeper.borrow().is_standby(now, divided)
+    state.claim_controller.borrow().is_standby(now, divided)
 }
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -74,7 +74,7 @@
     }
     drop(pools);
     if fenced_out {
-        state.keeper.borrow_mut().on_released(id);
+        state.claim_controller.borrow_mut().on_released(id);
         release_pool(state, id, "fenced_out");
     }
 }
@@ -157,10 +157,10 @@
     version: RowVersion,
     store_clock: Duration,
 ) {
-    let me = state.keeper.borrow().own_row().clone();
+    let me = state.claim_controller.borrow().own_row().clone();
     let is_own_claim = row.node == me.node && row.incarnation == me.incarnation;
     state
-        .keeper
+        .claim_controller
         .borrow_mut()
         .on_claim(state.now(), id.clone(), row, version.0);
     let held_fence = state
@@ -247,7 +247,10 @@
             if state.is_handing_over(id) {
                 return;
             }
-            let held = state.keeper.borrow().held_workers(state.now(), id);
+            let held = state
+                .claim_controller
+                .borrow()
+                .held_workers(state.now(), id);
             if held.contains(&worker.life) {
                 owned.deferred_workers.insert(worker.life.clone(), worker);
                 return;
@@ -261,7 +264,7 @@
 /// listed.
 fn update_surroundings(state: &Rc<NodeState>, id: &PoolId) {
     let shared = state
-        .keeper
+        .claim_controller
         .borrow()
         .is_held_by_former_owner(state.now(), id);
     let populated = !state.unpopulated_pools.borrow().contains(id);
@@ -282,7 +285,10 @@
     if !has_deferred {
         return;
     }
-    let held = state.keeper.borrow().held_workers(state.now(), id);
+    let held = state
+        .claim_controller
+        .borrow()
+        .held_workers(state.now(), id);
     let mut released = Vec::new();
     if let Some(owned) = state.pools.borrow_mut().get_mut(id) {
         owned.deferred_workers.retain(|life, worker| {
@@ -307,7 +313,7 @@
     let now = state.now();
     let yielding = state.yielding_pool.borrow().clone();
     let Some((id, since)) = yielding else {
-        let wanted = state.keeper.borrow().pool_to_hand_over(now);
+        let wanted = state.claim_controller.borrow().pool_to_hand_over(now);
         let wanted = wanted.filter(|_| state.has(Mechanism::Yielding));
         if let Some(id) = wanted.filter(|id| state.pools.borrow().contains_key(id)) {
             state.log(
@@ -320,7 +326,7 @@
         return;
     };
     let still_owner = state
-        .keeper
+        .claim_controller
         .borrow()
         .owner(now, &id)
         .is_some_and(|owner| owner.here);
@@ -354,7 +360,7 @@
     with_pool(state, id, |pool, now| pool.unlist_worker(now, life));
 }
 
-/// Carries out the actions of the claim keeper.
+/// Carries out the actions of the claim controller.
 pub(crate) fn run_claim_actions(state: &Rc<NodeState>, actions: Vec<ClaimAction>) {
     for action in actions {
         let state = state.clone();
@@ -364,7 +370,7 @@
                     let reachable = probe(&state, &pool).await;
                     let now = state.now();
                     state
-                        .keeper
+                        .claim_controller
                         .borrow_mut()
                         .on_probe_result(now, &pool, reachable);
                     let line = EventLine::new("pool_probed")
@@ -402,7 +408,7 @@
 }
 
 async fn write_claim(state: &Rc<NodeState>, pool: &PoolId, expected: u64) {
-    let me = state.keeper.borrow().own_row().clone();
+    let me = state.claim_controller.borrow().own_row().clone();
     let row = ClaimRow {
         node: me.node,
         incarnation: me.incarnation,
@@ -436,7 +442,10 @@
         Err(error) => line = line.text("outcome", "unknown").text("error", error),
     }
     let now = state.now();
-    state.keeper.borrow_mut().on_claim_outcome(now, pool, end);
+    state
+        .claim_controller
+        .borrow_mut()
+        .on_claim_outcome(now, pool, end);
     state.log(EventKind::Important, line);
 }
 
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -61,9 +61,9 @@
 /// Opens connections to owners that are alive and not connected, so that a job never has to wait for a connection.
 pub(crate) fn connect_owners(state: &Rc<NodeState>) {
     let now = state.now();
-    let keeper = state.keeper.borrow();
-    for pool in keeper.pools() {
-        let Some(owner) = keeper.owner(now, &pool) else {
+    let controller = state.claim_controller.borrow();
+    for pool in controller.pools() {
+        let Some(owner) = controller.owner(now, &pool) else {
             continue;
         };
         let known = state.links.open.borrow().contains_key(&owner.address)
@@ -102,7 +102,7 @@
         }
         Err(error) => {
             if error == PeerError::Refused {
-                state.keeper.borrow_mut().on_refused(&node);
+                state.claim_controller.borrow_mut().on_refused(&node);
             }
             let line = EventLine::new("link_failed")
                 .text("peer", &node)
@@ -133,7 +133,7 @@
         let mut due = [false; HeartbeatClass::ALL.len()];
         for pace in HeartbeatClass::ALL {
             let index = pace as usize;
-            let interval = state.keeper.borrow().heartbeat_interval(pace);
+            let interval = state.claim_controller.borrow().heartbeat_interval(pace);
             due[index] = last_sent[index].is_none_or(|at| now >= at + interval);
             if due[index] {
                 last_sent[index] = Some(now);
@@ -147,8 +147,8 @@
 
     fn send(&self, state: &NodeState, due: [bool; HeartbeatClass::ALL.len()]) {
         let bytes = encode_heartbeat(&heartbeat(state));
-        let keeper = state.keeper.borrow();
-        for (member, pace) in keeper.peers() {
+        let controller = state.claim_controller.borrow();
+        for (member, pace) in controller.peers() {
             if due[pace as usize] {
                 // A heartbeat that cannot be sent counts as lost; the next one follows.
                 let _lost = self.socket.try_send_to(&bytes, member.address);
@@ -163,7 +163,7 @@
 
 fn heartbeat(state: &NodeState) -> Heartbeat {
     let now = state.now();
-    let keeper = state.keeper.borrow();
+    let controller = state.claim_controller.borrow();
     let pools = state.pools.borrow();
     let news = pools.iter().map(|(id, owned)| PoolNews {
         pool: id.clone(),
@@ -177,14 +177,14 @@
         },
     });
     Heartbeat {
-        node: keeper.own_row().node.clone(),
-        incarnation: keeper.own_row().incarnation,
-        data_centre: keeper.own_row().data_centre.clone(),
-        cores: keeper.own_row().cores,
-        link: keeper.own_row().link,
+        node: controller.own_row().node.clone(),
+        incarnation: controller.own_row().incarnation,
+        data_centre: controller.own_row().data_centre.clone(),
+        cores: controller.own_row().cores,
+        link: controller.own_row().link,
         leaving: state.leaving.get(),
         reading: state.directory.borrow().recent_read(now),
-        hears: keeper.heard_owners(now),
+        hears: controller.heard_owners(now),
         pools: news.collect(),
     }
 }
@@ -203,7 +203,10 @@
         match decode_heartbeat(&buffer[..length]) {
             Ok(heartbeat) => {
                 let now = state.now();
-                state.keeper.borrow_mut().on_heartbeat(now, heartbeat, from);
+                state
+                    .claim_controller
+                    .borrow_mut()
+                    .on_heartbeat(now, heartbeat, from);
             }
             Err(error) => {
                 let line = EventLine::new("heartbeat_unreadable").text("error", error);
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -110,7 +110,7 @@
         let limit = started + grace.saturating_sub(STOP_MARGIN);
         state.leaving.set(true);
         state.stop_deadline.set(Some(limit));
-        state.keeper.borrow_mut().leave();
+        state.claim_controller.borrow_mut().leave();
         state.log(
             EventKind::Important,
             EventLine::new("process_stopping").millis("grace_ms", grace),
@@ -221,7 +221,7 @@
         pool_settings,
         system_addresses: vec![settings.store, customer_address, ready_address, address],
         route_table: RefCell::default(),
-        keeper: RefCell::new(ClaimController::new(
+        claim_controller: RefCell::new(ClaimController::new(
             member,
             claim_settings.clone(),
             clock.now(),
@@ -346,7 +346,7 @@
 
 /// Writes this process's member row at the start and then periodically.
 async fn refresh_member(state: Rc<NodeState>) {
-    let mut row = state.keeper.borrow().own_row().clone();
+    let mut row = state.claim_controller.borrow().own_row().clone();
     let mut failed = false;
     loop {
         row.refreshes += 1;
@@ -372,7 +372,7 @@
             continue;
         }
         let written = state.now();
-        while state.now() < written + state.keeper.borrow().refresh_interval() {
+        while state.now() < written + state.claim_controller.borrow().refresh_interval() {
             actix_rt::time::sleep(MEMBER_REFRESH_CHECK_INTERVAL).await;
         }
     }
@@ -408,7 +408,7 @@
 /// Returns the time until the next tick. A process that owns no pool and is not about to claim one has less to do;
 /// in a large fleet most processes are of this kind.
 fn tick_interval(state: &NodeState) -> Duration {
-    let owns = !state.pools.borrow().is_empty() || state.keeper.borrow().may_claim_soon();
+    let owns = !state.pools.borrow().is_empty() || state.claim_controller.borrow().may_claim_soon();
     match owns || state.leaving.get() {
         true => TICK_INTERVAL,
         false => IDLE_TICK_INTERVAL,
@@ -417,7 +417,7 @@
 
 fn update_link_use(state: &NodeState, now: Instant) {
     let mut link_use = state.link_use.get();
-    let link = state.keeper.borrow().own_row().link;
+    let link = state.claim_controller.borrow().own_row().link;
     link_use.update(now, state.traffic.total(), link);
     state.link_use.set(link_use);
 }
@@ -428,8 +428,8 @@
     for record in removed {
         workers::remove_worker(state, &record);
     }
-    let actions = state.keeper.borrow_mut().tick(now);
-    let notes = state.keeper.borrow_mut().take_events();
+    let actions = state.claim_controller.borrow_mut().tick(now);
+    let notes = state.claim_controller.borrow_mut().take_events();
     for note in notes {
         if let ClaimEvent::PeerSilent { node, .. } = &note {
             state.links.close(node);
@@ -438,7 +438,7 @@
         crate::event_lines::log_claim_note(state, &note);
     }
     // A process that may soon claim a pool needs the current state of its workers.
-    if state.keeper.borrow().may_claim_soon() {
+    if state.claim_controller.borrow().may_claim_soon() {
         state.worker_list_needed.notify_one();
     }
     owner::run_claim_actions(state, actions);
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -39,7 +39,7 @@
     pub(crate) store: StoreClient,
     pub(crate) workers: WorkerClient,
     pub(crate) route_table: RefCell<Option<Rc<RouteTable>>>,
-    pub(crate) keeper: RefCell<ClaimController>,
+    pub(crate) claim_controller: RefCell<ClaimController>,
     pub(crate) directory: RefCell<WorkerDirectory>,
     pub(crate) evacuations: RefCell<EvacuationSet>,
     pub(crate) pools: RefCell<FastMap<PoolId, OwnedPool>>,
@@ -96,7 +96,7 @@
     }
 
     pub(crate) fn node(&self) -> NodeId {
-        self.keeper.borrow().own_row().node.clone()
+        self.claim_controller.borrow().own_row().node.clone()
     }
 
     pub(crate) fn log(&self, kind: EventKind, line: EventLine) {
--- a/crates/node/src/workers.rs
+++ b/crates/node/src/workers.rs
@@ -61,10 +61,13 @@
 /// Clears the assumption that pools have workers for those pools that have none listed. The assumption holds only
 /// until the directory is read.
 fn clear_assumed_workers(state: &Rc<NodeState>) {
-    let pools = state.keeper.borrow().pools();
+    let pools = state.claim_controller.borrow().pools();
     for pool in pools {
         let has_workers = state.directory.borrow().pool_has_workers(&pool);
-        state.keeper.borrow_mut().on_workers(&pool, has_workers);
+        state
+            .claim_controller
+            .borrow_mut()
+            .on_workers(&pool, has_workers);
     }
 }
 
@@ -88,7 +91,10 @@
         return;
     };
     let has_workers = state.directory.borrow().pool_has_workers(&pool);
-    state.keeper.borrow_mut().on_workers(&pool, has_workers);
+    state
+        .claim_controller
+        .borrow_mut()
+        .on_workers(&pool, has_workers);
     owner::remove_worker(state, &pool, &record.life);
 }
 
