--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -112,10 +112,10 @@
     }
 }
 
-/// Sends heartbeats, at a pace that depends on the receiver's distance.
+/// Sends heartbeats, at an interval that depends on the class of the receiver.
 pub(crate) struct HeartbeatSender {
     socket: Rc<UdpSocket>,
-    /// When heartbeats of each pace were last sent.
+    /// When heartbeats of each class were last sent.
     last_sent: Cell<[Option<Instant>; HeartbeatClass::ALL.len()]>,
 }
 
@@ -131,9 +131,9 @@
         let now = state.now();
         let mut last_sent = self.last_sent.get();
         let mut due = [false; HeartbeatClass::ALL.len()];
-        for pace in HeartbeatClass::ALL {
-            let index = pace as usize;
-            let interval = state.claim_controller.borrow().heartbeat_interval(pace);
+        for class in HeartbeatClass::ALL {
+            let index = class as usize;
+            let interval = state.claim_controller.borrow().heartbeat_interval(class);
             due[index] = last_sent[index].is_none_or(|at| now >= at + interval);
             if due[index] {
                 last_sent[index] = Some(now);
@@ -148,8 +148,8 @@
     fn send(&self, state: &NodeState, due: [bool; HeartbeatClass::ALL.len()]) {
         let bytes = encode_heartbeat(&heartbeat(state));
         let controller = state.claim_controller.borrow();
-        for (member, pace) in controller.peers() {
-            if due[pace as usize] {
+        for (member, class) in controller.peers() {
+            if due[class as usize] {
                 // A heartbeat that cannot be sent counts as lost; the next one follows.
                 let _lost = self.socket.try_send_to(&bytes, member.address);
                 state.traffic.record_call(TrafficKind::Heartbeats);
