--- a/crates/node/src/event_lines.rs
+++ b/crates/node/src/event_lines.rs
@@ -2,11 +2,11 @@
 
 use claims::ClaimEvent;
 use jobs::{FenceToken, JobOutcome, PoolId};
-use pool::PoolNote;
+use pool::PoolEvent;
 use telemetry::{EventKind, EventLine};
 
 use crate::{
-    metrics::{count_note, start_answer_label},
+    metrics::{count_event, start_answer_label},
     state::NodeState,
 };
 
@@ -33,15 +33,15 @@
 }
 
 /// Logs what a pool decided or learned.
-pub(crate) fn log_pool_note(state: &NodeState, id: &PoolId, fence: FenceToken, note: &PoolNote) {
-    count_note(&state.metrics, note);
-    let (kind, line) = pool_line(note);
+pub(crate) fn log_pool_event(state: &NodeState, id: &PoolId, fence: FenceToken, event: &PoolEvent) {
+    count_event(&state.metrics, event);
+    let (kind, line) = pool_line(event);
     state.log(kind, line.text("pool", id).number("fence", fence.0));
 }
 
-fn pool_line(note: &PoolNote) -> (EventKind, EventLine) {
-    match note {
-        PoolNote::Admission {
+fn pool_line(event: &PoolEvent) -> (EventKind, EventLine) {
+    match event {
+        PoolEvent::Admission {
             job,
             refusal,
             predicted,
@@ -67,24 +67,24 @@
             let line = line.number("harms", u8::from(*delays_admitted));
             (kind, line.number("crowds", u8::from(*takes_reserved)))
         }
-        PoolNote::Congestion {
+        PoolEvent::Congestion {
             congested,
             smoothed,
             minimum,
             window,
         } => {
-            let event = if *congested {
+            let name = if *congested {
                 "path_strained"
             } else {
                 "path_quiet"
             };
-            let line = EventLine::new(event)
+            let line = EventLine::new(name)
                 .millis("answer_ms", *smoothed)
                 .millis("least_ms", *minimum)
                 .number("window", *window as u64);
             (EventKind::Important, line)
         }
-        PoolNote::WorkerRestarted { life, born, runs } => {
+        PoolEvent::WorkerRestarted { life, born, runs } => {
             let line = EventLine::new("worker_reborn").text("worker", life);
             let line = match born {
                 Some(born) => line.text("born", born),
@@ -92,7 +92,7 @@
             };
             (EventKind::Important, line.number("runs", *runs as u64))
         }
-        PoolNote::WorkerResized {
+        PoolEvent::WorkerResized {
             life,
             former_room,
             room,
@@ -110,7 +110,7 @@
                 line.number("withdrawn", *withdrawn as u64),
             )
         }
-        PoolNote::CrashSuspected {
+        PoolEvent::CrashSuspected {
             life,
             died,
             common,
@@ -125,15 +125,15 @@
                 line.number("suspects", *suspects as u64),
             )
         }
-        PoolNote::CrashCleared { life } => {
+        PoolEvent::CrashCleared { life } => {
             let line = EventLine::new("crash_cleared").text("worker", life);
             (EventKind::Important, line)
         }
-        PoolNote::CrashCulprit { task } => {
+        PoolEvent::CrashCulprit { task } => {
             let line = EventLine::new("crash_culprit").text("task", task);
             (EventKind::Important, line)
         }
-        PoolNote::Evacuation {
+        PoolEvent::Evacuation {
             evacuated,
             running,
             withdrawn,
@@ -146,20 +146,20 @@
                 line.number("withdrawn", *withdrawn as u64),
             )
         }
-        PoolNote::KeptStored { job, version } => {
+        PoolEvent::KeptStored { job, version } => {
             let line = EventLine::new("job_stored").text("job", job);
             (EventKind::Routine, line.number("version", *version))
         }
-        PoolNote::KeptFound { job, version } => {
+        PoolEvent::KeptFound { job, version } => {
             let line = EventLine::new("job_found").text("job", job);
             (EventKind::Important, line.number("version", *version))
         }
-        PoolNote::KeptEnded { job, state } => {
+        PoolEvent::KeptEnded { job, state } => {
             let line = EventLine::new("kept_job_ended").text("job", job);
             (EventKind::Routine, line.text("state", state.as_str()))
         }
-        PoolNote::KeptSuspended => (EventKind::Important, EventLine::new("kept_jobs_suspended")),
-        PoolNote::RunPlaced {
+        PoolEvent::KeptSuspended => (EventKind::Important, EventLine::new("kept_jobs_suspended")),
+        PoolEvent::RunPlaced {
             task,
             run,
             life,
@@ -173,7 +173,7 @@
                 line.text("worker", life).millis("waited_ms", *waited),
             )
         }
-        PoolNote::StartFailed {
+        PoolEvent::StartFailed {
             task,
             run,
             life,
@@ -188,7 +188,7 @@
                 .text("answer", start_answer_label(*answer));
             (EventKind::Important, line.number("tries", *starts_sent))
         }
-        PoolNote::RunEnded {
+        PoolEvent::RunEnded {
             task,
             run,
             life,
@@ -201,7 +201,7 @@
             let line = line.text("worker", life).text("cause", cause.as_str());
             (EventKind::Routine, line.millis("took_ms", *took))
         }
-        PoolNote::RunLost {
+        PoolEvent::RunLost {
             task,
             run,
             life,
@@ -215,7 +215,7 @@
                 line.text("worker", life).text("cause", loss.as_str()),
             )
         }
-        PoolNote::RunStalled {
+        PoolEvent::RunStalled {
             task,
             run,
             life,
@@ -228,7 +228,7 @@
             let line = line.text("worker", life).millis("took_ms", *took);
             (EventKind::Important, line.number("percent", *percent))
         }
-        PoolNote::ForeignRun { task, run, life } => {
+        PoolEvent::ForeignRun { task, run, life } => {
             let line = EventLine::new("foreign_run")
                 .number("run", run.0)
                 .text("worker", life);
@@ -238,7 +238,7 @@
             };
             (EventKind::Important, line)
         }
-        PoolNote::WorkerSuspended { life, cause, pause } => {
+        PoolEvent::WorkerSuspended { life, cause, pause } => {
             let line = EventLine::new("worker_suspended").text("worker", life);
             (
                 EventKind::Important,
@@ -246,22 +246,22 @@
                     .millis("pause_ms", *pause),
             )
         }
-        PoolNote::WorkerSilent { life, runs } => {
+        PoolEvent::WorkerSilent { life, runs } => {
             let line = EventLine::new("worker_silent").text("worker", life);
             (EventKind::Important, line.number("runs", *runs as u64))
         }
-        PoolNote::WorkerAnswers { life, clock_offset } => {
+        PoolEvent::WorkerAnswers { life, clock_offset } => {
             let line = EventLine::new("worker_answers").text("worker", life);
             (
                 EventKind::Important,
                 line.number("clock_offset_ms", *clock_offset),
             )
         }
-        PoolNote::WorkerChanged { life, change } => {
+        PoolEvent::WorkerChanged { life, change } => {
             let line = EventLine::new("worker_changed").text("worker", life);
             (EventKind::Important, line.text("change", change.as_str()))
         }
-        PoolNote::JobEnded {
+        PoolEvent::JobEnded {
             job,
             outcome,
             took,
@@ -275,7 +275,7 @@
                     .millis("objective_ms", *objective),
             )
         }
-        PoolNote::JobAbandoned { job, stopped } => {
+        PoolEvent::JobAbandoned { job, stopped } => {
             let line = EventLine::new("job_abandoned").text("job", job);
             (
                 EventKind::Important,
@@ -286,8 +286,8 @@
 }
 
 /// Logs what the claim controller learned.
-pub(crate) fn log_claim_note(state: &NodeState, note: &ClaimEvent) {
-    let line = match note {
+pub(crate) fn log_claim_event(state: &NodeState, event: &ClaimEvent) {
+    let line = match event {
         ClaimEvent::PeerHeard(node) => EventLine::new("peer_heard").text("peer", node),
         ClaimEvent::PeerSilent { node, age } => EventLine::new("peer_silent")
             .text("peer", node)
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,7 +1,7 @@
 //! The metrics of a node.
 
 use jobs::{EndCause, JobOutcome, RefusalKind};
-use pool::{CallFailure, PoolNote, RunLoss, StartAnswer, SuspensionCause};
+use pool::{CallFailure, PoolEvent, RunLoss, StartAnswer, SuspensionCause};
 use telemetry::{
     CounterFamily, NodeMetrics, TelemetryError, TimeFamily, TrafficCounters, TrafficKind,
 };
@@ -188,9 +188,9 @@
     metrics.time(JOB_TIME_FAMILY.name, took);
 }
 
-pub(crate) fn count_note(metrics: &NodeMetrics, note: &PoolNote) {
-    match note {
-        PoolNote::Admission { refusal, .. } => {
+pub(crate) fn count_event(metrics: &NodeMetrics, event: &PoolEvent) {
+    match event {
+        PoolEvent::Admission { refusal, .. } => {
             let decision = if refusal.is_some() {
                 "refused"
             } else {
@@ -198,33 +198,33 @@
             };
             metrics.count(ADMISSIONS, decision);
         }
-        PoolNote::RunPlaced { waited, .. } => metrics.time(QUEUE_WAIT_FAMILY.name, *waited),
-        PoolNote::RunEnded { cause, took, .. } => {
+        PoolEvent::RunPlaced { waited, .. } => metrics.time(QUEUE_WAIT_FAMILY.name, *waited),
+        PoolEvent::RunEnded { cause, took, .. } => {
             metrics.count(RUN_ENDS, cause.as_str());
             metrics.time(RUN_TIME_FAMILY.name, *took);
             if *cause != EndCause::Done {
                 metrics.count(RETRIES, cause.as_str());
             }
         }
-        PoolNote::RunLost { loss, .. } => {
+        PoolEvent::RunLost { loss, .. } => {
             metrics.count(RETRIES, loss.as_str());
         }
-        PoolNote::StartFailed { answer, .. } => {
+        PoolEvent::StartFailed { answer, .. } => {
             metrics.count(STARTS_NOT_DONE, start_answer_label(*answer));
         }
-        PoolNote::WorkerResized {
+        PoolEvent::WorkerResized {
             former_room, room, ..
         } => {
             let grown = room.holds(former_room);
             metrics.count(ROOM_CHANGES, if grown { "grown" } else { "shrunk" });
         }
-        PoolNote::CrashSuspected { common, .. } => {
+        PoolEvent::CrashSuspected { common, .. } => {
             let finding = if *common { "common" } else { "suspected" };
             metrics.count(CRASHES, finding);
         }
-        PoolNote::CrashCleared { .. } => metrics.count(CRASHES, "cleared"),
-        PoolNote::CrashCulprit { .. } => metrics.count(CRASHES, "culprit"),
-        PoolNote::WorkerSuspended { cause, .. } => metrics.count(SUSPENSIONS, cause.as_str()),
+        PoolEvent::CrashCleared { .. } => metrics.count(CRASHES, "cleared"),
+        PoolEvent::CrashCulprit { .. } => metrics.count(CRASHES, "culprit"),
+        PoolEvent::WorkerSuspended { cause, .. } => metrics.count(SUSPENSIONS, cause.as_str()),
         _ => (),
     }
 }
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -42,7 +42,7 @@
     deferred_workers: FastMap<LifeId, WorkerRecord>,
 }
 
-/// Applies `update` to a pool if this node owns it, then logs the pool's notes and carries out its actions.
+/// Applies `update` to a pool if this node owns it, then logs the pool's events and carries out its actions.
 pub(crate) fn with_pool(
     state: &Rc<NodeState>,
     id: &PoolId,
@@ -55,8 +55,8 @@
     };
     update(&mut owned.pool, now);
     let fence = owned.pool.fence();
-    for note in owned.pool.take_notes() {
-        event_lines::log_pool_note(state, id, fence, &note);
+    for event in owned.pool.take_events() {
+        event_lines::log_pool_event(state, id, fence, &event);
     }
     let mut fenced_out = false;
     for action in owned.pool.take_actions() {
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -429,13 +429,13 @@
         workers::remove_worker(state, &record);
     }
     let actions = state.claim_controller.borrow_mut().tick(now);
-    let notes = state.claim_controller.borrow_mut().take_events();
-    for note in notes {
-        if let ClaimEvent::PeerSilent { node, .. } = &note {
+    let events = state.claim_controller.borrow_mut().take_events();
+    for event in events {
+        if let ClaimEvent::PeerSilent { node, .. } = &event {
             state.links.close(node);
             state.peer_lost_signal(node).notify_waiters();
         }
-        crate::event_lines::log_claim_note(state, &note);
+        crate::event_lines::log_claim_event(state, &event);
     }
     // A process that may soon claim a pool needs the current state of its workers.
     if state.claim_controller.borrow().may_claim_soon() {
--- a/crates/pool/src/action.rs
+++ b/crates/pool/src/action.rs
@@ -1,4 +1,4 @@
-//! The actions a pool asks its caller to carry out, the answers to them, and the notes it makes for the log.
+//! The actions a pool asks its caller to carry out, the answers to them, and the events it reports for the log.
 
 use std::{
     net::SocketAddr,
@@ -178,7 +178,7 @@
 
 /// A decision, or a change in what the owner knows, for the log and the metrics.
 #[derive(Clone, Debug, PartialEq)]
-pub enum PoolNote {
+pub enum PoolEvent {
     /// A job was admitted or refused.
     Admission {
         /// The job.
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -35,8 +35,8 @@
 
 pub use crate::{
     action::{
-        CallFailure, PollAnswer, PollOrder, PoolAction, PoolNote, RunLoss, StartAnswer, StartOrder,
-        StopAnswer, StopOrder, SuspensionCause, WaiterId, WorkerChange,
+        CallFailure, PollAnswer, PollOrder, PoolAction, PoolEvent, RunLoss, StartAnswer,
+        StartOrder, StopAnswer, StopOrder, SuspensionCause, WaiterId, WorkerChange,
     },
     admission::PoolLoad,
     evacuation::{EvacuationChange, EvacuationSet},
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -24,7 +24,7 @@
 use model::{FastMap, Mechanism};
 
 use crate::{
-    action::{PoolAction, PoolNote, SuspensionCause, WaiterId, WorkerChange},
+    action::{PoolAction, PoolEvent, SuspensionCause, WaiterId, WorkerChange},
     admission::PoolLoad,
     answer_time::AnswerTimes,
     arrivals::ArrivalStats,
@@ -104,7 +104,7 @@
     estimates: EstimateCorrections,
     arrivals: ArrivalStats,
     actions: Vec<PoolAction>,
-    notes: Vec<PoolNote>,
+    events: Vec<PoolEvent>,
 }
 
 /// The initial state of a pool under a new owner.
@@ -159,7 +159,7 @@
             estimates: EstimateCorrections::default(),
             arrivals: ArrivalStats::default(),
             actions: Vec::new(),
-            notes: Vec::new(),
+            events: Vec::new(),
         }
     }
 
@@ -178,9 +178,9 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Takes the pending notes for the log, in order.
-    pub fn take_notes(&mut self) -> Vec<PoolNote> {
-        std::mem::take(&mut self.notes)
+    /// Takes the pending events for the log, in order.
+    pub fn take_events(&mut self) -> Vec<PoolEvent> {
+        std::mem::take(&mut self.events)
     }
 
     /// Stops accepting new jobs. Jobs that were admitted continue.
@@ -451,7 +451,7 @@
             return;
         };
         self.queue.remove(id);
-        self.notes.push(PoolNote::JobEnded {
+        self.events.push(PoolEvent::JobEnded {
             job: id,
             outcome,
             took: now.saturating_duration_since(job.arrived),
@@ -467,7 +467,8 @@
         self.jobs.remove(&id);
         self.queue.remove(id);
         let stopped = self.stop_job_runs(now, id);
-        self.notes.push(PoolNote::JobAbandoned { job: id, stopped });
+        self.events
+            .push(PoolEvent::JobAbandoned { job: id, stopped });
     }
 
     fn stop_job_runs(&mut self, now: Instant, id: JobId) -> usize {
@@ -495,7 +496,7 @@
     }
 
     fn note_worker_change(&mut self, life: LifeId, change: WorkerChange) {
-        self.notes.push(PoolNote::WorkerChanged { life, change });
+        self.events.push(PoolEvent::WorkerChanged { life, change });
     }
 
     fn remove_unlisted_workers(&mut self, now: Instant) {
@@ -528,7 +529,7 @@
             return;
         };
         let pause = worker.health.suspend(now);
-        self.notes.push(PoolNote::WorkerSuspended {
+        self.events.push(PoolEvent::WorkerSuspended {
             life: life.clone(),
             cause,
             pause,
--- a/crates/pool/src/pool/admit.rs
+++ b/crates/pool/src/pool/admit.rs
@@ -10,7 +10,7 @@
 
 use super::{WorkerPool, MAX_RETRY_AFTER, MIN_RETRY_AFTER};
 use crate::{
-    action::PoolNote,
+    action::PoolEvent,
     admission::{AdmissionForecast, AdmissionSimulation, ForecastJob, ForecastStep},
     arrivals::ArrivedJob,
     forecast::{PoolForecast, WaitingGroup, WorkerForecast},
@@ -93,7 +93,7 @@
             None
         };
         self.record_arrival(now, request, terms, kind);
-        self.notes.push(PoolNote::Admission {
+        self.events.push(PoolEvent::Admission {
             job: request.id,
             refusal: kind,
             predicted,
--- a/crates/pool/src/pool/answers.rs
+++ b/crates/pool/src/pool/answers.rs
@@ -8,7 +8,7 @@
 use super::{stop_run, WorkerPool};
 use crate::{
     action::{
-        CallFailure, PoolNote, RunLoss, StartAnswer, StartOrder, StopAnswer, StopOrder,
+        CallFailure, PoolEvent, RunLoss, StartAnswer, StartOrder, StopAnswer, StopOrder,
         SuspensionCause,
     },
     worker::{QueuedOrder, RunPhase, TrackedWorker},
@@ -40,7 +40,7 @@
         let late = now >= order.sent + order.overdue_after;
         worker.finish_order(late);
         if !matches!(answer, StartAnswer::Started(_)) {
-            self.notes.push(PoolNote::StartFailed {
+            self.events.push(PoolEvent::StartFailed {
                 task: *task,
                 run: *run,
                 life: life.clone(),
@@ -95,7 +95,7 @@
         let tries = run.starts_sent;
         self.resend_budget -= 1.0;
         self.answer_times.record_timeout();
-        self.notes.push(PoolNote::StartFailed {
+        self.events.push(PoolEvent::StartFailed {
             task: order.task,
             run: order.run,
             life: order.life.clone(),
@@ -128,7 +128,7 @@
         self.start_window
             .on_answer(now, strained, self.answer_times.smoothed(), under_way);
         if strained != was_strained {
-            self.notes.push(PoolNote::Congestion {
+            self.events.push(PoolEvent::Congestion {
                 congested: strained,
                 smoothed: self.answer_times.smoothed(),
                 minimum: self.answer_times.minimum(),
--- a/crates/pool/src/pool/crash_blame.rs
+++ b/crates/pool/src/pool/crash_blame.rs
@@ -14,7 +14,7 @@
 
 use super::{schedule::task_id, WorkerPool};
 use crate::{
-    action::PoolNote,
+    action::PoolEvent,
     crash::{LostTask, TaskRestriction, WorkerCounts, WorkerLoss},
     worker::TrackedWorker,
 };
@@ -57,7 +57,7 @@
         };
         let suspects = loss.tasks.len();
         let loss_result = self.crashes.record_loss(loss, &self.pool_shape());
-        self.notes.push(PoolNote::CrashSuspected {
+        self.events.push(PoolEvent::CrashSuspected {
             life: life.clone(),
             died,
             common: loss_result.common,
@@ -77,8 +77,8 @@
     /// Clears the loss of a worker that answers in the life in which it was lost.
     pub(super) fn clear_crash(&mut self, life: &LifeId, born: Option<BirthTime>) {
         if self.crashes.discard_loss(life, born) {
-            self.notes
-                .push(PoolNote::CrashCleared { life: life.clone() });
+            self.events
+                .push(PoolEvent::CrashCleared { life: life.clone() });
         }
     }
 
@@ -123,7 +123,7 @@
     /// Fails the jobs of culprit tasks: another attempt would only cost another worker.
     pub(super) fn fail_culprit_jobs(&mut self, now: Instant, culprits: Vec<TaskId>) {
         for task in culprits {
-            self.notes.push(PoolNote::CrashCulprit { task });
+            self.events.push(PoolEvent::CrashCulprit { task });
             match self.is_kept(task.job) {
                 true => self.end_kept(now, task.job, KeptState::Failed),
                 false => self.finish(now, task.job, JobOutcome::Failed),
--- a/crates/pool/src/pool/evacuating.rs
+++ b/crates/pool/src/pool/evacuating.rs
@@ -9,7 +9,7 @@
 use jobs::{JobId, JobOutcome, LifeId, RefusalKind, RunNumber, TaskId};
 
 use super::{stop_run, WorkerPool, MIN_RETRY_AFTER};
-use crate::{action::PoolNote, worker::RunPhase};
+use crate::{action::PoolEvent, worker::RunPhase};
 
 impl WorkerPool {
     /// Sets whether the pool's data centre is evacuated.
@@ -30,7 +30,7 @@
             }
         }
         let unsent = if evacuated { unsent } else { Vec::new() };
-        self.notes.push(PoolNote::Evacuation {
+        self.events.push(PoolEvent::Evacuation {
             evacuated,
             running,
             withdrawn: unsent.len(),
--- a/crates/pool/src/pool/kept_jobs.rs
+++ b/crates/pool/src/pool/kept_jobs.rs
@@ -12,7 +12,7 @@
 
 use super::{WorkerPool, MIN_RETRY_AFTER};
 use crate::{
-    action::{PoolAction, PoolNote, WaiterId},
+    action::{PoolAction, PoolEvent, WaiterId},
     kept::{KeptJobState, KeptWrite, KeptWriteResult, UnstoredEnd},
 };
 
@@ -87,7 +87,7 @@
         if self.jobs.get(&id).is_none_or(|job| job.kept.is_none()) {
             return;
         }
-        self.notes.push(PoolNote::KeptEnded {
+        self.events.push(PoolEvent::KeptEnded {
             job: id,
             state: KeptState::Cancelled,
         });
@@ -250,11 +250,11 @@
         if let Some(state) = final_state {
             self.jobs.remove(&id);
             self.recently_ended_kept.insert(id, now);
-            self.notes.push(PoolNote::KeptEnded { job: id, state });
+            self.events.push(PoolEvent::KeptEnded { job: id, state });
             return;
         }
         if first {
-            self.notes.push(PoolNote::KeptStored { job: id, version });
+            self.events.push(PoolEvent::KeptStored { job: id, version });
             self.enqueue(now, id);
         }
         self.store_changes(id);
--- a/crates/pool/src/pool/polls.rs
+++ b/crates/pool/src/pool/polls.rs
@@ -12,7 +12,7 @@
 use super::{stop_run, WorkerPool};
 use crate::{
     action::{
-        CallFailure, PollAnswer, PollOrder, PoolAction, PoolNote, RunLoss, SuspensionCause,
+        CallFailure, PollAnswer, PollOrder, PoolAction, PoolEvent, RunLoss, SuspensionCause,
         WorkerChange,
     },
     crash::TaskRestriction,
@@ -143,7 +143,7 @@
         let runs = worker.runs.len();
         let first = worker.missed_polls == crate::worker::MISSED_POLLS_TO_SILENCE;
         if first {
-            self.notes.push(PoolNote::WorkerSilent {
+            self.events.push(PoolEvent::WorkerSilent {
                 life: life.clone(),
                 runs,
             });
@@ -180,7 +180,7 @@
         let clock_offset = worker.clock.map_or(0, |clock| clock.offset);
         let born = worker.born;
         if newly_answering {
-            self.notes.push(PoolNote::WorkerAnswers {
+            self.events.push(PoolEvent::WorkerAnswers {
                 life: life.clone(),
                 clock_offset,
             });
@@ -218,7 +218,7 @@
         };
         worker.last_end_time = now;
         let took = now.saturating_duration_since(run.placed_at);
-        self.notes.push(PoolNote::RunEnded {
+        self.events.push(PoolEvent::RunEnded {
             task,
             run: run.run,
             life: life.clone(),
@@ -375,7 +375,7 @@
             worker
                 .queued_orders
                 .push_back(QueuedOrder::Stop(known.0, known.1));
-            self.notes.push(PoolNote::ForeignRun {
+            self.events.push(PoolEvent::ForeignRun {
                 task: Some(known.0),
                 run: known.1,
                 life: life.clone(),
@@ -430,7 +430,7 @@
         };
         for (task, run, took, percent) in stalled {
             stop_run(worker, task, run);
-            self.notes.push(PoolNote::RunStalled {
+            self.events.push(PoolEvent::RunStalled {
                 task,
                 run,
                 life: life.clone(),
@@ -523,7 +523,7 @@
     }
 
     pub(super) fn note_lost_run(&mut self, run: &TrackedRun, life: &LifeId, loss: RunLoss) {
-        self.notes.push(PoolNote::RunLost {
+        self.events.push(PoolEvent::RunLost {
             task: run.task,
             run: run.run,
             life: life.clone(),
--- a/crates/pool/src/pool/resizing.rs
+++ b/crates/pool/src/pool/resizing.rs
@@ -9,7 +9,7 @@
 use jobs::{JobId, JobOutcome, LifeId, RefusalKind, ResourceDemand, RunNumber, TaskId};
 
 use super::{WorkerPool, MIN_RETRY_AFTER};
-use crate::{action::PoolNote, worker::TrackedWorker};
+use crate::{action::PoolEvent, worker::TrackedWorker};
 
 impl WorkerPool {
     /// Handles a change of a worker's room, after which starts may have to be withdrawn and jobs
@@ -20,7 +20,7 @@
         };
         let room = worker.record.room;
         let withdrawn = starts_over_room(worker);
-        self.notes.push(PoolNote::WorkerResized {
+        self.events.push(PoolEvent::WorkerResized {
             life: life.clone(),
             former_room: former,
             room,
--- a/crates/pool/src/pool/restart.rs
+++ b/crates/pool/src/pool/restart.rs
@@ -16,7 +16,7 @@
 
 use super::WorkerPool;
 use crate::{
-    action::{PollOrder, PoolNote, RunLoss},
+    action::{PollOrder, PoolEvent, RunLoss},
     worker::{ListingLife, TrackedRun},
 };
 
@@ -93,7 +93,7 @@
                 kept.unstored_ends.retain(|end| end.life != *life);
             }
         }
-        self.notes.push(PoolNote::WorkerRestarted {
+        self.events.push(PoolEvent::WorkerRestarted {
             life: life.clone(),
             born: listing.born,
             runs: fates.len(),
--- a/crates/pool/src/pool/schedule.rs
+++ b/crates/pool/src/pool/schedule.rs
@@ -8,7 +8,7 @@
 
 use super::{WorkerPool, MIN_RETRY_AFTER, RESEND_BURST};
 use crate::{
-    action::{PoolAction, PoolNote, StartOrder, StopOrder},
+    action::{PoolAction, PoolEvent, StartOrder, StopOrder},
     crash::TaskRestriction,
     job::WaitingTask,
     placement::{choose_worker, PlacementRequest},
@@ -165,7 +165,7 @@
             exclusive: self.crashes.restriction(now, task_id) != TaskRestriction::None,
             failed_on: task.failed_on,
         };
-        self.notes.push(PoolNote::RunPlaced {
+        self.events.push(PoolEvent::RunPlaced {
             task: task_id,
             run,
             life: life.clone(),
--- a/crates/pool/src/pool/takeover.rs
+++ b/crates/pool/src/pool/takeover.rs
@@ -16,7 +16,7 @@
 
 use super::{kept_jobs::NO_DEADLINE, stop_run, WorkerPool};
 use crate::{
-    action::PoolNote,
+    action::PoolEvent,
     job::TrackedJob,
     kept::{FoundJob, KeptJobState, STORE_CONTACT_LIMIT, TAKEOVER_HOLD_TIME},
     worker::{RunPhase, TrackedWorker},
@@ -116,7 +116,7 @@
         let complete = job.is_complete();
         let progress = job.kept.as_ref().map(|kept| kept.progress.clone());
         self.jobs.insert(id, job);
-        self.notes.push(PoolNote::KeptFound { job: id, version });
+        self.events.push(PoolEvent::KeptFound { job: id, version });
         if complete {
             // The job's last end was stored, but its owner was gone before it could store the
             // completion.
@@ -200,7 +200,7 @@
             self.requeue(now, run);
         }
         if stopped {
-            self.notes.push(PoolNote::KeptSuspended);
+            self.events.push(PoolEvent::KeptSuspended);
             self.send_orders(now);
         }
     }
--- a/crates/pool/tests/crash.rs
+++ b/crates/pool/tests/crash.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use jobs::{JobId, JobOutcome, KeptState, LifeId, StepRecord};
-use pool::PoolNote;
+use pool::PoolEvent;
 use support::{crashing::CrashReturn, results::credit, World, KINDS};
 
 const HALF_WORKER: u64 = 8_000;
@@ -37,8 +37,8 @@
 }
 
 fn common_cause_losses(world: &World) -> usize {
-    let notes = world.crashes.notes.iter();
-    let common = notes.filter(|n| matches!(n, PoolNote::CrashSuspected { common: true, .. }));
+    let events = world.crashes.events.iter();
+    let common = events.filter(|n| matches!(n, PoolEvent::CrashSuspected { common: true, .. }));
     common.count()
 }
 
@@ -151,8 +151,8 @@
     world.run_for(1_300);
     world.workers.get_mut(&life).unwrap().fault.silent = false;
     world.run_for(6_000);
-    let cleared = |note: &PoolNote| *note == PoolNote::CrashCleared { life: life.clone() };
-    assert!(world.crashes.notes.iter().any(cleared));
+    let cleared = |event: &PoolEvent| *event == PoolEvent::CrashCleared { life: life.clone() };
+    assert!(world.crashes.events.iter().any(cleared));
     assert_eq!(state(&world, job), Some(KeptState::Completed));
     let (row, _) = &world.rows[&job];
     assert!(row.progress.iter().all(|step| step.deaths.is_empty()));
--- a/crates/pool/tests/support/crashing.rs
+++ b/crates/pool/tests/support/crashing.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use jobs::{JobId, LifeId, TaskId};
-use pool::{CallFailure, PoolNote};
+use pool::{CallFailure, PoolEvent};
 
 use super::{Event, World, ONE_WAY_MS};
 
@@ -31,8 +31,8 @@
     /// The number of deaths under each task that crashes workers.
     pub(crate) deaths: BTreeMap<TaskId, u32>,
     extra_starts: BTreeMap<TaskId, u32>,
-    /// The pool's notes about crashes.
-    pub(crate) notes: Vec<PoolNote>,
+    /// The pool's events about crashes.
+    pub(crate) events: Vec<PoolEvent>,
 }
 
 impl Default for CrashPlan {
@@ -44,7 +44,7 @@
             down: BTreeMap::new(),
             deaths: BTreeMap::new(),
             extra_starts: BTreeMap::new(),
-            notes: Vec::new(),
+            events: Vec::new(),
         }
     }
 }
--- a/crates/pool/tests/support/mod.rs
+++ b/crates/pool/tests/support/mod.rs
@@ -21,8 +21,9 @@
     WorkerRecord, WorkerState,
 };
 use pool::{
-    CallFailure, FoundJob, KeptWrite, KeptWriteResult, PollAnswer, PollOrder, PoolAction, PoolInit,
-    PoolNote, PoolSettings, StartAnswer, StartOrder, StopAnswer, StopOrder, WaiterId, WorkerPool,
+    CallFailure, FoundJob, KeptWrite, KeptWriteResult, PollAnswer, PollOrder, PoolAction,
+    PoolEvent, PoolInit, PoolSettings, StartAnswer, StartOrder, StopAnswer, StopOrder, WaiterId,
+    WorkerPool,
 };
 
 use crashing::CrashPlan;
@@ -637,15 +638,15 @@
     }
 
     fn execute_actions(&mut self) {
-        for note in self.pool.take_notes() {
+        for event in self.pool.take_events() {
             let of_crash = matches!(
-                note,
-                PoolNote::CrashSuspected { .. }
-                    | PoolNote::CrashCleared { .. }
-                    | PoolNote::CrashCulprit { .. }
+                event,
+                PoolEvent::CrashSuspected { .. }
+                    | PoolEvent::CrashCleared { .. }
+                    | PoolEvent::CrashCulprit { .. }
             );
             if of_crash {
-                self.crashes.notes.push(note);
+                self.crashes.events.push(event);
             }
         }
         for action in self.pool.take_actions() {
