--- a/crates/node/src/kept_jobs/maintenance.rs
+++ b/crates/node/src/kept_jobs/maintenance.rs
@@ -150,7 +150,9 @@
         }
     };
     if row.version.0 == fence.0 {
-        with_fenced_pool(&state, &id, fence, |pool, _| pool.note_store_contact(sent));
+        with_fenced_pool(&state, &id, fence, |pool, _| {
+            pool.record_store_contact(sent)
+        });
     }
 }
 
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -187,7 +187,7 @@
 /// later owner up to that version.
 pub(crate) fn record_sole_ownership(state: &NodeState, version: u64) {
     for owned in state.pools.borrow_mut().values_mut() {
-        owned.pool.note_no_later_claim(version);
+        owned.pool.record_no_later_claim(version);
     }
 }
 
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -290,10 +290,10 @@
     pub fn upsert_worker(&mut self, now: Instant, record: WorkerRecord) {
         let life = record.life.clone();
         let Some(worker) = self.workers.get_mut(&life) else {
-            self.note_new_worker(now, &record);
+            self.on_new_worker(now, &record);
             self.workers
                 .insert(life.clone(), TrackedWorker::new(record, self.fence, now));
-            self.note_worker_change(life, WorkerChange::Added);
+            self.report_worker_change(life, WorkerChange::Added);
             self.send_polls_and_orders(now);
             return;
         };
@@ -306,7 +306,7 @@
         worker.update_record(now, record);
         worker.unlisted_since = None;
         if changed {
-            self.note_worker_change(life.clone(), change);
+            self.report_worker_change(life.clone(), change);
         }
         if former != room {
             self.apply_resize(now, &life, former);
@@ -325,7 +325,7 @@
         };
         if worker.unlisted_since.is_none() {
             worker.unlisted_since = Some(now);
-            self.note_worker_change(life.clone(), WorkerChange::Unlisted);
+            self.report_worker_change(life.clone(), WorkerChange::Unlisted);
         }
         self.remove_unlisted_workers(now);
     }
@@ -495,7 +495,7 @@
         self.actions.push(PoolAction::Answer { waiter, outcome });
     }
 
-    fn note_worker_change(&mut self, life: LifeId, change: WorkerChange) {
+    fn report_worker_change(&mut self, life: LifeId, change: WorkerChange) {
         self.events.push(PoolEvent::WorkerChanged { life, change });
     }
 
@@ -511,7 +511,7 @@
         }
         for life in gone {
             self.workers.remove(&life);
-            self.note_worker_change(life, WorkerChange::Forgotten);
+            self.report_worker_change(life, WorkerChange::Forgotten);
         }
     }
 
--- a/crates/pool/src/pool/answers.rs
+++ b/crates/pool/src/pool/answers.rs
@@ -237,7 +237,7 @@
         };
         self.suspend(now, life, SuspensionCause::Unhealthy);
         if let Some(run) = lost {
-            self.note_lost_run(&run, life, RunLoss::Rejected);
+            self.record_lost_run(&run, life, RunLoss::Rejected);
             self.requeue(now, run);
         }
     }
--- a/crates/pool/src/pool/crash_blame.rs
+++ b/crates/pool/src/pool/crash_blame.rs
@@ -26,7 +26,7 @@
     /// Records the loss of a worker with tasks that may have begun, one of which may have killed
     /// it. Returns the tasks that this identifies as culprits; the caller ends their jobs once it
     /// has removed the runs.
-    pub(super) fn note_worker_loss(
+    pub(super) fn record_worker_loss(
         &mut self,
         now: Instant,
         life: &LifeId,
@@ -84,7 +84,7 @@
 
     /// Handles a worker that is new in the directory. It may be a lost worker that has come back,
     /// which shows that the lost one died.
-    pub(super) fn note_new_worker(&mut self, now: Instant, record: &WorkerRecord) {
+    pub(super) fn on_new_worker(&mut self, now: Instant, record: &WorkerRecord) {
         if self.crashes.is_empty() {
             return;
         }
--- a/crates/pool/src/pool/polls.rs
+++ b/crates/pool/src/pool/polls.rs
@@ -467,7 +467,7 @@
             lost.extend(worker.remove_run(task, run));
         }
         for run in lost {
-            self.note_lost_run(&run, life, RunLoss::NotListed);
+            self.record_lost_run(&run, life, RunLoss::NotListed);
             self.requeue(now, run);
         }
     }
@@ -482,9 +482,9 @@
         worker.queued_orders.clear();
         let died = loss == RunLoss::NewLife;
         let begun = runs.iter().filter(|run| run.starts_sent > 0);
-        let culprits = self.note_worker_loss(now, life, begun.map(|run| run.task), died);
+        let culprits = self.record_worker_loss(now, life, begun.map(|run| run.task), died);
         for run in runs {
-            self.note_lost_run(&run, life, loss);
+            self.record_lost_run(&run, life, loss);
             self.requeue(now, run);
         }
         self.fail_culprit_jobs(now, culprits);
@@ -495,7 +495,7 @@
         self.lose_all_runs(now, life, RunLoss::NewLife);
         self.confirm_crash(now, life);
         if self.workers.remove(life).is_some() {
-            self.note_worker_change(life.clone(), WorkerChange::Forgotten);
+            self.report_worker_change(life.clone(), WorkerChange::Forgotten);
         }
     }
 
@@ -506,7 +506,7 @@
         let Some(worker) = self.workers.remove(life) else {
             return;
         };
-        self.note_worker_change(life.clone(), WorkerChange::TakenOver);
+        self.report_worker_change(life.clone(), WorkerChange::TakenOver);
         let is_of_kept_job = |run: &TrackedRun| {
             let job = self.jobs.get(&run.task.job);
             job.is_some_and(|job| job.kept.is_some())
@@ -522,7 +522,7 @@
         }
     }
 
-    pub(super) fn note_lost_run(&mut self, run: &TrackedRun, life: &LifeId, loss: RunLoss) {
+    pub(super) fn record_lost_run(&mut self, run: &TrackedRun, life: &LifeId, loss: RunLoss) {
         self.events.push(PoolEvent::RunLost {
             task: run.task,
             run: run.run,
--- a/crates/pool/src/pool/restart.rs
+++ b/crates/pool/src/pool/restart.rs
@@ -62,7 +62,7 @@
 
     /// Records that no other claim of the pool was made up to this version of the store, so that
     /// the fence of every later owner is higher.
-    pub fn note_no_later_claim(&mut self, version: u64) {
+    pub fn record_no_later_claim(&mut self, version: u64) {
         self.no_later_claim_until = self.no_later_claim_until.max(version);
     }
 
@@ -83,7 +83,7 @@
         let begun = fates
             .iter()
             .filter(|(_, _, fate)| !matches!(fate, FormerRunFate::Listed | FormerRunFate::Unsent));
-        let culprits = self.note_worker_loss(now, life, begun.map(|(task, _, _)| *task), true);
+        let culprits = self.record_worker_loss(now, life, begun.map(|(task, _, _)| *task), true);
         if let Some(worker) = self.workers.get_mut(life) {
             worker.begin_life(now, listing.born, self.no_later_claim_until);
         }
@@ -126,7 +126,7 @@
                 let Some(run) = worker.remove_run(task, number) else {
                     return;
                 };
-                self.note_lost_run(&run, life, RunLoss::NewLife);
+                self.record_lost_run(&run, life, RunLoss::NewLife);
                 if fate == FormerRunFate::Unknown && !self.is_kept(task.job) {
                     self.finish(now, task.job, JobOutcome::GivenUp);
                 } else {
--- a/crates/pool/src/pool/takeover.rs
+++ b/crates/pool/src/pool/takeover.rs
@@ -28,7 +28,7 @@
 
 impl WorkerPool {
     /// Records that the store has confirmed this owner's claim, by a call that was sent at `sent`.
-    pub fn note_store_contact(&mut self, sent: Instant) {
+    pub fn record_store_contact(&mut self, sent: Instant) {
         self.last_store_contact = self.last_store_contact.max(Some(sent));
     }
 
--- a/crates/pool/tests/rebirth.rs
+++ b/crates/pool/tests/rebirth.rs
@@ -110,7 +110,7 @@
             worker.fault.late_starts = 0.6;
         }
         world.traffic(600, [0.3, 0.3, 0.3]);
-        world.pool.note_no_later_claim(500);
+        world.pool.record_no_later_claim(500);
         for worker in world.workers.values_mut() {
             worker.fault = WorkerFault::default();
         }
@@ -154,7 +154,7 @@
                 world.publish_records();
             }
             if round % 3 == 2 {
-                world.pool.note_no_later_claim(2_000 + round);
+                world.pool.record_no_later_claim(2_000 + round);
             }
             world.traffic(500, [0.4, 0.4, 0.4]);
         }
--- a/crates/pool/tests/support/mod.rs
+++ b/crates/pool/tests/support/mod.rs
@@ -442,7 +442,7 @@
             let in_contact = self.store_up && self.claim_confirmable;
             if in_contact && self.now.is_multiple_of(CONTACT_INTERVAL_MS) {
                 let at = self.instant();
-                self.pool.note_store_contact(at);
+                self.pool.record_store_contact(at);
             }
             if self.now.is_multiple_of(20) {
                 let at = self.instant();
