--- a/crates/node/src/groups.rs
+++ b/crates/node/src/groups.rs
@@ -74,7 +74,7 @@
     state.directory.borrow_mut().set_groups(centre, row);
     for (pool, worker) in former_pools {
         if let Some(pool) = pool {
-            owner::remove_worker(state, &pool, &worker.life);
+            owner::unlist_worker(state, &pool, &worker.life);
         }
     }
     for worker in workers {
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -353,7 +353,7 @@
 }
 
 /// Removes a worker that is gone for good.
-pub(crate) fn remove_worker(state: &Rc<NodeState>, id: &PoolId, life: &LifeId) {
+pub(crate) fn unlist_worker(state: &Rc<NodeState>, id: &PoolId, life: &LifeId) {
     if let Some(owned) = state.pools.borrow_mut().get_mut(id) {
         owned.deferred_workers.remove(life);
     }
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -426,7 +426,7 @@
     let now = state.now();
     let removed = state.directory.borrow_mut().take_expired(now);
     for record in removed {
-        workers::remove_worker(state, &record);
+        workers::unlist_worker(state, &record);
     }
     let actions = state.claim_controller.borrow_mut().tick(now);
     let events = state.claim_controller.borrow_mut().take_events();
--- a/crates/node/src/workers.rs
+++ b/crates/node/src/workers.rs
@@ -53,7 +53,7 @@
     for life in removed {
         let gone = state.directory.borrow_mut().remove(state.now(), &life);
         if let Some(record) = gone {
-            remove_worker(state, &record);
+            unlist_worker(state, &record);
         }
     }
 }
@@ -85,8 +85,8 @@
     }
 }
 
-/// Removes a worker that is gone for good from its pool.
-pub(crate) fn remove_worker(state: &Rc<NodeState>, record: &WorkerRecord) {
+/// Unlists a worker that is gone for good in its pool.
+pub(crate) fn unlist_worker(state: &Rc<NodeState>, record: &WorkerRecord) {
     let Some(pool) = state.directory.borrow().pool_of(record) else {
         return;
     };
@@ -95,7 +95,7 @@
         .claim_controller
         .borrow_mut()
         .on_workers(&pool, has_workers);
-    owner::remove_worker(state, &pool, &record.life);
+    owner::unlist_worker(state, &pool, &record.life);
 }
 
 fn apply_entry(state: &Rc<NodeState>, life: LifeId, row: &StoredRow) {
@@ -153,6 +153,6 @@
         state.log(EventKind::Important, line);
     }
     if let Some(former) = former {
-        remove_worker(state, &former);
+        unlist_worker(state, &former);
     }
 }
