--- a/crates/pool/src/pool/admit.rs
+++ b/crates/pool/src/pool/admit.rs
@@ -357,7 +357,7 @@
         };
         // While the path to the workers is congested, jobs of the first priority are late because
         // of the path and not for lack of capacity, so room kept for them would stay empty.
-        let keeps_room = self.is_enabled(Mechanism::KeptRoom) && !self.is_strained();
+        let keeps_room = self.is_enabled(Mechanism::KeptRoom) && !self.is_congested();
         let expected = match keeps_room {
             true => self.arrivals.expected_above(now, terms.priority),
             false => Vec::new(),
--- a/crates/pool/src/pool/answers.rs
+++ b/crates/pool/src/pool/answers.rs
@@ -117,19 +117,19 @@
     }
 
     /// Whether the path to the workers is congested.
-    pub(super) fn is_strained(&self) -> bool {
+    pub(super) fn is_congested(&self) -> bool {
         self.is_enabled(Mechanism::AnswerLimits) && self.answer_times.is_congested()
     }
 
     fn record_answer_time(&mut self, now: Instant, took: Duration) {
-        let was_strained = self.is_strained();
+        let was_congested = self.is_congested();
         self.answer_times.record(took);
-        let (strained, under_way) = (self.is_strained(), self.starts_in_flight());
+        let (congested, under_way) = (self.is_congested(), self.starts_in_flight());
         self.start_window
-            .on_answer(now, strained, self.answer_times.smoothed(), under_way);
-        if strained != was_strained {
+            .on_answer(now, congested, self.answer_times.smoothed(), under_way);
+        if congested != was_congested {
             self.events.push(PoolEvent::Congestion {
-                congested: strained,
+                congested,
                 smoothed: self.answer_times.smoothed(),
                 minimum: self.answer_times.minimum(),
                 window: self.start_window.size(),
@@ -184,7 +184,7 @@
     /// Sends an unanswered start again. After a few tries the run is stopped and the worker
     /// suspended.
     fn retry_start(&mut self, now: Instant, life: &LifeId, task: TaskId, number: RunNumber) {
-        let strained = self.is_strained();
+        let congested = self.is_congested();
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
@@ -205,11 +205,11 @@
         }
         // On a congested path all workers answer late, so this one is not to blame, and its answer
         // may still arrive.
-        if strained && run.starts_in_flight > 0 {
+        if congested && run.starts_in_flight > 0 {
             return;
         }
         stop_run(worker, task, number);
-        if !strained {
+        if !congested {
             self.suspend(now, life, SuspensionCause::Silent);
         }
     }
--- a/crates/pool/src/pool/polls.rs
+++ b/crates/pool/src/pool/polls.rs
@@ -107,7 +107,7 @@
             .filter(|_| self.is_enabled(Mechanism::HedgedLooks))?;
         // Answers that are late because the path is congested arrive in the end, and hedged polls
         // would only add to the congestion.
-        let lossy = now < lost + self.settings.lost_answer_memory && !self.is_strained();
+        let lossy = now < lost + self.settings.lost_answer_memory && !self.is_congested();
         lossy.then_some(self.settings.poll_hedge_delay)
     }
 
--- a/crates/pool/src/pool/schedule.rs
+++ b/crates/pool/src/pool/schedule.rs
@@ -202,7 +202,7 @@
     /// How long it takes to start the tasks of a new job after the starts in flight and the waiting
     /// tasks, at the current answer time. Zero unless the path to the workers is congested.
     pub(super) fn start_lag(&self, tasks: usize) -> Duration {
-        if !self.is_strained() {
+        if !self.is_congested() {
             return Duration::ZERO;
         }
         let ahead = self.starts_in_flight() + self.waiting_task_count() + tasks;
