--- a/crates/authority/src/authority/admission.rs
+++ b/crates/authority/src/authority/admission.rs
@@ -106,7 +106,7 @@
         let (predicted_wait, saturation) = match slots {
             0 => (Duration::ZERO, Saturation::default()),
             _ => {
-                let picture = WaitEstimator {
+                let estimator = WaitEstimator {
                     pending_work: load.waiting_work,
                     share: contract.share,
                     active_shares: self.load.active_shares_with(
@@ -121,7 +121,7 @@
                 // ordinary bursts. A lasting overload shows in both, so the lower one counts.
                 let (mean, present) = (self.saturation.mean(), self.placement.saturation(now));
                 let lasting = if present < mean { present } else { mean };
-                (picture.predicted_wait(), lasting)
+                (estimator.predicted_wait(), lasting)
             }
         };
         let query = AdmissionQuery {
--- a/crates/ledger/src/ledger/running.rs
+++ b/crates/ledger/src/ledger/running.rs
@@ -23,13 +23,13 @@
         let ran = now.saturating_duration_since(task.started);
         self.record_run(now, &task, &end, ran);
         self.release(&task.endpoint);
-        let billed = if matches!(end, AttemptEnd::NotRun(_)) {
+        let charged = if matches!(end, AttemptEnd::NotRun(_)) {
             Duration::ZERO
         } else {
             ran
         };
         self.queue
-            .correct_charge(&task.customer, billed, task.expected);
+            .correct_charge(&task.customer, charged, task.expected);
         if matches!(end, AttemptEnd::NotRun(RetryReason::EndpointLeaving)) {
             // The endpoint's own report takes precedence over the VM list, which lags.
             self.set_leaving(&task.endpoint);
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -158,10 +158,10 @@
     NodeMetrics::new(&counter_families(), TIME_FAMILIES)
 }
 
-/// Copies the counts of the traffic book into the metrics.
-pub(crate) fn set_traffic(metrics: &NodeMetrics, book: &TrafficCounters) {
+/// Copies the traffic counters into the metrics.
+pub(crate) fn set_traffic(metrics: &NodeMetrics, counters: &TrafficCounters) {
     for kind in TrafficKind::ALL {
-        let count = book.count(*kind);
+        let count = counters.count(*kind);
         metrics.set(CALLS, kind.as_str(), count.calls);
         metrics.set(SENT_BYTES, kind.as_str(), count.sent);
         metrics.set(RECEIVED_BYTES, kind.as_str(), count.received);
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -157,8 +157,8 @@
     version: RowVersion,
     store_clock: Duration,
 ) {
-    let me = state.claim_controller.borrow().own_row().clone();
-    let is_own_claim = row.node == me.node && row.incarnation == me.incarnation;
+    let own_row = state.claim_controller.borrow().own_row().clone();
+    let is_own_claim = row.node == own_row.node && row.incarnation == own_row.incarnation;
     state
         .claim_controller
         .borrow_mut()
@@ -352,7 +352,7 @@
     }
 }
 
-/// Removes a worker that is gone for good.
+/// Unlists a worker that is gone for good in its pool, if this node owns it.
 pub(crate) fn unlist_worker(state: &Rc<NodeState>, id: &PoolId, life: &LifeId) {
     if let Some(owned) = state.pools.borrow_mut().get_mut(id) {
         owned.deferred_workers.remove(life);
@@ -408,11 +408,11 @@
 }
 
 async fn write_claim(state: &Rc<NodeState>, pool: &PoolId, expected: u64) {
-    let me = state.claim_controller.borrow().own_row().clone();
+    let own_row = state.claim_controller.borrow().own_row().clone();
     let row = ClaimRow {
-        node: me.node,
-        incarnation: me.incarnation,
-        address: me.address,
+        node: own_row.node,
+        incarnation: own_row.incarnation,
+        address: own_row.address,
     };
     let Ok(value) = serde_json::to_vec(&row) else {
         return;
@@ -425,7 +425,7 @@
     };
     let transaction = Transaction::of(write);
     let answer = state.store.transact(&transaction).await;
-    let end = match &answer {
+    let outcome = match &answer {
         Ok(_) => ClaimOutcome::Decided,
         Err(_) => ClaimOutcome::Undecided,
     };
@@ -445,7 +445,7 @@
     state
         .claim_controller
         .borrow_mut()
-        .on_claim_outcome(now, pool, end);
+        .on_claim_outcome(now, pool, outcome);
     state.log(EventKind::Important, line);
 }
 
--- a/crates/pool/src/crash.rs
+++ b/crates/pool/src/crash.rs
@@ -179,11 +179,11 @@
         let known = self.losses.len();
         self.losses
             .retain(|loss| loss.died || loss.life != *life || loss.born != born);
-        let acquitted = self.losses.len() != known;
-        if acquitted {
+        let cleared = self.losses.len() != known;
+        if cleared {
             self.recount_losses();
         }
-        acquitted
+        cleared
     }
 
     /// Confirms the death of a lost worker that is now in another life. Returns the culprits that it identifies.
--- a/crates/pool/src/pool/admit.rs
+++ b/crates/pool/src/pool/admit.rs
@@ -197,7 +197,7 @@
         load.backlog.is_zero() && load.free as f64 >= load.capacity as f64 * MIN_IDLE_SHARE
     }
 
-    /// Whether a job can be in time at all, given the delay of its starts. If hopeless jobs were
+    /// Whether a job can be in time at all, given the delay of its starts. If late jobs were
     /// simulated, hundreds of them arriving at once would keep an owner that has fallen behind from
     /// catching up.
     fn can_be_in_time(
--- a/crates/pool/tests/crash.rs
+++ b/crates/pool/tests/crash.rs
@@ -15,7 +15,7 @@
 
 fn kept_world(seed: u64, workers: usize, returns: CrashReturn) -> World {
     let mut world = World::new(seed, workers);
-    world.publish_births();
+    world.publish_birth_times();
     world.submits_kept = true;
     world.crashes.return_kind = returns;
     world.run_for(100);
@@ -163,7 +163,7 @@
 #[test]
 fn the_next_attempt_of_a_crashing_job_fails_at_once() {
     let mut world = World::new(6, 6);
-    world.publish_births();
+    world.publish_birth_times();
     world.crashes.away_ms = 400;
     let job = JobId(1);
     world.make_crashing(job, 0.1);
@@ -183,7 +183,7 @@
 /// innocent jobs earned and how many of them failed.
 fn replay(seed: u64, share: f64) -> (f64, usize) {
     let mut world = World::new(seed, 24);
-    world.publish_births();
+    world.publish_birth_times();
     world.run_for(200);
     let mut culprits = Vec::new();
     for _ in 0..12_000 {
--- a/crates/pool/tests/evacuation.rs
+++ b/crates/pool/tests/evacuation.rs
@@ -150,18 +150,18 @@
 /// missing has ended.
 #[test]
 fn an_older_snapshot_does_not_end_a_newer_evacuation() {
-    let mut book = EvacuationSet::default();
-    assert!(book.begin(centre("east"), 10));
-    assert!(!book.begin(centre("east"), 10));
-    assert!(book.begin(centre("west"), 30));
-    let change = book.apply_snapshot(vec![(centre("north"), 15)], 20);
+    let mut evacuations = EvacuationSet::default();
+    assert!(evacuations.begin(centre("east"), 10));
+    assert!(!evacuations.begin(centre("east"), 10));
+    assert!(evacuations.begin(centre("west"), 30));
+    let change = evacuations.apply_snapshot(vec![(centre("north"), 15)], 20);
     assert_eq!(change, changed(&["north"], &["east"]));
-    assert!(book.contains(&centre("west")));
-    assert!(!book.contains(&centre("east")));
-    assert!(book.end(&centre("west")));
-    assert!(!book.end(&centre("west")));
+    assert!(evacuations.contains(&centre("west")));
+    assert!(!evacuations.contains(&centre("east")));
+    assert!(evacuations.end(&centre("west")));
+    assert!(!evacuations.end(&centre("west")));
     assert_eq!(
-        book.apply_snapshot(Vec::new(), 40),
+        evacuations.apply_snapshot(Vec::new(), 40),
         changed(&[], &["north"])
     );
 }
--- a/crates/pool/tests/rebirth.rs
+++ b/crates/pool/tests/rebirth.rs
@@ -8,9 +8,9 @@
 
 const WHOLE_WORKER: u64 = 16_000;
 
-fn world_with_births(seed: u64, workers: usize) -> World {
+fn world_with_birth_times(seed: u64, workers: usize) -> World {
     let mut world = World::new(seed, workers);
-    world.publish_births();
+    world.publish_birth_times();
     world.run_for(100);
     world
 }
@@ -39,7 +39,7 @@
 /// passed, and must be processed all the same.
 #[test]
 fn a_task_that_died_with_its_worker_runs_again() {
-    let mut world = world_with_births(1, 1);
+    let mut world = world_with_birth_times(1, 1);
     complete_some_jobs(&mut world, 10);
     let (job, life) = (JobId(1), only_life(&world));
     world.submit_sized(1, job, vec![300.0], 300.0, WHOLE_WORKER);
@@ -55,7 +55,7 @@
 /// would never be listed and the caller would wait in vain.
 #[test]
 fn the_first_ends_of_a_new_life_are_processed() {
-    let mut world = world_with_births(1, 1);
+    let mut world = world_with_birth_times(1, 1);
     for round in 1..8 {
         complete_some_jobs(&mut world, round * 100);
         world.run_for(2_000);
@@ -69,7 +69,7 @@
 /// there until it has answered a poll; soon after, it runs tasks.
 #[test]
 fn a_new_life_in_the_directory_is_polled_first() {
-    let mut world = world_with_births(1, 1);
+    let mut world = world_with_birth_times(1, 1);
     complete_some_jobs(&mut world, 10);
     let life = only_life(&world);
     world.restart_worker(&life);
@@ -83,7 +83,7 @@
 /// repeated.
 #[test]
 fn an_outdated_entry_does_not_stop_a_worker() {
-    let mut world = world_with_births(1, 1);
+    let mut world = world_with_birth_times(1, 1);
     let older: Vec<_> = world.workers.values().map(|w| w.record.clone()).collect();
     let life = only_life(&world);
     world.restart_worker(&life);
@@ -105,7 +105,7 @@
 #[test]
 fn late_starts_of_a_former_life_are_fenced_out() {
     for seed in 0..20 {
-        let mut world = world_with_births(seed, 3);
+        let mut world = world_with_birth_times(seed, 3);
         for worker in world.workers.values_mut() {
             worker.fault.late_starts = 0.6;
         }
@@ -133,7 +133,7 @@
 #[test]
 fn no_task_runs_twice_while_workers_restart() {
     for seed in 0..60 {
-        let mut world = world_with_births(seed, 6);
+        let mut world = world_with_birth_times(seed, 6);
         for round in 0..8 {
             let lives: Vec<_> = world.workers.keys().cloned().collect();
             for life in lives {
@@ -178,7 +178,7 @@
 #[test]
 fn acknowledged_ends_of_kept_jobs_are_not_lost() {
     for seed in 0..40 {
-        let mut world = world_with_births(seed, 4);
+        let mut world = world_with_birth_times(seed, 4);
         world.submits_kept = true;
         world.done_is_final = true;
         world.restart_time = 50;
--- a/crates/pool/tests/support/mod.rs
+++ b/crates/pool/tests/support/mod.rs
@@ -486,7 +486,7 @@
     }
 
     /// Makes all workers publish when their lives began.
-    pub(crate) fn publish_births(&mut self) {
+    pub(crate) fn publish_birth_times(&mut self) {
         let mut named = Vec::new();
         for worker in self.workers.values_mut() {
             worker.born = Some(BirthTime(1_000_000));
