--- a/crates/node/src/kept_jobs.rs
+++ b/crates/node/src/kept_jobs.rs
@@ -1,9 +1,9 @@
 //! Stores kept jobs for the pools of this node, and finds those of former owners. A kept job is recorded in the
 //! store when it is accepted and outlives the processes that run it.
 //!
-//! Rows of jobs are spread over [`PART_COUNT`] parts of the store by the job's id, so that a job has one row
-//! whichever pool received it. Pending writes of a part are batched into one transaction: at the users' rates of
-//! 150 transactions a second and part, transactions of one write each would carry only a fifth of the users' jobs.
+//! Rows of jobs are spread over [`PARTITION_COUNT`] partitions of the store by the job's id, so that a job has one row
+//! whichever pool received it. Pending writes of a partition are batched into one transaction: at the users' rates of
+//! 150 transactions a second and partition, transactions of one write each would carry only a fifth of the users' jobs.
 
 mod maintenance;
 
@@ -25,9 +25,10 @@
 pub(crate) use self::maintenance::{count_pending, maintain_pools};
 use crate::{owner::with_fenced_pool, state::NodeState};
 
-/// The number of parts of the store over which rows of jobs are spread. Fewer parts make larger transactions, more
-/// parts let more transactions run in parallel. A transaction takes about 12 ms, so eight parts carry 600 a second.
-const PART_COUNT: u64 = 8;
+/// The number of partitions of the store over which rows of jobs are spread. Fewer partitions make larger
+/// transactions, more partitions let more transactions run in parallel. A transaction takes about 12 ms, so eight
+/// partitions carry 600 a second.
+const PARTITION_COUNT: u64 = 8;
 
 /// The most jobs in one transaction. The store accepts 100 entries, and the end of a job needs four: two
 /// conditions, a write and a removal. With one entry too many the store rejects the whole transaction, and does so
@@ -40,7 +41,7 @@
 /// How long the write of a new job is retried before the job is refused, if the store rejects each try.
 const NEW_JOB_RETRY_TIME: Duration = Duration::from_millis(400);
 
-/// Pending writes by part.
+/// Pending writes by partition.
 #[derive(Default)]
 pub(crate) struct JobWriteQueue {
     waiting: FastMap<u64, Vec<JobWrite>>,
@@ -61,17 +62,17 @@
     in_doubt: bool,
 }
 
-/// Returns the part that holds a job's row.
-pub(crate) fn part_of(job: JobId) -> String {
-    part_name(part_number(job))
+/// Returns the partition that holds a job's row.
+pub(crate) fn partition_of(job: JobId) -> String {
+    partition_name(partition_number(job))
 }
 
-fn part_number(job: JobId) -> u64 {
-    xxh3_64(&job.0.to_be_bytes()) % PART_COUNT
+fn partition_number(job: JobId) -> u64 {
+    xxh3_64(&job.0.to_be_bytes()) % PARTITION_COUNT
 }
 
-fn part_name(part: u64) -> String {
-    format!("p{part}")
+fn partition_name(partition: u64) -> String {
+    format!("p{partition}")
 }
 
 /// Queues a write that a pool has requested.
@@ -82,7 +83,7 @@
     order: KeptWrite,
 ) {
     state.has_kept_jobs.set(true);
-    let part = part_number(order.job);
+    let partition = partition_number(order.job);
     let Some(value) = encode(state, &order) else {
         return;
     };
@@ -95,33 +96,33 @@
         in_doubt: false,
     };
     let mut queue = state.job_writes.borrow_mut();
-    queue.waiting.entry(part).or_default().push(write);
-    if queue.busy.insert(part) {
-        actix_rt::spawn(write_part(state.clone(), part));
+    queue.waiting.entry(partition).or_default().push(write);
+    if queue.busy.insert(partition) {
+        actix_rt::spawn(write_partition(state.clone(), partition));
     }
 }
 
-/// Writes the pending rows of a part in successive transactions until none are left.
-async fn write_part(state: Rc<NodeState>, part: u64) {
+/// Writes the pending rows of a partition in successive transactions until none are left.
+async fn write_partition(state: Rc<NodeState>, partition: u64) {
     loop {
         let batch = {
             let mut queue = state.job_writes.borrow_mut();
-            let waiting = queue.waiting.entry(part).or_default();
+            let waiting = queue.waiting.entry(partition).or_default();
             let count = waiting.len().min(MAX_JOBS_PER_TRANSACTION);
             let batch: Vec<JobWrite> = waiting.drain(..count).collect();
             if batch.is_empty() {
-                queue.busy.remove(&part);
+                queue.busy.remove(&partition);
                 return;
             }
             batch
         };
-        write_batch(&state, part, batch).await;
+        write_batch(&state, partition, batch).await;
     }
 }
 
-async fn write_batch(state: &Rc<NodeState>, part: u64, batch: Vec<JobWrite>) {
+async fn write_batch(state: &Rc<NodeState>, partition: u64, batch: Vec<JobWrite>) {
     let mut transaction = Transaction {
-        partition: part_name(part),
+        partition: partition_name(partition),
         ..Transaction::default()
     };
     for write in &batch {
@@ -136,20 +137,20 @@
         // A single conflicting write fails the whole transaction, so each write is tried alone.
         Ok(TransactionOutcome::Conflict) if batch.len() > 1 => {
             for write in batch {
-                Box::pin(write_batch(state, part, vec![write])).await;
+                Box::pin(write_batch(state, partition, vec![write])).await;
             }
         }
         Ok(TransactionOutcome::Conflict) => {
             for write in batch {
-                resolve_conflict(state, part, write).await;
+                resolve_conflict(state, partition, write).await;
             }
         }
         Err(error) => {
-            let turned_away = matches!(error, StoreError::Rejected(_));
+            let rejected = matches!(error, StoreError::Rejected(_));
             log_write_failure(state, &batch, &error);
             actix_rt::time::sleep(STORE_RETRY_BACKOFF).await;
             for write in batch {
-                requeue_write(state, part, write, turned_away);
+                requeue_write(state, partition, write, rejected);
             }
         }
     }
@@ -163,8 +164,8 @@
 }
 
 /// Queues a write again. A new job that certainly was not stored is refused after [`NEW_JOB_RETRY_TIME`].
-fn requeue_write(state: &Rc<NodeState>, part: u64, write: JobWrite, turned_away: bool) {
-    let in_doubt = write.in_doubt || !turned_away;
+fn requeue_write(state: &Rc<NodeState>, partition: u64, write: JobWrite, rejected: bool) {
+    let in_doubt = write.in_doubt || !rejected;
     let is_new = write.order.expected_version.is_none();
     let waited = state.now().saturating_duration_since(write.requested_at);
     if is_new && !in_doubt && waited >= NEW_JOB_RETRY_TIME {
@@ -176,7 +177,7 @@
     }
     let write = JobWrite { in_doubt, ..write };
     let mut queue = state.job_writes.borrow_mut();
-    queue.waiting.entry(part).or_default().push(write);
+    queue.waiting.entry(partition).or_default().push(write);
 }
 
 fn is_current_owner(state: &NodeState, write: &JobWrite) -> bool {
@@ -238,7 +239,7 @@
 }
 
 /// Reads the row that conflicts with a write and reports to the pool what the conflict means.
-async fn resolve_conflict(state: &Rc<NodeState>, part: u64, write: JobWrite) {
+async fn resolve_conflict(state: &Rc<NodeState>, partition: u64, write: JobWrite) {
     let job = write.order.job;
     match find_job(state, job).await {
         Ok(Some(found)) => {
@@ -247,13 +248,13 @@
         }
         // The read returned an older state: the row must exist, since the write was rejected because of it.
         Ok(None) if write.order.expected_version.is_none() => {
-            requeue_write(state, part, write, true)
+            requeue_write(state, partition, write, true)
         }
         Ok(None) => report_result(state, &write, KeptWriteResult::Gone),
         Err(error) => {
             log_write_failure(state, std::slice::from_ref(&write), &error);
             actix_rt::time::sleep(STORE_RETRY_BACKOFF).await;
-            requeue_write(state, part, write, false);
+            requeue_write(state, partition, write, false);
         }
     }
 }
@@ -283,9 +284,9 @@
     state: &NodeState,
     job: JobId,
 ) -> Result<Option<FoundJob>, StoreError> {
-    let (part, key) = (part_of(job), job.to_string());
+    let (partition, key) = (partition_of(job), job.to_string());
     for table in [StoreTable::Jobs, StoreTable::EndedJobs] {
-        let row = state.store.get(table, &part, &key).await?;
+        let row = state.store.get(table, &partition, &key).await?;
         if let Some(found) = row.and_then(|row| decode_row(state, &row)) {
             return Ok(Some(found));
         }
@@ -330,7 +331,7 @@
             },
         };
         let mut transaction = Transaction {
-            partition: part_of(job),
+            partition: partition_of(job),
             ..Transaction::default()
         };
         let Some(value) = encode(state, &order) else {
--- a/crates/node/src/kept_jobs/maintenance.rs
+++ b/crates/node/src/kept_jobs/maintenance.rs
@@ -12,7 +12,7 @@
 use platform_adapter::{RowWrite, StoreError, StoreTable, Transaction};
 use telemetry::{EventKind, EventLine};
 
-use super::{decode_row, part_name, PART_COUNT, STORE_RETRY_BACKOFF};
+use super::{decode_row, partition_name, PARTITION_COUNT, STORE_RETRY_BACKOFF};
 use crate::{
     feeds::{log_unreadable_row, stored_row},
     owner::with_fenced_pool,
@@ -101,12 +101,12 @@
 }
 
 async fn read_jobs(state: Rc<NodeState>, id: PoolId, fence: FenceToken) {
-    let reads = (0..PART_COUNT).map(|part| {
+    let reads = (0..PARTITION_COUNT).map(|partition| {
         let state = state.clone();
         async move {
             state
                 .store
-                .read_all(StoreTable::Jobs, &part_name(part))
+                .read_all(StoreTable::Jobs, &partition_name(partition))
                 .await
         }
     });
