--- a/crates/node/tests/crash.rs
+++ b/crates/node/tests/crash.rs
@@ -53,7 +53,7 @@
         .sum()
 }
 
-/// Guards against a stored job that crashes one worker after another without end.
+/// Guards against a kept job that crashes one worker after another without end.
 #[actix_rt::test]
 async fn a_job_that_crashes_workers_fails_and_others_are_served() {
     let mut platform = Platform::start(0, RUN_TIME).await;
--- a/crates/node/tests/kept.rs
+++ b/crates/node/tests/kept.rs
@@ -118,7 +118,7 @@
     assert_eq!(done_runs(&platform), 2);
 }
 
-/// The number of pending jobs counts the stored jobs that wait for a slot, and is 0 once all of them have begun.
+/// The number of pending jobs counts the kept jobs that wait for a slot, and is 0 once all of them have begun.
 #[actix_rt::test]
 async fn pending_jobs_are_counted() {
     let platform = Platform::start(1, Duration::from_millis(1_200)).await;
--- a/crates/pool/src/pool/takeover.rs
+++ b/crates/pool/src/pool/takeover.rs
@@ -205,7 +205,7 @@
         }
     }
 
-    /// Releases stored jobs of which nothing runs. The next owner finds them in the store.
+    /// Releases kept jobs of which nothing runs. The next owner finds them in the store.
     fn release_idle_kept(&mut self) {
         let idle = self.jobs.iter().filter(|(id, job)| {
             let stored = job.kept.as_ref().is_some_and(KeptJobState::is_fully_stored);
