--- a/crates/claims/src/lib.rs
+++ b/crates/claims/src/lib.rs
@@ -17,7 +17,7 @@
     action::{ClaimAction, ClaimEvent, ClaimOutcome, ClaimReason, OwnerView},
     capacity::{is_outgrown, plan_groups, VmCapacity},
     controller::{ClaimController, HeartbeatClass, KnownList, PollDecision},
-    rows::{ClaimRow, GroupRow, GroupSpread, MemberRow, RouteWait},
+    rows::{ClaimRow, GroupRow, GroupSpread, MemberRow, PublishedBudget},
     settings::ClaimSettings,
     view::{Heartbeat, LinkRate, ListReading, NodeDigest, NodeId, PoolNews},
 };
--- a/crates/claims/src/rows.rs
+++ b/crates/claims/src/rows.rs
@@ -30,17 +30,17 @@
     pub address: SocketAddr,
     /// Increases with each refresh of the row.
     pub refreshes: u64,
-    /// How much time new requests have left when they arrive at this process, as learned per route.
+    /// The time budgets of new requests that this process has learned, by route.
     #[serde(default)]
-    pub waits: Vec<RouteWait>,
+    pub waits: Vec<PublishedBudget>,
 }
 
-/// How much time new requests of a route have left when they arrive.
+/// The time budget with which new requests of a route arrive.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RouteWait {
+pub struct PublishedBudget {
     /// The route.
     pub route: Arc<str>,
-    /// The time that nearly all of them have at least, in milliseconds.
+    /// The time that nearly all of them have left at least, in milliseconds.
     pub least_ms: u64,
 }
 
--- a/crates/node/src/customer_server.rs
+++ b/crates/node/src/customer_server.rs
@@ -309,7 +309,7 @@
         return Duration::ZERO;
     };
     let age = state
-        .request_waits
+        .request_budgets
         .borrow_mut()
         .record_request(&rule.name, left);
     let is_new = state.now() < state.started + CUSTOMER_RETURN_PERIOD;
--- a/crates/node/src/feeds.rs
+++ b/crates/node/src/feeds.rs
@@ -220,7 +220,7 @@
         match change {
             RowChange::Put(row) => match serde_json::from_slice::<MemberRow>(&row.value) {
                 Ok(member) => {
-                    import_waits(state, &member);
+                    import_budgets(state, &member);
                     state.claim_controller.borrow_mut().on_member(now, member);
                 }
                 Err(error) => log_unreadable_row(state, &row, &error),
@@ -236,14 +236,14 @@
     }
 }
 
-/// Imports what another process, or this process's own former incarnation, has learnt about the time that
-/// customers' requests have left when they arrive.
-fn import_waits(state: &NodeState, member: &MemberRow) {
-    let mut waits = state.request_waits.borrow_mut();
-    for wait in &member.waits {
-        waits.adopt(&RouteBudget {
-            route: wait.route.clone(),
-            budget: Duration::from_millis(wait.least_ms),
+/// Imports the time budgets of requests that another process, or this process's own former incarnation, has
+/// published.
+fn import_budgets(state: &NodeState, member: &MemberRow) {
+    let mut tracker = state.request_budgets.borrow_mut();
+    for published in &member.waits {
+        tracker.adopt(&RouteBudget {
+            route: published.route.clone(),
+            budget: Duration::from_millis(published.least_ms),
         });
     }
 }
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -8,7 +8,9 @@
     time::{Duration, Instant, SystemTime, UNIX_EPOCH},
 };
 
-use claims::{ClaimController, ClaimEvent, ClaimSettings, LinkRate, MemberRow, NodeId, RouteWait};
+use claims::{
+    ClaimController, ClaimEvent, ClaimSettings, LinkRate, MemberRow, NodeId, PublishedBudget,
+};
 use kernel::{ClockSource, SystemClock};
 use model::FastMap;
 use platform_adapter::{HttpClient, RowWrite, StoreClient, StoreTable, Transaction, WorkerClient};
@@ -231,7 +233,7 @@
         pools: RefCell::default(),
         group_versions: RefCell::default(),
         sent_demand: RefCell::default(),
-        request_waits: RefCell::default(),
+        request_budgets: RefCell::default(),
         list_source: Cell::new(None),
         worker_list_needed: Notify::new(),
         unpopulated_pools: RefCell::default(),
@@ -333,15 +335,14 @@
     by_clock.max(former.map_or(0, |former| former.incarnation + 1))
 }
 
-/// Returns the time that the requests of each route usually have left when they arrive, as this process has learnt
-/// it.
-fn usual_waits(state: &NodeState) -> Vec<RouteWait> {
-    let usual = state.request_waits.borrow().learned_budgets();
-    let waits = usual.into_iter().map(|wait| RouteWait {
-        route: wait.route,
-        least_ms: u64::try_from(wait.budget.as_millis()).unwrap_or(u64::MAX),
+/// Returns the learned time budgets of requests by route, in the form in which the member row publishes them.
+fn published_budgets(state: &NodeState) -> Vec<PublishedBudget> {
+    let learned = state.request_budgets.borrow().learned_budgets();
+    let budgets = learned.into_iter().map(|budget| PublishedBudget {
+        route: budget.route,
+        least_ms: u64::try_from(budget.budget.as_millis()).unwrap_or(u64::MAX),
     });
-    waits.collect()
+    budgets.collect()
 }
 
 /// Writes this process's member row at the start and then periodically.
@@ -350,7 +351,7 @@
     let mut failed = false;
     loop {
         row.refreshes += 1;
-        row.waits = usual_waits(&state);
+        row.waits = published_budgets(&state);
         let write = RowWrite {
             table: StoreTable::Members,
             key: row.node.to_string(),
