--- a/crates/ledger/tests/at_most_once/main.rs
+++ b/crates/ledger/tests/at_most_once/main.rs
@@ -5,29 +5,29 @@
 //! of the old one are still read, dispatchers die or freeze, endpoints answer busy or not at all, callers cancel,
 //! deadlines pass. No task may start twice and no answer may be untrue.
 
-mod world;
+mod simulation;
 
 use proptest::prelude::{any, prop, prop_assert, proptest, ProptestConfig, Strategy};
 use proptest::{prop_oneof, strategy::Just, test_runner::RngSeed};
 
-use crate::world::{TaskFate, World, WorldStep};
+use crate::simulation::{Simulation, SimulationStep, TaskFate};
 
-fn step() -> impl Strategy<Value = WorldStep> {
+fn step() -> impl Strategy<Value = SimulationStep> {
     prop_oneof![
-        4 => (1u32..4).prop_map(WorldStep::SubmitJob),
-        4 => Just(WorldStep::SubmitRequest),
-        4 => (1u64..5).prop_map(WorldStep::SubmitAgain),
-        30 => (0usize..2, any::<bool>()).prop_map(|(to, second)| WorldStep::ToDispatcher { to, second }),
-        30 => (0usize..2, any::<bool>()).prop_map(|(from, second)| WorldStep::ToEntry { from, second }),
-        4 => (0usize..4).prop_map(WorldStep::DeliverStaleToDispatcher),
-        4 => (0usize..4).prop_map(WorldStep::DeliverStaleToEntry),
-        16 => (0usize..8, fate()).prop_map(|(task, fate)| WorldStep::EndTask { task, fate }),
-        6 => (1u64..400).prop_map(WorldStep::Advance),
-        4 => (0usize..2).prop_map(WorldStep::LoseConnection),
-        3 => (0usize..2).prop_map(WorldStep::DispatcherDetectsLoss),
-        6 => (0usize..2).prop_map(WorldStep::Connect),
-        1 => (0usize..2).prop_map(WorldStep::Kill),
-        8 => (1u64..5).prop_map(WorldStep::Cancel),
+        4 => (1u32..4).prop_map(SimulationStep::SubmitJob),
+        4 => Just(SimulationStep::SubmitRequest),
+        4 => (1u64..5).prop_map(SimulationStep::SubmitAgain),
+        30 => (0usize..2, any::<bool>()).prop_map(|(to, second)| SimulationStep::ToDispatcher { to, second }),
+        30 => (0usize..2, any::<bool>()).prop_map(|(from, second)| SimulationStep::ToEntry { from, second }),
+        4 => (0usize..4).prop_map(SimulationStep::DeliverStaleToDispatcher),
+        4 => (0usize..4).prop_map(SimulationStep::DeliverStaleToEntry),
+        16 => (0usize..8, fate()).prop_map(|(task, fate)| SimulationStep::EndTask { task, fate }),
+        6 => (1u64..400).prop_map(SimulationStep::Advance),
+        4 => (0usize..2).prop_map(SimulationStep::LoseConnection),
+        3 => (0usize..2).prop_map(SimulationStep::DispatcherDetectsLoss),
+        6 => (0usize..2).prop_map(SimulationStep::Connect),
+        1 => (0usize..2).prop_map(SimulationStep::Kill),
+        8 => (1u64..5).prop_map(SimulationStep::Cancel),
     ]
 }
 
@@ -64,11 +64,11 @@
 
     #[test]
     fn no_interleaving_starts_a_task_twice_or_gives_an_untrue_answer(steps in prop::collection::vec(step(), 1..160)) {
-        let mut world = World::new();
+        let mut simulation = Simulation::new();
         for step in steps {
-            world.apply(step);
+            simulation.apply(step);
         }
-        world.run_to_completion();
-        prop_assert!(world.violations().is_empty(), "{:#?}", world.violations());
+        simulation.run_to_completion();
+        prop_assert!(simulation.violations().is_empty(), "{:#?}", simulation.violations());
     }
 }
--- a/crates/ledger/tests/at_most_once/world.rs
+++ b/crates/ledger/tests/at_most_once/simulation.rs
@@ -16,7 +16,7 @@
 
 /// One event of the simulation.
 #[derive(Clone, Debug)]
-pub(crate) enum WorldStep {
+pub(crate) enum SimulationStep {
     SubmitJob(u32),
     SubmitRequest,
     /// The caller submits a refused submission again.
@@ -101,7 +101,7 @@
     attempt: AttemptId,
 }
 
-pub(crate) struct World {
+pub(crate) struct Simulation {
     now: Instant,
     authority: TaskAuthority,
     dispatchers: Vec<Dispatcher>,
@@ -147,7 +147,7 @@
     ledger
 }
 
-impl World {
+impl Simulation {
     pub(crate) fn new() -> Self {
         let now = Instant::now();
         let settings = AuthoritySettings {
@@ -156,7 +156,7 @@
         };
         let mut authority = TaskAuthority::new(settings, "hall".parse().expect("an id"), ENTRY, 7);
         authority.set_limit(now, &customer(), 6);
-        let mut world = Self {
+        let mut simulation = Self {
             now,
             authority,
             dispatchers: Vec::new(),
@@ -172,33 +172,35 @@
             violations: Vec::new(),
         };
         for number in 0..2 {
-            let dispatcher = world.new_dispatcher(number);
-            world.dispatchers.push(dispatcher);
-            world.connect(number);
+            let dispatcher = simulation.new_dispatcher(number);
+            simulation.dispatchers.push(dispatcher);
+            simulation.connect(number);
         }
-        world
+        simulation
     }
 
     pub(crate) fn violations(&self) -> &[String] {
         &self.violations
     }
 
-    pub(crate) fn apply(&mut self, step: WorldStep) {
+    pub(crate) fn apply(&mut self, step: SimulationStep) {
         match step {
-            WorldStep::SubmitJob(tasks) => self.submit(true, tasks),
-            WorldStep::SubmitRequest => self.submit(false, 1),
-            WorldStep::SubmitAgain(serial) => self.submit_again(serial),
-            WorldStep::ToDispatcher { to, second } => self.deliver_to_dispatcher(to, second),
-            WorldStep::ToEntry { from, second } => self.deliver_to_entry(from, second),
-            WorldStep::DeliverStaleToDispatcher(index) => self.deliver_stale_to_dispatcher(index),
-            WorldStep::DeliverStaleToEntry(index) => self.deliver_stale_to_entry(index),
-            WorldStep::EndTask { task, fate } => self.end_task(task, fate),
-            WorldStep::Advance(millis) => self.advance(Duration::from_millis(millis)),
-            WorldStep::LoseConnection(number) => self.lose_connection(number),
-            WorldStep::DispatcherDetectsLoss(number) => self.detect_loss(number),
-            WorldStep::Connect(number) => self.connect(number),
-            WorldStep::Kill(number) => self.kill(number),
-            WorldStep::Cancel(serial) => {
+            SimulationStep::SubmitJob(tasks) => self.submit(true, tasks),
+            SimulationStep::SubmitRequest => self.submit(false, 1),
+            SimulationStep::SubmitAgain(serial) => self.submit_again(serial),
+            SimulationStep::ToDispatcher { to, second } => self.deliver_to_dispatcher(to, second),
+            SimulationStep::ToEntry { from, second } => self.deliver_to_entry(from, second),
+            SimulationStep::DeliverStaleToDispatcher(index) => {
+                self.deliver_stale_to_dispatcher(index)
+            }
+            SimulationStep::DeliverStaleToEntry(index) => self.deliver_stale_to_entry(index),
+            SimulationStep::EndTask { task, fate } => self.end_task(task, fate),
+            SimulationStep::Advance(millis) => self.advance(Duration::from_millis(millis)),
+            SimulationStep::LoseConnection(number) => self.lose_connection(number),
+            SimulationStep::DispatcherDetectsLoss(number) => self.detect_loss(number),
+            SimulationStep::Connect(number) => self.connect(number),
+            SimulationStep::Kill(number) => self.kill(number),
+            SimulationStep::Cancel(serial) => {
                 self.authority.cancel(self.now, serial);
             }
         }
@@ -210,23 +212,23 @@
         for _ in 0..400 {
             for number in 0..2 {
                 if self.dispatchers[number].session.is_none() {
-                    self.apply(WorldStep::Connect(number));
+                    self.apply(SimulationStep::Connect(number));
                 }
-                self.apply(WorldStep::ToDispatcher {
+                self.apply(SimulationStep::ToDispatcher {
                     to: number,
                     second: false,
                 });
-                self.apply(WorldStep::ToEntry {
+                self.apply(SimulationStep::ToEntry {
                     from: number,
                     second: false,
                 });
             }
-            self.apply(WorldStep::EndTask {
+            self.apply(SimulationStep::EndTask {
                 task: 0,
                 fate: TaskFate::Done,
             });
-            self.apply(WorldStep::DeliverStaleToDispatcher(0));
-            self.apply(WorldStep::Advance(25));
+            self.apply(SimulationStep::DeliverStaleToDispatcher(0));
+            self.apply(SimulationStep::Advance(25));
         }
         let open: Vec<u64> = self
             .submissions
--- a/crates/pool/tests/at_most_once.rs
+++ b/crates/pool/tests/at_most_once.rs
@@ -4,11 +4,11 @@
 mod support;
 
 use jobs::JobOutcome;
-use support::{WorkerFault, World};
+use support::{Simulation, WorkerFault};
 
 /// A random combination of faults for one worker.
-fn random_fault(world: &mut World) -> WorkerFault {
-    let rng = &mut world.rng;
+fn random_fault(simulation: &mut Simulation) -> WorkerFault {
+    let rng = &mut simulation.rng;
     WorkerFault {
         silent: rng.u32(0..4) == 0,
         answers_lost: if rng.bool() { rng.f64() * 0.5 } else { 0.0 },
@@ -21,59 +21,63 @@
 }
 
 fn run_random_faults(seed: u64, link: Option<f64>) {
-    let mut world = World::new(seed, 6);
+    let mut simulation = Simulation::new(seed, 6);
     if let Some(rate) = link {
-        world.limit_link_rate(rate);
+        simulation.limit_link_rate(rate);
     }
     for _ in 0..6 {
-        let lives: Vec<_> = world.workers.keys().cloned().collect();
+        let lives: Vec<_> = simulation.workers.keys().cloned().collect();
         for life in lives {
-            let fault = if world.rng.u32(0..3) == 0 {
-                random_fault(&mut world)
+            let fault = if simulation.rng.u32(0..3) == 0 {
+                random_fault(&mut simulation)
             } else {
                 WorkerFault::default()
             };
-            world.workers.get_mut(&life).unwrap().fault = fault;
+            simulation.workers.get_mut(&life).unwrap().fault = fault;
         }
-        let factor = world.rng.f64() * 0.8;
-        world.traffic(700, [factor, factor, factor]);
+        let factor = simulation.rng.f64() * 0.8;
+        simulation.traffic(700, [factor, factor, factor]);
         // Some customers lose their connections and submit again, at once or after a pause.
-        let open = world.open_ids();
+        let open = simulation.open_ids();
         let mut disconnected = Vec::new();
         for id in open {
-            if world.rng.bool() {
-                world.disconnect_customer(id);
+            if simulation.rng.bool() {
+                simulation.disconnect_customer(id);
                 disconnected.push(id);
             }
         }
-        let pause = if world.rng.bool() { 0 } else { 1_300 };
-        world.run_for(pause);
+        let pause = if simulation.rng.bool() { 0 } else { 1_300 };
+        simulation.run_for(pause);
         for id in disconnected {
-            world.submit_again(id);
+            simulation.submit_again(id);
         }
-        if world.rng.u32(0..5) == 0 {
-            world.change_owner();
+        if simulation.rng.u32(0..5) == 0 {
+            simulation.change_owner();
         }
-        if world.rng.u32(0..8) == 0 {
-            let at = world.instant();
-            world.pool.give_up_all(at);
+        if simulation.rng.u32(0..8) == 0 {
+            let at = simulation.instant();
+            simulation.pool.give_up_all(at);
         }
     }
-    for worker in world.workers.values_mut() {
+    for worker in simulation.workers.values_mut() {
         worker.fault = WorkerFault::default();
     }
-    world.run_for(14_000);
-    assert_eq!(world.open_jobs(), 0, "seed {seed}: jobs without an answer");
+    simulation.run_for(14_000);
     assert_eq!(
-        world.running(),
+        simulation.open_jobs(),
+        0,
+        "seed {seed}: jobs without an answer"
+    );
+    assert_eq!(
+        simulation.running(),
         0,
         "seed {seed}: runs without a waiting job"
     );
     assert!(
-        !world.released,
+        !simulation.released,
         "seed {seed}: the pool was released without another owner"
     );
-    let completed = world
+    let completed = simulation
         .results
         .iter()
         .filter(|r| r.outcome == JobOutcome::Completed)
--- a/crates/pool/tests/evacuation.rs
+++ b/crates/pool/tests/evacuation.rs
@@ -6,12 +6,12 @@
 use jobs::{JobId, JobOutcome, RefusalKind};
 use model::DataCentreId;
 use pool::{EvacuationChange, EvacuationSet, PoolLoad};
-use support::{WorkerFault, World};
+use support::{Simulation, WorkerFault};
 
 const ONE_PLACE: u64 = 16_000;
 
-fn outcome(world: &World, id: JobId) -> Option<JobOutcome> {
-    let result = world.results.iter().find(|result| result.id == id);
+fn outcome(simulation: &Simulation, id: JobId) -> Option<JobOutcome> {
+    let result = simulation.results.iter().find(|result| result.id == id);
     result.map(|result| result.outcome)
 }
 
@@ -30,26 +30,29 @@
 /// arrival. After the evacuation a fourth completes.
 #[test]
 fn running_jobs_continue_and_waiting_jobs_are_refused() {
-    let mut world = World::new(1, 1);
+    let mut simulation = Simulation::new(1, 1);
     let [first, second, third, fourth] = [1, 2, 3, 4].map(JobId);
-    world.submit_sized(1, first, vec![300.0], 300.0, ONE_PLACE);
-    world.run_for(50);
-    world.submit_sized(1, second, vec![900.0], 900.0, ONE_PLACE);
-    world.run_for(10);
-    let starts = world.starts_sent;
-    world.set_evacuated(true);
-    assert!(is_refused(outcome(&world, second)));
-    world.submit_sized(1, third, vec![300.0], 300.0, ONE_PLACE);
-    assert!(is_refused(outcome(&world, third)));
-    assert_eq!(world.offer(4, 100, 6_800), 0);
-    assert_eq!(world.pool.load(world.instant()), PoolLoad::default());
-    world.run_for(1_000);
-    assert_eq!(outcome(&world, first), Some(JobOutcome::Completed));
-    assert_eq!(world.starts_sent, starts);
-    world.set_evacuated(false);
-    world.submit_sized(1, fourth, vec![300.0], 300.0, ONE_PLACE);
-    world.run_for(1_000);
-    assert_eq!(outcome(&world, fourth), Some(JobOutcome::Completed));
+    simulation.submit_sized(1, first, vec![300.0], 300.0, ONE_PLACE);
+    simulation.run_for(50);
+    simulation.submit_sized(1, second, vec![900.0], 900.0, ONE_PLACE);
+    simulation.run_for(10);
+    let starts = simulation.starts_sent;
+    simulation.set_evacuated(true);
+    assert!(is_refused(outcome(&simulation, second)));
+    simulation.submit_sized(1, third, vec![300.0], 300.0, ONE_PLACE);
+    assert!(is_refused(outcome(&simulation, third)));
+    assert_eq!(simulation.offer(4, 100, 6_800), 0);
+    assert_eq!(
+        simulation.pool.load(simulation.instant()),
+        PoolLoad::default()
+    );
+    simulation.run_for(1_000);
+    assert_eq!(outcome(&simulation, first), Some(JobOutcome::Completed));
+    assert_eq!(simulation.starts_sent, starts);
+    simulation.set_evacuated(false);
+    simulation.submit_sized(1, fourth, vec![300.0], 300.0, ONE_PLACE);
+    simulation.run_for(1_000);
+    assert_eq!(outcome(&simulation, fourth), Some(JobOutcome::Completed));
 }
 
 /// Only one of a job's two tasks has a place when the data centre is evacuated. The second may not
@@ -57,16 +60,16 @@
 /// that the outcome is unknown instead of waiting for the end of the evacuation.
 #[test]
 fn a_started_job_that_cannot_finish_is_given_up_at_once() {
-    let mut world = World::new(1, 1);
+    let mut simulation = Simulation::new(1, 1);
     let wide = JobId(1);
-    world.submit_sized(1, wide, vec![300.0; 2], 100.0, ONE_PLACE);
-    world.run_for(50);
-    let starts = world.starts_sent;
-    world.set_evacuated(true);
-    assert_eq!(outcome(&world, wide), Some(JobOutcome::GivenUp));
-    world.run_for(1_000);
-    assert_eq!(world.starts_sent, starts);
-    assert_eq!(world.running(), 0, "nobody waits for it");
+    simulation.submit_sized(1, wide, vec![300.0; 2], 100.0, ONE_PLACE);
+    simulation.run_for(50);
+    let starts = simulation.starts_sent;
+    simulation.set_evacuated(true);
+    assert_eq!(outcome(&simulation, wide), Some(JobOutcome::GivenUp));
+    simulation.run_for(1_000);
+    assert_eq!(simulation.starts_sent, starts);
+    assert_eq!(simulation.running(), 0, "nobody waits for it");
 }
 
 /// Starts are unanswered when the data centre is evacuated. They are not sent again, whether they
@@ -74,8 +77,8 @@
 #[test]
 fn unanswered_starts_are_not_resent() {
     for seed in 0..20 {
-        let mut world = World::new(seed, 4);
-        for worker in world.workers.values_mut() {
+        let mut simulation = Simulation::new(seed, 4);
+        for worker in simulation.workers.values_mut() {
             worker.fault = WorkerFault {
                 answers_lost: 0.3,
                 late_starts: 0.5,
@@ -83,23 +86,27 @@
                 ..WorkerFault::default()
             };
         }
-        world.traffic(1_000, [0.6, 0.6, 0.6]);
-        let starts = world.starts_sent;
-        world.set_evacuated(true);
-        world.traffic(3_000, [0.3, 0.3, 0.3]);
-        assert_eq!(world.starts_sent, starts, "seed {seed}");
-        world.set_evacuated(false);
-        for worker in world.workers.values_mut() {
+        simulation.traffic(1_000, [0.6, 0.6, 0.6]);
+        let starts = simulation.starts_sent;
+        simulation.set_evacuated(true);
+        simulation.traffic(3_000, [0.3, 0.3, 0.3]);
+        assert_eq!(simulation.starts_sent, starts, "seed {seed}");
+        simulation.set_evacuated(false);
+        for worker in simulation.workers.values_mut() {
             worker.fault = WorkerFault::default();
         }
-        world.run_for(8_000);
-        let before = world.results.len();
-        world.traffic(3_000, [0.3, 0.3, 0.3]);
-        world.run_for(8_000);
-        let served = world.results[before..].iter();
+        simulation.run_for(8_000);
+        let before = simulation.results.len();
+        simulation.traffic(3_000, [0.3, 0.3, 0.3]);
+        simulation.run_for(8_000);
+        let served = simulation.results[before..].iter();
         let served = served.filter(|r| r.outcome == JobOutcome::Completed);
         assert!(served.count() > 0, "seed {seed}: nothing after the return");
-        assert_eq!(world.open_jobs(), 0, "seed {seed}: jobs without an answer");
+        assert_eq!(
+            simulation.open_jobs(),
+            0,
+            "seed {seed}: jobs without an answer"
+        );
     }
 }
 
@@ -107,31 +114,31 @@
 /// and runs after the evacuation.
 #[test]
 fn a_kept_job_waits_for_the_end_of_the_evacuation() {
-    let mut world = World::new(1, 1);
-    world.submits_kept = true;
+    let mut simulation = Simulation::new(1, 1);
+    simulation.submits_kept = true;
     let kept = JobId(1);
-    world.submit_sized(1, kept, vec![300.0; 2], 100.0, ONE_PLACE);
-    world.run_for(60);
-    let starts = world.starts_sent;
-    world.set_evacuated(true);
-    world.run_for(2_000);
-    assert_eq!(world.starts_sent, starts);
-    world.set_evacuated(false);
-    world.run_for(2_000);
-    let (row, _) = &world.rows[&kept];
+    simulation.submit_sized(1, kept, vec![300.0; 2], 100.0, ONE_PLACE);
+    simulation.run_for(60);
+    let starts = simulation.starts_sent;
+    simulation.set_evacuated(true);
+    simulation.run_for(2_000);
+    assert_eq!(simulation.starts_sent, starts);
+    simulation.set_evacuated(false);
+    simulation.run_for(2_000);
+    let (row, _) = &simulation.rows[&kept];
     assert!(row.state.is_final(), "{:?}", row.state);
 }
 
 /// A new owner of the pool is told of the evacuation before it knows any worker.
 #[test]
 fn a_new_owner_starts_nothing_while_evacuated() {
-    let mut world = World::new(1, 2);
-    world.traffic(500, [0.5, 0.5, 0.5]);
-    world.set_evacuated(true);
-    world.change_owner();
-    let starts = world.starts_sent;
-    world.traffic(2_000, [0.5, 0.5, 0.5]);
-    assert_eq!(world.starts_sent, starts);
+    let mut simulation = Simulation::new(1, 2);
+    simulation.traffic(500, [0.5, 0.5, 0.5]);
+    simulation.set_evacuated(true);
+    simulation.change_owner();
+    let starts = simulation.starts_sent;
+    simulation.traffic(2_000, [0.5, 0.5, 0.5]);
+    assert_eq!(simulation.starts_sent, starts);
 }
 
 fn centre(name: &str) -> DataCentreId {
--- a/crates/pool/tests/faults.rs
+++ b/crates/pool/tests/faults.rs
@@ -3,18 +3,18 @@
 mod support;
 
 use jobs::{JobId, JobOutcome};
-use support::{WorkerFault, World};
+use support::{Simulation, WorkerFault};
 
 const JOB: JobId = JobId(1);
 
-fn with_fault(world: &mut World, fault: WorkerFault) {
-    for worker in world.workers.values_mut() {
+fn with_fault(simulation: &mut Simulation, fault: WorkerFault) {
+    for worker in simulation.workers.values_mut() {
         worker.fault = fault;
     }
 }
 
-fn outcomes(world: &World) -> Vec<(JobId, JobOutcome)> {
-    world
+fn outcomes(simulation: &Simulation) -> Vec<(JobId, JobOutcome)> {
+    simulation
         .results
         .iter()
         .map(|result| (result.id, result.outcome))
@@ -26,20 +26,20 @@
 /// leases must expire, so that the task runs elsewhere.
 #[test]
 fn a_worker_whose_answers_are_lost_loses_its_runs() {
-    let mut world = World::new(1, 1);
-    world.submit_sized(1, JOB, vec![600.0], 600.0, 6_800);
-    world.run_for(100);
+    let mut simulation = Simulation::new(1, 1);
+    simulation.submit_sized(1, JOB, vec![600.0], 600.0, 6_800);
+    simulation.run_for(100);
     with_fault(
-        &mut world,
+        &mut simulation,
         WorkerFault {
             answers_lost: 1.0,
             stalls_runs: true,
             ..WorkerFault::default()
         },
     );
-    world.add_worker(support::worker_record(1, 16_000), 1.0);
-    world.run_for(2_600);
-    assert_eq!(outcomes(&world), [(JOB, JobOutcome::Completed)]);
+    simulation.add_worker(support::worker_record(1, 16_000), 1.0);
+    simulation.run_for(2_600);
+    assert_eq!(outcomes(&simulation), [(JOB, JobOutcome::Completed)]);
 }
 
 /// A new owner finds runs of the former one, and its stops are lost. The runs end by their leases,
@@ -47,25 +47,25 @@
 /// they take is unknown.
 #[test]
 fn runs_of_a_former_owner_end_by_their_leases() {
-    let mut world = World::new(1, 1);
-    world.submit_sized(1, JOB, vec![5_000.0, 5_000.0], 700.0, 7_900);
-    world.run_for(200);
-    assert_eq!(world.running(), 2);
+    let mut simulation = Simulation::new(1, 1);
+    simulation.submit_sized(1, JOB, vec![5_000.0, 5_000.0], 700.0, 7_900);
+    simulation.run_for(200);
+    assert_eq!(simulation.running(), 2);
     with_fault(
-        &mut world,
+        &mut simulation,
         WorkerFault {
             stops_lost: true,
             ..WorkerFault::default()
         },
     );
-    world.change_owner();
-    world.run_for(30);
-    world.submit_sized(2, JobId(2), vec![50.0], 50.0, 7_900);
-    world.run_for(1_000);
-    world.submit_sized(2, JobId(3), vec![50.0], 50.0, 7_900);
-    world.run_for(400);
-    assert_eq!(world.running(), 0, "the former owner's runs are over");
-    assert!(outcomes(&world).contains(&(JobId(3), JobOutcome::Completed)));
+    simulation.change_owner();
+    simulation.run_for(30);
+    simulation.submit_sized(2, JobId(2), vec![50.0], 50.0, 7_900);
+    simulation.run_for(1_000);
+    simulation.submit_sized(2, JobId(3), vec![50.0], 50.0, 7_900);
+    simulation.run_for(400);
+    assert_eq!(simulation.running(), 0, "the former owner's runs are over");
+    assert!(outcomes(&simulation).contains(&(JobId(3), JobOutcome::Completed)));
 }
 
 /// A customer's connection breaks, and it submits the same job again before the runs of the first
@@ -73,17 +73,17 @@
 /// outcome is unknown and tries again later.
 #[test]
 fn a_resubmitted_job_does_not_run_twice_at_once() {
-    let mut world = World::new(1, 4);
-    world.submit_sized(1, JOB, vec![500.0, 500.0], 500.0, 6_800);
-    world.run_for(100);
-    world.disconnect_customer(JOB);
-    world.submit_again(JOB);
-    world.run_for(20);
-    assert_eq!(outcomes(&world), [(JOB, JobOutcome::GivenUp)]);
-    world.run_for(200);
-    world.submit_again(JOB);
-    world.run_for(1_500);
-    assert_eq!(outcomes(&world)[1..], [(JOB, JobOutcome::Completed)]);
+    let mut simulation = Simulation::new(1, 4);
+    simulation.submit_sized(1, JOB, vec![500.0, 500.0], 500.0, 6_800);
+    simulation.run_for(100);
+    simulation.disconnect_customer(JOB);
+    simulation.submit_again(JOB);
+    simulation.run_for(20);
+    assert_eq!(outcomes(&simulation), [(JOB, JobOutcome::GivenUp)]);
+    simulation.run_for(200);
+    simulation.submit_again(JOB);
+    simulation.run_for(1_500);
+    assert_eq!(outcomes(&simulation)[1..], [(JOB, JobOutcome::Completed)]);
 }
 
 /// A worker fails every run. It is free again at once, so without suspension it would draw every
@@ -91,16 +91,16 @@
 /// reported as failed.
 #[test]
 fn a_worker_that_fails_everything_does_not_fail_jobs() {
-    let mut world = World::new(3, 6);
-    if let Some(worker) = world.workers.values_mut().next() {
+    let mut simulation = Simulation::new(3, 6);
+    if let Some(worker) = simulation.workers.values_mut().next() {
         worker.fault = WorkerFault {
             fails_runs: true,
             ..WorkerFault::default()
         };
     }
-    world.traffic(6_000, [0.2, 0.2, 0.2]);
-    world.run_for(5_000);
-    let failed = world
+    simulation.traffic(6_000, [0.2, 0.2, 0.2]);
+    simulation.run_for(5_000);
+    let failed = simulation
         .results
         .iter()
         .filter(|result| result.outcome == JobOutcome::Failed)
@@ -112,19 +112,19 @@
 /// progress, and run elsewhere long before their callers give up.
 #[test]
 fn stalled_tasks_are_moved() {
-    let mut world = World::new(1, 1);
+    let mut simulation = Simulation::new(1, 1);
     with_fault(
-        &mut world,
+        &mut simulation,
         WorkerFault {
             stalls_runs: true,
             ..WorkerFault::default()
         },
     );
-    world.submit_sized(0, JOB, vec![60.0], 60.0, 6_800);
-    world.run_for(50);
-    world.add_worker(support::worker_record(1, 16_000), 1.0);
-    world.run_for(450);
-    assert_eq!(outcomes(&world), [(JOB, JobOutcome::Completed)]);
+    simulation.submit_sized(0, JOB, vec![60.0], 60.0, 6_800);
+    simulation.run_for(50);
+    simulation.add_worker(support::worker_record(1, 16_000), 1.0);
+    simulation.run_for(450);
+    assert_eq!(outcomes(&simulation), [(JOB, JobOutcome::Completed)]);
 }
 
 /// Another owner takes one worker of the pool, as when workers are redistributed and this owner has
@@ -132,35 +132,35 @@
 /// on the other worker continues, and the owner keeps the pool.
 #[test]
 fn a_taken_over_worker_costs_only_its_own_jobs() {
-    let mut world = World::new(1, 2);
+    let mut simulation = Simulation::new(1, 2);
     let (first, second) = (JobId(1), JobId(2));
-    world.submit_sized(1, first, vec![600.0; 2], 600.0, 7_900);
-    world.submit_sized(1, second, vec![600.0; 2], 600.0, 7_900);
-    world.run_for(100);
-    let taken = world.worker_running(first);
+    simulation.submit_sized(1, first, vec![600.0; 2], 600.0, 7_900);
+    simulation.submit_sized(1, second, vec![600.0; 2], 600.0, 7_900);
+    simulation.run_for(100);
+    let taken = simulation.worker_running(first);
     assert_ne!(
         taken,
-        world.worker_running(second),
+        simulation.worker_running(second),
         "each job has a worker of its own"
     );
-    world.take_worker(&taken);
-    world.run_for(1_500);
+    simulation.take_worker(&taken);
+    simulation.run_for(1_500);
     assert_eq!(
-        outcomes(&world),
+        outcomes(&simulation),
         [
             (first, JobOutcome::GivenUp),
             (second, JobOutcome::Completed)
         ]
     );
-    assert!(!world.released);
-    let other = world
+    assert!(!simulation.released);
+    let other = simulation
         .workers
         .keys()
         .find(|life| **life != taken)
         .unwrap()
         .clone();
-    world.take_worker(&other);
-    world.submit_sized(1, JobId(3), vec![600.0], 600.0, 7_900);
-    world.run_for(100);
-    assert!(world.released, "no worker is left");
+    simulation.take_worker(&other);
+    simulation.submit_sized(1, JobId(3), vec![600.0], 600.0, 7_900);
+    simulation.run_for(100);
+    assert!(simulation.released, "no worker is left");
 }
--- a/crates/pool/tests/kept.rs
+++ b/crates/pool/tests/kept.rs
@@ -5,21 +5,21 @@
 mod support;
 
 use jobs::{JobId, JobOutcome, KeptState};
-use support::{WorkerFault, World};
+use support::{Simulation, WorkerFault};
 
 const JOB: JobId = JobId(7);
 
-fn world(workers: usize) -> World {
-    let mut world = World::new(1, workers);
-    world.submits_kept = true;
-    world.run_for(300);
-    world
+fn simulation(workers: usize) -> Simulation {
+    let mut simulation = Simulation::new(1, workers);
+    simulation.submits_kept = true;
+    simulation.run_for(300);
+    simulation
 }
 
 /// The number of runs that ended as done, for each task, over all workers.
-fn done_runs(world: &World) -> Vec<usize> {
+fn done_runs(simulation: &Simulation) -> Vec<usize> {
     let mut counts = std::collections::BTreeMap::new();
-    for worker in world.workers.values() {
+    for worker in simulation.workers.values() {
         for task in worker.done_tasks() {
             *counts.entry(task).or_insert(0) += 1;
         }
@@ -27,26 +27,26 @@
     counts.into_values().collect()
 }
 
-fn state(world: &World) -> Option<KeptState> {
-    world.rows.get(&JOB).map(|(row, _)| row.state)
+fn state(simulation: &Simulation) -> Option<KeptState> {
+    simulation.rows.get(&JOB).map(|(row, _)| row.state)
 }
 
 /// The customer is told that its job is accepted once it is stored, and no task starts before. An
 /// owner that dies in between leaves either nothing behind or a job that its successor finds.
 #[test]
 fn nothing_starts_before_the_job_is_stored() {
-    let mut world = world(2);
-    world.store_up = false;
-    world.submit_sized(1, JOB, vec![100.0; 3], 100.0, 6_800);
-    world.run_for(400);
-    assert_eq!((world.results.len(), world.running()), (0, 0));
-    world.restore_store();
-    world.run_for(100);
-    assert_eq!(world.results[0].outcome, JobOutcome::Accepted);
-    assert!(world.running() > 0);
-    world.run_for(1_000);
-    assert_eq!(state(&world), Some(KeptState::Completed));
-    assert_eq!(done_runs(&world), [1, 1, 1]);
+    let mut simulation = simulation(2);
+    simulation.store_up = false;
+    simulation.submit_sized(1, JOB, vec![100.0; 3], 100.0, 6_800);
+    simulation.run_for(400);
+    assert_eq!((simulation.results.len(), simulation.running()), (0, 0));
+    simulation.restore_store();
+    simulation.run_for(100);
+    assert_eq!(simulation.results[0].outcome, JobOutcome::Accepted);
+    assert!(simulation.running() > 0);
+    simulation.run_for(1_000);
+    assert_eq!(state(&simulation), Some(KeptState::Completed));
+    assert_eq!(done_runs(&simulation), [1, 1, 1]);
 }
 
 /// The owner dies while a job runs. Its successor loads the job, stops what runs, counts the ends
@@ -55,20 +55,20 @@
 #[test]
 fn a_new_owner_resumes_found_jobs() {
     for death in [5, 40, 80, 120, 160, 200, 260] {
-        let mut world = world(2);
-        world.submit_steps(1, JOB, vec![vec![60.0; 3], vec![90.0; 2]], 80.0, 6_800);
-        world.run_for(12 + death);
-        world.replace_owner();
-        world.run_for(20);
-        world.read_rows();
-        world.run_for(1_500);
+        let mut simulation = simulation(2);
+        simulation.submit_steps(1, JOB, vec![vec![60.0; 3], vec![90.0; 2]], 80.0, 6_800);
+        simulation.run_for(12 + death);
+        simulation.replace_owner();
+        simulation.run_for(20);
+        simulation.read_rows();
+        simulation.run_for(1_500);
         assert_eq!(
-            state(&world),
+            state(&simulation),
             Some(KeptState::Completed),
             "died after {death} ms"
         );
         assert!(
-            done_runs(&world).iter().all(|runs| *runs == 1),
+            done_runs(&simulation).iter().all(|runs| *runs == 1),
             "died after {death} ms"
         );
     }
@@ -78,23 +78,26 @@
 /// until those runs are certainly over, and then runs elsewhere.
 #[test]
 fn a_new_owner_waits_for_a_worker_that_it_cannot_reach() {
-    let mut world = world(2);
-    world.submit_sized(1, JOB, vec![900.0; 2], 900.0, 6_800);
-    world.run_for(100);
-    let life = world.worker_running(JOB);
-    world.workers.get_mut(&life).unwrap().fault = WorkerFault {
+    let mut simulation = simulation(2);
+    simulation.submit_sized(1, JOB, vec![900.0; 2], 900.0, 6_800);
+    simulation.run_for(100);
+    let life = simulation.worker_running(JOB);
+    simulation.workers.get_mut(&life).unwrap().fault = WorkerFault {
         silent: true,
         ..WorkerFault::default()
     };
-    world.replace_owner();
-    world.run_for(20);
-    world.read_rows();
-    world.run_for(600);
-    let elsewhere = world.workers.iter().filter(|(other, _)| **other != life);
+    simulation.replace_owner();
+    simulation.run_for(20);
+    simulation.read_rows();
+    simulation.run_for(600);
+    let elsewhere = simulation
+        .workers
+        .iter()
+        .filter(|(other, _)| **other != life);
     let elsewhere: usize = elsewhere.map(|(_, worker)| worker.run_count()).sum();
     assert_eq!(elsewhere, 0);
-    world.run_for(5_000);
-    assert_eq!(state(&world), Some(KeptState::Completed));
+    simulation.run_for(5_000);
+    assert_eq!(state(&simulation), Some(KeptState::Completed));
 }
 
 /// The process stalls, releases its jobs and loads them again from the store, while the runs that
@@ -102,20 +105,20 @@
 #[test]
 fn a_released_and_reloaded_job_runs_once() {
     for pause in [20, 60, 100, 150] {
-        let mut world = world(2);
-        world.submit_sized(1, JOB, vec![120.0; 4], 120.0, 6_800);
-        world.run_for(12 + pause);
-        let at = world.instant();
-        world.pool.give_up_all(at);
-        world.read_rows();
-        world.run_for(1_500);
+        let mut simulation = simulation(2);
+        simulation.submit_sized(1, JOB, vec![120.0; 4], 120.0, 6_800);
+        simulation.run_for(12 + pause);
+        let at = simulation.instant();
+        simulation.pool.give_up_all(at);
+        simulation.read_rows();
+        simulation.run_for(1_500);
         assert_eq!(
-            state(&world),
+            state(&simulation),
             Some(KeptState::Completed),
             "after {pause} ms"
         );
         assert!(
-            done_runs(&world).iter().all(|runs| *runs == 1),
+            done_runs(&simulation).iter().all(|runs| *runs == 1),
             "after {pause} ms"
         );
     }
@@ -125,16 +128,16 @@
 /// been replaced. Its kept jobs stop, and resume when the store is back.
 #[test]
 fn kept_jobs_stop_without_the_store_and_resume_later() {
-    let mut world = world(2);
-    world.submit_sized(1, JOB, vec![3_000.0; 2], 3_000.0, 6_800);
-    world.run_for(200);
-    assert_eq!(world.running(), 2);
-    world.store_up = false;
-    world.run_for(1_500);
-    assert_eq!(world.running(), 0);
-    world.restore_store();
-    world.run_for(8_000);
-    assert_eq!(state(&world), Some(KeptState::Completed));
+    let mut simulation = simulation(2);
+    simulation.submit_sized(1, JOB, vec![3_000.0; 2], 3_000.0, 6_800);
+    simulation.run_for(200);
+    assert_eq!(simulation.running(), 2);
+    simulation.store_up = false;
+    simulation.run_for(1_500);
+    assert_eq!(simulation.running(), 0);
+    simulation.restore_store();
+    simulation.run_for(8_000);
+    assert_eq!(state(&simulation), Some(KeptState::Completed));
 }
 
 /// A task fails on its first run. The failure is stored before it is acknowledged, and an owner
@@ -142,37 +145,37 @@
 /// before its route's attempts are used up.
 #[test]
 fn a_failed_run_counts_once_over_owners() {
-    let mut world = world(1);
-    let life = world.workers.keys().next().unwrap().clone();
-    world.workers.get_mut(&life).unwrap().fault = WorkerFault {
+    let mut simulation = simulation(1);
+    let life = simulation.workers.keys().next().unwrap().clone();
+    simulation.workers.get_mut(&life).unwrap().fault = WorkerFault {
         fails_runs: true,
         ..WorkerFault::default()
     };
-    world.submit_sized(1, JOB, vec![60.0], 60.0, 6_800);
-    world.run_for(200);
-    world.workers.get_mut(&life).unwrap().fault = WorkerFault::default();
+    simulation.submit_sized(1, JOB, vec![60.0], 60.0, 6_800);
+    simulation.run_for(200);
+    simulation.workers.get_mut(&life).unwrap().fault = WorkerFault::default();
     for _ in 0..4 {
-        world.replace_owner();
-        world.run_for(5);
-        world.read_rows();
-        world.run_for(30);
+        simulation.replace_owner();
+        simulation.run_for(5);
+        simulation.read_rows();
+        simulation.run_for(30);
     }
-    world.run_for(6_000);
-    assert_eq!(state(&world), Some(KeptState::Completed));
+    simulation.run_for(6_000);
+    assert_eq!(state(&simulation), Some(KeptState::Completed));
 }
 
 /// A customer cancels its job: its runs are stopped, and none of its tasks starts again.
 #[test]
 fn a_cancelled_job_stops() {
-    let mut world = world(2);
-    world.submit_sized(1, JOB, vec![900.0; 4], 900.0, 6_800);
-    world.run_for(200);
-    let at = world.instant();
-    world.pool.cancel_kept(at, JOB);
-    world.run_for(100);
-    assert_eq!(world.running(), 0);
-    world.run_for(2_000);
-    assert_eq!(done_runs(&world), [0; 0]);
+    let mut simulation = simulation(2);
+    simulation.submit_sized(1, JOB, vec![900.0; 4], 900.0, 6_800);
+    simulation.run_for(200);
+    let at = simulation.instant();
+    simulation.pool.cancel_kept(at, JOB);
+    simulation.run_for(100);
+    assert_eq!(simulation.running(), 0);
+    simulation.run_for(2_000);
+    assert_eq!(done_runs(&simulation), [0; 0]);
 }
 
 /// Hundreds of kept jobs wait, more than the pool can finish in a long time. A new job must be
@@ -180,11 +183,11 @@
 /// that others count it as silent.
 #[test]
 fn a_long_queue_is_not_simulated() {
-    let mut world = world(4);
-    world.traffic(8_000, [4.0, 4.0, 4.0]);
+    let mut simulation = simulation(4);
+    simulation.traffic(8_000, [4.0, 4.0, 4.0]);
     let before = std::time::Instant::now();
     for number in 0..200 {
-        world.submit_sized(1, JobId(1_000_000 + number), vec![60.0; 8], 60.0, 6_800);
+        simulation.submit_sized(1, JobId(1_000_000 + number), vec![60.0; 8], 60.0, 6_800);
     }
     let each = before.elapsed() / 200;
     assert!(each.as_millis() < 10, "{each:?} for an admission");
@@ -196,32 +199,32 @@
 /// would run their tasks again.
 #[test]
 fn an_answer_to_a_stale_write_is_ignored() {
-    let mut world = world(2);
-    world.submit_sized(1, JOB, vec![60.0, 160.0], 100.0, 6_800);
-    world.run_for(50);
-    world.store_up = false;
-    world.run_for(66);
-    let before = world.waiting_writes();
+    let mut simulation = simulation(2);
+    simulation.submit_sized(1, JOB, vec![60.0, 160.0], 100.0, 6_800);
+    simulation.run_for(50);
+    simulation.store_up = false;
+    simulation.run_for(66);
+    let before = simulation.waiting_writes();
     assert_eq!(before.len(), 1, "the first task is done");
-    let at = world.instant();
-    world.pool.give_up_all(at);
-    world.read_rows();
-    world.run_for(40);
-    let after = world.waiting_writes();
+    let at = simulation.instant();
+    simulation.pool.give_up_all(at);
+    simulation.read_rows();
+    simulation.run_for(40);
+    let after = simulation.waiting_writes();
     assert_eq!(after.len(), 2, "its end was found again");
-    world.run_for(200);
-    world.complete_write(&before[0]);
-    world.run_for(20);
-    world.complete_write(&after[1]);
-    world.run_for(1_300);
+    simulation.run_for(200);
+    simulation.complete_write(&before[0]);
+    simulation.run_for(20);
+    simulation.complete_write(&after[1]);
+    simulation.run_for(1_300);
     // The owner is gone before it can store the second task's end.
-    world.replace_owner();
-    world.restore_store();
-    world.run_for(20);
-    world.read_rows();
-    world.run_for(3_000);
-    assert_eq!(state(&world), Some(KeptState::Completed));
-    assert_eq!(done_runs(&world), [1, 1]);
+    simulation.replace_owner();
+    simulation.restore_store();
+    simulation.run_for(20);
+    simulation.read_rows();
+    simulation.run_for(3_000);
+    assert_eq!(state(&simulation), Some(KeptState::Completed));
+    assert_eq!(done_runs(&simulation), [1, 1]);
 }
 
 /// The store has not confirmed the claim for too long, so kept jobs are stopped while a start is
@@ -229,19 +232,23 @@
 #[test]
 fn a_task_whose_start_was_not_sent_is_requeued() {
     for late in [880, 900, 920, 940, 960, 980] {
-        let mut world = world(1);
-        let life = world.workers.keys().next().unwrap().clone();
-        world.claim_confirmable = false;
-        world.run_for(late);
-        world.workers.get_mut(&life).unwrap().fault = WorkerFault {
+        let mut simulation = simulation(1);
+        let life = simulation.workers.keys().next().unwrap().clone();
+        simulation.claim_confirmable = false;
+        simulation.run_for(late);
+        simulation.workers.get_mut(&life).unwrap().fault = WorkerFault {
             silent: true,
             ..WorkerFault::default()
         };
-        world.submit_sized(1, JOB, vec![100.0; 2], 100.0, 6_800);
-        world.run_for(300);
-        world.workers.get_mut(&life).unwrap().fault = WorkerFault::default();
-        world.claim_confirmable = true;
-        world.run_for(4_000);
-        assert_eq!(state(&world), Some(KeptState::Completed), "after {late} ms");
+        simulation.submit_sized(1, JOB, vec![100.0; 2], 100.0, 6_800);
+        simulation.run_for(300);
+        simulation.workers.get_mut(&life).unwrap().fault = WorkerFault::default();
+        simulation.claim_confirmable = true;
+        simulation.run_for(4_000);
+        assert_eq!(
+            state(&simulation),
+            Some(KeptState::Completed),
+            "after {late} ms"
+        );
     }
 }
--- a/crates/pool/tests/load.rs
+++ b/crates/pool/tests/load.rs
@@ -6,17 +6,17 @@
 use pool::WaiterId;
 use support::{
     results::{credit, kind_credit, summary},
-    WorkerFault, World,
+    Simulation, WorkerFault,
 };
 
 /// Under normal load, jobs neither wait long nor are refused.
 #[test]
 fn calm_load_is_served_in_time() {
-    let mut world = World::new(1, 16);
-    world.traffic(20_000, [0.7, 0.7, 0.7]);
-    world.run_for(6_000);
-    let credit = credit(&world.results);
-    assert!(credit > 0.97, "{}", summary(&world.results));
+    let mut simulation = Simulation::new(1, 16);
+    simulation.traffic(20_000, [0.7, 0.7, 0.7]);
+    simulation.run_for(6_000);
+    let credit = credit(&simulation.results);
+    assert!(credit > 0.97, "{}", summary(&simulation.results));
 }
 
 /// Short jobs arrive at 1.8 times their rate while 15% of the workers are lost. Guards against admitted jobs that end far too
@@ -26,32 +26,32 @@
 fn a_burst_on_lost_workers_leaves_no_begun_job_behind() {
     let mut total = 0.0;
     for seed in 0..3 {
-        let mut world = World::new(seed, 16);
-        world.traffic(3_000, [1.0, 1.0, 1.0]);
-        let lost: Vec<_> = world.workers.keys().take(2).cloned().collect();
+        let mut simulation = Simulation::new(seed, 16);
+        simulation.traffic(3_000, [1.0, 1.0, 1.0]);
+        let lost: Vec<_> = simulation.workers.keys().take(2).cloned().collect();
         for life in &lost {
-            world.workers.get_mut(life).unwrap().fault = WorkerFault {
+            simulation.workers.get_mut(life).unwrap().fault = WorkerFault {
                 silent: true,
                 ..WorkerFault::default()
             };
         }
-        world.traffic(6_000, [1.0, 1.0, 1.8]);
+        simulation.traffic(6_000, [1.0, 1.0, 1.8]);
         for life in &lost {
-            world.workers.get_mut(life).unwrap().fault = WorkerFault::default();
+            simulation.workers.get_mut(life).unwrap().fault = WorkerFault::default();
         }
-        world.traffic(4_000, [1.0, 1.0, 1.0]);
-        world.run_for(8_000);
-        println!("{}", summary(&world.results));
-        total += credit(&world.results) / 3.0;
-        let left = world.results.iter().filter(|result| {
+        simulation.traffic(4_000, [1.0, 1.0, 1.0]);
+        simulation.run_for(8_000);
+        println!("{}", summary(&simulation.results));
+        total += credit(&simulation.results) / 3.0;
+        let left = simulation.results.iter().filter(|result| {
             let took = (result.ended - result.arrived) as f64;
             took > 3.0 * result.objective
         });
-        let (left, all) = (left.count(), world.results.len());
+        let (left, all) = (left.count(), simulation.results.len());
         assert!(
             left * 100 <= all,
             "{left} of {all}\n{}",
-            summary(&world.results)
+            summary(&simulation.results)
         );
     }
     println!("credit {total:.3}");
@@ -62,15 +62,15 @@
 /// The second job must not be refused as if those tasks ran to their end.
 #[test]
 fn places_that_are_being_cleared_count_as_free_soon() {
-    let mut world = World::new(1, 1);
+    let mut simulation = Simulation::new(1, 1);
     let (first, second) = (JobId(1), JobId(2));
-    world.submit_sized(1, first, vec![900.0, 900.0], 900.0, 6_800);
-    world.run_for(100);
-    let now = world.instant();
-    world.pool.cancel(now, first, WaiterId(first.0));
-    world.submit_sized(1, second, vec![900.0, 900.0], 900.0, 6_800);
-    world.run_for(1_500);
-    let results: Vec<_> = world
+    simulation.submit_sized(1, first, vec![900.0, 900.0], 900.0, 6_800);
+    simulation.run_for(100);
+    let now = simulation.instant();
+    simulation.pool.cancel(now, first, WaiterId(first.0));
+    simulation.submit_sized(1, second, vec![900.0, 900.0], 900.0, 6_800);
+    simulation.run_for(1_500);
+    let results: Vec<_> = simulation
         .results
         .iter()
         .map(|result| (result.id, result.outcome))
@@ -82,15 +82,15 @@
 /// could still be in time. The last task must go first, since the completed part of its job is of no use without it.
 #[test]
 fn the_last_task_of_a_begun_job_does_not_wait_behind_new_jobs() {
-    let mut world = World::new(1, 1);
+    let mut simulation = Simulation::new(1, 1);
     let wide = JobId(1);
-    world.submit_sized(1, wide, vec![300.0; 3], 100.0, 6_800);
+    simulation.submit_sized(1, wide, vec![300.0; 3], 100.0, 6_800);
     for number in 0..40 {
-        world.submit_sized(2, JobId(100 + number), vec![300.0], 100.0, 6_800);
-        world.run_for(25);
+        simulation.submit_sized(2, JobId(100 + number), vec![300.0], 100.0, 6_800);
+        simulation.run_for(25);
     }
-    world.run_for(3_000);
-    let ended = world
+    simulation.run_for(3_000);
+    let ended = simulation
         .results
         .iter()
         .find(|result| result.id == wide)
@@ -107,12 +107,12 @@
 fn later_steps_of_admitted_jobs_are_counted() {
     let mut total = 0.0;
     for seed in 0..3 {
-        let mut world = World::new(seed, 16);
-        world.steps = 3;
-        world.traffic(20_000, [0.6, 0.6, 0.6]);
-        world.run_for(10_000);
-        println!("{}", summary(&world.results));
-        total += credit(&world.results) / 3.0;
+        let mut simulation = Simulation::new(seed, 16);
+        simulation.steps = 3;
+        simulation.traffic(20_000, [0.6, 0.6, 0.6]);
+        simulation.run_for(10_000);
+        println!("{}", summary(&simulation.results));
+        total += credit(&simulation.results) / 3.0;
     }
     println!("credit {total:.3}");
     assert!(total > 0.45, "{total:.3}");
@@ -126,12 +126,12 @@
     let mut first = 0.0;
     let mut total = 0.0;
     for seed in 0..3 {
-        let mut world = World::new(seed, 16);
-        world.traffic(20_000, [2.0, 2.0, 2.0]);
-        world.run_for(8_000);
-        println!("{}", summary(&world.results));
-        first += kind_credit(&world.results, 0) / 3.0;
-        total += credit(&world.results) / 3.0;
+        let mut simulation = Simulation::new(seed, 16);
+        simulation.traffic(20_000, [2.0, 2.0, 2.0]);
+        simulation.run_for(8_000);
+        println!("{}", summary(&simulation.results));
+        first += kind_credit(&simulation.results, 0) / 3.0;
+        total += credit(&simulation.results) / 3.0;
     }
     println!("first {first:.3} all {total:.3}");
     assert!(first > 0.55, "{first:.3}");
@@ -146,20 +146,20 @@
     let mut wide = 0.0;
     let mut total = 0.0;
     for seed in 0..3 {
-        let mut world = World::new(seed, 16);
-        world.traffic(3_000, [0.8, 0.8, 0.8]);
-        for worker in world.workers.values_mut() {
+        let mut simulation = Simulation::new(seed, 16);
+        simulation.traffic(3_000, [0.8, 0.8, 0.8]);
+        for worker in simulation.workers.values_mut() {
             worker.fault = WorkerFault {
                 answers_lost: 0.055,
                 late_starts: 0.055,
                 ..WorkerFault::default()
             };
         }
-        world.traffic(15_000, [0.8, 0.8, 0.8]);
-        world.run_for(6_000);
-        println!("{}", summary(&world.results));
-        wide += kind_credit(&world.results, 0) / 3.0;
-        total += credit(&world.results) / 3.0;
+        simulation.traffic(15_000, [0.8, 0.8, 0.8]);
+        simulation.run_for(6_000);
+        println!("{}", summary(&simulation.results));
+        wide += kind_credit(&simulation.results, 0) / 3.0;
+        total += credit(&simulation.results) / 3.0;
     }
     println!("wide {wide:.3} all {total:.3}");
     assert!(wide > 0.86, "{wide:.3}");
@@ -172,18 +172,18 @@
 fn slow_workers_do_not_make_wide_jobs_late() {
     let mut total = 0.0;
     for seed in 0..3 {
-        let mut world = World::new(seed, 16);
-        world.traffic(2_000, [0.9, 0.9, 0.9]);
-        for worker in world.workers.values_mut().take(4) {
+        let mut simulation = Simulation::new(seed, 16);
+        simulation.traffic(2_000, [0.9, 0.9, 0.9]);
+        for worker in simulation.workers.values_mut().take(4) {
             worker.fault = WorkerFault {
                 slowdown: Some(3.0),
                 ..WorkerFault::default()
             };
         }
-        world.traffic(12_000, [0.9, 0.9, 0.9]);
-        world.run_for(8_000);
-        println!("{}", summary(&world.results));
-        total += credit(&world.results) / 3.0;
+        simulation.traffic(12_000, [0.9, 0.9, 0.9]);
+        simulation.run_for(8_000);
+        println!("{}", summary(&simulation.results));
+        total += credit(&simulation.results) / 3.0;
     }
     println!("credit {total:.3}");
     assert!(total > 0.87, "{total:.3}");
@@ -193,14 +193,18 @@
 /// that moment. A single worker cannot be slower than its pool, so the job must not be refused as if there were no worker.
 #[test]
 fn the_only_worker_is_not_avoided_as_slow() {
-    let mut world = World::new(1, 1);
-    world.submit_sized(2, JobId(1), vec![60.0; 2], 12.0, 6_800);
-    while world.results.is_empty() {
-        world.run_for(1);
+    let mut simulation = Simulation::new(1, 1);
+    simulation.submit_sized(2, JobId(1), vec![60.0; 2], 12.0, 6_800);
+    while simulation.results.is_empty() {
+        simulation.run_for(1);
     }
-    world.submit_sized(2, JobId(2), vec![20.0], 12.0, 6_800);
-    world.run_for(1_000);
-    let outcomes: Vec<_> = world.results.iter().map(|result| result.outcome).collect();
+    simulation.submit_sized(2, JobId(2), vec![20.0], 12.0, 6_800);
+    simulation.run_for(1_000);
+    let outcomes: Vec<_> = simulation
+        .results
+        .iter()
+        .map(|result| result.outcome)
+        .collect();
     assert_eq!(outcomes, [JobOutcome::Completed, JobOutcome::Completed]);
 }
 
@@ -209,29 +213,36 @@
 /// callers whose tasks find no room would wait long and get nothing.
 #[test]
 fn offers_of_one_moment_do_not_exceed_the_places() {
-    let mut world = World::new(1, 4);
-    let alone = world.offer(40, 200, 6_800);
+    let mut simulation = Simulation::new(1, 4);
+    let alone = simulation.offer(40, 200, 6_800);
     assert!(alone > 4, "{alone}");
-    let others: u32 = (0..4).map(|_| world.offer(40, 200, 6_800)).sum();
+    let others: u32 = (0..4).map(|_| simulation.offer(40, 200, 6_800)).sum();
     assert_eq!(others, 0);
-    world.run_for(20);
+    simulation.run_for(20);
     assert_eq!(
-        world.offer(40, 200, 6_800),
+        simulation.offer(40, 200, 6_800),
         alone,
         "offers that were not taken up expire"
     );
 }
 
 /// Submits jobs of one task one after another, all of which have to be completed.
-fn serves_narrow_jobs(world: &mut World) {
-    let before = world.results.len();
+fn serves_narrow_jobs(simulation: &mut Simulation) {
+    let before = simulation.results.len();
     for number in 0..12 {
-        world.submit_sized(2, JobId(number), vec![200.0], 200.0, 6_800);
-        world.run_for(400);
+        simulation.submit_sized(2, JobId(number), vec![200.0], 200.0, 6_800);
+        simulation.run_for(400);
     }
-    let outcomes = world.results[before..].iter().map(|result| result.outcome);
+    let outcomes = simulation.results[before..]
+        .iter()
+        .map(|result| result.outcome);
     let refused = outcomes.filter(|outcome| *outcome != JobOutcome::Completed);
-    assert_eq!(refused.count(), 0, "{}", summary(&world.results[before..]));
+    assert_eq!(
+        refused.count(),
+        0,
+        "{}",
+        summary(&simulation.results[before..])
+    );
 }
 
 /// All workers of a pool fail all their runs for a while, so that each gets no new runs until a probe run has shown that it is
@@ -239,32 +250,32 @@
 /// for ever.
 #[test]
 fn a_pool_whose_workers_all_failed_serves_again() {
-    let mut world = World::new(1, 4);
-    for worker in world.workers.values_mut() {
+    let mut simulation = Simulation::new(1, 4);
+    for worker in simulation.workers.values_mut() {
         worker.fault.fails_runs = true;
     }
-    world.traffic(3_000, [0.3, 0.3, 0.3]);
-    for worker in world.workers.values_mut() {
+    simulation.traffic(3_000, [0.3, 0.3, 0.3]);
+    for worker in simulation.workers.values_mut() {
         worker.fault = WorkerFault::default();
     }
-    world.run_for(8_000);
-    serves_narrow_jobs(&mut world);
+    simulation.run_for(8_000);
+    serves_narrow_jobs(&mut simulation);
 }
 
 /// All workers of a pool are several times slower for a while and then as fast as before. Jobs have to be admitted for the
 /// recovery to be noticed: if they were refused because all workers look slow, they would be refused for ever.
 #[test]
 fn a_pool_whose_workers_all_looked_slow_serves_again() {
-    let mut world = World::new(1, 4);
-    for worker in world.workers.values_mut() {
+    let mut simulation = Simulation::new(1, 4);
+    for worker in simulation.workers.values_mut() {
         worker.fault.slowdown = Some(6.0);
     }
-    world.traffic(4_000, [0.2, 0.2, 0.2]);
-    for worker in world.workers.values_mut() {
+    simulation.traffic(4_000, [0.2, 0.2, 0.2]);
+    for worker in simulation.workers.values_mut() {
         worker.fault = WorkerFault::default();
     }
-    world.run_for(8_000);
-    serves_narrow_jobs(&mut world);
+    simulation.run_for(8_000);
+    serves_narrow_jobs(&mut simulation);
 }
 
 /// A worker lists a task of which a few percent are done, while most of the time since its start was ordered went into the
@@ -272,13 +283,17 @@
 /// the next caller's job would be refused although the only worker is healthy and idle.
 #[test]
 fn a_task_that_has_just_begun_does_not_make_its_worker_slow() {
-    let mut world = World::new(1, 1);
-    world.limit_link_rate(9_000.0);
-    world.submit_sized(2, JobId(1), vec![20.0, 400.0], 220.0, 6_800);
-    world.run_for(1_500);
-    world.submit_sized(2, JobId(2), vec![220.0], 220.0, 6_800);
-    world.run_for(1_500);
-    let outcomes: Vec<_> = world.results.iter().map(|result| result.outcome).collect();
+    let mut simulation = Simulation::new(1, 1);
+    simulation.limit_link_rate(9_000.0);
+    simulation.submit_sized(2, JobId(1), vec![20.0, 400.0], 220.0, 6_800);
+    simulation.run_for(1_500);
+    simulation.submit_sized(2, JobId(2), vec![220.0], 220.0, 6_800);
+    simulation.run_for(1_500);
+    let outcomes: Vec<_> = simulation
+        .results
+        .iter()
+        .map(|result| result.outcome)
+        .collect();
     assert_eq!(outcomes, [JobOutcome::Completed, JobOutcome::Completed]);
 }
 
@@ -288,15 +303,18 @@
 #[test]
 fn a_late_job_is_served_by_an_idle_pool_alone() {
     for (busy, served) in [(0, true), (7, false)] {
-        let mut world = World::new(1, 4);
+        let mut simulation = Simulation::new(1, 4);
         for number in 0..busy {
-            world.submit_sized(1, JobId(100 + number), vec![900.0], 900.0, 6_800);
+            simulation.submit_sized(1, JobId(100 + number), vec![900.0], 900.0, 6_800);
         }
-        world.run_for(20);
-        world.waited = 400;
-        world.submit_sized(2, JobId(1), vec![200.0; 2], 200.0, 6_800);
-        world.run_for(400);
-        let of_job = world.results.iter().find(|result| result.id == JobId(1));
+        simulation.run_for(20);
+        simulation.waited = 400;
+        simulation.submit_sized(2, JobId(1), vec![200.0; 2], 200.0, 6_800);
+        simulation.run_for(400);
+        let of_job = simulation
+            .results
+            .iter()
+            .find(|result| result.id == JobId(1));
         let completed = of_job.unwrap().outcome == JobOutcome::Completed;
         assert_eq!(completed, served, "{busy} tasks running");
     }
--- a/crates/pool/tests/narrow_link.rs
+++ b/crates/pool/tests/narrow_link.rs
@@ -6,7 +6,7 @@
 use pool::PoolSettings;
 use support::{
     results::{credit, summary},
-    World,
+    Simulation,
 };
 
 /// The rate of a link that carries about 110 starts per second with their polls. The usual traffic takes half of it.
@@ -29,13 +29,13 @@
 fn goodput(factor: f64, off: &[Mechanism]) -> (f64, f64) {
     let (mut earned, mut starts, mut done) = (0.0, 0, 0);
     for seed in 0..2 {
-        let mut world = World::with_settings(seed, WORKERS, settings(off));
-        world.limit_link_rate(LINK_BYTES_PER_SECOND);
-        world.traffic(LOAD_TIME_MS, [factor; 3]);
-        world.run_for(4_000);
-        earned += world.results.iter().map(|r| r.credit()).sum::<f64>() / 2.0;
-        starts += world.starts_sent;
-        done += world
+        let mut simulation = Simulation::with_settings(seed, WORKERS, settings(off));
+        simulation.limit_link_rate(LINK_BYTES_PER_SECOND);
+        simulation.traffic(LOAD_TIME_MS, [factor; 3]);
+        simulation.run_for(4_000);
+        earned += simulation.results.iter().map(|r| r.credit()).sum::<f64>() / 2.0;
+        starts += simulation.starts_sent;
+        done += simulation
             .workers
             .values()
             .map(|w| w.done_tasks().len())
@@ -68,17 +68,17 @@
 /// nothing that the overload left behind may keep the link full.
 #[test]
 fn service_is_back_two_seconds_after_an_overload() {
-    let mut world = World::with_settings(1, WORKERS, settings(&[]));
-    world.limit_link_rate(LINK_BYTES_PER_SECOND);
-    world.traffic(3_000, [0.6; 3]);
-    world.traffic(6_000, [3.0; 3]);
-    world.traffic(2_000, [0.6; 3]);
-    let from = world.results.len();
-    world.results.drain(..from);
-    let begun = world.now;
-    world.traffic(6_000, [0.6; 3]);
-    world.run_for(4_000);
-    world.results.retain(|result| result.arrived >= begun);
-    let credit = credit(&world.results);
-    assert!(credit > 0.9, "{}", summary(&world.results));
+    let mut simulation = Simulation::with_settings(1, WORKERS, settings(&[]));
+    simulation.limit_link_rate(LINK_BYTES_PER_SECOND);
+    simulation.traffic(3_000, [0.6; 3]);
+    simulation.traffic(6_000, [3.0; 3]);
+    simulation.traffic(2_000, [0.6; 3]);
+    let from = simulation.results.len();
+    simulation.results.drain(..from);
+    let begun = simulation.now;
+    simulation.traffic(6_000, [0.6; 3]);
+    simulation.run_for(4_000);
+    simulation.results.retain(|result| result.arrived >= begun);
+    let credit = credit(&simulation.results);
+    assert!(credit > 0.9, "{}", summary(&simulation.results));
 }
--- a/crates/pool/tests/rebirth.rs
+++ b/crates/pool/tests/rebirth.rs
@@ -4,33 +4,37 @@
 mod support;
 
 use jobs::{JobId, JobOutcome, LifeId};
-use support::{WorkerFault, World};
+use support::{Simulation, WorkerFault};
 
 const WHOLE_WORKER: u64 = 16_000;
 
-fn world_with_birth_times(seed: u64, workers: usize) -> World {
-    let mut world = World::new(seed, workers);
-    world.publish_birth_times();
-    world.run_for(100);
-    world
+fn simulation_with_birth_times(seed: u64, workers: usize) -> Simulation {
+    let mut simulation = Simulation::new(seed, workers);
+    simulation.publish_birth_times();
+    simulation.run_for(100);
+    simulation
 }
 
-fn only_life(world: &World) -> LifeId {
-    world.workers.keys().next().cloned().unwrap()
+fn only_life(simulation: &Simulation) -> LifeId {
+    simulation.workers.keys().next().cloned().unwrap()
 }
 
-fn outcome(world: &World, id: JobId) -> Option<JobOutcome> {
-    let result = world.results.iter().find(|result| result.id == id);
+fn outcome(simulation: &Simulation, id: JobId) -> Option<JobOutcome> {
+    let result = simulation.results.iter().find(|result| result.id == id);
     result.map(|result| result.outcome)
 }
 
 /// Completes some jobs, so that the worker's end numbers are above 1.
-fn complete_some_jobs(world: &mut World, first: u64) {
+fn complete_some_jobs(simulation: &mut Simulation, first: u64) {
     for number in first..first + 5 {
         let id = JobId(number);
-        world.submit_sized(2, id, vec![40.0], 40.0, WHOLE_WORKER);
-        world.run_for(150);
-        assert_eq!(outcome(world, id), Some(JobOutcome::Completed), "{number}");
+        simulation.submit_sized(2, id, vec![40.0], 40.0, WHOLE_WORKER);
+        simulation.run_for(150);
+        assert_eq!(
+            outcome(simulation, id),
+            Some(JobOutcome::Completed),
+            "{number}"
+        );
     }
 }
 
@@ -39,15 +43,15 @@
 /// passed, and must be processed all the same.
 #[test]
 fn a_task_that_died_with_its_worker_runs_again() {
-    let mut world = world_with_birth_times(1, 1);
-    complete_some_jobs(&mut world, 10);
-    let (job, life) = (JobId(1), only_life(&world));
-    world.submit_sized(1, job, vec![300.0], 300.0, WHOLE_WORKER);
-    world.run_for(100);
-    world.restart_worker(&life);
-    world.run_for(1_200);
-    assert_eq!(outcome(&world, job), Some(JobOutcome::Completed));
-    complete_some_jobs(&mut world, 20);
+    let mut simulation = simulation_with_birth_times(1, 1);
+    complete_some_jobs(&mut simulation, 10);
+    let (job, life) = (JobId(1), only_life(&simulation));
+    simulation.submit_sized(1, job, vec![300.0], 300.0, WHOLE_WORKER);
+    simulation.run_for(100);
+    simulation.restart_worker(&life);
+    simulation.run_for(1_200);
+    assert_eq!(outcome(&simulation, job), Some(JobOutcome::Completed));
+    complete_some_jobs(&mut simulation, 20);
 }
 
 /// An idle worker dies and restarts without notice. The next job's start reaches the new life,
@@ -55,27 +59,27 @@
 /// would never be listed and the caller would wait in vain.
 #[test]
 fn the_first_ends_of_a_new_life_are_processed() {
-    let mut world = world_with_birth_times(1, 1);
+    let mut simulation = simulation_with_birth_times(1, 1);
     for round in 1..8 {
-        complete_some_jobs(&mut world, round * 100);
-        world.run_for(2_000);
-        let life = only_life(&world);
-        world.restart_worker(&life);
+        complete_some_jobs(&mut simulation, round * 100);
+        simulation.run_for(2_000);
+        let life = only_life(&simulation);
+        simulation.restart_worker(&life);
     }
-    complete_some_jobs(&mut world, 1_000);
+    complete_some_jobs(&mut simulation, 1_000);
 }
 
 /// The directory announces a new life before the worker has listed anything. Nothing is started
 /// there until it has answered a poll; soon after, it runs tasks.
 #[test]
 fn a_new_life_in_the_directory_is_polled_first() {
-    let mut world = world_with_birth_times(1, 1);
-    complete_some_jobs(&mut world, 10);
-    let life = only_life(&world);
-    world.restart_worker(&life);
-    world.publish_records();
-    world.run_for(20);
-    complete_some_jobs(&mut world, 20);
+    let mut simulation = simulation_with_birth_times(1, 1);
+    complete_some_jobs(&mut simulation, 10);
+    let life = only_life(&simulation);
+    simulation.restart_worker(&life);
+    simulation.publish_records();
+    simulation.run_for(20);
+    complete_some_jobs(&mut simulation, 20);
 }
 
 /// The directory still has the entry of the former life, as it may for up to a heartbeat, after the
@@ -83,19 +87,23 @@
 /// repeated.
 #[test]
 fn an_outdated_entry_does_not_stop_a_worker() {
-    let mut world = world_with_birth_times(1, 1);
-    let older: Vec<_> = world.workers.values().map(|w| w.record.clone()).collect();
-    let life = only_life(&world);
-    world.restart_worker(&life);
-    complete_some_jobs(&mut world, 10);
+    let mut simulation = simulation_with_birth_times(1, 1);
+    let older: Vec<_> = simulation
+        .workers
+        .values()
+        .map(|w| w.record.clone())
+        .collect();
+    let life = only_life(&simulation);
+    simulation.restart_worker(&life);
+    complete_some_jobs(&mut simulation, 10);
     for round in 2..6 {
-        let at = world.instant();
+        let at = simulation.instant();
         for record in &older {
-            world.pool.upsert_worker(at, record.clone());
+            simulation.pool.upsert_worker(at, record.clone());
         }
-        world.run_for(20);
-        complete_some_jobs(&mut world, round * 10);
-        world.publish_records();
+        simulation.run_for(20);
+        complete_some_jobs(&mut simulation, round * 10);
+        simulation.publish_records();
     }
 }
 
@@ -105,24 +113,24 @@
 #[test]
 fn late_starts_of_a_former_life_are_fenced_out() {
     for seed in 0..20 {
-        let mut world = world_with_birth_times(seed, 3);
-        for worker in world.workers.values_mut() {
+        let mut simulation = simulation_with_birth_times(seed, 3);
+        for worker in simulation.workers.values_mut() {
             worker.fault.late_starts = 0.6;
         }
-        world.traffic(600, [0.3, 0.3, 0.3]);
-        world.pool.record_no_later_claim(500);
-        for worker in world.workers.values_mut() {
+        simulation.traffic(600, [0.3, 0.3, 0.3]);
+        simulation.pool.record_no_later_claim(500);
+        for worker in simulation.workers.values_mut() {
             worker.fault = WorkerFault::default();
         }
-        let lives: Vec<_> = world.workers.keys().cloned().collect();
+        let lives: Vec<_> = simulation.workers.keys().cloned().collect();
         for life in &lives {
-            world.restart_worker(life);
+            simulation.restart_worker(life);
         }
-        world.publish_records();
-        world.run_for(14_000);
-        assert_eq!(world.open_jobs(), 0, "seed {seed}");
-        assert_eq!(world.running(), 0, "seed {seed}");
-        for worker in world.workers.values() {
+        simulation.publish_records();
+        simulation.run_for(14_000);
+        assert_eq!(simulation.open_jobs(), 0, "seed {seed}");
+        assert_eq!(simulation.running(), 0, "seed {seed}");
+        for worker in simulation.workers.values() {
             assert_eq!(worker.highest_fence(), 500, "seed {seed}");
         }
     }
@@ -133,39 +141,43 @@
 #[test]
 fn no_task_runs_twice_while_workers_restart() {
     for seed in 0..60 {
-        let mut world = world_with_birth_times(seed, 6);
+        let mut simulation = simulation_with_birth_times(seed, 6);
         for round in 0..8 {
-            let lives: Vec<_> = world.workers.keys().cloned().collect();
+            let lives: Vec<_> = simulation.workers.keys().cloned().collect();
             for life in lives {
                 let fault = WorkerFault {
-                    silent: world.rng.u32(0..6) == 0,
-                    answers_lost: if world.rng.bool() { 0.2 } else { 0.0 },
-                    fails_runs: world.rng.u32(0..8) == 0,
+                    silent: simulation.rng.u32(0..6) == 0,
+                    answers_lost: if simulation.rng.bool() { 0.2 } else { 0.0 },
+                    fails_runs: simulation.rng.u32(0..8) == 0,
                     ..WorkerFault::default()
                 };
-                world.workers.get_mut(&life).unwrap().fault = fault;
-                if world.rng.u32(0..3) == 0 {
-                    world.restart_worker(&life);
+                simulation.workers.get_mut(&life).unwrap().fault = fault;
+                if simulation.rng.u32(0..3) == 0 {
+                    simulation.restart_worker(&life);
                 }
-                let pause = world.rng.u64(0..40);
-                world.traffic(pause, [0.4, 0.4, 0.4]);
+                let pause = simulation.rng.u64(0..40);
+                simulation.traffic(pause, [0.4, 0.4, 0.4]);
             }
-            if world.rng.bool() {
-                world.publish_records();
+            if simulation.rng.bool() {
+                simulation.publish_records();
             }
             if round % 3 == 2 {
-                world.pool.record_no_later_claim(2_000 + round);
+                simulation.pool.record_no_later_claim(2_000 + round);
             }
-            world.traffic(500, [0.4, 0.4, 0.4]);
+            simulation.traffic(500, [0.4, 0.4, 0.4]);
         }
-        for worker in world.workers.values_mut() {
+        for worker in simulation.workers.values_mut() {
             worker.fault = WorkerFault::default();
         }
-        world.publish_records();
-        world.run_for(14_000);
-        assert_eq!(world.open_jobs(), 0, "seed {seed}: jobs without an answer");
-        assert_eq!(world.running(), 0, "seed {seed}: left running");
-        let done = world.results.iter();
+        simulation.publish_records();
+        simulation.run_for(14_000);
+        assert_eq!(
+            simulation.open_jobs(),
+            0,
+            "seed {seed}: jobs without an answer"
+        );
+        assert_eq!(simulation.running(), 0, "seed {seed}: left running");
+        let done = simulation.results.iter();
         let done = done.filter(|r| r.outcome == JobOutcome::Completed).count();
         assert!(done > 0, "seed {seed}: nothing was served");
     }
@@ -178,23 +190,26 @@
 #[test]
 fn acknowledged_ends_of_kept_jobs_are_not_lost() {
     for seed in 0..40 {
-        let mut world = world_with_birth_times(seed, 4);
-        world.submits_kept = true;
-        world.done_is_final = true;
-        world.restart_time = 50;
+        let mut simulation = simulation_with_birth_times(seed, 4);
+        simulation.submits_kept = true;
+        simulation.done_is_final = true;
+        simulation.restart_time = 50;
         for _ in 0..10 {
-            let lives: Vec<_> = world.workers.keys().cloned().collect();
-            let life = &lives[world.rng.usize(0..lives.len())];
-            world.restart_worker(life);
-            let pause = world.rng.u64(0..400);
-            world.traffic(pause, [0.3, 0.3, 0.3]);
-            if world.rng.bool() {
-                world.publish_records();
+            let lives: Vec<_> = simulation.workers.keys().cloned().collect();
+            let life = &lives[simulation.rng.usize(0..lives.len())];
+            simulation.restart_worker(life);
+            let pause = simulation.rng.u64(0..400);
+            simulation.traffic(pause, [0.3, 0.3, 0.3]);
+            if simulation.rng.bool() {
+                simulation.publish_records();
             }
         }
-        world.run_for(14_000);
-        let open = world.rows.values().filter(|(row, _)| !row.state.is_final());
+        simulation.run_for(14_000);
+        let open = simulation
+            .rows
+            .values()
+            .filter(|(row, _)| !row.state.is_final());
         assert_eq!(open.count(), 0, "seed {seed}: kept jobs that never end");
-        assert_eq!(world.running(), 0, "seed {seed}: left running");
+        assert_eq!(simulation.running(), 0, "seed {seed}: left running");
     }
 }
--- a/crates/pool/tests/room.rs
+++ b/crates/pool/tests/room.rs
@@ -5,17 +5,17 @@
 mod support;
 
 use jobs::{JobId, JobOutcome, LifeId, RefusalKind};
-use support::{WorkerFault, World};
+use support::{Simulation, WorkerFault};
 
 const WHOLE_WORKER: u64 = 16_000;
 const QUARTER_WORKER: u64 = 4_000;
 
-fn first_life(world: &World) -> LifeId {
-    world.workers.keys().next().cloned().unwrap()
+fn first_life(simulation: &Simulation) -> LifeId {
+    simulation.workers.keys().next().cloned().unwrap()
 }
 
-fn outcome(world: &World, id: JobId) -> Option<JobOutcome> {
-    let result = world.results.iter().find(|result| result.id == id);
+fn outcome(simulation: &Simulation, id: JobId) -> Option<JobOutcome> {
+    let result = simulation.results.iter().find(|result| result.id == id);
     result.map(|result| result.outcome)
 }
 
@@ -26,68 +26,71 @@
 /// Guards against starts that were placed before a worker shrank and are sent afterwards.
 #[test]
 fn unsent_starts_are_withdrawn_from_a_shrunk_worker() {
-    let mut world = World::new(1, 1);
-    let (job, life) = (JobId(1), first_life(&world));
-    world.submit_sized(1, job, vec![300.0; 4], 300.0, QUARTER_WORKER);
-    world.resize(&life, QUARTER_WORKER);
-    world.run_for(100);
-    assert_eq!(world.workers[&life].run_count(), 1);
-    world.resize(&life, WHOLE_WORKER);
-    world.run_for(800);
-    assert_eq!(outcome(&world, job), Some(JobOutcome::Completed));
+    let mut simulation = Simulation::new(1, 1);
+    let (job, life) = (JobId(1), first_life(&simulation));
+    simulation.submit_sized(1, job, vec![300.0; 4], 300.0, QUARTER_WORKER);
+    simulation.resize(&life, QUARTER_WORKER);
+    simulation.run_for(100);
+    assert_eq!(simulation.workers[&life].run_count(), 1);
+    simulation.resize(&life, WHOLE_WORKER);
+    simulation.run_for(800);
+    assert_eq!(outcome(&simulation, job), Some(JobOutcome::Completed));
 }
 
 /// Guards against an unanswered start that is sent again to a worker that has shrunk in the
 /// meantime.
 #[test]
 fn lost_starts_are_not_resent_beyond_the_room() {
-    let mut world = World::new(2, 1);
+    let mut simulation = Simulation::new(2, 1);
     let (first, second) = (JobId(1), JobId(2));
-    let life = first_life(&world);
-    world.submit_sized(1, first, vec![600.0], 600.0, 8_000);
-    world.run_for(20);
-    world.workers.get_mut(&life).unwrap().fault.silent = true;
-    world.submit_sized(1, second, vec![600.0], 600.0, 8_000);
-    world.run_for(10);
-    world.resize(&life, 8_000);
-    world.workers.get_mut(&life).unwrap().fault.silent = false;
-    world.run_for(4_000);
-    assert_eq!(outcome(&world, first), Some(JobOutcome::Completed));
+    let life = first_life(&simulation);
+    simulation.submit_sized(1, first, vec![600.0], 600.0, 8_000);
+    simulation.run_for(20);
+    simulation.workers.get_mut(&life).unwrap().fault.silent = true;
+    simulation.submit_sized(1, second, vec![600.0], 600.0, 8_000);
+    simulation.run_for(10);
+    simulation.resize(&life, 8_000);
+    simulation.workers.get_mut(&life).unwrap().fault.silent = false;
+    simulation.run_for(4_000);
+    assert_eq!(outcome(&simulation, first), Some(JobOutcome::Completed));
 }
 
 /// Guards against a job that waits until its deadline for room that no worker has any more. Its
 /// caller is told at once.
 #[test]
 fn a_job_that_no_worker_can_hold_any_more_is_refused() {
-    let mut world = World::new(3, 1);
+    let mut simulation = Simulation::new(3, 1);
     let [running, waiting, small] = [1, 2, 3].map(JobId);
-    let life = first_life(&world);
-    world.submit_sized(1, running, vec![300.0], 300.0, WHOLE_WORKER);
-    world.submit_sized(1, waiting, vec![900.0], 900.0, WHOLE_WORKER);
-    world.run_for(20);
-    world.resize(&life, 8_000);
+    let life = first_life(&simulation);
+    simulation.submit_sized(1, running, vec![300.0], 300.0, WHOLE_WORKER);
+    simulation.submit_sized(1, waiting, vec![900.0], 900.0, WHOLE_WORKER);
+    simulation.run_for(20);
+    simulation.resize(&life, 8_000);
     assert!(is_refused(
-        outcome(&world, waiting),
+        outcome(&simulation, waiting),
         RefusalKind::NoRoomEver
     ));
-    world.submit_sized(1, small, vec![900.0], 900.0, QUARTER_WORKER);
-    world.run_for(3_000);
-    assert_eq!(outcome(&world, running), Some(JobOutcome::Completed));
-    assert_eq!(outcome(&world, small), Some(JobOutcome::Completed));
+    simulation.submit_sized(1, small, vec![900.0], 900.0, QUARTER_WORKER);
+    simulation.run_for(3_000);
+    assert_eq!(outcome(&simulation, running), Some(JobOutcome::Completed));
+    assert_eq!(outcome(&simulation, small), Some(JobOutcome::Completed));
 }
 
 /// Guards against admitting a job because of runs that end on a worker that is still over its room.
 /// The job would be late.
 #[test]
 fn room_of_an_overcommitted_worker_is_not_promised() {
-    let mut world = World::new(4, 1);
-    let life = first_life(&world);
-    world.submit_sized(1, JobId(1), vec![60.0], 60.0, 8_000);
-    world.submit_sized(1, JobId(2), vec![900.0], 900.0, 8_000);
-    world.run_for(20);
-    world.resize(&life, 8_000);
-    world.submit_sized(1, JobId(3), vec![60.0], 60.0, 8_000);
-    assert!(is_refused(outcome(&world, JobId(3)), RefusalKind::TooLate));
+    let mut simulation = Simulation::new(4, 1);
+    let life = first_life(&simulation);
+    simulation.submit_sized(1, JobId(1), vec![60.0], 60.0, 8_000);
+    simulation.submit_sized(1, JobId(2), vec![900.0], 900.0, 8_000);
+    simulation.run_for(20);
+    simulation.resize(&life, 8_000);
+    simulation.submit_sized(1, JobId(3), vec![60.0], 60.0, 8_000);
+    assert!(is_refused(
+        outcome(&simulation, JobId(3)),
+        RefusalKind::TooLate
+    ));
 }
 
 /// Guards against a worker with no room, or with more room than any real worker, that affects more
@@ -95,16 +98,16 @@
 #[test]
 fn any_room_size_is_handled() {
     for cpu in [0, 1, WHOLE_WORKER, 1 << 50, u64::MAX] {
-        let mut world = World::new(5, 3);
-        let life = first_life(&world);
-        world.resize(&life, cpu);
+        let mut simulation = Simulation::new(5, 3);
+        let life = first_life(&simulation);
+        simulation.resize(&life, cpu);
         for number in 0..20 {
-            world.submit_sized(2, JobId(number), vec![200.0], 200.0, QUARTER_WORKER);
-            world.run_for(120);
+            simulation.submit_sized(2, JobId(number), vec![200.0], 200.0, QUARTER_WORKER);
+            simulation.run_for(120);
         }
-        world.run_for(1_000);
+        simulation.run_for(1_000);
         for number in 0..20 {
-            let outcome = outcome(&world, JobId(number));
+            let outcome = outcome(&simulation, JobId(number));
             assert_eq!(outcome, Some(JobOutcome::Completed), "{cpu}, job {number}");
         }
     }
@@ -115,33 +118,41 @@
 #[test]
 fn no_start_exceeds_a_changing_room() {
     for seed in 0..60 {
-        let mut world = World::new(seed, 6);
+        let mut simulation = Simulation::new(seed, 6);
         for _ in 0..12 {
-            let lives: Vec<_> = world.workers.keys().cloned().collect();
+            let lives: Vec<_> = simulation.workers.keys().cloned().collect();
             for life in lives {
-                if world.rng.bool() {
-                    let cpu = world.rng.u64(0..24) * 1_000;
-                    world.resize(&life, cpu);
+                if simulation.rng.bool() {
+                    let cpu = simulation.rng.u64(0..24) * 1_000;
+                    simulation.resize(&life, cpu);
                 }
                 let fault = WorkerFault {
-                    silent: world.rng.u32(0..8) == 0,
-                    answers_lost: if world.rng.bool() { 0.3 } else { 0.0 },
-                    late_starts: if world.rng.u32(0..4) == 0 { 0.3 } else { 0.0 },
-                    stops_lost: world.rng.u32(0..8) == 0,
+                    silent: simulation.rng.u32(0..8) == 0,
+                    answers_lost: if simulation.rng.bool() { 0.3 } else { 0.0 },
+                    late_starts: if simulation.rng.u32(0..4) == 0 {
+                        0.3
+                    } else {
+                        0.0
+                    },
+                    stops_lost: simulation.rng.u32(0..8) == 0,
                     ..WorkerFault::default()
                 };
-                world.workers.get_mut(&life).unwrap().fault = fault;
-                world.traffic(60, [0.6, 0.6, 0.6]);
+                simulation.workers.get_mut(&life).unwrap().fault = fault;
+                simulation.traffic(60, [0.6, 0.6, 0.6]);
             }
-            if world.rng.u32(0..6) == 0 {
-                world.change_owner();
+            if simulation.rng.u32(0..6) == 0 {
+                simulation.change_owner();
             }
         }
-        for worker in world.workers.values_mut() {
+        for worker in simulation.workers.values_mut() {
             worker.fault = WorkerFault::default();
         }
-        world.run_for(14_000);
-        assert_eq!(world.open_jobs(), 0, "seed {seed}: jobs without an answer");
-        assert_eq!(world.running(), 0, "seed {seed}: left running");
+        simulation.run_for(14_000);
+        assert_eq!(
+            simulation.open_jobs(),
+            0,
+            "seed {seed}: jobs without an answer"
+        );
+        assert_eq!(simulation.running(), 0, "seed {seed}: left running");
     }
 }
--- a/crates/pool/tests/support/crashing.rs
+++ b/crates/pool/tests/support/crashing.rs
@@ -5,7 +5,7 @@
 use jobs::{JobId, LifeId, TaskId};
 use pool::{CallFailure, PoolEvent};
 
-use super::{Event, World, ONE_WAY_MS};
+use super::{Event, Simulation, ONE_WAY_MS};
 
 /// The maximum number of starts of a task after the third death under it.
 const MAX_EXTRA_STARTS: u32 = 2;
@@ -49,7 +49,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// Makes the job's first task crash its workers once it has done this share of its work.
     pub(crate) fn make_crashing(&mut self, job: JobId, share: f64) {
         self.crashes.jobs.insert(job, share);
--- a/crates/pool/tests/support/mod.rs
+++ b/crates/pool/tests/support/mod.rs
@@ -92,7 +92,7 @@
 }
 
 /// A pool and its simulated workers.
-pub(crate) struct World {
+pub(crate) struct Simulation {
     pub(crate) pool: WorkerPool,
     pub(crate) workers: BTreeMap<LifeId, SimulatedWorker>,
     pub(crate) rng: Rng,
@@ -190,7 +190,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// A pool of workers like the Trust's in one data centre.
     pub(crate) fn new(seed: u64, workers: usize) -> Self {
         Self::with_settings(seed, workers, PoolSettings::default())
@@ -203,7 +203,7 @@
             settings,
             ..pool_start(1)
         };
-        let mut world = Self {
+        let mut simulation = Self {
             pool: WorkerPool::new(start, origin),
             workers: BTreeMap::new(),
             rng: Rng::with_seed(seed),
@@ -234,14 +234,14 @@
             resize_in_flight: false,
             restart_time: 0,
         };
-        world.pool.load_kept(origin, Vec::new());
+        simulation.pool.load_kept(origin, Vec::new());
         for number in 0..workers {
             let cpu = if number % 3 == 2 { 24_000 } else { 16_000 };
             let speed = [0.8, 1.0, 1.25][number % 3];
-            world.add_worker(worker_record(number, cpu), speed);
+            simulation.add_worker(worker_record(number, cpu), speed);
         }
-        world.run_for(50);
-        world
+        simulation.run_for(50);
+        simulation
     }
 
     pub(crate) fn add_worker(&mut self, record: WorkerRecord, speed: f64) {
