--- a/crates/entry/src/control/callers.rs
+++ b/crates/entry/src/control/callers.rs
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Runs a request under a ticket of this entry, or answers a repeat with the first arrival's answer.
+    /// Runs a request under a ticket of this entry, or answers a duplicate with the first arrival's answer.
     pub(super) fn run_ticket(
         &mut self,
         ticket: TicketId,
@@ -135,15 +135,15 @@
             .check_ticket(self.clock.now(), serial, &body.customer)
         {
             TicketStatus::Unused => self.run(body, digest, Some(serial)),
-            TicketStatus::Used => self.run_repeat(serial, body, digest),
+            TicketStatus::Used => self.run_duplicate(serial, body, digest),
             TicketStatus::WrongCustomer => ready(self.refuse(RefusalReason::KeyReused)),
             TicketStatus::Unknown => ready(unknown_answer(Some(ticket.0))),
         }
     }
 
-    /// Handles a repeat of a request: it gets the first arrival's answer if it has the same body, and is refused
+    /// Handles a duplicate of a request: it gets the first arrival's answer if it has the same body, and is refused
     /// otherwise. If the first was refused, nothing ran, and the request runs now under the same serial.
-    pub(super) fn run_repeat(
+    pub(super) fn run_duplicate(
         &mut self,
         serial: u64,
         body: SubmissionBody,
--- a/crates/entry/src/control/forwarding.rs
+++ b/crates/entry/src/control/forwarding.rs
@@ -92,7 +92,7 @@
             }
             // A request with a key: its first arrival came here, otherwise its record would not name this entry.
             SubmissionKind::Request(_) | SubmissionKind::Job => {
-                self.run_repeat(serial, body, digest)
+                self.run_duplicate(serial, body, digest)
             }
         }
     }
--- a/crates/entry/src/control/keys.rs
+++ b/crates/entry/src/control/keys.rs
@@ -30,7 +30,7 @@
 }
 
 impl EntryControl {
-    /// Records the key and runs the request, or answers a repeat with the first arrival's answer.
+    /// Records the key and runs the request, or answers a duplicate with the first arrival's answer.
     pub(super) fn run_keyed(
         &mut self,
         ctx: &mut Context<Self>,
@@ -105,7 +105,7 @@
                 Some(retry_after),
             ),
             // The row may exist or be written later. It names this serial, and the refusal stored under the serial
-            // shows a repeat that reads the row that nothing ran.
+            // shows a duplicate that reads the row that nothing ran.
             KeyResult::Uncertain => {
                 let reason = RefusalReason::KeyNotRecorded;
                 self.refuse_keyed(serial, keyed, reason, default_retry_after(reason))
@@ -136,12 +136,12 @@
             return ready(self.refuse(RefusalReason::KeyReused));
         }
         if first.incarnation == self.authority.incarnation() {
-            return self.run_repeat(first.serial, keyed.body, keyed.digest);
+            return self.run_duplicate(first.serial, keyed.body, keyed.digest);
         }
         self.forward_request(first.submission(), keyed.raw)
     }
 
-    /// Stores the refusal under the serial that the key's row may name, so that a repeat learns that nothing ran and
+    /// Stores the refusal under the serial that the key's row may name, so that a duplicate learns that nothing ran and
     /// can run itself.
     fn refuse_keyed(
         &mut self,
