--- a/crates/pool/src/health.rs
+++ b/crates/pool/src/health.rs
@@ -13,10 +13,10 @@
 const FAILURES_TO_SUSPEND: u32 = 2;
 
 /// The duration of the first suspension. Faults of workers last seconds.
-const INITIAL_PAUSE: Duration = Duration::from_millis(1_000);
+const INITIAL_SUSPENSION: Duration = Duration::from_millis(1_000);
 
 /// The maximum duration of a suspension, so that a healthy worker is used again soon after its fault ends.
-const MAX_PAUSE: Duration = Duration::from_millis(4_000);
+const MAX_SUSPENSION: Duration = Duration::from_millis(4_000);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum HealthState {
@@ -30,7 +30,7 @@
     state: HealthState,
     failures: u32,
     last_failed: Option<JobId>,
-    pause: Duration,
+    suspension: Duration,
 }
 
 impl Default for WorkerHealth {
@@ -39,7 +39,7 @@
             state: HealthState::Healthy,
             failures: 0,
             last_failed: None,
-            pause: INITIAL_PAUSE,
+            suspension: INITIAL_SUSPENSION,
         }
     }
 }
@@ -81,9 +81,11 @@
 
     /// Suspends the worker and returns for how long. The duration doubles with each suspension in a row.
     pub(crate) fn suspend(&mut self, now: Instant) -> Duration {
-        let pause = self.pause;
-        self.state = HealthState::Suspended { until: now + pause };
-        self.pause = (pause * 2).min(MAX_PAUSE);
-        pause
+        let suspension = self.suspension;
+        self.state = HealthState::Suspended {
+            until: now + suspension,
+        };
+        self.suspension = (suspension * 2).min(MAX_SUSPENSION);
+        suspension
     }
 }
