--- a/crates/node/src/feeds.rs
+++ b/crates/node/src/feeds.rs
@@ -38,7 +38,7 @@
 /// The interval between two reads of any other table.
 const FEED_READ_INTERVAL: Duration = Duration::from_millis(15);
 
-/// The pause after a read that returns rows older than those already known. A store that has lost its history
+/// The backoff after a read that returns rows older than those already known. A store that has lost its history
 /// returns such rows for seconds, and the workers' table is large.
 const STALE_READ_BACKOFF: Duration = Duration::from_millis(400);
 
@@ -47,7 +47,7 @@
 /// was taken for a complete one, starts were sent to workers that were about to leave.
 const PARTIAL_PAGE_CHANGES: usize = 250;
 
-/// The pause after a failed read.
+/// The backoff after a failed read.
 const FAILED_READ_BACKOFF: Duration = Duration::from_millis(120);
 
 /// Follows a table for as long as the process runs. When the store no longer has the history that the feed needs,
--- a/crates/node/src/kept_jobs.rs
+++ b/crates/node/src/kept_jobs.rs
@@ -35,7 +35,7 @@
 /// again on each retry.
 const MAX_JOBS_PER_TRANSACTION: usize = 25;
 
-/// The pause after a write that was rejected or got no answer, and between tries to read a pool's rows.
+/// The backoff after a write that was rejected or got no answer, and between tries to read a pool's rows.
 const STORE_RETRY_BACKOFF: Duration = Duration::from_millis(80);
 
 /// How long the write of a new job is retried before the job is refused, if the store rejects each try.
