--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -18,7 +18,7 @@
 /// The largest heartbeat that can be received, in bytes.
 const MAX_HEARTBEAT_BYTES: usize = 8 * 1024;
 
-/// The pause after a socket error. Such errors come from ports without a listener or from a lack of file
+/// The backoff after a socket error. Such errors come from ports without a listener or from a lack of file
 /// descriptors.
 const SOCKET_ERROR_BACKOFF: Duration = Duration::from_millis(20);
 
--- a/crates/node/tests/kept.rs
+++ b/crates/node/tests/kept.rs
@@ -1,4 +1,4 @@
-//! Stored jobs: the answers that customers get, and jobs that outlive a node or an outage of the store.
+//! Kept jobs: the answers that customers get, and jobs that outlive a node or an outage of the store.
 
 mod support;
 
--- a/crates/pool/src/pool/answers.rs
+++ b/crates/pool/src/pool/answers.rs
@@ -49,7 +49,7 @@
             });
         }
         match answer {
-            // For `Outrun`, an earlier copy of this start was carried out and its run has ended;
+            // For `Superseded`, an earlier copy of this start was carried out and its run has ended;
             // its end is listed.
             StartAnswer::Started(_) | StartAnswer::Superseded(_) if !from_current_life => (),
             StartAnswer::Started(_) | StartAnswer::Superseded(_) => {
