--- a/crates/node/src/kept_jobs.rs
+++ b/crates/node/src/kept_jobs.rs
@@ -71,8 +71,8 @@
     xxh3_64(&job.0.to_be_bytes()) % PARTITION_COUNT
 }
 
-fn partition_name(partition: u64) -> String {
-    format!("p{partition}")
+fn partition_name(part: u64) -> String {
+    format!("p{part}")
 }
 
 /// Queues a write that a pool has requested.
