--- a/crates/claims/tests/beats.rs
+++ b/crates/claims/tests/beats.rs
@@ -37,8 +37,8 @@
 
 /// The controller of one process of a fleet of `count`, in which each `PROCESSES_PER_OWNER`th process owns a
 /// pool.
-fn controller(me: usize, count: usize, now: Instant) -> ClaimController {
-    let mut controller = ClaimController::new(member(me), ClaimSettings::default(), now);
+fn controller(own_index: usize, count: usize, now: Instant) -> ClaimController {
+    let mut controller = ClaimController::new(member(own_index), ClaimSettings::default(), now);
     for number in 0..count {
         controller.on_member(now, member(number));
         if number % PROCESSES_PER_OWNER == 0 {
@@ -71,8 +71,8 @@
     let now = Instant::now();
     let mut all = 0.0;
     let mut full_mesh = 0.0;
-    for me in 0..count {
-        let controller = controller(me, count, now);
+    for own_index in 0..count {
+        let controller = controller(own_index, count, now);
         all += datagrams_per_second(&controller);
         let near = controller
             .peers()
@@ -122,11 +122,11 @@
     }
 }
 
-/// How long after its last heartbeat `other` counts as silent at `me`.
-fn time_until_silent(me: usize, other: usize) -> Duration {
+/// How long after its last heartbeat `other` counts as silent at `own_index`.
+fn time_until_silent(own_index: usize, other: usize) -> Duration {
     let count = 60 * CENTRES;
     let begun = Instant::now();
-    let mut controller = controller(me, count, begun);
+    let mut controller = controller(own_index, count, begun);
     let mut now = begun;
     let step = Duration::from_millis(20);
     while now < begun + Duration::from_secs(5) {
--- a/crates/claims/tests/keeper.rs
+++ b/crates/claims/tests/keeper.rs
@@ -83,10 +83,10 @@
 }
 
 impl ControllerSim {
-    fn new(me: &MemberRow) -> Self {
+    fn new(own_row: &MemberRow) -> Self {
         let now = Instant::now();
         Self {
-            controller: ClaimController::new(me.clone(), ClaimSettings::default(), now),
+            controller: ClaimController::new(own_row.clone(), ClaimSettings::default(), now),
             now,
             sim_time: Duration::ZERO,
             reachable: true,
@@ -329,9 +329,9 @@
 /// own data centre has been up for a while. Two equal processes there must not hand it back and forth.
 #[test]
 fn a_pool_goes_back_to_its_data_centre() {
-    let (me, near) = (member("west-1", 1), member("east-1", 2));
-    let mut sim = ControllerSim::new(&me);
-    sim.set_owner("east", &me, 7);
+    let (own_row, near) = (member("west-1", 1), member("east-1", 2));
+    let mut sim = ControllerSim::new(&own_row);
+    sim.set_owner("east", &own_row, 7);
     sim.run_for(millis(3_000), &[heartbeat(&near, &[], &[])]);
     assert_eq!(
         sim.controller.pool_to_hand_over(sim.now),
@@ -343,9 +343,9 @@
         sim.controller.pool_to_hand_over(sim.now),
         Some(pool("east"))
     );
-    let (me, other) = (member("east-1", 1), member("east-2", 2));
-    let mut sim = ControllerSim::new(&me);
-    sim.set_owner("east", &me, 7);
+    let (own_row, other) = (member("east-1", 1), member("east-2", 2));
+    let mut sim = ControllerSim::new(&own_row);
+    sim.set_owner("east", &own_row, 7);
     sim.run_for(millis(9_000), &[heartbeat(&other, &[], &[])]);
     assert_eq!(
         sim.controller.pool_to_hand_over(sim.now),
@@ -358,9 +358,9 @@
 /// If it still counted as the owner, no process would ever serve the pool again.
 #[test]
 fn a_released_pool_is_claimed_again() {
-    let me = member("east-1", 1);
-    let mut sim = ControllerSim::new(&me);
-    sim.set_owner("east", &me, 7);
+    let own_row = member("east-1", 1);
+    let mut sim = ControllerSim::new(&own_row);
+    sim.set_owner("east", &own_row, 7);
     sim.run_for(millis(3_000), &[]);
     assert_eq!(sim.claims, []);
     sim.controller.on_released(&pool("east"));
@@ -379,10 +379,10 @@
         .map(|(n, name)| member(name, n as u16))
         .collect();
     let mut firsts = Vec::new();
-    for me in &members {
-        let mut sim = ControllerSim::new(me);
+    for own_row in &members {
+        let mut sim = ControllerSim::new(own_row);
         sim.controller.on_workers(&pool("east"), true);
-        for other in members.iter().filter(|other| other.node != me.node) {
+        for other in members.iter().filter(|other| other.node != own_row.node) {
             sim.controller.on_member(sim.now, other.clone());
         }
         sim.run_for(millis(2_500), &[]);
@@ -398,8 +398,8 @@
 /// store busy. Once the store answers again, the pool must get its owner soon.
 #[test]
 fn undecided_claims_back_off() {
-    let me = member("east-1", 1);
-    let mut sim = ControllerSim::new(&me);
+    let own_row = member("east-1", 1);
+    let mut sim = ControllerSim::new(&own_row);
     sim.controller.on_workers(&pool("east"), true);
     sim.claim_outcome = ClaimOutcome::Undecided;
     sim.run_for(millis(10_000), &[]);
@@ -428,12 +428,12 @@
         })
         .collect();
     let mut claims = Vec::new();
-    for me in &members {
-        let mut sim = ControllerSim::new(me);
+    for own_row in &members {
+        let mut sim = ControllerSim::new(own_row);
         for pool in &pools {
             sim.controller.on_workers(pool, true);
         }
-        for other in members.iter().filter(|other| other.node != me.node) {
+        for other in members.iter().filter(|other| other.node != own_row.node) {
             sim.controller.on_member(sim.now, other.clone());
         }
         // Two ticks: the first probes a worker, the second sends the claim.
--- a/crates/claims/tests/reading.rs
+++ b/crates/claims/tests/reading.rs
@@ -181,8 +181,8 @@
     }
 }
 
-fn controller(me: usize, count: usize, now: Instant) -> ClaimController {
-    let mut controller = ClaimController::new(member(me), ClaimSettings::default(), now);
+fn controller(own_index: usize, count: usize, now: Instant) -> ClaimController {
+    let mut controller = ClaimController::new(member(own_index), ClaimSettings::default(), now);
     for number in 0..count {
         controller.on_member(now, member(number));
         if !owns(number) {
--- a/crates/peer/tests/border/round_trips.rs
+++ b/crates/peer/tests/border/round_trips.rs
@@ -50,7 +50,7 @@
     // The reply does not carry `since`: the client fills in the value that it requested.
     let since = state.answers.borrow().contracts.update.since;
     let message = membership::HeartbeatMessage { view: view.clone() };
-    let beat = client.heartbeat(&message).await.expect("beat");
+    let answer = client.heartbeat(&message).await.expect("beat");
     let (revision, ask, report) = (
         values.next(any::<u64>()),
         values.next(values::ask_batch()),
@@ -62,7 +62,7 @@
     let contracts = client.contracts(since).await.expect("contracts");
     let vms = client.vms().await.expect("vms");
     let answers = state.answers.borrow();
-    assert_eq!(beat.view, answers.view);
+    assert_eq!(answer.view, answers.view);
     let (dispatcher_view, slots) = (answers.view.clone(), answers.slots);
     assert_eq!(
         ping,
