--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -8,7 +8,9 @@
     time::{Duration, Instant, SystemTime, UNIX_EPOCH},
 };
 
-use claims::{ClaimController, ClaimEvent, ClaimSettings, LinkRate, MemberRow, NodeId, RouteWait};
+use claims::{
+    ClaimController, ClaimEvent, ClaimSettings, LinkRate, MemberRow, NodeId, PublishedBudget,
+};
 use kernel::{ClockSource, SystemClock};
 use model::FastMap;
 use platform_adapter::{HttpClient, RowWrite, StoreClient, StoreTable, Transaction, WorkerClient};
@@ -110,7 +112,7 @@
         let limit = started + grace.saturating_sub(STOP_MARGIN);
         state.leaving.set(true);
         state.stop_deadline.set(Some(limit));
-        state.keeper.borrow_mut().leave();
+        state.claim_controller.borrow_mut().leave();
         state.log(
             EventKind::Important,
             EventLine::new("process_stopping").millis("grace_ms", grace),
@@ -221,7 +223,7 @@
         pool_settings,
         system_addresses: vec![settings.store, customer_address, ready_address, address],
         route_table: RefCell::default(),
-        keeper: RefCell::new(ClaimController::new(
+        claim_controller: RefCell::new(ClaimController::new(
             member,
             claim_settings.clone(),
             clock.now(),
@@ -231,7 +233,7 @@
         pools: RefCell::default(),
         group_versions: RefCell::default(),
         sent_demand: RefCell::default(),
-        request_waits: RefCell::default(),
+        request_budgets: RefCell::default(),
         list_source: Cell::new(None),
         worker_list_needed: Notify::new(),
         unpopulated_pools: RefCell::default(),
@@ -333,24 +335,23 @@
     by_clock.max(former.map_or(0, |former| former.incarnation + 1))
 }
 
-/// Returns the time that the requests of each route usually have left when they arrive, as this process has learnt
-/// it.
-fn usual_waits(state: &NodeState) -> Vec<RouteWait> {
-    let usual = state.request_waits.borrow().learned_budgets();
-    let waits = usual.into_iter().map(|wait| RouteWait {
-        route: wait.route,
-        least_ms: u64::try_from(wait.budget.as_millis()).unwrap_or(u64::MAX),
+/// Returns the learned time budgets of requests by route, in the form in which the member row publishes them.
+fn published_budgets(state: &NodeState) -> Vec<PublishedBudget> {
+    let learned = state.request_budgets.borrow().learned_budgets();
+    let budgets = learned.into_iter().map(|budget| PublishedBudget {
+        route: budget.route,
+        least_ms: u64::try_from(budget.budget.as_millis()).unwrap_or(u64::MAX),
     });
-    waits.collect()
+    budgets.collect()
 }
 
 /// Writes this process's member row at the start and then periodically.
 async fn refresh_member(state: Rc<NodeState>) {
-    let mut row = state.keeper.borrow().own_row().clone();
+    let mut row = state.claim_controller.borrow().own_row().clone();
     let mut failed = false;
     loop {
         row.refreshes += 1;
-        row.waits = usual_waits(&state);
+        row.waits = published_budgets(&state);
         let write = RowWrite {
             table: StoreTable::Members,
             key: row.node.to_string(),
@@ -372,7 +373,7 @@
             continue;
         }
         let written = state.now();
-        while state.now() < written + state.keeper.borrow().refresh_interval() {
+        while state.now() < written + state.claim_controller.borrow().refresh_interval() {
             actix_rt::time::sleep(MEMBER_REFRESH_CHECK_INTERVAL).await;
         }
     }
@@ -408,7 +409,7 @@
 /// Returns the time until the next tick. A process that owns no pool and is not about to claim one has less to do;
 /// in a large fleet most processes are of this kind.
 fn tick_interval(state: &NodeState) -> Duration {
-    let owns = !state.pools.borrow().is_empty() || state.keeper.borrow().may_claim_soon();
+    let owns = !state.pools.borrow().is_empty() || state.claim_controller.borrow().may_claim_soon();
     match owns || state.leaving.get() {
         true => TICK_INTERVAL,
         false => IDLE_TICK_INTERVAL,
@@ -417,7 +418,7 @@
 
 fn update_link_use(state: &NodeState, now: Instant) {
     let mut link_use = state.link_use.get();
-    let link = state.keeper.borrow().own_row().link;
+    let link = state.claim_controller.borrow().own_row().link;
     link_use.update(now, state.traffic.total(), link);
     state.link_use.set(link_use);
 }
@@ -426,19 +427,19 @@
     let now = state.now();
     let removed = state.directory.borrow_mut().take_expired(now);
     for record in removed {
-        workers::remove_worker(state, &record);
+        workers::unlist_worker(state, &record);
     }
-    let actions = state.keeper.borrow_mut().tick(now);
-    let notes = state.keeper.borrow_mut().take_events();
-    for note in notes {
-        if let ClaimEvent::PeerSilent { node, .. } = &note {
+    let actions = state.claim_controller.borrow_mut().tick(now);
+    let events = state.claim_controller.borrow_mut().take_events();
+    for event in events {
+        if let ClaimEvent::PeerSilent { node, .. } = &event {
             state.links.close(node);
             state.peer_lost_signal(node).notify_waiters();
         }
-        crate::event_lines::log_claim_note(state, &note);
+        crate::event_lines::log_claim_event(state, &event);
     }
     // A process that may soon claim a pool needs the current state of its workers.
-    if state.keeper.borrow().may_claim_soon() {
+    if state.claim_controller.borrow().may_claim_soon() {
         state.worker_list_needed.notify_one();
     }
     owner::run_claim_actions(state, actions);
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -39,7 +39,7 @@
     pub(crate) store: StoreClient,
     pub(crate) workers: WorkerClient,
     pub(crate) route_table: RefCell<Option<Rc<RouteTable>>>,
-    pub(crate) keeper: RefCell<ClaimController>,
+    pub(crate) claim_controller: RefCell<ClaimController>,
     pub(crate) directory: RefCell<WorkerDirectory>,
     pub(crate) evacuations: RefCell<EvacuationSet>,
     pub(crate) pools: RefCell<FastMap<PoolId, OwnedPool>>,
@@ -48,8 +48,8 @@
     /// The processor demand sent to each pool since its owner's last heartbeat, in thousandths of a core, with the
     /// time of that heartbeat.
     pub(crate) sent_demand: RefCell<FastMap<PoolId, (Instant, u64)>>,
-    /// The time that customers' requests usually have left when they arrive, by route.
-    pub(crate) request_waits: RefCell<pool::BudgetTracker>,
+    /// Learns the time that customers' requests usually have left when they arrive, by route.
+    pub(crate) request_budgets: RefCell<pool::BudgetTracker>,
     /// The source of the list of workers that was last logged, and when.
     pub(crate) list_source: Cell<Option<(ListSource, Instant)>>,
     /// Notified when the workers' table has to be read now.
@@ -96,7 +96,7 @@
     }
 
     pub(crate) fn node(&self) -> NodeId {
-        self.keeper.borrow().own_row().node.clone()
+        self.claim_controller.borrow().own_row().node.clone()
     }
 
     pub(crate) fn log(&self, kind: EventKind, line: EventLine) {
--- a/crates/pool/src/pool/crash_blame.rs
+++ b/crates/pool/src/pool/crash_blame.rs
@@ -14,7 +14,7 @@
 
 use super::{schedule::task_id, WorkerPool};
 use crate::{
-    action::PoolNote,
+    action::PoolEvent,
     crash::{LostTask, TaskRestriction, WorkerCounts, WorkerLoss},
     worker::TrackedWorker,
 };
@@ -26,7 +26,7 @@
     /// Records the loss of a worker with tasks that may have begun, one of which may have killed
     /// it. Returns the tasks that this identifies as culprits; the caller ends their jobs once it
     /// has removed the runs.
-    pub(super) fn note_worker_loss(
+    pub(super) fn record_worker_loss(
         &mut self,
         now: Instant,
         life: &LifeId,
@@ -57,7 +57,7 @@
         };
         let suspects = loss.tasks.len();
         let loss_result = self.crashes.record_loss(loss, &self.pool_shape());
-        self.notes.push(PoolNote::CrashSuspected {
+        self.events.push(PoolEvent::CrashSuspected {
             life: life.clone(),
             died,
             common: loss_result.common,
@@ -77,14 +77,14 @@
     /// Clears the loss of a worker that answers in the life in which it was lost.
     pub(super) fn clear_crash(&mut self, life: &LifeId, born: Option<BirthTime>) {
         if self.crashes.discard_loss(life, born) {
-            self.notes
-                .push(PoolNote::CrashCleared { life: life.clone() });
+            self.events
+                .push(PoolEvent::CrashCleared { life: life.clone() });
         }
     }
 
     /// Handles a worker that is new in the directory. It may be a lost worker that has come back,
     /// which shows that the lost one died.
-    pub(super) fn note_new_worker(&mut self, now: Instant, record: &WorkerRecord) {
+    pub(super) fn on_new_worker(&mut self, now: Instant, record: &WorkerRecord) {
         if self.crashes.is_empty() {
             return;
         }
@@ -123,7 +123,7 @@
     /// Fails the jobs of culprit tasks: another attempt would only cost another worker.
     pub(super) fn fail_culprit_jobs(&mut self, now: Instant, culprits: Vec<TaskId>) {
         for task in culprits {
-            self.notes.push(PoolNote::CrashCulprit { task });
+            self.events.push(PoolEvent::CrashCulprit { task });
             match self.is_kept(task.job) {
                 true => self.end_kept(now, task.job, KeptState::Failed),
                 false => self.finish(now, task.job, JobOutcome::Failed),
--- a/crates/pool/src/pool/polls.rs
+++ b/crates/pool/src/pool/polls.rs
@@ -12,7 +12,7 @@
 use super::{stop_run, WorkerPool};
 use crate::{
     action::{
-        CallFailure, PollAnswer, PollOrder, PoolAction, PoolNote, RunLoss, SuspensionCause,
+        CallFailure, PollAnswer, PollOrder, PoolAction, PoolEvent, RunLoss, SuspensionCause,
         WorkerChange,
     },
     crash::TaskRestriction,
@@ -107,7 +107,7 @@
             .filter(|_| self.is_enabled(Mechanism::HedgedLooks))?;
         // Answers that are late because the path is congested arrive in the end, and hedged polls
         // would only add to the congestion.
-        let lossy = now < lost + self.settings.lost_answer_memory && !self.is_strained();
+        let lossy = now < lost + self.settings.lost_answer_memory && !self.is_congested();
         lossy.then_some(self.settings.poll_hedge_delay)
     }
 
@@ -143,7 +143,7 @@
         let runs = worker.runs.len();
         let first = worker.missed_polls == crate::worker::MISSED_POLLS_TO_SILENCE;
         if first {
-            self.notes.push(PoolNote::WorkerSilent {
+            self.events.push(PoolEvent::WorkerSilent {
                 life: life.clone(),
                 runs,
             });
@@ -180,7 +180,7 @@
         let clock_offset = worker.clock.map_or(0, |clock| clock.offset);
         let born = worker.born;
         if newly_answering {
-            self.notes.push(PoolNote::WorkerAnswers {
+            self.events.push(PoolEvent::WorkerAnswers {
                 life: life.clone(),
                 clock_offset,
             });
@@ -218,7 +218,7 @@
         };
         worker.last_end_time = now;
         let took = now.saturating_duration_since(run.placed_at);
-        self.notes.push(PoolNote::RunEnded {
+        self.events.push(PoolEvent::RunEnded {
             task,
             run: run.run,
             life: life.clone(),
@@ -375,7 +375,7 @@
             worker
                 .queued_orders
                 .push_back(QueuedOrder::Stop(known.0, known.1));
-            self.notes.push(PoolNote::ForeignRun {
+            self.events.push(PoolEvent::ForeignRun {
                 task: Some(known.0),
                 run: known.1,
                 life: life.clone(),
@@ -430,7 +430,7 @@
         };
         for (task, run, took, percent) in stalled {
             stop_run(worker, task, run);
-            self.notes.push(PoolNote::RunStalled {
+            self.events.push(PoolEvent::RunStalled {
                 task,
                 run,
                 life: life.clone(),
@@ -467,7 +467,7 @@
             lost.extend(worker.remove_run(task, run));
         }
         for run in lost {
-            self.note_lost_run(&run, life, RunLoss::NotListed);
+            self.record_lost_run(&run, life, RunLoss::NotListed);
             self.requeue(now, run);
         }
     }
@@ -482,9 +482,9 @@
         worker.queued_orders.clear();
         let died = loss == RunLoss::NewLife;
         let begun = runs.iter().filter(|run| run.starts_sent > 0);
-        let culprits = self.note_worker_loss(now, life, begun.map(|run| run.task), died);
+        let culprits = self.record_worker_loss(now, life, begun.map(|run| run.task), died);
         for run in runs {
-            self.note_lost_run(&run, life, loss);
+            self.record_lost_run(&run, life, loss);
             self.requeue(now, run);
         }
         self.fail_culprit_jobs(now, culprits);
@@ -495,7 +495,7 @@
         self.lose_all_runs(now, life, RunLoss::NewLife);
         self.confirm_crash(now, life);
         if self.workers.remove(life).is_some() {
-            self.note_worker_change(life.clone(), WorkerChange::Forgotten);
+            self.report_worker_change(life.clone(), WorkerChange::Forgotten);
         }
     }
 
@@ -506,7 +506,7 @@
         let Some(worker) = self.workers.remove(life) else {
             return;
         };
-        self.note_worker_change(life.clone(), WorkerChange::TakenOver);
+        self.report_worker_change(life.clone(), WorkerChange::TakenOver);
         let is_of_kept_job = |run: &TrackedRun| {
             let job = self.jobs.get(&run.task.job);
             job.is_some_and(|job| job.kept.is_some())
@@ -522,8 +522,8 @@
         }
     }
 
-    pub(super) fn note_lost_run(&mut self, run: &TrackedRun, life: &LifeId, loss: RunLoss) {
-        self.notes.push(PoolNote::RunLost {
+    pub(super) fn record_lost_run(&mut self, run: &TrackedRun, life: &LifeId, loss: RunLoss) {
+        self.events.push(PoolEvent::RunLost {
             task: run.task,
             run: run.run,
             life: life.clone(),
--- a/crates/pool/src/pool/schedule.rs
+++ b/crates/pool/src/pool/schedule.rs
@@ -8,7 +8,7 @@
 
 use super::{WorkerPool, MIN_RETRY_AFTER, RESEND_BURST};
 use crate::{
-    action::{PoolAction, PoolNote, StartOrder, StopOrder},
+    action::{PoolAction, PoolEvent, StartOrder, StopOrder},
     crash::TaskRestriction,
     job::WaitingTask,
     placement::{choose_worker, PlacementRequest},
@@ -165,7 +165,7 @@
             exclusive: self.crashes.restriction(now, task_id) != TaskRestriction::None,
             failed_on: task.failed_on,
         };
-        self.notes.push(PoolNote::RunPlaced {
+        self.events.push(PoolEvent::RunPlaced {
             task: task_id,
             run,
             life: life.clone(),
@@ -202,7 +202,7 @@
     /// How long it takes to start the tasks of a new job after the starts in flight and the waiting
     /// tasks, at the current answer time. Zero unless the path to the workers is congested.
     pub(super) fn start_lag(&self, tasks: usize) -> Duration {
-        if !self.is_strained() {
+        if !self.is_congested() {
             return Duration::ZERO;
         }
         let ahead = self.starts_in_flight() + self.waiting_task_count() + tasks;
--- a/crates/pool/src/pool/takeover.rs
+++ b/crates/pool/src/pool/takeover.rs
@@ -16,7 +16,7 @@
 
 use super::{kept_jobs::NO_DEADLINE, stop_run, WorkerPool};
 use crate::{
-    action::PoolNote,
+    action::PoolEvent,
     job::TrackedJob,
     kept::{FoundJob, KeptJobState, STORE_CONTACT_LIMIT, TAKEOVER_HOLD_TIME},
     worker::{RunPhase, TrackedWorker},
@@ -28,7 +28,7 @@
 
 impl WorkerPool {
     /// Records that the store has confirmed this owner's claim, by a call that was sent at `sent`.
-    pub fn note_store_contact(&mut self, sent: Instant) {
+    pub fn record_store_contact(&mut self, sent: Instant) {
         self.last_store_contact = self.last_store_contact.max(Some(sent));
     }
 
@@ -116,7 +116,7 @@
         let complete = job.is_complete();
         let progress = job.kept.as_ref().map(|kept| kept.progress.clone());
         self.jobs.insert(id, job);
-        self.notes.push(PoolNote::KeptFound { job: id, version });
+        self.events.push(PoolEvent::KeptFound { job: id, version });
         if complete {
             // The job's last end was stored, but its owner was gone before it could store the
             // completion.
@@ -200,12 +200,12 @@
             self.requeue(now, run);
         }
         if stopped {
-            self.notes.push(PoolNote::KeptSuspended);
+            self.events.push(PoolEvent::KeptSuspended);
             self.send_orders(now);
         }
     }
 
-    /// Releases stored jobs of which nothing runs. The next owner finds them in the store.
+    /// Releases kept jobs of which nothing runs. The next owner finds them in the store.
     fn release_idle_kept(&mut self) {
         let idle = self.jobs.iter().filter(|(id, job)| {
             let stored = job.kept.as_ref().is_some_and(KeptJobState::is_fully_stored);
--- a/crates/pool/tests/support/crashing.rs
+++ b/crates/pool/tests/support/crashing.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 
 use jobs::{JobId, LifeId, TaskId};
-use pool::{CallFailure, PoolNote};
+use pool::{CallFailure, PoolEvent};
 
-use super::{Event, World, ONE_WAY_MS};
+use super::{Event, Simulation, ONE_WAY_MS};
 
 /// The maximum number of starts of a task after the third death under it.
 const MAX_EXTRA_STARTS: u32 = 2;
@@ -31,8 +31,8 @@
     /// The number of deaths under each task that crashes workers.
     pub(crate) deaths: BTreeMap<TaskId, u32>,
     extra_starts: BTreeMap<TaskId, u32>,
-    /// The pool's notes about crashes.
-    pub(crate) notes: Vec<PoolNote>,
+    /// The pool's events about crashes.
+    pub(crate) events: Vec<PoolEvent>,
 }
 
 impl Default for CrashPlan {
@@ -44,12 +44,12 @@
             down: BTreeMap::new(),
             deaths: BTreeMap::new(),
             extra_starts: BTreeMap::new(),
-            notes: Vec::new(),
+            events: Vec::new(),
         }
     }
 }
 
-impl World {
+impl Simulation {
     /// Makes the job's first task crash its workers once it has done this share of its work.
     pub(crate) fn make_crashing(&mut self, job: JobId, share: f64) {
         self.crashes.jobs.insert(job, share);
