--- a/crates/authority/src/authority/replies.rs
+++ b/crates/authority/src/authority/replies.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, Instant};
 
 use model::{
-    AttemptEnd, AttemptId, FailureReason, Payload, RefusalReason, RetryReason, SessionId,
-    SlotCounts, SubmissionOutcome, TaskResult, TaskVerdict, UnknownReason, WithdrawalVerdict,
+    AttemptEnd, AttemptId, FailureReason, OfferReply, Payload, RefusalReason, RetryReason,
+    SessionId, SlotCounts, SubmissionOutcome, TaskResult, UnknownReason, WithdrawalReply,
 };
 
 use crate::{
@@ -30,7 +30,7 @@
 
 impl TaskAuthority {
     /// Handles a dispatcher's replies to offers.
-    pub fn on_offer_replies(&mut self, now: Instant, replies: &[(AttemptId, TaskVerdict)]) {
+    pub fn on_offer_replies(&mut self, now: Instant, replies: &[(AttemptId, OfferReply)]) {
         // All refused tasks of a batch are set to waiting before any of them is decided on. A job that is given up at
         // its first task would otherwise count the others as possibly started, and be answered "failed" instead of
         // "refused".
@@ -38,16 +38,16 @@
         let mut moved = Vec::new();
         for (attempt, reply) in replies {
             match reply {
-                TaskVerdict::Queued if self.may_move(*attempt, moved.len()) => {
+                OfferReply::Queued if self.may_move(*attempt, moved.len()) => {
                     if let Some(in_flight) = self.remove_attempt(*attempt) {
                         self.set_waiting(*attempt);
                         moved.push(*attempt);
                         not_run.push((*attempt, RetryReason::SlotElsewhere, in_flight.dispatcher));
                     }
                 }
-                TaskVerdict::Started => self.on_accepted(now, *attempt, AttemptPhase::Running),
-                TaskVerdict::Queued => self.on_accepted(now, *attempt, AttemptPhase::Queued),
-                TaskVerdict::NotRun(reason) => {
+                OfferReply::Started => self.on_accepted(now, *attempt, AttemptPhase::Running),
+                OfferReply::Queued => self.on_accepted(now, *attempt, AttemptPhase::Queued),
+                OfferReply::NotRun(reason) => {
                     if let Some(in_flight) = self.remove_attempt(*attempt) {
                         self.set_waiting(*attempt);
                         not_run.push((*attempt, *reason, in_flight.dispatcher));
@@ -117,10 +117,10 @@
     }
 
     /// Handles a dispatcher's replies to a withdrawal.
-    pub fn on_withdrawn(&mut self, now: Instant, replies: &[(AttemptId, WithdrawalVerdict)]) {
+    pub fn on_withdrawn(&mut self, now: Instant, replies: &[(AttemptId, WithdrawalReply)]) {
         for (attempt, reply) in replies {
             match reply {
-                WithdrawalVerdict::NotRun => {
+                WithdrawalReply::NotRun => {
                     if let Some(in_flight) = self.remove_attempt(*attempt) {
                         self.on_not_run(
                             now,
@@ -133,7 +133,7 @@
                 // This reply may only mean that the offer is still in transit. If it counted as a start, the reply to
                 // the offer that comes next would be ignored, and the attempt would use its part of the concurrency for
                 // ever.
-                WithdrawalVerdict::Running => {}
+                WithdrawalReply::Running => {}
             }
         }
         self.place(now);
--- a/crates/cairnctl/src/contract.rs
+++ b/crates/cairnctl/src/contract.rs
@@ -3,7 +3,7 @@
 use std::{fs, io, path::Path};
 
 use awc::http::Method;
-use command_line::CommandFault;
+use command_line::CommandError;
 use eyre::{eyre, Report, WrapErr as _};
 use model::{Contract, ContractVersion, CustomerId};
 use serde_json::{json, Map, Value};
@@ -11,26 +11,26 @@
 use crate::{
     client::{CallError, EntryCall, EntryClient},
     options::ContractCommand,
-    render::{cell, flat_rows, table, OutputForm},
+    render::{cell, flat_rows, table, OutputFormat},
 };
 
 const CONTRACTS_PATH: &str = "/v1/contracts";
 
-/// The status of a change whose precondition does not hold.
+/// The HTTP status of a change whose precondition does not hold.
 const PRECONDITION_FAILED: u16 = 412;
 
-/// The most entries that are asked for at once.
+/// The entries to request per page; the largest number that an entry accepts.
 const PAGE_LIMIT: usize = 500;
 
-/// Runs the command and gives the output.
+/// Runs the command and returns its output.
 pub(crate) fn run(
     client: &EntryClient,
     command: ContractCommand,
-    form: OutputForm,
-) -> Result<String, CommandFault> {
+    output_format: OutputFormat,
+) -> Result<String, CommandError> {
     let (customer, change) = match command {
         ContractCommand::Create { file, customer } => {
-            let contract = read_contract(&file, &customer)?.whole;
+            let contract = read_contract(&file, &customer)?.full_contract;
             (customer, ContractChange::Create(contract))
         }
         ContractCommand::Change {
@@ -47,29 +47,29 @@
         }
         ContractCommand::Show { customer } => {
             let value = read(client, contract_path(&customer))?;
-            return Ok(form.render(&value, contract_text));
+            return Ok(output_format.render(&value, contract_text));
         }
         ContractCommand::List => {
             let value = read_pages(client, CONTRACTS_PATH, "contracts")?;
-            return Ok(form.render(&value, list_text));
+            return Ok(output_format.render(&value, list_text));
         }
         ContractCommand::History { customer } => {
             let path = format!("{}/history", contract_path(&customer));
             let value = read_pages(client, &path, "versions")?;
-            return Ok(form.render(&value, history_text));
+            return Ok(output_format.render(&value, history_text));
         }
     };
-    let value = make_change(client, &customer, &change)?;
-    Ok(form.render(&value, contract_text))
+    let value = send_change(client, &customer, &change)?;
+    Ok(output_format.render(&value, contract_text))
 }
 
 /// A change of one contract.
 enum ContractChange {
-    /// The first version.
+    /// Creates the first version.
     Create(Value),
-    /// The next version after this one.
+    /// Replaces this version by the next one.
     Replace(ContractVersion, Value),
-    /// A next version after this one that covers no new work.
+    /// Replaces this version by one under which new work is refused.
     Retire(ContractVersion),
 }
 
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Whether the contract in force is what this change makes.
+    /// Whether the contract in force is the one that this change writes.
     fn is_in_force(&self, row: &Value) -> bool {
         let (before, made) = match self {
             Self::Create(contract) => (0, row["contract"] == *contract),
@@ -107,17 +107,17 @@
     }
 }
 
-/// Changes a contract and gives it as it is then.
+/// Changes a contract and returns the new version.
 ///
-/// Failure: the answer is lost after the write may have taken effect. Symptom: the operator cannot tell whether the
-/// change is in force, and a repeat gets a conflict with the operator's own change. The precondition leaves one
-/// version that the change can have made, so if that version is in force with what was sent, the change is done.
-/// Anything else is said to be unknown, never "not changed", since the write may still land.
-fn make_change(
+/// The answer can be lost after the write may have taken effect. The operator then cannot tell whether the change is
+/// in force, and repeating it conflicts with the operator's own change. The precondition leaves only one version that
+/// the change can have written, so the change has succeeded if that version is in force with the content that was
+/// sent. Any other state is reported as unknown, never as "not changed", since the write may still take effect.
+fn send_change(
     client: &EntryClient,
     customer: &CustomerId,
     change: &ContractChange,
-) -> Result<Value, CommandFault> {
+) -> Result<Value, CommandError> {
     let error = match client.call(&change.call(customer)) {
         Ok(value) => return Ok(value),
         Err(error) => error,
@@ -126,9 +126,7 @@
         CallError::AnswerLost { .. } => {
             match client.call(&EntryCall::get(contract_path(customer))) {
                 Ok(row) if change.is_in_force(&row) => return Ok(row),
-                _ => format!(
-                    "outcome unknown, look again with `cairnctl contract history {customer}`"
-                ),
+                _ => format!("outcome unknown, check with `cairnctl contract history {customer}`"),
             }
         }
         CallError::Refused {
@@ -140,13 +138,13 @@
     Err(Report::new(error).wrap_err(context).into())
 }
 
-fn read(client: &EntryClient, path: String) -> Result<Value, CommandFault> {
+fn read(client: &EntryClient, path: String) -> Result<Value, CommandError> {
     let value = client.call(&EntryCall::get(path)).map_err(Report::new)?;
     Ok(value)
 }
 
 /// Reads every page of a list.
-fn read_pages(client: &EntryClient, path: &str, field: &str) -> Result<Value, CommandFault> {
+fn read_pages(client: &EntryClient, path: &str, field: &str) -> Result<Value, CommandError> {
     let mut items = Vec::new();
     let mut after = String::new();
     loop {
@@ -167,64 +165,67 @@
 
 /// A contract file.
 struct ContractFile {
-    /// The fields that stand in it.
+    /// The fields that the file contains.
     fields: Map<String, Value>,
-    /// All fields, with defaults for the others.
-    whole: Value,
+    /// All fields, with defaults for those that the file omits.
+    full_contract: Value,
 }
 
-/// Reads and checks a contract before anything is sent.
-fn read_contract(file: &Path, customer: &CustomerId) -> Result<ContractFile, CommandFault> {
+/// Reads and validates a contract file before anything is sent.
+fn read_contract(file: &Path, customer: &CustomerId) -> Result<ContractFile, CommandError> {
     let text = match file.to_str() {
         Some("-") => io::read_to_string(io::stdin()),
         _ => fs::read_to_string(file),
     };
     let text = text
-        .wrap_err_with(|| format!("contract {} cannot be read", file.display()))
-        .map_err(CommandFault::WrongUsage)?;
-    let wrong = || format!("wrong contract in {}", file.display());
+        .wrap_err_with(|| format!("cannot read contract {}", file.display()))
+        .map_err(CommandError::UsageError)?;
+    let invalid = || format!("invalid contract in {}", file.display());
     let fields = serde_json::from_str(&text)
-        .wrap_err_with(wrong)
-        .map_err(CommandFault::WrongUsage)?;
+        .wrap_err_with(invalid)
+        .map_err(CommandError::UsageError)?;
     let contract: Contract = serde_json::from_str(&text)
-        .wrap_err_with(wrong)
-        .map_err(CommandFault::WrongUsage)?;
-    let whole = checked(&contract, customer)?;
-    Ok(ContractFile { fields, whole })
+        .wrap_err_with(invalid)
+        .map_err(CommandError::UsageError)?;
+    let full_contract = validate_contract(&contract, customer)?;
+    Ok(ContractFile {
+        fields,
+        full_contract,
+    })
 }
 
-/// The contract in force with the fields of a file in place of its own.
+/// Merges the fields of a file into the contract in force.
 ///
-/// Failure: a file with one field is taken for a whole contract. Symptom: the other limits fall back to defaults,
-/// and a customer's work is refused or starves others. The fields that the file leaves out come from the version
+/// If a file with one field were taken for a whole contract, the other limits would fall back to defaults, and the
+/// customer's work would be refused or would starve others. The fields that the file omits come from the version
 /// that the change starts from, and the change is refused if that version is no longer in force.
 fn merge_contract(
     client: &EntryClient,
     customer: &CustomerId,
     version: ContractVersion,
     fields: Map<String, Value>,
-) -> Result<Value, CommandFault> {
+) -> Result<Value, CommandError> {
     let mut current = read(client, contract_path(customer))?;
     if current["version"] != version.0 {
         let report = eyre!("version {} is in force", cell(&current["version"]));
         return Err(report.wrap_err(conflict_text(customer)).into());
     }
-    let mut whole = current["contract"].take();
-    let Some(own) = whole.as_object_mut() else {
+    let mut full_contract = current["contract"].take();
+    let Some(current_fields) = full_contract.as_object_mut() else {
         return Err(eyre!("the entry answered without a contract").into());
     };
-    own.extend(fields);
-    let contract: Contract = serde_json::from_value(whole)
-        .wrap_err("the contract in force is of another form than this program knows")?;
-    checked(&contract, customer)
+    current_fields.extend(fields);
+    let contract: Contract = serde_json::from_value(full_contract)
+        .wrap_err("the contract in force has a form that this program does not know")?;
+    validate_contract(&contract, customer)
 }
 
-fn checked(contract: &Contract, customer: &CustomerId) -> Result<Value, CommandFault> {
+fn validate_contract(contract: &Contract, customer: &CustomerId) -> Result<Value, CommandError> {
     contract
         .check(customer)
-        .map_err(|error| CommandFault::WrongUsage(Report::new(error)))?;
-    let whole = serde_json::to_value(contract).map_err(Report::new)?;
-    Ok(whole)
+        .map_err(|error| CommandError::UsageError(Report::new(error)))?;
+    let full_contract = serde_json::to_value(contract).map_err(Report::new)?;
+    Ok(full_contract)
 }
 
 fn conflict_text(customer: &CustomerId) -> String {
--- a/crates/caller-api/src/operators.rs
+++ b/crates/caller-api/src/operators.rs
@@ -1,4 +1,4 @@
-//! HTTP routes of operators: contracts are created, changed, retired and read here.
+//! HTTP routes for operators, which create, change, retire and read contracts.
 //!
 //! | call | precondition | answers |
 //! |---|---|---|
@@ -9,10 +9,10 @@
 //! | `PUT /v1/contracts/{customer}` | `If-Match: "VERSION"` to change | 200 with `ETag`, 404, 412 |
 //! | `DELETE /v1/contracts/{customer}` | `If-Match: "VERSION"` | 200 with `ETag` and the retired contract, 404, 412 |
 //!
-//! `PUT` replaces the contract as a whole: a field that is left out takes its default. Errors are
-//! `{"error":{"reason":…,"field":…,"message":…}}`: 400 names the field, 428 asks for the precondition, 503 means that
-//! nothing was written and carries `Retry-After`, 504 means that the outcome is not known and names the version to
-//! look at.
+//! `PUT` replaces the whole contract: an omitted field takes its default. Errors are
+//! `{"error":{"reason":…,"field":…,"message":…}}`. 400 names the field, 428 asks for the missing precondition, 503
+//! means that nothing was written and carries `Retry-After`, and 504 means that the outcome is unknown and names the
+//! version to look for.
 
 mod command;
 mod error;
@@ -30,28 +30,29 @@
     error::{OperatorError, OperatorReason},
 };
 
-/// The largest contract document, in bytes; one with every field has some 300.
+/// The largest contract document, in bytes; a document with every field has some 300 bytes.
 const MAX_BODY_BYTES: usize = 16 * 1024;
 
-/// Entries of a page when the operator names no limit.
+/// The entries of a page when the operator gives no limit.
 const DEFAULT_PAGE: usize = 100;
 
 /// The most entries of a page.
 const MAX_PAGE: usize = 500;
 
-/// Where the routes send commands: an actor on the control thread.
+/// The handle by which the routes send commands to an actor on the control thread.
 #[derive(Clone)]
 pub struct OperatorLink {
     recipient: Recipient<OperatorCommand>,
 }
 
 impl OperatorLink {
-    /// A link to an actor, which may run the commands by [`run_command`].
+    /// Creates a link to an actor, which may run the commands with [`run_command`].
     pub fn new(recipient: Recipient<OperatorCommand>) -> Self {
         Self { recipient }
     }
 
-    /// Sends a command and waits for its reply. A command whose actor went away may have been under way.
+    /// Sends a command and waits for its reply. When the actor stops before it replies, a write may have been in
+    /// progress, so its outcome is unknown.
     async fn send(&self, command: OperatorCommand) -> Result<OperatorReply, OperatorError> {
         let writes = command.writes();
         match self.recipient.send(command).await {
@@ -114,7 +115,7 @@
 }
 
 async fn history(request: HttpRequest, link: Link) -> Result<HttpResponse, OperatorError> {
-    let customer = customer_of(&request)?;
+    let customer = customer_from_path(&request)?;
     let query: PageQuery<ContractVersion> = parse_query(&request)?;
     let limit = page_limit(query.limit)?;
     let after = query.after.unwrap_or_default();
@@ -134,7 +135,7 @@
 }
 
 async fn show(request: HttpRequest, link: Link) -> Result<HttpResponse, OperatorError> {
-    let customer = customer_of(&request)?;
+    let customer = customer_from_path(&request)?;
     let row = link.send(OperatorCommand::Show { customer }).await?;
     let row = row.into_contract()?;
     if matches_version(&request, row.version) {
@@ -142,7 +143,7 @@
             .insert_header((header::ETAG, version_tag(row.version)))
             .finish());
     }
-    Ok(answer(&mut HttpResponse::Ok(), &row))
+    Ok(contract_response(&mut HttpResponse::Ok(), &row))
 }
 
 async fn put(
@@ -150,8 +151,8 @@
     body: Result<web::Bytes, actix_web::Error>,
     link: Link,
 ) -> Result<HttpResponse, OperatorError> {
-    let customer = customer_of(&request)?;
-    let precondition = WritePrecondition::of(&request)?;
+    let customer = customer_from_path(&request)?;
+    let precondition = WritePrecondition::from_request(&request)?;
     let body = body.map_err(|e| OperatorError::BadInput {
         field: None,
         message: e.to_string(),
@@ -172,20 +173,20 @@
         ),
     };
     let row = link.send(command).await?.into_contract()?;
-    Ok(answer(&mut response, &row))
+    Ok(contract_response(&mut response, &row))
 }
 
 async fn retire(request: HttpRequest, link: Link) -> Result<HttpResponse, OperatorError> {
-    let customer = customer_of(&request)?;
-    let WritePrecondition::Version(expected) = WritePrecondition::of(&request)? else {
+    let customer = customer_from_path(&request)?;
+    let WritePrecondition::Version(expected) = WritePrecondition::from_request(&request)? else {
         return Err(OperatorError::PreconditionRequired);
     };
     let command = OperatorCommand::Retire { customer, expected };
     let row = link.send(command).await?.into_contract()?;
-    Ok(answer(&mut HttpResponse::Ok(), &row))
+    Ok(contract_response(&mut HttpResponse::Ok(), &row))
 }
 
-fn answer(
+fn contract_response(
     response: &mut actix_web::HttpResponseBuilder,
     row: &contracts::ContractRow,
 ) -> HttpResponse {
@@ -194,10 +195,10 @@
         .json(row)
 }
 
-fn customer_of(request: &HttpRequest) -> Result<CustomerId, OperatorError> {
+fn customer_from_path(request: &HttpRequest) -> Result<CustomerId, OperatorError> {
     let text = request.match_info().query("customer");
     text.parse()
-        .map_err(|e: model::WrongId| OperatorError::bad_field("customer", &e))
+        .map_err(|e: model::InvalidId| OperatorError::bad_field("customer", &e))
 }
 
 fn page_limit(limit: Option<usize>) -> Result<usize, OperatorError> {
@@ -217,9 +218,10 @@
         })
 }
 
-/// Reads a contract; errors name the path of the field. The editor checks the ranges.
+/// Parses a contract; errors name the path of the field. The editor checks the ranges.
 fn parse_contract(body: &[u8]) -> Result<Contract, OperatorError> {
-    // The derived reader also takes an array of the fields in order, and an empty one for a contract of defaults.
+    // The derived deserialiser also accepts an array of the fields in order, and takes an empty array for a contract
+    // with all defaults.
     if body.trim_ascii_start().first() != Some(&b'{') {
         return Err(OperatorError::BadInput {
             field: None,
@@ -230,7 +232,7 @@
     let contract: Contract = serde_path_to_error::deserialize(&mut deserializer).map_err(|e| {
         let path = e.path().to_string();
         OperatorError::BadInput {
-            // The path of the document itself reads as a dot.
+            // The path of the document itself is a dot.
             field: (path != ".").then_some(path),
             message: e.into_inner().to_string(),
         }
--- a/crates/caller-api/tests/any_input.rs
+++ b/crates/caller-api/tests/any_input.rs
@@ -1,4 +1,4 @@
-//! Any bytes at all as a caller's body: never a panic, and what is accepted is what was sent.
+//! Property tests of request parsing: arbitrary bytes never cause a panic, and an accepted body holds what was sent.
 
 use base64::{engine::general_purpose::STANDARD, Engine as _};
 use caller_api::{read_job, read_request, InputError};
@@ -22,7 +22,7 @@
     }
 }
 
-/// One change to a text.
+/// One random edit of a body.
 #[derive(Clone, Debug)]
 enum Mutation {
     Set(Index, u8),
@@ -103,7 +103,7 @@
     })
 }
 
-/// What the tasks of an accepted body say, read without the border's own types.
+/// The task payloads of an accepted body, parsed without the types of the crate under test.
 fn sent_payloads(raw: &[u8]) -> Vec<Vec<u8>> {
     let value: Value = serde_json::from_slice(raw).expect("accepted, so it is JSON");
     let single = value.get("task").into_iter();
@@ -152,21 +152,21 @@
     }
 
     #[test]
-    fn good_bodies_are_accepted(job in job(), request in request()) {
-        let wrong = job["tasks"] == json!([]) || job["deadline_ms"] == json!(0);
+    fn valid_bodies_are_accepted(job in job(), request in request()) {
+        let invalid = job["tasks"] == json!([]) || job["deadline_ms"] == json!(0);
         let raw = job.to_string();
-        assert_eq!(check(raw.as_bytes(), read_job(raw.as_bytes())), !wrong);
+        assert_eq!(check(raw.as_bytes(), read_job(raw.as_bytes())), !invalid);
         let raw = request.to_string();
         assert!(check(raw.as_bytes(), read_request(raw.as_bytes(), None)));
     }
 
     #[test]
-    fn mutated_bodies_are_read_as_they_are(
-        good in prop_oneof![job(), request()],
+    fn an_accepted_mutated_body_is_read_unchanged(
+        valid in prop_oneof![job(), request()],
         mutations in vec(mutation(), 1..4),
         key in proptest::option::of("[a-z ]{0,70}"),
     ) {
-        let mut raw = good.to_string().into_bytes();
+        let mut raw = valid.to_string().into_bytes();
         for mutation in &mutations {
             mutation.apply(&mut raw);
         }
--- a/crates/command-line/src/exit.rs
+++ b/crates/command-line/src/exit.rs
@@ -1,22 +1,22 @@
-//! From the command line to the exit code.
+//! Parsing of the command line, and exit codes.
 
 use std::process::ExitCode;
 
 use bpaf::{Args, OptionParser, ParseFailure};
 use eyre::Report;
 
-/// The widest line of help.
+/// The width of help texts, in characters.
 const HELP_WIDTH: usize = 100;
 
-/// What a process ends with.
+/// The exit status of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitStatus {
-    /// It did what was asked.
+    /// The command succeeded.
     Success = 0,
-    /// It could not: a failure at run time.
+    /// The command failed at run time.
     Failure = 1,
-    /// It was asked wrongly: the command line or the settings.
-    WrongUsage = 2,
+    /// The command line or the settings are wrong.
+    UsageError = 2,
 }
 
 impl From<ExitStatus> for ExitCode {
@@ -25,26 +25,26 @@
     }
 }
 
-/// Why a command did not do what was asked.
+/// Why a command failed.
 #[derive(Debug)]
-pub enum CommandFault {
+pub enum CommandError {
     /// A failure at run time.
     Failure(Report),
-    /// Wrong arguments or settings.
-    WrongUsage(Report),
+    /// The arguments or settings are wrong.
+    UsageError(Report),
 }
 
-impl From<Report> for CommandFault {
+impl From<Report> for CommandError {
     fn from(report: Report) -> Self {
         Self::Failure(report)
     }
 }
 
-/// Reads the command line. Help and completion go to standard output.
+/// Parses the command line. Prints help and completions to standard output and errors to standard error.
 ///
 /// # Errors
 ///
-/// Returns the code to exit with where nothing is left to do.
+/// The exit code, if the command line is wrong or asked only for help or completions.
 pub fn parse<T>(name: &str, parser: OptionParser<T>) -> Result<T, ExitCode> {
     let failure = match parser.max_width(HELP_WIDTH).run_inner(Args::current_args()) {
         Ok(options) => return Ok(options),
@@ -53,8 +53,8 @@
     match failure {
         ParseFailure::Stderr(message) => {
             let message = message.monochrome(true);
-            eprintln!("{name}: {}", on_one_line(&message));
-            Err(ExitStatus::WrongUsage.into())
+            eprintln!("{name}: {}", single_line(&message));
+            Err(ExitStatus::UsageError.into())
         }
         help @ (ParseFailure::Stdout(..) | ParseFailure::Completion(_)) => {
             help.print_message(HELP_WIDTH);
@@ -63,21 +63,21 @@
     }
 }
 
-/// Says on standard error what went wrong, in one line with its cause, and gives the exit code. With `verbose` the
-/// whole report follows.
-pub fn finish(name: &str, verbose: bool, result: Result<(), CommandFault>) -> ExitCode {
+/// Prints the error of a command with its causes in one line to standard error and returns the exit code. With
+/// `verbose`, the whole report follows.
+pub fn report_exit_status(name: &str, verbose: bool, result: Result<(), CommandError>) -> ExitCode {
     let (status, report) = match result {
         Ok(()) => return ExitStatus::Success.into(),
-        Err(CommandFault::Failure(report)) => (ExitStatus::Failure, report),
-        Err(CommandFault::WrongUsage(report)) => (ExitStatus::WrongUsage, report),
+        Err(CommandError::Failure(report)) => (ExitStatus::Failure, report),
+        Err(CommandError::UsageError(report)) => (ExitStatus::UsageError, report),
     };
-    eprintln!("{name}: {}", on_one_line(&format!("{report:#}")));
+    eprintln!("{name}: {}", single_line(&format!("{report:#}")));
     if verbose {
         eprintln!("\n{report:?}");
     }
     status.into()
 }
 
-fn on_one_line(text: &str) -> String {
+fn single_line(text: &str) -> String {
     text.split_whitespace().collect::<Vec<_>>().join(" ")
 }
--- a/crates/demo/src/report.rs
+++ b/crates/demo/src/report.rs
@@ -1,4 +1,4 @@
-//! What came of the demonstration.
+//! The report of the demonstration.
 
 use std::fmt;
 
@@ -6,31 +6,31 @@
 
 use crate::CallerReply;
 
-/// What came of the demonstration.
+/// Report of the demonstration.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct DemoReport {
-    /// Each call and its answer, in order.
-    pub calls: Vec<CallLine>,
-    /// Tasks that the endpoints started.
+    /// The calls and their answers, in the order of sending.
+    pub calls: Vec<CallSummary>,
+    /// Number of tasks that the endpoints started.
     pub starts: usize,
-    /// Submissions and tasks that the stop at the end cut.
+    /// Number of submissions and tasks that were still open when the drain limit passed and were therefore cut.
     pub cut: usize,
 }
 
-/// One call.
+/// One call and its answer.
 #[derive(Clone, Debug, Serialize)]
-pub struct CallLine {
-    /// What was called.
+pub struct CallSummary {
+    /// Description of the call.
     pub call: String,
-    /// The answer's status.
+    /// Status of the answer.
     pub status: String,
-    /// The answer's reason, unless complete.
+    /// Reason given in the answer, unless the call is complete.
     pub reason: Option<String>,
 }
 
 impl DemoReport {
-    pub(crate) fn take(&mut self, call: &str, reply: CallerReply) {
-        self.calls.push(CallLine {
+    pub(crate) fn record(&mut self, call: &str, reply: CallerReply) {
+        self.calls.push(CallSummary {
             call: call.to_owned(),
             status: reply.status,
             reason: reply.reason,
@@ -39,22 +39,24 @@
 
     /// Whether every call is complete.
     pub fn is_complete(&self) -> bool {
-        self.calls.iter().all(|line| line.status == "complete")
+        self.calls
+            .iter()
+            .all(|summary| summary.status == "complete")
     }
 }
 
 impl fmt::Display for DemoReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for line in &self.calls {
-            write!(f, "{}: {}", line.call, line.status)?;
-            match &line.reason {
+        for summary in &self.calls {
+            write!(f, "{}: {}", summary.call, summary.status)?;
+            match &summary.reason {
                 Some(reason) => writeln!(f, " ({reason})")?,
                 None => writeln!(f)?,
             }
         }
         writeln!(
             f,
-            "endpoints started {} tasks; the stop cut {}",
+            "the endpoints started {} tasks; stopping the fleet cut {}",
             self.starts, self.cut
         )
     }
--- a/crates/demo/tests/border/caller.rs
+++ b/crates/demo/tests/border/caller.rs
@@ -1,4 +1,4 @@
-//! A fleet with contracts, and an HTTP caller that sends exactly the bytes it is told to.
+//! A fleet with contracts, and an HTTP client that sends exactly the given bytes.
 
 use std::{
     net::SocketAddr,
@@ -15,40 +15,40 @@
     time::timeout,
 };
 
-/// How long anything here may take. Far more than it does, so that only a hang reaches it.
-const LIMIT: Duration = Duration::from_secs(30);
+/// Timeout of each wait. It is far longer than any wait takes, so only a hang reaches it.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The customer whose contract stands.
+/// The customer whose contract is in force.
 pub(crate) const CUSTOMER: &str = "border-school";
 
-/// A customer with a contract of its own.
-pub(crate) const OTHER: &str = "other-school";
+/// Another customer with a contract in force.
+pub(crate) const OTHER_CUSTOMER: &str = "other-school";
 
 /// A customer whose contract is retired.
-pub(crate) const RETIRED: &str = "retired-school";
+pub(crate) const RETIRED_CUSTOMER: &str = "retired-school";
 
 /// An HTTP answer.
 #[derive(Clone, Debug)]
 pub(crate) struct HttpReply {
-    /// The status.
+    /// Status code.
     pub(crate) status: u16,
-    /// The first line.
-    pub(crate) first_line: String,
-    /// The head in lower case.
+    /// Status line.
+    pub(crate) status_line: String,
+    /// Status line and headers in lower case.
     pub(crate) head: String,
-    /// The body's text.
+    /// Body as text.
     pub(crate) body: String,
-    /// The body, or null where it is not JSON.
+    /// Body as JSON, or null if the body is not JSON.
     pub(crate) json: Value,
 }
 
 impl HttpReply {
-    /// A text field of the body, empty where absent.
+    /// A text field of the JSON body, empty if absent.
     pub(crate) fn text(&self, field: &str) -> &str {
         self.json[field].as_str().unwrap_or_default()
     }
 
-    /// The bytes of a request's result.
+    /// The decoded result of a request.
     pub(crate) fn result(&self) -> Vec<u8> {
         STANDARD
             .decode(self.text("result"))
@@ -56,53 +56,54 @@
     }
 }
 
-/// Starts a fleet whose customers' contracts are in force at every entry.
-pub(crate) async fn fleet(settings: FleetSettings) -> DemoFleet {
+/// Starts a fleet and waits until every entry knows the contracts: those of [`CUSTOMER`] and [`OTHER_CUSTOMER`] in
+/// force, that of [`RETIRED_CUSTOMER`] retired.
+pub(crate) async fn start_fleet(settings: FleetSettings) -> DemoFleet {
     let fleet = DemoFleet::start(settings).await.expect("fleet");
     fleet.wait_until_ready().await.expect("ready");
-    for name in [CUSTOMER, OTHER, RETIRED] {
+    for name in [CUSTOMER, OTHER_CUSTOMER, RETIRED_CUSTOMER] {
         let customer: CustomerId = name.parse().expect("customer");
         fleet.create_contract(&customer).await.expect("contract");
         fleet.wait_until_in_force(&customer).await.expect("force");
     }
-    let retired: CustomerId = RETIRED.parse().expect("customer");
+    let retired: CustomerId = RETIRED_CUSTOMER.parse().expect("customer");
     fleet.retire_contract(&retired).await.expect("retired");
     for address in fleet.caller_addresses() {
-        let ask = json!({ "customer": RETIRED });
-        wait_for(async || post(address, "/v1/tickets", &ask).await.status == 403).await;
+        let body = json!({ "customer": RETIRED_CUSTOMER });
+        wait_for(async || post(address, "/v1/tickets", &body).await.status == 403).await;
     }
     fleet
 }
 
 /// Waits until a condition holds.
-pub(crate) async fn wait_for(mut holds: impl AsyncFnMut() -> bool) {
-    let limit = Instant::now() + LIMIT;
-    while !holds().await {
-        assert!(Instant::now() < limit, "the condition never held");
+pub(crate) async fn wait_for(mut condition: impl AsyncFnMut() -> bool) {
+    let deadline = Instant::now() + TEST_TIMEOUT;
+    while !condition().await {
+        assert!(Instant::now() < deadline, "the condition never held");
         actix_rt::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// A request of one task.
+/// The body of a request.
 pub(crate) fn request(payload: &[u8]) -> Value {
     json!({ "customer": CUSTOMER, "task": task(payload) })
 }
 
-/// A job.
+/// The body of a job.
 pub(crate) fn job(payloads: &[&[u8]]) -> Value {
     let tasks: Vec<Value> = payloads.iter().map(|payload| task(payload)).collect();
     json!({ "customer": CUSTOMER, "tasks": tasks })
 }
 
-/// A task with a payload.
+/// A task of a request or job body.
 pub(crate) fn task(payload: &[u8]) -> Value {
     json!({ "kind": "border", "payload": STANDARD.encode(payload) })
 }
 
-/// Gets a ticket.
-pub(crate) async fn issue(entry: SocketAddr) -> Value {
-    let ask = json!({ "customer": CUSTOMER });
-    let reply = post(entry, "/v1/tickets", &ask).await;
+/// Gets a ticket from an entry.
+pub(crate) async fn issue_ticket(entry: SocketAddr) -> Value {
+    let body = json!({ "customer": CUSTOMER });
+    let reply = post(entry, "/v1/tickets", &body).await;
     assert_eq!(reply.status, 201, "{reply:?}");
     reply.json["ticket"].clone()
 }
@@ -112,7 +113,7 @@
     post_with(entry, path, "", body).await
 }
 
-/// Posts JSON with further header lines.
+/// Posts JSON with additional header lines.
 pub(crate) async fn post_with(
     entry: SocketAddr,
     path: &str,
@@ -121,18 +122,18 @@
 ) -> HttpReply {
     send(
         entry,
-        &message("POST", path, headers, body.to_string().as_bytes()),
+        &http_message("POST", path, headers, body.to_string().as_bytes()),
     )
     .await
 }
 
-/// Calls without a body.
+/// Sends a message without a body.
 pub(crate) async fn call(entry: SocketAddr, method: &str, path: &str) -> HttpReply {
-    send(entry, &message(method, path, "", b"")).await
+    send(entry, &http_message(method, path, "", b"")).await
 }
 
-/// A whole HTTP message.
-pub(crate) fn message(method: &str, path: &str, headers: &str, body: &[u8]) -> Vec<u8> {
+/// Builds an HTTP/1.1 request message.
+pub(crate) fn http_message(method: &str, path: &str, headers: &str, body: &[u8]) -> Vec<u8> {
     let length = body.len();
     let head = format!(
         "{method} {path} HTTP/1.1\r\nhost: entry\r\nconnection: close\r\ncontent-length: {length}\r\n{headers}\r\n"
@@ -142,34 +143,34 @@
 
 /// Sends bytes and reads the answer until the connection ends.
 pub(crate) async fn send(entry: SocketAddr, bytes: &[u8]) -> HttpReply {
-    timeout(LIMIT, exchange(entry, bytes))
+    timeout(TEST_TIMEOUT, exchange(entry, bytes))
         .await
         .expect("an answer in time")
 }
 
 async fn exchange(entry: SocketAddr, bytes: &[u8]) -> HttpReply {
     let mut stream = TcpStream::connect(entry).await.expect("connection");
-    // The server may answer and close before it has read everything.
+    // The server may answer and close the connection before it has read everything.
     let _closed = stream.write_all(bytes).await;
     let mut answer = Vec::new();
     let _reset = stream.read_to_end(&mut answer).await;
-    let end = answer
+    let head_end = answer
         .windows(4)
         .position(|part| part == b"\r\n\r\n")
         .expect("a whole head");
-    let head = String::from_utf8_lossy(&answer[..end]).into_owned();
-    let first_line = head.lines().next().unwrap_or_default().to_owned();
+    let head = String::from_utf8_lossy(&answer[..head_end]).into_owned();
+    let status_line = head.lines().next().unwrap_or_default().to_owned();
     let head = head.to_lowercase();
-    let body = String::from_utf8_lossy(&answer[end + 4..]).into_owned();
+    let body = String::from_utf8_lossy(&answer[head_end + 4..]).into_owned();
     let status = head
         .split(' ')
         .nth(1)
         .and_then(|text| text.parse().ok())
         .expect("a status line");
-    let json = serde_json::from_slice(&answer[end + 4..]).unwrap_or(Value::Null);
+    let json = serde_json::from_slice(&answer[head_end + 4..]).unwrap_or(Value::Null);
     HttpReply {
         status,
-        first_line,
+        status_line,
         head,
         body,
         json,
--- a/crates/dispatcher/src/control.rs
+++ b/crates/dispatcher/src/control.rs
@@ -24,7 +24,7 @@
 use actix::{Actor, Addr, AsyncContext as _, Context, Handler};
 use kernel::{ClockSource, ServiceName};
 use ledger::{LedgerAction, LedgerSettings, SlotLedger};
-use model::{split_for_messages, FastMap, FastSet, IncarnationId, VmEntry};
+use model::{split_into_messages, FastMap, FastSet, IncarnationId, VmEntry};
 use peer::PeerLink;
 use platform::PlatformClient;
 use settings::DispatcherSettings;
@@ -196,7 +196,7 @@
             // After a reconnect a session may have many large results to report. A report over the reader's size limit
             // would fail and not be repeated while the session is open, and its tasks would be answered as unknown. So
             // reports are split; the ends do not depend on each other.
-            for part in split_for_messages(ends, |(_, end, _)| end.size()) {
+            for part in split_into_messages(ends, |(_, end, _)| end.size()) {
                 self.metrics.count(CounterKind::Messages, 1);
                 self.report_ends(ctx, entry, session, part);
             }
--- a/crates/dispatcher/src/control/messages.rs
+++ b/crates/dispatcher/src/control/messages.rs
@@ -7,8 +7,8 @@
 use contracts::HeadNumber;
 use membership::{AskBatch, HandoverReport, HeartbeatMessage, HeartbeatReply, ReplyBatch};
 use model::{
-    AttemptId, IncarnationId, SessionId, SlotCounts, TaskOffer, TaskVerdict, VmEntry,
-    WithdrawalVerdict,
+    AttemptId, IncarnationId, OfferReply, SessionId, SlotCounts, TaskOffer, VmEntry,
+    WithdrawalReply,
 };
 use peer::{ContractsReply, PeerError, PingReply};
 use tokio::sync::oneshot;
@@ -40,7 +40,7 @@
     pub(crate) session: SessionId,
     pub(crate) batch: u64,
     pub(crate) offers: Vec<TaskOffer>,
-    pub(crate) reply: ReplyTo<(Vec<TaskVerdict>, SlotCounts)>,
+    pub(crate) reply: ReplyTo<(Vec<OfferReply>, SlotCounts)>,
 }
 
 /// An entry withdraws attempts.
@@ -51,7 +51,7 @@
     pub(crate) session: SessionId,
     pub(crate) after_batch: u64,
     pub(crate) attempts: Vec<AttemptId>,
-    pub(crate) reply: ReplyTo<(Vec<WithdrawalVerdict>, SlotCounts)>,
+    pub(crate) reply: ReplyTo<(Vec<WithdrawalReply>, SlotCounts)>,
 }
 
 /// A heartbeat from another dispatcher.
--- a/crates/endpoint-client/src/send.rs
+++ b/crates/endpoint-client/src/send.rs
@@ -1,4 +1,4 @@
-//! One call: the request out, the answer in.
+//! One call to an endpoint.
 
 use std::time::Duration;
 
@@ -7,12 +7,12 @@
 
 use crate::{classify::CallError, read};
 
-/// Sends the task and reads the whole answer.
+/// Sends a task and reads the whole answer.
 pub(crate) async fn call(
     client: &Client,
     endpoint: &EndpointAddress,
     offer: &TaskOffer,
-    limit: Duration,
+    timeout: Duration,
 ) -> Result<AttemptEnd, CallError> {
     let response = client
         .post(format!("http://{}/v1/tasks", endpoint.address))
@@ -20,9 +20,10 @@
         .insert_header(("customer", offer.customer.as_str()))
         .insert_header(("task-kind", offer.kind.as_str()))
         .insert_header(("deadline-ms", offer.time_left.as_millis().to_string()))
-        // Beside the limit around the whole call, because this one is looked at before anything is sent: after a
-        // freeze of this process past the deadline, a call still waiting for its connection ends unsent.
-        .timeout(limit)
+        // The caller enforces the same timeout around the whole call. This one is checked before anything is sent, so
+        // that after a freeze of this process past the deadline, a call that still waits for its connection ends
+        // unsent.
+        .timeout(timeout)
         .send_body(offer.payload.0.to_vec())
         .await?;
     read::read_answer(response, offer.attempt).await
--- a/crates/entry/src/control/callers.rs
+++ b/crates/entry/src/control/callers.rs
@@ -10,8 +10,8 @@
 };
 use futures::future::LocalBoxFuture;
 use model::{
-    Contract, ContractState, CustomerId, KeyedRun, RefusalReason, SubmissionBody, SubmissionId,
-    SubmissionKind, SubmissionOutcome, TicketId, UnknownReason,
+    Contract, ContractState, CustomerId, DuplicateDetection, RefusalReason, SubmissionBody,
+    SubmissionId, SubmissionKind, SubmissionOutcome, TicketId, UnknownReason,
 };
 use telemetry::CounterKind;
 use tokio::sync::oneshot;
@@ -50,7 +50,7 @@
 
     fn refuse_submission(&self, cause: SubmissionRefusal) -> CallerAnswer {
         let answer = refusal_answer(cause);
-        if let CallerAnswer::Own(own) = &answer {
+        if let CallerAnswer::Local(own) = &answer {
             self.events.count_refusal(&own.outcome);
         }
         answer
@@ -108,13 +108,13 @@
         };
         match self.authority.outcome(serial) {
             None => ready(unknown_answer(Some(id))),
-            Some(Some(outcome)) => ready(CallerAnswer::Own(self.own_answer(id, outcome))),
+            Some(Some(outcome)) => ready(CallerAnswer::Local(self.own_answer(id, outcome))),
             Some(None) => {
                 let (waiter, answer) = oneshot::channel();
                 self.waiters.entry(serial).or_default().push(waiter);
                 Box::pin(async move {
                     match answer.await {
-                        Ok(answer) => CallerAnswer::Own(answer),
+                        Ok(answer) => CallerAnswer::Local(answer),
                         Err(_) => unknown_answer(Some(id)),
                     }
                 })
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Runs a request under a ticket of this entry, or answers a repeat with the first arrival's answer.
+    /// Runs a request under a ticket of this entry, or answers a duplicate with the first arrival's answer.
     pub(super) fn run_ticket(
         &mut self,
         ticket: TicketId,
@@ -135,15 +135,15 @@
             .check_ticket(self.clock.now(), serial, &body.customer)
         {
             TicketStatus::Unused => self.run(body, digest, Some(serial)),
-            TicketStatus::Used => self.run_repeat(serial, body, digest),
+            TicketStatus::Used => self.run_duplicate(serial, body, digest),
             TicketStatus::WrongCustomer => ready(self.refuse(RefusalReason::KeyReused)),
             TicketStatus::Unknown => ready(unknown_answer(Some(ticket.0))),
         }
     }
 
-    /// Handles a repeat of a request: it gets the first arrival's answer if it has the same body, and is refused
+    /// Handles a duplicate of a request: it gets the first arrival's answer if it has the same body, and is refused
     /// otherwise. If the first was refused, nothing ran, and the request runs now under the same serial.
-    pub(super) fn run_repeat(
+    pub(super) fn run_duplicate(
         &mut self,
         serial: u64,
         body: SubmissionBody,
@@ -171,16 +171,18 @@
         let SubmitCommand { body, digest, raw } = command;
         let own = self.authority.incarnation();
         let run = match &body.kind {
-            SubmissionKind::Job => KeyedRun::PerSubmission,
+            SubmissionKind::Job => DuplicateDetection::PerSubmission,
             SubmissionKind::Request(run) => run.clone(),
         };
         let answer = match run {
-            KeyedRun::PerSubmission => self.run(body, digest, None),
-            KeyedRun::Ticket(ticket) if ticket.0.incarnation == own => {
+            DuplicateDetection::PerSubmission => self.run(body, digest, None),
+            DuplicateDetection::Ticket(ticket) if ticket.0.incarnation == own => {
                 self.run_ticket(ticket, body, digest)
             }
-            KeyedRun::Ticket(ticket) => self.forward_request(ticket.0, raw),
-            KeyedRun::Key(key) => self.run_keyed(ctx, key, KeyedBody { body, digest, raw }),
+            DuplicateDetection::Ticket(ticket) => self.forward_request(ticket.0, raw),
+            DuplicateDetection::Key(key) => {
+                self.run_keyed(ctx, key, KeyedBody { body, digest, raw })
+            }
         };
         self.flush(ctx);
         answer
@@ -219,7 +221,7 @@
         match self.authority.outcome(serial) {
             None => unknown_answer(Some(id)),
             Some(None) => CallerAnswer::Pending(id),
-            Some(Some(outcome)) => CallerAnswer::Own(self.own_answer(id, outcome)),
+            Some(Some(outcome)) => CallerAnswer::Local(self.own_answer(id, outcome)),
         }
     }
 }
@@ -259,7 +261,7 @@
         reason,
         retry_after,
     } = refusal;
-    CallerAnswer::Own(SubmissionAnswer {
+    CallerAnswer::Local(SubmissionAnswer {
         id: None,
         job: false,
         outcome: Arc::new(SubmissionOutcome::Refused {
@@ -286,7 +288,7 @@
 
 /// The answer when the entry that knew the outcome cannot be reached or no longer has it.
 pub(super) fn unknown_answer(id: Option<SubmissionId>) -> CallerAnswer {
-    CallerAnswer::Own(SubmissionAnswer {
+    CallerAnswer::Local(SubmissionAnswer {
         id,
         job: false,
         outcome: Arc::new(SubmissionOutcome::Unknown(UnknownReason::EntryGone)),
--- a/crates/kernel/src/clock.rs
+++ b/crates/kernel/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock, passed in wherever time decides something.
+//! The clock, which is passed in wherever a decision depends on time.
 
 use std::{
     sync::{
@@ -8,13 +8,13 @@
     time::{Duration, Instant},
 };
 
-/// A source of monotonic time. Wall clocks decide nothing: they jump, and they differ between VMs.
+/// A source of monotonic time. Decisions never depend on wall clocks, which jump and differ between VMs.
 pub trait ClockSource: Send + Sync {
-    /// The time now.
+    /// The current time.
     fn now(&self) -> Instant;
 }
 
-/// The clock of the operating system.
+/// The monotonic clock of the operating system.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SystemClock;
 
@@ -24,32 +24,32 @@
     }
 }
 
-/// A clock that a test moves by hand. Clones share the same time.
+/// A clock that moves only when a test advances it. Clones share the same time.
 #[derive(Clone, Debug)]
 pub struct ManualClock {
     start: Instant,
-    passed_micros: Arc<AtomicU64>,
+    elapsed_micros: Arc<AtomicU64>,
 }
 
 impl Default for ManualClock {
     fn default() -> Self {
         Self {
             start: Instant::now(),
-            passed_micros: Arc::default(),
+            elapsed_micros: Arc::default(),
         }
     }
 }
 
 impl ManualClock {
-    /// Moves the time forward.
+    /// Moves the time forward by the given duration, in whole microseconds.
     pub fn advance(&self, by: Duration) {
         let micros = u64::try_from(by.as_micros()).unwrap_or(u64::MAX);
-        self.passed_micros.fetch_add(micros, Ordering::Relaxed);
+        self.elapsed_micros.fetch_add(micros, Ordering::Relaxed);
     }
 }
 
 impl ClockSource for ManualClock {
     fn now(&self) -> Instant {
-        self.start + Duration::from_micros(self.passed_micros.load(Ordering::Relaxed))
+        self.start + Duration::from_micros(self.elapsed_micros.load(Ordering::Relaxed))
     }
 }
--- a/crates/ledger/tests/at_most_once/world.rs
+++ b/crates/ledger/tests/at_most_once/simulation.rs
@@ -8,15 +8,15 @@
 use authority::{AuthorityAction, AuthoritySettings, DispatcherKey, TaskAuthority};
 use ledger::{ClaimNumber, LedgerAction, LedgerSettings, SlotLedger};
 use model::{
-    AttemptEnd, AttemptId, Contract, ContractVersion, CustomerId, EndpointAddress, EndpointState,
-    FailureReason, IncarnationId, KeyedRun, Payload, RetryReason, SessionId, SubmissionBody,
-    SubmissionKind, SubmissionOutcome, TaskBody, TaskOffer, TaskResult, TaskVerdict, UnknownReason,
-    WithdrawalVerdict,
+    AttemptEnd, AttemptId, Contract, ContractVersion, CustomerId, DuplicateDetection,
+    EndpointAddress, EndpointState, FailureReason, IncarnationId, OfferReply, Payload, RetryReason,
+    SessionId, SubmissionBody, SubmissionKind, SubmissionOutcome, TaskBody, TaskOffer, TaskResult,
+    UnknownReason, WithdrawalReply,
 };
 
 /// One event of the simulation.
 #[derive(Clone, Debug)]
-pub(crate) enum WorldStep {
+pub(crate) enum SimulationStep {
     SubmitJob(u32),
     SubmitRequest,
     /// The caller submits a refused submission again.
@@ -75,8 +75,8 @@
 
 #[derive(Clone, Debug)]
 enum ToEntry {
-    Verdicts(Vec<(AttemptId, TaskVerdict)>),
-    Withdrawn(Vec<(AttemptId, WithdrawalVerdict)>),
+    Verdicts(Vec<(AttemptId, OfferReply)>),
+    Withdrawn(Vec<(AttemptId, WithdrawalReply)>),
     Claim {
         session: SessionId,
         attempt: AttemptId,
@@ -101,7 +101,7 @@
     attempt: AttemptId,
 }
 
-pub(crate) struct World {
+pub(crate) struct Simulation {
     now: Instant,
     authority: TaskAuthority,
     dispatchers: Vec<Dispatcher>,
@@ -147,7 +147,7 @@
     ledger
 }
 
-impl World {
+impl Simulation {
     pub(crate) fn new() -> Self {
         let now = Instant::now();
         let settings = AuthoritySettings {
@@ -156,7 +156,7 @@
         };
         let mut authority = TaskAuthority::new(settings, "hall".parse().expect("an id"), ENTRY, 7);
         authority.set_limit(now, &customer(), 6);
-        let mut world = Self {
+        let mut simulation = Self {
             now,
             authority,
             dispatchers: Vec::new(),
@@ -172,33 +172,35 @@
             violations: Vec::new(),
         };
         for number in 0..2 {
-            let dispatcher = world.new_dispatcher(number);
-            world.dispatchers.push(dispatcher);
-            world.connect(number);
+            let dispatcher = simulation.new_dispatcher(number);
+            simulation.dispatchers.push(dispatcher);
+            simulation.connect(number);
         }
-        world
+        simulation
     }
 
     pub(crate) fn violations(&self) -> &[String] {
         &self.violations
     }
 
-    pub(crate) fn apply(&mut self, step: WorldStep) {
+    pub(crate) fn apply(&mut self, step: SimulationStep) {
         match step {
-            WorldStep::SubmitJob(tasks) => self.submit(true, tasks),
-            WorldStep::SubmitRequest => self.submit(false, 1),
-            WorldStep::SubmitAgain(serial) => self.submit_again(serial),
-            WorldStep::ToDispatcher { to, second } => self.deliver_to_dispatcher(to, second),
-            WorldStep::ToEntry { from, second } => self.deliver_to_entry(from, second),
-            WorldStep::DeliverStaleToDispatcher(index) => self.deliver_stale_to_dispatcher(index),
-            WorldStep::DeliverStaleToEntry(index) => self.deliver_stale_to_entry(index),
-            WorldStep::EndTask { task, fate } => self.end_task(task, fate),
-            WorldStep::Advance(millis) => self.advance(Duration::from_millis(millis)),
-            WorldStep::LoseConnection(number) => self.lose_connection(number),
-            WorldStep::DispatcherDetectsLoss(number) => self.detect_loss(number),
-            WorldStep::Connect(number) => self.connect(number),
-            WorldStep::Kill(number) => self.kill(number),
-            WorldStep::Cancel(serial) => {
+            SimulationStep::SubmitJob(tasks) => self.submit(true, tasks),
+            SimulationStep::SubmitRequest => self.submit(false, 1),
+            SimulationStep::SubmitAgain(serial) => self.submit_again(serial),
+            SimulationStep::ToDispatcher { to, second } => self.deliver_to_dispatcher(to, second),
+            SimulationStep::ToEntry { from, second } => self.deliver_to_entry(from, second),
+            SimulationStep::DeliverStaleToDispatcher(index) => {
+                self.deliver_stale_to_dispatcher(index)
+            }
+            SimulationStep::DeliverStaleToEntry(index) => self.deliver_stale_to_entry(index),
+            SimulationStep::EndTask { task, fate } => self.end_task(task, fate),
+            SimulationStep::Advance(millis) => self.advance(Duration::from_millis(millis)),
+            SimulationStep::LoseConnection(number) => self.lose_connection(number),
+            SimulationStep::DispatcherDetectsLoss(number) => self.detect_loss(number),
+            SimulationStep::Connect(number) => self.connect(number),
+            SimulationStep::Kill(number) => self.kill(number),
+            SimulationStep::Cancel(serial) => {
                 self.authority.cancel(self.now, serial);
             }
         }
@@ -210,23 +212,23 @@
         for _ in 0..400 {
             for number in 0..2 {
                 if self.dispatchers[number].session.is_none() {
-                    self.apply(WorldStep::Connect(number));
+                    self.apply(SimulationStep::Connect(number));
                 }
-                self.apply(WorldStep::ToDispatcher {
+                self.apply(SimulationStep::ToDispatcher {
                     to: number,
                     second: false,
                 });
-                self.apply(WorldStep::ToEntry {
+                self.apply(SimulationStep::ToEntry {
                     from: number,
                     second: false,
                 });
             }
-            self.apply(WorldStep::EndTask {
+            self.apply(SimulationStep::EndTask {
                 task: 0,
                 fate: TaskFate::Done,
             });
-            self.apply(WorldStep::DeliverStaleToDispatcher(0));
-            self.apply(WorldStep::Advance(25));
+            self.apply(SimulationStep::DeliverStaleToDispatcher(0));
+            self.apply(SimulationStep::Advance(25));
         }
         let open: Vec<u64> = self
             .submissions
@@ -308,7 +310,7 @@
     fn submit_as(&mut self, serial: u64, job: bool, tasks: u32) {
         let kind = match job {
             true => SubmissionKind::Job,
-            false => SubmissionKind::Request(KeyedRun::PerSubmission),
+            false => SubmissionKind::Request(DuplicateDetection::PerSubmission),
         };
         let mut bodies = Vec::new();
         for task in 0..tasks {
@@ -518,7 +520,7 @@
                         .withdraw(now, ENTRY, session, after_batch, &attempts);
                 let verdicts: Vec<_> = attempts.into_iter().zip(verdicts).collect();
                 for (attempt, verdict) in &verdicts {
-                    if *verdict == WithdrawalVerdict::NotRun {
+                    if *verdict == WithdrawalReply::NotRun {
                         self.withdrawn.insert(*attempt);
                     }
                 }
--- a/crates/load/src/chart.rs
+++ b/crates/load/src/chart.rs
@@ -9,45 +9,46 @@
 
 use crate::error::LoadError;
 
-/// The size of the drawing, in pixels.
-const SIZE: (u32, u32) = (900, 540);
+/// Width and height of the chart, in pixels.
+const CHART_SIZE_PX: (u32, u32) = (900, 540);
 
-/// One curve: response over ideal against the part of calls that took at most that.
+/// One curve of the chart: the ratio of response to ideal response, by the fraction of calls at or below that ratio.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct CurveLine {
-    /// What the curve is of.
+pub struct ResponseCurve {
+    /// Name of the curve in the legend.
     pub name: String,
-    /// Response over ideal of each call, in any order.
+    /// Ratio of response to ideal response of each call, in any order.
     pub ratios: Vec<f64>,
 }
 
-/// Draws the curves, with ten, a hundred and a thousand calls of the tail spread evenly.
+/// Draws the curves as an SVG file. The horizontal axis is logarithmic in the tail: 90%, 99% and 99.9% of the calls are
+/// evenly spaced.
 ///
 /// # Errors
 ///
-/// The file cannot be written.
-pub fn draw_curves(path: &Path, lines: &[CurveLine]) -> Result<(), LoadError> {
+/// Returns [`LoadError::Chart`] if the chart cannot be drawn or its file cannot be written.
+pub fn draw_curves(path: &Path, lines: &[ResponseCurve]) -> Result<(), LoadError> {
     draw(path, lines).map_err(|error| LoadError::Chart(error.to_string()))
 }
 
-fn draw(path: &Path, lines: &[CurveLine]) -> Result<(), Box<dyn std::error::Error>> {
-    let mut top = 2.0_f64;
+fn draw(path: &Path, lines: &[ResponseCurve]) -> Result<(), Box<dyn std::error::Error>> {
+    let mut max_ratio = 2.0_f64;
     let mut curves = Vec::new();
     for line in lines {
         let points = tail_points(&line.ratios);
         for (_, ratio) in &points {
-            top = top.max(*ratio);
+            max_ratio = max_ratio.max(*ratio);
         }
         curves.push((line.name.clone(), points));
     }
-    let area = SVGBackend::new(path, SIZE).into_drawing_area();
+    let area = SVGBackend::new(path, CHART_SIZE_PX).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
         .caption("response over ideal", ("sans-serif", 20))
         .margin(12)
         .x_label_area_size(40)
         .y_label_area_size(50)
-        .build_cartesian_2d(0.0..3.0, 0.0..top * 1.05)?;
+        .build_cartesian_2d(0.0..3.0, 0.0..max_ratio * 1.05)?;
     chart
         .configure_mesh()
         .x_desc("calls that took at most this, %")
@@ -71,15 +72,16 @@
     Ok(())
 }
 
-/// Points by nines: 1 is 90%, 2 is 99%, 3 is 99.9%.
+/// The points of a curve. The horizontal coordinate counts nines: 1 is 90%, 2 is 99%, 3 is 99.9%. Points beyond 99.9%
+/// are left out.
 fn tail_points(ratios: &[f64]) -> Vec<(f64, f64)> {
     let mut sorted = ratios.to_vec();
     sorted.sort_by(f64::total_cmp);
     let count = sorted.len() as f64;
     let mut points = Vec::new();
     for (index, ratio) in sorted.into_iter().enumerate() {
-        let left = 1.0 - (index as f64 + 0.5) / count;
-        points.push((-left.log10(), ratio));
+        let tail_fraction = 1.0 - (index as f64 + 0.5) / count;
+        points.push((-tail_fraction.log10(), ratio));
     }
     points.retain(|(nines, _)| *nines <= 3.0);
     points
--- a/crates/load/src/driver.rs
+++ b/crates/load/src/driver.rs
@@ -1,4 +1,4 @@
-//! Sends the calls of a plan at their times and collects the answers.
+//! Sends the calls of a plan at their planned times and collects the answers.
 
 use std::{
     net::SocketAddr,
@@ -17,36 +17,41 @@
     counters::read_counters,
     error::LoadError,
     plan::{plan_load, CallKind, LoadSettings, PlannedCall},
-    report::{CallEnd, CallRecord, LoadReport, ReportInput},
+    report::{CallOutcome, CallRecord, LoadReport, ReportInput},
     starts::{read_starts, summarise_starts},
 };
 
-/// The most bytes of an answer: a job of 370 results in base64.
-const MAX_ANSWER: usize = 48 * 1024 * 1024;
-/// An idle connection is let go before the entry closes it, so that no call goes into a closing one.
+/// The largest answer accepted: a job of 370 results in base64.
+const MAX_ANSWER_BYTES: usize = 48 * 1024 * 1024;
+/// Idle connections are closed after this time, before the entry closes them, so that no call is sent on a connection
+/// that is being closed.
 const KEEP_ALIVE: Duration = Duration::from_secs(3);
 
-/// Whom the load concerns.
+/// The processes that a load run calls or reads, and the customers it calls for.
 #[derive(Clone, Debug, Default)]
 pub struct LoadTargets {
-    /// Entries; calls go round them, as a balancer would have it.
+    /// Addresses of the entries. Calls go to them in round-robin order, as through a load balancer.
     pub entries: Vec<SocketAddr>,
-    /// Admin addresses of dispatchers, for their counters.
+    /// Admin addresses of the dispatchers whose counters are read.
     pub dispatchers: Vec<SocketAddr>,
-    /// Endpoint stand-ins, for their starts.
+    /// Addresses of the endpoint stand-ins whose task starts are read.
     pub endpoints: Vec<SocketAddr>,
-    /// The customers that call.
+    /// Names of the customers that submit calls.
     pub customers: Vec<String>,
-    /// The slots of the system, where known.
+    /// Number of slots of the system, if known.
     pub slots: Option<u32>,
 }
 
-/// Runs the load and waits for the last answer. `progress` hears how many calls of how many have been answered.
-/// Call it inside an actix system. The records of the calls come with the report, for curves.
+/// Runs the load and waits for the last answer. Must be called inside an actix system.
+///
+/// `progress` is called after each call is sent, with the number of calls sent before it and the number of planned
+/// calls, and with the number of planned calls for both after the last answer. The call records are returned with the
+/// report, for drawing response curves.
 ///
 /// # Errors
 ///
-/// There is no entry or customer, or counters or starts could not be read.
+/// Returns [`LoadError::Missing`] if there is no entry or customer, and [`LoadError::Page`] if counters or task starts
+/// could not be read.
 pub async fn run_load(
     settings: &LoadSettings,
     targets: &LoadTargets,
@@ -66,28 +71,28 @@
     processes.extend(&targets.dispatchers);
     let before = read_counters(&processes).await?;
     let driver = CallDriver {
-        http: open_client(settings.patience),
+        http: build_client(settings.answer_timeout),
         targets: targets.clone(),
-        // Endpoints may have run earlier loads of the same seed: the prefix tells this run's tasks from theirs.
+        // Endpoints may have run earlier loads with the same seed. The prefix distinguishes the tasks of this run.
         prefix: format!("{:08x}", fastrand::u32(..)),
         round_trips: settings.round_trips,
-        begun: Instant::now(),
+        started: Instant::now(),
     };
     let plan = plan_load(&settings);
     let planned = plan.len() as u64;
-    let mut open = Vec::new();
+    let mut pending_calls = Vec::new();
     for (number, call) in plan.into_iter().enumerate() {
-        let wait = call.at.saturating_sub(driver.begun.elapsed());
+        let wait = call.send_at.saturating_sub(driver.started.elapsed());
         if !wait.is_zero() {
             actix_rt::time::sleep(wait).await;
         }
         let driver = driver.clone();
-        open.push(actix_rt::spawn(
+        pending_calls.push(actix_rt::spawn(
             async move { driver.call(number, call).await },
         ));
         progress(number as u64, planned);
     }
-    let calls: Vec<CallRecord> = future::join_all(open)
+    let calls: Vec<CallRecord> = future::join_all(pending_calls)
         .await
         .into_iter()
         .filter_map(Result::ok)
@@ -110,12 +115,12 @@
     Ok((LoadReport::new(&input), input.calls))
 }
 
-/// A client without a limit of connections: one that waited for a free connection would close the loop.
-fn open_client(patience: Duration) -> Client {
+/// Builds a client without a connection limit. A call that waited for a free connection would make the loop closed.
+fn build_client(answer_timeout: Duration) -> Client {
     let connector = Connector::new().limit(0).conn_keep_alive(KEEP_ALIVE);
     Client::builder()
         .connector(connector)
-        .timeout(patience)
+        .timeout(answer_timeout)
         .finish()
 }
 
@@ -125,7 +130,7 @@
     targets: LoadTargets,
     prefix: String,
     round_trips: Duration,
-    begun: Instant,
+    started: Instant,
 }
 
 #[derive(Debug, Deserialize)]
@@ -142,17 +147,17 @@
 impl CallDriver {
     async fn call(self, number: usize, call: PlannedCall) -> CallRecord {
         let payloads = self.payloads(number, &call);
-        let end = self.send(number, &call, &payloads).await;
+        let outcome = self.send(number, &call, &payloads).await;
         CallRecord {
             customer: call.customer,
             kind: call.kind,
             tasks: call.run_ms.len() as u64,
             slot_time: call.slot_time(),
-            at: call.at,
-            // From the time at which it was meant to be sent, also when this process was late.
-            response: self.begun.elapsed().saturating_sub(call.at),
+            send_at: call.send_at,
+            // Counts from the planned send time, even if this process sent the call late.
+            response: self.started.elapsed().saturating_sub(call.send_at),
             ideal: call.ideal(self.round_trips),
-            end,
+            outcome,
         }
     }
 
@@ -164,13 +169,13 @@
                 label: Some(format!("{}-{number}-{index}", self.prefix)),
                 ..TaskScript::default()
             };
-            // A script holds only numbers and text, which always serialise.
+            // A script holds only numbers and text, so serialisation cannot fail.
             payloads.push(serde_json::to_vec(&script).unwrap_or_default());
         }
         payloads
     }
 
-    async fn send(&self, number: usize, call: &PlannedCall, payloads: &[Vec<u8>]) -> CallEnd {
+    async fn send(&self, number: usize, call: &PlannedCall, payloads: &[Vec<u8>]) -> CallOutcome {
         let entry = self.targets.entries[number % self.targets.entries.len()];
         let customer = &self.targets.customers[call.customer];
         let task =
@@ -188,34 +193,34 @@
         let url = format!("http://{entry}/v1/{path}");
         let mut answer = match self.http.post(url).send_json(&body).await {
             Ok(answer) => answer,
-            Err(error) => return CallEnd::Lost(error.to_string()),
+            Err(error) => return CallOutcome::Lost(error.to_string()),
         };
-        let bytes = match answer.body().limit(MAX_ANSWER).await {
+        let bytes = match answer.body().limit(MAX_ANSWER_BYTES).await {
             Ok(bytes) => bytes,
-            Err(error) => return CallEnd::Lost(error.to_string()),
+            Err(error) => return CallOutcome::Lost(error.to_string()),
         };
         match serde_json::from_slice(&bytes) {
-            Ok(body) => classify(body, payloads),
-            Err(_) => CallEnd::Wrong,
+            Ok(body) => classify_answer(body, payloads),
+            Err(_) => CallOutcome::Wrong,
         }
     }
 }
 
-fn classify(body: AnswerBody, payloads: &[Vec<u8>]) -> CallEnd {
+fn classify_answer(body: AnswerBody, payloads: &[Vec<u8>]) -> CallOutcome {
     let reason = body.reason.unwrap_or_default();
     match body.status.as_str() {
         "complete" => {
-            let got = body.results.iter().chain(&body.result);
-            let got: Vec<&[u8]> = got.map(|payload| &payload.0[..]).collect();
-            if got == payloads {
-                CallEnd::Complete
+            let results = body.results.iter().chain(&body.result);
+            let results: Vec<&[u8]> = results.map(|payload| &payload.0[..]).collect();
+            if results == payloads {
+                CallOutcome::Complete
             } else {
-                CallEnd::Wrong
+                CallOutcome::Wrong
             }
         }
-        "failed" => CallEnd::Failed(reason),
-        "refused" => CallEnd::Refused(reason),
-        "unknown" => CallEnd::Unknown(reason),
-        _ => CallEnd::Wrong,
+        "failed" => CallOutcome::Failed(reason),
+        "refused" => CallOutcome::Refused(reason),
+        "unknown" => CallOutcome::Unknown(reason),
+        _ => CallOutcome::Wrong,
     }
 }
--- a/crates/node/src/feeds.rs
+++ b/crates/node/src/feeds.rs
@@ -38,7 +38,7 @@
 /// The interval between two reads of any other table.
 const FEED_READ_INTERVAL: Duration = Duration::from_millis(15);
 
-/// The pause after a read that returns rows older than those already known. A store that has lost its history
+/// The backoff after a read that returns rows older than those already known. A store that has lost its history
 /// returns such rows for seconds, and the workers' table is large.
 const STALE_READ_BACKOFF: Duration = Duration::from_millis(400);
 
@@ -47,7 +47,7 @@
 /// was taken for a complete one, starts were sent to workers that were about to leave.
 const PARTIAL_PAGE_CHANGES: usize = 250;
 
-/// The pause after a failed read.
+/// The backoff after a failed read.
 const FAILED_READ_BACKOFF: Duration = Duration::from_millis(120);
 
 /// Follows a table for as long as the process runs. When the store no longer has the history that the feed needs,
@@ -148,7 +148,7 @@
     if age < STARTUP_MEMBERS_PERIOD {
         return STARTUP_MEMBERS_READ_INTERVAL;
     }
-    match state.keeper.borrow().is_isolated(state.now()) {
+    match state.claim_controller.borrow().is_isolated(state.now()) {
         true => ISOLATED_MEMBERS_READ_INTERVAL,
         false => MEMBERS_READ_INTERVAL,
     }
@@ -220,14 +220,14 @@
         match change {
             RowChange::Put(row) => match serde_json::from_slice::<MemberRow>(&row.value) {
                 Ok(member) => {
-                    import_waits(state, &member);
-                    state.keeper.borrow_mut().on_member(now, member);
+                    import_budgets(state, &member);
+                    state.claim_controller.borrow_mut().on_member(now, member);
                 }
                 Err(error) => log_unreadable_row(state, &row, &error),
             },
             RowChange::Removed { key } => {
                 state
-                    .keeper
+                    .claim_controller
                     .borrow_mut()
                     .on_member_gone(&NodeId::from(key.as_str()));
             }
@@ -236,14 +236,14 @@
     }
 }
 
-/// Imports what another process, or this process's own former incarnation, has learnt about the time that
-/// customers' requests have left when they arrive.
-fn import_waits(state: &NodeState, member: &MemberRow) {
-    let mut waits = state.request_waits.borrow_mut();
-    for wait in &member.waits {
-        waits.adopt(&RouteBudget {
-            route: wait.route.clone(),
-            budget: Duration::from_millis(wait.least_ms),
+/// Imports the time budgets of requests that another process, or this process's own former incarnation, has
+/// published.
+fn import_budgets(state: &NodeState, member: &MemberRow) {
+    let mut tracker = state.request_budgets.borrow_mut();
+    for published in &member.waits {
+        tracker.adopt(&RouteBudget {
+            route: published.route.clone(),
+            budget: Duration::from_millis(published.least_ms),
         });
     }
 }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -18,7 +18,7 @@
 /// The largest heartbeat that can be received, in bytes.
 const MAX_HEARTBEAT_BYTES: usize = 8 * 1024;
 
-/// The pause after a socket error. Such errors come from ports without a listener or from a lack of file
+/// The backoff after a socket error. Such errors come from ports without a listener or from a lack of file
 /// descriptors.
 const SOCKET_ERROR_BACKOFF: Duration = Duration::from_millis(20);
 
@@ -61,9 +61,9 @@
 /// Opens connections to owners that are alive and not connected, so that a job never has to wait for a connection.
 pub(crate) fn connect_owners(state: &Rc<NodeState>) {
     let now = state.now();
-    let keeper = state.keeper.borrow();
-    for pool in keeper.pools() {
-        let Some(owner) = keeper.owner(now, &pool) else {
+    let controller = state.claim_controller.borrow();
+    for pool in controller.pools() {
+        let Some(owner) = controller.owner(now, &pool) else {
             continue;
         };
         let known = state.links.open.borrow().contains_key(&owner.address)
@@ -102,7 +102,7 @@
         }
         Err(error) => {
             if error == PeerError::Refused {
-                state.keeper.borrow_mut().on_refused(&node);
+                state.claim_controller.borrow_mut().on_refused(&node);
             }
             let line = EventLine::new("link_failed")
                 .text("peer", &node)
@@ -112,10 +112,10 @@
     }
 }
 
-/// Sends heartbeats, at a pace that depends on the receiver's distance.
+/// Sends heartbeats, at an interval that depends on the class of the receiver.
 pub(crate) struct HeartbeatSender {
     socket: Rc<UdpSocket>,
-    /// When heartbeats of each pace were last sent.
+    /// When heartbeats of each class were last sent.
     last_sent: Cell<[Option<Instant>; HeartbeatClass::ALL.len()]>,
 }
 
@@ -131,9 +131,9 @@
         let now = state.now();
         let mut last_sent = self.last_sent.get();
         let mut due = [false; HeartbeatClass::ALL.len()];
-        for pace in HeartbeatClass::ALL {
-            let index = pace as usize;
-            let interval = state.keeper.borrow().heartbeat_interval(pace);
+        for class in HeartbeatClass::ALL {
+            let index = class as usize;
+            let interval = state.claim_controller.borrow().heartbeat_interval(class);
             due[index] = last_sent[index].is_none_or(|at| now >= at + interval);
             if due[index] {
                 last_sent[index] = Some(now);
@@ -147,9 +147,9 @@
 
     fn send(&self, state: &NodeState, due: [bool; HeartbeatClass::ALL.len()]) {
         let bytes = encode_heartbeat(&heartbeat(state));
-        let keeper = state.keeper.borrow();
-        for (member, pace) in keeper.peers() {
-            if due[pace as usize] {
+        let controller = state.claim_controller.borrow();
+        for (member, class) in controller.peers() {
+            if due[class as usize] {
                 // A heartbeat that cannot be sent counts as lost; the next one follows.
                 let _lost = self.socket.try_send_to(&bytes, member.address);
                 state.traffic.record_call(TrafficKind::Heartbeats);
@@ -163,7 +163,7 @@
 
 fn heartbeat(state: &NodeState) -> Heartbeat {
     let now = state.now();
-    let keeper = state.keeper.borrow();
+    let controller = state.claim_controller.borrow();
     let pools = state.pools.borrow();
     let news = pools.iter().map(|(id, owned)| PoolNews {
         pool: id.clone(),
@@ -177,14 +177,14 @@
         },
     });
     Heartbeat {
-        node: keeper.own_row().node.clone(),
-        incarnation: keeper.own_row().incarnation,
-        data_centre: keeper.own_row().data_centre.clone(),
-        cores: keeper.own_row().cores,
-        link: keeper.own_row().link,
+        node: controller.own_row().node.clone(),
+        incarnation: controller.own_row().incarnation,
+        data_centre: controller.own_row().data_centre.clone(),
+        cores: controller.own_row().cores,
+        link: controller.own_row().link,
         leaving: state.leaving.get(),
         reading: state.directory.borrow().recent_read(now),
-        hears: keeper.heard_owners(now),
+        hears: controller.heard_owners(now),
         pools: news.collect(),
     }
 }
@@ -203,7 +203,10 @@
         match decode_heartbeat(&buffer[..length]) {
             Ok(heartbeat) => {
                 let now = state.now();
-                state.keeper.borrow_mut().on_heartbeat(now, heartbeat, from);
+                state
+                    .claim_controller
+                    .borrow_mut()
+                    .on_heartbeat(now, heartbeat, from);
             }
             Err(error) => {
                 let line = EventLine::new("heartbeat_unreadable").text("error", error);
--- a/crates/peer/src/service.rs
+++ b/crates/peer/src/service.rs
@@ -11,8 +11,8 @@
     AskBatch, CentreView, HandoverReport, HeartbeatMessage, HeartbeatReply, MemberView, ReplyBatch,
 };
 use model::{
-    AttemptEnd, AttemptId, ContractVersion, IncarnationId, Payload, SessionId, SlotCounts,
-    TaskOffer, TaskVerdict, VmEntry, WithdrawalVerdict,
+    AttemptEnd, AttemptId, ContractVersion, IncarnationId, OfferReply, Payload, SessionId,
+    SlotCounts, TaskOffer, VmEntry, WithdrawalReply,
 };
 
 use crate::{
@@ -104,14 +104,14 @@
         &self,
         batch: u64,
         offers: Vec<TaskOffer>,
-    ) -> ReplyFuture<(Vec<TaskVerdict>, SlotCounts)>;
+    ) -> ReplyFuture<(Vec<OfferReply>, SlotCounts)>;
 
     /// Withdraws attempts. `after_batch` is the number of the last batch of offers sent before.
     fn withdraw(
         &self,
         after_batch: u64,
         attempts: Vec<AttemptId>,
-    ) -> ReplyFuture<(Vec<WithdrawalVerdict>, SlotCounts)>;
+    ) -> ReplyFuture<(Vec<WithdrawalReply>, SlotCounts)>;
 }
 
 /// The calls that an entry answers for a dispatcher that it has a session with.
--- a/crates/peer/tests/border/fakes.rs
+++ b/crates/peer/tests/border/fakes.rs
@@ -9,8 +9,8 @@
     AskBatch, CentreView, HandoverReport, HeartbeatMessage, HeartbeatReply, MemberView, ReplyBatch,
 };
 use model::{
-    AttemptEnd, AttemptId, IncarnationId, Payload, SessionId, SlotCounts, TaskOffer, TaskVerdict,
-    VmEntry, WithdrawalVerdict,
+    AttemptEnd, AttemptId, IncarnationId, OfferReply, Payload, SessionId, SlotCounts, TaskOffer,
+    VmEntry, WithdrawalReply,
 };
 use peer::{
     AcceptedPort, ContractsReply, DispatcherService, EntryClient, EntryService, ForwardedAnswer,
@@ -40,8 +40,8 @@
 pub(crate) struct Answers {
     pub(crate) view: MemberView,
     pub(crate) slots: SlotCounts,
-    pub(crate) verdicts: Vec<TaskVerdict>,
-    pub(crate) withdrawals: Vec<WithdrawalVerdict>,
+    pub(crate) verdicts: Vec<OfferReply>,
+    pub(crate) withdrawals: Vec<WithdrawalReply>,
     pub(crate) contracts: ContractsReply,
     pub(crate) centre: Option<CentreView>,
     pub(crate) grants: Option<ReplyBatch>,
@@ -187,7 +187,7 @@
         &self,
         batch: u64,
         offers: Vec<TaskOffer>,
-    ) -> ReplyFuture<(Vec<TaskVerdict>, SlotCounts)> {
+    ) -> ReplyFuture<(Vec<OfferReply>, SlotCounts)> {
         self.0.record(ReceivedCall::Offers(batch, offers));
         let answers = self.0.answers.borrow();
         if answers.silent {
@@ -200,7 +200,7 @@
         &self,
         after_batch: u64,
         attempts: Vec<AttemptId>,
-    ) -> ReplyFuture<(Vec<WithdrawalVerdict>, SlotCounts)> {
+    ) -> ReplyFuture<(Vec<WithdrawalReply>, SlotCounts)> {
         self.0
             .record(ReceivedCall::Withdrawals(after_batch, attempts));
         let answers = self.0.answers.borrow();
--- a/crates/peer/tests/border/faults.rs
+++ b/crates/peer/tests/border/faults.rs
@@ -8,8 +8,8 @@
 };
 
 use model::{
-    AttemptId, CustomerShare, IncarnationId, Payload, SessionId, SubmissionId, TaskOffer,
-    TaskVerdict, WithdrawalVerdict,
+    AttemptId, CustomerShare, IncarnationId, OfferReply, Payload, SessionId, SubmissionId,
+    TaskOffer, WithdrawalReply,
 };
 use peer::{ForwardedAnswer, OpenedSession, PeerError, PeerLink};
 use tokio::{
@@ -217,8 +217,8 @@
     let state = FakeState::new();
     {
         let mut answers = state.answers.borrow_mut();
-        answers.verdicts = vec![TaskVerdict::Queued];
-        answers.withdrawals = vec![WithdrawalVerdict::NotRun];
+        answers.verdicts = vec![OfferReply::Queued];
+        answers.withdrawals = vec![WithdrawalReply::NotRun];
     }
     let (address, server) = fakes::serve(&state).await;
     let (_link, opened) = open(&state, address, 1).await;
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -1,4 +1,4 @@
-//! The client itself. It is not `Send`: it lives on the control thread.
+//! The platform client. It is not `Send` and stays on the control thread.
 
 use std::{
     cell::RefCell,
@@ -19,29 +19,29 @@
 
 use crate::{
     wire::{CommitAnswer, ConflictAnswer, ListAnswer, TransactionBody, VmAnswer},
-    CallFailure, CallRate, CommitError, KeyedRow, RatePacer, ReadError, RowVersion, RowWrite,
+    CallRate, CommitError, KeyedRow, RateLimiter, ReadError, RequestError, RowVersion, RowWrite,
     StoreKey, TableName, TableRow,
 };
 
-/// The largest answer that is read, in bytes: a full page of contracts or of keys stays far below.
+/// The largest answer body that is read, in bytes. A full page of contracts or keys is far smaller.
 const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 
-/// Where the platform is and how much of it this process may use.
+/// The platform's address, the timeouts of calls, and this process's share of the platform's rates.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClientSettings {
     /// The platform's HTTP address.
     pub address: SocketAddr,
-    /// The longest wait for a connection. Shorter than `timeout`, so that a platform that takes no connection gives
-    /// a definite "not sent" and not an uncertain timeout.
+    /// The timeout for establishing a connection. It is shorter than `timeout`, so that a platform that accepts no
+    /// connection gives a definite "not sent" instead of an uncertain timeout.
     pub connect_timeout: Duration,
-    /// The longest wait for an answer, from the start of the call.
+    /// The timeout for an answer, from the start of the call.
     pub timeout: Duration,
-    /// The longest wait for this process's turn.
-    pub longest_turn_wait: Duration,
-    /// Reads a second. The platform's 2,000 are for every VM: 200 suit today's 8 VMs.
+    /// The longest wait for a permit of this process's rate limiters.
+    pub max_permit_wait: Duration,
+    /// Reads per second. All VMs share the platform's 2,000 reads per second; 200 each suit the system's 8 VMs.
     pub read_rate: CallRate,
-    /// Transactions a second. The platform's several hundred are for every VM: at 20, today's 8 VMs together use 160
-    /// and leave the rest to changes of contracts and to others.
+    /// Transactions per second. All VMs share the platform's several hundred transactions per second. At 20 each, the
+    /// system's 8 VMs together use 160 and leave the rest to contract changes and other users.
     pub write_rate: CallRate,
 }
 
@@ -51,14 +51,14 @@
             address: SocketAddr::from((Ipv4Addr::LOCALHOST, 8600)),
             connect_timeout: Duration::from_millis(300),
             timeout: Duration::from_secs(1),
-            longest_turn_wait: Duration::from_millis(500),
+            max_permit_wait: Duration::from_millis(500),
             read_rate: CallRate::per_second(200),
             write_rate: CallRate::per_second(20),
         }
     }
 }
 
-/// Calls the platform. Clones share connections and rates.
+/// A client of the platform. Clones share connections and rate limiters.
 #[derive(Clone)]
 pub struct PlatformClient {
     inner: Rc<Inner>,
@@ -68,23 +68,23 @@
     http: Client,
     settings: ClientSettings,
     clock: Arc<dyn ClockSource>,
-    reads: RefCell<RatePacer>,
-    writes: RefCell<RatePacer>,
+    reads: RefCell<RateLimiter>,
+    writes: RefCell<RateLimiter>,
 }
 
-/// One turn to write, taken from this process's share of the platform's rate.
+/// The permit for one write, taken from this process's share of the platform's write rate.
 #[derive(Debug)]
-#[must_use = "a turn that is not used is lost"]
-pub struct WriteTurn(());
+#[must_use = "an unused permit is lost"]
+pub struct WritePermit(());
 
-/// Status and body of an answer.
+/// The status and the body of an HTTP answer.
 struct Answer {
     status: StatusCode,
     body: Vec<u8>,
 }
 
 impl PlatformClient {
-    /// A client without connections yet. It has to be made and used on one thread, within an actix system.
+    /// Creates a client without connections. It has to be created and used on one thread, within an actix system.
     pub fn new(settings: ClientSettings, clock: Arc<dyn ClockSource>) -> Self {
         let now = clock.now();
         let connector = Connector::new().timeout(settings.connect_timeout);
@@ -96,8 +96,8 @@
         Self {
             inner: Rc::new(Inner {
                 http,
-                reads: RefCell::new(RatePacer::new(settings.read_rate, now)),
-                writes: RefCell::new(RatePacer::new(settings.write_rate, now)),
+                reads: RefCell::new(RateLimiter::new(settings.read_rate, now)),
+                writes: RefCell::new(RateLimiter::new(settings.write_rate, now)),
                 settings,
                 clock,
             }),
@@ -114,11 +114,11 @@
         &self.inner.clock
     }
 
-    /// Reads a row; `None` when it is not there.
+    /// Reads a row. Returns `None` if it does not exist.
     ///
     /// # Errors
     ///
-    /// Fails when the platform gave no answer that says whether the row is there.
+    /// Fails if the platform gave no answer that says whether the row exists.
     pub async fn get_row(
         &self,
         table: TableName,
@@ -128,15 +128,15 @@
         match answer.status {
             StatusCode::OK => Ok(Some(from_json(&answer.body)?)),
             StatusCode::NOT_FOUND => Ok(None),
-            status => Err(wrong_status(status).into()),
+            status => Err(unexpected_status(status).into()),
         }
     }
 
-    /// Reads at most `limit` rows in key order, from the first key greater than `after`.
+    /// Reads at most `limit` rows in key order, starting at the first key greater than `after`.
     ///
     /// # Errors
     ///
-    /// Fails as [`Self::get_row`] does.
+    /// Fails if the platform gave no valid list of rows.
     pub async fn list_rows(
         &self,
         table: TableName,
@@ -147,174 +147,180 @@
         let answer = self.read(&path).await?;
         match answer.status {
             StatusCode::OK => Ok(from_json::<ListAnswer>(&answer.body)?.rows),
-            status => Err(wrong_status(status).into()),
+            status => Err(unexpected_status(status).into()),
         }
     }
 
-    /// Waits for this process's turn to write. A caller that gathers rows from many requests takes the turn first
-    /// and gathers then, so that what comes during the wait goes with this write and not with the next.
+    /// Waits for a write permit. A caller that batches the rows of many requests acquires the permit first and collects
+    /// the rows afterwards, so that rows that arrive during the wait go into this write and not into the next.
     ///
     /// # Errors
     ///
-    /// [`CallFailure::OverRate`] when the wait would be longer than the settings allow.
-    pub async fn write_turn(&self) -> Result<WriteTurn, CallFailure> {
-        self.wait_turn(&self.inner.writes).await?;
-        Ok(WriteTurn(()))
+    /// [`RequestError::RateLimited`] if the wait would be longer than the settings allow.
+    pub async fn acquire_write_permit(&self) -> Result<WritePermit, RequestError> {
+        self.wait_for_permit(&self.inner.writes).await?;
+        Ok(WritePermit(()))
     }
 
-    /// Writes rows, all or nothing, and gives their new versions in order.
+    /// Writes rows in one transaction, all or none, and returns their new versions in the order of the writes.
     ///
     /// # Errors
     ///
-    /// Says whether nothing took effect or nobody can say.
+    /// [`CommitError`], which tells whether the write definitely had no effect or its effect is uncertain.
     pub async fn commit(&self, writes: Vec<RowWrite>) -> Result<Vec<RowVersion>, CommitError> {
-        let turn = self.write_turn().await?;
-        self.commit_in(turn, writes).await
+        let permit = self.acquire_write_permit().await?;
+        self.commit_with_permit(permit, writes).await
     }
 
-    /// [`Self::commit`] in a turn that was taken before.
+    /// Writes rows as [`Self::commit`] does, with a permit that was acquired before.
     ///
     /// # Errors
     ///
     /// As [`Self::commit`].
-    pub async fn commit_in(
+    pub async fn commit_with_permit(
         &self,
-        _turn: WriteTurn,
+        _permit: WritePermit,
         writes: Vec<RowWrite>,
     ) -> Result<Vec<RowVersion>, CommitError> {
         let body = serde_json::to_vec(&TransactionBody { writes: &writes })
-            .map_err(|e| CommitError::NotSent(CallFailure::NotBuilt(e.to_string())))?;
+            .map_err(|e| CommitError::NotSent(RequestError::InvalidRequest(e.to_string())))?;
         let answer = self.call(Method::POST, "/transaction", body).await?;
         match answer.status {
             StatusCode::OK => {
                 let versions = from_json::<CommitAnswer>(&answer.body)?.versions;
                 if versions.len() != writes.len() {
-                    return Err(broken("not one version a write").into());
+                    return Err(broken_answer("version count differs from write count").into());
                 }
                 Ok(versions)
             }
             StatusCode::CONFLICT => {
                 let conflicts = from_json::<ConflictAnswer>(&answer.body)?.conflicts;
                 if conflicts.is_empty() {
-                    return Err(broken("a conflict that names no row").into());
+                    return Err(broken_answer("a conflict that names no row").into());
                 }
                 Err(CommitError::Conflict(conflicts))
             }
-            status => Err(wrong_status(status).into()),
+            status => Err(unexpected_status(status).into()),
         }
     }
 
-    /// The platform's VM list. It lags.
+    /// Reads the platform's VM list. The list lags behind the VMs' actual state.
     ///
     /// # Errors
     ///
-    /// Fails when the platform gave no list.
+    /// Fails if the platform gave no valid list.
     pub async fn vm_list(&self) -> Result<Vec<VmEntry>, ReadError> {
         let answer = self.read("/vms").await?;
         match answer.status {
             StatusCode::OK => Ok(from_json::<VmAnswer>(&answer.body)?.vms),
-            status => Err(wrong_status(status).into()),
+            status => Err(unexpected_status(status).into()),
         }
     }
 
-    /// Writes an object as a whole.
+    /// Writes an object and replaces any previous content.
     ///
     /// # Errors
     ///
-    /// Says whether nothing took effect or nobody can say.
+    /// [`CommitError`], which tells whether the write definitely had no effect or its effect is uncertain.
     pub async fn put_object(&self, name: &StoreKey, bytes: Vec<u8>) -> Result<(), CommitError> {
         let path = format!("/objects/{name}");
-        let _turn = self.write_turn().await?;
+        let _permit = self.acquire_write_permit().await?;
         let answer = self.call(Method::PUT, &path, bytes).await?;
         if answer.status.is_success() {
             return Ok(());
         }
-        Err(wrong_status(answer.status).into())
+        Err(unexpected_status(answer.status).into())
     }
 
-    /// Reads an object; `None` when it is not there.
+    /// Reads an object. Returns `None` if it does not exist.
     ///
     /// # Errors
     ///
-    /// Fails when the platform gave no answer that says whether the object is there.
+    /// Fails if the platform gave no answer that says whether the object exists.
     pub async fn get_object(&self, name: &StoreKey) -> Result<Option<Vec<u8>>, ReadError> {
         let answer = self.read(&format!("/objects/{name}")).await?;
         match answer.status {
             StatusCode::OK => Ok(Some(answer.body)),
             StatusCode::NOT_FOUND => Ok(None),
-            status => Err(wrong_status(status).into()),
+            status => Err(unexpected_status(status).into()),
         }
     }
 
-    async fn read(&self, path: &str) -> Result<Answer, CallFailure> {
-        self.wait_turn(&self.inner.reads).await?;
+    async fn read(&self, path: &str) -> Result<Answer, RequestError> {
+        self.wait_for_permit(&self.inner.reads).await?;
         self.call(Method::GET, path, Vec::new()).await
     }
 
-    async fn wait_turn(&self, pacer: &RefCell<RatePacer>) -> Result<(), CallFailure> {
+    async fn wait_for_permit(&self, limiter: &RefCell<RateLimiter>) -> Result<(), RequestError> {
         let now = self.inner.clock.now();
-        let longest_wait = self.inner.settings.longest_turn_wait;
-        let turn = pacer.borrow_mut().take_turn(now, longest_wait);
-        let wait = turn.map_err(|retry_after| CallFailure::OverRate { retry_after })?;
+        let max_wait = self.inner.settings.max_permit_wait;
+        let permit = limiter.borrow_mut().acquire(now, max_wait);
+        let wait = permit.map_err(|retry_after| RequestError::RateLimited { retry_after })?;
         if !wait.is_zero() {
             actix_rt::time::sleep(wait).await;
         }
         Ok(())
     }
 
-    async fn call(&self, method: Method, path: &str, body: Vec<u8>) -> Result<Answer, CallFailure> {
+    async fn call(
+        &self,
+        method: Method,
+        path: &str,
+        body: Vec<u8>,
+    ) -> Result<Answer, RequestError> {
         let url = format!("http://{}{path}", self.inner.settings.address);
         let request = self
             .inner
             .http
             .request(method, url)
             .insert_header(("content-type", "application/json"));
-        let mut response = request.send_body(body).await.map_err(send_failure)?;
+        let mut response = request.send_body(body).await.map_err(classify_send_error)?;
         let status = response.status();
         let body = response.body().limit(MAX_ANSWER_BYTES);
-        let body = body.await.map_err(body_failure)?.to_vec();
+        let body = body.await.map_err(classify_body_error)?.to_vec();
         Ok(Answer { status, body })
     }
 }
 
-/// Sorts failures of sending by whether a byte may have left.
+/// Classifies an error of sending a request by whether bytes of the request may have been sent.
 ///
-/// `Connect(Disconnected)` is what the HTTP library says when the peer closes after the request was written and
-/// before it answered. Taken for a failed connect, a write that took effect would be reported as not sent and its
-/// request started elsewhere too; only the errors of the connect phase proper count as unsent.
-pub fn send_failure(error: SendRequestError) -> CallFailure {
+/// The HTTP library reports `Connect(Disconnected)` when the peer closes the connection after the request was written
+/// and before it was answered. If that counted as a failed connect, a write that took effect would be reported as not
+/// sent, and its request would be started elsewhere too. Only errors from establishing a connection count as not
+/// sent.
+pub fn classify_send_error(error: SendRequestError) -> RequestError {
     match error {
-        SendRequestError::Url(e) => CallFailure::NotBuilt(e.to_string()),
-        SendRequestError::Http(e) => CallFailure::NotBuilt(e.to_string()),
+        SendRequestError::Url(e) => RequestError::InvalidRequest(e.to_string()),
+        SendRequestError::Http(e) => RequestError::InvalidRequest(e.to_string()),
         SendRequestError::Connect(
             e @ (ConnectError::Resolver(_)
             | ConnectError::NoRecords
             | ConnectError::Timeout
             | ConnectError::Unresolved
             | ConnectError::Io(_)),
-        ) => CallFailure::NoConnection(e.to_string()),
-        SendRequestError::Timeout => CallFailure::TimedOut,
-        e => CallFailure::ConnectionBroke(e.to_string()),
+        ) => RequestError::NoConnection(e.to_string()),
+        SendRequestError::Timeout => RequestError::TimedOut,
+        e => RequestError::ConnectionLost(e.to_string()),
     }
 }
 
-/// Sorts failures of reading an answer's body.
-pub fn body_failure(error: PayloadError) -> CallFailure {
+/// Classifies an error of reading an answer's body.
+pub fn classify_body_error(error: PayloadError) -> RequestError {
     match error {
-        PayloadError::Io(e) if e.kind() == std::io::ErrorKind::TimedOut => CallFailure::TimedOut,
-        PayloadError::Overflow => broken("the answer is too large"),
-        e => CallFailure::ConnectionBroke(e.to_string()),
+        PayloadError::Io(e) if e.kind() == std::io::ErrorKind::TimedOut => RequestError::TimedOut,
+        PayloadError::Overflow => broken_answer("the answer is too large"),
+        e => RequestError::ConnectionLost(e.to_string()),
     }
 }
 
-fn from_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, CallFailure> {
-    serde_json::from_slice(body).map_err(|e| broken(&e.to_string()))
+fn from_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, RequestError> {
+    serde_json::from_slice(body).map_err(|e| broken_answer(&e.to_string()))
 }
 
-fn wrong_status(status: StatusCode) -> CallFailure {
-    CallFailure::WrongStatus(status.as_u16())
+fn unexpected_status(status: StatusCode) -> RequestError {
+    RequestError::UnexpectedStatus(status.as_u16())
 }
 
-fn broken(why: &str) -> CallFailure {
-    CallFailure::BrokenAnswer(why.to_owned())
+fn broken_answer(why: &str) -> RequestError {
+    RequestError::BrokenAnswer(why.to_owned())
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,7 +1,7 @@
-//! Client of the platform's table service, object store and VM list.
+//! A client of the platform's table service, object store and VM list.
 //!
-//! Each call ends in one of three ways: an answer, a definite "had no effect", or "nobody can say". The borders are
-//! those of `docs/design/0001-interfaces.md`.
+//! Each call ends with an answer, with an error that means that the call definitely had no effect, or with an error
+//! that leaves its effect uncertain. `docs/design/0001-interfaces.md` specifies the platform's interfaces.
 
 mod client;
 mod error;
@@ -10,11 +10,13 @@
 mod wire;
 
 pub use crate::{
-    client::{body_failure, send_failure, ClientSettings, PlatformClient, WriteTurn},
-    error::{CallFailure, CommitError, ReadError},
-    rate::{CallRate, RatePacer, WrongRate},
+    client::{
+        classify_body_error, classify_send_error, ClientSettings, PlatformClient, WritePermit,
+    },
+    error::{CommitError, ReadError, RequestError},
+    rate::{CallRate, InvalidRate, RateLimiter},
     rows::{
-        ExpectedVersion, KeyedRow, RowConflict, RowVersion, RowWrite, StoreKey, TableName,
-        TableRow, WrongKey, WrongTable,
+        ExpectedVersion, InvalidKey, InvalidTable, KeyedRow, RowConflict, RowVersion, RowWrite,
+        StoreKey, TableName, TableRow,
     },
 };
--- a/crates/pool/src/pool/admit.rs
+++ b/crates/pool/src/pool/admit.rs
@@ -10,7 +10,7 @@
 
 use super::{WorkerPool, MAX_RETRY_AFTER, MIN_RETRY_AFTER};
 use crate::{
-    action::PoolNote,
+    action::PoolEvent,
     admission::{AdmissionForecast, AdmissionSimulation, ForecastJob, ForecastStep},
     arrivals::ArrivedJob,
     forecast::{PoolForecast, WaitingGroup, WorkerForecast},
@@ -93,7 +93,7 @@
             None
         };
         self.record_arrival(now, request, terms, kind);
-        self.notes.push(PoolNote::Admission {
+        self.events.push(PoolEvent::Admission {
             job: request.id,
             refusal: kind,
             predicted,
@@ -197,7 +197,7 @@
         load.backlog.is_zero() && load.free as f64 >= load.capacity as f64 * MIN_IDLE_SHARE
     }
 
-    /// Whether a job can be in time at all, given the delay of its starts. If hopeless jobs were
+    /// Whether a job can be in time at all, given the delay of its starts. If late jobs were
     /// simulated, hundreds of them arriving at once would keep an owner that has fallen behind from
     /// catching up.
     fn can_be_in_time(
@@ -357,7 +357,7 @@
         };
         // While the path to the workers is congested, jobs of the first priority are late because
         // of the path and not for lack of capacity, so room kept for them would stay empty.
-        let keeps_room = self.is_enabled(Mechanism::KeptRoom) && !self.is_strained();
+        let keeps_room = self.is_enabled(Mechanism::KeptRoom) && !self.is_congested();
         let expected = match keeps_room {
             true => self.arrivals.expected_above(now, terms.priority),
             false => Vec::new(),
--- a/crates/pool/tests/support/mod.rs
+++ b/crates/pool/tests/support/mod.rs
@@ -21,8 +21,9 @@
     WorkerRecord, WorkerState,
 };
 use pool::{
-    CallFailure, FoundJob, KeptWrite, KeptWriteResult, PollAnswer, PollOrder, PoolAction, PoolInit,
-    PoolNote, PoolSettings, StartAnswer, StartOrder, StopAnswer, StopOrder, WaiterId, WorkerPool,
+    CallFailure, FoundJob, KeptWrite, KeptWriteResult, PollAnswer, PollOrder, PoolAction,
+    PoolEvent, PoolInit, PoolSettings, StartAnswer, StartOrder, StopAnswer, StopOrder, WaiterId,
+    WorkerPool,
 };
 
 use crashing::CrashPlan;
@@ -91,7 +92,7 @@
 }
 
 /// A pool and its simulated workers.
-pub(crate) struct World {
+pub(crate) struct Simulation {
     pub(crate) pool: WorkerPool,
     pub(crate) workers: BTreeMap<LifeId, SimulatedWorker>,
     pub(crate) rng: Rng,
@@ -189,7 +190,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// A pool of workers like the Trust's in one data centre.
     pub(crate) fn new(seed: u64, workers: usize) -> Self {
         Self::with_settings(seed, workers, PoolSettings::default())
@@ -202,7 +203,7 @@
             settings,
             ..pool_start(1)
         };
-        let mut world = Self {
+        let mut simulation = Self {
             pool: WorkerPool::new(start, origin),
             workers: BTreeMap::new(),
             rng: Rng::with_seed(seed),
@@ -233,14 +234,14 @@
             resize_in_flight: false,
             restart_time: 0,
         };
-        world.pool.load_kept(origin, Vec::new());
+        simulation.pool.load_kept(origin, Vec::new());
         for number in 0..workers {
             let cpu = if number % 3 == 2 { 24_000 } else { 16_000 };
             let speed = [0.8, 1.0, 1.25][number % 3];
-            world.add_worker(worker_record(number, cpu), speed);
+            simulation.add_worker(worker_record(number, cpu), speed);
         }
-        world.run_for(50);
-        world
+        simulation.run_for(50);
+        simulation
     }
 
     pub(crate) fn add_worker(&mut self, record: WorkerRecord, speed: f64) {
@@ -441,7 +442,7 @@
             let in_contact = self.store_up && self.claim_confirmable;
             if in_contact && self.now.is_multiple_of(CONTACT_INTERVAL_MS) {
                 let at = self.instant();
-                self.pool.note_store_contact(at);
+                self.pool.record_store_contact(at);
             }
             if self.now.is_multiple_of(20) {
                 let at = self.instant();
@@ -485,7 +486,7 @@
     }
 
     /// Makes all workers publish when their lives began.
-    pub(crate) fn publish_births(&mut self) {
+    pub(crate) fn publish_birth_times(&mut self) {
         let mut named = Vec::new();
         for worker in self.workers.values_mut() {
             worker.born = Some(BirthTime(1_000_000));
@@ -637,15 +638,15 @@
     }
 
     fn execute_actions(&mut self) {
-        for note in self.pool.take_notes() {
+        for event in self.pool.take_events() {
             let of_crash = matches!(
-                note,
-                PoolNote::CrashSuspected { .. }
-                    | PoolNote::CrashCleared { .. }
-                    | PoolNote::CrashCulprit { .. }
+                event,
+                PoolEvent::CrashSuspected { .. }
+                    | PoolEvent::CrashCleared { .. }
+                    | PoolEvent::CrashCulprit { .. }
             );
             if of_crash {
-                self.crashes.notes.push(note);
+                self.crashes.events.push(event);
             }
         }
         for action in self.pool.take_actions() {
--- a/crates/request-keys/src/recorder.rs
+++ b/crates/request-keys/src/recorder.rs
@@ -4,8 +4,8 @@
 
 use model::FastMap;
 use platform::{
-    CallFailure, CommitError, ExpectedVersion, PlatformClient, RowWrite, StoreKey, TableName,
-    WriteTurn,
+    CommitError, ExpectedVersion, PlatformClient, RequestError, RowWrite, StoreKey, TableName,
+    WritePermit,
 };
 use tokio::sync::oneshot;
 
@@ -35,7 +35,7 @@
     batcher: KeyBatcher,
     waiters: FastMap<PendingKeyId, oneshot::Sender<KeyResult>>,
     /// A write turn acquired for the batcher. If its batch turned out empty, the turn is kept for the next batch.
-    turn: Option<WriteTurn>,
+    turn: Option<WritePermit>,
     ticking: bool,
 }
 
@@ -109,17 +109,17 @@
                 self.inner.state.borrow_mut().turn = Some(turn);
                 TurnOutcome::Acquired
             }
-            Err(CallFailure::OverRate { retry_after }) => TurnOutcome::Refused(retry_after),
+            Err(RequestError::RateLimited { retry_after }) => TurnOutcome::Refused(retry_after),
             Err(_) => TurnOutcome::Refused(TICK_INTERVAL),
         };
         self.advance(|batcher, now| batcher.turn_ended(now, outcome));
     }
 
-    async fn next_turn(&self) -> Result<WriteTurn, CallFailure> {
+    async fn next_turn(&self) -> Result<WritePermit, RequestError> {
         let kept = self.inner.state.borrow_mut().turn.take();
         match kept {
             Some(turn) => Ok(turn),
-            None => self.inner.client.write_turn().await,
+            None => self.inner.client.acquire_write_permit().await,
         }
     }
 
@@ -127,7 +127,7 @@
         let mut keys: FastMap<StoreKey, RequestKey> = FastMap::default();
         let mut writes = Vec::new();
         for (key, record) in records {
-            let store_key = StoreKey::of_request(&key.customer, &key.key);
+            let store_key = StoreKey::for_idempotency_key(&key.customer, &key.key);
             writes.push(RowWrite {
                 table: TableName::RequestKeys,
                 key: store_key.clone(),
@@ -137,7 +137,7 @@
             keys.insert(store_key, key);
         }
         let result = match self.next_turn().await {
-            Ok(turn) => self.inner.client.commit_in(turn, writes).await,
+            Ok(turn) => self.inner.client.commit_with_permit(turn, writes).await,
             Err(failure) => Err(failure.into()),
         };
         let outcome = match result {
@@ -159,7 +159,7 @@
     }
 
     async fn read(&self, id: PendingKeyId, key: RequestKey) {
-        let store_key = StoreKey::of_request(&key.customer, &key.key);
+        let store_key = StoreKey::for_idempotency_key(&key.customer, &key.key);
         let row = self
             .inner
             .client
--- a/crates/request-keys/tests/recorder.rs
+++ b/crates/request-keys/tests/recorder.rs
@@ -36,7 +36,7 @@
     let settings = ClientSettings {
         address: stand_in.address(),
         timeout: ms(300),
-        longest_turn_wait: Duration::from_secs(10),
+        max_permit_wait: Duration::from_secs(10),
         read_rate: CallRate::per_second(UNLIMITED_RATE),
         write_rate: CallRate::per_second(write_rate),
         ..ClientSettings::default()
@@ -204,7 +204,7 @@
     );
     assert!(start.elapsed() < ms(400), "{:?}", start.elapsed());
 
-    let stand_in = stand_in.start_again().unwrap();
+    let stand_in = stand_in.restart().unwrap();
     let after_restart = recorder.record(request("up", record(1, 2), ms(3000))).await;
     assert_eq!(after_restart, KeyResult::Recorded);
     stand_in.set_faults(FaultSettings::down(DownMode::Unavailable));
--- a/crates/scenario/src/load.rs
+++ b/crates/scenario/src/load.rs
@@ -1,4 +1,4 @@
-//! Submissions under way, shared between the steps and the callers that wait for answers.
+//! Submissions, changes and tickets of a run, shared between the steps and the tasks that wait for answers.
 
 use std::{
     cell::RefCell,
@@ -13,130 +13,131 @@
 use stand_ins::endpoint::TaskScript;
 
 use crate::{
-    caller::{self, CallerMark, CallerRequest},
+    caller::{self, CallerDedup, CallerRequest},
     error::StepError,
-    operator::ChangeEnd,
-    record::{AnswerRecord, SubmissionRecord, VersionSighting},
-    script::{Label, RequestMark, SubmitKind, SubmitStep},
-    world::NameMap,
+    operator::ChangeOutcome,
+    record::{AnswerRecord, SubmissionRecord, VersionObservation},
+    script::{Label, RequestDedup, SubmitKind, SubmitStep},
+    testbed::NameMap,
 };
 
-/// The time between two looks at the contracts of the entries.
-const SIGHTING_PAUSE: Duration = Duration::from_millis(300);
-/// How long after its deadline a caller still waits, so that a late answer shows as late and not as lost.
-const CALLER_PATIENCE: Duration = Duration::from_secs(10);
+/// Interval at which the contracts in force at the entries are polled.
+const CONTRACT_POLL_INTERVAL: Duration = Duration::from_millis(300);
+/// How long after its deadline a caller still waits, so that a late answer is reported as late and not as lost.
+const CALLER_GRACE: Duration = Duration::from_secs(10);
 
-/// Whether an entry takes submissions, as the balancer knows it.
+/// Whether an entry takes submissions, as known to the load balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum DoorState {
-    /// It was ready, so the balancer sends submissions there.
-    Open,
-    /// It was started but not ready yet: whoever calls it all the same must get an answer.
+pub(crate) enum BackendState {
+    /// The entry was ready, so the balancer sends submissions to it.
+    Ready,
+    /// The entry was started but is not ready yet. A caller that addresses it directly must still get an answer.
     Unready,
-    /// It was not started, or told to end, or frozen: whoever calls it all the same can ask for no answer.
-    Closed,
+    /// The entry was not started, was told to end, or is frozen. A caller that addresses it directly need not get an
+    /// answer.
+    Down,
 }
 
-/// An entry as the balancer sees it.
+/// An entry as a backend of the load balancer.
 #[derive(Clone, Debug)]
-pub(crate) struct EntryDoor {
+pub(crate) struct EntryBackend {
     pub(crate) vm: Label,
     pub(crate) address: SocketAddr,
-    pub(crate) state: DoorState,
+    pub(crate) state: BackendState,
 }
 
-/// A group of submissions of one step.
-struct GroupState {
+/// The submissions of one step.
+struct SubmissionGroup {
     name: Label,
     times: usize,
 }
 
-/// A submission and when it was sent.
-struct OpenSubmission {
+/// A submission, answered or not, and when it was sent.
+struct SentSubmission {
     record: SubmissionRecord,
     sent: Instant,
 }
 
-/// What callers and operators know.
+/// The state of callers and operators.
 #[derive(Default)]
-struct LoadInner {
-    doors: Vec<EntryDoor>,
-    groups: Vec<GroupState>,
-    submissions: Vec<OpenSubmission>,
+struct LoadState {
+    backends: Vec<EntryBackend>,
+    groups: Vec<SubmissionGroup>,
+    submissions: Vec<SentSubmission>,
     tickets: NameMap<(CustomerId, String)>,
-    changes: NameMap<Option<ChangeEnd>>,
-    sightings: Vec<VersionSighting>,
+    changes: NameMap<Option<ChangeOutcome>>,
+    observations: Vec<VersionObservation>,
     rng: Rng,
 }
 
-impl LoadInner {
-    fn open_doors(&self) -> Vec<EntryDoor> {
-        let open = self.doors.iter();
-        let open = open.filter(|door| door.state == DoorState::Open);
-        open.cloned().collect()
+impl LoadState {
+    fn ready_backends(&self) -> Vec<EntryBackend> {
+        let ready = self.backends.iter();
+        let ready = ready.filter(|backend| backend.state == BackendState::Ready);
+        ready.cloned().collect()
     }
 }
 
-/// The load of a run. Clones share it.
+/// The load of a run. Clones share its state.
 #[derive(Clone)]
 pub(crate) struct CallerLoad {
-    begun: Instant,
-    inner: Rc<RefCell<LoadInner>>,
+    started: Instant,
+    inner: Rc<RefCell<LoadState>>,
 }
 
 impl CallerLoad {
-    pub(crate) fn new(seed: u64, doors: Vec<EntryDoor>) -> Self {
-        let inner = LoadInner {
-            doors,
+    pub(crate) fn new(seed: u64, backends: Vec<EntryBackend>) -> Self {
+        let inner = LoadState {
+            backends,
             rng: Rng::with_seed(seed),
-            ..LoadInner::default()
+            ..LoadState::default()
         };
         Self {
-            begun: Instant::now(),
+            started: Instant::now(),
             inner: Rc::new(RefCell::new(inner)),
         }
     }
 
-    /// Notes the state of a VM's entry.
-    pub(crate) fn set_door(&self, vm: &str, state: DoorState) {
-        for door in &mut self.inner.borrow_mut().doors {
-            if door.vm == vm {
-                door.state = state;
+    /// Sets the state of a VM's entry.
+    pub(crate) fn set_backend_state(&self, vm: &str, state: BackendState) {
+        for backend in &mut self.inner.borrow_mut().backends {
+            if backend.vm == vm {
+                backend.state = state;
             }
         }
     }
 
-    /// Notes that the entry of a VM was killed or frozen: what waits there can ask for no answer in time.
-    pub(crate) fn disturb(&self, vm: &str) {
-        for open in &mut self.inner.borrow_mut().submissions {
-            if open.record.via == vm && open.record.answer.is_none() {
-                open.record.disturbed = true;
+    /// Records that the entry of a VM was killed or frozen, so that its unanswered submissions need no timely answer.
+    pub(crate) fn mark_entry_down(&self, vm: &str) {
+        for submission in &mut self.inner.borrow_mut().submissions {
+            if submission.record.via == vm && submission.record.answer.is_none() {
+                submission.record.entry_down = true;
             }
         }
     }
 
-    /// The door of a VM, or one of the open ones.
-    pub(crate) fn door(&self, via: Option<&Label>) -> Result<EntryDoor, StepError> {
+    /// The backend of a VM, or a random ready one.
+    pub(crate) fn backend(&self, via: Option<&Label>) -> Result<EntryBackend, StepError> {
         let mut inner = self.inner.borrow_mut();
         if let Some(vm) = via {
-            let found = inner.doors.iter().find(|door| door.vm == *vm);
+            let found = inner.backends.iter().find(|backend| backend.vm == *vm);
             return found
                 .cloned()
                 .ok_or_else(|| StepError::UnknownVm(vm.clone()));
         }
-        let open = inner.open_doors();
+        let ready = inner.ready_backends();
         inner
             .rng
-            .choice(open)
-            .ok_or_else(|| StepError::UnknownVm("with an open entry".to_owned()))
+            .choice(ready)
+            .ok_or_else(|| StepError::UnknownVm("with a ready entry".to_owned()))
     }
 
-    /// The entries that take submissions.
-    pub(crate) fn open_doors(&self) -> Vec<EntryDoor> {
-        self.inner.borrow().open_doors()
+    /// The entries that are ready.
+    pub(crate) fn ready_backends(&self) -> Vec<EntryBackend> {
+        self.inner.borrow().ready_backends()
     }
 
-    pub(crate) fn keep_ticket(&self, name: &str, customer: &CustomerId, ticket: String) {
+    pub(crate) fn store_ticket(&self, name: &str, customer: &CustomerId, ticket: String) {
         let value = (customer.clone(), ticket);
         self.inner
             .borrow_mut()
@@ -144,20 +145,20 @@
             .insert(name.to_owned(), value);
     }
 
-    /// Sends the submissions of a step, each on its own connection, and goes on at once.
+    /// Sends the submissions of a step in the background, each on its own connection.
     pub(crate) fn submit(&self, step: &SubmitStep) -> Result<(), StepError> {
-        let mark = self.mark(step)?;
+        let deduplication = self.deduplication(step)?;
         if let Some(vm) = &step.via {
-            self.door(Some(vm))?;
+            self.backend(Some(vm))?;
         }
-        self.inner.borrow_mut().groups.push(GroupState {
+        self.inner.borrow_mut().groups.push(SubmissionGroup {
             name: step.name.clone(),
             times: step.times as usize,
         });
         let (load, step) = (self.clone(), step.clone());
         actix_rt::spawn(async move {
             for number in 1..=step.times {
-                load.send_one(&step, number, mark.clone());
+                load.send_submission(&step, number, deduplication.clone());
                 if !step.every.is_zero() && number < step.times {
                     actix_rt::time::sleep(step.every).await;
                 }
@@ -166,28 +167,28 @@
         Ok(())
     }
 
-    fn mark(&self, step: &SubmitStep) -> Result<CallerMark, StepError> {
+    fn deduplication(&self, step: &SubmitStep) -> Result<CallerDedup, StepError> {
         Ok(match &step.kind {
-            SubmitKind::Job { .. } => CallerMark::Job,
-            SubmitKind::Request(RequestMark::Plain) => CallerMark::Plain,
-            SubmitKind::Request(RequestMark::Key(key)) => CallerMark::Key(key.clone()),
-            SubmitKind::Request(RequestMark::Ticket(name)) => {
+            SubmitKind::Job { .. } => CallerDedup::Job,
+            SubmitKind::Request(RequestDedup::Plain) => CallerDedup::Plain,
+            SubmitKind::Request(RequestDedup::Key(key)) => CallerDedup::Key(key.clone()),
+            SubmitKind::Request(RequestDedup::Ticket(name)) => {
                 let inner = self.inner.borrow();
                 let found = inner.tickets.get(name);
                 let (_, ticket) = found.ok_or_else(|| StepError::UnknownName(name.clone()))?;
-                CallerMark::Ticket(ticket.clone())
+                CallerDedup::Ticket(ticket.clone())
             }
         })
     }
 
-    fn send_one(&self, step: &SubmitStep, number: u32, mark: CallerMark) {
+    fn send_submission(&self, step: &SubmitStep, number: u32, deduplication: CallerDedup) {
         let name = match step.times {
             1 => step.name.clone(),
             _ => format!("{}.{number}", step.name),
         };
         let run_label = run_label(step, &name);
         let payloads = payloads(step, &run_label);
-        let door = self.door(step.via.as_ref());
+        let backend = self.backend(step.via.as_ref());
         let mut record = SubmissionRecord {
             group: step.name.clone(),
             name,
@@ -198,54 +199,54 @@
             deadline: step.deadline,
             via: String::new(),
             answer: None,
-            sent: self.begun.elapsed(),
+            sent: self.started.elapsed(),
             took: Duration::ZERO,
-            disturbed: false,
+            entry_down: false,
         };
-        let Ok(door) = door else {
-            record.disturbed = true;
-            record.answer = Some(caller::lost("no entry takes submissions".to_owned()));
+        let Ok(backend) = backend else {
+            record.entry_down = true;
+            record.answer = Some(caller::lost_answer("no entry is ready".to_owned()));
             self.push(record);
             return;
         };
-        record.disturbed = door.state == DoorState::Closed;
-        record.via = door.vm;
+        record.entry_down = backend.state == BackendState::Down;
+        record.via = backend.vm;
         let index = self.push(record);
         let request = CallerRequest {
             customer: step.customer.clone(),
             payloads,
             declared: step.declared.unwrap_or(step.run),
             deadline: step.deadline,
-            mark,
+            deduplication,
         };
         let load = self.clone();
         actix_rt::spawn(async move {
-            let limit = request.deadline + CALLER_PATIENCE;
-            let answer = caller::submit(door.address, &request, limit).await;
-            load.keep_answer(index, answer);
+            let timeout = request.deadline + CALLER_GRACE;
+            let answer = caller::submit(backend.address, &request, timeout).await;
+            load.store_answer(index, answer);
         });
     }
 
     fn push(&self, record: SubmissionRecord) -> usize {
         let submissions = &mut self.inner.borrow_mut().submissions;
-        submissions.push(OpenSubmission {
+        submissions.push(SentSubmission {
             record,
             sent: Instant::now(),
         });
         submissions.len() - 1
     }
 
-    fn keep_answer(&self, index: usize, answer: AnswerRecord) {
-        let open = &mut self.inner.borrow_mut().submissions[index];
+    fn store_answer(&self, index: usize, answer: AnswerRecord) {
+        let submission = &mut self.inner.borrow_mut().submissions[index];
         log::info!(
             "scenario: {} answered {:?} {} after {:?}",
-            open.record.name,
+            submission.record.name,
             answer.status,
             answer.reason,
-            open.sent.elapsed()
+            submission.sent.elapsed()
         );
-        open.record.took = open.sent.elapsed();
-        open.record.answer = Some(answer);
+        submission.record.took = submission.sent.elapsed();
+        submission.record.answer = Some(answer);
     }
 
     /// The submissions of a group.
@@ -257,11 +258,13 @@
         let members = inner
             .submissions
             .iter()
-            .filter(|open| open.record.group == name);
-        Ok(members.map(|open| open.record.clone()).collect())
+            .filter(|submission| submission.record.group == name);
+        Ok(members
+            .map(|submission| submission.record.clone())
+            .collect())
     }
 
-    /// Answered submissions of a group, and how many it will have.
+    /// The number of answered submissions of a group, and the number that the group will have in all.
     pub(crate) fn answered(&self, name: &str) -> Result<(usize, usize), StepError> {
         let members = self.group(name)?;
         let answered = members
@@ -273,83 +276,87 @@
         Ok((answered, groups.map(|group| group.times).sum()))
     }
 
-    /// Whether every submission was sent, and has its answer or is overdue by `margin`.
+    /// Whether every submission was sent and is answered or overdue by more than `margin`.
     pub(crate) fn is_settled(&self, margin: Duration) -> bool {
         let inner = self.inner.borrow();
         let expected: usize = inner.groups.iter().map(|group| group.times).sum();
         if inner.submissions.len() < expected {
             return false;
         }
-        for open in &inner.submissions {
-            let overdue = open.sent.elapsed() > open.record.deadline + margin;
-            if open.record.answer.is_none() && !overdue {
+        for submission in &inner.submissions {
+            let overdue = submission.sent.elapsed() > submission.record.deadline + margin;
+            if submission.record.answer.is_none() && !overdue {
                 return false;
             }
         }
         true
     }
 
-    /// Every submission; the time of one without an answer runs until now.
+    /// Every submission. Without an answer, the time taken is the time since it was sent.
     pub(crate) fn records(&self) -> Vec<SubmissionRecord> {
         let mut records = Vec::new();
-        for open in &self.inner.borrow().submissions {
-            let mut record = open.record.clone();
+        for submission in &self.inner.borrow().submissions {
+            let mut record = submission.record.clone();
             if record.answer.is_none() {
-                record.took = open.sent.elapsed();
+                record.took = submission.sent.elapsed();
             }
             records.push(record);
         }
         records
     }
 
-    pub(crate) fn change_begins(&self, name: &str) {
+    pub(crate) fn record_change_start(&self, name: &str) {
         self.inner
             .borrow_mut()
             .changes
             .insert(name.to_owned(), None);
     }
 
-    pub(crate) fn change_ends(&self, name: &str, end: ChangeEnd) {
-        log::info!("scenario: change {name} {:?}: {}", end.status, end.message);
+    pub(crate) fn record_change_outcome(&self, name: &str, outcome: ChangeOutcome) {
+        log::info!(
+            "scenario: change {name} ended {:?}: {}",
+            outcome.status,
+            outcome.message
+        );
         self.inner
             .borrow_mut()
             .changes
-            .insert(name.to_owned(), Some(end));
+            .insert(name.to_owned(), Some(outcome));
     }
 
-    /// What became of a change; nothing while it is under way.
-    pub(crate) fn change(&self, name: &str) -> Result<Option<ChangeEnd>, StepError> {
+    /// The outcome of a change; `None` while the change is under way.
+    pub(crate) fn change_outcome(&self, name: &str) -> Result<Option<ChangeOutcome>, StepError> {
         let inner = self.inner.borrow();
         let found = inner.changes.get(name).cloned();
         found.ok_or_else(|| StepError::UnknownName(name.to_owned()))
     }
 
-    /// Looks at the contracts of every open entry again and again, until the run ends.
-    pub(crate) async fn watch_contracts(self) {
+    /// Polls the contracts of every ready entry until the task is aborted.
+    pub(crate) async fn poll_contracts(self) {
         loop {
-            for door in self.open_doors() {
-                if let Some(shown) = caller::contracts(door.address).await {
+            for backend in self.ready_backends() {
+                if let Some(shown) = caller::read_contracts(backend.address).await {
                     self.inner
                         .borrow_mut()
-                        .sightings
-                        .extend(read_sightings(&door.vm, &shown));
+                        .observations
+                        .extend(parse_observations(&backend.vm, &shown));
                 }
             }
-            actix_rt::time::sleep(SIGHTING_PAUSE).await;
+            actix_rt::time::sleep(CONTRACT_POLL_INTERVAL).await;
         }
     }
 
-    pub(crate) fn sightings(&self) -> Vec<VersionSighting> {
-        self.inner.borrow().sightings.clone()
+    pub(crate) fn observations(&self) -> Vec<VersionObservation> {
+        self.inner.borrow().observations.clone()
     }
 }
 
-/// The name by which a submission's runs are known: shared by all that have one key or ticket.
+/// The label that identifies the runs of a submission. Submissions with the same key or ticket share it.
 fn run_label(step: &SubmitStep, name: &str) -> Label {
     match &step.kind {
-        SubmitKind::Request(RequestMark::Key(key)) => format!("key-{key}"),
-        SubmitKind::Request(RequestMark::Ticket(ticket)) => format!("ticket-{ticket}"),
-        SubmitKind::Job { .. } | SubmitKind::Request(RequestMark::Plain) => name.to_owned(),
+        SubmitKind::Request(RequestDedup::Key(key)) => format!("key-{key}"),
+        SubmitKind::Request(RequestDedup::Ticket(ticket)) => format!("ticket-{ticket}"),
+        SubmitKind::Job { .. } | SubmitKind::Request(RequestDedup::Plain) => name.to_owned(),
     }
 }
 
@@ -374,20 +381,21 @@
     payloads
 }
 
-/// Reads a list of objects with a customer and a version, wherever it stands in what an entry shows.
-fn read_sightings(vm: &str, shown: &Value) -> Vec<VersionSighting> {
+/// Reads the customers and versions from an entry's list of contracts, which is the field `contracts` or the whole
+/// value.
+fn parse_observations(vm: &str, shown: &Value) -> Vec<VersionObservation> {
     let list = shown.get("contracts").unwrap_or(shown);
-    let mut sightings = Vec::new();
+    let mut observations = Vec::new();
     for item in list.as_array().into_iter().flatten() {
         let customer = item["customer"].as_str().and_then(|text| text.parse().ok());
         let (Some(customer), Some(version)) = (customer, item["version"].as_u64()) else {
             continue;
         };
-        sightings.push(VersionSighting {
+        observations.push(VersionObservation {
             vm: vm.to_owned(),
             customer,
             version: ContractVersion(version),
         });
     }
-    sightings
+    observations
 }
--- a/crates/scenario/src/runner/conditions.rs
+++ b/crates/scenario/src/runner/conditions.rs
@@ -1,4 +1,4 @@
-//! Conditions that steps wait for.
+//! Polling of the conditions that `wait` steps name.
 
 use std::time::{Duration, Instant};
 
@@ -6,8 +6,8 @@
 use stand_ins::endpoint::TaskScript;
 
 use super::{
-    expectations::{describe, fits},
-    ScenarioRun, LOOK_PAUSE,
+    expectations::{describe, matches_expected},
+    ScenarioRun, POLL_INTERVAL,
 };
 use crate::{
     caller,
@@ -15,11 +15,11 @@
     script::{Condition, CountBound, ExpectedAnswer, Label, ProcessTarget, SubmitKind, SubmitStep},
 };
 
-/// The deadline of the small jobs by which entries are asked how they answer.
+/// The deadline of the probe jobs that show how entries answer.
 const PROBE_DEADLINE: Duration = Duration::from_secs(2);
 
-/// Whether a condition holds, and how things stand.
-struct Look {
+/// Whether a condition holds, and the state found, as text.
+struct ConditionStatus {
     holds: bool,
     state: String,
 }
@@ -30,61 +30,64 @@
         condition: &Condition,
         within: Duration,
     ) -> Result<(), StepError> {
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
-            let look = self.look(condition).await?;
-            if look.holds {
+            let status = self.check_condition(condition).await?;
+            if status.holds {
                 return Ok(());
             }
-            if begun.elapsed() > within {
-                let state = look.state;
+            if started.elapsed() > within {
+                let state = status.state;
                 return Err(StepError::TimedOut { within, state });
             }
-            actix_rt::time::sleep(LOOK_PAUSE).await;
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    async fn look(&mut self, condition: &Condition) -> Result<Look, StepError> {
+    async fn check_condition(
+        &mut self,
+        condition: &Condition,
+    ) -> Result<ConditionStatus, StepError> {
         match condition {
-            Condition::Running { bound, endpoint } => Ok(count_look(
-                self.running(endpoint.as_deref())?,
+            Condition::Running { bound, endpoint } => Ok(count_status(
+                self.running_count(endpoint.as_deref())?,
                 *bound,
                 "running",
             )),
             Condition::Started { group, bound } => {
-                Ok(count_look(self.starts(group)?, *bound, "started"))
+                Ok(count_status(self.start_count(group)?, *bound, "started"))
             }
             Condition::Answered { group, bound } => {
                 let (answered, all) = self.load.answered(group)?;
                 let bound = bound.unwrap_or(CountBound::Exactly(all));
-                Ok(count_look(answered, bound, "answered"))
+                Ok(count_status(answered, bound, "answered"))
             }
-            Condition::Ready(target) => self.look_ready(target, true).await,
-            Condition::Unready(target) => self.look_ready(target, false).await,
-            Condition::Live(target) => self.look_live(target).await,
-            Condition::Exited(target) => self.look_exited(target),
+            Condition::Ready(target) => self.check_ready(target, true).await,
+            Condition::Unready(target) => self.check_ready(target, false).await,
+            Condition::Live(target) => self.check_live(target).await,
+            Condition::Exited(target) => self.check_exited(target),
             Condition::EntriesAnswer { customer, answer } => {
-                self.look_entries(customer, answer).await
+                self.check_entry_answers(customer, answer).await
             }
         }
     }
 
-    fn running(&self, endpoint: Option<&str>) -> Result<usize, StepError> {
+    fn running_count(&self, endpoint: Option<&str>) -> Result<usize, StepError> {
         if let Some(name) = endpoint {
-            return Ok(self.world.endpoint(name)?.stand_in.record().running as usize);
+            return Ok(self.testbed.endpoint(name)?.stand_in.record().running as usize);
         }
-        let records = self.world.records();
+        let records = self.testbed.records();
         Ok(records.iter().map(|record| record.running as usize).sum())
     }
 
-    /// Tasks of a group that have started, over all endpoints.
-    pub(super) fn starts(&self, group: &str) -> Result<usize, StepError> {
+    /// The number of tasks of a group that have started, over all endpoints.
+    pub(super) fn start_count(&self, group: &str) -> Result<usize, StepError> {
         let mut labels = Vec::new();
         for submission in self.load.group(group)? {
             labels.push(submission.run_label);
         }
         let mut count = 0;
-        for record in self.world.records() {
+        for record in self.testbed.records() {
             for start in record.starts {
                 let payload = start.payload.unwrap_or_default();
                 let label = TaskScript::read(payload.as_bytes())
@@ -97,72 +100,74 @@
         Ok(count)
     }
 
-    async fn look_ready(
+    async fn check_ready(
         &mut self,
         target: &ProcessTarget,
         expect: bool,
-    ) -> Result<Look, StepError> {
+    ) -> Result<ConditionStatus, StepError> {
         let mut state = Vec::new();
-        for name in self.world.targets(target)? {
+        for name in self.testbed.targets(target)? {
             if self.is_ready(&name).await? != expect {
-                state.push(format!("{name} {}", self.world.describe(&name)));
+                state.push(format!("{name} {}", self.testbed.describe(&name)));
             }
         }
-        Ok(Look {
+        Ok(ConditionStatus {
             holds: state.is_empty(),
             state: state.join(", "),
         })
     }
 
-    async fn look_live(&mut self, target: &ProcessTarget) -> Result<Look, StepError> {
+    async fn check_live(&mut self, target: &ProcessTarget) -> Result<ConditionStatus, StepError> {
         let mut state = Vec::new();
-        for name in self.world.targets(target)? {
-            let address = self.world.vm(&name.vm)?.probe_address(name.role);
+        for name in self.testbed.targets(target)? {
+            let address = self.testbed.vm(&name.vm)?.probe_address(name.role);
             if !caller::probe(address, "live").await {
-                state.push(format!("{name} {}", self.world.describe(&name)));
+                state.push(format!("{name} {}", self.testbed.describe(&name)));
             }
         }
-        Ok(Look {
+        Ok(ConditionStatus {
             holds: state.is_empty(),
             state: state.join(", "),
         })
     }
 
-    fn look_exited(&mut self, target: &ProcessTarget) -> Result<Look, StepError> {
+    fn check_exited(&mut self, target: &ProcessTarget) -> Result<ConditionStatus, StepError> {
         let mut state = Vec::new();
-        for name in self.world.targets(target)? {
-            if self.world.is_running(&name)? {
+        for name in self.testbed.targets(target)? {
+            if self.testbed.is_running(&name)? {
                 state.push(format!("{name} runs"));
             }
         }
-        Ok(Look {
+        Ok(ConditionStatus {
             holds: state.is_empty(),
             state: state.join(", "),
         })
     }
 
-    /// Sends a small job to every entry that takes submissions. The jobs are recorded like any other, so the promises
-    /// hold for them too.
-    async fn look_entries(
+    /// Sends a probe job to every ready entry and compares the answers. The jobs are recorded like any other, so the
+    /// promises are checked for them too.
+    async fn check_entry_answers(
         &mut self,
         customer: &CustomerId,
         expected: &ExpectedAnswer,
-    ) -> Result<Look, StepError> {
+    ) -> Result<ConditionStatus, StepError> {
         let mut names = Vec::new();
-        for door in self.load.open_doors() {
+        for backend in self.load.ready_backends() {
             self.probes += 1;
             let name = format!("probe{}", self.probes);
-            self.load.submit(&probe_job(&name, customer, door.vm))?;
+            self.load.submit(&probe_job(&name, customer, backend.vm))?;
             names.push(name);
         }
         let mut state = Vec::new();
         for name in names {
             for record in self.answers(&name).await? {
-                let answer = record.answer.filter(|answer| !fits(answer, expected));
+                let answer = record
+                    .answer
+                    .filter(|answer| !matches_expected(answer, expected));
                 state.extend(answer.map(|answer| format!("{} {}", record.via, describe(&answer))));
             }
         }
-        Ok(Look {
+        Ok(ConditionStatus {
             holds: state.is_empty(),
             state: state.join(", "),
         })
@@ -185,8 +190,8 @@
     }
 }
 
-fn count_look(count: usize, bound: CountBound, what: &str) -> Look {
-    Look {
+fn count_status(count: usize, bound: CountBound, what: &str) -> ConditionStatus {
+    ConditionStatus {
         holds: bound.holds(count),
         state: format!("{count} {what}"),
     }
--- a/crates/scenario/src/runner/expectations.rs
+++ b/crates/scenario/src/runner/expectations.rs
@@ -1,18 +1,18 @@
-//! Expectations: wait for what they are about, then compare.
+//! `expect` steps: wait for the answers or changes concerned, then compare.
 
 use std::time::{Duration, Instant};
 
-use super::{ScenarioRun, LOOK_PAUSE};
+use super::{ScenarioRun, POLL_INTERVAL};
 use crate::{
     error::StepError,
     record::{AnswerRecord, SubmissionRecord},
     script::{ChangeStatus, CountBound, Expectation, ExpectedAnswer, Label},
 };
 
-/// How long after the deadline an answer is waited for here. The promise check says that it was late.
-const PATIENCE: Duration = Duration::from_secs(5);
-/// How long an operator's change may be under way.
-const CHANGE_LIMIT: Duration = Duration::from_secs(20);
+/// How long after the deadline an `expect` step still waits for an answer. The promise check reports that it was late.
+const ANSWER_GRACE: Duration = Duration::from_secs(5);
+/// How long an `expect` step waits for the outcome of an operator's change.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(20);
 
 impl ScenarioRun {
     pub(super) async fn expect(&mut self, expectation: &Expectation) -> Result<(), StepError> {
@@ -26,14 +26,14 @@
                 check_answers(&found, *bound, answers)
             }
             Expectation::Starts { group, bound } => {
-                let count = self.starts(group)?;
+                let count = self.start_count(group)?;
                 if bound.holds(count) {
                     return Ok(());
                 }
                 Err(StepError::Unexpected(format!("{count} starts")))
             }
             Expectation::TurnedAway(bound) => {
-                let count = self.turned_away();
+                let count = self.turned_away_count();
                 if bound.holds(count) {
                     return Ok(());
                 }
@@ -50,16 +50,16 @@
                 }
                 Err(StepError::Unexpected(format!("{count} at once")))
             }
-            Expectation::SameAnswer(first, second) => self.check_same(first, second).await,
+            Expectation::SameAnswer(first, second) => self.check_same_answer(first, second).await,
             Expectation::Changes { names, bound, ends } => {
                 self.check_changes(names, *bound, ends).await
             }
         }
     }
 
-    /// The answers of a group, once all are there.
+    /// Waits until every submission of a group is answered and returns them.
     pub(super) async fn answers(&self, group: &str) -> Result<Vec<SubmissionRecord>, StepError> {
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
             let members = self.load.group(group)?;
             let (answered, all) = self.load.answered(group)?;
@@ -67,17 +67,17 @@
                 return Ok(members);
             }
             let deadline = members.iter().map(|record| record.deadline).max();
-            let within = deadline.unwrap_or_default() + PATIENCE;
+            let within = deadline.unwrap_or_default() + ANSWER_GRACE;
             let sending = members.len() < all;
-            if begun.elapsed() > within && !sending {
+            if started.elapsed() > within && !sending {
                 let state = format!("{answered} of {all} answered");
                 return Err(StepError::TimedOut { within, state });
             }
-            actix_rt::time::sleep(LOOK_PAUSE).await;
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    async fn check_same(&self, first: &str, second: &str) -> Result<(), StepError> {
+    async fn check_same_answer(&self, first: &str, second: &str) -> Result<(), StepError> {
         let first = self.answers(first).await?;
         let second = self.answers(second).await?;
         let mut answers = first
@@ -104,9 +104,9 @@
     ) -> Result<(), StepError> {
         let (mut count, mut state) = (0, Vec::new());
         for name in names {
-            let end = self.change_end(name).await?;
-            count += usize::from(ends.contains(&end.0));
-            state.push(format!("{name} {:?}: {}", end.0, end.1));
+            let outcome = self.change_outcome(name).await?;
+            count += usize::from(ends.contains(&outcome.0));
+            state.push(format!("{name} {:?}: {}", outcome.0, outcome.1));
         }
         let bound = bound.unwrap_or(CountBound::Exactly(names.len()));
         if bound.holds(count) {
@@ -115,19 +115,19 @@
         Err(StepError::Unexpected(state.join(", ")))
     }
 
-    async fn change_end(&self, name: &str) -> Result<(ChangeStatus, String), StepError> {
-        let begun = Instant::now();
+    async fn change_outcome(&self, name: &str) -> Result<(ChangeStatus, String), StepError> {
+        let started = Instant::now();
         loop {
-            if let Some(end) = self.load.change(name)? {
-                return Ok((end.status, end.message));
+            if let Some(outcome) = self.load.change_outcome(name)? {
+                return Ok((outcome.status, outcome.message));
             }
-            if begun.elapsed() > CHANGE_LIMIT {
+            if started.elapsed() > CHANGE_TIMEOUT {
                 return Err(StepError::TimedOut {
-                    within: CHANGE_LIMIT,
-                    state: format!("change {name} is under way"),
+                    within: CHANGE_TIMEOUT,
+                    state: format!("change {name} is still under way"),
                 });
             }
-            actix_rt::time::sleep(LOOK_PAUSE).await;
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
@@ -142,7 +142,10 @@
         let Some(answer) = &submission.answer else {
             continue;
         };
-        if expected.iter().any(|expected| fits(answer, expected)) {
+        if expected
+            .iter()
+            .any(|expected| matches_expected(answer, expected))
+        {
             count += 1;
         } else {
             others.push(format!("{} {}", submission.name, describe(answer)));
@@ -159,13 +162,13 @@
     )))
 }
 
-/// Whether an answer is the expected one.
-pub(super) fn fits(answer: &AnswerRecord, expected: &ExpectedAnswer) -> bool {
+/// Whether an answer has the expected status and, where one is expected, the expected reason.
+pub(super) fn matches_expected(answer: &AnswerRecord, expected: &ExpectedAnswer) -> bool {
     let reason = expected.reason.as_ref();
     answer.status == expected.status && reason.is_none_or(|reason| *reason == answer.reason)
 }
 
-/// An answer in words.
+/// An answer as text.
 pub(super) fn describe(answer: &AnswerRecord) -> String {
     format!("{:?} {}", answer.status, answer.reason)
         .trim_end()
--- a/crates/scenario/src/runner/mod.rs
+++ b/crates/scenario/src/runner/mod.rs
@@ -1,4 +1,4 @@
-//! Runs a scenario against real processes and checks every promise at its end.
+//! Runs a scenario against real processes and then checks every promise.
 
 mod conditions;
 mod expectations;
@@ -13,64 +13,64 @@
 
 use crate::{
     error::StepError,
-    load::{CallerLoad, DoorState, EntryDoor},
+    load::{BackendState, CallerLoad, EntryBackend},
     operator,
     process::{ChildProcess, ChildSignal, ProcessName},
     promises::{check_promises, BrokenPromise, PromiseLimits},
     record::RunRecord,
     script::{AnswerStatus, ContractLine, Script, ScriptLine, Setup, Statement},
-    world::ScenarioWorld,
+    testbed::ScenarioTestbed,
 };
 
-/// The time between two looks at a condition.
-const LOOK_PAUSE: Duration = Duration::from_millis(10);
-/// How long processes may take to end once told to, which is more than their drain limit.
-const EXIT_LIMIT: Duration = Duration::from_secs(15);
-/// The seed where neither the scenario nor the settings name one.
+/// Interval at which conditions are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// How long processes may take to end once told to. It is longer than their drain limit.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(15);
+/// The seed if neither the settings nor the scenario set one.
 const DEFAULT_SEED: u64 = 1;
 
 /// Settings of a run.
 #[derive(Clone, Debug)]
 pub struct RunSettings {
-    /// The binary `cairnpaddle`.
+    /// The path of the `cairnpaddle` binary.
     pub binary: PathBuf,
-    /// A directory for settings files and logs, of this run alone.
+    /// A directory for settings files and logs, used by this run only.
     pub dir: PathBuf,
-    /// The seed, before that of the scenario.
+    /// The seed; overrides that of the scenario.
     pub seed: Option<u64>,
-    /// What the promise checks allow for.
+    /// Tolerances of the promise checks.
     pub limits: PromiseLimits,
 }
 
 /// A step that failed.
 #[derive(Debug)]
 pub struct StepFailure {
-    /// The line, from 1; 0 for the set-up.
+    /// The line number, from 1; 0 for the set-up.
     pub line: usize,
     /// The text of the line.
     pub text: String,
-    /// Why.
+    /// The error.
     pub cause: StepError,
 }
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Debug)]
 pub struct RunReport {
     /// The seed that was used.
     pub seed: u64,
-    /// How long it took.
+    /// The duration of the run.
     pub took: Duration,
-    /// What it left behind.
+    /// The records on which the promises were checked.
     pub record: RunRecord,
-    /// The step that failed, after which no other was made.
+    /// The step that failed; the run stops at the first failure.
     pub failure: Option<StepFailure>,
-    /// The promises that did not hold.
+    /// The violations of promises.
     pub broken: Vec<BrokenPromise>,
 }
 
 impl RunReport {
     /// Whether every step and every promise held.
-    pub fn is_good(&self) -> bool {
+    pub fn passed(&self) -> bool {
         self.failure.is_none() && self.broken.is_empty()
     }
 
@@ -110,36 +110,36 @@
     }
 }
 
-/// Runs a scenario. Call it inside an actix `System`.
+/// Runs a scenario. It must be called inside an actix `System`.
 ///
 /// # Errors
 ///
-/// The stand-ins cannot be started. Whatever goes wrong afterwards is in the report.
+/// Fails if the stand-ins cannot be started. Later failures are in the report.
 pub async fn run_script(script: &Script, settings: RunSettings) -> io::Result<RunReport> {
-    let begun = Instant::now();
+    let started = Instant::now();
     let limits = settings.limits;
     let mut run = ScenarioRun::new(script, settings)?;
-    let watch = actix_rt::spawn(run.load.clone().watch_contracts());
-    let failure = run.make_steps(script).await;
-    let record = run.end(limits.answer_margin).await;
-    watch.abort();
+    let contract_poll = actix_rt::spawn(run.load.clone().poll_contracts());
+    let failure = run.run_steps(script).await;
+    let record = run.finish(limits.answer_margin).await;
+    contract_poll.abort();
     let broken = check_promises(&record, &limits);
     Ok(RunReport {
         seed: run.seed,
-        took: begun.elapsed(),
+        took: started.elapsed(),
         record,
         failure,
         broken,
     })
 }
 
-/// A scenario under way.
+/// A running scenario.
 struct ScenarioRun {
     seed: u64,
-    world: ScenarioWorld,
+    testbed: ScenarioTestbed,
     load: CallerLoad,
     contracts: Vec<ContractLine>,
-    /// Counts the small jobs sent to ask how entries answer.
+    /// The number of probe jobs sent, used to give each its own name.
     probes: usize,
 }
 
@@ -159,27 +159,27 @@
             }
         }
         let seed = settings.seed.or(seed).unwrap_or(DEFAULT_SEED);
-        let world = ScenarioWorld::build(script, fields, settings.binary, settings.dir)?;
-        let mut doors = Vec::new();
-        for vm in &world.vms {
-            doors.push(EntryDoor {
+        let testbed = ScenarioTestbed::build(script, fields, settings.binary, settings.dir)?;
+        let mut backends = Vec::new();
+        for vm in &testbed.vms {
+            backends.push(EntryBackend {
                 vm: vm.name.clone(),
                 address: vm.caller,
-                state: DoorState::Closed,
+                state: BackendState::Down,
             });
         }
-        let load = CallerLoad::new(seed, doors);
+        let load = CallerLoad::new(seed, backends);
         Ok(Self {
             seed,
-            world,
+            testbed,
             load,
             contracts,
             probes: 0,
         })
     }
 
-    async fn make_steps(&mut self, script: &Script) -> Option<StepFailure> {
-        if let Err(cause) = self.make_contracts().await {
+    async fn run_steps(&mut self, script: &Script) -> Option<StepFailure> {
+        if let Err(cause) = self.create_contracts().await {
             return Some(StepFailure {
                 line: 0,
                 text: "contracts of the set-up".to_owned(),
@@ -196,7 +196,7 @@
                 continue;
             };
             log::info!("scenario: line {number}: {text}");
-            if let Err(cause) = self.make_step(step).await {
+            if let Err(cause) = self.run_step(step).await {
                 return Some(StepFailure {
                     line: *number,
                     text: text.clone(),
@@ -207,52 +207,52 @@
         None
     }
 
-    async fn make_contracts(&self) -> Result<(), StepError> {
-        let platform = self.world.platform.address();
+    async fn create_contracts(&self) -> Result<(), StepError> {
+        let platform = self.testbed.platform.address();
         for line in &self.contracts {
-            let made = operator::create(platform, line).await;
-            made.map_err(StepError::Contract)?;
+            let made = operator::create_contract(platform, line).await;
+            made.map_err(StepError::ContractNotCreated)?;
         }
         Ok(())
     }
 
-    /// Waits for the answers, ends every process as a planned stop does, and gathers what is left behind.
-    async fn end(&mut self, margin: Duration) -> RunRecord {
+    /// Waits for the answers, stops every process as in a planned stop, and collects the records.
+    async fn finish(&mut self, margin: Duration) -> RunRecord {
         while !self.load.is_settled(margin) {
-            actix_rt::time::sleep(LOOK_PAUSE).await;
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
         let submissions = self.load.records();
-        self.end_processes().await;
+        self.stop_processes().await;
         RunRecord {
             submissions,
-            endpoints: self.world.records(),
-            sightings: self.load.sightings(),
-            exits: self.world.take_exits(),
+            endpoints: self.testbed.records(),
+            observations: self.load.observations(),
+            exits: self.testbed.take_exits(),
         }
     }
 
-    async fn end_processes(&mut self) {
-        for process in self.world.processes() {
+    async fn stop_processes(&mut self) {
+        for process in self.testbed.processes() {
             if process.is_frozen() {
-                signal_at_end(process, ChildSignal::Thaw);
+                signal_for_shutdown(process, ChildSignal::Thaw);
             }
             if !process.is_ending() {
-                signal_at_end(process, ChildSignal::Terminate);
+                signal_for_shutdown(process, ChildSignal::Terminate);
             }
         }
-        let begun = Instant::now();
-        while begun.elapsed() < EXIT_LIMIT {
-            let mut processes = self.world.processes().into_iter();
+        let started = Instant::now();
+        while started.elapsed() < EXIT_TIMEOUT {
+            let mut processes = self.testbed.processes().into_iter();
             if processes.all(|process| process.has_ended()) {
                 return;
             }
-            actix_rt::time::sleep(LOOK_PAUSE).await;
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-fn signal_at_end(process: &mut ChildProcess<ProcessName>, signal: ChildSignal) {
+fn signal_for_shutdown(process: &mut ChildProcess<ProcessName>, signal: ChildSignal) {
     if let Err(error) = process.signal(signal) {
-        log::warn!("scenario: {signal:?} to {}: {error}", process.name());
+        log::warn!("scenario: {signal:?} to {} failed: {error}", process.name());
     }
 }
--- a/crates/scenario/src/runner/steps.rs
+++ b/crates/scenario/src/runner/steps.rs
@@ -1,18 +1,18 @@
-//! What each step does.
+//! Execution of steps.
 
 use std::time::{Duration, Instant};
 
 use stand_ins::{
-    endpoint::{Fault, FaultOrder, TaskScript},
-    forwarder::{LinkMode, OpenWay},
+    endpoint::{Fault, FaultRequest, TaskScript},
+    forwarder::{LinkMode, OpenDirection},
     platform::{DownMode, FaultSettings, RacingWrite},
 };
 
-use super::{ScenarioRun, LOOK_PAUSE};
+use super::{ScenarioRun, POLL_INTERVAL};
 use crate::{
     caller,
     error::StepError,
-    load::DoorState,
+    load::BackendState,
     operator,
     process::{ChildSignal, ProcessName},
     script::{
@@ -21,11 +21,11 @@
     },
 };
 
-/// How long a process may take to become ready.
-const READY_LIMIT: Duration = Duration::from_secs(10);
+/// How long processes may take to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl ScenarioRun {
-    pub(super) async fn make_step(&mut self, step: &Step) -> Result<(), StepError> {
+    pub(super) async fn run_step(&mut self, step: &Step) -> Result<(), StepError> {
         match step {
             Step::Start { target, unready } => self.start(target, *unready).await,
             Step::Ticket(step) => self.get_ticket(step).await,
@@ -36,10 +36,12 @@
             Step::Freeze(target) => self.signal(target, ChildSignal::Freeze),
             Step::Thaw(target) => self.signal(target, ChildSignal::Thaw),
             Step::Link(step) => self.change_link(step).await,
-            Step::Heal => self.world.order_link(None, LinkMode::Pass).await,
+            Step::Heal => self.testbed.set_link_mode(None, LinkMode::Pass).await,
             Step::Platform(step) => {
-                change_faults(&mut self.world.faults, step);
-                self.world.platform.set_faults(self.world.faults.clone());
+                change_faults(&mut self.testbed.faults, step);
+                self.testbed
+                    .platform
+                    .set_faults(self.testbed.faults.clone());
                 Ok(())
             }
             Step::Endpoint(step) => self.change_endpoint(step).await,
@@ -50,53 +52,54 @@
     }
 
     async fn start(&mut self, target: &ProcessTarget, unready: bool) -> Result<(), StepError> {
-        let names = self.world.targets(target)?;
+        let names = self.testbed.targets(target)?;
         for name in &names {
-            self.world.start(name)?;
+            self.testbed.start(name)?;
             if name.role == ProcessRole::Entry {
-                self.load.set_door(&name.vm, DoorState::Unready);
+                self.load.set_backend_state(&name.vm, BackendState::Unready);
             }
         }
         if unready {
             return Ok(());
         }
-        let begun = Instant::now();
+        let started = Instant::now();
         for name in &names {
             while !self.is_ready(name).await? {
-                if begun.elapsed() > READY_LIMIT || !self.world.is_running(name)? {
+                if started.elapsed() > READY_TIMEOUT || !self.testbed.is_running(name)? {
                     return Err(StepError::TimedOut {
-                        within: begun.elapsed(),
-                        state: format!("{name} is not ready, {}", self.world.describe(name)),
+                        within: started.elapsed(),
+                        state: format!("{name} is not ready, {}", self.testbed.describe(name)),
                     });
                 }
-                actix_rt::time::sleep(LOOK_PAUSE).await;
+                actix_rt::time::sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
     }
 
-    /// Asks a process whether it is ready, and tells the callers of an entry that is.
+    /// Probes whether a process is ready. A ready entry becomes a ready backend of the load balancer.
     pub(super) async fn is_ready(&mut self, name: &ProcessName) -> Result<bool, StepError> {
-        let address = self.world.vm(&name.vm)?.probe_address(name.role);
+        let address = self.testbed.vm(&name.vm)?.probe_address(name.role);
         let ready = caller::probe(address, "ready").await;
         if ready && name.role == ProcessRole::Entry {
-            self.load.set_door(&name.vm, DoorState::Open);
+            self.load.set_backend_state(&name.vm, BackendState::Ready);
         }
         Ok(ready)
     }
 
     async fn get_ticket(&mut self, step: &TicketStep) -> Result<(), StepError> {
-        let door = self.load.door(step.via.as_ref())?;
-        let ticket = caller::ticket(door.address, &step.customer).await;
+        let backend = self.load.backend(step.via.as_ref())?;
+        let ticket = caller::get_ticket(backend.address, &step.customer).await;
         let ticket = ticket.map_err(StepError::NoTicket)?;
-        self.load.keep_ticket(&step.name, &step.customer, ticket);
+        self.load.store_ticket(&step.name, &step.customer, ticket);
         Ok(())
     }
 
-    /// Cancels what has no answer yet. A caller learns the id of a job only with its answer, so the id is taken from
-    /// the endpoints' records: a job of which nothing has started is left alone.
+    /// Cancels the submissions of a group that have no answer yet. A caller learns the id of a submission only with its
+    /// answer, so the id is taken from the endpoints' records, and a submission of which no task has started is not
+    /// cancelled.
     fn cancel(&mut self, group: &str) -> Result<(), StepError> {
-        let records = self.world.records();
+        let records = self.testbed.records();
         for submission in self.load.group(group)? {
             if submission.answer.is_some() {
                 continue;
@@ -113,71 +116,71 @@
                 continue;
             };
             let id = start.attempt.submission;
-            let door = self.load.door(Some(&submission.via))?;
-            actix_rt::spawn(caller::cancel(door.address, !submission.request, id));
+            let backend = self.load.backend(Some(&submission.via))?;
+            actix_rt::spawn(caller::cancel(backend.address, !submission.request, id));
         }
         Ok(())
     }
 
     fn signal(&mut self, target: &ProcessTarget, signal: ChildSignal) -> Result<(), StepError> {
-        for name in self.world.targets(target)? {
-            self.world.signal(&name, signal)?;
+        for name in self.testbed.targets(target)? {
+            self.testbed.signal(&name, signal)?;
             if name.role != ProcessRole::Entry {
                 continue;
             }
             let state = match signal {
-                ChildSignal::Thaw => DoorState::Open,
-                _ => DoorState::Closed,
+                ChildSignal::Thaw => BackendState::Ready,
+                _ => BackendState::Down,
             };
-            self.load.set_door(&name.vm, state);
+            self.load.set_backend_state(&name.vm, state);
             if matches!(signal, ChildSignal::Kill | ChildSignal::Freeze) {
-                self.load.disturb(&name.vm);
+                self.load.mark_entry_down(&name.vm);
             }
         }
         Ok(())
     }
 
     async fn change_link(&mut self, step: &LinkStep) -> Result<(), StepError> {
-        for (link, forward) in self.world.links_between(&step.from, &step.to)? {
+        for (link, forward) in self.testbed.links_between(&step.from, &step.to)? {
             let mode = match step.change {
                 LinkChange::Cut(connects) => LinkMode::Cut { connects },
                 LinkChange::CutOneWay if forward => LinkMode::OneWay {
-                    open: OpenWay::Back,
+                    open: OpenDirection::Back,
                 },
                 LinkChange::CutOneWay => LinkMode::OneWay {
-                    open: OpenWay::Forward,
+                    open: OpenDirection::Forward,
                 },
                 LinkChange::Delay(time) => LinkMode::Delay {
                     ms: u64::try_from(time.as_millis()).unwrap_or(u64::MAX),
                 },
                 LinkChange::Reset => LinkMode::Reset,
             };
-            self.world.order_link(Some(link), mode).await?;
+            self.testbed.set_link_mode(Some(link), mode).await?;
         }
         Ok(())
     }
 
     async fn change_endpoint(&mut self, step: &EndpointStep) -> Result<(), StepError> {
-        let endpoint = self.world.endpoint(&step.name)?;
+        let endpoint = self.testbed.endpoint(&step.name)?;
         match step.change {
-            EndpointChange::Fault(order) => endpoint.stand_in.order_fault(order),
+            EndpointChange::Fault(order) => endpoint.stand_in.set_fault(order),
             EndpointChange::Stop => endpoint.stand_in.stop().await,
             EndpointChange::Leave => {
-                let order = FaultOrder::always(Fault::LeavingSilently);
-                endpoint.stand_in.order_fault(order);
-                self.world.leave(&step.name)?;
+                let order = FaultRequest::always(Fault::LeavingSilently);
+                endpoint.stand_in.set_fault(order);
+                self.testbed.mark_leaving(&step.name)?;
             }
         }
         Ok(())
     }
 
     fn change_contract(&mut self, step: &ChangeStep) -> Result<(), StepError> {
-        let door = self.load.door(step.via.as_ref())?;
-        self.load.change_begins(&step.name);
+        let backend = self.load.backend(step.via.as_ref())?;
+        self.load.record_change_start(&step.name);
         let (load, step) = (self.load.clone(), step.clone());
         actix_rt::spawn(async move {
-            let end = operator::change(door.address, &step.line).await;
-            load.change_ends(&step.name, end);
+            let outcome = operator::change_contract(backend.address, &step.line).await;
+            load.record_change_outcome(&step.name, outcome);
         });
         Ok(())
     }
--- a/crates/scenario/src/world.rs
+++ b/crates/scenario/src/testbed.rs
@@ -1,4 +1,4 @@
-//! The world of a run: stand-ins, links and the VMs with their processes.
+//! The testbed of a run: stand-ins, links and the VMs with their processes.
 
 use std::{
     fs, io,
@@ -9,7 +9,7 @@
 use model::{EndpointState, FastMap, VmEntry, VmRole};
 use stand_ins::{
     endpoint::{EndpointRecord, EndpointSettings, EndpointStandIn},
-    forwarder::{LinkMode, LinkOrder, NetForwarder},
+    forwarder::{LinkMode, LinkRequest, NetForwarder},
     platform::{FaultSettings, PlatformSettings, PlatformStandIn},
 };
 
@@ -18,7 +18,7 @@
     places::{PlaceMap, PlaceName, PLATFORM},
     platform_view::{EndpointLinks, PlatformView},
     process::{ChildPlan, ChildProcess, ChildSignal, ProcessName},
-    process_files::{self, VmFile},
+    process_settings::{self, VmSettings},
     record::ExitRecord,
     script::{
         DataCentreLine, Label, ProcessRole, ProcessTarget, Script, SettingLine, Setup, Statement,
@@ -26,16 +26,16 @@
     sources::SourceList,
 };
 
-/// A VM of the system.
+/// A VM with its addresses and its two processes.
 pub(crate) struct VmNode {
     pub(crate) name: Label,
     pub(crate) data_centre: Label,
     pub(crate) caller: SocketAddr,
     peer: SocketAddr,
-    /// Where others reach its dispatcher: behind links, or the same.
+    /// The address at which others reach its dispatcher: that of the shared links in front of it, or `peer`.
     announced: SocketAddr,
     admin: SocketAddr,
-    /// The platform as seen from here, behind a link where a step names it.
+    /// The address of the platform for this VM: behind a proxy or a link where the scenario needs one.
     pub(crate) platform: SocketAddr,
     _view: Option<PlatformView>,
     entry: Option<ChildProcess<ProcessName>>,
@@ -51,8 +51,8 @@
     slots: u32,
 }
 
-/// Everything that runs.
-pub(crate) struct ScenarioWorld {
+/// The stand-ins, links and processes of a run.
+pub(crate) struct ScenarioTestbed {
     pub(crate) platform: PlatformStandIn,
     pub(crate) faults: FaultSettings,
     pub(crate) forwarder: NetForwarder,
@@ -64,11 +64,11 @@
     settings: Vec<SettingLine>,
     binary: PathBuf,
     dir: PathBuf,
-    /// Processes that have ended and been replaced.
+    /// Exits of processes that have been replaced.
     exits: Vec<ExitRecord>,
 }
 
-/// Where a link goes: from a VM to an endpoint, the platform or another VM.
+/// The two ends of a link: from a VM to an endpoint, the platform or another VM.
 struct LinkEnds {
     name: String,
     from: Label,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Where the process of a role answers probes.
+    /// The address at which the process of a role answers probes.
     pub(crate) fn probe_address(&self, role: ProcessRole) -> SocketAddr {
         match role {
             ProcessRole::Entry => self.caller,
@@ -92,8 +92,8 @@
     }
 }
 
-impl ScenarioWorld {
-    /// Starts the stand-ins and links; no process yet.
+impl ScenarioTestbed {
+    /// Starts the stand-ins and links, but no process.
     pub(crate) fn build(
         script: &Script,
         settings: Vec<SettingLine>,
@@ -102,7 +102,7 @@
     ) -> io::Result<Self> {
         fs::create_dir_all(&dir)?;
         let platform = PlatformStandIn::start(PlatformSettings::default())?;
-        let mut world = Self {
+        let mut testbed = Self {
             platform,
             faults: FaultSettings::default(),
             forwarder: NetForwarder::start()?,
@@ -118,14 +118,14 @@
         };
         for line in &script.lines {
             if let Statement::Setup(Setup::DataCentre(line)) = &line.statement {
-                world.add_endpoints(line)?;
+                testbed.add_endpoints(line)?;
             }
         }
-        for place in world.places.vms.clone() {
-            world.add_vm(place)?;
+        for place in testbed.places.vms.clone() {
+            testbed.add_vm(place)?;
         }
-        world.publish_vms();
-        Ok(world)
+        testbed.publish_vms();
+        Ok(testbed)
     }
 
     fn add_endpoints(&mut self, line: &DataCentreLine) -> io::Result<()> {
@@ -149,7 +149,7 @@
 
     fn add_vm(&mut self, place: PlaceName) -> io::Result<()> {
         let PlaceName { name, data_centre } = place;
-        let mut seen = EndpointLinks::default();
+        let mut endpoint_links = EndpointLinks::default();
         for index in 0..self.endpoints.len() {
             let endpoint = &self.endpoints[index];
             if !self.places.is_linked(&name, &endpoint.name) {
@@ -157,11 +157,11 @@
             }
             let (to, target) = (endpoint.name.clone(), endpoint.stand_in.address());
             let address = self.add_link(&name, &to, target)?;
-            seen.insert(to, address);
+            endpoint_links.insert(to, address);
         }
         let (mut platform, mut view) = (self.platform.address(), None);
-        if !seen.is_empty() {
-            let started = PlatformView::start(platform, &seen)?;
+        if !endpoint_links.is_empty() {
+            let started = PlatformView::start(platform, &endpoint_links)?;
             platform = started.address();
             view = Some(started);
         }
@@ -185,8 +185,8 @@
         Ok(())
     }
 
-    /// Puts links from the other VMs in front of a dispatcher, where a step names them. Dispatchers know each other by
-    /// one address, so the links share one.
+    /// Adds links from other VMs to a dispatcher, where a step names them, and returns the address to announce. A
+    /// dispatcher has one address for all its peers, so the links share it.
     fn add_peer_links(&mut self, to: &str, peer: SocketAddr) -> io::Result<SocketAddr> {
         let mut links = Vec::new();
         for vm in &self.places.vms {
@@ -197,9 +197,9 @@
         if links.is_empty() {
             return Ok(peer);
         }
-        if !process_files::can_announce() {
+        if !process_settings::can_announce() {
             return Err(io::Error::other(
-                "links between VMs need the setting peer_announce of dispatchers",
+                "links between VMs require the dispatcher setting peer_announce",
             ));
         }
         let finder = self.sources.finder();
@@ -222,7 +222,7 @@
         Ok(address)
     }
 
-    /// Tells the platform which VMs there are.
+    /// Publishes the list of VMs and endpoints to the platform.
     pub(crate) fn publish_vms(&self) {
         let mut list = Vec::new();
         for vm in &self.vms {
@@ -261,7 +261,7 @@
     }
 
     /// Marks an endpoint as leaving in the VM list.
-    pub(crate) fn leave(&mut self, name: &str) -> Result<(), StepError> {
+    pub(crate) fn mark_leaving(&mut self, name: &str) -> Result<(), StepError> {
         let found = self
             .endpoints
             .iter_mut()
@@ -272,11 +272,11 @@
         Ok(())
     }
 
-    /// The processes that a target names, dispatchers first: an entry is ready once it has one.
+    /// The processes of a target. Dispatchers come first, because an entry becomes ready only when it has one.
     pub(crate) fn targets(&self, target: &ProcessTarget) -> Result<Vec<ProcessName>, StepError> {
-        let both = [ProcessRole::Dispatcher, ProcessRole::Entry];
+        let roles = [ProcessRole::Dispatcher, ProcessRole::Entry];
         let mut names = Vec::new();
-        for role in both {
+        for role in roles {
             for vm in &self.vms {
                 let named = match target {
                     ProcessTarget::All => true,
@@ -297,7 +297,7 @@
         Ok(names)
     }
 
-    /// Starts a process, in the place of one that has ended.
+    /// Starts a process. An ended process of the same name is replaced and its exit recorded.
     pub(crate) fn start(&mut self, name: &ProcessName) -> Result<(), StepError> {
         let settings = self
             .dir
@@ -309,9 +309,9 @@
         let binary = self.binary.clone();
         let slot = self.vm(&name.vm)?.process(name.role);
         if slot.as_mut().is_some_and(|process| !process.has_ended()) {
-            return Err(StepError::Running(name.to_string()));
+            return Err(StepError::AlreadyRunning(name.to_string()));
         }
-        let before = slot.take();
+        let previous = slot.take();
         let process = ChildProcess::start(
             name.clone(),
             ChildPlan {
@@ -323,8 +323,8 @@
         )?;
         let pid = process.pid();
         *slot = Some(process);
-        self.sources.add(pid, &name.vm);
-        self.exits.extend(before.map(ChildProcess::into_exit));
+        self.sources.add_process(pid, &name.vm);
+        self.exits.extend(previous.map(ChildProcess::into_exit));
         Ok(())
     }
 
@@ -336,7 +336,7 @@
             .map(|vm| (vm.announced, vm.data_centre.clone()));
         let dispatchers = dispatchers.collect();
         let vm = self.vm(&name.vm)?;
-        let file = VmFile {
+        let settings = VmSettings {
             vm: &vm.name,
             data_centre: &vm.data_centre,
             caller: vm.caller,
@@ -346,7 +346,7 @@
             platform: vm.platform,
             dispatchers,
         };
-        Ok(file.write(name.role, &lines, path)?)
+        Ok(settings.write(name.role, &lines, path)?)
     }
 
     pub(crate) fn signal(
@@ -367,13 +367,13 @@
         Ok(())
     }
 
-    /// Whether a process is there and has not ended.
+    /// Whether a process was started and has not ended.
     pub(crate) fn is_running(&mut self, name: &ProcessName) -> Result<bool, StepError> {
         let slot = self.vm(&name.vm)?.process(name.role);
         Ok(slot.as_mut().is_some_and(|process| !process.has_ended()))
     }
 
-    /// How a process stands, in words.
+    /// The state of a process as text.
     pub(crate) fn describe(&mut self, name: &ProcessName) -> String {
         match self.vm(&name.vm).map(|vm| vm.process(name.role)) {
             Ok(Some(process)) => process.describe(),
@@ -381,7 +381,7 @@
         }
     }
 
-    /// Every process that is there.
+    /// Every process that was started and not replaced, whether or not it has ended.
     pub(crate) fn processes(&mut self) -> Vec<&mut ChildProcess<ProcessName>> {
         let mut list = Vec::new();
         for vm in &mut self.vms {
@@ -391,7 +391,7 @@
         list
     }
 
-    /// Takes every process away and gives how each ended; what still runs is killed.
+    /// Removes every process and returns all exits of the run. Processes that still run are killed.
     pub(crate) fn take_exits(&mut self) -> Vec<ExitRecord> {
         let mut exits = std::mem::take(&mut self.exits);
         for vm in &mut self.vms {
@@ -409,7 +409,7 @@
             .collect()
     }
 
-    /// The links between two places, each with whether it runs from the first to the second.
+    /// The links between two places, each with whether its direction is from the first place to the second.
     pub(crate) fn links_between(&self, a: &str, b: &str) -> Result<Vec<(String, bool)>, StepError> {
         let (a_members, b_members) = (self.places.members(a)?, self.places.members(b)?);
         let mut links = Vec::new();
@@ -426,13 +426,13 @@
         Ok(links)
     }
 
-    pub(crate) async fn order_link(
+    pub(crate) async fn set_link_mode(
         &self,
         link: Option<String>,
         mode: LinkMode,
     ) -> Result<(), StepError> {
-        let order = LinkOrder { link, mode };
-        let result = self.forwarder.order(order).await;
+        let order = LinkRequest { link, mode };
+        let result = self.forwarder.apply(order).await;
         result.map_err(|error| StepError::UnknownPlace(error.0))
     }
 }
@@ -448,7 +448,8 @@
     })
 }
 
-/// Addresses that were free a moment ago: bound by the system all at once, so that they differ, then let go.
+/// Returns three free loopback addresses. All are bound at the same time, so that they differ, and then released, so
+/// another process could still take one.
 fn free_addresses() -> io::Result<[SocketAddr; 3]> {
     let bind = || TcpListener::bind((Ipv4Addr::LOCALHOST, 0));
     let listeners = [bind()?, bind()?, bind()?];
@@ -459,5 +460,5 @@
     ])
 }
 
-/// Names to look things up by.
+/// A map keyed by scenario names.
 pub(crate) type NameMap<V> = FastMap<Label, V>;
--- a/crates/scenario/tests/promises.rs
+++ b/crates/scenario/tests/promises.rs
@@ -1,11 +1,13 @@
-//! Each promise check, seen to pass on a good record and to fail on one with a violation made by hand.
+//! Each promise check passes on a good record and reports a record with a violation made by hand.
 
 use std::time::Duration;
 
 use model::{AttemptId, ContractVersion, IncarnationId, SubmissionId};
 use scenario::{
     promises::{check_promises, PromiseLimits},
-    record::{AnswerRecord, ExitCause, ExitRecord, RunRecord, SubmissionRecord, VersionSighting},
+    record::{
+        AnswerRecord, ExitCause, ExitRecord, RunRecord, SubmissionRecord, VersionObservation,
+    },
     script::AnswerStatus,
 };
 use stand_ins::endpoint::{digest, EndpointRecord, RunEnd, StartRecord};
@@ -66,7 +68,7 @@
     }
 }
 
-/// A job of two tasks that completed, and a request that completed; all is well.
+/// A record without violations: a completed job of two tasks and a completed request.
 fn good_record() -> RunRecord {
     let job = SubmissionRecord {
         group: "j1".to_owned(),
@@ -83,7 +85,7 @@
         }),
         sent: Duration::ZERO,
         took: Duration::from_millis(20),
-        disturbed: false,
+        entry_down: false,
     };
     let request = SubmissionRecord {
         group: "r1".to_owned(),
@@ -106,12 +108,12 @@
             ),
             endpoint("east-e2", vec![start(1, 1, 1, "j1#1")]),
         ],
-        sightings: Vec::new(),
+        observations: Vec::new(),
         exits: Vec::new(),
     }
 }
 
-/// Changes the good record and checks what is found, one line a broken promise.
+/// Changes the good record and compares the violations found, as sorted lines.
 fn check(change: impl FnOnce(&mut RunRecord), expect: &[&str]) {
     let mut record = good_record();
     change(&mut record);
@@ -123,8 +125,8 @@
     assert_eq!(found, expect);
 }
 
-fn sighting(vm: &str, version: u64) -> VersionSighting {
-    VersionSighting {
+fn observation(vm: &str, version: u64) -> VersionObservation {
+    VersionObservation {
         vm: vm.to_owned(),
         customer: "c1".parse().unwrap(),
         version: ContractVersion(version),
@@ -152,9 +154,8 @@
     );
 }
 
-// What the caller sees: one hold, placed twice.
-// Order: two submissions with one key reach two entries, and both start.
-// Why: each task of each submission started once, so only the label in the payload shows it.
+// Two submissions with the same key reach two entries and both start, so one hold is placed twice. Each task of each
+// submission started once, so only the label in the payload shows it.
 #[test]
 fn a_request_that_ran_under_two_submissions_is_found() {
     check(
@@ -241,11 +242,10 @@
     );
 }
 
-// What the caller sees: its retry with the same key is refused, though the first try ran.
-// Order: r1 runs; r2, with the same key and body, is refused before it could be recorded.
-// Why: "not run" is said of r2, which has a submission id of its own, and is true.
+// r1 runs; its retry r2, with the same key and body, is refused before it could be recorded. The refusal is about r2,
+// which has its own submission id and did not run.
 #[test]
-fn a_refused_retry_of_a_request_that_ran_is_right() {
+fn a_refused_retry_of_a_request_that_ran_is_no_violation() {
     check(
         |record| {
             let mut retry = record.submissions[1].clone();
@@ -272,12 +272,12 @@
 }
 
 #[test]
-fn an_answer_lost_with_its_entry_is_right_and_one_lost_otherwise_is_found() {
+fn an_answer_lost_with_its_entry_is_no_violation_and_one_lost_otherwise_is_found() {
     check(
         |record| {
             record.submissions[0].answer = Some(answer(1, AnswerStatus::Lost));
             record.submissions[1].answer = Some(answer(2, AnswerStatus::Lost));
-            record.submissions[1].disturbed = true;
+            record.submissions[1].entry_down = true;
         },
         &["j1 lost its answer without cause: "],
     );
@@ -298,22 +298,22 @@
 fn a_version_that_goes_back_at_one_entry_is_found() {
     check(
         |record| {
-            record.sightings = vec![
-                sighting("east-vm1", 1),
-                sighting("east-vm1", 3),
-                sighting("east-vm2", 2),
-                sighting("east-vm2", 2),
-                sighting("east-vm1", 2),
-                sighting("east-vm1", 3),
+            record.observations = vec![
+                observation("east-vm1", 1),
+                observation("east-vm1", 3),
+                observation("east-vm2", 2),
+                observation("east-vm2", 2),
+                observation("east-vm1", 2),
+                observation("east-vm1", 3),
             ];
         },
         &["east-vm1 showed version 2 of c1's contract after version 3"],
     );
 }
 
-// What the caller sees: a job is accepted under an older contract than the one before it.
-// Order: a job under version 3 is answered; two are sent to the same entry, one before that answer and one after it.
-// Why: only the one that was sent after it shows that the entry went back.
+// A job is accepted under an older contract than the job before it. A job under version 3 is answered; of two more jobs
+// to the same entry, one was sent before that answer and one after it. Only the later one shows that the entry went
+// back to an older version.
 #[test]
 fn a_job_accepted_under_an_older_contract_is_found() {
     let later = |record: &RunRecord, name: &str, sent, version| {
@@ -349,9 +349,9 @@
             Some("east-vm1 entry ended with code None (Terminated)"),
         ),
         (
-            ExitCause::Itself,
+            ExitCause::Unrequested,
             Some(0),
-            Some("east-vm1 entry ended with code Some(0) (Itself)"),
+            Some("east-vm1 entry ended with code Some(0) (Unrequested)"),
         ),
     ];
     for (cause, code, expect) in cases {
--- a/crates/stand-ins/tests/forwarder.rs
+++ b/crates/stand-ins/tests/forwarder.rs
@@ -1,4 +1,4 @@
-//! The network stand-in: what each link mode does to open and to new connections.
+//! The effects of each link mode of the network stand-in on open and new connections.
 
 use std::{
     io,
@@ -7,18 +7,20 @@
     time::{Duration, Instant},
 };
 
-use stand_ins::forwarder::{CutConnect, LinkMode, LinkOrder, NetForwarder, OpenWay, UnknownLink};
+use stand_ins::forwarder::{
+    CutConnect, LinkMode, LinkRequest, NetForwarder, OpenDirection, UnknownLink,
+};
 use tokio::{
     io::{AsyncReadExt as _, AsyncWriteExt as _},
     net::{TcpListener, TcpSocket, TcpStream},
     time::timeout,
 };
 
-/// Long enough for bytes to pass on loopback, and the time for which silence is watched.
-const WATCH: Duration = Duration::from_millis(150);
-const LONG: Duration = Duration::from_secs(5);
+/// How long a connection is watched for silence. Bytes on loopback take less.
+const SILENCE_WINDOW: Duration = Duration::from_millis(150);
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A target that answers each byte by the same byte.
+/// Starts a target that echoes each byte.
 async fn echo_target() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -33,7 +35,7 @@
     address
 }
 
-/// A target that hands out the connections it accepts.
+/// Connects through a new link and returns both ends of the connection.
 async fn open_pair(forwarder: &NetForwarder) -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let link = forwarder
@@ -44,20 +46,22 @@
     (near, far)
 }
 
-async fn order(forwarder: &NetForwarder, mode: LinkMode) {
-    let order = LinkOrder { link: None, mode };
-    forwarder.order(order).await.unwrap();
+async fn set_mode(forwarder: &NetForwarder, mode: LinkMode) {
+    let request = LinkRequest { link: None, mode };
+    forwarder.apply(request).await.unwrap();
 }
 
 async fn echoed(stream: &mut TcpStream, text: &str) -> io::Result<String> {
     stream.write_all(text.as_bytes()).await?;
     let mut bytes = vec![0; text.len()];
-    timeout(LONG, stream.read_exact(&mut bytes)).await??;
+    timeout(READ_TIMEOUT, stream.read_exact(&mut bytes)).await??;
     Ok(String::from_utf8(bytes).unwrap())
 }
 
 async fn is_silent(stream: &mut TcpStream) -> bool {
-    timeout(WATCH, stream.read(&mut [0; 1])).await.is_err()
+    timeout(SILENCE_WINDOW, stream.read(&mut [0; 1]))
+        .await
+        .is_err()
 }
 
 #[actix_rt::test]
@@ -79,14 +83,13 @@
     assert_eq!(status.back_bytes, text.len() as u64);
 }
 
-// What both sides see: silence, no error; after the heal, everything that was written, in order.
-// Order: an open connection, the cut, writes on both sides, the heal.
-// Why: a partition drops packets; it sends no resets, and TCP sends again after it.
+// A partition drops packets without a reset, and TCP retransmits afterwards. So bytes written on both sides of an open
+// connection during a cut must cause no error, and must arrive in order after the link heals.
 #[actix_rt::test]
 async fn cut_holds_bytes_until_the_heal() {
     let forwarder = NetForwarder::start().unwrap();
     let (mut near, mut far) = open_pair(&forwarder).await;
-    order(
+    set_mode(
         &forwarder,
         LinkMode::Cut {
             connects: CutConnect::Hang,
@@ -97,27 +100,25 @@
     far.write_all(b"back").await.unwrap();
     assert!(is_silent(&mut far).await);
     assert!(is_silent(&mut near).await);
-    order(&forwarder, LinkMode::Pass).await;
+    set_mode(&forwarder, LinkMode::Pass).await;
     let (mut there, mut back) = ([0; 5], [0; 4]);
-    timeout(LONG, far.read_exact(&mut there))
+    timeout(READ_TIMEOUT, far.read_exact(&mut there))
         .await
         .unwrap()
         .unwrap();
-    timeout(LONG, near.read_exact(&mut back))
+    timeout(READ_TIMEOUT, near.read_exact(&mut back))
         .await
         .unwrap()
         .unwrap();
     assert_eq!((&there, &back), (b"there", b"back"));
 }
 
-// What the far side sees: nothing of the near side's close until the heal.
-// Order: the cut, the near side closes, the heal.
-// Why: the close is a packet too.
+// A close is a packet too: if the near side closes during a cut, the far side must not see it until the link heals.
 #[actix_rt::test]
-async fn cut_holds_a_close_back() {
+async fn cut_delays_a_close_until_the_heal() {
     let forwarder = NetForwarder::start().unwrap();
     let (near, mut far) = open_pair(&forwarder).await;
-    order(
+    set_mode(
         &forwarder,
         LinkMode::Cut {
             connects: CutConnect::Hang,
@@ -126,24 +127,27 @@
     .await;
     drop(near);
     assert!(is_silent(&mut far).await);
-    order(&forwarder, LinkMode::Pass).await;
-    let count = timeout(LONG, far.read(&mut [0; 1])).await.unwrap().unwrap();
+    set_mode(&forwarder, LinkMode::Pass).await;
+    let count = timeout(READ_TIMEOUT, far.read(&mut [0; 1]))
+        .await
+        .unwrap()
+        .unwrap();
     assert_eq!(count, 0);
 }
 
 #[actix_rt::test]
 async fn one_way_passes_only_that_way() {
-    for open in [OpenWay::Forward, OpenWay::Back] {
+    for open in [OpenDirection::Forward, OpenDirection::Back] {
         let forwarder = NetForwarder::start().unwrap();
         let (mut near, mut far) = open_pair(&forwarder).await;
-        order(&forwarder, LinkMode::OneWay { open }).await;
+        set_mode(&forwarder, LinkMode::OneWay { open }).await;
         near.write_all(b"n").await.unwrap();
         far.write_all(b"f").await.unwrap();
         let (passing, silent) = match open {
-            OpenWay::Forward => (&mut far, &mut near),
-            OpenWay::Back => (&mut near, &mut far),
+            OpenDirection::Forward => (&mut far, &mut near),
+            OpenDirection::Back => (&mut near, &mut far),
         };
-        let count = timeout(LONG, passing.read(&mut [0; 1]))
+        let count = timeout(READ_TIMEOUT, passing.read(&mut [0; 1]))
             .await
             .unwrap()
             .unwrap();
@@ -163,13 +167,13 @@
         ),
         (
             LinkMode::OneWay {
-                open: OpenWay::Forward,
+                open: OpenDirection::Forward,
             },
             None,
         ),
         (
             LinkMode::OneWay {
-                open: OpenWay::Back,
+                open: OpenDirection::Back,
             },
             None,
         ),
@@ -183,14 +187,14 @@
     for (mode, expect) in cases {
         let forwarder = NetForwarder::start().unwrap();
         let link = forwarder.add_link("a-b", echo_target().await).unwrap();
-        order(&forwarder, mode).await;
-        // The second must hang like the first: the first may not have taken the last place of a queue.
+        set_mode(&forwarder, mode).await;
+        // The second must hang like the first, which must not have taken the last place in the accept queue.
         for _ in 0..2 {
-            let connected = timeout(WATCH, TcpStream::connect(link)).await;
+            let connected = timeout(SILENCE_WINDOW, TcpStream::connect(link)).await;
             let error = connected.ok().map(|result| result.unwrap_err().kind());
             assert_eq!(error, expect, "{mode:?}");
         }
-        order(&forwarder, LinkMode::Pass).await;
+        set_mode(&forwarder, LinkMode::Pass).await;
         let mut stream = TcpStream::connect(link).await.unwrap();
         assert_eq!(
             echoed(&mut stream, "again").await.unwrap(),
@@ -204,9 +208,11 @@
 async fn reset_ends_open_connections_and_takes_new_ones() {
     let forwarder = NetForwarder::start().unwrap();
     let (mut near, mut far) = open_pair(&forwarder).await;
-    order(&forwarder, LinkMode::Reset).await;
+    set_mode(&forwarder, LinkMode::Reset).await;
     for stream in [&mut near, &mut far] {
-        let read = timeout(LONG, stream.read(&mut [0; 1])).await.unwrap();
+        let read = timeout(READ_TIMEOUT, stream.read(&mut [0; 1]))
+            .await
+            .unwrap();
         assert_eq!(read.unwrap_err().kind(), io::ErrorKind::ConnectionReset);
     }
     let link = forwarder.add_link("other", echo_target().await).unwrap();
@@ -218,10 +224,10 @@
 async fn delay_counts_each_way_and_does_not_add_up() {
     let forwarder = NetForwarder::start().unwrap();
     let link = forwarder.add_link("a-b", echo_target().await).unwrap();
-    order(&forwarder, LinkMode::Delay { ms: 100 }).await;
+    set_mode(&forwarder, LinkMode::Delay { ms: 100 }).await;
     let mut stream = TcpStream::connect(link).await.unwrap();
     let start = Instant::now();
-    // Many chunks: on their way together, so all take one delay and not one each.
+    // The many chunks are in transit together, so they take one delay in total, not one each.
     let text = "x".repeat(200_000);
     assert_eq!(echoed(&mut stream, &text).await.unwrap().len(), text.len());
     let took = start.elapsed();
@@ -257,17 +263,17 @@
         shown.contains(r#""link":"a-b""#) && shown.contains(r#""mode":"cut""#),
         "{shown}"
     );
-    let unknown = LinkOrder {
+    let unknown = LinkRequest {
         link: Some("a-x".to_owned()),
         mode: LinkMode::Pass,
     };
-    let error = forwarder.order(unknown).await.unwrap_err();
+    let error = forwarder.apply(unknown).await.unwrap_err();
     assert_eq!(error, UnknownLink("a-x".to_owned()));
 }
 
-// What each side sees: of two sources that use one address, only the cut one goes silent.
-// Order: a connection of each, a cut of one link, traffic on both; new connections while it is cut; the heal.
-// Why: dispatchers are known by one address to everybody, and a partition still lies between two of them only.
+// Everybody knows a dispatcher by the same address, yet a partition may separate only two dispatchers. So with two
+// sources that connect to one address, a cut of the link of one must silence its open and new connections until the
+// link heals, and must not affect those of the other.
 #[actix_rt::test]
 async fn shared_links_are_cut_by_source() {
     let forwarder = NetForwarder::start().unwrap();
@@ -296,26 +302,28 @@
     let (mut a, mut b) = (connect("a").await, connect("b").await);
     assert_eq!(echoed(&mut a, "a1").await.unwrap(), "a1");
     assert_eq!(echoed(&mut b, "b1").await.unwrap(), "b1");
-    let order = |mode| LinkOrder {
+    let request = |mode| LinkRequest {
         link: Some("a>target".to_owned()),
         mode,
     };
-    let cut = |connects| order(LinkMode::Cut { connects });
-    forwarder.order(cut(CutConnect::Hang)).await.unwrap();
+    let cut = |connects| request(LinkMode::Cut { connects });
+    forwarder.apply(cut(CutConnect::Hang)).await.unwrap();
     a.write_all(b"a2").await.unwrap();
     let mut new = connect("a").await;
     new.write_all(b"n1").await.unwrap();
     assert!(is_silent(&mut a).await);
     assert!(is_silent(&mut new).await);
     assert_eq!(echoed(&mut b, "b2").await.unwrap(), "b2");
-    forwarder.order(cut(CutConnect::Refuse)).await.unwrap();
+    forwarder.apply(cut(CutConnect::Refuse)).await.unwrap();
     let mut refused = connect("a").await;
-    let read = timeout(LONG, refused.read(&mut [0; 1])).await.unwrap();
+    let read = timeout(READ_TIMEOUT, refused.read(&mut [0; 1]))
+        .await
+        .unwrap();
     assert_eq!(read.unwrap_err().kind(), io::ErrorKind::ConnectionReset);
-    forwarder.order(order(LinkMode::Pass)).await.unwrap();
+    forwarder.apply(request(LinkMode::Pass)).await.unwrap();
     for (stream, expect) in [(&mut a, b"a2"), (&mut new, b"n1")] {
         let mut bytes = [0; 2];
-        timeout(LONG, stream.read_exact(&mut bytes))
+        timeout(READ_TIMEOUT, stream.read_exact(&mut bytes))
             .await
             .unwrap()
             .unwrap();
@@ -323,11 +331,11 @@
     }
 }
 
-/// Finding out who opened a connection reads tables of the kernel, which takes tens of milliseconds on a machine with
-/// many sockets. Bytes of other connections must pass meanwhile: a delay here looks like a silent peer to processes
-/// whose sessions live by answers within half a second.
+/// Finding the source of a connection reads tables of the kernel, which takes tens of milliseconds on a machine with
+/// many sockets. Bytes of other connections must pass meanwhile: sessions need answers within half a second, so a delay
+/// here would make a peer look silent.
 #[actix_rt::test]
-async fn a_slow_search_for_the_source_delays_nobody_else() {
+async fn a_slow_source_search_does_not_delay_other_connections() {
     let forwarder = NetForwarder::start().unwrap();
     let plain = forwarder.add_link("plain", echo_target().await).unwrap();
     let mut open = TcpStream::connect(plain).await.unwrap();
--- a/crates/telemetry/src/traffic.rs
+++ b/crates/telemetry/src/traffic.rs
@@ -5,11 +5,11 @@
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use model::{text_set, WrongReason};
+use model::{text_enum, UnknownVariant};
 
-text_set! {
+text_enum! {
     /// The purpose of a call or of bytes on the network.
-    TrafficKind, "kind of traffic", WrongReason {
+    TrafficKind, "kind of traffic", UnknownVariant {
         /// Calls that start runs on workers.
         Starts => "starts",
         /// Calls that stop runs on workers.
