--- a/crates/node/src/error.rs
+++ b/crates/node/src/error.rs
@@ -22,7 +22,7 @@
     /// The metrics cannot be built.
     #[error(transparent)]
     Metrics(#[from] telemetry::TelemetryError),
-    /// Signals cannot be caught.
-    #[error("cannot catch signals")]
-    Signals(#[from] io::Error),
+    /// The local address of a listening socket cannot be read.
+    #[error("cannot read the local address of a listening socket")]
+    LocalAddress(#[from] io::Error),
 }
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -178,7 +178,7 @@
 ///
 /// # Errors
 ///
-/// An address cannot be listened on, or the metrics cannot be built.
+/// An address cannot be listened on, the local address of a socket cannot be read, or the metrics cannot be built.
 pub async fn start(
     settings: NodeSettings,
     clock: Arc<dyn ClockSource>,
