--- a/crates/node/src/customer_server.rs
+++ b/crates/node/src/customer_server.rs
@@ -79,8 +79,8 @@
     }
 }
 
-fn add_to_count(count: &Cell<usize>, by: isize) {
-    count.set(count.get().saturating_add_signed(by));
+fn add_to_count(count: &Cell<usize>, delta: isize) {
+    count.set(count.get().saturating_add_signed(delta));
 }
 
 async fn handle_request(state: Rc<NodeState>, request: Request) -> Response<BoxBody> {
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -194,7 +194,7 @@
     job: &EntryJob,
     pools: Vec<EligiblePool>,
 ) -> Vec<PartOffer> {
-    let asked = pools
+    let requests = pools
         .into_iter()
         .map(|EligiblePool { pool, owner, .. }| async move {
             let call = job_call(state, job, &pool, state.now(), None);
@@ -209,7 +209,7 @@
             };
             Some(PartOffer { pool, owner, fits })
         });
-    let offers = futures::future::join_all(asked).await;
+    let offers = futures::future::join_all(requests).await;
     offers.into_iter().flatten().collect()
 }
 
@@ -281,7 +281,7 @@
         ..*job
     };
     let mut pools = rank_pools(state, &job.request);
-    pools.retain(|asked| all_parts.iter().all(|part| part.pool != asked.pool));
+    pools.retain(|other| all_parts.iter().all(|part| part.pool != other.pool));
     let (near, far) = select_offer_pools(state, &job.request, pools);
     let mut offers = collect_offers(state, &job, near).await;
     if !offers_suffice(&job.request, &offers) {
@@ -332,7 +332,7 @@
     let time_left = job.deadline.saturating_duration_since(now);
     let call = job_call(state, job, pool, now, part);
     let outcome = match timeout(time_left, submit_to_owner(state, pool, owner, call)).await {
-        Ok(asked) => asked?,
+        Ok(outcome) => outcome?,
         Err(_) => JobOutcome::GivenUp,
     };
     log_submission(state, job, pool, owner, outcome);
--- a/crates/node/src/kept_jobs.rs
+++ b/crates/node/src/kept_jobs.rs
@@ -186,9 +186,9 @@
     owned.is_some_and(|owned| owned.pool.fence() == write.fence)
 }
 
-fn report_result(state: &Rc<NodeState>, write: &JobWrite, answer: KeptWriteResult) {
+fn report_result(state: &Rc<NodeState>, write: &JobWrite, result: KeptWriteResult) {
     with_fenced_pool(state, &write.pool, write.fence, |pool, now| {
-        pool.on_store_answer(now, &write.order, answer);
+        pool.on_store_answer(now, &write.order, result);
     });
 }
 
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -56,13 +56,13 @@
 
 /// Returns the version of an evacuation's row if the row exists. The row's content has no meaning, but an
 /// unreadable row is logged.
-fn evacuation_row(state: &NodeState, change: RowChange, page: u64) -> Option<u64> {
+fn evacuation_row(state: &NodeState, change: RowChange, page_version: u64) -> Option<u64> {
     match change {
         RowChange::Put(row) => Some(row.version.0),
         RowChange::Removed { .. } => None,
         change @ RowChange::Unreadable { .. } => {
             drop(stored_row(state, change));
-            Some(page)
+            Some(page_version)
         }
     }
 }
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -192,7 +192,7 @@
 }
 
 fn open_pool(state: &Rc<NodeState>, id: &PoolId, version: RowVersion, store_clock: Duration) {
-    let start = PoolInit {
+    let init = PoolInit {
         name: Arc::from(id.to_string()),
         fence: FenceToken(version.0),
         platform_millis: u64::try_from(store_clock.as_millis()).unwrap_or(u64::MAX),
@@ -201,12 +201,12 @@
         settings: state.pool_settings.clone(),
     };
     let owned = OwnedPool {
-        pool: WorkerPool::new(start, state.now()),
+        pool: WorkerPool::new(init, state.now()),
         waiters: FastMap::default(),
         deferred_workers: FastMap::default(),
     };
     state.pools.borrow_mut().insert(id.clone(), owned);
-    update_surroundings(state, id);
+    update_takeover_state(state, id);
     let workers = state.directory.borrow().workers_of_pool(id);
     let line = EventLine::new("pool_taken")
         .text("pool", id)
@@ -262,7 +262,7 @@
 
 /// Tells a pool whether a former owner still finishes jobs of it, and whether all workers that may run its jobs are
 /// listed.
-fn update_surroundings(state: &Rc<NodeState>, id: &PoolId) {
+fn update_takeover_state(state: &Rc<NodeState>, id: &PoolId) {
     let shared = state
         .claim_controller
         .borrow()
@@ -276,7 +276,7 @@
 
 /// Adds the deferred workers that former owners have released.
 pub(crate) fn add_deferred_workers(state: &Rc<NodeState>, id: &PoolId) {
-    update_surroundings(state, id);
+    update_takeover_state(state, id);
     let has_deferred = state
         .pools
         .borrow()
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -153,8 +153,8 @@
 /// for its last jobs to end before the process does.
 fn stop_accepting_jobs(state: &Rc<NodeState>, limit: Instant) {
     let now = state.now();
-    let store_away = state.directory.borrow().is_failing(now);
-    if store_away && now + LAST_JOBS_TIME < limit {
+    let store_failing = state.directory.borrow().is_failing(now);
+    if store_failing && now + LAST_JOBS_TIME < limit {
         return;
     }
     for_each_pool(state, |pool, _| pool.stop_accepting());
--- a/crates/node/tests/store.rs
+++ b/crates/node/tests/store.rs
@@ -161,7 +161,7 @@
 async fn a_new_owner_stops_the_former_owners_runs() {
     let platform = Platform::start(1, Duration::from_millis(5_000)).await;
     let former = platform.start_node(platform.node_settings("vm-1")).await;
-    let kept = support::spawn_post_job(&former, "00000000000000e2", job(2, 1_500));
+    let interrupted = support::spawn_post_job(&former, "00000000000000e2", job(2, 1_500));
     actix_rt::time::sleep(Duration::from_millis(300)).await;
     let fence = platform.executors[0].fence();
     drop(former);
@@ -175,7 +175,7 @@
         next.log_lines()
     );
     assert_eq!(
-        kept.await.unwrap().0,
+        interrupted.await.unwrap().0,
         0,
         "its connection broke with the owner"
     );
