--- a/crates/claims/src/controller.rs
+++ b/crates/claims/src/controller.rs
@@ -390,12 +390,12 @@
                     .filter(|_| self.has_workers(pool))
             })
             .collect();
-        let open = pools.iter().zip(&reasons);
-        let open = open.filter(|(_, reason)| reason.is_some());
-        let open: Vec<PoolId> = open.map(|(pool, _)| pool.clone()).collect();
-        let ranks = match open.is_empty() {
+        let claimable = pools.iter().zip(&reasons);
+        let claimable = claimable.filter(|(_, reason)| reason.is_some());
+        let claimable: Vec<PoolId> = claimable.map(|(pool, _)| pool.clone()).collect();
+        let ranks = match claimable.is_empty() {
             true => FastMap::default(),
-            false => self.claim_ranks(now, &open),
+            false => self.claim_ranks(now, &claimable),
         };
         for (pool, reason) in pools.iter().zip(reasons) {
             let rank = ranks.get(pool).copied().unwrap_or_default();
--- a/crates/claims/src/controller/ranking.rs
+++ b/crates/claims/src/controller/ranking.rs
@@ -44,16 +44,16 @@
     /// This process's rank among the candidates for each of these pools, 0 for the first. Processes with the
     /// same knowledge compute the same division; where their knowledge differs, the store decides between two
     /// claims.
-    pub(super) fn claim_ranks(&self, now: Instant, open: &[PoolId]) -> FastMap<PoolId, u32> {
+    pub(super) fn claim_ranks(&self, now: Instant, claimable: &[PoolId]) -> FastMap<PoolId, u32> {
         let mut candidates = self.candidates(now);
         let mut ranks = FastMap::default();
-        for pool in open {
+        for pool in claimable {
             let orders = candidates.iter().map(|candidate| candidate.order(pool));
             let orders: Vec<CandidateOrder> = orders.collect();
             // The first candidate is this process.
             let rank = orders.iter().filter(|order| **order < orders[0]).count();
             ranks.insert(pool.clone(), u32::try_from(rank).unwrap_or(u32::MAX));
-            let first = (0..orders.len()).min_by_key(|place| orders[*place]);
+            let first = (0..orders.len()).min_by_key(|index| orders[*index]);
             if let Some(first) = first {
                 candidates[first].pools += 1.0;
             }
--- a/crates/claims/tests/reading.rs
+++ b/crates/claims/tests/reading.rs
@@ -247,10 +247,8 @@
 fn member_row_writes_do_not_grow_with_the_fleet() {
     for count in [30, 100, 300] {
         let now = Instant::now();
-        let heartbeats = (0..count).map(|number| controller(number, count, now).refresh_interval());
-        let writes: f64 = heartbeats
-            .map(|heartbeat| 1.0 / heartbeat.as_secs_f64())
-            .sum();
+        let intervals = (0..count).map(|number| controller(number, count, now).refresh_interval());
+        let writes: f64 = intervals.map(|interval| 1.0 / interval.as_secs_f64()).sum();
         let owners = (OWNERS_PER_CENTRE * CENTRES) as f64 / 4.0;
         assert!(writes <= owners + 2.5, "{count}: {writes}");
     }
@@ -276,7 +274,7 @@
         |node: &mut SimNode| node.frozen = true,
     ] {
         let mut sim = ListSim::new(100);
-        let reader = (0..sim.nodes.len()).max_by_key(|place| sim.nodes[*place].read);
+        let reader = (0..sim.nodes.len()).max_by_key(|index| sim.nodes[*index].read);
         let reader = reader.unwrap();
         fault(&mut sim.nodes[reader]);
         for _ in 0..20 {
@@ -290,7 +288,7 @@
         let digest = sim.digest;
         sim.run(Duration::from_millis(200));
         let others = sim.nodes.iter().enumerate();
-        let mut others = others.filter(|(place, _)| *place != reader);
+        let mut others = others.filter(|(index, _)| *index != reader);
         assert!(others.all(|(_, node)| node.known.digest == digest));
         sim.reads = 0;
         sim.run(Duration::from_secs(10));
