--- a/crates/node/src/kept_jobs.rs
+++ b/crates/node/src/kept_jobs.rs
@@ -45,7 +45,7 @@
 #[derive(Default)]
 pub(crate) struct JobWriteQueue {
     waiting: FastMap<u64, Vec<JobWrite>>,
-    /// Parts with a transaction in progress.
+    /// Partitions with a transaction in progress.
     busy: FastSet<u64>,
 }
 
@@ -335,7 +335,9 @@
             ..Transaction::default()
         };
         let Some(value) = encode(state, &order) else {
-            return Err(RequestError::InvalidRequest("the job's row".to_owned()).into());
+            return Err(
+                RequestError::InvalidRequest("the job's row cannot be encoded".to_owned()).into(),
+            );
         };
         add_to_transaction(&mut transaction, &order, value);
         transaction.writes.push(RowWrite {
@@ -351,7 +353,7 @@
     }
 }
 
-/// Tells the owned pools that a job was cancelled. Only the pool that has the job acts on it.
+/// Passes the cancellation of a job to the owned pools. Only the pool that has the job acts on it.
 pub(crate) fn apply_cancelled(state: &Rc<NodeState>, row: &StoredRow) {
     let Ok(job) = row.key.parse::<JobId>() else {
         return;
