--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -18,7 +18,7 @@
 /// Serves one connection to its end.
 type ConnectionServer = Rc<dyn Fn(TcpStream) -> LocalBoxFuture<'static, ()>>;
 
-/// Answers requests of connections that a listener takes, for as long as the future is polled.
+/// Answers requests on the connections that `listener` accepts, for as long as the future is polled.
 ///
 /// # Errors
 ///
@@ -52,7 +52,7 @@
     table.as_ref().map(|table| table.limits).unwrap_or_default()
 }
 
-/// Builds a new server if the configuration's limits have changed.
+/// Builds a new server if the configuration's limits have changed. If that fails, the current server stays in use.
 async fn rebuild_if_changed<F, Fut>(
     state: &Rc<NodeState>,
     current: &RefCell<(RequestLimits, ConnectionServer)>,
--- a/crates/node/src/customer_server.rs
+++ b/crates/node/src/customer_server.rs
@@ -36,8 +36,8 @@
 /// How long a customer without a stated deadline waits.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
 
-/// How long after a process's start customers retry whose requests it left without an answer: they wait for a few
-/// seconds.
+/// The time after a process's start in which requests may be retries of requests that the VM's former process left
+/// unanswered: customers wait a few seconds before they retry.
 const CUSTOMER_RETURN_PERIOD: Duration = Duration::from_secs(10);
 
 /// The longest deadline that is accepted from the deadline header.
@@ -47,7 +47,7 @@
 /// paused.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The size of an answer to a customer in bytes: its head and a body of a few bytes.
+/// The size at which an answer to a customer is counted as traffic, in bytes: its head and a body of a few bytes.
 const ANSWER_BYTES: usize = 130;
 
 /// Serves customers' connections for as long as the future is polled.
@@ -301,9 +301,9 @@
 /// Estimates how long a request had been in progress before it arrived here, from the time that its customer has
 /// left.
 ///
-/// The estimate is used only while this process is new: customers then retry whose requests this process, or all
-/// processes together, left without an answer. Later, little time left more likely means that the customer is in a
-/// hurry.
+/// The estimate is used only while this process is new. In that time many requests are retries of requests that the
+/// VM's former process, or all processes together, left unanswered. Later, little time left more likely means that the
+/// customer has set a short deadline.
 fn request_age(state: &NodeState, rule: &RouteRule, stated_deadline: Option<Duration>) -> Duration {
     let Some(left) = stated_deadline else {
         return Duration::ZERO;
@@ -319,7 +319,7 @@
     }
 }
 
-/// Returns how long the customer states that it waits.
+/// Returns how long the customer waits for its answer according to the deadline header, at most [`MAX_DEADLINE`].
 fn stated_deadline(request: &Request) -> Option<Duration> {
     let header = request
         .headers()
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -1,4 +1,4 @@
-//! Submits a customer's job to the owners of pools.
+//! The entry of a job: submits the job that a customer has sent to this node to the owners of pools.
 
 use std::{
     rc::Rc,
@@ -43,11 +43,11 @@
 const OFFER_TIMEOUT: Duration = Duration::from_millis(80);
 
 /// The expected room of all pools that are asked for offers, as a multiple of the room that the job needs. It is
-/// above one because what is known of their load is up to half a second old.
+/// above one because the known loads of pools are up to half a second old.
 const OFFER_ROOM_FACTOR: u64 = 2;
 
-/// The share of the link in use above which fewer offers are requested. On links that carry hundreds of times as
-/// many offer requests as are sent, asking all pools refuses fewer jobs.
+/// The share of the link in use above which fewer offers are requested. On links that could carry hundreds of times
+/// the offer requests that are sent, all pools are asked, because fewer jobs are then refused.
 const BUSY_LINK_SHARE: f64 = 0.45;
 
 /// A customer's job as it arrived.
@@ -55,8 +55,8 @@
     pub(crate) request: Arc<JobRequest>,
     pub(crate) rule: Rc<RouteRule>,
     pub(crate) arrived: Instant,
-    /// How long the customer had been trying before this request arrived, at least: an earlier connection was cut,
-    /// or no process could take the job.
+    /// A lower bound on the time for which the customer had been trying before this request arrived, because an
+    /// earlier connection was cut or no process could take the job.
     pub(crate) age: Duration,
     /// When its customer stops waiting.
     pub(crate) deadline: Instant,
@@ -74,6 +74,7 @@
 struct EligiblePool {
     pool: PoolId,
     owner: OwnerView,
+    /// Whether the pool is in this data centre.
     near: bool,
     /// The pool's expected free processor capacity, in thousandths of a core.
     room: i64,
@@ -133,9 +134,9 @@
 
 /// Waits for a pool to get an owner while the process is new.
 ///
-/// When all processes restart at once under load, the customers that waited come back at that moment. Pools get
-/// owners some tenths of a second later, which is in time for most jobs; jobs that were refused at once would be
-/// lost to their customers.
+/// When all processes restart at once under load, the customers whose requests were interrupted retry at that moment.
+/// Pools get owners some tenths of a second later, which is in time for most jobs; if these jobs were refused at once,
+/// they would fail for their customers.
 async fn wait_for_owner(state: &Rc<NodeState>, job: &EntryJob) {
     let until = (job.arrived + OWNER_WAIT_TIMEOUT)
         .min(state.started + STARTUP_PERIOD)
@@ -145,7 +146,7 @@
     }
 }
 
-/// Returns the refusal of a job that no pool can be asked to take.
+/// Returns the refusal of a job that cannot be submitted to any pool.
 fn no_pool_refusal(state: &NodeState) -> JobOutcome {
     let kind = match reachable_pools(state).is_empty() {
         true => RefusalKind::Unreachable,
@@ -159,8 +160,8 @@
 }
 
 /// Selects the pools to ask for offers, separated into those of this data centre and the others. If the link is
-/// busy, only pools that seem to have room are selected, and no more than have the room `OFFER_ROOM_FACTOR` times
-/// over: the answers of the others are likely known.
+/// busy, only pools that seem to have room are selected, and only until their expected room is [`OFFER_ROOM_FACTOR`]
+/// times what the job needs: the others would most likely offer nothing or not be needed.
 fn select_offer_pools(
     state: &NodeState,
     request: &JobRequest,
@@ -257,8 +258,7 @@
 ///
 /// If the part's pool refuses it, nothing of the part has run. That happens when the pool's data centre is
 /// evacuated or the pool changes its owner meanwhile. The part is then divided among pools that have no part of the
-/// job, if they can take it together: giving up at once would lose the job to its customer with most of its tasks
-/// in progress.
+/// job, if they can take it together: giving up at once would fail the job while most of its tasks are in progress.
 async fn run_part(
     state: &Rc<NodeState>,
     job: &EntryJob,
@@ -492,7 +492,8 @@
     let run = std::pin::pin!(link.link.run(&call));
     match select(run, lost).await {
         Either::Left((Ok(outcome), _)) => Some(outcome),
-        // The job may be running there. Its owner stops it, or its lease ends, before the customer's next try.
+        // The job may be running at the owner. The owner stops it, or the leases of its runs end, before the customer's
+        // next try.
         Either::Left((Err(_), _)) | Either::Right(_) => Some(JobOutcome::GivenUp),
     }
 }
--- a/crates/node/src/feeds.rs
+++ b/crates/node/src/feeds.rs
@@ -11,8 +11,8 @@
 
 use crate::{groups, kept_jobs, list_schedule, operator, owner, state::NodeState, workers};
 
-/// How long the feed of the operators' table waits for a change, as a share of the time within which a change must
-/// be in force. A connection that has gone silent is detected after this wait plus the client's timeout.
+/// How long the feed of the operators' table waits for a change, as a share of `config_limit_ms`, the time within which
+/// a change must be in force. A connection that has gone silent is detected after this wait plus the client's timeout.
 const OPERATOR_FEED_WAIT_SHARE: f64 = 0.6;
 
 /// How long the feed of any other table waits for a change.
--- a/crates/node/src/kept_jobs/maintenance.rs
+++ b/crates/node/src/kept_jobs/maintenance.rs
@@ -44,7 +44,7 @@
     }
 }
 
-/// The interval at which the node checks which work is due.
+/// The interval at which the node checks for each owned pool which periodic work is due.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The number of jobs of each route that have not begun.
@@ -92,7 +92,7 @@
         actix_rt::spawn(confirm_claim(state.clone(), id.clone(), fence));
     }
     let known = times.last_published.as_ref();
-    // A former owner's published numbers stay until this owner has read the jobs and knows better ones.
+    // A former owner's published numbers stay until this owner has read the jobs and can publish its own.
     let changed = known.map_or(state.has_kept_jobs.get(), |(_, known)| *known != pending);
     if knows_rows && changed && due(known.map(|(at, _)| *at), PENDING_PUBLISH_INTERVAL) {
         times.last_published = Some((now, pending.clone()));
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,9 +1,13 @@
 //! The process that runs on the users' platform: it accepts customers' jobs, submits each to the owner of a pool of
 //! workers, and owns pools itself.
 //!
-//! Every VM runs one such process, and all are equal. All state of a process is on one thread: its machine has a
-//! quarter of a core, where a second thread would only add wake-ups. The decisions are made in `pool` and `claims`,
-//! which do no I/O; this crate carries their inputs and outputs.
+//! Every VM runs one such process, and all are equal. The node that a customer's request reaches is the entry of the
+//! request's job; the node that owns a pool is the pool's owner. (An entry of the workers' directory is something
+//! else: the row that lists a worker.)
+//!
+//! All state of a process is on one thread: its machine has a quarter of a core, where a second thread would only add
+//! wake-ups. The decisions are made in `pool` and `claims`, which do no I/O; this crate carries their inputs and
+//! outputs.
 
 mod connections;
 mod customer_server;
--- a/crates/node/src/list_schedule.rs
+++ b/crates/node/src/list_schedule.rs
@@ -31,7 +31,7 @@
 /// moment, and all workers must be listed before they are divided into groups.
 const STARTUP_READ_PERIOD: Duration = Duration::from_millis(8_000);
 
-/// The same if the workers of all data centres are already divided into groups.
+/// Replaces [`STARTUP_READ_PERIOD`] if the workers of all data centres are already divided into groups.
 const GROUPED_STARTUP_READ_PERIOD: Duration = Duration::from_millis(1_500);
 
 /// How long a process that has just started waits for the members' rows before it may regard itself as a standby.
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -54,8 +54,8 @@
     }
 }
 
-/// Returns the version of an evacuation's row if the row exists. The row's content has no meaning, but an
-/// unreadable row is logged.
+/// Returns the version of an evacuation's row if the row exists. The row's content has no meaning. An unreadable row
+/// is logged and gets the version of the page, because its own is unknown.
 fn evacuation_row(state: &NodeState, change: RowChange, page_version: u64) -> Option<u64> {
     match change {
         RowChange::Put(row) => Some(row.version.0),
@@ -111,8 +111,8 @@
     }
 }
 
-/// Installs a configuration if its version is higher than the current one: an answer that was overtaken must not
-/// bring back an older configuration.
+/// Installs a configuration if its version is higher than the current one: an answer of the store that arrives late
+/// must not bring back an older configuration.
 fn install_table(state: &Rc<NodeState>, table: jobs::RouteTable) {
     let known = state
         .route_table
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -132,7 +132,8 @@
     }
 }
 
-/// Releases a pool. Its jobs may run on until their leases end, and their customers are told to try again.
+/// Releases a pool. The runs of its jobs may continue until their leases end, and the jobs' callers get the outcome
+/// [`JobOutcome::GivenUp`].
 pub(crate) fn release_pool(state: &Rc<NodeState>, id: &PoolId, reason: &'static str) {
     let Some(owned) = state.pools.borrow_mut().remove(id) else {
         return;
@@ -260,8 +261,8 @@
     with_pool(state, id, |pool, now| pool.upsert_worker(now, worker));
 }
 
-/// Tells a pool whether a former owner still finishes jobs of it, and whether all workers that may run its jobs are
-/// listed.
+/// Updates what a pool knows of its takeover: whether a former owner still finishes jobs of the pool, and whether all
+/// workers that may run its jobs are listed.
 fn update_takeover_state(state: &Rc<NodeState>, id: &PoolId) {
     let shared = state
         .claim_controller
@@ -352,7 +353,8 @@
     }
 }
 
-/// Unlists a worker that is gone for good in its pool, if this node owns it.
+/// Marks a worker as unlisted in a pool if this node owns the pool: its entry is gone or unusable, or it now belongs to
+/// another pool.
 pub(crate) fn unlist_worker(state: &Rc<NodeState>, id: &PoolId, life: &LifeId) {
     if let Some(owned) = state.pools.borrow_mut().get_mut(id) {
         owned.deferred_workers.remove(life);
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -58,10 +58,10 @@
 /// of one second each, with a small margin.
 const BALANCER_DRAIN_TIME: Duration = Duration::from_millis(2_200);
 
-/// The part of the time to stop that is reserved for a pool's last jobs. Most tasks take under 2 s.
+/// The part of a stop's grace period that is reserved for a pool's last jobs. Most tasks take under 2 s.
 const LAST_JOBS_TIME: Duration = Duration::from_millis(2_500);
 
-/// The part of the time to stop that is reserved for sending the last answers.
+/// The part of a stop's grace period that is reserved for sending the last answers.
 const STOP_MARGIN: Duration = Duration::from_millis(500);
 
 /// The time that the answers to cut requests get to leave the process.
@@ -148,9 +148,9 @@
 
 /// Stops accepting jobs for pools that another process can take over.
 ///
-/// While the store is unavailable no process can take a pool over. A pool that accepted no jobs would then have no
-/// owner until the store is back, which left twelve workers idle for 2.7 s. The pool still stops accepting in time
-/// for its last jobs to end before the process does.
+/// While the store is unavailable, no process can take a pool over. A pool that stopped accepting jobs then would have
+/// no serving owner until the store is available again, which left twelve workers idle for 2.7 s. Even so, the
+/// pool stops accepting in time for its last jobs to end before the process does.
 fn stop_accepting_jobs(state: &Rc<NodeState>, limit: Instant) {
     let now = state.now();
     let store_failing = state.directory.borrow().is_failing(now);
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -24,7 +24,7 @@
 };
 
 /// A tick that is later than this means that the process has paused: it was frozen or suspended, or got no share of
-/// the processor. Other processes count it as gone after about the same time.
+/// the processor. Other processes regard it as gone after about the same time.
 pub(crate) const PAUSE_THRESHOLD: Duration = Duration::from_millis(450);
 
 /// The state that the modules of a node share.
@@ -43,7 +43,7 @@
     pub(crate) directory: RefCell<WorkerDirectory>,
     pub(crate) evacuations: RefCell<EvacuationSet>,
     pub(crate) pools: RefCell<FastMap<PoolId, OwnedPool>>,
-    /// Versions of the rows that divide workers into groups.
+    /// The version of each data centre's row of groups.
     pub(crate) group_versions: RefCell<FastMap<DataCentreId, u64>>,
     /// The processor demand sent to each pool since its owner's last heartbeat, in thousandths of a core, with the
     /// time of that heartbeat.
@@ -68,6 +68,7 @@
     pub(crate) metrics: NodeMetrics,
     pub(crate) traffic: Arc<TrafficCounters>,
     pub(crate) link_use: Cell<LinkUse>,
+    /// Whether the process is stopping.
     pub(crate) leaving: Cell<bool>,
     /// The pool that is being handed over to a better-suited process, and since when.
     pub(crate) yielding_pool: RefCell<Option<(PoolId, Instant)>>,
--- a/crates/node/src/traffic.rs
+++ b/crates/node/src/traffic.rs
@@ -7,8 +7,8 @@
 
 use crate::state::NodeState;
 
-/// The interval between two log lines. Each line has some 300 bytes, so that a full link can be told from a busy
-/// processor afterwards.
+/// The interval between two log lines, which have some 300 bytes each. They show afterwards whether the link was full
+/// or the processor was busy.
 const TRAFFIC_LOG_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Logs traffic periodically. Holds the counts of the last line and its time.
--- a/crates/node/src/workers.rs
+++ b/crates/node/src/workers.rs
@@ -2,10 +2,11 @@
 //!
 //! Other writers may put anything into the directory: entries that lack fields or have fields of the wrong type,
 //! and entries that name an unknown state, an unknown service or an address of the system itself. A call to such an
-//! address could reach any server that listens there, and a run would start where no queue sends it. An entry
-//! therefore names a usable worker only if it is complete and its service is in the configuration. A known worker
-//! whose entry becomes unusable gets nothing new until its own next heartbeat corrects the entry. Unusable entries
-//! are not changed in the store, and other workers are not affected.
+//! address could reach any server that listens there, and a worker of an unknown service could get runs although no
+//! route sends tasks to its service. An entry therefore names a usable worker only if it is complete, its service is
+//! in the configuration and its address is not one of the system. A known worker whose entry becomes unusable gets
+//! no new runs until its own next heartbeat corrects the entry. Unusable entries are not changed in the store, and
+//! other workers are not affected.
 
 use std::rc::Rc;
 
@@ -58,8 +59,8 @@
     }
 }
 
-/// Clears the assumption that pools have workers for those pools that have none listed. The assumption holds only
-/// until the directory is read.
+/// Records for each known pool whether the directory lists workers of it. Until the directory is read, pools are
+/// assumed to have workers; see `assume_workers` in [`groups`].
 fn clear_assumed_workers(state: &Rc<NodeState>) {
     let pools = state.claim_controller.borrow().pools();
     for pool in pools {
@@ -85,7 +86,8 @@
     }
 }
 
-/// Unlists a worker that is gone for good in its pool.
+/// Marks a worker as unlisted in its pool after its entry was removed or became unusable, and records whether the
+/// pool still has workers.
 pub(crate) fn unlist_worker(state: &Rc<NodeState>, record: &WorkerRecord) {
     let Some(pool) = state.directory.borrow().pool_of(record) else {
         return;
