--- a/crates/claims/src/action.rs
+++ b/crates/claims/src/action.rs
@@ -37,9 +37,9 @@
 /// A change in what this process knows about its peers and the pools' owners, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimEvent {
-    /// A process is heard for the first time, or again after a silence.
+    /// A heartbeat arrived from a process that has not been heard before, or that was silent.
     PeerHeard(NodeId),
-    /// A process is no longer heard, or refuses connections.
+    /// No heartbeat of a process has arrived within the silence timeout, or the process refuses connections.
     PeerSilent {
         /// The process.
         node: NodeId,
--- a/crates/claims/src/capacity.rs
+++ b/crates/claims/src/capacity.rs
@@ -31,7 +31,7 @@
 /// A VM is small below this share of the largest VM's capacity.
 const SMALL_VM_SHARE: f64 = 0.5;
 
-/// The least processor share (in cores) and link rate (in bytes a second) that are believed; lower values are
+/// The lower bounds of a VM's processor share (in cores) and link rate (in bytes a second); lower values are
 /// raised to them.
 const MIN_CORES: f64 = 0.01;
 const MIN_LINK_BYTES_PER_SECOND: f64 = 1_000.0;
@@ -54,7 +54,7 @@
 }
 
 impl MemberRow {
-    /// The capacity of its VM.
+    /// The capacity of the member's VM.
     pub fn capacity(&self) -> VmCapacity {
         VmCapacity::new(self.cores, self.link)
     }
@@ -86,7 +86,7 @@
     u32::try_from(planned.min(workers.max(1))).unwrap_or(u32::MAX)
 }
 
-/// Whether the workers have become more than the owners of `groups` pools can carry.
+/// Whether there are more workers than the owners of `groups` pools can carry.
 ///
 /// Designed for a quarter more workers while a division exists. Dividing anew moves workers between owners
 /// and abandons all jobs of the data centre, some hundreds at once, so it is not worth a plan that would only
--- a/crates/claims/src/controller.rs
+++ b/crates/claims/src/controller.rs
@@ -25,13 +25,15 @@
     view::{Heartbeat, NodeId},
 };
 
+/// A member, from its row in the store or from the first heartbeat of a new incarnation.
 #[derive(Clone, Debug)]
 struct Member {
     row: MemberRow,
-    /// When the row last changed, as seen by this process.
+    /// When this process learned of the row's last change.
     refreshed: Instant,
 }
 
+/// A peer from which at least one heartbeat has arrived, also if it is silent now.
 #[derive(Clone, Debug)]
 struct HeardPeer {
     heartbeat: Heartbeat,
@@ -137,7 +139,7 @@
         self.leaving = true;
     }
 
-    /// Takes in a member's row that was read from the store.
+    /// Records a member's row that was read from the store, unless a later one is known.
     pub fn on_member(&mut self, now: Instant, row: MemberRow) {
         if row.node == self.own_row.node {
             return;
@@ -158,13 +160,13 @@
         self.count_near_members();
     }
 
-    /// Takes in the removal of a member's row.
+    /// Records the removal of a member's row.
     pub fn on_member_gone(&mut self, node: &NodeId) {
         self.members.remove(node);
         self.count_near_members();
     }
 
-    /// Takes in a claim that was read from the store.
+    /// Records a claim that was read from the store or written to it, unless a later one is known.
     pub fn on_claim(&mut self, now: Instant, pool: PoolId, row: ClaimRow, version: u64) {
         let state = self.pools.entry(pool.clone()).or_default();
         if state
@@ -191,8 +193,8 @@
         self.update_owners();
     }
 
-    /// Takes in that this process has released a pool although the claim is still its own. It no longer
-    /// counts as the owner, and the first candidate claims the pool anew.
+    /// Records that this process has released a pool although the claim is still its own. This process no
+    /// longer counts as the owner, and the first candidate claims the pool anew.
     pub fn on_released(&mut self, pool: &PoolId) {
         if let Some(claim) = self
             .pools
@@ -204,7 +206,7 @@
         self.update_owners();
     }
 
-    /// Takes in whether a pool has workers: a pool without workers needs no owner.
+    /// Records whether a pool has workers: a pool without workers needs no owner.
     pub fn on_workers(&mut self, pool: &PoolId, has_workers: bool) {
         let known = self.pools.contains_key(pool);
         if known || has_workers {
@@ -212,7 +214,7 @@
         }
     }
 
-    /// Takes in the heartbeat of another process, which came from `address`.
+    /// Records the heartbeat of another process, which came from `address`.
     pub fn on_heartbeat(&mut self, now: Instant, heartbeat: Heartbeat, address: SocketAddr) {
         if heartbeat.node == self.own_row.node {
             return;
@@ -268,14 +270,14 @@
         );
     }
 
-    /// Takes in that a connection to the process was refused: it no longer listens.
+    /// Records that a connection to a process was refused: the process no longer listens.
     pub fn on_refused(&mut self, node: &NodeId) {
         if let Some(peer) = self.heard_peers.get_mut(node) {
             peer.refused = true;
         }
     }
 
-    /// Takes in whether a worker of the pool could be reached.
+    /// Records the result of a probe: whether a worker of the pool could be reached.
     pub fn on_probe_result(&mut self, now: Instant, pool: &PoolId, reachable: bool) {
         let listen_time = self.listen_time(pool);
         let Some(state) = self.pools.get_mut(pool) else {
@@ -309,8 +311,8 @@
         }
     }
 
-    /// Takes in the outcome of an attempt to claim a pool. If the attempt succeeded, `on_claim` has been
-    /// called before.
+    /// Records the outcome of an attempt to claim a pool. If the attempt succeeded, `on_claim` has been called
+    /// before.
     pub fn on_claim_outcome(&mut self, now: Instant, pool: &PoolId, outcome: ClaimOutcome) {
         let Some(state) = self.pools.get_mut(pool) else {
             return;
@@ -425,8 +427,8 @@
         };
         let delay = self.settings.rank_delay * rank + far_delay;
         let timeout = self.settings.attempt_timeout;
-        // A process claims the pools for which it ranks first at once, and other pools one at a time: each
-        // pool that it gets makes it more likely that another process ranks first for the next one.
+        // A process claims all pools for which it ranks first at once, and other pools one at a time: each pool
+        // that it gets makes it more likely that another process ranks first for the next one.
         let busy = rank > 0
             && self.pools.values().any(|state| {
                 matches!(
@@ -519,8 +521,8 @@
     }
 }
 
-/// The last rank among a pool's candidates that prepares to claim it. Each process that prepares reads the
-/// list of all workers anew.
+/// The last rank among a pool's candidates at which a process prepares to claim the pool. Each process that
+/// prepares reads the list of all workers anew.
 const MAX_SOON_RANK: u32 = 2;
 
 /// Heartbeats from another data centre that may be lost before a process counts as silent.
--- a/crates/claims/src/controller/handover.rs
+++ b/crates/claims/src/controller/handover.rs
@@ -7,8 +7,8 @@
 use super::ClaimController;
 use crate::capacity::VmCapacity;
 
-/// How many times as many pools per capacity as another process a process must own before it hands one over.
-/// A handover costs about ten calls per worker.
+/// A pool is handed over only if its owner has more than this many times as many pools per capacity as the
+/// other process would have with it. A handover costs about ten calls per worker.
 const MIN_IMBALANCE_RATIO: f64 = 1.5;
 
 impl ClaimController {
@@ -31,7 +31,7 @@
         held
     }
 
-    /// Whether a former owner that is heard still has the pool, because it finishes the jobs there.
+    /// Whether a former owner that this process hears still has the pool, because it finishes the jobs there.
     pub fn is_held_by_former_owner(&self, now: Instant, pool: &PoolId) -> bool {
         let version = self.pools.get(pool).and_then(|state| state.claim.as_ref());
         let Some(version) = version.map(|claim| claim.version) else {
@@ -47,7 +47,8 @@
 
     /// A pool of this process that suits another process better: one in the pool's data centre if this
     /// process is elsewhere, or one that would own far fewer pools per capacity. Otherwise pools would stay
-    /// where planned stops moved them, including other data centres, which lose them when they are cut off.
+    /// where planned stops moved them, also with owners in other data centres, which lose them in a network
+    /// partition.
     pub fn pool_to_hand_over(&self, now: Instant) -> Option<PoolId> {
         if self.leaving || now < self.started + self.settings.settle_time {
             return None;
--- a/crates/claims/src/controller/heartbeats.rs
+++ b/crates/claims/src/controller/heartbeats.rs
@@ -64,7 +64,8 @@
         })
     }
 
-    /// The owners that this process hears. Other processes ask about owners only.
+    /// The owners that this process hears. Heartbeats report only these, since a peer needs no reports on other
+    /// processes.
     pub fn heard_owners(&self, now: Instant) -> Vec<NodeDigest> {
         let heard = self.heard_peers.iter();
         let heard = heard
@@ -80,7 +81,8 @@
             .any(|peer| self.is_fresh(now, peer))
     }
 
-    /// Grows with the number of members, because each process receives the heartbeats of all others.
+    /// The interval of heartbeats to other data centres. It grows with the number of members, because each
+    /// process receives the heartbeats of all others.
     fn far_heartbeat_interval(&self) -> Duration {
         let members = u32::try_from(self.members.len()).unwrap_or(u32::MAX);
         self.settings
--- a/crates/claims/src/controller/polling.rs
+++ b/crates/claims/src/controller/polling.rs
@@ -7,10 +7,10 @@
 //!
 //! So only owners, processes that are about to become owners and a few standbys in each data centre know the
 //! workers, and one owner of each data centre reads their list. The others learn from its heartbeats up to
-//! which version it has read, and a digest of the lasting part of the list. While that digest matches their
-//! own, their list is as fresh as its reading. If it does not match, or nothing is heard for a moment, they
-//! read the list themselves, so a reader that is lost, cut off, frozen or refused by the store costs no more
-//! than a few additional reads.
+//! which version it has read, and a digest of the list that heartbeats of workers do not change. While that
+//! digest matches their own, their list is as fresh as its reading. If it does not match, or nothing is heard
+//! for a moment, they read the list themselves, so a reader that is lost, cut off, frozen or refused by the
+//! store costs no more than a few additional reads.
 
 use std::time::{Duration, Instant};
 
@@ -28,11 +28,13 @@
 /// are listed.
 const GROUPING_TIME: Duration = Duration::from_millis(5_000);
 
-/// The interval at which each further process then does so: the store may refuse those before it.
+/// The interval at which one more process each then starts to read the workers: the store may refuse those
+/// before it.
 const EXTRA_STANDBY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Other members for each refresh interval of a row. With more members, a row that no process needs soon is
-/// written less often, so that the total rate of writes stays the same.
+/// The number of other members for which the refresh interval of a row grows by its shortest value. With more
+/// members, a row that no process needs soon is written less often, so that the total rate of writes stays
+/// the same.
 const MEMBERS_PER_REFRESH_INTERVAL: u32 = 8;
 
 /// The longest interval between two writes of a row. A new process learns from the rows how long customers
@@ -47,7 +49,7 @@
 /// reader, and its heartbeats spare the others from reading.
 const READING_AGE_LIMIT_STEP: Duration = Duration::from_millis(100);
 
-/// The upper bound of these ages. An owner's list counts as current for a little longer than this.
+/// The upper bound of the age limits. An owner's list counts as current for a little longer than this.
 const MAX_READING_AGE_LIMIT: Duration = Duration::from_millis(650);
 
 /// What a process knows of the list of workers.
@@ -55,7 +57,7 @@
 pub struct KnownList {
     /// The version of the store up to which the list is known.
     pub version: u64,
-    /// The digest of the lasting part of all entries.
+    /// The digest of all entries; see [`ListReading::digest`](crate::ListReading::digest).
     pub digest: u64,
     /// When the list was last known to be current.
     pub at: Instant,
@@ -168,7 +170,7 @@
 
 /// Sort key: the largest capacity first, then by hash.
 fn capacity_order(row: &MemberRow) -> (u64, u64) {
-    // The cast saturates. Millionths tell any two machines apart that differ.
+    // The cast saturates. Millionths are fine enough to tell machines of different capacity apart.
     let inverse_capacity = (1_000_000.0 / row.capacity().0.max(1e-6)) as u64;
     (inverse_capacity, xxh3_64(row.node.0.as_bytes()))
 }
--- a/crates/claims/src/controller/ranking.rs
+++ b/crates/claims/src/controller/ranking.rs
@@ -21,27 +21,27 @@
     data_centre: &'a DataCentreId,
     /// Its capacity, in runs a second.
     capacity: f64,
-    /// The pools that it owns and those that are assigned to it.
+    /// The number of pools that it owns or that are assigned to it.
     pools: f64,
 }
 
-/// Sort key of a candidate, lowest first: processes of the pool's data centre, then those of whose capacity
-/// their pools would take the smallest share, then by hash. The capacities of machines differ fourfold and
-/// more.
+/// Sort key of a candidate, lowest first: whether the candidate is in another data centre than the pool, the
+/// number of its pools per capacity including this one, and a hash that breaks ties. The capacities of
+/// machines differ fourfold and more.
 type CandidateOrder = (bool, u64, u64);
 
 impl ClaimCandidate<'_> {
     fn order(&self, pool: &PoolId) -> CandidateOrder {
         let tie_break = xxh3_64(format!("{pool}/{}", self.node).as_bytes());
         let share = (self.pools + 1.0) / self.capacity;
-        // The cast saturates. Millionths tell any two machines apart that differ.
+        // The cast saturates. Millionths are fine enough to tell machines of different capacity apart.
         let share = (share * 1_000_000.0) as u64;
         (*self.data_centre != pool.data_centre, share, tie_break)
     }
 }
 
 impl ClaimController {
-    /// This process's rank among the candidates for each of these pools, 0 for the first. Processes with the
+    /// This process's rank among the candidates for each of the claimable pools, 0 for the first. Processes with the
     /// same knowledge compute the same division; where their knowledge differs, the store decides between two
     /// claims.
     pub(super) fn claim_ranks(&self, now: Instant, claimable: &[PoolId]) -> FastMap<PoolId, u32> {
--- a/crates/claims/src/controller/reason.rs
+++ b/crates/claims/src/controller/reason.rs
@@ -68,8 +68,8 @@
     /// Whether this process may be cut off itself: it hears no peer while the owner refreshes its row.
     fn may_be_cut_off(&self, now: Instant, claim: &Claim) -> bool {
         let member = self.members.get(&claim.row.node);
-        // A claim is as good as a row here: a process that has just become an owner has not written its row
-        // lately.
+        // A claim counts like a refresh of the owner's row: a process that has just become an owner may not
+        // have written its row lately.
         let last_seen = member.map(|member| member.refreshed).max(Some(claim.since));
         let fresh_row = last_seen.is_some_and(|at| now < at + self.settings.isolated_claim_delay);
         fresh_row && self.is_isolated(now)
--- a/crates/claims/src/lib.rs
+++ b/crates/claims/src/lib.rs
@@ -5,6 +5,9 @@
 //! the row on the condition that its version is unchanged. The store decides between concurrent claims, and
 //! workers reject orders with a lower fencing token, so a false suspicion costs a claim and never runs a task
 //! twice.
+//!
+//! A process hears a peer while the peer's heartbeats arrive within the silence timeout. Near processes are in
+//! the same data centre, far ones in another.
 
 mod action;
 mod capacity;
--- a/crates/claims/src/rows.rs
+++ b/crates/claims/src/rows.rs
@@ -40,7 +40,7 @@
 pub struct PublishedBudget {
     /// The route.
     pub route: Arc<str>,
-    /// The time that nearly all of them have left at least, in milliseconds.
+    /// The least time that nearly all of these requests have left when they arrive, in milliseconds.
     pub least_ms: u64,
 }
 
@@ -102,8 +102,8 @@
         u32::try_from(number % u64::from(self.groups.max(1))).unwrap_or(0)
     }
 
-    /// Divides the workers into so many groups by the property whose largest group is smaller; by hash if
-    /// both are equal.
+    /// Divides the workers into `groups` groups by the property whose largest group is smaller; by hash if both
+    /// are equal.
     pub fn balanced<'a>(
         groups: u32,
         workers: impl Iterator<Item = (&'a LifeId, SocketAddr)> + Clone,
--- a/crates/claims/src/settings.rs
+++ b/crates/claims/src/settings.rs
@@ -11,7 +11,7 @@
     /// The longest interval of heartbeats between processes of a data centre without pools. The interval
     /// grows with the number of processes.
     pub max_idle_heartbeat_interval: Duration,
-    /// The shortest interval of heartbeats to other data centres, whose traffic is paid for.
+    /// The shortest interval of heartbeats to other data centres. Traffic between data centres is charged for.
     pub far_heartbeat_interval: Duration,
     /// The interval of heartbeats to other data centres is at least this for each other member: with 32
     /// processes, each receives 28 heartbeats a second from other data centres.
@@ -25,10 +25,10 @@
     /// Other processes learn about it from its first heartbeat, and owners in other data centres send theirs
     /// within `far_heartbeat_interval`.
     pub startup_listen_time: Duration,
-    /// How long after a pool has changed hands its owner is left alone if any process hears it. Pools are
-    /// handed over only after the same time.
+    /// How long after a pool has got a new owner no process claims it from that owner while any peer hears the
+    /// owner. Pools are handed over only after the same time.
     pub settle_time: Duration,
-    /// How long after workers could not be reached they are probed again.
+    /// The delay before a pool's workers are probed again after none of them could be reached.
     pub probe_retry_delay: Duration,
     /// The backoff after the store has left a claim undecided; doubled with each such claim in a row.
     pub min_claim_backoff: Duration,
--- a/crates/claims/src/view.rs
+++ b/crates/claims/src/view.rs
@@ -1,4 +1,4 @@
-//! What processes tell each other in their heartbeats.
+//! The content of the heartbeats that processes exchange.
 
 use std::{fmt, sync::Arc, time::Duration};
 
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The name of a process of the system.
+/// The name of a process of the system, which its VM keeps across restarts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct NodeId(pub Arc<str>);
@@ -56,31 +56,32 @@
     }
 }
 
-/// What an owner publishes about a pool.
+/// The status of a pool in the heartbeats of its owner.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PoolNews {
     /// The pool.
     pub pool: PoolId,
     /// The owner's fencing token.
     pub fence: FenceToken,
-    /// What the pool can take.
+    /// The pool's capacity, how much of it is free, and the backlog.
     pub load: PoolLoad,
-    /// Whether its owner hands it over, because the owner is about to stop or another process suits the pool
-    /// better.
+    /// Whether the owner hands the pool over, because the owner is about to stop or another process suits the
+    /// pool better.
     pub yielding: bool,
     /// The workers that the owner still uses while it hands the pool over. Its successor already takes the
     /// others.
     pub held: Vec<LifeId>,
 }
 
-/// A process's own reading of the list of workers in the store, as opposed to what its peers told it.
+/// A process's own reading of the list of workers in the store, as opposed to a confirmation by a peer's
+/// reading.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListReading {
     /// The version of the store up to which the list was read.
     pub version: u64,
     /// The time since that reading.
     pub age: Duration,
-    /// A digest of the lasting part of all entries. It leaves out the workers' liveness updates.
+    /// A digest of all entries without the fields that each heartbeat of a worker changes.
     pub digest: u64,
 }
 
--- a/crates/claims/tests/beats.rs
+++ b/crates/claims/tests/beats.rs
@@ -14,7 +14,7 @@
 
 const CENTRES: usize = 5;
 
-/// One of this many processes owns a pool.
+/// One of so many processes owns a pool.
 const PROCESSES_PER_OWNER: usize = 6;
 
 fn centre(number: usize) -> DataCentreId {
@@ -91,7 +91,7 @@
     }
     let count = count as f64;
     println!(
-        "{count} processes: {:.1} a second each of {:.1}",
+        "{count} processes send {:.1} heartbeats a second each, {:.1} in a full mesh",
         all / count,
         full_mesh / count
     );
--- a/crates/claims/tests/keeper.rs
+++ b/crates/claims/tests/keeper.rs
@@ -164,7 +164,7 @@
     assert_eq!(sim.claims, []);
 }
 
-/// The owner loses its power. Processes of its data centre stop hearing it within half a second; those of
+/// The owner's VM loses power. Processes of its data centre stop hearing it within half a second; those of
 /// other data centres get fewer heartbeats and report it as heard for another second. The pool must not wait
 /// for them.
 #[test]
--- a/crates/claims/tests/reading.rs
+++ b/crates/claims/tests/reading.rs
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Checks how far the lists of all processes lag that are neither frozen nor refused by the store.
+    /// Checks how far the lists lag of those processes that are neither frozen nor refused by the store.
     fn check_age(&self, limit: Duration) {
         for node in self.nodes.iter().filter(|n| !n.frozen && !n.refused) {
             let age = self.now.saturating_duration_since(node.known.at);
@@ -137,7 +137,8 @@
         }
     }
 
-    /// Changes the list and returns how long it takes until all processes know.
+    /// Changes the list and returns how long it takes until the change has reached all processes that are neither
+    /// frozen nor refused by the store.
     fn time_to_propagate(&mut self) -> Duration {
         self.version += 1;
         self.digest += 1;
@@ -232,8 +233,8 @@
     }
 }
 
-/// Guards against a data centre that is never divided because the store refuses its standbys: further
-/// processes follow them.
+/// Guards against a data centre whose workers are never divided into groups because the store refuses its
+/// standbys: further processes read the workers then.
 #[test]
 fn further_processes_read_while_workers_are_not_grouped() {
     let now = Instant::now();
@@ -265,8 +266,8 @@
     }
 }
 
-/// Guards against a lost reader: one that the store refuses, or one that freezes after a last report and
-/// wakes up with an outdated one.
+/// Guards against a lost reader: one that the store refuses, or one that freezes after a last report and resumes
+/// with an outdated one.
 #[test]
 fn a_reader_that_fails_is_replaced() {
     for fault in [
