--- a/crates/jobs/src/ids.rs
+++ b/crates/jobs/src/ids.rs
@@ -9,9 +9,9 @@
 /// The length of a job id's text form: 64 bits in hexadecimal digits.
 const JOB_ID_DIGITS: usize = 16;
 
-/// The error for a text that is not a job id.
+/// The error for a text that is not a valid [`JobId`] or [`TaskId`].
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("not a job id of {JOB_ID_DIGITS} hexadecimal digits")]
+#[error("not a job id of {JOB_ID_DIGITS} lower-case hexadecimal digits, nor a task id of the form JOB.OCCURRENCE.STEP.INDEX")]
 pub struct InvalidJobId;
 
 /// The id of a job, chosen by its customer. A request with the same id is for the same job.
@@ -43,7 +43,7 @@
 /// The id of one task of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
-    /// The job.
+    /// The job that the task belongs to.
     pub job: JobId,
     /// The occurrence of a repeated job, from 0; 0 for a job that runs once.
     pub occurrence: u32,
@@ -120,8 +120,8 @@
     RunNumber
 );
 number_id!(
-    /// A fencing token: the version of the claim under which an owner acts. Workers reject orders with a
-    /// lower one.
+    /// A fencing token: the version of the claim under which an owner acts. Workers reject orders with a lower
+    /// token than the highest that they have seen.
     FenceToken
 );
 
@@ -154,8 +154,9 @@
 }
 
 text_id!(
-    /// The id of one life (incarnation) of a worker process. A restarted worker has another one and remembers
-    /// neither runs nor fencing tokens.
+    /// The id under which a life (incarnation) of a worker process is listed. A restarted worker is a new life,
+    /// which remembers neither runs nor fencing tokens. It may keep its id; then its
+    /// [`BirthTime`](crate::BirthTime) tells the lives apart.
     LifeId
 );
 text_id!(
--- a/crates/jobs/src/kept.rs
+++ b/crates/jobs/src/kept.rs
@@ -6,11 +6,11 @@
 
 use crate::{BirthTime, JobId, JobRequest, JobTerms, LifeId, ServiceId, StepSpec, TaskText};
 
-/// The state of a kept job, as its customer may be told.
+/// The state of a kept job, as reported to its customer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum KeptState {
-    /// No task has begun, as far as was stored.
+    /// No task has begun, according to the last stored row.
     Queued,
     /// Some tasks have begun.
     Running,
@@ -44,9 +44,9 @@
 /// whichever process saw it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskDeath {
-    /// The task.
+    /// The index of the task within its step.
     pub task: u32,
-    /// The worker.
+    /// The life of the worker that died.
     pub life: LifeId,
     /// The start time of the worker process, which tells lives with the same id apart; `None` if the worker
     /// did not report it.
@@ -56,7 +56,7 @@
 /// The progress of a step.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepRecord {
-    /// The tasks that are done.
+    /// The indexes of the tasks that are done.
     pub done: Vec<u32>,
     /// Failed runs, each as the task's index and the run's number, so that none counts twice.
     pub failed: Vec<(u32, u64)>,
--- a/crates/jobs/src/request.rs
+++ b/crates/jobs/src/request.rs
@@ -107,8 +107,8 @@
     pub goal: Duration,
     /// The time that the customer still waits.
     pub time_left: Duration,
-    /// The age of the customer's request, including the time for which it was under way before it arrived, as
-    /// far as that is known.
+    /// The age of the customer's request, including the known part of the time for which the customer had been
+    /// trying before the request arrived.
     pub waited: Duration,
     /// Whether this is a part of a job that is divided among pools. The other parts are already on their way,
     /// so this one is not refused because of its predicted end.
@@ -148,12 +148,13 @@
     Refused {
         /// The reason.
         kind: RefusalKind,
-        /// After what time the customer should try again.
+        /// The time after which the customer should try again.
         retry_after: Duration,
         /// The number of tasks that would have ended in time. The entry may divide the job among pools
         /// accordingly.
         fits: u32,
     },
-    /// The job was given up after some of its tasks may have run. Running tasks have been told to stop.
+    /// The job was given up after some of its tasks may have run. Running tasks are stopped by the
+    /// pool's owner or end with their leases.
     GivenUp,
 }
--- a/crates/jobs/src/route.rs
+++ b/crates/jobs/src/route.rs
@@ -1,4 +1,4 @@
-//! The routing configuration, which says to which queue a request belongs.
+//! The routing configuration, which determines the route and queue of each request.
 
 use std::{fmt, sync::Arc, time::Duration};
 
--- a/crates/jobs/src/worker.rs
+++ b/crates/jobs/src/worker.rs
@@ -88,7 +88,7 @@
         Done => "done",
         /// The run failed, through its own fault or the worker's.
         Failed => "failed",
-        /// The run was told to stop.
+        /// The run ended because of an order to stop it.
         Stopped => "stopped",
         /// The run's lease expired.
         Lapsed => "lapsed",
