--- a/crates/node/src/customer_server.rs
+++ b/crates/node/src/customer_server.rs
@@ -313,7 +313,7 @@
         .borrow_mut()
         .record_request(&rule.name, left);
     let is_new = state.now() < state.started + CUSTOMER_RETURN_PERIOD;
-    match is_new && state.has(Mechanism::RequestAges) {
+    match is_new && state.is_enabled(Mechanism::RequestAges) {
         true => age,
         false => Duration::ZERO,
     }
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -216,7 +216,7 @@
 
 /// Returns whether a job may be divided: the tasks of one step do not depend on each other.
 fn can_divide(state: &NodeState, request: &JobRequest) -> bool {
-    request.steps.len() == 1 && !request.kept && state.has(Mechanism::Dividing)
+    request.steps.len() == 1 && !request.kept && state.is_enabled(Mechanism::Dividing)
 }
 
 /// Returns whether the offers cover all tasks together. Asking further pools would then only cost time.
@@ -346,7 +346,7 @@
         .iter()
         .map(|(pool, owner)| pool_candidate(state, pool, owner))
         .collect();
-    let ignores_load = !state.has(Mechanism::PoolChoice);
+    let ignores_load = !state.is_enabled(Mechanism::PoolChoice);
     let candidates = match ignores_load {
         true => candidates.iter().map(PoolCandidate::without_load).collect(),
         false => candidates,
@@ -408,7 +408,7 @@
     if let Some(owned) = pools.get(pool).filter(|_| owner.here) {
         return PoolCandidate {
             same_data_centre: near,
-            same_process: state.has(Mechanism::OwnPool),
+            same_process: state.is_enabled(Mechanism::OwnPool),
             load: owned.pool.load(state.now()),
             sent_cpu: 0,
         };
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -86,7 +86,7 @@
     actix_rt::spawn(async move {
         match action {
             PoolAction::Start(order) => {
-                let answer = std::pin::pin!(state.workers.start(&order));
+                let answer = std::pin::pin!(state.worker_client.start(&order));
                 let overdue = std::pin::pin!(actix_rt::time::sleep(order.overdue_after));
                 let answer = match select(answer, overdue).await {
                     Either::Left((answer, _)) => answer,
@@ -102,13 +102,13 @@
                 });
             }
             PoolAction::Stop(order) => {
-                let answer = state.workers.stop(&order).await;
+                let answer = state.worker_client.stop(&order).await;
                 with_fenced_pool(&state, &id, fence, |p, now| {
                     p.on_stop_answer(now, &order, answer)
                 });
             }
             PoolAction::Poll(order) => {
-                let answer = state.workers.poll(&order).await;
+                let answer = state.worker_client.poll(&order).await;
                 with_fenced_pool(&state, &id, fence, |pool, now| {
                     pool.on_poll_answer(now, sent, &order, answer);
                 });
@@ -315,7 +315,7 @@
     let yielding = state.yielding_pool.borrow().clone();
     let Some((id, since)) = yielding else {
         let wanted = state.claim_controller.borrow().pool_to_hand_over(now);
-        let wanted = wanted.filter(|_| state.has(Mechanism::Yielding));
+        let wanted = wanted.filter(|_| state.is_enabled(Mechanism::Yielding));
         if let Some(id) = wanted.filter(|id| state.pools.borrow().contains_key(id)) {
             state.log(
                 EventKind::Important,
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -218,7 +218,7 @@
         .text("build", env!("CARGO_PKG_VERSION"));
     let claim_settings = ClaimSettings::default();
     let state = Rc::new(NodeState {
-        workers: WorkerClient::new(http),
+        worker_client: WorkerClient::new(http),
         store,
         pool_settings,
         system_addresses: vec![settings.store, customer_address, ready_address, address],
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -37,7 +37,7 @@
     /// When the process started.
     pub(crate) started: Instant,
     pub(crate) store: StoreClient,
-    pub(crate) workers: WorkerClient,
+    pub(crate) worker_client: WorkerClient,
     pub(crate) route_table: RefCell<Option<Rc<RouteTable>>>,
     pub(crate) claim_controller: RefCell<ClaimController>,
     pub(crate) directory: RefCell<WorkerDirectory>,
@@ -92,7 +92,7 @@
     }
 
     /// Returns whether a mechanism is switched on.
-    pub(crate) fn has(&self, mechanism: Mechanism) -> bool {
+    pub(crate) fn is_enabled(&self, mechanism: Mechanism) -> bool {
         self.pool_settings.switched_off.is_enabled(mechanism)
     }
 
