--- a/crates/claims/src/controller.rs
+++ b/crates/claims/src/controller.rs
@@ -488,6 +488,8 @@
         own && claim.row.incarnation == self.own_row.incarnation && !claim.released
     }
 
+    /// Whether this process hears the peer: the peer's last heartbeat is younger than the silence timeout, and no
+    /// connection to the peer was refused since.
     fn is_fresh(&self, now: Instant, peer: &HeardPeer) -> bool {
         let timeout = self.silence_timeout(now, peer);
         now < peer.heard_at + timeout && !peer.refused
--- a/crates/claims/src/controller/reason.rs
+++ b/crates/claims/src/controller/reason.rs
@@ -12,6 +12,7 @@
 use crate::action::ClaimReason;
 
 impl ClaimController {
+    /// The reason for which a pool can be claimed now; `None` if its owner is to keep it.
     pub(super) fn claim_reason(&self, now: Instant, pool: &PoolId) -> Option<ClaimReason> {
         let Some(claim) = self.pools.get(pool).and_then(|state| state.claim.as_ref()) else {
             return Some(ClaimReason::Unowned);
--- a/crates/claims/src/settings.rs
+++ b/crates/claims/src/settings.rs
@@ -25,8 +25,8 @@
     /// Other processes learn about it from its first heartbeat, and owners in other data centres send theirs
     /// within `far_heartbeat_interval`.
     pub startup_listen_time: Duration,
-    /// How long after a pool has got a new owner no process claims it from that owner while any peer hears the
-    /// owner. Pools are handed over only after the same time.
+    /// The time after a pool's change of owner in which no process claims the pool while any of its peers hears
+    /// the owner. Pools are handed over only after the same time.
     pub settle_time: Duration,
     /// The delay before a pool's workers are probed again after none of them could be reached.
     pub probe_retry_delay: Duration,
--- a/crates/jobs/src/kept.rs
+++ b/crates/jobs/src/kept.rs
@@ -89,8 +89,8 @@
     pub home: Arc<str>,
     /// The fencing token of the owner that wrote the row last.
     pub writer: u64,
-    /// Numbers this writer's versions of the job. `writer` and `revision` together tell whose write took
-    /// effect.
+    /// The number of this version among the writer's versions of the job. `writer` and `revision` together
+    /// tell whose write took effect.
     pub revision: u64,
     /// The state of the job.
     pub state: KeptState,
--- a/crates/node/src/customer_server.rs
+++ b/crates/node/src/customer_server.rs
@@ -63,7 +63,7 @@
     .await
 }
 
-/// Counts a request as open for as long as it lives.
+/// Counts a request as open until the value is dropped.
 struct OpenRequest(Rc<NodeState>);
 
 impl OpenRequest {
@@ -183,7 +183,7 @@
     }
 }
 
-/// Answers that the store cannot be reached. The customer has to ask again.
+/// Answers that the node is not ready, because the store cannot be reached. The customer has to retry.
 fn store_unavailable(
     state: &NodeState,
     purpose: &'static str,
--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -11,7 +11,7 @@
 use xxhash_rust::xxh3::Xxh3;
 
 /// How long after the store's last failure a missing entry may still come back. Entries that lapsed while the store
-/// was unavailable are back within 2 s of its return if their worker lives.
+/// was unavailable are back within 2 s of its return if their worker is alive.
 const LAPSED_ENTRY_GRACE: Duration = Duration::from_millis(2_300);
 
 /// The greatest age of a read that owners rely on. An owner reads about four times a second.
--- a/crates/node/src/groups.rs
+++ b/crates/node/src/groups.rs
@@ -219,6 +219,7 @@
     }
 }
 
+/// Writes a data centre's row of groups, on the condition that the row still has the version that is known here.
 async fn write_groups(state: &Rc<NodeState>, centre: &DataCentreId, groups: u32) {
     let key = format!("{centre}{GROUPS_KEY_SUFFIX}");
     let known = state
