--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -86,7 +86,7 @@
     actix_rt::spawn(async move {
         match action {
             PoolAction::Start(order) => {
-                let answer = std::pin::pin!(state.workers.start(&order));
+                let answer = std::pin::pin!(state.worker_client.start(&order));
                 let overdue = std::pin::pin!(actix_rt::time::sleep(order.overdue_after));
                 let answer = match select(answer, overdue).await {
                     Either::Left((answer, _)) => answer,
@@ -102,13 +102,13 @@
                 });
             }
             PoolAction::Stop(order) => {
-                let answer = state.workers.stop(&order).await;
+                let answer = state.worker_client.stop(&order).await;
                 with_fenced_pool(&state, &id, fence, |p, now| {
                     p.on_stop_answer(now, &order, answer)
                 });
             }
             PoolAction::Poll(order) => {
-                let answer = state.workers.poll(&order).await;
+                let answer = state.worker_client.poll(&order).await;
                 with_fenced_pool(&state, &id, fence, |pool, now| {
                     pool.on_poll_answer(now, sent, &order, answer);
                 });
@@ -132,7 +132,8 @@
     }
 }
 
-/// Releases a pool. Its jobs may run on until their leases end, and their customers are told to try again.
+/// Releases a pool. The runs of its jobs may continue until their leases end, and the jobs' callers get the outcome
+/// [`JobOutcome::GivenUp`].
 pub(crate) fn release_pool(state: &Rc<NodeState>, id: &PoolId, reason: &'static str) {
     let Some(owned) = state.pools.borrow_mut().remove(id) else {
         return;
@@ -192,7 +193,7 @@
 }
 
 fn open_pool(state: &Rc<NodeState>, id: &PoolId, version: RowVersion, store_clock: Duration) {
-    let start = PoolInit {
+    let init = PoolInit {
         name: Arc::from(id.to_string()),
         fence: FenceToken(version.0),
         platform_millis: u64::try_from(store_clock.as_millis()).unwrap_or(u64::MAX),
@@ -201,12 +202,12 @@
         settings: state.pool_settings.clone(),
     };
     let owned = OwnedPool {
-        pool: WorkerPool::new(start, state.now()),
+        pool: WorkerPool::new(init, state.now()),
         waiters: FastMap::default(),
         deferred_workers: FastMap::default(),
     };
     state.pools.borrow_mut().insert(id.clone(), owned);
-    update_surroundings(state, id);
+    update_takeover_state(state, id);
     let workers = state.directory.borrow().workers_of_pool(id);
     let line = EventLine::new("pool_taken")
         .text("pool", id)
@@ -260,9 +261,9 @@
     with_pool(state, id, |pool, now| pool.upsert_worker(now, worker));
 }
 
-/// Tells a pool whether a former owner still finishes jobs of it, and whether all workers that may run its jobs are
-/// listed.
-fn update_surroundings(state: &Rc<NodeState>, id: &PoolId) {
+/// Updates what a pool knows of its takeover: whether a former owner still finishes jobs of the pool, and whether all
+/// workers that may run its jobs are listed.
+fn update_takeover_state(state: &Rc<NodeState>, id: &PoolId) {
     let shared = state
         .claim_controller
         .borrow()
@@ -276,7 +277,7 @@
 
 /// Adds the deferred workers that former owners have released.
 pub(crate) fn add_deferred_workers(state: &Rc<NodeState>, id: &PoolId) {
-    update_surroundings(state, id);
+    update_takeover_state(state, id);
     let has_deferred = state
         .pools
         .borrow()
@@ -314,7 +315,7 @@
     let yielding = state.yielding_pool.borrow().clone();
     let Some((id, since)) = yielding else {
         let wanted = state.claim_controller.borrow().pool_to_hand_over(now);
-        let wanted = wanted.filter(|_| state.has(Mechanism::Yielding));
+        let wanted = wanted.filter(|_| state.is_enabled(Mechanism::Yielding));
         if let Some(id) = wanted.filter(|id| state.pools.borrow().contains_key(id)) {
             state.log(
                 EventKind::Important,
@@ -352,7 +353,8 @@
     }
 }
 
-/// Unlists a worker that is gone for good in its pool, if this node owns it.
+/// Marks a worker as unlisted in a pool if this node owns the pool: its entry is gone or unusable, or it now belongs to
+/// another pool.
 pub(crate) fn unlist_worker(state: &Rc<NodeState>, id: &PoolId, life: &LifeId) {
     if let Some(owned) = state.pools.borrow_mut().get_mut(id) {
         owned.deferred_workers.remove(life);
