--- a/crates/pool/src/admission.rs
+++ b/crates/pool/src/admission.rs
@@ -158,7 +158,7 @@
         let group = WaitingGroup {
             count: self.tasks,
             cpu: self.cpu,
-            work: self.work,
+            run_time: self.run_time,
         };
         let end = pool.place(&group, Duration::ZERO);
         end.is_none_or(|end| end > self.objective)
--- a/crates/pool/src/arrivals.rs
+++ b/crates/pool/src/arrivals.rs
@@ -33,7 +33,7 @@
     /// The CPU demand of one task, in thousandths of a core.
     pub(crate) cpu: u64,
     /// The predicted run time of one task.
-    pub(crate) work: Duration,
+    pub(crate) run_time: Duration,
     /// The time within which the job has to end to be in time.
     pub(crate) objective: Duration,
     /// Whether the job was refused because it would not have been in time.
@@ -47,7 +47,7 @@
     tasks: f64,
     cpu: f64,
     /// In seconds.
-    work: f64,
+    run_time: f64,
     /// In seconds.
     objective: f64,
     /// The share of refused jobs, as of `last`.
@@ -59,7 +59,7 @@
 pub(crate) struct ExpectedJob {
     pub(crate) tasks: usize,
     pub(crate) cpu: u64,
-    pub(crate) work: Duration,
+    pub(crate) run_time: Duration,
     pub(crate) objective: Duration,
 }
 
@@ -73,12 +73,12 @@
     /// Records an arrival.
     pub(crate) fn record(&mut self, now: Instant, job: &ArrivedJob) {
         let (tasks, cpu) = (f64::from(job.tasks), job.cpu as f64);
-        let (work, objective) = (job.work.as_secs_f64(), job.objective.as_secs_f64());
+        let (run_time, objective) = (job.run_time.as_secs_f64(), job.objective.as_secs_f64());
         let mean = self.means.entry(job.priority).or_insert(ArrivalMean {
             last: now,
             tasks,
             cpu,
-            work,
+            run_time,
             objective,
             refused: 0.0,
         });
@@ -88,7 +88,7 @@
         for (mean, new) in [
             (&mut mean.tasks, tasks),
             (&mut mean.cpu, cpu),
-            (&mut mean.work, work),
+            (&mut mean.run_time, run_time),
             (&mut mean.objective, objective),
             (&mut mean.refused, refused),
         ] {
@@ -118,7 +118,7 @@
         ExpectedJob {
             tasks: (share * self.tasks).round() as usize,
             cpu: self.cpu as u64,
-            work: Duration::from_secs_f64(self.work),
+            run_time: Duration::from_secs_f64(self.run_time),
             objective: Duration::from_secs_f64(self.objective),
         }
     }
--- a/crates/pool/src/forecast.rs
+++ b/crates/pool/src/forecast.rs
@@ -43,7 +43,7 @@
 struct TaskDemand {
     cpu: u64,
     /// The run time on a worker of mean speed, in microseconds.
-    work: f64,
+    mean_run_time: f64,
     earliest: Micros,
 }
 
@@ -102,7 +102,7 @@
 
     fn run_time(&self, demand: &TaskDemand) -> Micros {
         // The cast saturates.
-        (demand.work * self.slowness) as Micros
+        (demand.mean_run_time * self.slowness) as Micros
     }
 
     fn times(&self, demand: &TaskDemand) -> Option<TaskTimes> {
@@ -128,7 +128,7 @@
     pub(crate) count: usize,
     pub(crate) cpu: u64,
     /// The predicted run time on a worker of mean speed.
-    pub(crate) work: Duration,
+    pub(crate) run_time: Duration,
 }
 
 /// The forecast for all workers of a pool.
@@ -146,7 +146,7 @@
         }
         let demand = TaskDemand {
             cpu: group.cpu,
-            work: group.work.as_secs_f64() * 1e6,
+            mean_run_time: group.run_time.as_secs_f64() * 1e6,
             earliest: micros(earliest),
         };
         // Only the worker that got a task has to be computed again for the next one.
--- a/crates/pool/src/pool/admit.rs
+++ b/crates/pool/src/pool/admit.rs
@@ -231,7 +231,7 @@
             priority: terms.priority,
             tasks: spec.count,
             cpu: spec.demand.cpu.0,
-            work: self.predict_run_time(terms, spec),
+            run_time: self.predict_run_time(terms, spec),
             objective: self.objective(request, terms),
             refused: refusal == Some(RefusalKind::TooLate),
         };
@@ -410,7 +410,7 @@
             waiting: WaitingGroup {
                 count,
                 cpu: spec.demand.cpu.0,
-                work: self.predict_run_time(terms, spec),
+                run_time: self.predict_run_time(terms, spec),
             },
             running: Duration::ZERO,
             after: spec.after.clone(),
--- a/crates/pool/src/queue.rs
+++ b/crates/pool/src/queue.rs
@@ -124,7 +124,7 @@
     }
 }
 
-/// The latest start with which a job of this much work still ends in time.
-pub(crate) fn latest_start(arrived: Instant, objective: Duration, work: Duration) -> Instant {
-    arrived + objective.saturating_sub(work)
+/// The latest start with which a job of this predicted run time still ends in time.
+pub(crate) fn latest_start(arrived: Instant, objective: Duration, run_time: Duration) -> Instant {
+    arrived + objective.saturating_sub(run_time)
 }
