--- a/crates/pool/src/forecast.rs
+++ b/crates/pool/src/forecast.rs
@@ -12,9 +12,9 @@
 /// A change of a worker's free CPU room.
 #[derive(Clone, Copy, Debug)]
 struct CapacityChange {
-    at: Micros,
+    time: Micros,
     /// The change, in thousandths of a core.
-    by: i64,
+    delta: i64,
 }
 
 /// A worker in the forecast.
@@ -34,7 +34,7 @@
 /// The times at which a task would begin and end on a worker.
 #[derive(Clone, Copy, Debug)]
 struct TaskTimes {
-    from: Micros,
+    start: Micros,
     end: Micros,
 }
 
@@ -63,11 +63,11 @@
         self.add_change(micros(left), cpu.cast_signed());
     }
 
-    fn add_change(&mut self, at: Micros, by: i64) {
+    fn add_change(&mut self, time: Micros, delta: i64) {
         // A task that ends frees its room before another begins at the same time.
-        let before = |change: &CapacityChange| (change.at, change.by <= 0) <= (at, by <= 0);
-        let place = self.changes.partition_point(before);
-        self.changes.insert(place, CapacityChange { at, by });
+        let before = |other: &CapacityChange| (other.time, other.delta <= 0) <= (time, delta <= 0);
+        let index = self.changes.partition_point(before);
+        self.changes.insert(index, CapacityChange { time, delta });
     }
 
     /// The earliest time, not before `demand.earliest`, from which there is room for the task's whole run time. None if it
@@ -78,26 +78,26 @@
         }
         let (cpu, run_time) = (demand.cpu.cast_signed(), self.run_time(demand));
         let mut free = self.free;
-        let mut from: Option<Micros> = None;
+        let mut start: Option<Micros> = None;
         let mut changes = self.changes.iter().peekable();
-        while let Some(change) = changes.next_if(|change| change.at <= demand.earliest) {
-            free += change.by;
+        while let Some(change) = changes.next_if(|change| change.time <= demand.earliest) {
+            free += change.delta;
         }
         if free >= cpu {
-            from = Some(demand.earliest);
+            start = Some(demand.earliest);
         }
         for change in changes {
-            if from.is_some_and(|from| change.at >= from.saturating_add(run_time)) {
-                return from;
+            if start.is_some_and(|start| change.time >= start.saturating_add(run_time)) {
+                return start;
             }
-            free += change.by;
+            free += change.delta;
             if free < cpu {
-                from = None;
-            } else if from.is_none() {
-                from = Some(change.at);
+                start = None;
+            } else if start.is_none() {
+                start = Some(change.time);
             }
         }
-        from
+        start
     }
 
     fn run_time(&self, demand: &TaskDemand) -> Micros {
@@ -106,17 +106,17 @@
     }
 
     fn times(&self, demand: &TaskDemand) -> Option<TaskTimes> {
-        let from = self.earliest_start(demand)?;
-        let end = from.saturating_add(self.run_time(demand));
-        Some(TaskTimes { from, end })
+        let start = self.earliest_start(demand)?;
+        let end = start.saturating_add(self.run_time(demand));
+        Some(TaskTimes { start, end })
     }
 
     fn reserve(&mut self, times: TaskTimes, cpu: u64) {
         let cpu = cpu.cast_signed();
-        if times.from == 0 {
+        if times.start == 0 {
             self.free -= cpu;
         } else {
-            self.add_change(times.from, -cpu);
+            self.add_change(times.start, -cpu);
         }
         self.add_change(times.end, cpu);
     }
