--- a/crates/pool/src/placement.rs
+++ b/crates/pool/src/placement.rs
@@ -16,7 +16,7 @@
 const SLUGGISH_FACTOR: f64 = 2.2;
 
 /// The pause between two such runs on a sluggish worker.
-const SLUGGISH_TRIAL_PAUSE: Duration = Duration::from_millis(700);
+const SLUGGISH_PROBE_PAUSE: Duration = Duration::from_millis(700);
 
 /// A task to place.
 pub(crate) struct PlacementRequest<'a> {
@@ -79,7 +79,7 @@
         return false;
     }
     if is_sluggish(worker, request.median_slowness)
-        && (!worker.runs.is_empty() || now < worker.last_end_time + SLUGGISH_TRIAL_PAUSE)
+        && (!worker.runs.is_empty() || now < worker.last_end_time + SLUGGISH_PROBE_PAUSE)
     {
         return false;
     }
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -357,7 +357,7 @@
         if self.evacuated {
             return load;
         }
-        for worker in self.usable_or_trial_workers(now) {
+        for worker in self.usable_or_probe_workers(now) {
             load.capacity = load.capacity.saturating_add(worker.record.room.cpu.0);
             load.free = load.free.saturating_add(worker.free_room().cpu.0);
         }
@@ -371,9 +371,9 @@
     }
 
     /// The workers that count as capacity for new jobs: the healthy ones or, if there is none,
-    /// those that are due for a trial run. Otherwise a pool without a healthy worker would admit
+    /// those that are due for a probe run. Otherwise a pool without a healthy worker would admit
     /// nothing and never find out that a worker has recovered.
-    fn usable_or_trial_workers(&self, now: Instant) -> Vec<&TrackedWorker> {
+    fn usable_or_probe_workers(&self, now: Instant) -> Vec<&TrackedWorker> {
         let workers = self.workers.values();
         let sound: Vec<_> = workers.filter(|worker| worker.is_usable()).collect();
         if !sound.is_empty() {
--- a/crates/pool/src/pool/admit.rs
+++ b/crates/pool/src/pool/admit.rs
@@ -62,12 +62,12 @@
         let too_late = too_late.min(terms.waited + terms.time_left);
         let worth_simulating =
             self.can_be_in_time(request, terms, lag, too_late) || self.has_idle_share(now);
-        let trial = match worth_simulating {
-            true => self.build_trial(now, request, terms, objective),
+        let simulation = match worth_simulating {
+            true => self.build_simulation(now, request, terms, objective),
             false => None,
         };
-        let forecast = match &trial {
-            Some(trial) => trial.forecast(),
+        let forecast = match &simulation {
+            Some(simulation) => simulation.forecast(),
             None => AdmissionForecast::QUEUE_TOO_LONG,
         };
         let predicted = terms
@@ -105,8 +105,8 @@
         });
         let kind = kind?;
         let fits = match kind {
-            RefusalKind::TooLate => trial.map_or(0, |trial| {
-                self.count_in_time(&trial, request, terms, objective)
+            RefusalKind::TooLate => simulation.map_or(0, |simulation| {
+                self.count_in_time(&simulation, request, terms, objective)
             }),
             _ => 0,
         };
@@ -131,13 +131,13 @@
         if !self.can_be_in_time(request, terms, self.start_lag(1), limit) {
             return 0;
         }
-        let Some(trial) = self.build_trial(now, request, terms, objective) else {
+        let Some(simulation) = self.build_simulation(now, request, terms, objective) else {
             return 0;
         };
-        let forecast = trial.forecast();
+        let forecast = simulation.forecast();
         let fits = match self.is_in_time(&forecast, request.task_count(), terms, limit) {
             true => u32::try_from(request.task_count()).unwrap_or(u32::MAX),
-            false => self.count_in_time(&trial, request, terms, objective),
+            false => self.count_in_time(&simulation, request, terms, objective),
         };
         self.reserve_offer(now, fits)
     }
@@ -243,7 +243,7 @@
     /// once, while all pools together have it.
     fn count_in_time(
         &self,
-        trial: &AdmissionSimulation,
+        simulation: &AdmissionSimulation,
         request: &JobRequest,
         terms: &JobTerms,
         objective: Duration,
@@ -253,7 +253,7 @@
         };
         let limit = objective.mul_f64(self.settings.refusal_factor);
         let in_time = |count: u32| {
-            let forecast = trial.forecast_tasks_per_step(count as usize);
+            let forecast = simulation.forecast_tasks_per_step(count as usize);
             self.is_in_time(&forecast, u64::from(count), terms, limit)
         };
         // When capacity is scarce, mostly not even one task fits, so that is checked first.
@@ -319,7 +319,7 @@
 
     /// Builds the simulation of the pool with the new job inserted among the waiting jobs. Returns
     /// `None` if too many jobs are ahead of it.
-    fn build_trial(
+    fn build_simulation(
         &self,
         now: Instant,
         request: &JobRequest,
@@ -440,7 +440,7 @@
     }
 
     fn pool_forecast(&self, now: Instant, service: &ServiceId) -> PoolForecast {
-        let workers = self.usable_or_trial_workers(now).into_iter();
+        let workers = self.usable_or_probe_workers(now).into_iter();
         let workers = workers.filter(|worker| worker.record.service == *service);
         let (sluggish, sound): (Vec<_>, Vec<_>) =
             workers.partition(|worker| is_sluggish(worker, self.median_slowness));
