--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -375,9 +375,9 @@
     /// nothing and never find out that a worker has recovered.
     fn usable_or_probe_workers(&self, now: Instant) -> Vec<&TrackedWorker> {
         let workers = self.workers.values();
-        let sound: Vec<_> = workers.filter(|worker| worker.is_usable()).collect();
-        if !sound.is_empty() {
-            return sound;
+        let usable: Vec<_> = workers.filter(|worker| worker.is_usable()).collect();
+        if !usable.is_empty() {
+            return usable;
         }
         let workers = self.workers.values();
         workers
--- a/crates/pool/src/pool/admit.rs
+++ b/crates/pool/src/pool/admit.rs
@@ -57,11 +57,11 @@
     ) -> Option<JobOutcome> {
         let objective = self.objective(request, terms);
         let tasks = usize::try_from(request.task_count()).unwrap_or(usize::MAX);
-        let lag = self.start_lag(tasks);
-        let too_late = objective.mul_f64(self.settings.refusal_factor);
-        let too_late = too_late.min(terms.waited + terms.time_left);
+        let delay = self.start_delay(tasks);
+        let limit = objective.mul_f64(self.settings.refusal_factor);
+        let limit = limit.min(terms.waited + terms.time_left);
         let worth_simulating =
-            self.can_be_in_time(request, terms, lag, too_late) || self.has_idle_share(now);
+            self.can_be_in_time(request, terms, delay, limit) || self.has_idle_share(now);
         let simulation = match worth_simulating {
             true => self.build_simulation(now, request, terms, objective),
             false => None,
@@ -73,19 +73,19 @@
         let predicted = terms
             .waited
             .saturating_add(forecast.end)
-            .saturating_add(lag);
+            .saturating_add(delay);
         let queued = self.waiting_task_count();
-        let late = predicted > too_late && self.is_enabled(Mechanism::LateRefusal);
+        let late = predicted > limit && self.is_enabled(Mechanism::LateRefusal);
         let late =
             late && !self.may_serve_late(now, request, terms, &forecast, predicted, objective);
-        let harms = forecast.delays_admitted && self.is_enabled(Mechanism::HarmCheck);
+        let delays_others = forecast.delays_admitted && self.is_enabled(Mechanism::HarmCheck);
         let kind = if !self.accepting {
             Some(RefusalKind::NotServing)
         } else if self.evacuated {
             Some(RefusalKind::Evacuated)
         } else if !self.can_ever_hold(request, terms) {
             Some(RefusalKind::NoRoomEver)
-        } else if !terms.firm && (late || harms || forecast.takes_reserved) {
+        } else if !terms.firm && (late || delays_others || forecast.takes_reserved) {
             Some(RefusalKind::TooLate)
         } else if queued + request.steps.len() > self.settings.max_queued_tasks {
             Some(RefusalKind::QueueFull)
@@ -97,7 +97,7 @@
             job: request.id,
             refusal: kind,
             predicted,
-            start_delay: lag,
+            start_delay: delay,
             objective,
             queued,
             delays_admitted: forecast.delays_admitted,
@@ -128,7 +128,7 @@
         }
         let objective = self.objective(request, terms);
         let limit = objective.mul_f64(self.settings.refusal_factor);
-        if !self.can_be_in_time(request, terms, self.start_lag(1), limit) {
+        if !self.can_be_in_time(request, terms, self.start_delay(1), limit) {
             return 0;
         }
         let Some(simulation) = self.build_simulation(now, request, terms, objective) else {
@@ -164,9 +164,9 @@
         terms: &JobTerms,
         limit: Duration,
     ) -> bool {
-        let lag = self.start_lag(usize::try_from(tasks).unwrap_or(usize::MAX));
+        let delay = self.start_delay(usize::try_from(tasks).unwrap_or(usize::MAX));
         let end = terms.waited.saturating_add(forecast.end);
-        end.saturating_add(lag) <= limit && !forecast.delays_admitted && !forecast.takes_reserved
+        end.saturating_add(delay) <= limit && !forecast.delays_admitted && !forecast.takes_reserved
     }
 
     /// Whether a job that will be late is admitted all the same: its start need not wait for
@@ -204,7 +204,7 @@
         &self,
         request: &JobRequest,
         terms: &JobTerms,
-        lag: Duration,
+        delay: Duration,
         limit: Duration,
     ) -> bool {
         if terms.firm || !self.is_enabled(Mechanism::LateRefusal) {
@@ -212,7 +212,7 @@
         }
         let chain = self.predict_chain(request, terms);
         let soonest = chain.mul_f64(SLOWNESS_BOUNDS.0);
-        terms.waited.saturating_add(soonest).saturating_add(lag) <= limit
+        terms.waited.saturating_add(soonest).saturating_add(delay) <= limit
     }
 
     fn record_arrival(
@@ -302,7 +302,7 @@
 
     pub(super) fn can_ever_hold(&self, request: &JobRequest, terms: &JobTerms) -> bool {
         request.steps.iter().all(|spec| {
-            let ask = PlacementRequest {
+            let placement = PlacementRequest {
                 job: request.id,
                 step: 0,
                 spec,
@@ -313,7 +313,9 @@
                 exclusive: false,
                 reserved: &[],
             };
-            self.workers.values().any(|worker| can_hold(worker, &ask))
+            self.workers
+                .values()
+                .any(|worker| can_hold(worker, &placement))
         })
     }
 
@@ -357,8 +359,8 @@
         };
         // While the path to the workers is congested, jobs of the first priority are late because
         // of the path and not for lack of capacity, so room kept for them would stay empty.
-        let keeps_room = self.is_enabled(Mechanism::KeptRoom) && !self.is_congested();
-        let expected = match keeps_room {
+        let reserves_room = self.is_enabled(Mechanism::KeptRoom) && !self.is_congested();
+        let expected = match reserves_room {
             true => self.arrivals.expected_above(now, terms.priority),
             false => Vec::new(),
         };
@@ -442,12 +444,12 @@
     fn pool_forecast(&self, now: Instant, service: &ServiceId) -> PoolForecast {
         let workers = self.usable_or_probe_workers(now).into_iter();
         let workers = workers.filter(|worker| worker.record.service == *service);
-        let (sluggish, sound): (Vec<_>, Vec<_>) =
+        let (sluggish, others): (Vec<_>, Vec<_>) =
             workers.partition(|worker| is_sluggish(worker, self.median_slowness));
         // The median is as of the last tick, so a pool's only worker may seem slower than its pool
         // until the next one. In that case sluggish workers count, since a job must not be refused
         // as if there were no worker.
-        let counted = if sound.is_empty() { sluggish } else { sound };
+        let counted = if others.is_empty() { sluggish } else { others };
         let workers = counted.into_iter();
         PoolForecast {
             workers: workers.map(|worker| worker_forecast(worker, now)).collect(),
--- a/crates/pool/src/pool/schedule.rs
+++ b/crates/pool/src/pool/schedule.rs
@@ -118,7 +118,7 @@
             TaskRestriction::Hold => return None,
         };
         let spec = &job.request.steps[step];
-        let ask = PlacementRequest {
+        let placement = PlacementRequest {
             job: id,
             step: step_number,
             spec,
@@ -129,7 +129,8 @@
             exclusive: alone,
             reserved: &self.reserved_for_suspects,
         };
-        choose_worker(self.workers.values(), &ask, now).map(|worker| worker.record.life.clone())
+        choose_worker(self.workers.values(), &placement, now)
+            .map(|worker| worker.record.life.clone())
     }
 
     fn place_task(
@@ -201,7 +202,7 @@
 
     /// How long it takes to start the tasks of a new job after the starts in flight and the waiting
     /// tasks, at the current answer time. Zero unless the path to the workers is congested.
-    pub(super) fn start_lag(&self, tasks: usize) -> Duration {
+    pub(super) fn start_delay(&self, tasks: usize) -> Duration {
         if !self.is_congested() {
             return Duration::ZERO;
         }
