--- a/crates/pool/src/crash.rs
+++ b/crates/pool/src/crash.rs
@@ -70,7 +70,7 @@
     pub(crate) tasks: Vec<LostTask>,
     /// Whether the worker had a single run.
     pub(crate) was_alone: bool,
-    pub(crate) at: Instant,
+    pub(crate) lost_at: Instant,
     /// Whether the worker is known to have died, rather than possibly being out of reach.
     pub(crate) died: bool,
 }
@@ -153,9 +153,9 @@
         loss: WorkerLoss,
         worker_counts: &WorkerCounts,
     ) -> CrashFindings {
-        let now = loss.at;
+        let now = loss.lost_at;
         self.recent_losses
-            .retain(|other| now < other.at + COMMON_CAUSE_WINDOW);
+            .retain(|other| now < other.lost_at + COMMON_CAUSE_WINDOW);
         self.recent_losses.push(loss.clone());
         let loss = self.narrow_to_culprit_routes(loss);
         self.add_loss(loss);
@@ -168,7 +168,7 @@
 
     /// Records a death that a former owner stored. Returns the culprits that it identifies.
     pub(crate) fn restore_death(&mut self, loss: WorkerLoss) -> Vec<TaskId> {
-        let now = loss.at;
+        let now = loss.lost_at;
         self.add_loss(loss);
         self.find_culprits(now)
     }
@@ -221,7 +221,7 @@
     pub(crate) fn prune(&mut self, now: Instant, is_open: impl Fn(JobId) -> bool) {
         let known = self.losses.len();
         self.losses.retain(|loss| {
-            let recent = now < loss.at + LOSS_MEMORY;
+            let recent = now < loss.lost_at + LOSS_MEMORY;
             recent || loss.tasks.iter().any(|lost| is_open(lost.task.job))
         });
         self.routes
@@ -284,13 +284,13 @@
     fn confirm_deaths_where(
         &mut self,
         now: Instant,
-        is_meant: impl Fn(&WorkerLoss) -> bool,
+        is_same_worker: impl Fn(&WorkerLoss) -> bool,
     ) -> Vec<TaskId> {
         let mut changed = false;
         for loss in &mut self.losses {
-            let dies = !loss.died && is_meant(loss);
-            loss.died |= dies;
-            changed |= dies;
+            let confirmed = !loss.died && is_same_worker(loss);
+            loss.died |= confirmed;
+            changed |= confirmed;
         }
         match changed {
             true => self.find_culprits(now),
@@ -377,7 +377,7 @@
                 counts.deaths += u32::from(loss.died);
                 counts.alone += u32::from(loss.died && loss.was_alone);
                 counts.unconfirmed += u32::from(!loss.died);
-                counts.last_loss = counts.last_loss.max(Some(loss.at));
+                counts.last_loss = counts.last_loss.max(Some(loss.lost_at));
             }
         }
         let loss_counts = &self.loss_counts;
--- a/crates/pool/src/pool/crash_blame.rs
+++ b/crates/pool/src/pool/crash_blame.rs
@@ -52,19 +52,19 @@
             labels: worker.record.labels.clone(),
             was_alone: tasks.len() == 1,
             tasks,
-            at: now,
+            lost_at: now,
             died,
         };
         let suspects = loss.tasks.len();
-        let loss_result = self.crashes.record_loss(loss, &self.pool_shape());
+        let findings = self.crashes.record_loss(loss, &self.count_workers());
         self.events.push(PoolEvent::CrashSuspected {
             life: life.clone(),
             died,
-            common: loss_result.common,
+            common: findings.common,
             suspects,
         });
         self.store_deaths();
-        loss_result.culprits
+        findings.culprits
     }
 
     /// Records that a lost worker is known to have died.
@@ -111,7 +111,7 @@
                     labels: Vec::new(),
                     tasks: self.lost_task(task).into_iter().collect(),
                     was_alone: false,
-                    at: now,
+                    lost_at: now,
                     died: true,
                 };
                 culprits.extend(self.crashes.restore_death(loss));
@@ -182,17 +182,17 @@
         })
     }
 
-    fn pool_shape(&self) -> WorkerCounts {
-        let mut shape = WorkerCounts {
+    fn count_workers(&self) -> WorkerCounts {
+        let mut counts = WorkerCounts {
             workers: self.workers.len(),
             ..WorkerCounts::default()
         };
         for worker in self.workers.values() {
             for label in &worker.record.labels {
-                *shape.labels.entry(label.clone()).or_default() += 1;
+                *counts.labels.entry(label.clone()).or_default() += 1;
             }
         }
-        shape
+        counts
     }
 
     /// Stores the deaths that are attributed to tasks of kept jobs.
