--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -277,11 +277,11 @@
     /// Removes an entry that no longer waits for a job. Once no entry waits, the job's runs are
     /// stopped, unless it is a kept job.
     pub fn cancel(&mut self, now: Instant, job: JobId, waiter: WaiterId) {
-        let Some(ledger) = self.jobs.get_mut(&job) else {
+        let Some(tracked) = self.jobs.get_mut(&job) else {
             return;
         };
-        ledger.waiters.retain(|w| *w != waiter);
-        if ledger.waiters.is_empty() && ledger.kept.is_none() {
+        tracked.waiters.retain(|w| *w != waiter);
+        if tracked.waiters.is_empty() && tracked.kept.is_none() {
             self.abandon(now, job);
         }
     }
@@ -423,7 +423,7 @@
             return;
         }
         let entry = self.queue_entry(id);
-        self.queue.put(now, entry);
+        self.queue.upsert(now, entry);
     }
 
     /// The queue entry that determines a job's position. All steps that are not done count: a job
--- a/crates/pool/src/pool/schedule.rs
+++ b/crates/pool/src/pool/schedule.rs
@@ -145,7 +145,7 @@
         let job = &self.jobs[&id];
         let spec = &job.request.steps[step];
         let task_id = task_id(id, step, task.index);
-        let ledger = TrackedRun {
+        let tracked = TrackedRun {
             task: task_id,
             run,
             demand: spec.demand,
@@ -175,7 +175,7 @@
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
-        worker.runs.push(ledger);
+        worker.runs.push(tracked);
         worker
             .queued_orders
             .push_back(QueuedOrder::Start(task_id, run));
--- a/crates/pool/src/pool_choice.rs
+++ b/crates/pool/src/pool_choice.rs
@@ -52,15 +52,15 @@
 /// cross a link.
 pub fn order_pools(candidates: &[PoolCandidate], demand: u64, rng: &mut Rng) -> Vec<usize> {
     let mut order: Vec<usize> = (0..candidates.len()).collect();
-    order.sort_by_key(|place| {
-        let candidate = &candidates[*place];
+    order.sort_by_key(|index| {
+        let candidate = &candidates[*index];
         (
             !candidate.same_data_centre,
             std::cmp::Reverse(candidate.expected_free_room()),
         )
     });
-    let fits_here = |place: &usize| {
-        let candidate = &candidates[*place];
+    let fits_here = |index: &usize| {
+        let candidate = &candidates[*index];
         candidate.same_process && candidate.expected_free_room() >= demand.cast_signed()
     };
     if let Some(first) = order.iter().position(fits_here) {
--- a/crates/pool/src/queue.rs
+++ b/crates/pool/src/queue.rs
@@ -29,7 +29,7 @@
 pub(crate) struct QueueRank {
     class: QueueClass,
     priority: u32,
-    at: Instant,
+    sort_time: Instant,
     job: JobId,
 }
 
@@ -68,7 +68,7 @@
             } else {
                 0
             },
-            at: if in_time && !self.by_arrival {
+            sort_time: if in_time && !self.by_arrival {
                 self.latest_start
             } else {
                 self.arrived
@@ -87,7 +87,7 @@
 
 impl JobQueue {
     /// Inserts a job, or moves it to its present rank.
-    pub(crate) fn put(&mut self, now: Instant, entry: QueueEntry) {
+    pub(crate) fn upsert(&mut self, now: Instant, entry: QueueEntry) {
         self.remove(entry.job);
         let rank = entry.rank(now);
         self.ranks.insert(entry.job, rank);
@@ -109,7 +109,7 @@
             .filter(|(rank, entry)| entry.rank(now).class != rank.class);
         let moved: Vec<QueueEntry> = moved.map(|(_, entry)| *entry).collect();
         for entry in moved {
-            self.put(now, entry);
+            self.upsert(now, entry);
         }
     }
 
--- a/crates/pool/src/worker.rs
+++ b/crates/pool/src/worker.rs
@@ -384,11 +384,11 @@
     }
 
     pub(crate) fn remove_run(&mut self, task: TaskId, run: RunNumber) -> Option<TrackedRun> {
-        let place = self
+        let index = self
             .runs
             .iter()
             .position(|r| r.task == task && r.run == run)?;
-        Some(self.runs.swap_remove(place))
+        Some(self.runs.swap_remove(index))
     }
 
     pub(crate) fn run_count_of(&self, job: JobId) -> usize {
