--- a/crates/pool/src/pool/answers.rs
+++ b/crates/pool/src/pool/answers.rs
@@ -31,11 +31,11 @@
             worker.update_clock(owner_millis, clock);
         }
         let fence_raised = order.fence < worker.fence;
-        let (mut tries, mut under_way) = (0, 0);
+        let (mut tries, mut in_flight) = (0, 0);
         if let Some(run) = worker.run_mut(*task, *run) {
             run.answered_starts += u32::from(answer != StartAnswer::Failed(CallFailure::NoAnswer));
             run.starts_in_flight = run.starts_in_flight.saturating_sub(1);
-            (tries, under_way) = (run.starts_sent, run.starts_in_flight);
+            (tries, in_flight) = (run.starts_sent, run.starts_in_flight);
         }
         let late = now >= order.sent + order.overdue_after;
         worker.finish_order(late);
@@ -64,13 +64,13 @@
                 self.handle_rejected_start(now, life, *task, *run);
             }
             // Another copy of the start may still be answered.
-            StartAnswer::Failed(CallFailure::NoAnswer) if under_way > 0 => (),
+            StartAnswer::Failed(CallFailure::NoAnswer) if in_flight > 0 => (),
             StartAnswer::Failed(CallFailure::NoAnswer) => self.retry_start(now, life, *task, *run),
             StartAnswer::Failed(CallFailure::NewLife) => self.forget_life(now, life),
             StartAnswer::Failed(CallFailure::FencedOut) if fence_raised => {
                 self.retry_start(now, life, *task, *run);
             }
-            StartAnswer::Failed(CallFailure::FencedOut) => self.lose_worker(now, life),
+            StartAnswer::Failed(CallFailure::FencedOut) => self.handle_worker_takeover(now, life),
         }
         self.schedule(now);
         self.send_polls_and_orders(now);
@@ -124,9 +124,9 @@
     fn record_answer_time(&mut self, now: Instant, took: Duration) {
         let was_congested = self.is_congested();
         self.answer_times.record(took);
-        let (congested, under_way) = (self.is_congested(), self.starts_in_flight());
+        let (congested, in_flight) = (self.is_congested(), self.starts_in_flight());
         self.start_window
-            .on_answer(now, congested, self.answer_times.smoothed(), under_way);
+            .on_answer(now, congested, self.answer_times.smoothed(), in_flight);
         if congested != was_congested {
             self.events.push(PoolEvent::Congestion {
                 congested,
@@ -168,7 +168,7 @@
                     .queued_orders
                     .push_back(QueuedOrder::Stop(*task, *run));
             }
-            StopAnswer::Failed(CallFailure::FencedOut) => self.lose_worker(now, life),
+            StopAnswer::Failed(CallFailure::FencedOut) => self.handle_worker_takeover(now, life),
             StopAnswer::Failed(
                 CallFailure::NoAnswer | CallFailure::Unhealthy | CallFailure::Malformed,
             ) => {
--- a/crates/pool/src/pool/polls.rs
+++ b/crates/pool/src/pool/polls.rs
@@ -89,7 +89,7 @@
             Ok(listing) => self.apply_listing(now, sent, order, listing),
             // This owner has raised the worker's fence since the poll was sent.
             Err(CallFailure::FencedOut) if order.fence < worker.fence => (),
-            Err(CallFailure::FencedOut) => self.lose_worker(now, life),
+            Err(CallFailure::FencedOut) => self.handle_worker_takeover(now, life),
             Err(CallFailure::NewLife) => self.forget_life(now, life),
             Err(CallFailure::NoAnswer | CallFailure::Unhealthy | CallFailure::Malformed) => {
                 self.record_missed_poll(now, sent, life);
@@ -282,26 +282,26 @@
         }
     }
 
-    /// Handles a failed run. `counted` is the number of the task's failures in the record of a kept
+    /// Handles a failed run. `recorded` is the number of the task's failures in the record of a kept
     /// job.
-    fn fail_task(&mut self, now: Instant, life: &LifeId, mut run: TrackedRun, counted: u32) {
+    fn fail_task(&mut self, now: Instant, life: &LifeId, mut run: TrackedRun, recorded: u32) {
         let id = run.task.job;
-        let mut blame = true;
+        let mut is_task_fault = true;
         if let Some(worker) = self.workers.get_mut(life) {
             // A failure on a worker that fails everything says nothing about the task.
-            blame = worker.health.is_healthy();
+            is_task_fault = worker.health.is_healthy();
             if worker.health.record_failure(id) {
                 self.suspend(now, life, SuspensionCause::Failing);
             }
         }
-        run.failures += u32::from(blame);
+        run.failures += u32::from(is_task_fault);
         run.failed_on.push(life.clone());
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
         if job.kept.is_some() {
             // For a kept job every failure counts as an attempt, even if the worker is to blame.
-            if counted >= job.terms.attempts {
+            if recorded >= job.terms.attempts {
                 self.end_kept(now, id, KeptState::Failed);
             } else {
                 self.requeue(now, run);
@@ -502,7 +502,7 @@
     /// Handles the takeover of a worker by another owner. That owner stops the runs there, but
     /// possibly only after this owner could have started the same tasks elsewhere. So the jobs with
     /// runs on the worker are given up, and the other workers and jobs continue.
-    pub(super) fn lose_worker(&mut self, now: Instant, life: &LifeId) {
+    pub(super) fn handle_worker_takeover(&mut self, now: Instant, life: &LifeId) {
         let Some(worker) = self.workers.remove(life) else {
             return;
         };
