--- a/crates/pool/benches/admission.rs
+++ b/crates/pool/benches/admission.rs
@@ -73,7 +73,7 @@
 
 /// A pool whose room is all taken, with `waiting` jobs waiting.
 fn busy_pool(now: Instant, waiting: u64) -> WorkerPool {
-    let start = PoolInit {
+    let init = PoolInit {
         name: Arc::from("east/0"),
         fence: FenceToken(1),
         platform_millis: 1,
@@ -81,7 +81,7 @@
         evacuated: false,
         settings: PoolSettings::default(),
     };
-    let mut pool = WorkerPool::new(start, now);
+    let mut pool = WorkerPool::new(init, now);
     for number in 0..WORKERS {
         pool.upsert_worker(now, record(number));
     }
--- a/crates/pool/tests/crash.rs
+++ b/crates/pool/tests/crash.rs
@@ -185,14 +185,14 @@
 
 /// Runs traffic in which a share of the jobs of one kind crashes its workers. Returns what the
 /// innocent jobs earned and how many of them failed.
-fn replay(seed: u64, share: f64) -> (f64, usize) {
+fn run_crashing_traffic(seed: u64, share: f64) -> (f64, usize) {
     let mut simulation = Simulation::new(seed, 24);
     simulation.publish_birth_times();
     simulation.run_for(200);
     let mut culprits = Vec::new();
     for _ in 0..12_000 {
-        for (kind, plan) in KINDS.iter().enumerate() {
-            if simulation.rng.f64() >= plan.per_second * LOAD / 1_000.0 {
+        for (kind, job_kind) in KINDS.iter().enumerate() {
+            if simulation.rng.f64() >= job_kind.per_second * LOAD / 1_000.0 {
                 continue;
             }
             let id = JobId(simulation.rng.u64(..));
@@ -220,9 +220,9 @@
 fn innocent_jobs_are_served_beside_crashing_ones() {
     let (mut with, mut without) = (0.0, 0.0);
     for seed in 0..6 {
-        let (earned, failed) = replay(seed, 0.005);
+        let (earned, failed) = run_crashing_traffic(seed, 0.005);
         with += earned;
-        without += replay(seed, 0.0).0;
+        without += run_crashing_traffic(seed, 0.0).0;
         assert_eq!(failed, 0, "seed {seed}");
     }
     assert!(with >= 0.95 * without, "{with} of {without}");
--- a/crates/pool/tests/evacuation.rs
+++ b/crates/pool/tests/evacuation.rs
@@ -8,7 +8,7 @@
 use pool::{EvacuationChange, EvacuationSet, PoolLoad};
 use support::{Simulation, WorkerFault};
 
-const ONE_PLACE: u64 = 16_000;
+const WHOLE_WORKER: u64 = 16_000;
 
 fn outcome(simulation: &Simulation, id: JobId) -> Option<JobOutcome> {
     let result = simulation.results.iter().find(|result| result.id == id);
@@ -32,14 +32,14 @@
 fn running_jobs_continue_and_waiting_jobs_are_refused() {
     let mut simulation = Simulation::new(1, 1);
     let [first, second, third, fourth] = [1, 2, 3, 4].map(JobId);
-    simulation.submit_sized(1, first, vec![300.0], 300.0, ONE_PLACE);
+    simulation.submit_sized(1, first, vec![300.0], 300.0, WHOLE_WORKER);
     simulation.run_for(50);
-    simulation.submit_sized(1, second, vec![900.0], 900.0, ONE_PLACE);
+    simulation.submit_sized(1, second, vec![900.0], 900.0, WHOLE_WORKER);
     simulation.run_for(10);
     let starts = simulation.starts_sent;
     simulation.set_evacuated(true);
     assert!(is_refused(outcome(&simulation, second)));
-    simulation.submit_sized(1, third, vec![300.0], 300.0, ONE_PLACE);
+    simulation.submit_sized(1, third, vec![300.0], 300.0, WHOLE_WORKER);
     assert!(is_refused(outcome(&simulation, third)));
     assert_eq!(simulation.offer(4, 100, 6_800), 0);
     assert_eq!(
@@ -50,7 +50,7 @@
     assert_eq!(outcome(&simulation, first), Some(JobOutcome::Completed));
     assert_eq!(simulation.starts_sent, starts);
     simulation.set_evacuated(false);
-    simulation.submit_sized(1, fourth, vec![300.0], 300.0, ONE_PLACE);
+    simulation.submit_sized(1, fourth, vec![300.0], 300.0, WHOLE_WORKER);
     simulation.run_for(1_000);
     assert_eq!(outcome(&simulation, fourth), Some(JobOutcome::Completed));
 }
@@ -62,7 +62,7 @@
 fn a_started_job_that_cannot_finish_is_given_up_at_once() {
     let mut simulation = Simulation::new(1, 1);
     let wide = JobId(1);
-    simulation.submit_sized(1, wide, vec![300.0; 2], 100.0, ONE_PLACE);
+    simulation.submit_sized(1, wide, vec![300.0; 2], 100.0, WHOLE_WORKER);
     simulation.run_for(50);
     let starts = simulation.starts_sent;
     simulation.set_evacuated(true);
@@ -117,7 +117,7 @@
     let mut simulation = Simulation::new(1, 1);
     simulation.submits_kept = true;
     let kept = JobId(1);
-    simulation.submit_sized(1, kept, vec![300.0; 2], 100.0, ONE_PLACE);
+    simulation.submit_sized(1, kept, vec![300.0; 2], 100.0, WHOLE_WORKER);
     simulation.run_for(60);
     let starts = simulation.starts_sent;
     simulation.set_evacuated(true);
--- a/crates/pool/tests/faults.rs
+++ b/crates/pool/tests/faults.rs
@@ -7,7 +7,7 @@
 
 const JOB: JobId = JobId(1);
 
-fn with_fault(simulation: &mut Simulation, fault: WorkerFault) {
+fn set_all_faults(simulation: &mut Simulation, fault: WorkerFault) {
     for worker in simulation.workers.values_mut() {
         worker.fault = fault;
     }
@@ -29,7 +29,7 @@
     let mut simulation = Simulation::new(1, 1);
     simulation.submit_sized(1, JOB, vec![600.0], 600.0, 6_800);
     simulation.run_for(100);
-    with_fault(
+    set_all_faults(
         &mut simulation,
         WorkerFault {
             answers_lost: 1.0,
@@ -51,7 +51,7 @@
     simulation.submit_sized(1, JOB, vec![5_000.0, 5_000.0], 700.0, 7_900);
     simulation.run_for(200);
     assert_eq!(simulation.running(), 2);
-    with_fault(
+    set_all_faults(
         &mut simulation,
         WorkerFault {
             stops_lost: true,
@@ -113,7 +113,7 @@
 #[test]
 fn stalled_tasks_are_moved() {
     let mut simulation = Simulation::new(1, 1);
-    with_fault(
+    set_all_faults(
         &mut simulation,
         WorkerFault {
             stalls_runs: true,
--- a/crates/pool/tests/load.rs
+++ b/crates/pool/tests/load.rs
@@ -227,7 +227,7 @@
 }
 
 /// Submits jobs of one task one after another, all of which have to be completed.
-fn serves_narrow_jobs(simulation: &mut Simulation) {
+fn assert_narrow_jobs_complete(simulation: &mut Simulation) {
     let before = simulation.results.len();
     for number in 0..12 {
         simulation.submit_sized(2, JobId(number), vec![200.0], 200.0, 6_800);
@@ -259,7 +259,7 @@
         worker.fault = WorkerFault::default();
     }
     simulation.run_for(8_000);
-    serves_narrow_jobs(&mut simulation);
+    assert_narrow_jobs_complete(&mut simulation);
 }
 
 /// All workers of a pool are several times slower for a while and then as fast as before. Jobs have to be admitted for the
@@ -275,7 +275,7 @@
         worker.fault = WorkerFault::default();
     }
     simulation.run_for(8_000);
-    serves_narrow_jobs(&mut simulation);
+    assert_narrow_jobs_complete(&mut simulation);
 }
 
 /// A worker lists a task of which a few percent are done, while most of the time since its start was ordered went into the
--- a/crates/pool/tests/narrow_link.rs
+++ b/crates/pool/tests/narrow_link.rs
@@ -54,9 +54,9 @@
     for factor in [0.5, 1.0, 1.5, 2.0, 3.0] {
         let (earned, copies) = goodput(factor, &[]);
         let off = [Mechanism::AnswerLimits, Mechanism::StartWindow];
-        let (before, copies_before) = goodput(factor, &off);
+        let (without, copies_without) = goodput(factor, &off);
         println!(
-            "offered {factor}: earned {earned:.1}/s, {copies:.2} starts a task; with neither {before:.1}/s, {copies_before:.2}"
+            "offered {factor}: earned {earned:.1}/s, {copies:.2} starts a task; with neither {without:.1}/s, {copies_without:.2}"
         );
         peak = peak.max(earned);
         assert!(earned >= 0.9 * peak, "{earned:.1} of {peak:.1} at {factor}");
--- a/crates/pool/tests/support/mod.rs
+++ b/crates/pool/tests/support/mod.rs
@@ -61,14 +61,14 @@
 }
 
 struct Message {
-    at: u64,
+    due: u64,
     serial: u64,
     event: Event,
 }
 
 impl PartialEq for Message {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.serial) == (other.at, other.serial)
+        (self.due, self.serial) == (other.due, other.serial)
     }
 }
 impl Eq for Message {}
@@ -79,7 +79,7 @@
 }
 impl Ord for Message {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (other.at, other.serial).cmp(&(self.at, self.serial))
+        (other.due, other.serial).cmp(&(self.due, self.serial))
     }
 }
 
@@ -115,7 +115,7 @@
     pub(crate) claim_confirmable: bool,
     /// Whether submitted jobs are kept jobs.
     pub(crate) submits_kept: bool,
-    waiting_rows: Vec<KeptWrite>,
+    waiting_writes: Vec<KeptWrite>,
     /// The owner's link, in the direction of the workers.
     uplink: SimulatedLink,
     downlink: SimulatedLink,
@@ -199,12 +199,12 @@
     /// As [`Self::new`], with other settings.
     pub(crate) fn with_settings(seed: u64, workers: usize, settings: PoolSettings) -> Self {
         let origin = Instant::now();
-        let start = PoolInit {
+        let init = PoolInit {
             settings,
-            ..pool_start(1)
+            ..pool_init(1)
         };
         let mut simulation = Self {
-            pool: WorkerPool::new(start, origin),
+            pool: WorkerPool::new(init, origin),
             workers: BTreeMap::new(),
             rng: Rng::with_seed(seed),
             now: 0,
@@ -220,7 +220,7 @@
             store_up: true,
             claim_confirmable: true,
             submits_kept: false,
-            waiting_rows: Vec::new(),
+            waiting_writes: Vec::new(),
             uplink: SimulatedLink::default(),
             downlink: SimulatedLink::default(),
             open_calls: BTreeMap::new(),
@@ -290,11 +290,11 @@
     pub(crate) fn replace_owner(&mut self) {
         self.fence += 1;
         let at = self.instant();
-        let start = PoolInit {
+        let init = PoolInit {
             evacuated: self.evacuated,
-            ..pool_start(self.fence)
+            ..pool_init(self.fence)
         };
-        self.pool = WorkerPool::new(start, at);
+        self.pool = WorkerPool::new(init, at);
         self.open.clear();
         let records: Vec<_> = self.workers.values().map(|w| w.record.clone()).collect();
         for record in records {
@@ -305,11 +305,13 @@
 
     /// Submits a random job of a kind.
     pub(crate) fn submit(&mut self, kind: usize, id: JobId) {
-        let plan = KINDS[kind];
+        let job_kind = KINDS[kind];
         let steps = self.steps;
         let spread = |rng: &mut Rng, by: f64| 1.0 + (rng.f64() * 2.0 - 1.0) * by;
-        let count = (plan.tasks * spread(&mut self.rng, 0.6)).round().max(1.0) as u32;
-        let job_work = plan.work_ms * spread(&mut self.rng, 0.5);
+        let count = (job_kind.tasks * spread(&mut self.rng, 0.6))
+            .round()
+            .max(1.0) as u32;
+        let job_work = job_kind.work_ms * spread(&mut self.rng, 0.5);
         let mut works = |_| -> Vec<f64> {
             let tasks = 0..count;
             tasks
@@ -456,8 +458,8 @@
     /// Generates traffic of the three kinds, each at `factor` times its usual rate.
     pub(crate) fn traffic(&mut self, millis: u64, factor: [f64; 3]) {
         for _ in 0..millis {
-            for (kind, plan) in KINDS.iter().enumerate() {
-                if self.rng.f64() < plan.per_second * factor[kind] / 1000.0 {
+            for (kind, job_kind) in KINDS.iter().enumerate() {
+                if self.rng.f64() < job_kind.per_second * factor[kind] / 1000.0 {
                     let id = JobId(self.rng.u64(..));
                     self.submit(kind, id);
                 }
@@ -479,7 +481,7 @@
         worker.record.room.cpu = CpuMillis(cpu);
         worker.resized = true;
         let record = worker.record.clone();
-        self.put_records(vec![record]);
+        self.upsert_records(vec![record]);
         self.resize_in_flight = true;
         self.run_for(ONE_WAY_MS);
         self.resize_in_flight = false;
@@ -487,13 +489,13 @@
 
     /// Makes all workers publish when their lives began.
     pub(crate) fn publish_birth_times(&mut self) {
-        let mut named = Vec::new();
+        let mut records = Vec::new();
         for worker in self.workers.values_mut() {
             worker.born = Some(BirthTime(1_000_000));
             worker.record.born = worker.born;
-            named.push(worker.record.clone());
+            records.push(worker.record.clone());
         }
-        self.put_records(named);
+        self.upsert_records(records);
     }
 
     /// Restarts a worker under the same id. Its clock may be ahead of the former one or behind. Polls that wait there fail, and
@@ -515,10 +517,10 @@
     pub(crate) fn publish_records(&mut self) {
         let records = self.workers.values().map(|worker| worker.record.clone());
         let records = records.collect();
-        self.put_records(records);
+        self.upsert_records(records);
     }
 
-    fn put_records(&mut self, records: Vec<WorkerRecord>) {
+    fn upsert_records(&mut self, records: Vec<WorkerRecord>) {
         let at = self.instant();
         for record in records {
             self.pool.upsert_worker(at, record);
@@ -557,14 +559,14 @@
     /// Makes the store available again, which then handles the waiting writes.
     pub(crate) fn restore_store(&mut self) {
         self.store_up = true;
-        for order in std::mem::take(&mut self.waiting_rows) {
+        for order in std::mem::take(&mut self.waiting_writes) {
             self.post(STORE_TIME_MS, Event::WriteRow(order));
         }
     }
 
     /// The writes that wait while the store is unavailable.
     pub(crate) fn waiting_writes(&self) -> Vec<KeptWrite> {
-        self.waiting_rows.clone()
+        self.waiting_writes.clone()
     }
 
     /// Lets one write take effect, and answers it.
@@ -597,7 +599,7 @@
 
     fn store_row(&mut self, order: KeptWrite) {
         if !self.store_up {
-            self.waiting_rows.push(order);
+            self.waiting_writes.push(order);
             return;
         }
         let KeptWrite {
@@ -725,15 +727,15 @@
 
     fn post(&mut self, delay: u64, event: Event) {
         self.serial += 1;
-        let (at, serial) = (self.now + delay, self.serial);
-        self.messages.push(Message { at, serial, event });
+        let (due, serial) = (self.now + delay, self.serial);
+        self.messages.push(Message { due, serial, event });
     }
 
     fn deliver(&mut self) {
         while self
             .messages
             .peek()
-            .is_some_and(|message| message.at <= self.now)
+            .is_some_and(|message| message.due <= self.now)
         {
             let message = self.messages.pop().unwrap();
             match message.event {
@@ -830,8 +832,8 @@
             return StartAnswer::Failed(CallFailure::FencedOut);
         }
         worker.fence = order.fence.0;
-        let there = |run: &SimulatedRun| run.task == order.task && run.run == order.run;
-        if worker.runs.iter().any(there) {
+        let is_same_run = |run: &SimulatedRun| run.task == order.task && run.run == order.run;
+        if worker.runs.iter().any(is_same_run) {
             return StartAnswer::Started(clock);
         }
         let superseded = worker
@@ -890,9 +892,9 @@
             return self.send_answer(ANSWER_BYTES, Event::StopAnswer(call, order, fenced));
         }
         worker.fence = order.fence.0;
-        let there = |run: &SimulatedRun| run.task == order.task && run.run == order.run;
-        if let Some(place) = worker.runs.iter().position(there) {
-            worker.runs.remove(place);
+        let is_same_run = |run: &SimulatedRun| run.task == order.task && run.run == order.run;
+        if let Some(index) = worker.runs.iter().position(is_same_run) {
+            worker.runs.remove(index);
         }
         worker.record_end(order.task, order.run, EndCause::Stopped);
         if !self.loses_answer(&life) {
@@ -988,7 +990,7 @@
     u64::try_from(time.as_millis()).unwrap()
 }
 
-fn pool_start(fence: u64) -> PoolInit {
+fn pool_init(fence: u64) -> PoolInit {
     PoolInit {
         name: Arc::from("east/0"),
         fence: FenceToken(fence),
--- a/crates/pool/tests/support/results.rs
+++ b/crates/pool/tests/support/results.rs
@@ -31,7 +31,7 @@
 /// A summary of the results by kind of job, with the total credit.
 pub(crate) fn summary(results: &[JobResult]) -> String {
     let mut lines = String::new();
-    for (kind, plan) in KINDS.iter().enumerate() {
+    for (kind, job_kind) in KINDS.iter().enumerate() {
         let of_kind: Vec<_> = results
             .iter()
             .filter(|result| result.kind == kind)
@@ -42,7 +42,7 @@
         let refused = count(&|r| matches!(r.outcome, JobOutcome::Refused { .. }));
         let all = of_kind.len();
         let rest = all - in_time - late - refused;
-        let name = plan.name;
+        let name = job_kind.name;
         lines +=
             &format!("{name}: {all} in time {in_time} late {late} refused {refused} lost {rest}\n");
     }
@@ -59,10 +59,10 @@
 /// The share of possible credit that one kind of job earned.
 pub(crate) fn kind_credit(results: &[JobResult], kind: usize) -> f64 {
     let of_kind = results.iter().filter(|result| result.kind == kind);
-    let (mut earned, mut owed) = (0.0, 0.0);
+    let (mut earned, mut possible) = (0.0, 0.0);
     for result in of_kind {
         earned += result.credit();
-        owed += 1.0;
+        possible += 1.0;
     }
-    earned / f64::max(owed, 1.0)
+    earned / f64::max(possible, 1.0)
 }
