--- a/crates/pool/src/action.rs
+++ b/crates/pool/src/action.rs
@@ -20,15 +20,15 @@
 /// An order to start a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartOrder {
-    /// The worker's life to which the order is addressed.
+    /// The life of the worker to which the order is addressed.
     pub life: LifeId,
     /// The address on which the worker listens.
     pub address: SocketAddr,
     /// The fencing token under which the order is sent.
     pub fence: FenceToken,
-    /// The task.
+    /// The task to run.
     pub task: TaskId,
-    /// The run.
+    /// The number of the run. Resent starts of a run have the same number.
     pub run: RunNumber,
     /// The task's text, passed to the worker.
     pub text: TaskText,
@@ -45,15 +45,15 @@
 /// An order to stop a run. A run that has not started on the worker yet never starts afterwards.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StopOrder {
-    /// The worker's life to which the order is addressed.
+    /// The life of the worker to which the order is addressed.
     pub life: LifeId,
     /// The address on which the worker listens.
     pub address: SocketAddr,
     /// The fencing token under which the order is sent.
     pub fence: FenceToken,
-    /// The task.
+    /// The task of the run.
     pub task: TaskId,
-    /// The run.
+    /// The number of the run.
     pub run: RunNumber,
     /// When the order is sent.
     pub sent: Instant,
@@ -65,7 +65,7 @@
 /// that are running and those that have ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PollOrder {
-    /// The worker's life to which the order is addressed.
+    /// The life of the worker to which the order is addressed.
     pub life: LifeId,
     /// The address on which the worker listens.
     pub address: SocketAddr,
@@ -73,7 +73,7 @@
     pub fence: FenceToken,
     /// The new end of the lease, on the worker's clock. None if the lease is not renewed.
     pub lease_end: Option<WorkerClock>,
-    /// The number of the last ended run that is acknowledged; 0 if the worker has this acknowledgement already.
+    /// The number of the last ended run that is acknowledged; 0 if nothing is acknowledged.
     pub acknowledged_end: u64,
     /// How long the worker may wait for a run to end before it answers.
     pub wait: Duration,
@@ -97,7 +97,7 @@
     }
 }
 
-/// How a worker answered a start.
+/// How a worker answered a start. The worker's own answers have its clock at that time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartAnswer {
     /// The worker has the run.
@@ -114,7 +114,7 @@
     Failed(CallFailure),
 }
 
-/// How a worker answered a stop.
+/// How a worker answered a stop. The worker's own answer has its clock at that time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopAnswer {
     /// The run ends shortly, or never begins.
@@ -137,11 +137,11 @@
     Stop(StopOrder),
     /// Send a poll; its answer goes to `on_poll_answer`.
     Poll(PollOrder),
-    /// Tell an entry how its job ended.
+    /// Send the outcome of a job to a waiting entry.
     Answer {
-        /// The waiting call.
+        /// The call that waits for the outcome.
         waiter: WaiterId,
-        /// The outcome of the job.
+        /// The outcome of the job, which may still run if it was accepted as a kept job.
         outcome: JobOutcome,
     },
     /// Give up ownership of the pool: other owners have taken all its workers.
@@ -181,7 +181,7 @@
 pub enum PoolEvent {
     /// A job was admitted or refused.
     Admission {
-        /// The job.
+        /// The job that was admitted or refused.
         job: JobId,
         /// Why the job was refused. None if it was admitted.
         refusal: Option<jobs::RefusalKind>,
@@ -189,9 +189,9 @@
         predicted: Duration,
         /// The part of `predicted` that is added because workers answer starts late.
         start_delay: Duration,
-        /// The latency objective.
+        /// The job's latency objective, from the customer's request.
         objective: Duration,
-        /// The number of tasks that were waiting.
+        /// The number of tasks of other jobs that waited to be placed.
         queued: usize,
         /// Whether the job would have made a job late that was admitted before.
         delays_admitted: bool,
@@ -200,72 +200,72 @@
     },
     /// A run was placed on a worker and its start ordered.
     RunPlaced {
-        /// The task.
+        /// The task that was placed.
         task: TaskId,
-        /// The run.
+        /// The number of the run.
         run: RunNumber,
-        /// The worker.
+        /// The worker on which the run was placed.
         life: LifeId,
         /// The time since the customer's request.
         waited: Duration,
     },
     /// A start did not succeed.
     StartFailed {
-        /// The task.
+        /// The task to run.
         task: TaskId,
-        /// The run.
+        /// The number of the run.
         run: RunNumber,
-        /// The worker.
+        /// The worker to which the start was sent.
         life: LifeId,
         /// The answer, or why there was none.
         answer: StartAnswer,
-        /// How many times the start was sent.
+        /// How many times the start of this run was sent.
         starts_sent: u32,
     },
     /// A run ended.
     RunEnded {
-        /// The task.
+        /// The task of the run.
         task: TaskId,
-        /// The run.
+        /// The number of the run.
         run: RunNumber,
-        /// The worker.
+        /// The worker that reported the end.
         life: LifeId,
-        /// Why it ended.
+        /// Why the run ended.
         cause: EndCause,
         /// The time since the run was placed.
         took: Duration,
     },
     /// A run is over, but its worker did not report its end.
     RunLost {
-        /// The task.
+        /// The task of the run.
         task: TaskId,
-        /// The run.
+        /// The number of the run.
         run: RunNumber,
-        /// The worker.
+        /// The worker on which the run was placed.
         life: LifeId,
         /// Why the run counts as over.
         loss: RunLoss,
     },
     /// A run makes no progress and is being stopped.
     RunStalled {
-        /// The task.
+        /// The task of the run.
         task: TaskId,
-        /// The run.
+        /// The number of the run.
         run: RunNumber,
-        /// The worker.
+        /// The worker on which the run stalls.
         life: LifeId,
         /// The time since the run was placed.
         took: Duration,
-        /// The progress it had made.
+        /// The progress of the run, in percent.
         percent: u8,
     },
     /// A run of a job that this owner does not know is being stopped.
     ForeignRun {
-        /// The task. None if its name on the worker is no task id.
+        /// The task of the run. None if its name on the worker is no task id.
         task: Option<TaskId>,
-        /// The run.
+        /// The number of the run.
         run: RunNumber,
-        /// The worker.
+        /// The worker that lists the run.
         life: LifeId,
     },
     /// The path to the workers became congested, so that answers to starts take much longer than the shortest time seen, or
@@ -282,78 +282,78 @@
     },
     /// A worker gets no new runs for a while.
     WorkerSuspended {
-        /// The worker.
+        /// The suspended worker.
         life: LifeId,
         /// Why it is suspended.
         cause: SuspensionCause,
-        /// How long it gets no new runs.
+        /// How long the worker gets no new runs.
         pause: Duration,
     },
     /// A worker no longer answers polls.
     WorkerSilent {
-        /// The worker.
+        /// The silent worker.
         life: LifeId,
-        /// The number of runs it has.
+        /// The number of runs that were placed on the worker and are not known to be over.
         runs: usize,
     },
     /// A worker answers again, or for the first time.
     WorkerAnswers {
-        /// The worker.
+        /// The worker that answered a poll.
         life: LifeId,
         /// The worker's clock minus the owner's, in milliseconds.
         clock_offset: i64,
     },
     /// A worker was added, changed in the directory, or left.
     WorkerChanged {
-        /// The worker.
+        /// The worker that changed.
         life: LifeId,
         /// What changed.
         change: WorkerChange,
     },
     /// A job got its final outcome.
     JobEnded {
-        /// The job.
+        /// The job that ended.
         job: JobId,
-        /// The outcome.
+        /// The outcome that waiting entries get.
         outcome: JobOutcome,
         /// The time since the customer's request.
         took: Duration,
-        /// The latency objective.
+        /// The job's latency objective, from the customer's request.
         objective: Duration,
     },
     /// A kept job has been stored.
     KeptStored {
-        /// The job.
+        /// The stored job.
         job: JobId,
         /// The version of its row in the store.
         version: u64,
     },
     /// A kept job of a former owner was found in the store.
     KeptFound {
-        /// The job.
+        /// The job that was found.
         job: JobId,
         /// The version of its row in the store.
         version: u64,
     },
     /// A kept job has ended and its final state is stored.
     KeptEnded {
-        /// The job.
+        /// The job that ended.
         job: JobId,
         /// The final state.
         state: KeptState,
     },
     /// A worker has started again under its id.
     WorkerRestarted {
-        /// The worker.
+        /// The restarted worker.
         life: LifeId,
         /// When its new life began, if the worker reports it.
         born: Option<jobs::BirthTime>,
-        /// The number of runs it was known to have.
+        /// The number of runs that were placed on the worker before the restart was noticed.
         runs: usize,
     },
     /// The room of a worker changed.
     WorkerResized {
-        /// The worker.
+        /// The worker whose room changed.
         life: LifeId,
         /// The room before the change.
         former_room: ResourceDemand,
@@ -364,9 +364,9 @@
     },
     /// A worker was lost together with its runs, one of which may have crashed it.
     CrashSuspected {
-        /// The worker.
+        /// The lost worker.
         life: LifeId,
-        /// Whether the worker is known to have died, rather than being out of reach.
+        /// Whether the worker is known to have died, rather than possibly being out of reach.
         died: bool,
         /// Whether other workers were lost at the same time from a common cause. Then only tasks of a job that ran on all of
         /// them remain suspects.
@@ -376,12 +376,12 @@
     },
     /// A worker that counted as lost answers again in the same life: it had not crashed.
     CrashCleared {
-        /// The worker.
+        /// The worker that answers again.
         life: LifeId,
     },
-    /// A task was identified as crashing its workers. Its job is given up.
+    /// A task was identified as crashing its workers. Its job fails.
     CrashCulprit {
-        /// The task.
+        /// The task that crashes its workers.
         task: TaskId,
     },
     /// An evacuation of the pool's data centre began or ended.
@@ -395,9 +395,9 @@
     },
     /// Kept jobs are stopped: the store has been out of reach for so long that another owner may have taken them over.
     KeptSuspended,
-    /// No call waits for a job any more, or its deadline has passed: its runs are stopped.
+    /// No call waits for a job any more, so its runs are stopped.
     JobAbandoned {
-        /// The job.
+        /// The abandoned job.
         job: JobId,
         /// The number of runs that are stopped.
         stopped: usize,
--- a/crates/pool/src/kept.rs
+++ b/crates/pool/src/kept.rs
@@ -1,6 +1,7 @@
 //! Kept jobs: what is stored of them, and what has to be stored before it may be acknowledged.
 //!
-//! A kept job runs only once its row is in the store. The end of one of its runs is acknowledged to the worker only once the
+//! A kept job is a durable job: it is stored when it is accepted, outlives the processes that run it, and is answered before
+//! its end. It runs only once its row is in the store. The end of one of its runs is acknowledged to the worker only once the
 //! row contains it: until then the worker keeps the end for the next owner.
 
 use std::time::Duration;
@@ -15,14 +16,14 @@
 /// of `STORE_CONTACT_LIMIT`, a lease of 0.8 s, 50 ms for a stop and 350 ms for clock drift and late timers.
 pub(crate) const TAKEOVER_HOLD_TIME: Duration = Duration::from_millis(2_200);
 
-/// The pause between polls of a worker with ends that are being stored: it answers each poll at once, as it lists those ends
-/// again.
+/// The pause between polls of a worker with ends that are being stored. The worker lists those ends in each answer and so does
+/// not wait for a run to end before it answers.
 pub(crate) const STORING_POLL_PAUSE: Duration = Duration::from_millis(10);
 
 /// A write of a kept job's row.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KeptWrite {
-    /// The job.
+    /// The job whose row is written.
     pub job: JobId,
     /// The row to write. Its state says whether the job has ended.
     pub row: KeptRow,
@@ -48,11 +49,11 @@
 /// A kept job found in the store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FoundJob {
-    /// The job.
+    /// The job that was found.
     pub job: JobId,
-    /// The row.
+    /// The job's row as it was read.
     pub row: KeptRow,
-    /// The version of the row.
+    /// The version of the row in the store.
     pub version: u64,
 }
 
