--- a/crates/pool/src/admission.rs
+++ b/crates/pool/src/admission.rs
@@ -1,8 +1,8 @@
 //! Admission control: the forecast by which a job is admitted or refused.
 //!
-//! It is made for overload, when more work arrives than the pool's workers can do for seconds. Without refusals every job waits
-//! longer, until all end too late to be of use and the work done on them is lost. A job whose predicted end is too late is
-//! therefore refused at once, so that its customer can turn elsewhere and the room serves jobs that end in time. A job that
+//! Refusals are needed under overload, when for some seconds more work arrives than the pool's workers can do. Without them every
+//! job waits longer, until all end too late to be of use and the work done on them is lost. A job whose predicted end is too late
+//! is therefore refused at once, so that its customer can turn elsewhere and the room serves jobs that end in time. A job that
 //! would make an already admitted job late is refused too: admitted jobs take precedence.
 
 use std::{cell::OnceCell, time::Duration};
--- a/crates/pool/src/answer_time.rs
+++ b/crates/pool/src/answer_time.rs
@@ -1,8 +1,8 @@
 //! Measures how long workers take to answer, and derives the timeout for an answer from it.
 //!
-//! It is made for an owner whose link or CPU is too slow for what it sends, so that the same queue delays every answer. With a
-//! fixed timeout every order is then sent again and each copy lengthens the queue further, so that the pool serves nothing
-//! while the load lasts and for a time after it. The timeout follows the measured answer times, including those of answers
+//! If the owner's link or CPU is too slow for what the owner sends, one queue delays every answer. With a fixed timeout every
+//! order would then be sent again and each copy would lengthen the queue further, so that the pool would serve nothing while the
+//! load lasts and for a time after it. The timeout therefore follows the measured answer times, including those of answers
 //! that arrive after the timeout, so that it is never shorter than what the path takes at present.
 
 use std::time::Duration;
--- a/crates/pool/src/arrivals.rs
+++ b/crates/pool/src/arrivals.rs
@@ -1,8 +1,8 @@
 //! Reserves room for jobs of higher priority, from the statistics of past arrivals.
 //!
-//! It is made for lasting overload. Without a reservation, room that becomes free is at once promised to jobs that can wait for
-//! it, which are those of the lowest priority in their contracts. A short, wide job of the highest priority then finds all
-//! room of the next tenth of a second promised, and is refused.
+//! The reservation is needed under lasting overload. Without it, room that becomes free goes at once to admitted jobs that can
+//! wait for it, which are those of the lowest priority in their contracts. For a short, wide job of the highest priority all room
+//! of the next tenth of a second is then taken, and the job is refused.
 //!
 //! Room is reserved only while jobs of that priority are being refused, and more of it the larger their refused share is: a
 //! permanent reservation would cost other jobs room in every short burst.
@@ -18,7 +18,8 @@
 /// The share of refusals from which room is reserved for a whole job.
 const FULL_RESERVE_REFUSED_SHARE: f64 = 0.7;
 
-/// The weight of a new job in the means of its priority. About ten jobs count, since shapes differ by a factor of two.
+/// The weight of a new job in the means of its priority. About the last ten jobs count, since the shapes of jobs differ by a factor
+/// of two.
 const SAMPLE_WEIGHT: f64 = 0.1;
 
 /// The time constant with which the refused share decays while no jobs of that priority arrive. Bursts last some seconds.
--- a/crates/pool/src/crash.rs
+++ b/crates/pool/src/crash.rs
@@ -41,8 +41,8 @@
 /// The maximum number of losses that are remembered.
 const MAX_LOSSES: usize = 512;
 
-/// How long a task is held after its second loss, so that it can become known whether the lost workers died. The time doubles
-/// with each further loss, which bounds the number of workers that the task can take down while nothing is heard of them.
+/// How long a task is not placed after its second loss, so that it can become known whether the lost workers died. The time
+/// doubles with each further loss, which bounds the number of workers that the task can take down before that is known.
 const INITIAL_HOLD: Duration = Duration::from_millis(2_500);
 
 /// The maximum number of times that the hold doubles.
--- a/crates/pool/src/estimate.rs
+++ b/crates/pool/src/estimate.rs
@@ -8,11 +8,11 @@
 /// samples are about 25 jobs of four tasks, whose mean is off by 8%.
 const MIN_SAMPLE_WEIGHT: f64 = 0.01;
 
-/// The number of samples for which the customer's own estimate counts. It gives each new sample a weight of one in the number
-/// of samples so far, this number included, until `MIN_SAMPLE_WEIGHT` is greater.
+/// The number of samples for which the customer's own estimate counts. The weight of a new sample is one divided by the number
+/// of samples so far, in which this number is included, but at least `MIN_SAMPLE_WEIGHT`.
 const ESTIMATE_PRIOR_SAMPLES: f64 = 10.0;
 
-/// The bounds of a sample: a ratio outside them tells more about the worker than about the route.
+/// The bounds of a sample: a ratio outside them says more about the worker than about the route.
 const SAMPLE_BOUNDS: (f64, f64) = (0.2, 5.0);
 
 /// The learned ratio of run time to estimate for one route.
--- a/crates/pool/src/forecast.rs
+++ b/crates/pool/src/forecast.rs
@@ -44,6 +44,7 @@
     cpu: u64,
     /// The run time on a worker of mean speed, in microseconds.
     mean_run_time: f64,
+    /// The time before which the task must not begin.
     earliest: Micros,
 }
 
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -5,7 +5,7 @@
 //! room of each worker exactly. The crate is a state machine without I/O: the caller passes the time in and carries out the
 //! [`PoolAction`]s that come out. These invariants always hold:
 //!
-//! - the demands of a worker's runs, in any phase, fit into its room;
+//! - no start is sent to a worker whose runs, in any phase, demand more than its room;
 //! - a task has at most one run record in the whole pool;
 //! - a run record is removed only when the run is certainly over or can never begin;
 //! - a job is refused only while no start of any of its tasks has been ordered;
--- a/crates/pool/src/placement.rs
+++ b/crates/pool/src/placement.rs
@@ -1,8 +1,8 @@
 //! Chooses the worker on which a task runs.
 //!
-//! It is made for workers of unequal speed and size, some of which have turned slow, at loads that take up most of the room. A
-//! short task on a worker that is several times slower is certain to be late. Since a job ends with its last task, one such
-//! worker among sixteen makes most wide jobs late.
+//! Workers differ in speed and size, some have turned slow, and the load may take up most of the room. A short task
+//! on a worker that is several times slower is certain to be late. Since a job ends with its last task, one such worker among
+//! sixteen makes most wide jobs late.
 
 use std::time::{Duration, Instant};
 
@@ -15,7 +15,7 @@
 /// mean evens out. The bound is relative to the pool because estimates that are far too low make all workers look slow at once.
 const SLUGGISH_FACTOR: f64 = 2.2;
 
-/// The pause between two such runs on a sluggish worker.
+/// The pause between two such probe runs on a sluggish worker.
 const SLUGGISH_PROBE_PAUSE: Duration = Duration::from_millis(700);
 
 /// A task to place.
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -37,18 +37,18 @@
     worker::{QueuedOrder, RunPhase, TrackedWorker},
 };
 
-/// How long a worker that is missing from the directory is kept while it still has runs, which end
-/// by themselves.
+/// How long a worker that is missing from the directory stays in the pool while it still has runs.
+/// They end by themselves.
 const UNLISTED_WORKER_GRACE: Duration = Duration::from_secs(10);
 
-/// The minimum retry delay that a refused customer is told, which is sent in whole seconds.
+/// The minimum retry delay in a refusal, which is sent to the customer in whole seconds.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The maximum retry delay that a refused customer is told. Bursts last seconds.
+/// The maximum retry delay in a refusal. Bursts last seconds.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 /// The maximum number of starts that may be resent at once, enough for a few connections that go
-/// silent together. Each order sent refills this budget by a share of a start.
+/// silent together. Each order sent refills this budget by `PoolSettings::max_resend_share`.
 const RESEND_BURST: f64 = 12.0;
 
 /// The owner's view of one pool of workers.
@@ -61,13 +61,15 @@
     /// clock, so that they increase across owners without being stored.
     run_number_base: u64,
     last_run_number: u64,
+    /// The factor by which a task takes longer outside the rack of its data.
     far_factor: f64,
-    /// The median slowness of its workers, as of the last tick.
+    /// The median slowness of the pool's workers, as of the last tick.
     median_slowness: f64,
+    /// Whether new jobs are accepted.
     accepting: bool,
     /// Whether the pool's data centre is evacuated. Its workers then get no starts.
     evacuated: bool,
-    /// The offers of the last moments: when each was made, and for how many tasks.
+    /// Recent offers: when each was made, and for how many tasks.
     recent_offers: Vec<(Instant, u32)>,
     /// The pool's name, which is stored in the rows of its kept jobs.
     name: Arc<str>,
@@ -79,7 +81,7 @@
     start_window: StartWindow,
     /// How many starts may be resent at present.
     resend_budget: f64,
-    /// When the last call was sent with which the store confirmed this owner's claim.
+    /// When the last of the calls was sent by which the store confirmed this owner's claim.
     last_store_contact: Option<Instant>,
     /// Whether the kept jobs have been loaded from the store. Until then no end is acknowledged,
     /// since it may belong to one of them.
@@ -112,15 +114,15 @@
 pub struct PoolInit {
     /// The pool's name.
     pub name: Arc<str>,
-    /// The fence that the claim has given this owner.
+    /// The fencing token that this owner got with its claim of the pool.
     pub fence: FenceToken,
     /// The platform's clock, in milliseconds.
     pub platform_millis: u64,
-    /// How many times as long a task takes away from its data's rack.
+    /// The factor by which a task takes longer outside the rack of its data.
     pub far_factor: f64,
     /// Whether the pool's data centre is evacuated.
     pub evacuated: bool,
-    /// Times and limits.
+    /// The times and limits of the pool.
     pub settings: PoolSettings,
 }
 
@@ -163,7 +165,7 @@
         }
     }
 
-    /// The fence under which this owner acts.
+    /// The fencing token under which this owner acts.
     pub fn fence(&self) -> FenceToken {
         self.fence
     }
@@ -202,8 +204,8 @@
     }
 
     /// Once the pool accepts no new jobs, releases the workers that its jobs do not use, so that
-    /// its successor takes them. While tasks wait, all workers are kept, since the next free
-    /// capacity may be on any of them.
+    /// its successor can take them. While tasks wait, no worker is released, since the next
+    /// free capacity may be on any of them.
     pub fn release_idle_workers(&mut self) {
         if self.accepting || self.queue.jobs().next().is_some() {
             return;
@@ -274,8 +276,8 @@
         self.schedule(now);
     }
 
-    /// Removes an entry that no longer waits for a job. Once no entry waits, the job's runs are
-    /// stopped, unless it is a kept job.
+    /// Removes a call that no longer waits for a job's outcome. Once no call waits, the job's runs
+    /// are stopped, unless it is a kept job.
     pub fn cancel(&mut self, now: Instant, job: JobId, waiter: WaiterId) {
         let Some(tracked) = self.jobs.get_mut(&job) else {
             return;
@@ -330,9 +332,9 @@
         self.remove_unlisted_workers(now);
     }
 
-    /// Ends all jobs after this process has stalled for longer than entries wait to hear from it.
-    /// They have given up its jobs, and customers may have resubmitted them elsewhere, so starting
-    /// what still waits here could run a task twice at the same time.
+    /// Ends all jobs after this process has stalled for longer than entries wait for its answers.
+    /// The entries have given up its jobs, and customers may have resubmitted them elsewhere, so
+    /// starting the tasks that still wait here could run a task twice at the same time.
     pub fn give_up_all(&mut self, now: Instant) {
         self.release_all_kept(now);
         let open: Vec<JobId> = self.jobs.keys().copied().collect();
@@ -416,7 +418,8 @@
         job
     }
 
-    /// Puts a job with waiting tasks into the queue, or removes a job without.
+    /// Puts a job into the queue, or moves it there. A job without tasks that may be placed now is
+    /// removed from the queue.
     fn enqueue(&mut self, now: Instant, id: JobId) {
         if self.jobs[&id].placeable_count() == 0 {
             self.queue.remove(id);
@@ -552,11 +555,13 @@
         }
     }
 
+    /// The owner's clock: the milliseconds since the pool was taken over.
     fn owner_millis(&self, now: Instant) -> u64 {
         let passed = now.saturating_duration_since(self.clock_origin).as_millis();
         u64::try_from(passed).unwrap_or(u64::MAX)
     }
 
+    /// Returns a run number above all earlier ones of this owner and of former owners.
     fn next_run_number(&mut self, now: Instant) -> RunNumber {
         let by_clock = self.run_number_base + self.owner_millis(now);
         self.last_run_number = by_clock.max(self.last_run_number + 1);
--- a/crates/pool/src/pool/admit.rs
+++ b/crates/pool/src/pool/admit.rs
@@ -27,7 +27,7 @@
 /// parts of its job within some milliseconds.
 const OFFER_LIFETIME: Duration = Duration::from_millis(12);
 
-/// The time within which a run ends after it was told to stop, as workers guarantee.
+/// The time after an order to stop a run within which workers guarantee that it ends.
 const STOP_TIME: Duration = Duration::from_millis(50);
 
 /// The minimum share of a pool's capacity that must be free to admit a job that will be late.
@@ -142,7 +142,7 @@
         self.reserve_offer(now, fits)
     }
 
-    /// Reduces an offer by the other offers of the last moments, whose jobs may arrive at any time,
+    /// Reduces an offer by the other recent offers, whose jobs may arrive at any time,
     /// and records the rest. Otherwise entries that divide jobs by the same offers would send the
     /// pool several times as many tasks as it has capacity for, and tasks without capacity wait
     /// until their jobs are useless.
@@ -169,12 +169,12 @@
         end.saturating_add(delay) <= limit && !forecast.delays_admitted && !forecast.takes_reserved
     }
 
-    /// Whether a job that will be late is admitted all the same: its start need not wait for
-    /// capacity, a large share of the pool is idle, and its answer is still useful to its customer.
+    /// Whether a job is admitted although it will be late: its start need not wait for capacity, a
+    /// large share of the pool is idle, and its answer is still useful to its customer.
     ///
-    /// This covers an outage of all processes, after which the customers who waited for them come
-    /// at once. If they were refused because of the time they have already waited, they would come
-    /// back even later while capacity stays idle.
+    /// This matters after an outage of all processes, when all waiting customers submit at once. If
+    /// their jobs were refused because of the time already waited, the customers would submit them
+    /// again even later, while capacity stays idle.
     fn may_serve_late(
         &self,
         now: Instant,
@@ -358,7 +358,7 @@
             limit: None,
         };
         // While the path to the workers is congested, jobs of the first priority are late because
-        // of the path and not for lack of capacity, so room kept for them would stay empty.
+        // of the path and not for lack of capacity, so room reserved for them would stay empty.
         let reserves_room = self.is_enabled(Mechanism::KeptRoom) && !self.is_congested();
         let expected = match reserves_room {
             true => self.arrivals.expected_above(now, terms.priority),
@@ -447,8 +447,8 @@
         let (sluggish, others): (Vec<_>, Vec<_>) =
             workers.partition(|worker| is_sluggish(worker, self.median_slowness));
         // The median is as of the last tick, so a pool's only worker may seem slower than its pool
-        // until the next one. In that case sluggish workers count, since a job must not be refused
-        // as if there were no worker.
+        // until the next tick. If all workers seem sluggish, they count, since a job must not be
+        // refused as if there were no worker.
         let counted = if others.is_empty() { sluggish } else { others };
         let workers = counted.into_iter();
         PoolForecast {
--- a/crates/pool/src/pool/answers.rs
+++ b/crates/pool/src/pool/answers.rs
@@ -181,8 +181,8 @@
         self.send_orders(now);
     }
 
-    /// Sends an unanswered start again. After a few tries the run is stopped and the worker
-    /// suspended.
+    /// Sends an unanswered start again. After `max_unanswered_starts` the run is stopped and,
+    /// unless the path is congested, the worker suspended.
     fn retry_start(&mut self, now: Instant, life: &LifeId, task: TaskId, number: RunNumber) {
         let congested = self.is_congested();
         let Some(worker) = self.workers.get_mut(life) else {
@@ -203,8 +203,8 @@
             worker.orders_paused_until = pause;
             return;
         }
-        // On a congested path all workers answer late, so this one is not to blame, and its answer
-        // may still arrive.
+        // On a congested path all workers answer late, so this one need not be at fault, and its
+        // answer may still arrive.
         if congested && run.starts_in_flight > 0 {
             return;
         }
--- a/crates/pool/src/pool/crash_blame.rs
+++ b/crates/pool/src/pool/crash_blame.rs
@@ -138,8 +138,8 @@
         }
     }
 
-    /// Has some workers emptied for crash suspects that find no empty one: on a full pool they
-    /// would never run.
+    /// Reserves some workers, so that they become empty, for crash suspects that find no empty one.
+    /// Otherwise these would never run on a full pool.
     pub(super) fn reserve_workers_for_suspects(&mut self, now: Instant) {
         if self.crashes.is_empty() {
             self.reserved_for_suspects.clear();
--- a/crates/pool/src/pool/evacuating.rs
+++ b/crates/pool/src/pool/evacuating.rs
@@ -1,7 +1,7 @@
 //! Evacuation of the pool's data centre: its workers get no starts until the evacuation ends.
 //!
-//! An operator evacuates a data centre and then takes its machines away, so tasks that were started
-//! in between would be lost with them. Every start passes through `send_orders`, which sends none
+//! An operator evacuates a data centre and then removes its machines, so tasks that were started in
+//! between would be lost with them. Every start passes through `send_orders`, which sends none
 //! to evacuated workers. Runs that have begun continue to their end.
 
 use std::time::Instant;
--- a/crates/pool/src/pool/polls.rs
+++ b/crates/pool/src/pool/polls.rs
@@ -44,8 +44,8 @@
 const MIN_JOB_FAILURES: u32 = 3;
 
 /// The minimum progress at which a run's speed is judged. Below it, most of the time is the travel
-/// time of the start and the listing, which made sound workers seem several times too slow for the
-/// next job.
+/// time of the start and the listing, which made healthy workers seem several times too slow
+/// for the next job.
 const MIN_PROGRESS_PERCENT: u8 = 10;
 
 /// A run whose projected time exceeds this multiple of its predicted time shows that its worker is
@@ -267,7 +267,8 @@
         self.advance_job(now, id);
     }
 
-    /// Opens the steps that can begin now, or ends the job if none is left.
+    /// Marks the steps that have become ready. Ends the job if all steps are done, and otherwise
+    /// updates its place in the queue.
     pub(super) fn advance_job(&mut self, now: Instant, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -343,7 +344,8 @@
         self.enqueue(now, id);
     }
 
-    /// Stops runs that a former owner left behind. Their demands are not known, so nothing is placed beside them.
+    /// Stops runs that a former owner ordered. Their demands are not known, so nothing is placed
+    /// beside them.
     fn stop_foreign_runs(&mut self, life: &LifeId, listing: &WorkerListing) {
         let Some(worker) = self.workers.get_mut(life) else {
             return;
@@ -357,8 +359,8 @@
             if worker.run_mut(task, run).is_some() {
                 continue;
             }
-            // An end in the listing, new or repeated, takes precedence over its older view of what
-            // runs.
+            // An end in the listing, new or repeated, takes precedence over the listing's running
+            // runs, which may be older.
             let ended = listing
                 .ended
                 .iter()
@@ -500,8 +502,8 @@
     }
 
     /// Handles the takeover of a worker by another owner. That owner stops the runs there, but
-    /// possibly only after this owner could have started the same tasks elsewhere. So the jobs with
-    /// runs on the worker are given up, and the other workers and jobs continue.
+    /// possibly not before this owner could start the same tasks elsewhere. The jobs with runs on
+    /// the worker are therefore given up. The other workers and jobs continue.
     pub(super) fn handle_worker_takeover(&mut self, now: Instant, life: &LifeId) {
         let Some(worker) = self.workers.remove(life) else {
             return;
@@ -553,7 +555,7 @@
     margin: Duration,
 ) -> PollOrder {
     // The lease is renewed neither for runs of a former owner nor for a worker that does not
-    // answer: the lease end that the worker was last told must stay the one it uses.
+    // answer, so that these runs end with the lease that was sent last.
     let renew =
         !worker.runs.is_empty() && worker.foreign_runs.is_empty() && worker.missed_polls == 0;
     let clock = worker.min_clock_now(owner_millis).filter(|_| renew);
--- a/crates/pool/src/pool/resizing.rs
+++ b/crates/pool/src/pool/resizing.rs
@@ -1,8 +1,8 @@
 //! Workers whose room shrinks or grows while they have runs.
 //!
-//! A start that was placed before its worker shrank and is sent afterwards would bring the worker over
-//! its room, so such starts are withdrawn. Runs that have begun continue: a worker over its room gets
-//! no new runs until its runs fit again.
+//! A start that was placed before its worker shrank and is sent afterwards would bring the worker
+//! over its room, so such starts are withdrawn. Runs that have begun continue: a worker over its
+//! room gets no new runs until its runs fit again.
 
 use std::time::Instant;
 
@@ -55,7 +55,8 @@
     }
 }
 
-/// The starts that were never sent and do not fit into a worker's room beside its other runs, the latest first.
+/// The starts that were never sent and do not fit into a worker's room beside its other runs, the
+/// latest first.
 fn starts_over_room(worker: &TrackedWorker) -> Vec<(TaskId, RunNumber)> {
     let mut used = worker.used_room();
     let mut over = Vec::new();
--- a/crates/pool/src/pool/restart.rs
+++ b/crates/pool/src/pool/restart.rs
@@ -5,7 +5,7 @@
 //! be listed, its clock would be read wrongly, runs that died with it would count as running, and a
 //! start of the former life that is still in flight would run beside its replacement.
 //!
-//! Only a worker's own listing tells which life it is in. Its directory entry may be older or
+//! Only a worker's own listing shows which life it is in. Its directory entry may be older or
 //! newer, so if the entry names another life, the worker is polled and gets no starts until it has
 //! answered. A listing of another life that answers a poll sent before the current life was noticed
 //! is from a former life.
@@ -20,7 +20,7 @@
     worker::{ListingLife, TrackedRun},
 };
 
-/// What has become of a run that was known before its worker's restart was noticed.
+/// The fate of a run that was known before its worker's restart was noticed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FormerRunFate {
     /// The new life lists the run: its start arrived after the restart.
@@ -32,8 +32,8 @@
     Unanswered,
     /// The run died with its worker.
     Dead,
-    /// The run died with its worker, or the new life has ended it and has forgotten that end,
-    /// because the poll acknowledged that many ends of the former life.
+    /// The run died with its worker, or it has ended in the new life, which no longer lists that end:
+    /// the poll acknowledged ends of the former life, and the new life counts its ends from 1 again.
     Unknown,
 }
 
--- a/crates/pool/src/pool/schedule.rs
+++ b/crates/pool/src/pool/schedule.rs
@@ -20,8 +20,8 @@
 /// time.
 const SLOW_ANSWER_TIME: Duration = Duration::from_millis(8);
 
-/// The maximum number of orders in flight to one worker while answers are slow: as many as a worker
-/// has places for wide tasks.
+/// The maximum number of orders in flight to one worker while answers are slow: as many as the tasks
+/// of wide jobs that fit on a worker at the same time.
 const MAX_SLOW_ORDERS_IN_FLIGHT: usize = 3;
 
 impl WorkerPool {
@@ -325,7 +325,7 @@
     }
 }
 
-/// Values shared by all orders that are sent in one pass.
+/// The values shared by all orders that are sent in one pass.
 struct OrderContext {
     now: Instant,
     owner_millis: u64,
--- a/crates/pool/src/pool/takeover.rs
+++ b/crates/pool/src/pool/takeover.rs
@@ -22,8 +22,8 @@
     worker::{RunPhase, TrackedWorker},
 };
 
-/// How long ended jobs are remembered, so that an outdated read of their rows does not bring them
-/// back: much longer than the longest time that a read of the store takes.
+/// How long ended jobs are remembered, so that an outdated read of their rows does not add them
+/// again: much longer than the longest time that a read of the store takes.
 const ENDED_KEPT_MEMORY: Duration = Duration::from_secs(10);
 
 impl WorkerPool {
@@ -143,7 +143,9 @@
             .is_some_and(|sent| now < sent + STORE_CONTACT_LIMIT)
     }
 
-    /// Runs the time-driven work for kept jobs.
+    /// Runs the time-driven work for kept jobs: stops their runs without recent contact to the
+    /// store, lets found jobs run once the takeover is settled, and releases idle jobs once the pool
+    /// accepts no new ones.
     pub(super) fn tick_kept(&mut self, now: Instant) {
         if !self.has_kept() {
             return;
@@ -241,7 +243,7 @@
         self.sole_owner_since = now;
     }
 
-    /// Has the kept jobs loaded again, and with them the ends that workers list.
+    /// Requests that the kept jobs are loaded again, and with them the ends that workers list.
     pub(super) fn request_kept_reload(&mut self) {
         self.kept_loaded = false;
         for worker in self.workers.values_mut() {
--- a/crates/pool/src/pool_choice.rs
+++ b/crates/pool/src/pool_choice.rs
@@ -19,7 +19,7 @@
     pub same_process: bool,
     /// The load that its owner last published.
     pub load: PoolLoad,
-    /// The demand that this entry has sent to the pool since, in thousandths of a core.
+    /// The demand that this entry has sent to the pool since that publication, in thousandths of a core.
     pub sent_cpu: u64,
 }
 
--- a/crates/pool/src/queue.rs
+++ b/crates/pool/src/queue.rs
@@ -1,8 +1,8 @@
 //! The order in which waiting jobs get free room.
 //!
-//! It is made for a burst on top of lost workers, when there is not enough room for all jobs. In order of arrival, a short job
-//! that waits behind long ones is late, then the next one, and soon all are. In order of the latest start alone, jobs that have
-//! become late wait behind all new ones, and the work already done on them, which may be most of it, is lost.
+//! The order matters when there is not enough room for all jobs, as in a burst while workers are lost. In order of arrival, a
+//! short job that waits behind long ones is late, then the next one, and soon all are. In order of the latest start alone, jobs
+//! that have become late wait behind all new ones, and the work already done on them, which may be most of it, is lost.
 
 use std::{
     collections::BTreeMap,
@@ -29,6 +29,7 @@
 pub(crate) struct QueueRank {
     class: QueueClass,
     priority: u32,
+    /// The latest start of a job that can still be in time, unless such jobs are ordered by arrival. Otherwise the arrival.
     sort_time: Instant,
     job: JobId,
 }
@@ -124,7 +125,7 @@
     }
 }
 
-/// The latest start with which a job of this predicted run time still ends in time.
+/// The latest start with which a job that takes `run_time` from its start still ends in time.
 pub(crate) fn latest_start(arrived: Instant, objective: Duration, run_time: Duration) -> Instant {
     arrived + objective.saturating_sub(run_time)
 }
--- a/crates/pool/src/start_window.rs
+++ b/crates/pool/src/start_window.rs
@@ -1,9 +1,9 @@
 //! The congestion window of an owner: the number of starts it may have in flight.
 //!
-//! It is made for more starts than the owner's link or CPU can send. Starts that were sent anyway would wait in the link's queue,
-//! where deadlines have no effect and nothing can be withdrawn, and would delay polls, stops and heartbeats too. Tasks therefore
-//! wait in the owner's queue until a start may be sent. The window grows while answers come quickly and shrinks when they are
-//! late.
+//! The window matters when there are more starts than the owner's link or CPU can send. Without it, they would wait in the link's
+//! queue, where deadlines have no effect and nothing can be withdrawn, and would delay polls, stops and heartbeats too. Tasks
+//! therefore wait in the owner's queue until a start may be sent. The window grows while answers come quickly and shrinks when
+//! they are late.
 
 use std::time::{Duration, Instant};
 
@@ -16,7 +16,7 @@
 /// The maximum window, which is more than a pool of a few dozen workers has room for.
 const MAX_WINDOW_STARTS: f64 = 512.0;
 
-/// The factor by which the window shrinks, which is the gentler one of TCP congestion control with CUBIC (RFC 9438).
+/// The factor by which the window shrinks: that of CUBIC (RFC 9438), which shrinks less than other TCP congestion control.
 const SHRINK_FACTOR: f64 = 0.7;
 
 /// The number of starts that may be in flight.
--- a/crates/pool/src/time_budget.rs
+++ b/crates/pool/src/time_budget.rs
@@ -1,9 +1,10 @@
 //! Estimates the age of a request from what is left of its time budget.
 //!
-//! It is made for the return of many processes at once. All customers that were disconnected or found no process then retry, in
-//! addition to the usual load, and many of these requests are already too late to be of use. If a retried request is taken for a
-//! new one, it takes up room and ends when its customer has no use for it, while new requests are refused. On a fleet of 47
-//! VMs that lost power for 1.4 s, 981 of 5,200 requests of the four seconds around it were answered too late.
+//! The estimate is needed when many processes return at once. All customers that were disconnected or found no process then
+//! retry, in addition to the usual load, and many of these requests are already too late to be of use. If a retried request is
+//! taken for a new one, it takes up room and ends when its customer has no use for it, while new requests are refused. On a
+//! fleet of 47 VMs that lost power for 1.4 s, 981 of 5,200 requests of the four seconds around the outage were answered too
+//! late.
 //!
 //! The remaining time of a request shows its age if the time budget is known with which requests of its route first arrive. Each
 //! process learns these budgets by route and publishes them with its row in the store, from where a process that has just started
--- a/crates/pool/src/worker.rs
+++ b/crates/pool/src/worker.rs
@@ -20,7 +20,8 @@
 /// is.
 pub(crate) const SLOWNESS_BOUNDS: (f64, f64) = (0.5, 12.0);
 
-/// The maximum number of former lives remembered per worker. They show that a directory entry names a former life.
+/// The maximum number of former lives remembered per worker. They show when a directory entry names a
+/// former life.
 const MAX_FORMER_LIVES: usize = 8;
 
 /// The shortest time that a worker needs to restart after it died.
@@ -52,6 +53,7 @@
     pub(crate) task: TaskId,
     pub(crate) run: RunNumber,
     pub(crate) demand: ResourceDemand,
+    /// The task's text, passed to the worker.
     pub(crate) text: TaskText,
     pub(crate) phase: RunPhase,
     pub(crate) placed_at: Instant,
@@ -62,6 +64,7 @@
     /// The latest lease end that a start of the run carried. After it, on the worker's clock, no copy of the start is carried
     /// out.
     pub(crate) start_expires: WorkerClock,
+    /// How many times the start was sent.
     pub(crate) starts_sent: u32,
     /// The number of starts that were answered in any way.
     pub(crate) answered_starts: u32,
@@ -69,7 +72,9 @@
     pub(crate) starts_in_flight: u32,
     /// The predicted run time on a worker of mean speed.
     pub(crate) predicted: Duration,
+    /// The customer's estimate of the run time.
     pub(crate) estimate: Duration,
+    /// The greatest progress that a listing has shown, in percent.
     pub(crate) percent: u8,
     /// When `percent` last rose.
     pub(crate) progressed_at: Instant,
@@ -77,6 +82,7 @@
     pub(crate) failures: u32,
     /// Whether no other run may share the worker.
     pub(crate) exclusive: bool,
+    /// The workers on which the task failed before.
     pub(crate) failed_on: Vec<jobs::LifeId>,
 }
 
@@ -124,7 +130,7 @@
     fence_unconfirmed: bool,
     /// When the worker disappeared from the directory.
     pub(crate) unlisted_since: Option<Instant>,
-    /// Known once the worker has answered a poll under this fencing token.
+    /// None until the current life of the worker has answered a call.
     pub(crate) clock: Option<ClockEstimate>,
     pub(crate) runs: Vec<TrackedRun>,
     /// Runs of former owners that were ordered to stop.
@@ -163,6 +169,7 @@
     pub(crate) health: WorkerHealth,
     /// The ratio of measured to predicted run times.
     pub(crate) slowness: f64,
+    /// When the last end of a run arrived.
     pub(crate) last_end_time: Instant,
     /// When `slowness` last took a sample or decayed.
     slowness_updated: Instant,
@@ -456,8 +463,9 @@
         self.runs.is_empty() && self.queued_orders.is_empty() && in_flight == 0
     }
 
-    /// Whether the worker has to be polled now. `wants_ends` tells that jobs wait for the ends it has to list. `hedge` is the
-    /// time after which a second poll is sent beside one without an answer.
+    /// Whether the worker has to be polled now. `idle_ack` is the time after which the ends of an idle worker are acknowledged,
+    /// `wants_ends` means that kept jobs wait for the ends that the worker lists, and `hedge` is the time after which a second
+    /// poll is sent beside one without an answer.
     pub(crate) fn needs_poll(
         &self,
         now: Instant,
