--- a/crates/pool/tests/crash.rs
+++ b/crates/pool/tests/crash.rs
@@ -42,7 +42,7 @@
     common.count()
 }
 
-/// Guards against a kept job that crashes one worker after another for good. It fails after few
+/// Guards against a kept job that crashes one worker after another without end. It fails after few
 /// deaths, wherever in its work it crashes and however its workers come back.
 #[test]
 fn a_crashing_kept_job_fails() {
@@ -162,8 +162,8 @@
     assert!(row.progress.iter().all(|step| step.deaths.is_empty()));
 }
 
-/// Guards against a customer whose further attempts crash further workers. A job that is known for
-/// it fails at once.
+/// Guards against a customer whose further attempts crash further workers. A job with a task that was
+/// identified as crashing its workers fails at once.
 #[test]
 fn the_next_attempt_of_a_crashing_job_fails_at_once() {
     let mut simulation = Simulation::new(6, 6);
--- a/crates/pool/tests/evacuation.rs
+++ b/crates/pool/tests/evacuation.rs
@@ -55,9 +55,9 @@
     assert_eq!(outcome(&simulation, fourth), Some(JobOutcome::Completed));
 }
 
-/// Only one of a job's two tasks has a place when the data centre is evacuated. The second may not
-/// start, and the first has begun, so nobody can say that nothing ran. The caller is told at once
-/// that the outcome is unknown instead of waiting for the end of the evacuation.
+/// Only one of a job's two tasks has room when the data centre is evacuated. The second may not
+/// start, and the first has begun, so the job must not be refused as if nothing had run. It is given
+/// up at once, which leaves the outcome open, instead of waiting for the end of the evacuation.
 #[test]
 fn a_started_job_that_cannot_finish_is_given_up_at_once() {
     let mut simulation = Simulation::new(1, 1);
@@ -110,8 +110,8 @@
     }
 }
 
-/// A kept job was accepted before the evacuation. Its caller was told that it will run, so it waits
-/// and runs after the evacuation.
+/// A kept job was accepted before the evacuation, which guarantees its caller that it will run. So it
+/// waits and runs after the evacuation.
 #[test]
 fn a_kept_job_waits_for_the_end_of_the_evacuation() {
     let mut simulation = Simulation::new(1, 1);
@@ -129,7 +129,7 @@
     assert!(row.state.is_final(), "{:?}", row.state);
 }
 
-/// A new owner of the pool is told of the evacuation before it knows any worker.
+/// A new owner of the pool knows of the evacuation before it knows any worker.
 #[test]
 fn a_new_owner_starts_nothing_while_evacuated() {
     let mut simulation = Simulation::new(1, 2);
--- a/crates/pool/tests/faults.rs
+++ b/crates/pool/tests/faults.rs
@@ -69,8 +69,8 @@
 }
 
 /// A customer's connection breaks, and it submits the same job again before the runs of the first
-/// attempt have ended. Starting at once would run tasks twice, so the customer is told that the
-/// outcome is unknown and tries again later.
+/// attempt have ended. Starting at once would run tasks twice, so the second attempt is given up, and
+/// the customer tries again later.
 #[test]
 fn a_resubmitted_job_does_not_run_twice_at_once() {
     let mut simulation = Simulation::new(1, 4);
@@ -127,8 +127,8 @@
     assert_eq!(outcomes(&simulation), [(JOB, JobOutcome::Completed)]);
 }
 
-/// Another owner takes one worker of the pool, as when workers are redistributed and this owner has
-/// not been told yet. The job that runs there is given up, since its tasks may still run. The job
+/// Another owner takes one worker of the pool, as when workers are redistributed and this owner does
+/// not know of it yet. The job that runs there is given up, since its tasks may still run. The job
 /// on the other worker continues, and the owner keeps the pool.
 #[test]
 fn a_taken_over_worker_costs_only_its_own_jobs() {
--- a/crates/pool/tests/kept.rs
+++ b/crates/pool/tests/kept.rs
@@ -31,8 +31,9 @@
     simulation.rows.get(&JOB).map(|(row, _)| row.state)
 }
 
-/// The customer is told that its job is accepted once it is stored, and no task starts before. An
-/// owner that dies in between leaves either nothing behind or a job that its successor finds.
+/// The customer gets the answer that its job is accepted once it is stored, and no task starts
+/// before. An owner that dies in between leaves either nothing behind or a job that its successor
+/// finds.
 #[test]
 fn nothing_starts_before_the_job_is_stored() {
     let mut simulation = simulation(2);
--- a/crates/pool/tests/load.rs
+++ b/crates/pool/tests/load.rs
@@ -209,8 +209,8 @@
 }
 
 /// Five entries ask at the same moment how much of a job a pool could take, each for a job that no pool takes whole. Each entry
-/// sends as many tasks as it was offered. If the same room were offered to all five, it would be promised five times, and the
-/// callers whose tasks find no room would wait long and get nothing.
+/// sends as many tasks as it was offered. If the same room were offered to all five, it would be used five times over, and
+/// the callers whose tasks find no room would wait long and get nothing.
 #[test]
 fn offers_of_one_moment_do_not_exceed_the_places() {
     let mut simulation = Simulation::new(1, 4);
--- a/crates/pool/tests/narrow_link.rs
+++ b/crates/pool/tests/narrow_link.rs
@@ -25,7 +25,8 @@
     }
 }
 
-/// The credit earned per second at `factor` times the usual traffic, and the number of starts sent per completed task.
+/// The credit earned per second at `factor` times the usual traffic with the mechanisms in `off` disabled, and the number of
+/// starts sent per completed task.
 fn goodput(factor: f64, off: &[Mechanism]) -> (f64, f64) {
     let (mut earned, mut starts, mut done) = (0.0, 0, 0);
     for seed in 0..2 {
--- a/crates/pool/tests/room.rs
+++ b/crates/pool/tests/room.rs
@@ -1,6 +1,6 @@
 //! Workers whose room shrinks and grows while they have runs. At each start the simulation checks
 //! that the worker's runs, including those being stopped, fit with the new one into the room that
-//! its owner was told of.
+//! the directory shows to its owner.
 
 mod support;
 
@@ -55,8 +55,8 @@
     assert_eq!(outcome(&simulation, first), Some(JobOutcome::Completed));
 }
 
-/// Guards against a job that waits until its deadline for room that no worker has any more. Its
-/// caller is told at once.
+/// Guards against a job that waits until its deadline for room that no worker has any more. It is
+/// refused at once.
 #[test]
 fn a_job_that_no_worker_can_hold_any_more_is_refused() {
     let mut simulation = Simulation::new(3, 1);
@@ -113,8 +113,8 @@
     }
 }
 
-/// Guards against any sequence of room changes, faults and owners in which a start exceeds a
-/// worker's room.
+/// Guards against a start that exceeds its worker's room, over random sequences of room changes,
+/// faults and changes of owner.
 #[test]
 fn no_start_exceeds_a_changing_room() {
     for seed in 0..60 {
--- a/crates/pool/tests/support/crashing.rs
+++ b/crates/pool/tests/support/crashing.rs
@@ -21,7 +21,7 @@
 
 /// The tasks that crash workers, and the resulting crashes.
 pub(crate) struct CrashPlan {
-    /// The jobs whose first task crashes its worker, with the share of the work that it does before.
+    /// The jobs whose first task crashes its worker, with the share of its work that the task does before.
     pub(crate) jobs: BTreeMap<JobId, f64>,
     pub(crate) return_kind: CrashReturn,
     /// How long a crashed worker is away, in milliseconds.
@@ -30,6 +30,7 @@
     down: BTreeMap<LifeId, u64>,
     /// The number of deaths under each task that crashes workers.
     pub(crate) deaths: BTreeMap<TaskId, u32>,
+    /// The number of starts of each task after the third death under it.
     extra_starts: BTreeMap<TaskId, u32>,
     /// The pool's events about crashes.
     pub(crate) events: Vec<PoolEvent>,
--- a/crates/pool/tests/support/mod.rs
+++ b/crates/pool/tests/support/mod.rs
@@ -49,6 +49,7 @@
 /// Identifies a call. At most one answer to a call counts.
 type CallNumber = u64;
 
+/// What a message does when it is delivered. The time in polls is when the poll was sent, in milliseconds.
 enum Event {
     Start(CallNumber, StartOrder),
     Stop(CallNumber, StopOrder),
@@ -60,7 +61,9 @@
     WriteRow(KeptWrite),
 }
 
+/// An event to be delivered at a simulated time. Messages of the same time are delivered in the order of their numbers.
 struct Message {
+    /// The time of delivery, in milliseconds.
     due: u64,
     serial: u64,
     event: Event,
@@ -83,11 +86,16 @@
     }
 }
 
+/// A job without an answer. Times are in milliseconds.
 struct OpenJob {
+    /// The index of its kind in `KINDS`.
     kind: usize,
     arrived: u64,
+    /// The latency objective computed from the true work.
     objective: f64,
+    /// The work of each task, by step: its run time on a worker of speed 1.
     steps: Vec<Vec<f64>>,
+    /// The CPU demand of each task, in thousandths of a core.
     cpu: u64,
 }
 
@@ -96,10 +104,12 @@
     pub(crate) pool: WorkerPool,
     pub(crate) workers: BTreeMap<LifeId, SimulatedWorker>,
     pub(crate) rng: Rng,
+    /// The simulated time, in milliseconds.
     pub(crate) now: u64,
     pub(crate) results: Vec<JobResult>,
     open: BTreeMap<JobId, OpenJob>,
-    /// The work of every job ever submitted. A delayed start needs it after its job has ended.
+    /// The work of the tasks, by step, and their CPU demand for every job ever submitted. A delayed start needs them after its
+    /// job has ended.
     known: BTreeMap<JobId, (Vec<Vec<f64>>, u64)>,
     origin: Instant,
     messages: BinaryHeap<Message>,
@@ -115,6 +125,7 @@
     pub(crate) claim_confirmable: bool,
     /// Whether submitted jobs are kept jobs.
     pub(crate) submits_kept: bool,
+    /// The writes that wait until the store is available again.
     waiting_writes: Vec<KeptWrite>,
     /// The owner's link, in the direction of the workers.
     uplink: SimulatedLink,
@@ -130,6 +141,7 @@
     /// The age of jobs when they are submitted, in milliseconds.
     pub(crate) waited: u64,
     evacuated: bool,
+    /// Whether the pool was given up.
     pub(crate) released: bool,
     pub(crate) crashes: CrashPlan,
     /// Whether a worker's room has just changed, so that starts in transit may exceed it.
@@ -142,13 +154,17 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct JobKind {
     pub(crate) name: &'static str,
+    /// The number of jobs per second.
     pub(crate) per_second: f64,
+    /// The mean number of tasks in a step.
     pub(crate) tasks: f64,
+    /// The mean run time of a task on a worker of speed 1, in milliseconds.
     pub(crate) work_ms: f64,
+    /// The priority; 0 is the highest.
     pub(crate) priority: u32,
 }
 
-/// The Trust's three kinds of jobs, with a third of its traffic.
+/// The three kinds of jobs of the Trust, a user with lesson diaries, with a third of its traffic.
 pub(crate) const KINDS: [JobKind; 3] = [
     JobKind {
         name: "lessonhold",
@@ -191,7 +207,7 @@
 }
 
 impl Simulation {
-    /// A pool of workers like the Trust's in one data centre.
+    /// A pool of workers in one data centre, with the sizes and speeds of the Trust's.
     pub(crate) fn new(seed: u64, workers: usize) -> Self {
         Self::with_settings(seed, workers, PoolSettings::default())
     }
@@ -324,6 +340,8 @@
         self.submit_steps(kind, id, steps, estimate, cpu);
     }
 
+    /// Submits a job of one step. `works` are the run times of its tasks on a worker of speed 1 and `estimate` is the customer's
+    /// estimate of them, in milliseconds; `cpu` is the demand of each task, in thousandths of a core.
     pub(crate) fn submit_sized(
         &mut self,
         kind: usize,
@@ -369,7 +387,7 @@
         self.pool.offer(at, &request, &terms)
     }
 
-    /// Submits a job whose steps run one after another.
+    /// Submits a job whose steps run one after another. The units are as in [`Self::submit_sized`].
     pub(crate) fn submit_steps(
         &mut self,
         kind: usize,
@@ -487,7 +505,7 @@
         self.resize_in_flight = false;
     }
 
-    /// Makes all workers publish when their lives began.
+    /// Makes all workers publish the birth times of their lives.
     pub(crate) fn publish_birth_times(&mut self) {
         let mut records = Vec::new();
         for worker in self.workers.values_mut() {
@@ -625,7 +643,7 @@
         self.pool.on_store_answer(at, &order, answer);
     }
 
-    /// Submits a job again, as a customer does that got no answer.
+    /// Submits a job again, as a customer does that got no answer. It counts as the third kind.
     pub(crate) fn submit_again(&mut self, id: JobId) {
         let (steps, cpu) = self.known[&id].clone();
         self.submit_steps(2, id, steps, 200.0, cpu);
--- a/crates/pool/tests/support/worker.rs
+++ b/crates/pool/tests/support/worker.rs
@@ -32,8 +32,11 @@
 pub(super) struct SimulatedRun {
     pub(super) task: TaskId,
     pub(super) run: RunNumber,
+    /// The CPU demand, in thousandths of a core.
     pub(super) cpu: u64,
+    /// The run time on a worker of speed 1, in milliseconds.
     pub(super) work: f64,
+    /// The part of `work` that is done.
     pub(super) done: f64,
 }
 
@@ -41,6 +44,7 @@
 pub(crate) struct SimulatedWorker {
     pub(crate) record: WorkerRecord,
     pub(crate) fault: WorkerFault,
+    /// How much work a run does per millisecond without a fault.
     pub(crate) speed: f64,
     pub(super) born: Option<BirthTime>,
     /// The first call sent to the present life. Earlier calls were lost with the connections of the former life.
@@ -49,8 +53,11 @@
     pub(super) resized: bool,
     /// The time until which the worker is starting, so that no call reaches it.
     pub(super) starting_until: u64,
+    /// The worker's clock minus the simulated time, in milliseconds.
     pub(super) clock_offset: u64,
+    /// The highest fencing token of the calls that the worker has received in its present life.
     pub(super) fence: u64,
+    /// The end of the lease of all runs, on the worker's clock.
     pub(super) lease_end: u64,
     pub(super) runs: Vec<SimulatedRun>,
     pub(super) ends: Vec<EndedRun>,
@@ -73,7 +80,7 @@
         self.acknowledged_end = 0;
     }
 
-    /// The highest fencing token that the worker has seen.
+    /// The highest fencing token of the calls that the worker has received.
     pub(crate) fn highest_fence(&self) -> u64 {
         self.fence
     }
--- a/crates/pool/tests/waits.rs
+++ b/crates/pool/tests/waits.rs
@@ -5,7 +5,7 @@
 use fastrand::Rng;
 use pool::BudgetTracker;
 
-/// The time of a new request: customers of the route give 1.8 to 2.4 s. A retried request has less left.
+/// The remaining time of a new request: customers of the route give 1.8 to 2.4 s. A retried request has less left.
 fn new_request_time(rng: &mut Rng) -> Duration {
     Duration::from_millis(rng.u64(1_800..2_400))
 }
