--- a/crates/pool/src/action.rs
+++ b/crates/pool/src/action.rs
@@ -165,13 +165,13 @@
 text_enum! {
     /// Why a worker gets no new runs for a while.
     SuspensionCause, "suspension", UnknownVariant {
-        /// Runs of different jobs failed in a row.
+        /// Runs of different jobs failed in a row, or a probe run failed.
         Failing => "failing",
         /// A run made no progress.
         Stalled => "stalled",
-        /// Orders to the worker went unanswered.
+        /// The starts of a run went unanswered or had no effect.
         Silent => "silent",
-        /// The worker reported that it is unhealthy.
+        /// The worker rejected a start, because it is unhealthy or for another reason.
         Unhealthy => "unhealthy",
     }
 }
--- a/crates/pool/src/pool/answers.rs
+++ b/crates/pool/src/pool/answers.rs
@@ -181,8 +181,8 @@
         self.send_orders(now);
     }
 
-    /// Sends an unanswered start again. After `max_unanswered_starts` the run is stopped and,
-    /// unless the path is congested, the worker suspended.
+    /// Sends a start again that went unanswered or had no effect. After `max_unanswered_starts` the
+    /// run is stopped and, unless the path is congested, the worker suspended.
     fn retry_start(&mut self, now: Instant, life: &LifeId, task: TaskId, number: RunNumber) {
         let congested = self.is_congested();
         let Some(worker) = self.workers.get_mut(life) else {
--- a/crates/pool/src/pool/polls.rs
+++ b/crates/pool/src/pool/polls.rs
@@ -43,7 +43,7 @@
 /// attempts: one or two failures may be the fault of workers that fail every run.
 const MIN_JOB_FAILURES: u32 = 3;
 
-/// The minimum progress at which a run's speed is judged. Below it, most of the time is the travel
+/// The minimum progress at which a run's speed is computed. Below it, most of the time is the transit
 /// time of the start and the listing, which made healthy workers seem several times too slow
 /// for the next job.
 const MIN_PROGRESS_PERCENT: u8 = 10;
--- a/crates/pool/src/settings.rs
+++ b/crates/pool/src/settings.rs
@@ -31,7 +31,7 @@
     pub start_resend_delay: Duration,
     /// The maximum to which `start_resend_delay` grows: a start that is carried out later is of no use to most jobs.
     pub max_start_resend_delay: Duration,
-    /// How long a start or stop may go unanswered before its connection counts as silent. Its answer is accepted until then:
+    /// How long a start may go unanswered before its connection counts as silent. Its answer is accepted until then:
     /// closing a connection whose answer is only late costs a new connection on a path that is already full. Longer than a
     /// lease, so that the start can no longer be carried out.
     pub order_answer_timeout: Duration,
