--- a/crates/pool/src/arrivals.rs
+++ b/crates/pool/src/arrivals.rs
@@ -1,8 +1,8 @@
 //! Reserves room for jobs of higher priority, from the statistics of past arrivals.
 //!
-//! It is made for lasting overload. Without a reservation, room that becomes free is at once promised to jobs that can wait for
-//! it, which are those of the lowest priority in their contracts. A short, wide job of the highest priority then finds all
-//! room of the next tenth of a second promised, and is refused.
+//! The reservation is needed under lasting overload. Without it, room that becomes free goes at once to admitted jobs that can
+//! wait for it, which are those of the lowest priority in their contracts. For a short, wide job of the highest priority all room
+//! of the next tenth of a second is then taken, and the job is refused.
 //!
 //! Room is reserved only while jobs of that priority are being refused, and more of it the larger their refused share is: a
 //! permanent reservation would cost other jobs room in every short burst.
@@ -18,7 +18,8 @@
 /// The share of refusals from which room is reserved for a whole job.
 const FULL_RESERVE_REFUSED_SHARE: f64 = 0.7;
 
-/// The weight of a new job in the means of its priority. About ten jobs count, since shapes differ by a factor of two.
+/// The weight of a new job in the means of its priority. About the last ten jobs count, since the shapes of jobs differ by a factor
+/// of two.
 const SAMPLE_WEIGHT: f64 = 0.1;
 
 /// The time constant with which the refused share decays while no jobs of that priority arrive. Bursts last some seconds.
@@ -33,7 +34,7 @@
     /// The CPU demand of one task, in thousandths of a core.
     pub(crate) cpu: u64,
     /// The predicted run time of one task.
-    pub(crate) work: Duration,
+    pub(crate) run_time: Duration,
     /// The time within which the job has to end to be in time.
     pub(crate) objective: Duration,
     /// Whether the job was refused because it would not have been in time.
@@ -47,7 +48,7 @@
     tasks: f64,
     cpu: f64,
     /// In seconds.
-    work: f64,
+    run_time: f64,
     /// In seconds.
     objective: f64,
     /// The share of refused jobs, as of `last`.
@@ -59,7 +60,7 @@
 pub(crate) struct ExpectedJob {
     pub(crate) tasks: usize,
     pub(crate) cpu: u64,
-    pub(crate) work: Duration,
+    pub(crate) run_time: Duration,
     pub(crate) objective: Duration,
 }
 
@@ -73,12 +74,12 @@
     /// Records an arrival.
     pub(crate) fn record(&mut self, now: Instant, job: &ArrivedJob) {
         let (tasks, cpu) = (f64::from(job.tasks), job.cpu as f64);
-        let (work, objective) = (job.work.as_secs_f64(), job.objective.as_secs_f64());
+        let (run_time, objective) = (job.run_time.as_secs_f64(), job.objective.as_secs_f64());
         let mean = self.means.entry(job.priority).or_insert(ArrivalMean {
             last: now,
             tasks,
             cpu,
-            work,
+            run_time,
             objective,
             refused: 0.0,
         });
@@ -88,7 +89,7 @@
         for (mean, new) in [
             (&mut mean.tasks, tasks),
             (&mut mean.cpu, cpu),
-            (&mut mean.work, work),
+            (&mut mean.run_time, run_time),
             (&mut mean.objective, objective),
             (&mut mean.refused, refused),
         ] {
@@ -118,7 +119,7 @@
         ExpectedJob {
             tasks: (share * self.tasks).round() as usize,
             cpu: self.cpu as u64,
-            work: Duration::from_secs_f64(self.work),
+            run_time: Duration::from_secs_f64(self.run_time),
             objective: Duration::from_secs_f64(self.objective),
         }
     }
--- a/crates/pool/src/pool/polls.rs
+++ b/crates/pool/src/pool/polls.rs
@@ -43,9 +43,9 @@
 /// attempts: one or two failures may be the fault of workers that fail every run.
 const MIN_JOB_FAILURES: u32 = 3;
 
-/// The minimum progress at which a run's speed is judged. Below it, most of the time is the travel
-/// time of the start and the listing, which made sound workers seem several times too slow for the
-/// next job.
+/// The minimum progress at which a run's speed is computed. Below it, most of the time is the transit
+/// time of the start and the listing, which made healthy workers seem several times too slow
+/// for the next job.
 const MIN_PROGRESS_PERCENT: u8 = 10;
 
 /// A run whose projected time exceeds this multiple of its predicted time shows that its worker is
@@ -89,7 +89,7 @@
             Ok(listing) => self.apply_listing(now, sent, order, listing),
             // This owner has raised the worker's fence since the poll was sent.
             Err(CallFailure::FencedOut) if order.fence < worker.fence => (),
-            Err(CallFailure::FencedOut) => self.lose_worker(now, life),
+            Err(CallFailure::FencedOut) => self.handle_worker_takeover(now, life),
             Err(CallFailure::NewLife) => self.forget_life(now, life),
             Err(CallFailure::NoAnswer | CallFailure::Unhealthy | CallFailure::Malformed) => {
                 self.record_missed_poll(now, sent, life);
@@ -267,7 +267,8 @@
         self.advance_job(now, id);
     }
 
-    /// Opens the steps that can begin now, or ends the job if none is left.
+    /// Marks the steps that have become ready. Ends the job if all steps are done, and otherwise
+    /// updates its place in the queue.
     pub(super) fn advance_job(&mut self, now: Instant, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -282,26 +283,26 @@
         }
     }
 
-    /// Handles a failed run. `counted` is the number of the task's failures in the record of a kept
+    /// Handles a failed run. `recorded` is the number of the task's failures in the record of a kept
     /// job.
-    fn fail_task(&mut self, now: Instant, life: &LifeId, mut run: TrackedRun, counted: u32) {
+    fn fail_task(&mut self, now: Instant, life: &LifeId, mut run: TrackedRun, recorded: u32) {
         let id = run.task.job;
-        let mut blame = true;
+        let mut is_task_fault = true;
         if let Some(worker) = self.workers.get_mut(life) {
             // A failure on a worker that fails everything says nothing about the task.
-            blame = worker.health.is_healthy();
+            is_task_fault = worker.health.is_healthy();
             if worker.health.record_failure(id) {
                 self.suspend(now, life, SuspensionCause::Failing);
             }
         }
-        run.failures += u32::from(blame);
+        run.failures += u32::from(is_task_fault);
         run.failed_on.push(life.clone());
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
         if job.kept.is_some() {
             // For a kept job every failure counts as an attempt, even if the worker is to blame.
-            if counted >= job.terms.attempts {
+            if recorded >= job.terms.attempts {
                 self.end_kept(now, id, KeptState::Failed);
             } else {
                 self.requeue(now, run);
@@ -343,7 +344,8 @@
         self.enqueue(now, id);
     }
 
-    /// Stops runs that a former owner left behind. Their demands are not known, so nothing is placed beside them.
+    /// Stops runs that a former owner ordered. Their demands are not known, so nothing is placed
+    /// beside them.
     fn stop_foreign_runs(&mut self, life: &LifeId, listing: &WorkerListing) {
         let Some(worker) = self.workers.get_mut(life) else {
             return;
@@ -357,8 +359,8 @@
             if worker.run_mut(task, run).is_some() {
                 continue;
             }
-            // An end in the listing, new or repeated, takes precedence over its older view of what
-            // runs.
+            // An end in the listing, new or repeated, takes precedence over the listing's running
+            // runs, which may be older.
             let ended = listing
                 .ended
                 .iter()
@@ -500,9 +502,9 @@
     }
 
     /// Handles the takeover of a worker by another owner. That owner stops the runs there, but
-    /// possibly only after this owner could have started the same tasks elsewhere. So the jobs with
-    /// runs on the worker are given up, and the other workers and jobs continue.
-    pub(super) fn lose_worker(&mut self, now: Instant, life: &LifeId) {
+    /// possibly not before this owner could start the same tasks elsewhere. The jobs with runs on
+    /// the worker are therefore given up. The other workers and jobs continue.
+    pub(super) fn handle_worker_takeover(&mut self, now: Instant, life: &LifeId) {
         let Some(worker) = self.workers.remove(life) else {
             return;
         };
@@ -553,7 +555,7 @@
     margin: Duration,
 ) -> PollOrder {
     // The lease is renewed neither for runs of a former owner nor for a worker that does not
-    // answer: the lease end that the worker was last told must stay the one it uses.
+    // answer, so that these runs end with the lease that was sent last.
     let renew =
         !worker.runs.is_empty() && worker.foreign_runs.is_empty() && worker.missed_polls == 0;
     let clock = worker.min_clock_now(owner_millis).filter(|_| renew);
--- a/crates/pool/src/pool/schedule.rs
+++ b/crates/pool/src/pool/schedule.rs
@@ -20,8 +20,8 @@
 /// time.
 const SLOW_ANSWER_TIME: Duration = Duration::from_millis(8);
 
-/// The maximum number of orders in flight to one worker while answers are slow: as many as a worker
-/// has places for wide tasks.
+/// The maximum number of orders in flight to one worker while answers are slow: as many as the tasks
+/// of wide jobs that fit on a worker at the same time.
 const MAX_SLOW_ORDERS_IN_FLIGHT: usize = 3;
 
 impl WorkerPool {
@@ -118,7 +118,7 @@
             TaskRestriction::Hold => return None,
         };
         let spec = &job.request.steps[step];
-        let ask = PlacementRequest {
+        let placement = PlacementRequest {
             job: id,
             step: step_number,
             spec,
@@ -129,7 +129,8 @@
             exclusive: alone,
             reserved: &self.reserved_for_suspects,
         };
-        choose_worker(self.workers.values(), &ask, now).map(|worker| worker.record.life.clone())
+        choose_worker(self.workers.values(), &placement, now)
+            .map(|worker| worker.record.life.clone())
     }
 
     fn place_task(
@@ -144,7 +145,7 @@
         let job = &self.jobs[&id];
         let spec = &job.request.steps[step];
         let task_id = task_id(id, step, task.index);
-        let ledger = TrackedRun {
+        let tracked = TrackedRun {
             task: task_id,
             run,
             demand: spec.demand,
@@ -174,7 +175,7 @@
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
-        worker.runs.push(ledger);
+        worker.runs.push(tracked);
         worker
             .queued_orders
             .push_back(QueuedOrder::Start(task_id, run));
@@ -201,7 +202,7 @@
 
     /// How long it takes to start the tasks of a new job after the starts in flight and the waiting
     /// tasks, at the current answer time. Zero unless the path to the workers is congested.
-    pub(super) fn start_lag(&self, tasks: usize) -> Duration {
+    pub(super) fn start_delay(&self, tasks: usize) -> Duration {
         if !self.is_congested() {
             return Duration::ZERO;
         }
@@ -324,7 +325,7 @@
     }
 }
 
-/// Values shared by all orders that are sent in one pass.
+/// The values shared by all orders that are sent in one pass.
 struct OrderContext {
     now: Instant,
     owner_millis: u64,
--- a/crates/pool/tests/crash.rs
+++ b/crates/pool/tests/crash.rs
@@ -42,7 +42,7 @@
     common.count()
 }
 
-/// Guards against a kept job that crashes one worker after another for good. It fails after few
+/// Guards against a kept job that crashes one worker after another without end. It fails after few
 /// deaths, wherever in its work it crashes and however its workers come back.
 #[test]
 fn a_crashing_kept_job_fails() {
@@ -162,8 +162,8 @@
     assert!(row.progress.iter().all(|step| step.deaths.is_empty()));
 }
 
-/// Guards against a customer whose further attempts crash further workers. A job that is known for
-/// it fails at once.
+/// Guards against a customer whose further attempts crash further workers. A job with a task that was
+/// identified as crashing its workers fails at once.
 #[test]
 fn the_next_attempt_of_a_crashing_job_fails_at_once() {
     let mut simulation = Simulation::new(6, 6);
@@ -185,14 +185,14 @@
 
 /// Runs traffic in which a share of the jobs of one kind crashes its workers. Returns what the
 /// innocent jobs earned and how many of them failed.
-fn replay(seed: u64, share: f64) -> (f64, usize) {
+fn run_crashing_traffic(seed: u64, share: f64) -> (f64, usize) {
     let mut simulation = Simulation::new(seed, 24);
     simulation.publish_birth_times();
     simulation.run_for(200);
     let mut culprits = Vec::new();
     for _ in 0..12_000 {
-        for (kind, plan) in KINDS.iter().enumerate() {
-            if simulation.rng.f64() >= plan.per_second * LOAD / 1_000.0 {
+        for (kind, job_kind) in KINDS.iter().enumerate() {
+            if simulation.rng.f64() >= job_kind.per_second * LOAD / 1_000.0 {
                 continue;
             }
             let id = JobId(simulation.rng.u64(..));
@@ -220,9 +220,9 @@
 fn innocent_jobs_are_served_beside_crashing_ones() {
     let (mut with, mut without) = (0.0, 0.0);
     for seed in 0..6 {
-        let (earned, failed) = replay(seed, 0.005);
+        let (earned, failed) = run_crashing_traffic(seed, 0.005);
         with += earned;
-        without += replay(seed, 0.0).0;
+        without += run_crashing_traffic(seed, 0.0).0;
         assert_eq!(failed, 0, "seed {seed}");
     }
     assert!(with >= 0.95 * without, "{with} of {without}");
