--- a/crates/decisions/src/admission.rs
+++ b/crates/decisions/src/admission.rs
@@ -20,8 +20,8 @@
     pub max_wait_percent: u32,
     /// The divisor applied to a run time that was not measured recently before a submission is refused because of it.
     ///
-    /// Callers are known to declare run times that are up to a hundred times too long. Refused by its declared time,
-    /// such work would never run and so never be measured.
+    /// Callers are known to declare run times that are up to a hundred times too long. If such work were refused
+    /// because of its declared run time, it would never run and so never be measured.
     pub unmeasured_discount: u32,
     /// The saturation from which a job of a customer with many open tasks may be refused.
     ///
@@ -95,11 +95,11 @@
 
 /// Predicts how long a customer's tasks wait for slots at one entry.
 ///
-/// When one customer is far over its share, neither a total backlog nor a total of slots predicts the wait. By the
-/// whole backlog the other customers would be refused as late, though the fair queues serve them next; by its own
-/// backlog over all slots the large customer would be admitted, though the others get their share of the slots. The
-/// sums are kept by the entry because work held back by a customer's concurrency limit waits at the entry and appears
-/// in no dispatcher's queue.
+/// When one customer is far over its share, neither the total backlog nor the total number of slots predicts the wait.
+/// With the total backlog, the other customers would be refused as late, though the fair queues serve them next. With
+/// its own backlog divided by all slots, the large customer would be admitted, though the others get their share of the
+/// slots. The sums are kept by the entry because work held back by a customer's concurrency limit waits at the entry
+/// and appears in no dispatcher's queue.
 #[derive(Clone, Copy, Debug)]
 pub struct WaitEstimator {
     /// The expected run time of the customer's work that this entry has accepted and that has not started.
@@ -124,7 +124,7 @@
         let active_shares = (self.active_shares as f64).max(share);
         let fair_slots = self.slots * share / active_shares;
         // The queues serve a customer's jobs by deadline regardless of the entry, so an entry may temporarily get far
-        // more than its part. Admitting by that rate would be late once the other entries' turn comes.
+        // more than its part. Work admitted at that rate would be late once the other entries' turn comes.
         let recent_slots = self.drain_rate.slots().min(self.slots);
         let slots = fair_slots.max(recent_slots).max(MIN_SLOTS);
         self.pending_work.div_f64(slots)
@@ -157,7 +157,7 @@
 pub struct AdmissionQuery<'a> {
     /// The customer's contract.
     pub contract: &'a Contract,
-    /// Whether it is a job or a request.
+    /// Whether the submission is a job or a request.
     pub class: WorkClass,
     /// The number of tasks.
     pub tasks: u32,
@@ -285,8 +285,8 @@
         (!excess.is_zero()).then_some(excess)
     }
 
-    /// The time reserved for the last task to run. A tail run time that exceeds the whole deadline is ignored: no wait
-    /// would be short enough for it, so every submission of that kind would be refused.
+    /// The time reserved for the last task to run. A tail run time that is not shorter than the whole deadline is
+    /// ignored: no wait would be short enough for it, so every submission of that kind would be refused.
     fn reserved_run_time(&self, query: &AdmissionQuery<'_>) -> Duration {
         let longest = self.longest_run_time(query);
         match query.tail_run_time < query.deadline {
--- a/crates/decisions/src/drain_rate.rs
+++ b/crates/decisions/src/drain_rate.rs
@@ -11,9 +11,9 @@
 
 /// The measured number of slots that work on one customer's backlog at one entry.
 ///
-/// It predicts the wait of a customer that is over its share while others submit only now and then. By its share alone
-/// it would be refused work that fits into the slots that the others leave free; by all slots it would be admitted work
-/// that comes late.
+/// It predicts the wait of a customer that is over its share while others submit only now and then. A prediction from
+/// the customer's share alone would refuse work that fits into the slots that the others leave free; a prediction from
+/// all slots would admit work that comes late.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DrainRate {
     slots: f64,
--- a/crates/decisions/src/health.rs
+++ b/crates/decisions/src/health.rs
@@ -16,9 +16,9 @@
     /// The total weight of consecutive failures, without an answer between them, that leads to quarantine. An ordinary
     /// failure weighs at most 1.
     ///
-    /// An endpoint that fails every task at once always has free slots, so it attracts the tasks of the other endpoints
-    /// and most jobs fail because of it. With one task in thirty failing, 4 consecutive failures happen by chance in
-    /// one of a million sequences, and they cost less than filling the slots of the endpoint once.
+    /// An endpoint that fails every task immediately always has free slots, so it attracts the tasks of the other
+    /// endpoints and most jobs fail because of it. With one task in thirty failing, 4 consecutive failures happen by
+    /// chance in one of a million sequences, and they cost less than filling the slots of the endpoint once.
     pub quarantine_failures: f32,
     /// The weight of a failed connection attempt. It loses no task, but each one costs a connect timeout, so two are
     /// enough for quarantine.
@@ -212,7 +212,7 @@
             EndKind::Unreachable => self.on_failure(now, self.settings.unreachable_weight),
             EndKind::Busy => self.on_busy(now),
             EndKind::Leaving => self.state = HealthState::Leaving,
-            // This says nothing about the endpoint. While probing, the next task is the probe.
+            // Says nothing about the endpoint. If the task was the probe, the next task becomes the probe.
             EndKind::NotStarted => {}
         }
     }
@@ -241,7 +241,8 @@
         if slowdown < self.settings.throttle_slowdown {
             return slots;
         }
-        // In proportion to the slowdown, so that the endpoint holds as much work as a healthy one with fewer slots.
+        // Inversely proportional to the slowdown, so that the endpoint holds as much work as a healthy one with fewer
+        // slots.
         ((f64::from(slots) / slowdown) as u32).max(1)
     }
 
--- a/crates/decisions/src/placement.rs
+++ b/crates/decisions/src/placement.rs
@@ -59,7 +59,7 @@
     /// dispatcher answers an offer at once, and 250 ms are a hundred round trips between data centres.
     pub response_timeout: Duration,
     /// The age up to which hints of another data centre are used. After a longer time a burst may have taken the spare
-    /// slots, and a task that queues there has paid for the round trip in vain.
+    /// slots, and a task that queues there has spent the round trip for nothing.
     pub spare_max_age: Duration,
     /// How many round trips the local wait must exceed before a task is shifted to another data centre. The offer, the
     /// claim and the answer each cross between the data centres.
@@ -326,8 +326,8 @@
                 return n;
             }
         }
-        // An assumption for a data centre whose round-trip time is not known yet: a message may take as long as one
-        // from a client.
+        // Assumed while the round-trip time to a data centre is not known: a message between data centres may take as
+        // long as one from a client.
         let round_trip = Duration::from_millis(10);
         self.sites
             .push(DataCentreSite::new(data_centre.clone(), round_trip));
@@ -353,7 +353,7 @@
     free_slots: WeightTree,
     slot_limits: WeightTree,
     backlog: u64,
-    /// The dispatchers with an unanswered offer and no hint since, by the time from which they are awaited.
+    /// The dispatchers with an unanswered offer and no hint since, in the order of [`DispatcherState::waiting_since`].
     awaiting_answer: BTreeSet<(Instant, usize)>,
 }
 
@@ -402,6 +402,7 @@
         }
     }
 
+    /// Marks dispatchers as suspect that left an offer unanswered, without a hint since, for `response_timeout`.
     fn suspect_unresponsive(&mut self, now: Instant, response_timeout: Duration) {
         while let Some((waiting_since, index)) = self.awaiting_answer.first().copied() {
             if now.saturating_duration_since(waiting_since) < response_timeout {
@@ -437,6 +438,7 @@
         Some(best)
     }
 
+    /// Draws a dispatcher uniformly at random, whether or not it has slots.
     fn any(&self, rng: &mut fastrand::Rng) -> Option<usize> {
         match self.dispatchers.len() {
             0 => None,
@@ -479,7 +481,9 @@
     waiting_since: Option<Instant>,
     /// The number of tasks that were sent to it and have not ended.
     outstanding: u32,
+    /// Whether an offer went unanswered for too long. A suspect dispatcher gets no tasks until its next hint.
     suspect: bool,
+    /// Whether [`PlacementTable::choose_avoiding`] is looking for another dispatcher.
     avoided: bool,
 }
 
--- a/crates/decisions/src/queue.rs
+++ b/crates/decisions/src/queue.rs
@@ -147,8 +147,8 @@
         if entry.due <= now {
             return Err(PushError::Overdue(entry));
         }
-        // A job in the order of two customers would leave one of them with a place that has no tasks, and the queue
-        // would stop there.
+        // A job listed under two customers would stay listed under one of them after its last task was removed, and
+        // `pop` would then find no task and return nothing, although other tasks wait.
         let job = self.jobs.get(&entry.attempt.submission);
         if job.is_some_and(|job| job.customer != entry.customer) {
             return Err(PushError::OtherCustomer(entry));
@@ -183,7 +183,8 @@
         Some(entry)
     }
 
-    /// Removes one entry. `None` means that it is not here: it was popped, taken as overdue, or never queued.
+    /// Removes one entry. `None` means that the queue does not hold the attempt: it was popped, taken as overdue, or
+    /// never queued.
     pub fn remove(&mut self, attempt: &AttemptId) -> Option<QueueEntry> {
         let entry = self.take(attempt).or_else(|| self.overdue.remove(attempt));
         self.remove_idle_customers();
@@ -244,11 +245,12 @@
         self.queued_work / slots
     }
 
-    /// The time until a task that the customer queues now is served: the customer's waiting work, and the work by which
-    /// it is ahead of its share, on its share of the slots; at most the time to run everything that waits.
+    /// Predicts how long a task that the customer queues now waits for one of `slots` slots: the time in which the
+    /// customer's share of the slots runs its waiting work plus the work by which it is ahead of its share, at most
+    /// [`Self::predicted_drain`].
     ///
-    /// By the whole backlog alone, one customer with a long backlog would cause another one with nothing waiting to be
-    /// refused as late, though that one is served next.
+    /// If the whole backlog were used alone, one customer with a long backlog would cause submissions of another one
+    /// with nothing waiting to be refused as late, though that customer is served next.
     pub fn predicted_wait(
         &self,
         customer: &CustomerId,
@@ -307,7 +309,7 @@
         queued.jobs.insert((job.due, submission));
     }
 
-    /// Removes an entry from everything but the virtual times.
+    /// Removes a waiting entry from all tables and totals. Does not change the customer's virtual time.
     fn take(&mut self, attempt: &AttemptId) -> Option<QueueEntry> {
         let entry = self.entries.remove(attempt)?;
         self.due_times.remove(&(entry.due, entry.attempt));
--- a/crates/decisions/src/run_time.rs
+++ b/crates/decisions/src/run_time.rs
@@ -12,7 +12,7 @@
 use crate::lru_map::LruMap;
 
 /// Bucket bounds double every second bucket, so a quantile is at most 42% too long. From 1 ms the buckets reach beyond
-/// 600 s, the longest answer time that a contract may promise.
+/// 600 s, the longest answer time that a contract may set.
 const BUCKET_COUNT: usize = 40;
 const BUCKETS_PER_DOUBLING: f64 = 2.0;
 const FIRST_BUCKET_START: Duration = Duration::from_millis(1);
@@ -20,8 +20,8 @@
 /// The limits of a [`RunTimeTable`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunTimeSettings {
-    /// The maximum number of customers in memory: three times the contracts of the target, so that none in use is
-    /// evicted.
+    /// The maximum number of customers in memory: three times the number of contracts of the target workload, so that
+    /// no customer in use is evicted.
     pub max_customers: usize,
     /// The maximum number of task kinds in memory per customer.
     ///
@@ -116,8 +116,8 @@
         }
     }
 
-    /// Records a task that ran for `ran` and returned an answer. Tasks that were abandoned at their deadline are
-    /// recorded too, with the time until then: without them a kind would look fast because its slow tasks never end.
+    /// Records a task that ran for `ran` and returned an answer. Tasks that end after their deadline are to be recorded
+    /// too: they are the slow ones, and without them a kind would look fast.
     pub fn record(&mut self, now: Instant, customer: &CustomerId, kind: &TaskKind, ran: Duration) {
         let window = self.settings.window;
         let history = self.history_mut(now, customer, kind);
@@ -126,8 +126,8 @@
         history.failures.add(false, window);
     }
 
-    /// Records a task that failed or whose answer is missing, without its run time: a task that fails at once says
-    /// nothing about the run time of successful ones.
+    /// Records a task that failed, without its run time: a task that fails immediately says nothing about the run time
+    /// of successful ones.
     pub fn record_failure(&mut self, now: Instant, customer: &CustomerId, kind: &TaskKind) {
         let window = self.settings.window;
         let history = self.history_mut(now, customer, kind);
--- a/crates/decisions/src/smoothed_saturation.rs
+++ b/crates/decisions/src/smoothed_saturation.rs
@@ -6,12 +6,14 @@
 
 /// The time constant of the moving average, half a usual deadline.
 ///
-/// A burst of jobs onto a few free slots, or slots that are busy briefly while their owner changes, would be refused as
-/// overload by the saturation of that moment, though all of it would be done within a second or two. A backlog that is
-/// gone within this time makes no answer late, and work that would be late sooner is refused by its predicted wait.
+/// By the saturation of the moment, jobs would be refused as overload in a burst onto a few free slots, or while slots
+/// are briefly busy because their owner changes, though all the work would be done within a second or two. A backlog
+/// that is gone within this time makes no answer late, and work that would be late sooner is refused by its predicted
+/// wait.
 const TIME_CONSTANT: Duration = Duration::from_secs(5);
 
-/// The exponentially weighted moving average of the saturation. It tells a lasting overload from a burst.
+/// The exponentially weighted moving average of the saturation. It distinguishes a lasting overload from a
+/// burst.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SmoothedSaturation {
     mean: f64,
--- a/crates/decisions/tests/admission.rs
+++ b/crates/decisions/tests/admission.rs
@@ -249,7 +249,7 @@
     };
     check(tail_run_time(1750, 200), None);
     check(tail_run_time(1750, 201), Some((PredictedLate, Some(200))));
-    // A tail run time that exceeds the whole deadline does not lead to the refusal of every submission of the kind.
+    // A tail run time as long as the whole deadline does not lead to the refusal of every submission of the kind.
     check(tail_run_time(2000, 1400), None);
 }
 
--- a/crates/decisions/tests/outcomes/model.rs
+++ b/crates/decisions/tests/outcomes/model.rs
@@ -30,14 +30,17 @@
     pub(crate) may_refuse: RefusableWork,
     pub(crate) concurrency: u32,
     pub(crate) deadline_ms: u64,
-    /// The time in seconds from which and until which it submits, and the number of jobs per second.
+    /// The time in seconds from which the customer submits.
     pub(crate) from: f64,
+    /// The time in seconds until which the customer submits.
     pub(crate) until: f64,
+    /// The number of jobs per second.
     pub(crate) rate: f64,
+    /// The most tasks of a job; each job has a random number from 1.
     pub(crate) most_tasks: u32,
-    /// The shortest and the longest usual run time in milliseconds, and the percentage of long tasks with their run
-    /// time in milliseconds.
+    /// The shortest and the longest usual run time in milliseconds.
     pub(crate) run_ms: (u64, u64),
+    /// The percentage of long tasks, and their run time in milliseconds.
     pub(crate) long: (u32, u64),
     /// The ratio of declared to true run time.
     pub(crate) declared: f64,
@@ -98,6 +101,7 @@
         f64::from(count) * 100.0 / f64::from(self.submitted.max(1))
     }
 
+    /// The quantile of [`Self::ratios`] at `share`; infinite if no job was answered.
     pub(crate) fn ratio(&self, share: f64) -> f64 {
         let mut ratios = self.ratios.clone();
         ratios.sort_by(f64::total_cmp);
@@ -137,20 +141,27 @@
 struct Entry {
     table: PlacementTable,
     unanswered: Vec<u32>,
-    /// By workload: tasks held back by the customer's concurrency limit, tasks in flight, accepted work that has not
-    /// ended, the part of it that has not started, its drain rate, and the time of the last stage change of a task.
+    /// Tasks held back by the customer's concurrency limit, by workload like all fields below.
     queued_at_entry: Vec<VecDeque<AttemptId>>,
+    /// Tasks in flight.
     in_flight: Vec<u32>,
+    /// Accepted work that has not ended.
     open_work: Vec<Duration>,
+    /// The part of `open_work` that has not started.
     unstarted_work: Vec<Duration>,
     drain: Vec<DrainRate>,
+    /// The time of the last stage change of a task.
     active_at: Vec<Option<Instant>>,
 }
 
 enum Event {
+    /// A job arrives at its entry.
     Arrive(usize),
+    /// An offer arrives at a dispatcher.
     Offer(usize, AttemptId),
+    /// A hint arrives: the entry, the dispatcher, the hint, and whether it answers an offer.
     Hint(usize, usize, SlotsHint, bool),
+    /// A task ends: the dispatcher, its endpoint, the attempt, whether it failed, and the charged run time.
     End(usize, usize, AttemptId, bool, Duration),
     Tick,
 }
--- a/crates/decisions/tests/placement.rs
+++ b/crates/decisions/tests/placement.rs
@@ -16,7 +16,9 @@
 enum Step {
     /// A hint of a dispatcher: its key, limit, running tasks, queued tasks and unanswered offers.
     Hint(u64, u32, u32, u32, u32),
+    /// Makes a data centre unreachable, or reachable again with `false`.
     Cut(&'static str, bool),
+    /// Removes a dispatcher.
     Gone(u64),
     /// Sets the time, in milliseconds since the start.
     At(u64),
