--- a/crates/decisions/tests/outcomes/model.rs
+++ b/crates/decisions/tests/outcomes/model.rs
@@ -101,11 +101,11 @@
         f64::from(count) * 100.0 / f64::from(self.submitted.max(1))
     }
 
-    /// The quantile of [`Self::ratios`] at `share`; infinite if no job was answered.
-    pub(crate) fn ratio(&self, share: f64) -> f64 {
+    /// The quantile of [`Self::ratios`] at `fraction`; infinite if no job was answered.
+    pub(crate) fn ratio(&self, fraction: f64) -> f64 {
         let mut ratios = self.ratios.clone();
         ratios.sort_by(f64::total_cmp);
-        let rank = (ratios.len() as f64 * share) as usize;
+        let rank = (ratios.len() as f64 * fraction) as usize;
         ratios
             .get(rank.min(ratios.len().saturating_sub(1)))
             .copied()
@@ -391,11 +391,11 @@
             longest = longest.max(Some((estimate.run_time, estimate.source)));
         }
         let (run_time, source) = longest.unwrap();
-        let share = 1.0 - 0.1 / job.runs.len() as f64;
+        let fraction = 1.0 - 0.1 / job.runs.len() as f64;
         let name = &self.customers[job.load];
         let tail_run_time = self
             .times
-            .quantile(now, name, &self.kind, Some(run_time), share)
+            .quantile(now, name, &self.kind, Some(run_time), fraction)
             .run_time;
         let entries = self.entries.len();
         let active_since = now - ACTIVE_FOR;
