--- a/crates/authority/benches/authority.rs
+++ b/crates/authority/benches/authority.rs
@@ -87,11 +87,11 @@
                 attempts.extend(offers.iter().map(|offer| offer.attempt));
             }
         }
-        let verdicts: Vec<_> = attempts
+        let replies: Vec<_> = attempts
             .iter()
             .map(|attempt| (*attempt, OfferReply::Started))
             .collect();
-        self.authority.on_offer_replies(self.now, &verdicts);
+        self.authority.on_offer_replies(self.now, &replies);
         attempts
     }
 
--- a/crates/authority/tests/load/simulation.rs
+++ b/crates/authority/tests/load/simulation.rs
@@ -285,14 +285,14 @@
             dispatcher.offers.extend(offers);
             return;
         }
-        let mut verdicts = Vec::new();
+        let mut replies = Vec::new();
         for offer in offers {
             let ran = self.run_times[offer.kind.as_str()];
-            verdicts.push((offer.attempt, dispatcher.take(self.now, offer.attempt, ran)));
+            replies.push((offer.attempt, dispatcher.take(self.now, offer.attempt, ran)));
             dispatcher.offers.push(offer);
         }
         let counts = dispatcher.slot_counts();
         self.authority.on_slots(self.now, key, counts);
-        self.authority.on_offer_replies(self.now, &verdicts);
+        self.authority.on_offer_replies(self.now, &replies);
     }
 }
--- a/crates/authority/tests/moving.rs
+++ b/crates/authority/tests/moving.rs
@@ -68,11 +68,11 @@
     );
     authority.on_slots(now, second, slots(beside));
     authority.on_slots(now, first, slots(free));
-    let verdicts: Vec<_> = offered
+    let replies: Vec<_> = offered
         .iter()
         .map(|attempt| (*attempt, OfferReply::Queued))
         .collect();
-    authority.on_offer_replies(now, &verdicts);
+    authority.on_offer_replies(now, &replies);
     assert_eq!(offers(&mut authority, second).len(), expect_moves);
 }
 
--- a/crates/dispatcher/src/control/sessions.rs
+++ b/crates/dispatcher/src/control/sessions.rs
@@ -105,14 +105,14 @@
 
     fn handle(&mut self, request: OfferRequest, ctx: &mut Context<Self>) {
         let now = self.clock.now();
-        let verdicts = self.ledger.offer(
+        let replies = self.ledger.offer(
             now,
             request.entry,
             request.session,
             request.batch,
             request.offers,
         );
-        let _gone = request.reply.send(Ok((verdicts, self.ledger.slots())));
+        let _gone = request.reply.send(Ok((replies, self.ledger.slots())));
         self.flush(ctx);
     }
 }
@@ -122,14 +122,14 @@
 
     fn handle(&mut self, request: WithdrawalRequest, ctx: &mut Context<Self>) {
         let now = self.clock.now();
-        let verdicts = self.ledger.withdraw(
+        let replies = self.ledger.withdraw(
             now,
             request.entry,
             request.session,
             request.after_batch,
             &request.attempts,
         );
-        let _gone = request.reply.send(Ok((verdicts, self.ledger.slots())));
+        let _gone = request.reply.send(Ok((replies, self.ledger.slots())));
         self.flush(ctx);
     }
 }
--- a/crates/entry/src/control/sessions.rs
+++ b/crates/entry/src/control/sessions.rs
@@ -177,15 +177,15 @@
             reply
                 .into_actor(self)
                 .map(move |reply, control, ctx| match reply {
-                    Ok((verdicts, slots)) => {
+                    Ok((replies, slots)) => {
                         control.record_activity(dispatcher, session);
-                        let verdicts: Vec<_> = attempts.into_iter().zip(verdicts).collect();
+                        let replies: Vec<_> = attempts.into_iter().zip(replies).collect();
                         control
                             .authority
                             .on_slots(control.clock.now(), dispatcher, slots);
                         control
                             .authority
-                            .on_offer_replies(control.clock.now(), &verdicts);
+                            .on_offer_replies(control.clock.now(), &replies);
                         control.flush(ctx);
                     }
                     Err(error) => control.on_call_failed(ctx, dispatcher, session, &error),
@@ -211,15 +211,15 @@
             reply
                 .into_actor(self)
                 .map(move |reply, control, ctx| match reply {
-                    Ok((verdicts, slots)) => {
+                    Ok((replies, slots)) => {
                         control.record_activity(dispatcher, session);
-                        let verdicts: Vec<_> = attempts.into_iter().zip(verdicts).collect();
+                        let replies: Vec<_> = attempts.into_iter().zip(replies).collect();
                         control
                             .authority
                             .on_slots(control.clock.now(), dispatcher, slots);
                         control
                             .authority
-                            .on_withdrawn(control.clock.now(), &verdicts);
+                            .on_withdrawn(control.clock.now(), &replies);
                         control.flush(ctx);
                     }
                     Err(error) => control.on_call_failed(ctx, dispatcher, session, &error),
