--- a/crates/authority/src/authority/admission.rs
+++ b/crates/authority/src/authority/admission.rs
@@ -17,23 +17,26 @@
 /// endpoints of a dead VM to get another owner.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The quantile of a single task's run time that counts as its slowest run.
-const SLOW_RUN_QUANTILE: f64 = 0.9;
+/// The quantile of a single task's run time that counts as its tail run time. It rises with the number of tasks.
+const TAIL_QUANTILE: f64 = 0.9;
 
 /// Expected run times of a submission's tasks.
 pub(super) struct ExpectedWork {
     /// The expected run time of each task, in their order.
     pub(super) run_times: Vec<Duration>,
+    /// The sum of `run_times` without their cap.
     total: Duration,
-    largest: RunTimeEstimate,
-    slowest: Duration,
+    /// The longest expected run time of a task.
+    longest: RunTimeEstimate,
+    /// The longest tail run time of a task.
+    tail_run_time: Duration,
 }
 
 /// Estimated run times of one kind of task.
 #[derive(Clone, Copy)]
 struct KindEstimate {
     expected: RunTimeEstimate,
-    slowest: Duration,
+    tail_run_time: Duration,
 }
 
 impl TaskAuthority {
@@ -128,8 +131,8 @@
             contract,
             class: WorkClass::from(&body.kind),
             tasks: u32::try_from(body.tasks.len()).unwrap_or(u32::MAX),
-            longest_estimate: work.largest,
-            tail_run_time: work.slowest,
+            longest_estimate: work.longest,
+            tail_run_time: work.tail_run_time,
             expected_work: work.total,
             deadline: body.deadline.unwrap_or_else(|| contract.answer_within()),
             open_tasks: load.tasks,
@@ -146,15 +149,15 @@
 
     fn expected_work(&self, now: Instant, body: &SubmissionBody) -> ExpectedWork {
         // The quantile rises with the number of tasks: among many, one may well have a rare, long run time.
-        let quantile = 1.0 - (1.0 - SLOW_RUN_QUANTILE) / body.tasks.len().max(1) as f64;
+        let quantile = 1.0 - (1.0 - TAIL_QUANTILE) / body.tasks.len().max(1) as f64;
         let mut work = ExpectedWork {
             run_times: Vec::with_capacity(body.tasks.len()),
             total: Duration::ZERO,
-            largest: RunTimeEstimate {
+            longest: RunTimeEstimate {
                 run_time: Duration::ZERO,
                 source: EstimateSource::Assumed,
             },
-            slowest: Duration::ZERO,
+            tail_run_time: Duration::ZERO,
         };
         let mut last: Option<(&TaskBody, KindEstimate)> = None;
         for task in &body.tasks {
@@ -167,10 +170,10 @@
             let expected = estimate.expected;
             work.run_times.push(self.capped_run_time(expected));
             work.total = work.total.saturating_add(expected.run_time);
-            if (expected.run_time, expected.source) > (work.largest.run_time, work.largest.source) {
-                work.largest = expected;
+            if (expected.run_time, expected.source) > (work.longest.run_time, work.longest.source) {
+                work.longest = expected;
             }
-            work.slowest = work.slowest.max(estimate.slowest);
+            work.tail_run_time = work.tail_run_time.max(estimate.tail_run_time);
         }
         work
     }
@@ -187,7 +190,7 @@
             expected: self
                 .run_times
                 .expected_run_time(now, customer, &task.kind, declared),
-            slowest: self
+            tail_run_time: self
                 .run_times
                 .quantile(now, customer, &task.kind, declared, quantile)
                 .run_time,
