--- a/crates/authority/src/authority/replies.rs
+++ b/crates/authority/src/authority/replies.rs
@@ -308,7 +308,7 @@
         }
         let attempts = task.attempt_count - first_attempt;
         self.emit_event(AuthorityEvent::Retried(attempt, reason));
-        self.waiting.avoid(serial, attempt.task, dispatcher);
+        self.waiting.set_avoided(serial, attempt.task, dispatcher);
         if !signals_overload(reason) {
             self.waiting.push(&customer, waiting);
             return;
--- a/crates/authority/src/waiting.rs
+++ b/crates/authority/src/waiting.rs
@@ -37,7 +37,7 @@
     changed: FastSet<CustomerId>,
     backing_off: BTreeMap<WaitingTask, CustomerId>,
     /// The dispatcher that last refused a task, by the serial and index of the task.
-    avoid: FastMap<(u64, TaskIndex), DispatcherKey>,
+    avoided: FastMap<(u64, TaskIndex), DispatcherKey>,
 }
 
 impl WaitingTable {
@@ -96,15 +96,15 @@
         if let Some(queue) = self.customers.get_mut(customer) {
             queue.tasks.remove(&task);
         }
-        self.avoid.remove(&(task.serial, task.task));
+        self.avoided.remove(&(task.serial, task.task));
     }
 
-    pub(crate) fn avoid(&mut self, serial: u64, task: TaskIndex, dispatcher: DispatcherKey) {
-        self.avoid.insert((serial, task), dispatcher);
+    pub(crate) fn set_avoided(&mut self, serial: u64, task: TaskIndex, dispatcher: DispatcherKey) {
+        self.avoided.insert((serial, task), dispatcher);
     }
 
     pub(crate) fn take_avoided(&mut self, task: WaitingTask) -> Option<DispatcherKey> {
-        self.avoid.remove(&(task.serial, task.task))
+        self.avoided.remove(&(task.serial, task.task))
     }
 
     /// Removes and returns the next task of a customer whose limit allows another attempt, and counts it as in flight.
