--- a/crates/authority/tests/moving.rs
+++ b/crates/authority/tests/moving.rs
@@ -8,8 +8,8 @@
     SessionId, SlotCounts, SubmissionBody, SubmissionKind, TaskBody,
 };
 
-/// Two dispatchers of four slots each, of which the first has `free` ones free and the second `beside`.
-fn check(move_queued: bool, free: u32, beside: u32, expect_moves: usize) {
+/// Two dispatchers of four slots each, of which `first_free` and `second_free` are free.
+fn check(move_queued: bool, first_free: u32, second_free: u32, expect_moves: usize) {
     // Another entry took the first dispatcher's slots a moment ago, so the job's tasks are queued there. Unless they
     // move, the job waits for a whole run time although the second dispatcher may have slots free.
     let now = Instant::now();
@@ -66,8 +66,8 @@
         3,
         "all tasks go to the dispatcher that had free slots"
     );
-    authority.on_slots(now, second, slots(beside));
-    authority.on_slots(now, first, slots(free));
+    authority.on_slots(now, second, slots(second_free));
+    authority.on_slots(now, first, slots(first_free));
     let replies: Vec<_> = offered
         .iter()
         .map(|attempt| (*attempt, OfferReply::Queued))
