--- a/crates/dispatcher/src/control/handover.rs
+++ b/crates/dispatcher/src/control/handover.rs
@@ -24,7 +24,7 @@
         for (address, counts) in reports {
             self.send_handover_report(ctx, address, counts);
         }
-        self.update_outside_tasks();
+        self.update_previous_owner_slots();
         self.flush(ctx);
     }
 
@@ -77,7 +77,7 @@
         }));
     }
 
-    fn update_outside_tasks(&mut self) {
+    fn update_previous_owner_slots(&mut self) {
         let now = self.clock.now();
         self.handovers.tick(now);
         self.ledger
@@ -90,7 +90,7 @@
 
     fn handle(&mut self, request: HandoverRequest, ctx: &mut Context<Self>) {
         self.handovers.on_report(self.clock.now(), request.report);
-        self.update_outside_tasks();
+        self.update_previous_owner_slots();
         let _gone = request.reply.send(Ok(()));
         self.flush(ctx);
     }
--- a/crates/dispatcher/src/entry_directory.rs
+++ b/crates/dispatcher/src/entry_directory.rs
@@ -21,7 +21,7 @@
 
 impl EntryDirectory {
     /// Inserts a port, unless the same or a later session of the entry is present.
-    pub(crate) fn put(&self, entry: IncarnationId, session: SessionId, client: EntryClient) {
+    pub(crate) fn register(&self, entry: IncarnationId, session: SessionId, client: EntryClient) {
         let mut entries = self.entries.borrow_mut();
         if entries
             .get(&entry)
--- a/crates/dispatcher/src/port.rs
+++ b/crates/dispatcher/src/port.rs
@@ -68,7 +68,7 @@
     ) -> ReplyFuture<(SessionPort, IncarnationId, SlotCounts)> {
         let control = self.control.clone();
         self.session.set(Some((entry, session)));
-        self.entries.put(entry, session, client);
+        self.entries.register(entry, session, client);
         let answer = ask(&control, |reply| SessionRequest {
             entry,
             session,
