--- a/crates/entry/src/control/contract_updates.rs
+++ b/crates/entry/src/control/contract_updates.rs
@@ -33,7 +33,7 @@
     pub(super) fn is_stale(&self) -> bool {
         let age = self
             .contracts_confirmed_at
-            .map(|heard| self.clock.now().saturating_duration_since(heard));
+            .map(|confirmed_at| self.clock.now().saturating_duration_since(confirmed_at));
         age.is_none_or(|age| age > self.settings.freshness_ms.duration())
     }
 
--- a/crates/entry/src/control/event_recorder.rs
+++ b/crates/entry/src/control/event_recorder.rs
@@ -87,12 +87,12 @@
             } => {
                 self.metrics.submitted(&customer);
                 self.accepted.insert(id, now);
-                let note = SubmissionSummary {
+                let summary = SubmissionSummary {
                     customer,
                     contract: Some(version),
                     tasks,
                 };
-                self.history.accept(id, note, now);
+                self.history.accept(id, summary, now);
                 self.history.record(id, ExplainEvent::Admitted, now);
             }
             AuthorityEvent::Refused { .. } | AuthorityEvent::Answered(_) => {}
