--- a/crates/authority/src/authority.rs
+++ b/crates/authority/src/authority.rs
@@ -36,9 +36,9 @@
 /// A submission that was accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmittedSubmission {
-    /// Its id.
+    /// The id of the submission.
     pub id: SubmissionId,
-    /// When its answer is due.
+    /// When the answer is due.
     pub due: Instant,
 }
 
@@ -281,12 +281,13 @@
             .is_some_and(|record| record.is_refused())
     }
 
-    /// The digest of a submission's body, which tells a duplicate from another request under the same ticket or key.
+    /// The digest of a submission's body, which distinguishes a duplicate from another request under the same ticket or
+    /// key.
     pub fn digest(&self, serial: u64) -> Option<u64> {
         self.records.get(&serial).map(|record| record.digest)
     }
 
-    /// The contract version under which a submission was accepted; `None` if it never was.
+    /// The contract version under which a submission was accepted; `None` if it was not accepted or is unknown.
     pub fn version(&self, serial: u64) -> Option<ContractVersion> {
         let version = self.records.get(&serial)?.version;
         (version != ContractVersion::default()).then_some(version)
--- a/crates/authority/src/authority/admission.rs
+++ b/crates/authority/src/authority/admission.rs
@@ -22,9 +22,9 @@
 
 /// Expected run times of a submission's tasks.
 pub(super) struct ExpectedWork {
-    /// The expected run time of each task, in their order.
+    /// The expected run time of each task in order, capped by [`TaskAuthority::capped_run_time`].
     pub(super) run_times: Vec<Duration>,
-    /// The sum of `run_times` without their cap.
+    /// The sum of the expected run times, without the cap that `run_times` has.
     total: Duration,
     /// The longest expected run time of a task.
     longest: RunTimeEstimate,
@@ -58,7 +58,7 @@
             }
         }
         // Each open submission uses memory until it is answered, so their number and size are bounded. A refusal is
-        // cheap and tells the caller when to try again.
+        // cheap and contains the time after which to try again.
         let bytes: u64 = body.tasks.iter().map(|task| task.payload.size().0).sum();
         let large = self.memory.open_payloads.0 + bytes > self.settings.max_open_bytes.0;
         if large || self.open_count >= self.settings.max_open_submissions {
@@ -82,7 +82,8 @@
         }
     }
 
-    /// Counts a task as started in its customer's load, as far as its dispatcher's messages tell.
+    /// Counts a task as started in its customer's load. Called when a message of its dispatcher shows that it may have
+    /// started.
     pub(super) fn mark_started(&mut self, now: Instant, attempt: AttemptId) {
         let Some(record) = self.records.get_mut(&attempt.submission.serial) else {
             return;
@@ -104,7 +105,7 @@
     ) -> AdmissionDecision {
         let load = self.load.get(&body.customer);
         let slots = self.placement.slots(now);
-        // Slots that became unreachable a moment ago are about to get another owner. How many they will be is unknown,
+        // Slots that became unreachable a moment ago are about to get another owner. Their number is not known before,
         // so only the submission itself and its customer's limit count.
         let (predicted_wait, saturation) = match slots {
             0 => (Duration::ZERO, Saturation::default()),
@@ -120,8 +121,8 @@
                     drain_rate: load.drain_rate,
                     slots: slots as f64 / f64::from(self.entries),
                 };
-                // The mean stays high beyond a moment in which slots are few, and the present value alone would refuse
-                // ordinary bursts. A lasting overload shows in both, so the lower one counts.
+                // The mean stays high for a while after slots were few for a moment, and the present value alone would
+                // refuse ordinary bursts. A lasting overload shows in both, so the lower one counts.
                 let (mean, present) = (self.saturation.mean(), self.placement.saturation(now));
                 let lasting = if present < mean { present } else { mean };
                 (estimator.predicted_wait(), lasting)
@@ -161,7 +162,7 @@
         };
         let mut last: Option<(&TaskBody, KindEstimate)> = None;
         for task in &body.tasks {
-            // Most tasks of a job are alike, and a quantile costs a walk over its buckets.
+            // Most tasks of a job have the same kind, and a quantile is computed by a walk over all buckets.
             let estimate = match last {
                 Some((before, estimate)) if have_same_estimate(before, task) => estimate,
                 _ => self.estimate(now, &body.customer, task, quantile),
--- a/crates/authority/src/authority/placement.rs
+++ b/crates/authority/src/authority/placement.rs
@@ -22,7 +22,8 @@
             .any(|session| session.open_session().is_some() && takes_work(session))
     }
 
-    /// Whether a reachable dispatcher accepts tasks or did within the capacity grace.
+    /// Whether a reachable dispatcher accepts tasks or did within the capacity grace. Also records the time of the call
+    /// if one does, so it has to be called at every tick.
     pub(super) fn had_recent_capacity(&mut self, now: Instant) -> bool {
         if self.has_capacity() {
             self.last_capacity_at = Some(now);
@@ -140,8 +141,8 @@
         }
         self.emit_event(AuthorityEvent::Offered(attempt, dispatcher));
         // The offer carries the estimate, because callers may declare run times a hundred times too long or too short.
-        // By such a value the dispatcher's fair queue would charge the customer wrongly and hold back a slot's worth of
-        // work for nothing.
+        // With such a value the dispatcher's fair queue would charge the customer wrongly and hold back a slot's worth
+        // of work for nothing.
         let expected =
             self.run_times
                 .expected_run_time(now, &customer, &body.kind, body.declared_run_time);
@@ -159,9 +160,9 @@
     /// Sends offers in batches of bounded size.
     ///
     /// Jobs of large payloads are offered together when a session opens or a limit rises. In one message they would
-    /// exceed the reader's limit, and the call would fail on each session again; below that limit, the first task would
-    /// wait for the bytes of the last one. Each part is a batch of its own, so that a withdrawal names the last part
-    /// sent.
+    /// exceed the reader's limit, and the call would fail on each session again; just below that limit, the first task
+    /// would wait for the bytes of the last one. Each part is a batch of its own, so that a withdrawal names the last
+    /// part sent.
     fn send_batches(&mut self, dispatcher: DispatcherKey, offers: Vec<TaskOffer>) {
         for part in split_into_messages(offers, |offer| offer.payload.size()) {
             self.send_batch(dispatcher, part);
--- a/crates/authority/src/authority/predicted_late.rs
+++ b/crates/authority/src/authority/predicted_late.rs
@@ -10,7 +10,8 @@
     record::{SubmissionRecord, TaskPhase},
 };
 
-/// A submission with less time left until its deadline is not checked any more: the deadline itself comes as soon.
+/// A submission with less time left until its deadline is not checked any more, because it is answered at its deadline
+/// soon enough.
 const MIN_TIME_TO_CHECK: Duration = Duration::from_millis(20);
 
 /// Retry-after of a submission predicted late, before jitter. By then other tasks run in the slots that were missing.
@@ -20,15 +21,15 @@
 /// back together.
 const RETRY_AFTER_JITTER: f64 = 0.5;
 
-/// The quantile that counts as a task's run time where the mean is not shorter.
+/// The quantile that replaces a mean run time that exceeds the time left, if it is shorter than the mean.
 const MEDIAN_QUANTILE: f64 = 0.5;
 
 impl TaskAuthority {
     /// Schedules the next deadline check of a submission with waiting tasks.
     ///
     /// Tasks may run much longer than expected while others wait behind them. Without the checks, the caller of work
-    /// that cannot be in time any more is told only at its deadline. Each check takes place after half of the time left
-    /// or earlier, so a submission costs a handful of them.
+    /// that cannot be in time any more gets the refusal only at its deadline. Each check takes place after half of the
+    /// time left or earlier, so a submission costs a handful of them.
     pub(super) fn schedule_deadline_check(&mut self, now: Instant, serial: u64) {
         let Some(record) = self.records.get(&serial).filter(|record| record.is_open()) else {
             return;
--- a/crates/authority/src/authority/replies.rs
+++ b/crates/authority/src/authority/replies.rs
@@ -17,8 +17,8 @@
 };
 
 /// Number of attempts of one task after which a refusal caused by overload is final, whatever its customer has saved up
-/// in its retry budget. A task that eight dispatchers have refused, with growing backoff in between, meets an overload
-/// that another try would only increase. Without the bound one such task could spend the budget of all others.
+/// in its retry budget. A task that was refused eight times, with growing backoff in between, meets an overload that
+/// another try would only increase. Without the bound one such task could spend the budget of all others.
 const MAX_OVERLOAD_ATTEMPTS: u32 = 8;
 
 /// Number of tasks over which the mean run time is taken: about two usual jobs. The mean then follows a change of the
@@ -85,8 +85,7 @@
             .get_mut(&attempt.submission.serial)
             .filter(|record| record.is_open());
         let Some(task) = record.and_then(|record| record.task_mut(attempt.task)) else {
-            // The submission was answered. The dispatcher drops the attempt when it is told so, and its concurrency is
-            // free.
+            // The submission was answered. The dispatcher drops the attempt on this reply, so its concurrency is free.
             self.remove_attempt(attempt);
             return None;
         };
--- a/crates/authority/src/record.rs
+++ b/crates/authority/src/record.rs
@@ -16,6 +16,7 @@
     Waiting,
     /// Attempt number `attempt_count - 1` of the task is in the attempt table.
     InFlight,
+    /// The task returned a result.
     Done(TaskResult),
 }
 
--- a/crates/authority/src/settings.rs
+++ b/crates/authority/src/settings.rs
@@ -13,7 +13,7 @@
 
 /// Number of dispatchers drawn at random, of which the best is chosen. With the two or three dispatchers that a data
 /// centre has today, two draws send some tasks to a full dispatcher although another is free. With twenty dispatchers,
-/// more than two draws make several entries choose the same one, and this value has to go down again (see
+/// more than two draws make several entries choose the same one, and this value has to be reduced (see
 /// docs/design/0002-decisions.md for figures on both).
 const DISPATCHER_DRAWS: u32 = 8;
 
@@ -21,21 +21,21 @@
 /// unbounded memory use.
 #[derive(Clone, Debug)]
 pub struct AuthoritySettings {
-    /// Maximal number of open submissions, which are those without an answer. A further one is refused as overloaded.
+    /// Maximum number of open submissions, which are those without an answer. A further one is refused as overloaded.
     pub max_open_submissions: usize,
-    /// Maximal payload size of all open submissions together. A submission that would exceed it is refused as
+    /// Maximum payload size of all open submissions together. A submission that would exceed it is refused as
     /// overloaded.
     pub max_open_bytes: ByteSize,
-    /// Maximal number of answered submissions kept, so that a duplicate gets the first answer.
+    /// Maximum number of answered submissions kept, so that a duplicate gets the first answer.
     pub max_kept_answers: usize,
-    /// Maximal result size of all kept answers together. Above it the oldest are dropped, and a duplicate of such a
+    /// Maximum result size of all kept answers together. Above it the oldest are dropped, and a duplicate of such a
     /// submission is answered "unknown".
     pub max_kept_bytes: ByteSize,
     /// How long an answer is kept.
     pub outcome_retention: Duration,
     /// How long an unused ticket is valid.
     pub ticket_term: Duration,
-    /// Maximal number of unused tickets.
+    /// Maximum number of unused tickets.
     pub max_tickets: usize,
     /// The admission rules for new submissions.
     pub admission: AdmissionSettings,
@@ -48,11 +48,11 @@
     /// Base of the exponential backoff before a task is placed again after a refusal that is caused by overload. The
     /// first backoff lasts between one and two times this value.
     pub retry_backoff: Duration,
-    /// Upper bound of that backoff.
+    /// Upper bound of the backoff that starts with `retry_backoff`.
     pub max_retry_backoff: Duration,
     /// How long submissions are still accepted after the last slot became unreachable. The endpoints of a dead
-    /// dispatcher get another owner within its suspect time; refusals in the meantime would turn away work that can be
-    /// done in time.
+    /// dispatcher get another owner within its suspect time, so work refused in the meantime could have been done in
+    /// time.
     pub capacity_grace: Duration,
     /// How long a lost dispatcher may take to reconnect before attempts that may have started there are given up.
     pub reconnect_wait: Duration,
--- a/crates/authority/src/ticket.rs
+++ b/crates/authority/src/ticket.rs
@@ -16,7 +16,7 @@
     Used,
     /// The ticket was issued to another customer.
     WrongCustomer,
-    /// The ticket was never issued here, or it was dropped. Whether a request ran under it cannot be told.
+    /// The ticket was never issued here, or it was dropped. Whether a request ran under it is not known.
     Unknown,
 }
 
--- a/crates/authority/src/waiting.rs
+++ b/crates/authority/src/waiting.rs
@@ -35,6 +35,7 @@
 pub(crate) struct WaitingTable {
     customers: FastMap<CustomerId, CustomerQueue>,
     changed: FastSet<CustomerId>,
+    /// Tasks in backoff; `due` in their key is the end of the backoff instead of the deadline.
     backing_off: BTreeMap<WaitingTask, CustomerId>,
     /// The dispatcher that last refused a task, by the serial and index of the task.
     avoided: FastMap<(u64, TaskIndex), DispatcherKey>,
--- a/crates/authority/tests/load/admission.rs
+++ b/crates/authority/tests/load/admission.rs
@@ -45,6 +45,7 @@
     jobs: usize,
     reason: RefusalReason,
     refused: std::ops::RangeInclusive<usize>,
+    /// Whether the refusals contain a retry-after.
     comes_back: bool,
 }
 
--- a/crates/authority/tests/load/simulation.rs
+++ b/crates/authority/tests/load/simulation.rs
@@ -86,6 +86,7 @@
         }
     }
 
+    /// Starts, queues or refuses an offered task that runs for `ran`.
     fn take(&mut self, now: Instant, attempt: AttemptId, ran: Duration) -> OfferReply {
         if let Some(reason) = self.refusal {
             return OfferReply::NotRun(reason);
--- a/crates/authority/tests/rerun.rs
+++ b/crates/authority/tests/rerun.rs
@@ -33,8 +33,9 @@
 
 #[test]
 fn a_backoff_of_the_first_run_does_not_place_the_second_run_twice() {
-    // The endpoint is busy, so the task is in backoff; the caller cancels, is told "not run", and submits again. When
-    // the first backoff is over, the task of the second run is in flight already. Placed once more, it would run twice.
+    // The endpoint is busy, so the task is in backoff; the caller cancels, is answered "not run", and submits again.
+    // When the first backoff is over, the task of the second run is in flight already. Placed once more, it would run
+    // twice.
     let mut now = Instant::now();
     let data_centre: model::DataCentreId = "hall".parse().expect("an id");
     let mut authority = TaskAuthority::new(
--- a/crates/authority/tests/withdrawal.rs
+++ b/crates/authority/tests/withdrawal.rs
@@ -12,7 +12,7 @@
 fn an_offer_reply_after_an_unconfirmed_withdrawal_still_counts() {
     // A job is cancelled while its offer is in transit. The dispatcher reads the withdrawal first and can confirm
     // nothing; then it queues the offer and replies to it. If that reply is ignored, the task uses the customer's
-    // concurrency without ever starting, and the customer's other work waits for ever.
+    // concurrency without ever starting, and the customer's other work waits forever.
     let now = Instant::now();
     let data_centre: DataCentreId = "hall".parse().expect("an id");
     let mut authority = TaskAuthority::new(
