--- a/crates/request-keys/src/batcher.rs
+++ b/crates/request-keys/src/batcher.rs
@@ -19,8 +19,9 @@
     /// Maximum number of keys in one transaction. 500 rows of about 200 bytes are 100 KB, which takes a few ms more
     /// than one row.
     pub max_batch: usize,
-    /// Maximum number of keys that wait for a batch; further keys are refused at once. With one batch of 500 per write
-    /// turn of 50 ms, a queue of 5,000 drains in half a second. Keys behind that would be too late for most requests.
+    /// Maximum number of keys that wait for a batch; further keys are refused at once. With a write permit every 50
+    /// ms and 500 keys per write, a queue of 5,000 drains in half a second. Keys behind that would be too late for most
+    /// requests.
     pub max_queue: usize,
     /// Maximum wait of a key, even if its request has more time, so that callers learn of an outage early.
     pub max_wait: Duration,
@@ -52,8 +53,8 @@
 /// An action that the caller of a [`KeyBatcher`] has to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyAction {
-    /// Acquire a write turn from the rate limiter and report to [`KeyBatcher::turn_ended`].
-    AcquireTurn,
+    /// Acquire a write permit from the rate limiter and report to [`KeyBatcher::acquire_ended`].
+    AcquirePermit,
     /// Insert these records in one transaction and report to [`KeyBatcher::batch_ended`].
     Commit(Vec<(RequestKey, KeyRecord)>),
     /// Read the key's record and report to [`KeyBatcher::read_ended`].
@@ -62,9 +63,9 @@
     Answer(PendingKeyId, KeyResult),
 }
 
-/// Outcome of acquiring a write turn.
+/// Outcome of acquiring a write permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TurnOutcome {
+pub enum PermitOutcome {
     /// This process may write now.
     Acquired,
     /// The rate limiter allows no write for this long.
@@ -129,13 +130,13 @@
 enum BatchPhase {
     /// Nothing is in flight.
     Idle,
-    /// A write turn is being acquired.
-    AcquiringTurn { in_doubt: bool },
+    /// A write permit is being acquired.
+    AcquiringPermit { in_doubt: bool },
     /// The batch is being committed.
     Committing { in_doubt: bool },
     /// The row of the batch's first key is being read to find out whether a batch in doubt was inserted.
     Probing(PendingKeyId),
-    /// The platform failed or the rate limiter refused a turn; nothing is sent until the time given.
+    /// The platform failed or the rate limiter refused a permit; nothing is sent until the time given.
     BackingOff { until: Instant, in_doubt: bool },
 }
 
@@ -183,18 +184,18 @@
         (id, self.start_batch())
     }
 
-    /// Handles the outcome of [`KeyAction::AcquireTurn`].
-    pub fn turn_ended(&mut self, now: Instant, outcome: TurnOutcome) -> Vec<KeyAction> {
-        let BatchPhase::AcquiringTurn { in_doubt } = self.phase else {
+    /// Handles the outcome of [`KeyAction::AcquirePermit`].
+    pub fn acquire_ended(&mut self, now: Instant, outcome: PermitOutcome) -> Vec<KeyAction> {
+        let BatchPhase::AcquiringPermit { in_doubt } = self.phase else {
             return Vec::new();
         };
         match outcome {
-            TurnOutcome::Refused(wait) => {
+            PermitOutcome::Refused(wait) => {
                 let until = now + wait;
                 self.phase = BatchPhase::BackingOff { until, in_doubt };
                 Vec::new()
             }
-            TurnOutcome::Acquired => {
+            PermitOutcome::Acquired => {
                 let mut actions = self.expire(now);
                 if !in_doubt {
                     self.fill_batch();
@@ -280,13 +281,13 @@
         actions
     }
 
-    /// Asks for a write turn if nothing is in flight and keys are queued.
+    /// Asks for a write permit if nothing is in flight and keys are queued.
     fn start_batch(&mut self) -> Vec<KeyAction> {
         if self.phase != BatchPhase::Idle || self.queue.is_empty() {
             return Vec::new();
         }
-        self.phase = BatchPhase::AcquiringTurn { in_doubt: false };
-        vec![KeyAction::AcquireTurn]
+        self.phase = BatchPhase::AcquiringPermit { in_doubt: false };
+        vec![KeyAction::AcquirePermit]
     }
 
     /// Moves queued keys into the batch. A second request with the same key stays queued: two inserts of one key in one
@@ -386,8 +387,8 @@
             // A delayed attempt may still be inserted. The same batch is sent again, and whichever attempt arrives
             // second conflicts with the rows of the first.
             ReadOutcome::Absent => {
-                self.phase = BatchPhase::AcquiringTurn { in_doubt: true };
-                vec![KeyAction::AcquireTurn]
+                self.phase = BatchPhase::AcquiringPermit { in_doubt: true };
+                vec![KeyAction::AcquirePermit]
             }
             ReadOutcome::Failed => self.back_off(now, true),
         }
--- a/crates/request-keys/src/lib.rs
+++ b/crates/request-keys/src/lib.rs
@@ -9,8 +9,8 @@
 
 pub use crate::{
     batcher::{
-        BatchOutcome, BatcherSettings, KeyAction, KeyBatcher, PendingKeyId, ReadOutcome,
-        TurnOutcome,
+        BatchOutcome, BatcherSettings, KeyAction, KeyBatcher, PendingKeyId, PermitOutcome,
+        ReadOutcome,
     },
     record::{BodyDigest, KeyRecord, KeyRequest, KeyResult, RequestKey},
     recorder::KeyRecorder,
--- a/crates/request-keys/src/recorder.rs
+++ b/crates/request-keys/src/recorder.rs
@@ -11,8 +11,8 @@
 
 use crate::{
     batcher::{
-        BatchOutcome, BatcherSettings, KeyAction, KeyBatcher, PendingKeyId, ReadOutcome,
-        TurnOutcome,
+        BatchOutcome, BatcherSettings, KeyAction, KeyBatcher, PendingKeyId, PermitOutcome,
+        ReadOutcome,
     },
     KeyRecord, KeyRequest, KeyResult, RequestKey,
 };
@@ -34,8 +34,8 @@
 struct State {
     batcher: KeyBatcher,
     waiters: FastMap<PendingKeyId, oneshot::Sender<KeyResult>>,
-    /// A write turn acquired for the batcher. If its batch turned out empty, the turn is kept for the next batch.
-    turn: Option<WritePermit>,
+    /// A write permit acquired for the batcher. If its batch turned out empty, the permit is kept for the next batch.
+    permit: Option<WritePermit>,
     ticking: bool,
 }
 
@@ -48,7 +48,7 @@
                 state: RefCell::new(State {
                     batcher: KeyBatcher::new(settings),
                     waiters: FastMap::default(),
-                    turn: None,
+                    permit: None,
                     ticking: false,
                 }),
             }),
@@ -82,8 +82,8 @@
             let recorder = self.clone();
             match action {
                 KeyAction::Answer(id, result) => self.answer(id, result),
-                KeyAction::AcquireTurn => {
-                    actix_rt::spawn(async move { recorder.acquire_turn().await });
+                KeyAction::AcquirePermit => {
+                    actix_rt::spawn(async move { recorder.acquire_permit().await });
                 }
                 KeyAction::Commit(records) => {
                     actix_rt::spawn(async move { recorder.commit(records).await });
@@ -103,22 +103,22 @@
         }
     }
 
-    async fn acquire_turn(&self) {
-        let outcome = match self.next_turn().await {
-            Ok(turn) => {
-                self.inner.state.borrow_mut().turn = Some(turn);
-                TurnOutcome::Acquired
+    async fn acquire_permit(&self) {
+        let outcome = match self.next_permit().await {
+            Ok(permit) => {
+                self.inner.state.borrow_mut().permit = Some(permit);
+                PermitOutcome::Acquired
             }
-            Err(RequestError::RateLimited { retry_after }) => TurnOutcome::Refused(retry_after),
-            Err(_) => TurnOutcome::Refused(TICK_INTERVAL),
+            Err(RequestError::RateLimited { retry_after }) => PermitOutcome::Refused(retry_after),
+            Err(_) => PermitOutcome::Refused(TICK_INTERVAL),
         };
-        self.advance(|batcher, now| batcher.turn_ended(now, outcome));
+        self.advance(|batcher, now| batcher.acquire_ended(now, outcome));
     }
 
-    async fn next_turn(&self) -> Result<WritePermit, RequestError> {
-        let kept = self.inner.state.borrow_mut().turn.take();
+    async fn next_permit(&self) -> Result<WritePermit, RequestError> {
+        let kept = self.inner.state.borrow_mut().permit.take();
         match kept {
-            Some(turn) => Ok(turn),
+            Some(permit) => Ok(permit),
             None => self.inner.client.acquire_write_permit().await,
         }
     }
@@ -136,8 +136,8 @@
             });
             keys.insert(store_key, key);
         }
-        let result = match self.next_turn().await {
-            Ok(turn) => self.inner.client.commit_with_permit(turn, writes).await,
+        let result = match self.next_permit().await {
+            Ok(permit) => self.inner.client.commit_with_permit(permit, writes).await,
             Err(failure) => Err(failure.into()),
         };
         let outcome = match result {
--- a/crates/request-keys/tests/batcher.rs
+++ b/crates/request-keys/tests/batcher.rs
@@ -6,7 +6,7 @@
 use model::{FastMap, FastSet, IncarnationId};
 use request_keys::{
     BatchOutcome, BatcherSettings, BodyDigest, KeyAction, KeyBatcher, KeyRecord, KeyRequest,
-    KeyResult, PendingKeyId, ReadOutcome, RequestKey, TurnOutcome,
+    KeyResult, PendingKeyId, PermitOutcome, ReadOutcome, RequestKey,
 };
 
 fn ms(n: u64) -> Duration {
@@ -38,7 +38,7 @@
 
 /// A delayed event: an outcome that a batcher receives, or a late commit.
 enum Event {
-    Turn(usize),
+    Permit(usize),
     LateCommit(Vec<(RequestKey, KeyRecord)>),
     Batch(usize, Vec<(RequestKey, KeyRecord)>, SimulatedCommit),
     Read(usize, PendingKeyId, RequestKey, bool),
@@ -141,7 +141,7 @@
     fn perform(&mut self, batcher: usize, actions: Vec<KeyAction>) {
         for action in actions {
             match action {
-                KeyAction::AcquireTurn => self.schedule(1, Event::Turn(batcher)),
+                KeyAction::AcquirePermit => self.schedule(1, Event::Permit(batcher)),
                 KeyAction::Commit(records) => {
                     let simulated = self.draw_commit();
                     self.schedule(4, Event::Batch(batcher, records, simulated));
@@ -177,12 +177,12 @@
                 self.insert(&records);
                 return;
             }
-            Event::Turn(batcher) => {
+            Event::Permit(batcher) => {
                 let outcome = match self.draw_fault() {
-                    true => TurnOutcome::Refused(ms(9)),
-                    false => TurnOutcome::Acquired,
+                    true => PermitOutcome::Refused(ms(9)),
+                    false => PermitOutcome::Acquired,
                 };
-                (batcher, self.batchers[batcher].turn_ended(now, outcome))
+                (batcher, self.batchers[batcher].acquire_ended(now, outcome))
             }
             Event::Batch(batcher, records, simulated) => {
                 let outcome = self.commit_outcome(records, simulated);
@@ -282,7 +282,7 @@
     for n in 1..=3 {
         ids.push(batcher.submit(now, request(n, n, now + ms(300))).0);
     }
-    let actions = batcher.turn_ended(now, TurnOutcome::Acquired);
+    let actions = batcher.acquire_ended(now, PermitOutcome::Acquired);
     assert!(matches!(&actions[..], [KeyAction::Commit(records)] if records.len() == 3));
     (batcher, ids)
 }
@@ -292,10 +292,10 @@
     let now = Instant::now();
     let (mut batcher, ids) = three_in_flight(now);
     let actions = batcher.batch_ended(now, BatchOutcome::Conflict(vec![key(2)]));
-    let expected = [KeyAction::Read(ids[1], key(2)), KeyAction::AcquireTurn];
+    let expected = [KeyAction::Read(ids[1], key(2)), KeyAction::AcquirePermit];
     assert_eq!(actions, expected);
     let rest = vec![(key(1), record(1, 1)), (key(3), record(1, 3))];
-    let actions = batcher.turn_ended(now, TurnOutcome::Acquired);
+    let actions = batcher.acquire_ended(now, PermitOutcome::Acquired);
     assert_eq!(actions, [KeyAction::Commit(rest)]);
     let other = record(9, 9);
     let actions = batcher.read_ended(now, ids[1], ReadOutcome::Found(other));
@@ -321,8 +321,8 @@
     let actions = batcher.batch_ended(now, BatchOutcome::Uncertain);
     assert_eq!(actions, [KeyAction::Read(ids[0], key(1))]);
     let actions = batcher.read_ended(now, ids[0], ReadOutcome::Absent);
-    assert_eq!(actions, [KeyAction::AcquireTurn]);
-    let again = batcher.turn_ended(now, TurnOutcome::Acquired);
+    assert_eq!(actions, [KeyAction::AcquirePermit]);
+    let again = batcher.acquire_ended(now, PermitOutcome::Acquired);
     assert!(matches!(&again[..], [KeyAction::Commit(records)] if records.len() == 3));
     batcher.batch_ended(now, BatchOutcome::Uncertain);
     let actions = batcher.read_ended(now, ids[0], ReadOutcome::Found(record(1, 1)));
@@ -330,9 +330,9 @@
         .iter()
         .map(|id| KeyAction::Answer(*id, KeyResult::Recorded))
         .collect();
-    expected.push(KeyAction::AcquireTurn);
+    expected.push(KeyAction::AcquirePermit);
     assert_eq!(actions, expected);
-    let next = batcher.turn_ended(now, TurnOutcome::Acquired);
+    let next = batcher.acquire_ended(now, PermitOutcome::Acquired);
     assert_eq!(next, [KeyAction::Commit(vec![(key(4), record(1, 4))])]);
     let actions = batcher.batch_ended(now, BatchOutcome::Committed);
     assert_eq!(actions, [KeyAction::Answer(fourth, KeyResult::Recorded)]);
@@ -355,8 +355,8 @@
         actions.extend(more);
         while let Some(action) = actions.pop() {
             match action {
-                KeyAction::AcquireTurn => {
-                    actions.extend(batcher.turn_ended(now, TurnOutcome::Acquired))
+                KeyAction::AcquirePermit => {
+                    actions.extend(batcher.acquire_ended(now, PermitOutcome::Acquired))
                 }
                 KeyAction::Commit(_) => {
                     calls += 1;
