--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -55,17 +55,22 @@
     clock: Arc<dyn ClockSource>,
     authority: TaskAuthority,
     contracts: ContractView,
+    /// When a dispatcher last confirmed that the loaded contracts are current.
     contracts_confirmed_at: Option<Instant>,
     grants: GrantHolder,
     centre_view: CentreView,
+    /// The address of the dispatcher on this VM, see [`grants::initial_own_dispatcher`].
     own_dispatcher: SocketAddr,
+    /// The limits last passed to the authority, for customers with work or with a grant.
     usable_grants: FastMap<CustomerId, UsableGrant>,
+    /// Whether grants are to be requested at the next flush instead of the next tick.
     asks_due: bool,
     dispatchers: FastMap<DispatcherKey, DispatcherRecord>,
     dispatcher_keys: FastMap<SocketAddr, DispatcherKey>,
     next_dispatcher_key: u64,
     next_session: u64,
     last_tick: Instant,
+    /// The callers that wait for the answer to an open submission, by its serial.
     waiters: FastMap<u64, Vec<oneshot::Sender<SubmissionAnswer>>>,
     platform: PlatformClient,
     events: EventRecorder,
@@ -98,6 +103,7 @@
     link: PeerLink,
     client: SessionClient,
     session: SessionId,
+    /// When the dispatcher last answered a call.
     last_heard: Instant,
     ping_in_flight: bool,
 }
--- a/crates/entry/src/control/contract_updates.rs
+++ b/crates/entry/src/control/contract_updates.rs
@@ -8,8 +8,8 @@
 use super::{EntryControl, LinkState};
 
 impl EntryControl {
-    /// Handles the contract head that a dispatcher reported, and fetches the rows from it if its head is newer or no
-    /// contracts are loaded yet.
+    /// Handles the contract head that a dispatcher reported, which is the number of the latest contract change that it
+    /// knows. Fetches the rows from it if its head is newer or no contracts are loaded yet.
     pub(super) fn on_dispatcher_head(
         &mut self,
         ctx: &mut Context<Self>,
--- a/crates/entry/src/control/grants.rs
+++ b/crates/entry/src/control/grants.rs
@@ -1,6 +1,8 @@
 //! The part of each customer's concurrency that this entry may use.
 //!
-//! The grant holder decides the limits; the authority places tasks within them and counts the tasks in flight.
+//! A customer's home is the dispatcher that grants parts of the customer's share of this data centre to the entries. An
+//! entry that cannot reach the home uses a fixed part, its base share. The grant holder decides the limits; the
+//! authority places tasks within them and counts the tasks in flight.
 
 use std::{
     net::{Ipv4Addr, SocketAddr},
@@ -59,8 +61,9 @@
         self.select_centre_view();
     }
 
-    /// Selects the view of this VM's own dispatcher, or else that of the lowest address that has one. The choice is
-    /// fixed because views of several dispatchers differ for moments, and customers would change homes with each ping.
+    /// Selects the view of this VM's own dispatcher, or else that of the lowest address that has one. The choice does
+    /// not depend on which dispatcher answered last: the views of several dispatchers differ for moments, and customers
+    /// would change homes with each ping.
     /// If there is no view, the last one stays in use for grants and base shares.
     pub(super) fn select_centre_view(&mut self) {
         let mut best: Option<(bool, SocketAddr, &CentreView)> = None;
@@ -142,7 +145,8 @@
         self.send_asks(ctx);
     }
 
-    /// Sends the holder's requests for grants. A grant that a request gives up is no longer used from here on.
+    /// Sends the holder's requests for grants. A request may give up a part of a grant, so the authority's limits are
+    /// updated before it is sent.
     pub(super) fn send_asks(&mut self, ctx: &mut Context<Self>) {
         self.asks_due = false;
         let now = self.clock.now();
--- a/crates/entry/src/control/keys.rs
+++ b/crates/entry/src/control/keys.rs
@@ -104,8 +104,8 @@
                 RefusalReason::KeyNotRecorded,
                 Some(retry_after),
             ),
-            // The row may exist or be written later. It names this serial, and the refusal stored under the serial
-            // shows a duplicate that reads the row that nothing ran.
+            // The row may exist or be written later, and names this serial. A duplicate that reads the row finds the
+            // refusal stored under the serial, which shows that nothing ran.
             KeyResult::Uncertain => {
                 let reason = RefusalReason::KeyNotRecorded;
                 self.refuse_keyed(serial, keyed, reason, default_retry_after(reason))
@@ -141,8 +141,8 @@
         self.forward_request(first.submission(), keyed.raw)
     }
 
-    /// Stores the refusal under the serial that the key's row may name, so that a duplicate learns that nothing ran and
-    /// can run itself.
+    /// Stores the refusal under the serial that the key's row may name. A duplicate finds it there, and runs instead,
+    /// because nothing ran.
     fn refuse_keyed(
         &mut self,
         serial: u64,
--- a/crates/entry/src/control/sessions.rs
+++ b/crates/entry/src/control/sessions.rs
@@ -91,8 +91,8 @@
     }
 
     /// Restarts the timeout of every session after this process was frozen, which a gap between its own ticks shows.
-    /// Answers lay unread in its sockets meanwhile, so without this it would take every dispatcher for silent and close
-    /// healthy sessions.
+    /// Answers that arrived during the freeze are still unread in its sockets, so without this it would treat every
+    /// dispatcher as silent and close healthy sessions.
     pub(super) fn detect_own_pause(&mut self, now: Instant) {
         let gap = now.saturating_duration_since(self.last_tick);
         self.last_tick = now;
@@ -246,8 +246,8 @@
         }
     }
 
-    /// Closes the session after a failed call. If the connection is still open, the call's tasks would otherwise never
-    /// get a verdict; the next session finds out what became of them.
+    /// Closes the session after a failed call. If the connection is still open, no reply about the call's tasks would
+    /// ever arrive otherwise; the next session finds out their state.
     fn on_call_failed(
         &mut self,
         ctx: &mut Context<Self>,
