--- a/crates/dispatcher/src/control.rs
+++ b/crates/dispatcher/src/control.rs
@@ -44,12 +44,12 @@
 /// the shortest tasks of 50 ms.
 const TICK_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Interval of the grant tick. The grant ledger treats a gap of the suspect time between ticks as a freeze of this
-/// process; the shortest suspect time that the settings' defaults allow is five intervals.
+/// Interval of the grant tick. The grant allocator treats a gap of the suspect time between ticks as a freeze of this
+/// process; the default suspect time is five intervals.
 const GRANT_TICK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Interval of the reports to the new owners of endpoints. It bounds how long the new owner counts a slot as used after
-/// its task has ended, and is about as long as the shortest tasks.
+/// Interval of the reports to the new owners of endpoints. It bounds how long a new owner counts a slot as used after
+/// the slot's task has ended, and is about as long as the shortest tasks.
 const HANDOVER_TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The name under which the dispatcher's control actor is registered.
@@ -67,7 +67,9 @@
     grants: GrantAllocator,
     centre_view: CentreView,
     handovers: HandoverTracker,
+    /// The new owners whose last handover report was not empty; each still gets an empty one.
     reported_peers: FastSet<SocketAddr>,
+    /// The serial of the next handover report.
     next_report: u64,
     vms: Vec<VmEntry>,
     peers: FastMap<SocketAddr, PeerConnection>,
@@ -76,10 +78,13 @@
     next_traffic_thread: usize,
     platform: PlatformClient,
     contract_view: ContractView,
+    /// The contract poll intervals since the start.
     poll_ticks: u32,
     poll_in_flight: bool,
+    /// The slot limit last sent to the entries.
     announced_limit: u32,
     started_at: Instant,
+    /// Whether this dispatcher may own endpoints, see [`Self::is_membership_settled`].
     membership_settled: bool,
     metrics: Arc<MetricSet>,
     ready: Arc<AtomicBool>,
@@ -257,7 +262,8 @@
         self.ready.store(false, Ordering::Relaxed);
         self.members.set_stopping();
         self.ledger.stop(self.clock.now());
-        // The new owners have to count the tasks that run here before they learn that they own the endpoints.
+        // The new owners have to count the tasks that this dispatcher still runs before they learn that they own the
+        // endpoints.
         self.update_ownership();
         self.tick_handovers(ctx);
         self.tick(ctx);
--- a/crates/dispatcher/src/control/contracts.rs
+++ b/crates/dispatcher/src/control/contracts.rs
@@ -13,8 +13,8 @@
 /// The rendezvous hash key that selects the polling dispatcher of a data centre, as endpoint ids select owners.
 const READER_HASH_KEY: &str = "contract-reader";
 
-/// Poll intervals between two polls of a dispatcher that is not its data centre's reader. These polls cover a reader
-/// that alone has lost the platform; at 720 VMs, one poll per 5 s is 144 reads a second.
+/// Poll intervals between two polls of a dispatcher that is not its data centre's reader. These polls find changes when
+/// only the reader cannot reach the platform; at 720 VMs, one poll per 5 s is 144 reads a second.
 const STANDBY_POLL_INTERVAL_TICKS: u32 = 5;
 
 impl DispatcherControl {
@@ -35,7 +35,8 @@
         ctx.spawn(update.map(|update, control, ctx| control.on_polled(ctx, update)));
     }
 
-    /// Handles the contract head that a peer reported and fetches the rows from it if its head is newer.
+    /// Handles the contract head that a peer reported, which is the number of the latest contract change that it knows.
+    /// Fetches the rows from it if its head is newer.
     pub(super) fn on_peer_head(&mut self, ctx: &mut Context<Self>, address: SocketAddr, head: u64) {
         let head = HeadNumber(head);
         self.contract_view.note_peer_head(head);
--- a/crates/dispatcher/src/control/grants.rs
+++ b/crates/dispatcher/src/control/grants.rs
@@ -1,4 +1,7 @@
 //! Grants that this dispatcher gives as the home of customers, and the view of the data centre sent to entries.
+//!
+//! A customer's home is the one dispatcher of a data centre that grants parts of the customer's share there to the
+//! entries.
 
 use std::collections::BTreeMap;
 
@@ -9,8 +12,8 @@
 
 impl DispatcherControl {
     /// Updates the data-centre view from the current members and VM list. Nothing is sent or granted before the list
-    /// has been read: without it every share would be 0, and granting that would stop the customers. An entry whose
-    /// home does not answer uses its base share.
+    /// has been read: without it every share would be 0, and such grants would stop the customers. An entry whose home
+    /// does not answer uses its base share.
     pub(super) fn update_centre_view(&mut self) {
         if self.vms.is_empty() {
             return;
--- a/crates/dispatcher/src/control/handover.rs
+++ b/crates/dispatcher/src/control/handover.rs
@@ -10,12 +10,12 @@
 
 impl DispatcherControl {
     /// Reports the tasks that this dispatcher still runs at endpoints of other owners, and frees the slots that others
-    /// reported once their time is over. A new owner gets a last, empty report when nothing is left, so that it need
-    /// not wait for the tasks' deadlines.
+    /// reported once the reported time is over. A new owner gets a last, empty report when no task is left, so that it
+    /// need not wait for the tasks' deadlines.
     ///
-    /// Without reports, after a planned stop or when a busy endpoint moves to a dispatcher that came up, the new owner
-    /// would take its slots for free, and the endpoint would refuse each task sent there. Reports are sent only while
-    /// such tasks run, so moving an idle endpoint costs nothing.
+    /// Without reports, after a planned stop or when a busy endpoint moves to a dispatcher that has just started, the
+    /// new owner would count the endpoint's slots as free, and the endpoint would refuse each task sent there. Reports
+    /// are sent only while such tasks run, so moving an idle endpoint costs nothing.
     pub(super) fn tick_handovers(&mut self, ctx: &mut Context<Self>) {
         let mut reports = self.collect_handover_counts();
         for address in self.reported_peers.clone() {
--- a/crates/dispatcher/src/control/membership.rs
+++ b/crates/dispatcher/src/control/membership.rs
@@ -31,9 +31,9 @@
 
     /// Whether the VM list is known and all listed dispatchers have answered, or the suspect time has passed, in which
     /// a live one would have answered. Until then this dispatcher owns no endpoints: a newly started one that knows no
-    /// peers would claim every endpoint, as would its peers, and a burst would overfill the endpoints; each busy answer
-    /// is a wasted message. A refused connection does not count as an answer, since a peer that starts at the same time
-    /// does not listen yet.
+    /// peers would take ownership of every endpoint, as would its peers, and a burst would overfill the endpoints; each
+    /// busy answer is a wasted message. A refused connection does not count as an answer, since a peer that starts at
+    /// the same time does not listen yet.
     fn is_membership_settled(&self) -> bool {
         let waited = self.clock.now().saturating_duration_since(self.started_at);
         if waited >= self.settings.suspect_ms.duration() {
--- a/crates/dispatcher/src/entry_directory.rs
+++ b/crates/dispatcher/src/entry_directory.rs
@@ -1,7 +1,7 @@
 //! The ports of the entries that have a session with this dispatcher.
 //!
-//! Ports are not `Send`, but actor messages have to be. So the ports are kept beside the control actor on its thread:
-//! the peer port inserts them, and the actor looks them up.
+//! The clients of entry ports are not `Send`, but actor messages have to be. So they are kept beside the control actor
+//! on its thread: the peer port inserts them, and the actor looks them up.
 
 use std::{cell::RefCell, rc::Rc};
 
