--- a/crates/request-keys/tests/batcher.rs
+++ b/crates/request-keys/tests/batcher.rs
@@ -242,7 +242,7 @@
 fn no_key_is_recorded_twice_and_every_result_matches_the_store_under_seeded_faults() {
     // Two entries receive requests with the same few keys while the store loses requests and answers, applies writes
     // late and refuses connections. Each request is answered once. A request starts when it is answered "recorded", so
-    // only one request per key may be; "not recorded" promises that nothing started, so its record may never appear.
+    // only one request per key may be; "not recorded" means that nothing started, so its record may never appear.
     let mut counts = [0; 4];
     for seed in 0..400 {
         let mut simulation = Simulation::new(seed);
--- a/crates/request-keys/tests/recorder.rs
+++ b/crates/request-keys/tests/recorder.rs
@@ -259,7 +259,8 @@
 
 #[actix_rt::test]
 async fn an_unreadable_row_gives_an_uncertain_result() {
-    // The key's row does not hold a valid record. The request is answered by its deadline that it may not start.
+    // The key's row does not hold a valid record. By its deadline the request is answered "uncertain", so it does not
+    // start.
     let stand_in = stand_in();
     let row = WriteRequest {
         table: "request-keys".into(),
