--- a/crates/authority/src/authority.rs
+++ b/crates/authority/src/authority.rs
@@ -81,7 +81,9 @@
     admission: AdmissionPolicy,
     load: LoadTable,
     saturation: SmoothedSaturation,
+    /// Number of entries that place tasks on the same slots, including this one.
     entries: u32,
+    /// When a reachable dispatcher last accepted tasks.
     last_capacity_at: Option<Instant>,
     rng: fastrand::Rng,
     actions: Vec<AuthorityAction>,
--- a/crates/authority/src/authority/admission.rs
+++ b/crates/authority/src/authority/admission.rs
@@ -17,7 +17,8 @@
 /// endpoints of a dead VM to get another owner.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The quantile of a single task's run time that counts as its tail run time. It rises with the number of tasks.
+/// The quantile of the run time that counts as the tail run time of a submission of one task. With more tasks a higher
+/// quantile is used.
 const TAIL_QUANTILE: f64 = 0.9;
 
 /// Expected run times of a submission's tasks.
@@ -105,8 +106,8 @@
     ) -> AdmissionDecision {
         let load = self.load.get(&body.customer);
         let slots = self.placement.slots(now);
-        // Slots that became unreachable a moment ago are about to get another owner. Their number is not known before,
-        // so only the submission itself and its customer's limit count.
+        // Slots that became unreachable a moment ago are about to get another owner. Until then their number is
+        // unknown, so only the submission itself and its customer's limit count.
         let (predicted_wait, saturation) = match slots {
             0 => (Duration::ZERO, Saturation::default()),
             _ => {
--- a/crates/authority/src/authority/placement.rs
+++ b/crates/authority/src/authority/placement.rs
@@ -22,8 +22,8 @@
             .any(|session| session.open_session().is_some() && takes_work(session))
     }
 
-    /// Whether a reachable dispatcher accepts tasks or did within the capacity grace. Also records the time of the call
-    /// if one does, so it has to be called at every tick.
+    /// Whether a reachable dispatcher accepts tasks or did within the capacity grace. Has to be called at every tick,
+    /// since it records the last time at which a dispatcher accepted tasks.
     pub(super) fn had_recent_capacity(&mut self, now: Instant) -> bool {
         if self.has_capacity() {
             self.last_capacity_at = Some(now);
--- a/crates/authority/src/authority/predicted_late.rs
+++ b/crates/authority/src/authority/predicted_late.rs
@@ -10,8 +10,8 @@
     record::{SubmissionRecord, TaskPhase},
 };
 
-/// A submission with less time left until its deadline is not checked any more, because it is answered at its deadline
-/// soon enough.
+/// A submission with less time left until its deadline is not checked any more: its refusal at the deadline comes soon
+/// enough.
 const MIN_TIME_TO_CHECK: Duration = Duration::from_millis(20);
 
 /// Retry-after of a submission predicted late, before jitter. By then other tasks run in the slots that were missing.
@@ -21,7 +21,8 @@
 /// back together.
 const RETRY_AFTER_JITTER: f64 = 0.5;
 
-/// The quantile that replaces a mean run time that exceeds the time left, if it is shorter than the mean.
+/// The quantile of the run time that is used instead of the mean if the mean exceeds the time left and the quantile is
+/// shorter.
 const MEDIAN_QUANTILE: f64 = 0.5;
 
 impl TaskAuthority {
--- a/crates/authority/src/record.rs
+++ b/crates/authority/src/record.rs
@@ -60,6 +60,7 @@
     /// Time of the next deadline check, under which the submission is listed in the authority's `deadline_checks`.
     pub(crate) check_at: Option<Instant>,
     pub(crate) tasks: Vec<TaskRecord>,
+    /// Number of tasks in the phase `Done`.
     pub(crate) done: u32,
     /// The first attempt number of this run.
     pub(crate) first_attempt: u32,
--- a/crates/decisions/benches/decisions.rs
+++ b/crates/decisions/benches/decisions.rs
@@ -179,6 +179,7 @@
     group.finish();
 }
 
+/// Decisions whose cost does not depend on the number of jobs, customers or dispatchers.
 fn constant(c: &mut Criterion) {
     let now = Instant::now();
     let mut group = c.benchmark_group("constant");
--- a/crates/decisions/src/queue.rs
+++ b/crates/decisions/src/queue.rs
@@ -104,9 +104,12 @@
     /// Entries that became overdue and were not yet returned by [`Self::take_overdue`]. They can still be removed, so
     /// none is lost in between.
     overdue: BTreeMap<AttemptId, QueueEntry>,
+    /// The highest virtual time at which a customer was served. A customer that was idle starts there.
     virtual_now: VirtualTime,
     next_sequence: u64,
+    /// The sum of the expected run times of all waiting tasks.
     queued_work: Duration,
+    /// The sum of the shares of the customers with waiting tasks.
     waiting_share: u64,
 }
 
--- a/crates/decisions/src/smoothed_saturation.rs
+++ b/crates/decisions/src/smoothed_saturation.rs
@@ -12,8 +12,7 @@
 /// wait.
 const TIME_CONSTANT: Duration = Duration::from_secs(5);
 
-/// The exponentially weighted moving average of the saturation. It distinguishes a lasting overload from a
-/// burst.
+/// The exponentially weighted moving average of the saturation. It distinguishes a lasting overload from a burst.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SmoothedSaturation {
     mean: f64,
--- a/crates/dispatcher/src/control.rs
+++ b/crates/dispatcher/src/control.rs
@@ -78,7 +78,7 @@
     next_traffic_thread: usize,
     platform: PlatformClient,
     contract_view: ContractView,
-    /// The contract poll intervals since the start.
+    /// Number of contract poll intervals since the start.
     poll_ticks: u32,
     poll_in_flight: bool,
     /// The slot limit last sent to the entries.
