--- a/crates/authority/src/refusal.rs
+++ b/crates/authority/src/refusal.rs
@@ -7,7 +7,7 @@
 
 /// Why a submission was not accepted. Nothing of it runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("refused: {reason}")]
+#[error("submission refused: {reason}")]
 pub struct SubmissionRefusal {
     /// The reason of the refusal.
     pub reason: RefusalReason,
--- a/crates/dispatcher/src/traffic.rs
+++ b/crates/dispatcher/src/traffic.rs
@@ -51,7 +51,10 @@
         let control = match self.services.find::<DispatcherControl>(CONTROL_SERVICE) {
             Ok(control) => control,
             Err(error) => {
-                log::error!("dispatcher: cannot start {}: {error}", task.offer.attempt);
+                log::error!(
+                    "dispatcher: cannot start attempt {}: {error}",
+                    task.offer.attempt
+                );
                 return;
             }
         };
--- a/crates/entry/src/process.rs
+++ b/crates/entry/src/process.rs
@@ -138,7 +138,7 @@
     let handle = server.handle();
     actix_rt::spawn(async move {
         if let Err(error) = server.await {
-            log::error!("entry: server failed: {error}");
+            log::error!("entry: HTTP server failed: {error}");
         }
     });
     log::info!("entry: incarnation {incarnation} listening for callers on {caller_address}");
