--- a/crates/authority/src/authority/admission.rs
+++ b/crates/authority/src/authority/admission.rs
@@ -17,23 +17,27 @@
 /// endpoints of a dead VM to get another owner.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The quantile of a single task's run time that counts as its slowest run.
-const SLOW_RUN_QUANTILE: f64 = 0.9;
+/// The quantile of the run time that counts as the tail run time of a submission of one task. With more tasks a higher
+/// quantile is used.
+const TAIL_QUANTILE: f64 = 0.9;
 
 /// Expected run times of a submission's tasks.
 pub(super) struct ExpectedWork {
-    /// The expected run time of each task, in their order.
+    /// The expected run time of each task in order, capped by [`TaskAuthority::capped_run_time`].
     pub(super) run_times: Vec<Duration>,
+    /// The sum of the expected run times, without the cap that `run_times` has.
     total: Duration,
-    largest: RunTimeEstimate,
-    slowest: Duration,
+    /// The longest expected run time of a task.
+    longest: RunTimeEstimate,
+    /// The longest tail run time of a task.
+    tail_run_time: Duration,
 }
 
 /// Estimated run times of one kind of task.
 #[derive(Clone, Copy)]
 struct KindEstimate {
     expected: RunTimeEstimate,
-    slowest: Duration,
+    tail_run_time: Duration,
 }
 
 impl TaskAuthority {
@@ -55,7 +59,7 @@
             }
         }
         // Each open submission uses memory until it is answered, so their number and size are bounded. A refusal is
-        // cheap and tells the caller when to try again.
+        // cheap and contains the time after which to try again.
         let bytes: u64 = body.tasks.iter().map(|task| task.payload.size().0).sum();
         let large = self.memory.open_payloads.0 + bytes > self.settings.max_open_bytes.0;
         if large || self.open_count >= self.settings.max_open_submissions {
@@ -79,7 +83,8 @@
         }
     }
 
-    /// Counts a task as started in its customer's load, as far as its dispatcher's messages tell.
+    /// Counts a task as started in its customer's load. Called when a message of its dispatcher shows that it may have
+    /// started.
     pub(super) fn mark_started(&mut self, now: Instant, attempt: AttemptId) {
         let Some(record) = self.records.get_mut(&attempt.submission.serial) else {
             return;
@@ -101,8 +106,8 @@
     ) -> AdmissionDecision {
         let load = self.load.get(&body.customer);
         let slots = self.placement.slots(now);
-        // Slots that became unreachable a moment ago are about to get another owner. How many they will be is unknown,
-        // so only the submission itself and its customer's limit count.
+        // Slots that became unreachable a moment ago are about to get another owner. Until then their number is
+        // unknown, so only the submission itself and its customer's limit count.
         let (predicted_wait, saturation) = match slots {
             0 => (Duration::ZERO, Saturation::default()),
             _ => {
@@ -117,8 +122,8 @@
                     drain_rate: load.drain_rate,
                     slots: slots as f64 / f64::from(self.entries),
                 };
-                // The mean stays high beyond a moment in which slots are few, and the present value alone would refuse
-                // ordinary bursts. A lasting overload shows in both, so the lower one counts.
+                // The mean stays high for a while after slots were few for a moment, and the present value alone would
+                // refuse ordinary bursts. A lasting overload shows in both, so the lower one counts.
                 let (mean, present) = (self.saturation.mean(), self.placement.saturation(now));
                 let lasting = if present < mean { present } else { mean };
                 (estimator.predicted_wait(), lasting)
@@ -128,8 +133,8 @@
             contract,
             class: WorkClass::from(&body.kind),
             tasks: u32::try_from(body.tasks.len()).unwrap_or(u32::MAX),
-            longest_estimate: work.largest,
-            tail_run_time: work.slowest,
+            longest_estimate: work.longest,
+            tail_run_time: work.tail_run_time,
             expected_work: work.total,
             deadline: body.deadline.unwrap_or_else(|| contract.answer_within()),
             open_tasks: load.tasks,
@@ -146,19 +151,19 @@
 
     fn expected_work(&self, now: Instant, body: &SubmissionBody) -> ExpectedWork {
         // The quantile rises with the number of tasks: among many, one may well have a rare, long run time.
-        let quantile = 1.0 - (1.0 - SLOW_RUN_QUANTILE) / body.tasks.len().max(1) as f64;
+        let quantile = 1.0 - (1.0 - TAIL_QUANTILE) / body.tasks.len().max(1) as f64;
         let mut work = ExpectedWork {
             run_times: Vec::with_capacity(body.tasks.len()),
             total: Duration::ZERO,
-            largest: RunTimeEstimate {
+            longest: RunTimeEstimate {
                 run_time: Duration::ZERO,
                 source: EstimateSource::Assumed,
             },
-            slowest: Duration::ZERO,
+            tail_run_time: Duration::ZERO,
         };
         let mut last: Option<(&TaskBody, KindEstimate)> = None;
         for task in &body.tasks {
-            // Most tasks of a job are alike, and a quantile costs a walk over its buckets.
+            // Most tasks of a job have the same kind, and a quantile is computed by a walk over all buckets.
             let estimate = match last {
                 Some((before, estimate)) if have_same_estimate(before, task) => estimate,
                 _ => self.estimate(now, &body.customer, task, quantile),
@@ -167,10 +172,10 @@
             let expected = estimate.expected;
             work.run_times.push(self.capped_run_time(expected));
             work.total = work.total.saturating_add(expected.run_time);
-            if (expected.run_time, expected.source) > (work.largest.run_time, work.largest.source) {
-                work.largest = expected;
+            if (expected.run_time, expected.source) > (work.longest.run_time, work.longest.source) {
+                work.longest = expected;
             }
-            work.slowest = work.slowest.max(estimate.slowest);
+            work.tail_run_time = work.tail_run_time.max(estimate.tail_run_time);
         }
         work
     }
@@ -187,7 +192,7 @@
             expected: self
                 .run_times
                 .expected_run_time(now, customer, &task.kind, declared),
-            slowest: self
+            tail_run_time: self
                 .run_times
                 .quantile(now, customer, &task.kind, declared, quantile)
                 .run_time,
--- a/crates/authority/src/record.rs
+++ b/crates/authority/src/record.rs
@@ -16,6 +16,7 @@
     Waiting,
     /// Attempt number `attempt_count - 1` of the task is in the attempt table.
     InFlight,
+    /// The task returned a result.
     Done(TaskResult),
 }
 
@@ -59,6 +60,7 @@
     /// Time of the next deadline check, under which the submission is listed in the authority's `deadline_checks`.
     pub(crate) check_at: Option<Instant>,
     pub(crate) tasks: Vec<TaskRecord>,
+    /// Number of tasks in the phase `Done`.
     pub(crate) done: u32,
     /// The first attempt number of this run.
     pub(crate) first_attempt: u32,
--- a/crates/dispatcher/src/control/handover.rs
+++ b/crates/dispatcher/src/control/handover.rs
@@ -10,12 +10,12 @@
 
 impl DispatcherControl {
     /// Reports the tasks that this dispatcher still runs at endpoints of other owners, and frees the slots that others
-    /// reported once their time is over. A new owner gets a last, empty report when nothing is left, so that it need
-    /// not wait for the tasks' deadlines.
+    /// reported once the reported time is over. A new owner gets a last, empty report when no task is left, so that it
+    /// need not wait for the tasks' deadlines.
     ///
-    /// Without reports, after a planned stop or when a busy endpoint moves to a dispatcher that came up, the new owner
-    /// would take its slots for free, and the endpoint would refuse each task sent there. Reports are sent only while
-    /// such tasks run, so moving an idle endpoint costs nothing.
+    /// Without reports, after a planned stop or when a busy endpoint moves to a dispatcher that has just started, the
+    /// new owner would count the endpoint's slots as free, and the endpoint would refuse each task sent there. Reports
+    /// are sent only while such tasks run, so moving an idle endpoint costs nothing.
     pub(super) fn tick_handovers(&mut self, ctx: &mut Context<Self>) {
         let mut reports = self.collect_handover_counts();
         for address in self.reported_peers.clone() {
@@ -24,7 +24,7 @@
         for (address, counts) in reports {
             self.send_handover_report(ctx, address, counts);
         }
-        self.update_outside_tasks();
+        self.update_previous_owner_slots();
         self.flush(ctx);
     }
 
@@ -77,7 +77,7 @@
         }));
     }
 
-    fn update_outside_tasks(&mut self) {
+    fn update_previous_owner_slots(&mut self) {
         let now = self.clock.now();
         self.handovers.tick(now);
         self.ledger
@@ -90,7 +90,7 @@
 
     fn handle(&mut self, request: HandoverRequest, ctx: &mut Context<Self>) {
         self.handovers.on_report(self.clock.now(), request.report);
-        self.update_outside_tasks();
+        self.update_previous_owner_slots();
         let _gone = request.reply.send(Ok(()));
         self.flush(ctx);
     }
