--- a/crates/peer/schema/pool.capnp
+++ b/crates/peer/schema/pool.capnp
@@ -1,42 +1,56 @@
 @0xd1b7c8a2f4e35961;
 # The protocol between an entry and the owner of a pool of workers, and the heartbeats of all processes.
 #
-# A job is handed over whole, and its call is answered when the job has ended, or when it is stored if it is kept. A call that is given up, by a release
-# or by the loss of its connection, cancels the job.
+# A job is sent as a whole, or in parts if it is divided among pools. The call is answered when the job has ended or, if
+# the job is kept, when it is stored. A call that the caller drops, or whose connection is lost, cancels the job.
 
 struct Step {
+  # A step of a job: tasks with the same demand.
   count @0 :UInt32;
+  # The number of tasks.
   cpuMillis @1 :UInt64;
+  # The demand of each task, in thousandths of a core.
   memoryMegabytes @2 :UInt64;
   accelerators @3 :UInt64;
   estimateMicros @4 :UInt64;
+  # A rough estimate of a task's run time on a worker of mean speed.
   after @5 :List(UInt32);
+  # The indices of the earlier steps whose tasks must all be done before this step begins.
   requiredLabel @6 :Text;
-  # Empty for none.
+  # A label that the worker must have. Empty for none.
   dataRack @7 :Text;
-  # Empty for none.
+  # The rack of the data. Empty for none.
   mostPerWorker @8 :UInt32;
-  # 0 for no limit.
+  # The most tasks of this step on one worker. 0 for no limit.
   first @9 :UInt32;
+  # The index of the first task: more than 0 in a part of a job that is divided among pools.
 }
 
 struct Job {
   id @0 :UInt64;
   entry @1 :Text;
-  # The process that asks. When it is not heard any more, its jobs are cancelled.
+  # The process that sends the job. Its jobs are cancelled when no heartbeats of it arrive any more.
   text @2 :Text;
+  # The text that each task's worker gets.
   steps @3 :List(Step);
   service @4 :Text;
   route @5 :Text;
   priority @6 :UInt32;
+  # 0 comes first.
   attempts @7 :UInt32;
+  # The number of failed runs of one task after which the job has failed.
   stretch @8 :Float64;
   goalMicros @9 :UInt64;
+  # The latency objective is the critical path times `stretch`, plus `goalMicros`.
   timeLeftMicros @10 :UInt64;
+  # The time that the customer still waits.
   waitedMicros @11 :UInt64;
+  # The age of the customer's request.
   pool @12 :Text;
   firm @13 :Bool;
+  # Whether this is a part of a job that is divided among pools. It is not refused because of its predicted end.
   kept @14 :Bool;
+  # Whether the job is stored when it is accepted, and answered before its end.
 }
 
 struct Outcome {
@@ -44,8 +58,11 @@
     completed @0 :Void;
     failed @1 :Void;
     refused @2 :Refusal;
+    # No task of the job has run or will run.
     givenUp @3 :Void;
+    # Some tasks may have run.
     accepted @4 :Void;
+    # The job is stored and will run.
   }
 }
 
@@ -53,43 +70,56 @@
   kind @0 :Text;
   retryAfterMicros @1 :UInt64;
   fits @2 :UInt32;
+  # The number of tasks that would have ended in time.
 }
 
 interface PoolPort {
   run @0 (job :Job) -> (outcome :Outcome);
+  # Runs a job to its end.
   offer @1 (job :Job) -> (fits :UInt32);
-  # How many of a job's tasks the pool could take in time now. The job has no text.
+  # Returns how many of a job's tasks the pool could currently run in time. Reserves nothing. The job has no text.
 }
 
 struct PoolNews {
+  # What an owner publishes about a pool.
   pool @0 :Text;
   fence @1 :UInt64;
+  # The owner's fencing token.
   capacity @2 :UInt64;
+  # The processor capacity of the usable workers, in thousandths of a core.
   free @3 :UInt64;
+  # The free part of `capacity`, in thousandths of a core.
   backlogMicros @4 :UInt64;
+  # The time that the waiting work takes on all usable workers.
   held @5 :List(Text);
-  # Workers that an owner still uses while it hands its pool over.
+  # The workers that the owner still uses while it hands the pool over.
   yielding @6 :Bool;
+  # Whether the owner hands the pool over.
 }
 
 struct Heartbeat {
   node @0 :Text;
   incarnation @1 :UInt64;
   leaving @2 :Bool;
+  # Whether the sender is about to stop.
   hears @3 :List(UInt32);
-  # Digests of the names of the processes that are heard: names would be most of a heartbeat's bytes.
+  # The pool owners whose heartbeats the sender receives, as digests of their names: the names themselves would make up
+  # most of a heartbeat's bytes.
   pools @4 :List(PoolNews);
   dataCentre @5 :Text;
   cores @6 :Float64;
+  # The sender's processor share.
   linkBytes @7 :Float64;
-  # What its link carries each way, in bytes a second.
+  # The rate of the sender's network link in each direction, in bytes per second.
   reading @8 :ListReading;
-  # What it has read of the list of workers itself; left out by a process that has not lately.
+  # The sender's own last reading of the list of workers; left out if it has no recent one.
 }
 
 struct ListReading {
   version @0 :UInt64;
+  # The version of the store up to which the list was read.
   ageMicros @1 :UInt64;
+  # The time since that reading.
   digest @2 :UInt64;
-  # Of what lasts of all entries.
+  # A digest of the lasting part of all entries of the list, without the workers' liveness updates.
 }
