--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -224,7 +224,8 @@
 }
 
 impl SessionClient {
-    /// Offers tasks with their bodies.
+    /// Offers tasks with their bodies. Returns one reply per offer, in the same order, and the dispatcher's slot
+    /// counts. The batches of a session are numbered from 1.
     ///
     /// # Errors
     ///
@@ -365,11 +366,12 @@
         }
     }
 
-    /// Returns the current answer to the caller of a submission of this entry; `None` if the entry does not know it.
+    /// Returns the current answer to the caller of a submission of this entry; `None` if the entry does not know the
+    /// submission.
     ///
     /// # Errors
     ///
-    /// The connection broke on either side.
+    /// A connection broke: that to the dispatcher, or that between the dispatcher and the entry.
     pub fn outcome(
         &self,
         serial: u64,
@@ -395,7 +397,7 @@
     ///
     /// # Errors
     ///
-    /// The connection broke on either side: the outcome is unknown.
+    /// A connection broke, that to the dispatcher or that between the dispatcher and the entry. The outcome is unknown.
     pub fn run(
         &self,
         serial: u64,
--- a/crates/peer/src/convert.rs
+++ b/crates/peer/src/convert.rs
@@ -172,7 +172,7 @@
     Ok((attempt, end, Duration::from_micros(reader.get_ran_micros())))
 }
 
-/// Parses the reason why a task did not run. A newer dispatcher may send a reason that this process does not know. It
+/// Parses the reason why a task did not run. A reason that this process does not know, as a newer dispatcher may send,
 /// is read as `Withdrawn`, since what matters is that the task did not run.
 fn read_retry(reason: &str) -> RetryReason {
     reason.parse().unwrap_or(RetryReason::Withdrawn)
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,8 +1,8 @@
 //! The protocol between the system's own processes over capnp-rpc.
 //!
-//! The schema is in `schema/peer.capnp`; `cargo run -p xtask -- codegen` generates `peer_capnp.rs` from it. The ports
-//! are the only generated types that other crates use: this crate converts all other messages to and from types of the
-//! model.
+//! `schema/peer.capnp` is the protocol of entries and dispatchers, `schema/pool.capnp` that of entries and pool owners.
+//! `cargo run -p xtask -- codegen` generates `peer_capnp.rs` and `pool_capnp.rs` from them. The processes use only the
+//! ports of the generated types: this crate converts all other messages to and from the types of the system.
 
 mod client;
 mod convert;
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -112,10 +112,10 @@
     .await;
 }
 
-/// The largest message that is read, in bytes. Messages that processes send in parts are far smaller. An answer that
-/// one entry forwards for another cannot be split: for a job of 1000 results of 64 KiB it is 84 MiB of base64, and with
-/// the library's default limit of 64 MiB every request for it would fail. A limit is still needed, because the header
-/// of a message states how much memory to allocate for it.
+/// The largest message that is read, in bytes. Most messages are far smaller, as their senders split them. An answer
+/// that one entry forwards for another cannot be split: for a job of 1000 results of 64 KiB it is 84 MiB of base64, and
+/// with the library's default limit of 64 MiB every request for it would fail. A limit is still needed, because the
+/// header of a message states how much memory to allocate for it.
 const MAX_MESSAGE_BYTES: usize = 128 * 1024 * 1024;
 
 fn reader_options() -> capnp::message::ReaderOptions {
--- a/crates/peer/src/service.rs
+++ b/crates/peer/src/service.rs
@@ -54,7 +54,7 @@
     pub view: MemberView,
     /// The dispatcher's slot counts.
     pub slots: SlotCounts,
-    /// Its view of its data centre, if the revision differs from that in the ping.
+    /// The dispatcher's view of its data centre, if the view's revision differs from that in the ping.
     pub centre: Option<CentreView>,
 }
 
@@ -63,10 +63,10 @@
 
 /// The calls that a dispatcher answers for entries and other dispatchers. Each connection has its own object.
 pub trait DispatcherService: 'static {
-    /// The type of its sessions.
+    /// Serves a session that an entry opens.
     type Session: SessionService;
 
-    /// Opens a session.
+    /// Opens a session with an entry, and returns it with this dispatcher's incarnation and slot counts.
     fn open_session(
         &self,
         entry: EntryClient,
@@ -74,7 +74,7 @@
         session: SessionId,
     ) -> ReplyFuture<(Self::Session, IncarnationId, SlotCounts)>;
 
-    /// Finds an entry that has a session with this dispatcher.
+    /// Finds an entry that has a session with this dispatcher; `None` if it has none.
     fn find_entry(&self, incarnation: IncarnationId) -> ReplyFuture<Option<EntryClient>>;
 
     /// Handles a heartbeat.
@@ -90,7 +90,7 @@
     /// Handles the report of a former owner about tasks that it still runs at endpoints of this dispatcher.
     fn handover(&self, report: HandoverReport) -> ReplyFuture<()>;
 
-    /// Returns the platform's VM list as last read.
+    /// Returns the platform's VM list as last read; empty if it has not been read yet.
     fn vms(&self) -> ReplyFuture<Vec<VmEntry>>;
 
     /// Returns the contract rows changed after a head number.
@@ -99,7 +99,7 @@
 
 /// The calls that a dispatcher answers on a session with an entry. Dropping the object ends the session.
 pub trait SessionService: 'static {
-    /// Handles offered tasks.
+    /// Handles offered tasks and returns one reply per offer, in the same order. Batches are numbered from 1.
     fn offer(
         &self,
         batch: u64,
@@ -116,7 +116,7 @@
 
 /// The calls that an entry answers for a dispatcher that it has a session with.
 pub trait EntryService: 'static {
-    /// Returns the body of a queued attempt. The body may be sent only once.
+    /// Returns the body of a queued attempt; `None` if the attempt no longer exists. The body may be sent only once.
     fn claim(&self, attempt: AttemptId) -> ReplyFuture<Option<Payload>>;
 
     /// Handles the ends of attempts.
@@ -129,7 +129,7 @@
     /// Handles new slot counts of the dispatcher.
     fn report_slots(&self, slots: SlotCounts) -> ReplyFuture<()>;
 
-    /// Returns the current answer to the caller of a submission.
+    /// Returns the current answer to the caller of a submission; `None` if the submission is unknown.
     fn outcome(&self, serial: u64) -> ReplyFuture<Option<ForwardedAnswer>>;
 
     /// Runs a request under a ticket or key, or returns the answer that the entry already has.
@@ -195,7 +195,7 @@
 
 type CallResult = Result<(), capnp::Error>;
 
-/// Waits for the reply of a service, or returns the error if the request could not be decoded.
+/// Waits for the reply of a service. Returns the error instead if the request could not be decoded.
 async fn await_reply<T>(answer: Result<ReplyFuture<T>, PeerError>) -> Result<T, PeerError> {
     answer?.await
 }
--- a/crates/peer/tests/border/faults.rs
+++ b/crates/peer/tests/border/faults.rs
@@ -179,7 +179,7 @@
 
 // The peer's process is frozen: its system accepts the connection, but the process never reads from it. The call must
 // stay open, without answer or error, until the entry's own timeout ends it: silence does not show what the peer did,
-// so it must not look like a refusal or a lost connection.
+// so the call must not fail as refused or lost.
 #[actix_rt::test]
 async fn a_silent_peer_leaves_the_call_open() {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -195,9 +195,9 @@
     assert!(answer.is_err(), "an answer from nobody");
 }
 
-// An open call that was delayed in a socket is read after a later one of the same entry. The older session must be
-// refused and the newer one keep working: the entry has given up the tasks offered on the older session, so they must
-// not start any more.
+// A call that opens a session is delayed in a socket and read after a later one of the same entry. The older session
+// must be refused and the newer one keep working: the entry has given up the tasks offered on the older session, so
+// they must not start any more.
 #[actix_rt::test]
 async fn a_stale_session_is_refused_and_the_newer_one_stays_open() {
     let state = FakeState::new();
--- a/crates/peer/tests/border/values.rs
+++ b/crates/peer/tests/border/values.rs
@@ -29,7 +29,7 @@
     bytes().prop_map(Payload::from)
 }
 
-/// The protocol carries durations in microseconds.
+/// A duration in whole microseconds, as the protocol carries it.
 fn span() -> impl Strategy<Value = Duration> {
     any::<u64>().prop_map(Duration::from_micros)
 }
