--- a/crates/ledger/src/ledger/queueing.rs
+++ b/crates/ledger/src/ledger/queueing.rs
@@ -22,7 +22,7 @@
 }
 
 impl SlotLedger {
-    /// Handles tasks that an entry offers with their bodies. Returns one verdict per offer, in the same order.
+    /// Handles tasks that an entry offers with their bodies. Returns one reply per offer, in the same order.
     pub fn offer(
         &mut self,
         now: Instant,
@@ -36,11 +36,11 @@
             // them now could run a task twice.
             return vec![OfferReply::NotRun(RetryReason::DispatcherLost); offers.len()];
         }
-        let mut verdicts = Vec::with_capacity(offers.len());
+        let mut replies = Vec::with_capacity(offers.len());
         for offer in offers {
-            verdicts.push(self.offer_one(now, entry, session, offer));
+            replies.push(self.offer_one(now, entry, session, offer));
         }
-        verdicts
+        replies
     }
 
     /// Handles an entry's withdrawal of attempts. `NotRun` guarantees that the attempt was not started and never will
@@ -54,12 +54,12 @@
         attempts: &[AttemptId],
     ) -> Vec<WithdrawalReply> {
         let all_received = self.has_received_all(entry, session, after_batch);
-        let mut verdicts = Vec::with_capacity(attempts.len());
+        let mut replies = Vec::with_capacity(attempts.len());
         for attempt in attempts {
-            verdicts.push(self.withdraw_one(entry, *attempt, all_received));
+            replies.push(self.withdraw_one(entry, *attempt, all_received));
         }
         self.fill_slots(now);
-        verdicts
+        replies
     }
 
     /// Handles an entry's answer to a claim: the body, or `None` if the entry no longer has the attempt.
--- a/crates/ledger/tests/at_most_once/simulation.rs
+++ b/crates/ledger/tests/at_most_once/simulation.rs
@@ -505,26 +505,26 @@
                 offers,
             } => {
                 let attempts: Vec<_> = offers.iter().map(|offer| offer.attempt).collect();
-                let verdicts = dispatcher.ledger.offer(now, ENTRY, session, batch, offers);
-                let verdicts = attempts.into_iter().zip(verdicts).collect();
-                (dispatcher.session == Some(session)).then_some(ToEntry::Verdicts(verdicts))
+                let replies = dispatcher.ledger.offer(now, ENTRY, session, batch, offers);
+                let replies = attempts.into_iter().zip(replies).collect();
+                (dispatcher.session == Some(session)).then_some(ToEntry::Verdicts(replies))
             }
             ToDispatcher::Withdraw {
                 session,
                 after_batch,
                 attempts,
             } => {
-                let verdicts =
+                let replies =
                     dispatcher
                         .ledger
                         .withdraw(now, ENTRY, session, after_batch, &attempts);
-                let verdicts: Vec<_> = attempts.into_iter().zip(verdicts).collect();
-                for (attempt, verdict) in &verdicts {
-                    if *verdict == WithdrawalReply::NotRun {
+                let replies: Vec<_> = attempts.into_iter().zip(replies).collect();
+                for (attempt, reply) in &replies {
+                    if *reply == WithdrawalReply::NotRun {
                         self.withdrawn.insert(*attempt);
                     }
                 }
-                (dispatcher.session == Some(session)).then_some(ToEntry::Withdrawn(verdicts))
+                (dispatcher.session == Some(session)).then_some(ToEntry::Withdrawn(replies))
             }
             ToDispatcher::Body {
                 attempt,
@@ -555,12 +555,12 @@
     /// Returns the answer that is sent on the connection. For stale messages that connection is gone.
     fn handle_at_entry(&mut self, message: ToEntry) -> Option<ToDispatcher> {
         match message {
-            ToEntry::Verdicts(verdicts) => {
-                self.authority.on_offer_replies(self.now, &verdicts);
+            ToEntry::Verdicts(replies) => {
+                self.authority.on_offer_replies(self.now, &replies);
                 None
             }
-            ToEntry::Withdrawn(verdicts) => {
-                self.authority.on_withdrawn(self.now, &verdicts);
+            ToEntry::Withdrawn(replies) => {
+                self.authority.on_withdrawn(self.now, &replies);
                 None
             }
             ToEntry::Claim {
--- a/crates/ledger/tests/handover.rs
+++ b/crates/ledger/tests/handover.rs
@@ -61,8 +61,8 @@
     ledger.set_previous_owner_slots(now, used(2));
     assert_eq!(ledger.slots().running, 2);
     assert_eq!(ledger.slots().limit, 2);
-    let verdicts = ledger.offer(now, ENTRY, SESSION, 1, vec![offer(1)]);
-    assert_eq!(verdicts, [OfferReply::Queued]);
+    let replies = ledger.offer(now, ENTRY, SESSION, 1, vec![offer(1)]);
+    assert_eq!(replies, [OfferReply::Queued]);
     assert!(ledger.take_actions().is_empty());
     ledger.set_previous_owner_slots(now, used(1));
     let actions = ledger.take_actions();
@@ -86,8 +86,8 @@
     ledger.set_endpoints(now, &[]);
     ledger.set_previous_owner_slots(now, [(address.id.clone(), 1)].into_iter().collect());
     ledger.set_endpoints(now, &[(address, EndpointState::Live)]);
-    let verdicts = ledger.offer(now, ENTRY, SESSION, 1, vec![offer(1)]);
-    assert_eq!(verdicts, [OfferReply::Queued]);
+    let replies = ledger.offer(now, ENTRY, SESSION, 1, vec![offer(1)]);
+    assert_eq!(replies, [OfferReply::Queued]);
     assert!(ledger.take_actions().is_empty());
 }
 
--- a/crates/ledger/tests/leaving.rs
+++ b/crates/ledger/tests/leaving.rs
@@ -73,9 +73,9 @@
         (live, EndpointState::Live),
     ];
     ledger.set_endpoints(now, &listed);
-    let verdicts = ledger.offer(now, ENTRY, SESSION, 2, vec![offer(2), offer(3), offer(4)]);
+    let replies = ledger.offer(now, ENTRY, SESSION, 2, vec![offer(2), offer(3), offer(4)]);
     assert_eq!(
-        verdicts,
+        replies,
         [OfferReply::Started, OfferReply::Started, OfferReply::Queued]
     );
     assert_eq!(starts(&mut ledger), ["e2", "e2"]);
@@ -94,7 +94,7 @@
     ledger.on_task_ended(now, offer(1).attempt, end);
     starts(&mut ledger);
     ledger.set_endpoints(now, &[(endpoint, EndpointState::Live)]);
-    let verdicts = ledger.offer(now, ENTRY, SESSION, 2, vec![offer(2)]);
-    assert_eq!(verdicts, [OfferReply::NotRun(RetryReason::NoEndpoint)]);
+    let replies = ledger.offer(now, ENTRY, SESSION, 2, vec![offer(2)]);
+    assert_eq!(replies, [OfferReply::NotRun(RetryReason::NoEndpoint)]);
     assert!(starts(&mut ledger).is_empty());
 }
--- a/crates/ledger/tests/withdrawal.rs
+++ b/crates/ledger/tests/withdrawal.rs
@@ -83,8 +83,8 @@
     let now = Instant::now();
     let mut ledger = ledger(now);
     ledger.offer(now, ENTRY, SESSION, 2, vec![offer(2)]);
-    let verdicts = ledger.withdraw(now, ENTRY, SESSION, 2, &[offer(1).attempt]);
-    assert_eq!(verdicts, [WithdrawalReply::Running]);
+    let replies = ledger.withdraw(now, ENTRY, SESSION, 2, &[offer(1).attempt]);
+    assert_eq!(replies, [WithdrawalReply::Running]);
 }
 
 #[test]
--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     convert::{
-        read_slots, read_verdict, read_view, read_withdrawal, write_attempt, write_attempts,
+        read_offer_reply, read_slots, read_view, read_withdrawal, write_attempt, write_attempts,
         write_end, write_offers, write_slots, write_view,
     },
     convert_grants::{read_centre, read_replies, write_asks, write_handover},
@@ -243,11 +243,11 @@
         async move {
             let reply = reply.await?;
             let reply = reply.get()?;
-            let mut verdicts = Vec::new();
-            for verdict in reply.get_verdicts()? {
-                verdicts.push(read_verdict(verdict)?);
+            let mut replies = Vec::new();
+            for offer_reply in reply.get_verdicts()? {
+                replies.push(read_offer_reply(offer_reply)?);
             }
-            Ok((verdicts, read_slots(reply.get_slots()?)))
+            Ok((replies, read_slots(reply.get_slots()?)))
         }
     }
 
@@ -269,11 +269,11 @@
         async move {
             let reply = reply.await?;
             let reply = reply.get()?;
-            let mut verdicts = Vec::new();
-            for verdict in reply.get_withdrawals()? {
-                verdicts.push(read_withdrawal(verdict)?);
+            let mut replies = Vec::new();
+            for withdrawal in reply.get_withdrawals()? {
+                replies.push(read_withdrawal(withdrawal)?);
             }
-            Ok((verdicts, read_slots(reply.get_slots()?)))
+            Ok((replies, read_slots(reply.get_slots()?)))
         }
     }
 }
--- a/crates/peer/src/convert.rs
+++ b/crates/peer/src/convert.rs
@@ -107,15 +107,15 @@
     }
 }
 
-pub(crate) fn write_verdict(mut builder: verdict::Builder<'_>, verdict: OfferReply) {
-    match verdict {
+pub(crate) fn write_offer_reply(mut builder: verdict::Builder<'_>, reply: OfferReply) {
+    match reply {
         OfferReply::Started => builder.set_started(()),
         OfferReply::Queued => builder.set_queued(()),
         OfferReply::NotRun(reason) => builder.set_not_run(reason.as_str()),
     }
 }
 
-pub(crate) fn read_verdict(reader: verdict::Reader<'_>) -> Result<OfferReply, PeerError> {
+pub(crate) fn read_offer_reply(reader: verdict::Reader<'_>) -> Result<OfferReply, PeerError> {
     Ok(match reader.which().map_err(bad_message)? {
         verdict::Started(()) => OfferReply::Started,
         verdict::Queued(()) => OfferReply::Queued,
@@ -123,8 +123,8 @@
     })
 }
 
-pub(crate) fn write_withdrawal(mut builder: withdrawal::Builder<'_>, verdict: WithdrawalReply) {
-    match verdict {
+pub(crate) fn write_withdrawal(mut builder: withdrawal::Builder<'_>, reply: WithdrawalReply) {
+    match reply {
         WithdrawalReply::NotRun => builder.set_not_run(()),
         WithdrawalReply::Running => builder.set_running(()),
     }
--- a/crates/peer/src/service.rs
+++ b/crates/peer/src/service.rs
@@ -19,7 +19,7 @@
     client::EntryClient,
     convert::{
         bad_message, read_attempt, read_end, read_offers, read_slots, read_text, read_view,
-        write_slots, write_verdict, write_view, write_withdrawal,
+        write_offer_reply, write_slots, write_view, write_withdrawal,
     },
     convert_grants::{read_asks, read_handover, write_centre, write_replies},
     peer_capnp::{
@@ -340,12 +340,12 @@
     ) -> impl Future<Output = CallResult> + 'static {
         let answer = read_offer_batch(&params).map(|(batch, offers)| self.0.offer(batch, offers));
         async move {
-            let (verdicts, slots) = await_reply(answer).await?;
+            let (replies, slots) = await_reply(answer).await?;
             let mut results = results.get();
             write_slots(results.reborrow().init_slots(), slots);
-            let mut builder = results.init_verdicts(verdicts.len() as u32);
-            for (index, verdict) in verdicts.iter().enumerate() {
-                write_verdict(builder.reborrow().get(index as u32), *verdict);
+            let mut builder = results.init_verdicts(replies.len() as u32);
+            for (index, reply) in replies.iter().enumerate() {
+                write_offer_reply(builder.reborrow().get(index as u32), *reply);
             }
             Ok(())
         }
@@ -364,12 +364,12 @@
             Ok(self.0.withdraw(params.get_after_batch(), attempts))
         });
         async move {
-            let (verdicts, slots) = await_reply(answer.map_err(PeerError::from)).await?;
+            let (replies, slots) = await_reply(answer.map_err(PeerError::from)).await?;
             let mut results = results.get();
             write_slots(results.reborrow().init_slots(), slots);
-            let mut builder = results.init_withdrawals(verdicts.len() as u32);
-            for (index, verdict) in verdicts.iter().enumerate() {
-                write_withdrawal(builder.reborrow().get(index as u32), *verdict);
+            let mut builder = results.init_withdrawals(replies.len() as u32);
+            for (index, reply) in replies.iter().enumerate() {
+                write_withdrawal(builder.reborrow().get(index as u32), *reply);
             }
             Ok(())
         }
--- a/crates/peer/tests/border/fakes.rs
+++ b/crates/peer/tests/border/fakes.rs
@@ -40,7 +40,7 @@
 pub(crate) struct Answers {
     pub(crate) view: MemberView,
     pub(crate) slots: SlotCounts,
-    pub(crate) verdicts: Vec<OfferReply>,
+    pub(crate) offer_replies: Vec<OfferReply>,
     pub(crate) withdrawals: Vec<WithdrawalReply>,
     pub(crate) contracts: ContractsReply,
     pub(crate) centre: Option<CentreView>,
@@ -71,7 +71,7 @@
                 head: 0,
             },
             slots: SlotCounts::default(),
-            verdicts: Vec::new(),
+            offer_replies: Vec::new(),
             withdrawals: Vec::new(),
             contracts: ContractsReply::default(),
             centre: None,
@@ -193,7 +193,7 @@
         if answers.silent {
             return Box::pin(std::future::pending());
         }
-        ready((answers.verdicts.clone(), answers.slots))
+        ready((answers.offer_replies.clone(), answers.slots))
     }
 
     fn withdraw(
--- a/crates/peer/tests/border/faults.rs
+++ b/crates/peer/tests/border/faults.rs
@@ -217,7 +217,7 @@
     let state = FakeState::new();
     {
         let mut answers = state.answers.borrow_mut();
-        answers.verdicts = vec![OfferReply::Queued];
+        answers.offer_replies = vec![OfferReply::Queued];
         answers.withdrawals = vec![WithdrawalReply::NotRun];
     }
     let (address, server) = fakes::serve(&state).await;
--- a/crates/peer/tests/border/round_trips.rs
+++ b/crates/peer/tests/border/round_trips.rs
@@ -99,7 +99,7 @@
         let mut answers = state.answers.borrow_mut();
         assert_eq!(opened.dispatcher, answers.view.incarnation);
         assert_eq!(opened.slots, answers.slots);
-        answers.verdicts = values.next(vec(values::verdict(), 0..8));
+        answers.offer_replies = values.next(vec(values::offer_reply(), 0..8));
         answers.withdrawals = values.next(vec(values::withdrawal(), 0..8));
     }
     let (batch, after) = values.next(any::<(u64, u64)>());
@@ -109,7 +109,7 @@
     let withdrawn = opened.session.withdraw(after, &attempts);
     let withdrawn = withdrawn.await.expect("withdraw");
     let answers = state.answers.borrow();
-    assert_eq!(offered, (answers.verdicts.clone(), answers.slots));
+    assert_eq!(offered, (answers.offer_replies.clone(), answers.slots));
     assert_eq!(withdrawn, (answers.withdrawals.clone(), answers.slots));
     let received = [
         ReceivedCall::Opened(incarnation, session),
--- a/crates/peer/tests/border/values.rs
+++ b/crates/peer/tests/border/values.rs
@@ -66,7 +66,7 @@
     select(RetryReason::ALL)
 }
 
-pub(crate) fn verdict() -> impl Strategy<Value = OfferReply> {
+pub(crate) fn offer_reply() -> impl Strategy<Value = OfferReply> {
     prop_oneof![
         Just(OfferReply::Started),
         Just(OfferReply::Queued),
