--- a/crates/ledger/tests/at_most_once/simulation.rs
+++ b/crates/ledger/tests/at_most_once/simulation.rs
@@ -21,26 +21,32 @@
     SubmitRequest,
     /// The caller submits a refused submission again.
     SubmitAgain(u64),
-    /// The next message in flight to a dispatcher arrives, or the one behind it first.
+    /// The next message in flight to a dispatcher arrives or, if `second` is set, the one behind it.
     ToDispatcher {
         to: usize,
         second: bool,
     },
+    /// As [`Self::ToDispatcher`], for a message from a dispatcher to the entry.
     ToEntry {
         from: usize,
         second: bool,
     },
-    /// A message of a broken connection is still read.
+    /// A message of a broken connection to a dispatcher is still read.
     DeliverStaleToDispatcher(usize),
+    /// A message of a broken connection to the entry is still handled.
     DeliverStaleToEntry(usize),
+    /// A running task ends; the number is taken modulo the number of running tasks.
     EndTask {
         task: usize,
         fate: TaskFate,
     },
+    /// This many ms pass.
     Advance(u64),
+    /// The entry loses its connection to a dispatcher, which detects the loss at a later step.
     LoseConnection(usize),
     DispatcherDetectsLoss(usize),
     Connect(usize),
+    /// A dispatcher dies, and a new process without state takes its place.
     Kill(usize),
     Cancel(u64),
 }
@@ -54,7 +60,7 @@
 }
 
 #[derive(Clone, Debug)]
-enum ToDispatcher {
+enum MessageToDispatcher {
     Offer {
         session: SessionId,
         batch: u64,
@@ -74,9 +80,9 @@
 }
 
 #[derive(Clone, Debug)]
-enum ToEntry {
-    Verdicts(Vec<(AttemptId, OfferReply)>),
-    Withdrawn(Vec<(AttemptId, WithdrawalReply)>),
+enum MessageToEntry {
+    OfferReplies(Vec<(AttemptId, OfferReply)>),
+    WithdrawalReplies(Vec<(AttemptId, WithdrawalReply)>),
     Claim {
         session: SessionId,
         attempt: AttemptId,
@@ -89,8 +95,9 @@
     ledger: SlotLedger,
     incarnation: IncarnationId,
     session: Option<SessionId>,
-    to_dispatcher: VecDeque<ToDispatcher>,
-    to_entry: VecDeque<ToEntry>,
+    to_dispatcher: VecDeque<MessageToDispatcher>,
+    to_entry: VecDeque<MessageToEntry>,
+    /// The session whose connection is lost without the dispatcher having noticed.
     undetected_loss: Option<SessionId>,
 }
 
@@ -105,15 +112,17 @@
     now: Instant,
     authority: TaskAuthority,
     dispatchers: Vec<Dispatcher>,
-    stale_to_dispatcher: VecDeque<(usize, IncarnationId, ToDispatcher)>,
+    stale_to_dispatcher: VecDeque<(usize, IncarnationId, MessageToDispatcher)>,
     /// Messages that the entry had received before it closed the session, and handles afterwards.
-    stale_to_entry: VecDeque<(usize, ToEntry)>,
+    stale_to_entry: VecDeque<(usize, MessageToEntry)>,
     /// Attempts whose withdrawal a dispatcher has confirmed, so that they must not start.
     withdrawn: BTreeSet<AttemptId>,
     running: Vec<RunningTask>,
     /// The number of starts by (serial, task). A start that the endpoint rejected as busy is subtracted again.
     started: BTreeMap<(u64, u32), u32>,
+    /// The answers by serial.
     answers: BTreeMap<u64, SubmissionOutcome>,
+    /// Whether each submission is a job, and its number of tasks, by serial.
     submissions: BTreeMap<u64, (bool, u32)>,
     next_session: u64,
     next_incarnation: u64,
@@ -353,7 +362,7 @@
                     self.send(
                         dispatcher,
                         session,
-                        ToDispatcher::Offer {
+                        MessageToDispatcher::Offer {
                             session,
                             batch,
                             offers,
@@ -369,7 +378,7 @@
                     self.send(
                         dispatcher,
                         session,
-                        ToDispatcher::Withdraw {
+                        MessageToDispatcher::Withdraw {
                             session,
                             after_batch,
                             attempts,
@@ -395,7 +404,12 @@
         }
     }
 
-    fn send(&mut self, dispatcher: DispatcherKey, session: SessionId, message: ToDispatcher) {
+    fn send(
+        &mut self,
+        dispatcher: DispatcherKey,
+        session: SessionId,
+        message: MessageToDispatcher,
+    ) {
         let dispatcher = &mut self.dispatchers[dispatcher.0 as usize];
         if dispatcher.session == Some(session) {
             dispatcher.to_dispatcher.push_back(message);
@@ -417,7 +431,7 @@
                     ..
                 } => {
                     if dispatcher.session == Some(session) {
-                        dispatcher.to_entry.push_back(ToEntry::Claim {
+                        dispatcher.to_entry.push_back(MessageToEntry::Claim {
                             session,
                             attempt,
                             claim,
@@ -433,7 +447,9 @@
                     ..
                 } => {
                     if dispatcher.session == Some(session) {
-                        dispatcher.to_entry.push_back(ToEntry::Ended(attempt, end));
+                        dispatcher
+                            .to_entry
+                            .push_back(MessageToEntry::Ended(attempt, end));
                     }
                 }
             }
@@ -495,11 +511,11 @@
         }
     }
 
-    fn handle_at_dispatcher(&mut self, number: usize, message: ToDispatcher) {
+    fn handle_at_dispatcher(&mut self, number: usize, message: MessageToDispatcher) {
         let now = self.now;
         let dispatcher = &mut self.dispatchers[number];
         let answer = match message {
-            ToDispatcher::Offer {
+            MessageToDispatcher::Offer {
                 session,
                 batch,
                 offers,
@@ -507,9 +523,10 @@
                 let attempts: Vec<_> = offers.iter().map(|offer| offer.attempt).collect();
                 let replies = dispatcher.ledger.offer(now, ENTRY, session, batch, offers);
                 let replies = attempts.into_iter().zip(replies).collect();
-                (dispatcher.session == Some(session)).then_some(ToEntry::Verdicts(replies))
+                (dispatcher.session == Some(session))
+                    .then_some(MessageToEntry::OfferReplies(replies))
             }
-            ToDispatcher::Withdraw {
+            MessageToDispatcher::Withdraw {
                 session,
                 after_batch,
                 attempts,
@@ -524,9 +541,10 @@
                         self.withdrawn.insert(*attempt);
                     }
                 }
-                (dispatcher.session == Some(session)).then_some(ToEntry::Withdrawn(replies))
+                (dispatcher.session == Some(session))
+                    .then_some(MessageToEntry::WithdrawalReplies(replies))
             }
-            ToDispatcher::Body {
+            MessageToDispatcher::Body {
                 attempt,
                 claim,
                 body,
@@ -536,7 +554,7 @@
                     .on_claim_answered(now, attempt, claim, body);
                 None
             }
-            ToDispatcher::Confirmed(attempt) => {
+            MessageToDispatcher::Confirmed(attempt) => {
                 dispatcher.ledger.on_confirmed(ENTRY, attempt);
                 None
             }
@@ -553,31 +571,31 @@
     }
 
     /// Returns the answer that is sent on the connection. For stale messages that connection is gone.
-    fn handle_at_entry(&mut self, message: ToEntry) -> Option<ToDispatcher> {
+    fn handle_at_entry(&mut self, message: MessageToEntry) -> Option<MessageToDispatcher> {
         match message {
-            ToEntry::Verdicts(replies) => {
+            MessageToEntry::OfferReplies(replies) => {
                 self.authority.on_offer_replies(self.now, &replies);
                 None
             }
-            ToEntry::Withdrawn(replies) => {
+            MessageToEntry::WithdrawalReplies(replies) => {
                 self.authority.on_withdrawn(self.now, &replies);
                 None
             }
-            ToEntry::Claim {
+            MessageToEntry::Claim {
                 session,
                 attempt,
                 claim,
             } => {
                 let body = self.authority.on_claim(self.now, session, attempt);
-                Some(ToDispatcher::Body {
+                Some(MessageToDispatcher::Body {
                     attempt,
                     claim,
                     body,
                 })
             }
-            ToEntry::Ended(attempt, end) => {
+            MessageToEntry::Ended(attempt, end) => {
                 self.authority.on_ended(self.now, attempt, end, RUN_TIME);
-                Some(ToDispatcher::Confirmed(attempt))
+                Some(MessageToDispatcher::Confirmed(attempt))
             }
         }
     }
@@ -603,7 +621,7 @@
         // A confirmation or a body answers a call and is lost with the connection of that call.
         let call = matches!(
             message,
-            ToDispatcher::Offer { .. } | ToDispatcher::Withdraw { .. }
+            MessageToDispatcher::Offer { .. } | MessageToDispatcher::Withdraw { .. }
         );
         if call && self.dispatchers[number].incarnation == incarnation {
             self.handle_at_dispatcher(number, message);
@@ -629,7 +647,7 @@
         self.stale_to_entry
             .extend(unread.into_iter().map(|message| (number, message)));
         for message in std::mem::take(&mut self.dispatchers[number].to_dispatcher) {
-            if let ToDispatcher::Body { attempt, claim, .. } = &message {
+            if let MessageToDispatcher::Body { attempt, claim, .. } = &message {
                 self.dispatchers[number]
                     .ledger
                     .on_claim_failed(self.now, *attempt, *claim);
