--- a/crates/ledger/src/endpoint.rs
+++ b/crates/ledger/src/endpoint.rs
@@ -80,10 +80,14 @@
         let Some(record) = self.endpoints.get_mut(id) else {
             return;
         };
-        let (free, limit, used) = (record.free_slots(), usable(record), used(record));
+        let (free, limit, used) = (
+            record.free_slots(),
+            usable_slots(record),
+            used_slots(record),
+        );
         change(record);
-        self.limit = self.limit - limit + usable(record);
-        self.running = self.running - used + self::used(record);
+        self.limit = self.limit - limit + usable_slots(record);
+        self.running = self.running - used + self::used_slots(record);
         let (after, gone) = (record.free_slots(), !record.owned && record.running == 0);
         self.reindex(id, free, after);
         if gone {
@@ -97,8 +101,8 @@
             return;
         }
         let free = record.free_slots();
-        self.limit += usable(&record);
-        self.running += used(&record);
+        self.limit += usable_slots(&record);
+        self.running += used_slots(&record);
         self.endpoints.insert(id.clone(), record);
         self.reindex(&id, 0, free);
     }
@@ -129,14 +133,14 @@
 }
 
 /// The slots in use. Slots of previous owners count only if this dispatcher owns the endpoint.
-fn used(record: &EndpointRecord) -> u32 {
+fn used_slots(record: &EndpointRecord) -> u32 {
     match record.owned {
         true => record.running + record.previous_owner_slots,
         false => record.running,
     }
 }
 
-fn usable(record: &EndpointRecord) -> u32 {
+fn usable_slots(record: &EndpointRecord) -> u32 {
     if !record.owned || record.state == EndpointState::Leaving {
         return 0;
     }
--- a/crates/ledger/src/entry_link.rs
+++ b/crates/ledger/src/entry_link.rs
@@ -17,7 +17,7 @@
 pub(crate) struct UnconfirmedEnd {
     pub(crate) end: AttemptEnd,
     pub(crate) ran: Duration,
-    pub(crate) at: Instant,
+    pub(crate) reported_at: Instant,
 }
 
 /// Tracks the received batches, numbered from 1. The highest number is not enough: if a batch overtook the previous
--- a/crates/ledger/src/ledger/queueing.rs
+++ b/crates/ledger/src/ledger/queueing.rs
@@ -85,7 +85,7 @@
         let Some(pending) = self.claims.remove(&attempt) else {
             return;
         };
-        self.release(&pending.endpoint);
+        self.release_slot(&pending.endpoint);
         let Some(payload) = body else {
             self.refund(&pending.reservation);
             self.fill_slots(now);
@@ -179,7 +179,7 @@
         }
         if let Some(pending) = self.claims.remove(&attempt) {
             // The body may be in flight; `on_claim_answered` will then find no claim and reject it.
-            self.release(&pending.endpoint);
+            self.release_slot(&pending.endpoint);
             self.refund(&pending.reservation);
             return WithdrawalReply::NotRun;
         }
@@ -258,7 +258,7 @@
             let Some(pending) = self.claims.remove(&attempt) else {
                 continue;
             };
-            self.release(&pending.endpoint);
+            self.release_slot(&pending.endpoint);
             self.refund(&pending.reservation);
         }
     }
@@ -298,7 +298,7 @@
         );
     }
 
-    pub(super) fn release(&mut self, endpoint: &EndpointId) {
+    pub(super) fn release_slot(&mut self, endpoint: &EndpointId) {
         self.endpoints.update(endpoint, |record| {
             record.running = record.running.saturating_sub(1)
         });
--- a/crates/ledger/src/ledger/running.rs
+++ b/crates/ledger/src/ledger/running.rs
@@ -22,7 +22,7 @@
         };
         let ran = now.saturating_duration_since(task.started);
         self.record_run(now, &task, &end, ran);
-        self.release(&task.endpoint);
+        self.release_slot(&task.endpoint);
         let charged = if matches!(end, AttemptEnd::NotRun(_)) {
             Duration::ZERO
         } else {
--- a/crates/ledger/src/ledger/sessions.rs
+++ b/crates/ledger/src/ledger/sessions.rs
@@ -178,7 +178,7 @@
             UnconfirmedEnd {
                 end: end.clone(),
                 ran,
-                at: now,
+                reported_at: now,
             },
         );
         self.ends_by_age.push_back((now, entry, attempt));
@@ -197,8 +197,8 @@
     /// Drops ends that were not confirmed within the retention time. An entry that was out of reach for so long has
     /// given up its submissions; keeping more would only cost memory.
     pub(super) fn drop_old_ends(&mut self, now: Instant) {
-        while let Some((at, entry, attempt)) = self.ends_by_age.front().copied() {
-            if at + self.settings.end_retention > now {
+        while let Some((reported_at, entry, attempt)) = self.ends_by_age.front().copied() {
+            if reported_at + self.settings.end_retention > now {
                 return;
             }
             self.ends_by_age.pop_front();
@@ -208,7 +208,7 @@
             let old = link
                 .unconfirmed
                 .get(&attempt)
-                .is_some_and(|end| end.at == at);
+                .is_some_and(|end| end.reported_at == reported_at);
             if old {
                 link.unconfirmed.remove(&attempt);
             }
