--- a/crates/ledger/src/endpoint.rs
+++ b/crates/ledger/src/endpoint.rs
@@ -56,7 +56,9 @@
 pub(crate) struct EndpointTable {
     endpoints: FastMap<EndpointId, EndpointRecord>,
     by_free_slots: BTreeMap<u32, FastSet<EndpointId>>,
+    /// The sum of [`usable_slots`] over all endpoints.
     limit: u32,
+    /// The sum of [`used_slots`] over all endpoints.
     running: u32,
 }
 
@@ -140,6 +142,7 @@
     }
 }
 
+/// The slots that may be used, whether they are free or not.
 fn usable_slots(record: &EndpointRecord) -> u32 {
     if !record.owned || record.state == EndpointState::Leaving {
         return 0;
--- a/crates/ledger/src/ledger/queueing.rs
+++ b/crates/ledger/src/ledger/queueing.rs
@@ -76,7 +76,7 @@
             .is_some_and(|pending| pending.number == claim);
         if !current {
             // The slot went to the next reservation, or the attempt was withdrawn. A body that arrives now must not
-            // start: the task has certainly not run, and the entry is told so.
+            // start: the task has certainly not run, which is reported to the entry.
             if body.is_some() {
                 self.report_not_run(now, attempt, RetryReason::ClaimLate);
             }
@@ -263,8 +263,8 @@
         }
     }
 
-    /// Drops reservations whose deadline has passed. The entry has already given them up by its own clock, which
-    /// started earlier, so no report is needed.
+    /// Drops reservations whose deadline has passed. No report is needed: the entry counts the same time from before it
+    /// sent the offer, and has already given the tasks up.
     pub(super) fn drop_overdue(&mut self, now: Instant) {
         for entry in self.queue.take_overdue(now) {
             self.reservations.remove(&entry.attempt);
--- a/crates/ledger/src/ledger/running.rs
+++ b/crates/ledger/src/ledger/running.rs
@@ -170,8 +170,8 @@
             }
             record.address = address.clone();
             record.owned = true;
-            // If the endpoint itself has reported that it is leaving, that stands although the list does not say so
-            // yet.
+            // An endpoint that has itself reported that it is leaving stays so, although the list may still show it as
+            // live.
             if state == EndpointState::Leaving {
                 record.state = state;
             }
--- a/crates/ledger/src/settings.rs
+++ b/crates/ledger/src/settings.rs
@@ -19,7 +19,7 @@
     /// second, which with 60 sessions is one every 3 s on each. An entry that is frozen or silently cut off would
     /// otherwise delay the stop of this process, and its reservations would delay the queue.
     pub session_timeout: Duration,
-    /// How long the end of an attempt is kept for an entry that cannot be reached.
+    /// How long the end of an attempt is kept for an entry that does not confirm it.
     pub end_retention: Duration,
 }
 
--- a/crates/ledger/tests/at_most_once/main.rs
+++ b/crates/ledger/tests/at_most_once/main.rs
@@ -1,9 +1,9 @@
 //! One authority and two ledgers with an unreliable network between them, under random interleavings.
 //!
-//! A task that runs twice books two learners into one car; a "not run" answer for a task that ran leaves one at the
-//! roadside. Events come in any order: messages are late or swapped with the next one, connections break while messages
-//! of the old one are still read, dispatchers die or freeze, endpoints answer busy or not at all, callers cancel,
-//! deadlines pass. No task may start twice and no answer may be untrue.
+//! No task may start twice and no answer may be untrue. For a driving school, a task that runs twice books two learners
+//! into one car, and a "not run" answer for a task that ran leaves a learner without a car. Events come in any order:
+//! messages are late or swapped with the next one, connections break while messages of the old one are still read,
+//! dispatchers die or freeze, endpoints answer busy or not at all, callers cancel, deadlines pass.
 
 mod simulation;
 
--- a/crates/ledger/tests/withdrawal.rs
+++ b/crates/ledger/tests/withdrawal.rs
@@ -107,7 +107,8 @@
 #[test]
 fn a_body_that_arrives_after_the_claim_timeout_does_not_start() {
     // An entry freezes while its task is next in the queue. After the claim timeout the slot goes to the next
-    // reservation; then the entry thaws and its body arrives. The body must not start, and the entry is told so.
+    // reservation; then the entry thaws and its body arrives. The body must not start, and the entry must get a "not
+    // run" report.
     let now = Instant::now();
     let mut ledger = ledger(now);
     ledger.offer(now, ENTRY, SESSION, 1, vec![offer(1), offer(2), offer(3)]);
@@ -126,7 +127,7 @@
     ledger.take_actions();
     ledger.on_claim_answered(late, attempt, claim, Some(offer(2).payload));
     let actions = ledger.take_actions();
-    let told = actions.iter().any(|action| {
+    let reported = actions.iter().any(|action| {
         matches!(
             action,
             LedgerAction::Report {
@@ -135,7 +136,7 @@
             }
         )
     });
-    assert!(told, "{actions:?}");
+    assert!(reported, "{actions:?}");
     assert_eq!(starts(&mut ledger), 0);
 }
 
