--- a/crates/membership/src/grant/allocator.rs
+++ b/crates/membership/src/grant/allocator.rs
@@ -147,7 +147,7 @@
             allocation.expire(now);
         }
         self.departed
-            .retain(|_, at| now.saturating_duration_since(*at) < DEPARTED_RETENTION);
+            .retain(|_, left_at| now.saturating_duration_since(*left_at) < DEPARTED_RETENTION);
     }
 
     /// The sum of the leases on the customer's share; 0 if this dispatcher is not its home.
--- a/crates/membership/src/grant/holder.rs
+++ b/crates/membership/src/grant/holder.rs
@@ -77,7 +77,7 @@
 #[derive(Clone, Copy, Debug)]
 struct PendingAsk {
     serial: u64,
-    at: Instant,
+    sent_at: Instant,
     want: u32,
     held: u32,
 }
@@ -223,7 +223,7 @@
         for home in self.homes_due(now) {
             if self
                 .budget_spent_until
-                .is_some_and(|at| at > now + MAX_BUDGET_OVERDRAFT)
+                .is_some_and(|until| until > now + MAX_BUDGET_OVERDRAFT)
             {
                 break;
             }
@@ -257,7 +257,7 @@
         let mut due: BTreeMap<SocketAddr, Instant> = BTreeMap::new();
         for state in self.customers.values_mut() {
             state.check_excess(now, &self.settings);
-            let Some(at) = state.ask_due.filter(|at| *at <= now) else {
+            let Some(ask_due) = state.ask_due.filter(|due| *due <= now) else {
                 continue;
             };
             if state.awaits_reply(now, &self.settings) {
@@ -271,11 +271,13 @@
                 state.unanswered_since.get_or_insert(now);
                 continue;
             };
-            let earliest = due.entry(home).or_insert(at);
-            *earliest = at.min(*earliest);
+            let earliest = due.entry(home).or_insert(ask_due);
+            *earliest = ask_due.min(*earliest);
         }
-        let mut homes: Vec<(Instant, SocketAddr)> =
-            due.into_iter().map(|(home, at)| (at, home)).collect();
+        let mut homes: Vec<(Instant, SocketAddr)> = due
+            .into_iter()
+            .map(|(home, ask_due)| (ask_due, home))
+            .collect();
         homes.sort_unstable();
         homes.into_iter().map(|(_, home)| home).collect()
     }
@@ -283,7 +285,7 @@
     /// Charges the byte budget for a batch with this number of asks.
     fn charge_budget(&mut self, now: Instant, asks: u32) {
         let bytes = BATCH_BYTES + ASK_BYTES * asks;
-        let spent = self.budget_spent_until.map_or(now, |at| at.max(now));
+        let spent = self.budget_spent_until.map_or(now, |until| until.max(now));
         let time = Duration::from_secs(1) * bytes / self.settings.max_bytes_per_second.max(1);
         self.budget_spent_until = Some(spent + time);
     }
@@ -333,7 +335,7 @@
     fn awaits_reply(&self, now: Instant, settings: &GrantSettings) -> bool {
         let limit = settings.retry_interval;
         self.pending_ask
-            .is_some_and(|pending_ask| now < pending_ask.at + limit)
+            .is_some_and(|pending_ask| now < pending_ask.sent_at + limit)
     }
 
     /// The grant in force, scaled down if the share has fallen since, so that the sum over all holders falls with the
@@ -380,7 +382,7 @@
     /// Makes an ask due now, or one retry interval after the pending one.
     fn schedule_ask(&mut self, now: Instant, retry_interval: Duration) {
         let soonest = match self.pending_ask {
-            Some(pending_ask) => now.max(pending_ask.at + retry_interval),
+            Some(pending_ask) => now.max(pending_ask.sent_at + retry_interval),
             // The answer to the last ask has already set the time of the next.
             None if self.ask_due.is_some_and(|due| due <= now + retry_interval) => return,
             None => now,
@@ -413,7 +415,7 @@
         self.excess_since = None;
         self.pending_ask = Some(PendingAsk {
             serial,
-            at: now,
+            sent_at: now,
             want,
             held,
         });
@@ -437,7 +439,7 @@
         self.grant = Some(Grant {
             count,
             share,
-            expires_at: pending_ask.at + term,
+            expires_at: pending_ask.sent_at + term,
         });
         let next = if count < pending_ask.held {
             // The home frees the part that it took back only when an ask confirms that the holder has given it up, and
@@ -451,7 +453,7 @@
             now + settings.retry_interval
         } else {
             // If a deployment sets a shorter term, a renewal after its end would be useless.
-            pending_ask.at + settings.renewal_interval.min(term * 2 / 3)
+            pending_ask.sent_at + settings.renewal_interval.min(term * 2 / 3)
         };
         self.ask_due = Some(next);
     }
--- a/crates/membership/src/handover.rs
+++ b/crates/membership/src/handover.rs
@@ -58,8 +58,8 @@
         }
         let mut deadlines: FastMap<EndpointId, Vec<Instant>> = FastMap::default();
         for count in report.counts {
-            let until = deadlines.entry(count.endpoint).or_default();
-            until.extend(count.time_left.into_iter().map(|left| now + left));
+            let task_deadlines = deadlines.entry(count.endpoint).or_default();
+            task_deadlines.extend(count.time_left.into_iter().map(|left| now + left));
         }
         let serial = report.serial;
         self.reports
@@ -73,7 +73,7 @@
             let Some(deadlines) = report.deadlines.get(endpoint) else {
                 continue;
             };
-            used += deadlines.iter().filter(|at| now < **at).count();
+            used += deadlines.iter().filter(|deadline| now < **deadline).count();
         }
         used
     }
@@ -83,8 +83,8 @@
         let mut used: FastMap<EndpointId, u32> = FastMap::default();
         for report in self.reports.values() {
             for (endpoint, deadlines) in &report.deadlines {
-                let record = deadlines.iter().filter(|at| now < **at).count();
-                *used.entry(endpoint.clone()).or_default() += record as u32;
+                let unexpired = deadlines.iter().filter(|deadline| now < **deadline).count();
+                *used.entry(endpoint.clone()).or_default() += unexpired as u32;
             }
         }
         used.retain(|_, count| *count > 0);
@@ -95,7 +95,7 @@
     pub fn tick(&mut self, now: Instant) -> bool {
         for report in self.reports.values_mut() {
             report.deadlines.retain(|_, deadlines| {
-                deadlines.retain(|at| now < *at);
+                deadlines.retain(|deadline| now < *deadline);
                 !deadlines.is_empty()
             });
         }
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -352,7 +352,9 @@
                 period + period / 2
             };
             let latest = member.last_heard.max(member.last_heartbeat_sent);
-            if !member.heartbeat_due && latest.is_some_and(|at| time_between(now, at) < wait) {
+            if !member.heartbeat_due
+                && latest.is_some_and(|latest| time_between(now, latest) < wait)
+            {
                 continue;
             }
             member.record_heartbeat_sent(now);
--- a/crates/membership/tests/grant_faults/fleet.rs
+++ b/crates/membership/tests/grant_faults/fleet.rs
@@ -14,10 +14,12 @@
 pub(crate) const STEP_MS: u64 = 50;
 const DETECTION_MS: u64 = 3000;
 
-/// One fault. Times in ms from the start of the run.
+/// One fault.
 #[derive(Clone, Debug)]
 pub(crate) struct Fault {
+    /// When it begins, in ms from the start of the run.
     pub(crate) at: u64,
+    /// How long it lasts, in ms.
     pub(crate) lasts: u64,
     pub(crate) kind: FaultKind,
 }
@@ -45,19 +47,19 @@
 }
 
 #[derive(Clone)]
-enum Body {
+enum MessageBody {
     Ask(AskBatch),
     Reply(ReplyBatch),
 }
 
 #[derive(Clone)]
 struct InFlightMessage {
-    at: u64,
+    arrival_ms: u64,
     from: usize,
     to: usize,
     /// The incarnation of the entry that sent the ask; its connection is gone with it.
     entry: IncarnationId,
-    body: Body,
+    body: MessageBody,
 }
 
 struct Vm {
@@ -147,11 +149,11 @@
     }
 
     pub(crate) fn leased(&self) -> u32 {
-        let debits = self
+        let leases = self
             .vms
             .iter()
             .map(|vm| vm.allocator.leased(&self.customer));
-        debits.sum()
+        leases.sum()
     }
 
     /// Ends all faults.
@@ -310,13 +312,13 @@
     /// Delivers the messages that are due. Messages for a frozen process wait in its socket.
     fn deliver(&mut self) {
         let mut in_flight = std::mem::take(&mut self.in_flight);
-        in_flight.sort_by_key(|message| message.at);
+        in_flight.sort_by_key(|message| message.arrival_ms);
         for message in in_flight {
             let frozen = match message.body {
-                Body::Ask(_) => self.frozen_dispatcher(message.to),
-                Body::Reply(_) => self.frozen_entry(message.to),
+                MessageBody::Ask(_) => self.frozen_dispatcher(message.to),
+                MessageBody::Reply(_) => self.frozen_entry(message.to),
             };
-            if message.at > self.now || frozen {
+            if message.arrival_ms > self.now || frozen {
                 self.in_flight.push(message);
                 continue;
             }
@@ -330,12 +332,17 @@
         let vm = &mut self.vms[message.to];
         let clock = vm.clock(self.now);
         match message.body {
-            Body::Ask(batch) => {
+            MessageBody::Ask(batch) => {
                 if let Some(reply) = vm.allocator.on_ask(clock, &batch) {
-                    self.send(message.to, message.from, message.entry, Body::Reply(reply));
+                    self.send(
+                        message.to,
+                        message.from,
+                        message.entry,
+                        MessageBody::Reply(reply),
+                    );
                 }
             }
-            Body::Reply(reply) => {
+            MessageBody::Reply(reply) => {
                 if vm.entry_up && vm.incarnation == message.entry {
                     vm.holder.on_reply(clock, &reply);
                 }
@@ -343,7 +350,7 @@
         }
     }
 
-    fn send(&mut self, from: usize, to: usize, entry: IncarnationId, body: Body) {
+    fn send(&mut self, from: usize, to: usize, entry: IncarnationId, body: MessageBody) {
         let mut loss: u8 = 0;
         let mut slowest: u64 = 1;
         for kind in self.active() {
@@ -355,9 +362,9 @@
         if self.rng.u8(0..100) < loss {
             return;
         }
-        let at = self.now + self.rng.u64(0..=slowest);
+        let arrival_ms = self.now + self.rng.u64(0..=slowest);
         self.in_flight.push(InFlightMessage {
-            at,
+            arrival_ms,
             from,
             to,
             entry,
@@ -397,7 +404,7 @@
         let entry = vm.incarnation;
         for batch in vm.holder.tick(clock) {
             let to = self.vms.iter().position(|vm| vm.address == batch.home);
-            self.send(i, to.unwrap(), entry, Body::Ask(batch));
+            self.send(i, to.unwrap(), entry, MessageBody::Ask(batch));
         }
     }
 }
--- a/crates/membership/tests/grants.rs
+++ b/crates/membership/tests/grants.rs
@@ -291,14 +291,14 @@
         self.start + Duration::from_millis(millis)
     }
 
-    /// Wants ten tasks at `sent` and gets `count` in a reply that arrives at `came`.
-    fn granted(share: u32, sent: u64, came: u64, count: u32) -> Self {
+    /// Wants ten tasks at `asked_at` and gets `count` in a reply that arrives at `replied_at`; both in ms.
+    fn granted(share: u32, asked_at: u64, replied_at: u64, count: u32) -> Self {
         let mut entry = Self::new(share);
-        let now = entry.at(sent);
+        let now = entry.at(asked_at);
         entry.holder.set_waiting(now, &customer(), 10);
         let batches = entry.holder.tick(now);
         let reply = answer(&batches[0], count, share);
-        entry.holder.on_reply(entry.at(came), &reply);
+        entry.holder.on_reply(entry.at(replied_at), &reply);
         entry
     }
 
--- a/crates/membership/tests/members.rs
+++ b/crates/membership/tests/members.rs
@@ -324,8 +324,8 @@
     }
     assert_eq!(table.tick(now), [MemberAction::ViewChanged]);
     table.set_stopping();
-    let both = [address(LOCAL_CENTRE, 1), address(LOCAL_CENTRE, 9)];
-    assert_eq!(heartbeats(&table.tick(now)), both);
+    let peers = [address(LOCAL_CENTRE, 1), address(LOCAL_CENTRE, 9)];
+    assert_eq!(heartbeats(&table.tick(now)), peers);
     assert!(table.heartbeat_message().view.stopping);
     assert!(table
         .owners()
