--- a/crates/membership/src/centre.rs
+++ b/crates/membership/src/centre.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher tells entries about its data centre.
+//! The state of a data centre that its dispatchers report to entries.
 
 use std::net::SocketAddr;
 
--- a/crates/membership/src/grant.rs
+++ b/crates/membership/src/grant.rs
@@ -12,8 +12,9 @@
 //! - The holder applies only the reply to its latest ask about a customer. When an ask arrives that reports a held
 //!   grant of `h`, the holder can therefore hold no more than the larger of `h` and the count in the reply to that ask.
 //!   The lease records this maximum.
-//! - A home that is new, or was frozen for long, is in recovery for a term and a margin. Until then it confirms what
-//!   holders report to hold and raises no grant, since a previous home may have granted up to a moment before.
+//! - A home that is new, or was frozen for longer than [`GrantSettings::max_input_gap`], is in recovery for a term and
+//!   a margin. During recovery it confirms what holders report to hold and raises no grant, since a previous home may
+//!   have granted up to a moment before.
 //!
 //! While views differ, or a holder is cut off from its home, entries may fall back to base shares, which add up to the
 //! share once more. The overrun is therefore at most one share, and it ends one term after the views agree.
--- a/crates/membership/src/grant/allocator.rs
+++ b/crates/membership/src/grant/allocator.rs
@@ -34,7 +34,8 @@
     shares: FastMap<CustomerId, u32>,
     allocations: FastMap<CustomerId, CustomerAllocation>,
     last_batches: FastMap<IncarnationId, LastBatch>,
-    /// The end of the recovery of a customer that is added now: grants of previous homes have expired by then.
+    /// The end of recovery for a customer whose allocation is created now. Grants of previous homes have expired by
+    /// then.
     recovery_until: Option<Instant>,
     last_input: Option<Instant>,
 }
@@ -162,9 +163,9 @@
     }
 
     /// Restarts recovery if the gap since the last input is so long that other processes may have chosen another home,
-    /// which then granted. Without this, a thawed home would grant from its old leases, and the customer would run up
-    /// to twice its share. Recovery for a term, as in a new home, is enough, since the other home's last grant is no
-    /// later than the news that this one is back.
+    /// and that home may have granted. Without this, a home that resumes after a freeze would grant from its old
+    /// leases, and the customer would run up to twice its share. Recovery for a term, as in a new home, is enough,
+    /// since the other home grants nothing after it has learned that this one is back.
     fn detect_own_pause(&mut self, now: Instant) {
         let last = self.last_input.replace(now).unwrap_or(now);
         if now.saturating_duration_since(last) > self.settings.max_input_gap {
@@ -277,7 +278,7 @@
         self.leases.values().any(|lease| lease.address == address)
     }
 
-    /// The counts that all holders want, the asker's first, each with a number that breaks ties.
+    /// The counts that all holders want, each with a number that breaks ties. The asker's is the first.
     fn wants(&self, holder: IncarnationId, ask: &GrantAsk) -> Vec<(u32, u64)> {
         let customer = ask.customer.stable_hash();
         let mut wants = vec![(ask.want, holder.0 ^ customer)];
--- a/crates/membership/src/grant/holder.rs
+++ b/crates/membership/src/grant/holder.rs
@@ -12,7 +12,7 @@
 use super::{base_share, AskBatch, GrantAsk, GrantDecision, GrantReply, GrantSettings, ReplyBatch};
 use crate::hashing::rendezvous;
 
-/// Bytes of a batch without asks and its answer, headers included.
+/// Bytes of a batch without asks, together with its answer, headers included.
 const BATCH_BYTES: u32 = 568;
 
 /// Bytes that one ask and its answer add to a batch, for a customer id of 18 bytes.
@@ -205,7 +205,7 @@
         (now < grant.expires_at).then_some(grant.expires_at)
     }
 
-    /// Sets the address that determines this entry's base shares, once it is known more exactly than at the start.
+    /// Replaces the address that determines this entry's base shares, once a more exact one is known than at the start.
     pub fn set_own_address(&mut self, own: SocketAddr) {
         self.own = own;
     }
@@ -447,12 +447,12 @@
             now
         } else if self.demand() > count && count >= pending_ask.want {
             // A burst arrived while the ask was pending. The home granted all that was asked for and may have more, so
-            // waiting would delay the burst for no one's benefit. The cost is one ask per round trip.
+            // waiting would delay the burst and help no other entry. The cost is one ask per round trip.
             now
         } else if self.demand() > count || (count == 0 && self.peak > 0) {
             now + settings.retry_interval
         } else {
-            // If a deployment sets a shorter term, a renewal after its end would be useless.
+            // With a shorter term in the settings, a renewal after the end of the term would be useless.
             pending_ask.sent_at + settings.renewal_interval.min(term * 2 / 3)
         };
         self.ask_due = Some(next);
--- a/crates/membership/src/grant/settings.rs
+++ b/crates/membership/src/grant/settings.rs
@@ -18,17 +18,17 @@
     pub renewal_interval: Duration,
     /// The time to the next ask after one that was not answered or brought less than wanted.
     pub retry_interval: Duration,
-    /// How long a part of a grant stays unused before it is returned.
+    /// How long more than half of a grant stays unused before the unused part is returned.
     pub return_unused_after: Duration,
     /// How long the home must have left asks unanswered before an entry without a grant falls back to its base share.
     pub base_share_after: Duration,
     /// A longer gap than this between inputs of the home means that other processes may have chosen another home. At
-    /// most the suspect time of membership.
+    /// most [`crate::MemberSettings::suspect_after`].
     pub max_input_gap: Duration,
     /// The maximum bytes per second that an entry spends on asks and their answers, headers included. If every customer
-    /// is saturated, each entry is short of all grants, and retries alone would exceed the 27 KB/s of a node.
-    /// Heartbeats need 11.6 KB/s, and the VM that is home of the most customers receives 9.3 KB/s. The longest due asks
-    /// go out first.
+    /// is saturated, each entry is short of all grants, and retries alone would exceed the 27 KB/s that a node may
+    /// spend on control traffic. Heartbeats need 11.6 KB/s of these, and the VM that is home of the most customers
+    /// receives 9.3 KB/s. The asks that have been due for longest go out first.
     pub max_bytes_per_second: u32,
     /// The percentage, at least 1, by which an entry asks for more than it has use for, so that the next task need not
     /// wait for a round trip.
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -7,7 +7,7 @@
 //! - [`OwnershipMap`]: which dispatcher owns which endpoint.
 //! - [`GrantAllocator`] and [`GrantHolder`]: the home's and the entry's side of a lease on a part of a customer's
 //!   concurrency.
-//! - [`CentreView`]: what dispatchers tell entries about their data centre.
+//! - [`CentreView`]: the state of a data centre that dispatchers report to entries.
 //! - [`HandoverReport`]: the running tasks that a leaving owner reports to the new owners.
 
 mod centre;
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -40,7 +40,7 @@
 struct Member {
     data_centre: DataCentreId,
     view: Option<MemberView>,
-    /// Named by the settings. Members that neither the settings nor the VM list name are removed after they fall
+    /// Whether the settings name it. Members that neither the settings nor the VM list name are removed after they fall
     /// silent.
     seed: bool,
     listed: bool,
@@ -55,7 +55,8 @@
 }
 
 impl MemberTable {
-    /// Creates a table that contains only the `seeds`, dispatchers named by the settings, which are tried for ever.
+    /// Creates a table that contains only the `seeds`, the dispatchers named by the settings. They are sent heartbeats
+    /// for ever, even if they never answer.
     pub fn new(
         own: OwnMember,
         settings: MemberSettings,
@@ -82,7 +83,7 @@
     }
 
     /// Applies the platform's VM list. The list lags, so it only says which VMs to contact: a listed VM counts as live
-    /// once it is heard, and an unlisted VM that is heard stays live.
+    /// once a heartbeat from it arrives, and an unlisted VM whose heartbeats arrive stays live.
     pub fn on_vm_list<'a>(&mut self, vms: impl IntoIterator<Item = &'a VmEntry>) {
         for member in self.members.values_mut() {
             member.listed = false;
@@ -136,7 +137,8 @@
     ///
     /// Without this, the endpoints of a process that died while its VM lives would stay without an owner for the
     /// suspect time. A refusal comes from the operating system of the VM and not from the network, so it is sufficient
-    /// proof; the next process there is live as soon as it is heard. A broken connection or a timeout is no such proof.
+    /// proof; the next process there is live as soon as a heartbeat from it arrives. A broken connection or a timeout
+    /// is no such proof.
     pub fn on_connection_refused(&mut self, now: Instant, address: SocketAddr) {
         self.detect_own_pause(now);
         let Some(member) = self.members.get_mut(&address) else {
@@ -173,9 +175,9 @@
 
     /// Makes a heartbeat to each live member of the data centre due at the next tick.
     ///
-    /// For the one process of a data centre that read a new contract head from the store, and for one that stops. A
-    /// process that hears of a head from a peer must not announce it again, as that would cost a message for every
-    /// pair.
+    /// Called by the one process of a data centre that read a new contract head from the store, and by a process that
+    /// stops. A process that learns of a head from a peer must not announce it again, as that would cost a message for
+    /// every pair.
     pub fn announce(&mut self) {
         for member in self.members.values_mut() {
             if member.live && member.data_centre == self.own.data_centre {
@@ -240,7 +242,8 @@
         self.members.is_empty()
     }
 
-    /// Increases whenever the view changes: a member became live or dead, is stopping, or was restarted.
+    /// Increases whenever the view changes: a member became live or dead, is stopping, was restarted, or is in another
+    /// data centre now.
     pub fn revision(&self) -> u64 {
         self.revision
     }
@@ -273,8 +276,8 @@
     }
 
     /// Detects that this process was frozen (paused VM, long page fault) while heartbeats lay unread in its sockets.
-    /// Without this, it would find every peer silent after thawing, declare them all dead, and claim every endpoint. A
-    /// gap between its own inputs longer than the suspect time shows that this process was the one away. Its live
+    /// Without this, it would find every peer silent when it resumes, declare them all dead, and claim every endpoint.
+    /// A gap between its own inputs longer than the suspect time shows that this process itself was paused. Its live
     /// members then get a full suspect time from now, in which the heartbeats in the sockets are read. A member that
     /// did die meanwhile is detected that much later, which costs only the capacity of its endpoints.
     fn detect_own_pause(&mut self, now: Instant) {
@@ -332,9 +335,9 @@
         });
     }
 
-    /// Adds the heartbeats that are due in the full mesh within the data centre. Of a pair, the lower address sends;
-    /// the higher one steps in after hearing nothing for half a period more, which covers a new member that the lower
-    /// one does not know yet. So a healthy pair costs one heartbeat and one answer per period instead of two of each.
+    /// Adds the heartbeats that are due in the full mesh within the data centre. Of a pair, the lower address sends.
+    /// The higher one sends if nothing has arrived for half a period more, which covers a new member that the lower one
+    /// does not know yet. So a healthy pair costs one heartbeat and one answer per period instead of two of each.
     ///
     /// A live member that leaves a heartbeat unanswered is tried again at the shortest interval, so that its death is
     /// concluded from several heartbeats and is detected soon, also if the period is long.
@@ -396,9 +399,10 @@
         remote
     }
 
-    /// The contacts in one other data centre. Members that answer come first, by rendezvous score with this process, so
-    /// that the processes of a data centre spread over the contacts. If too few answer, those that were tried longest
-    /// ago follow, so that a data centre that becomes reachable again is found at the usual number of heartbeats.
+    /// Chooses the contacts in one other data centre from its members. Members that answer come first, by rendezvous
+    /// score with this process, so that the processes of a data centre spread over the contacts. If too few answer,
+    /// those that were tried longest ago follow, so that a data centre that becomes reachable again is found at the
+    /// usual number of heartbeats.
     fn contacts(&self, now: Instant, mut addresses: Vec<SocketAddr>) -> Vec<SocketAddr> {
         let own = self.own.address.stable_hash();
         addresses.sort_by_cached_key(|address| {
@@ -441,8 +445,8 @@
         self.unanswered_since.get_or_insert(now);
     }
 
-    /// Whether nothing was heard for the suspect time after a heartbeat. This process sends no heartbeats to a remote
-    /// member that is not one of its contacts; such a member sends its own, so its silence counts instead.
+    /// Whether a heartbeat to this member has been unanswered for the suspect time. This process sends no heartbeats to
+    /// a remote member that is not one of its contacts. Such a member sends its own, so its silence counts instead.
     fn is_unresponsive(&self, now: Instant, remote: bool, settings: &MemberSettings) -> bool {
         let limit = match remote {
             true => settings.remote_suspect_after,
--- a/crates/membership/src/member/settings.rs
+++ b/crates/membership/src/member/settings.rs
@@ -20,8 +20,8 @@
     /// heartbeats at the shortest interval. Long enough that an ordinary pause of a process does not move its endpoints
     /// to others and back.
     pub suspect_after: Duration,
-    /// The same for contacts in other data centres. It is longer than the interval to the second heartbeat, as one
-    /// heartbeat may be lost with its connection.
+    /// The same as `suspect_after`, for contacts in other data centres. It is longer than the interval to the second
+    /// heartbeat, as one heartbeat may be lost with its connection.
     pub remote_suspect_after: Duration,
     /// The silence after which a member that no list names is removed.
     pub remove_after: Duration,
