--- a/crates/membership/tests/grant_faults/fleet.rs
+++ b/crates/membership/tests/grant_faults/fleet.rs
@@ -12,6 +12,8 @@
 use model::{CustomerId, IncarnationId};
 
 pub(crate) const STEP_MS: u64 = 50;
+
+/// How long a VM must be unreachable before a view drops it.
 const DETECTION_MS: u64 = 3000;
 
 /// One fault.
@@ -72,9 +74,12 @@
     skew_ppm: i64,
     up: bool,
     entry_up: bool,
+    /// When this VM last reached each VM, in ms from the start of the run.
     last_heard: Vec<u64>,
     view: Vec<LiveOwner>,
+    /// The end of each running task, in ms from the start of the run.
     running: Vec<u64>,
+    /// The number of tasks that the entry has to run.
     demand: u32,
 }
 
@@ -88,6 +93,7 @@
     vms: Vec<Vm>,
     in_flight: Vec<InFlightMessage>,
     rng: Rng,
+    /// The number of incarnations so far. Bit 32 says that the demand is fixed; see [`Fleet::set_demand`].
     incarnations: u64,
 }
 
@@ -148,6 +154,7 @@
         limits
     }
 
+    /// The sum of the leases at all homes.
     pub(crate) fn leased(&self) -> u32 {
         let leases = self
             .vms
--- a/crates/membership/tests/grant_faults/main.rs
+++ b/crates/membership/tests/grant_faults/main.rs
@@ -12,7 +12,7 @@
 /// The time at which the faults end, in ms.
 const FAULTS_END_MS: u64 = 40_000;
 
-/// The time for one lost view to heal, one term with its margin, and two renewals, in ms.
+/// The time in ms until every VM sees all others again, plus one term with its margin, plus two renewals.
 const HEALING_MS: u64 = 3_000 + 12_600 + 16_000;
 
 fn fault(vms: usize, views: Views) -> impl Strategy<Value = Fault> {
--- a/crates/membership/tests/grants.rs
+++ b/crates/membership/tests/grants.rs
@@ -12,7 +12,7 @@
 };
 use model::{CustomerId, IncarnationId};
 
-/// The ms after which the recovery of a new home ends: all earlier grants have expired.
+/// The time in ms after which the recovery of a new home ends: all earlier grants have expired.
 const RECOVERY_MS: u64 = 12_600;
 
 fn address(n: u8) -> SocketAddr {
@@ -179,9 +179,9 @@
     check(RECOVERY_MS, 60, 6, 10);
 }
 
-// The home freezes for longer than 2 s, the others choose another dispatcher as the home, and that one may grant. The
-// thawed home must not grant from its old state, or the customer's limit would be exceeded: it only confirms for a term
-// and a margin.
+// The home freezes for longer than 2 s, for example for 3 s, the others choose another dispatcher as the home, and that
+// one may grant. The thawed home must not grant from its old state, or the customer's limit would be exceeded: it only
+// confirms for a term and a margin.
 #[test]
 fn a_thawed_home_recovers_like_a_new_one() {
     let check = |frozen: u64, expect: u32| {
@@ -198,7 +198,7 @@
 
 // After a network partition VM 2 returns. It may have been the home of the same customers on its side, and its holders
 // come back one by one, so this home only confirms for a term and a margin; otherwise the limit would be exceeded. A
-// process that did not exist before has granted nothing, and the home goes on.
+// process that did not exist before has granted nothing, and the home goes on raising grants.
 #[test]
 fn a_home_recovers_when_a_lost_dispatcher_returns() {
     let check = |returned: LiveOwner, expect: u32| {
@@ -224,8 +224,8 @@
     check(restarted, 10);
 }
 
-// An operator lowers a share, and an entry has not heard of it. The home has: at the entry's renewal it grants by the
-// lower share, and the excess is free for nobody. So the change takes effect within a term.
+// An operator lowers a share. The home knows the new share, and an entry does not yet. At the entry's renewal the home
+// grants by the lower share, and no other entry gets the excess. So the change takes effect within a term.
 #[test]
 fn a_lower_share_binds_uninformed_holders_at_renewal() {
     let mut home = Home::new(10, 0);
@@ -240,9 +240,9 @@
     assert_eq!(home.ask(RECOVERY_MS + 5, 3, 60, 0, 0), granted(2));
 }
 
-// A home sees some of five VMs. It grants what the base shares of the others leave, since each of those may be using
-// its own, so that callers on both sides of a partition are served. On the side with most VMs at least one task may
-// run.
+// A home sees some of five VMs. It grants the share minus the base shares of the unseen VMs, since each of those may be
+// using its own, so that callers on both sides of a partition are served. On the side with most VMs at least one task
+// may run.
 #[test]
 fn a_home_reserves_the_base_shares_of_unseen_vms() {
     let check = |share: u32, seen: u8, expect: u32| {
--- a/crates/membership/tests/members.rs
+++ b/crates/membership/tests/members.rs
@@ -93,9 +93,13 @@
     Heartbeat(u8),
     /// The member stops sending and answering heartbeats.
     FallSilent(u8),
+    /// The member's VM refuses a connection.
     RefuseConnection(u8),
+    /// The member announces in its heartbeats that it is stopping.
     Stop(u8),
+    /// A VM list arrives that contains only this VM.
     List(u8, EndpointState),
+    /// An empty VM list arrives.
     Unlist,
 }
 
@@ -214,8 +218,8 @@
 }
 
 // This process is frozen for a minute while heartbeats of its peers lie in its sockets. If it took that for silence of
-// the peers, it would claim every endpoint. After thawing, the peers get a full suspect time, in which live ones are
-// heard and one that died meanwhile is detected.
+// the peers, it would claim every endpoint. After thawing, the peers get a full suspect time, in which the heartbeats
+// of live ones are read and one that died meanwhile is detected.
 #[test]
 fn a_frozen_process_does_not_declare_its_peers_dead() {
     use Input::{Advance, FallSilent, Freeze, Heartbeat};
@@ -492,9 +496,9 @@
     );
 }
 
-// After a network partition another data centre must be found again at the usual number of heartbeats, so that spare
-// tasks reach it. The contacts fall silent and other members are tried in turn, so that some contact answers soon after
-// the data centre is reachable again.
+// After a network partition another data centre must be found again at the usual number of heartbeats, so that tasks
+// for which there is no slot here can go there. The contacts fall silent and other members are tried in turn, so that
+// some contact answers soon after the data centre is reachable again.
 #[test]
 fn contacts_of_an_unreachable_data_centre_are_tried_in_turn() {
     let mut now = Instant::now();
--- a/crates/membership/tests/ownership.rs
+++ b/crates/membership/tests/ownership.rs
@@ -124,8 +124,8 @@
         }
     }
 
-    // Each endpoint is one draw, so the count of a member has a variance of about its mean. A bound of six deviations,
-    // plus three for small means, holds for every set of members that was tried.
+    // Each endpoint is one draw, so the count of a member has a variance of about its mean. The bound is the mean plus
+    // six standard deviations, plus three for small means.
     #[test]
     fn balance_is_bounded(
         numbers in prop::collection::btree_set(any::<u16>(), 1..60),
