--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -72,7 +72,8 @@
     writes: RefCell<RateLimiter>,
 }
 
-/// The permit for one write, taken from this process's share of the platform's write rate.
+/// A permit for one transaction or one write of an object, taken from this process's share of the platform's write
+/// rate.
 #[derive(Debug)]
 #[must_use = "an unused permit is lost"]
 pub struct WritePermit(());
@@ -321,6 +322,6 @@
     RequestError::UnexpectedStatus(status.as_u16())
 }
 
-fn broken_answer(why: &str) -> RequestError {
-    RequestError::BrokenAnswer(why.to_owned())
+fn broken_answer(reason: &str) -> RequestError {
+    RequestError::BrokenAnswer(reason.to_owned())
 }
--- a/crates/platform/src/rate.rs
+++ b/crates/platform/src/rate.rs
@@ -53,8 +53,9 @@
 /// Limits the rate of calls so that a process keeps to its share, with the generic cell rate algorithm (GCRA).
 ///
 /// The VMs of all data centres share one store with a capacity of several hundred writes and about 2,000 reads per
-/// second. Without the limit, one VM's burst of keys would queue in the store ahead of every other VM's writes, and all
-/// of them would time out with an uncertain outcome. A call that is refused here has definitely had no effect.
+/// second. Without the limit, one VM's burst of idempotency keys would queue in the store ahead of every other VM's
+/// writes, and all of them would time out with an uncertain outcome. A call that is refused here has definitely had no
+/// effect.
 #[derive(Clone, Debug)]
 pub struct RateLimiter {
     rate: CallRate,
