--- a/crates/node/src/groups.rs
+++ b/crates/node/src/groups.rs
@@ -238,7 +238,7 @@
         value,
         expected: Some(RowVersion(known)),
     };
-    let transaction = Transaction::of(write);
+    let transaction = Transaction::single_write(write);
     // A process that loses the race or whose answer is lost reads the number from the feed.
     if let Ok(TransactionOutcome::Committed { version, .. }) =
         state.store.transact(&transaction).await
--- a/crates/node/src/kept_jobs/maintenance.rs
+++ b/crates/node/src/kept_jobs/maintenance.rs
@@ -167,7 +167,11 @@
         value,
         expected: None,
     };
-    if let Err(error) = state.store.transact(&Transaction::of(write)).await {
+    if let Err(error) = state
+        .store
+        .transact(&Transaction::single_write(write))
+        .await
+    {
         // The next change overwrites the row.
         let line = EventLine::new("pending_not_published")
             .text("pool", &id)
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -423,7 +423,7 @@
         value,
         expected: Some(RowVersion(expected)),
     };
-    let transaction = Transaction::of(write);
+    let transaction = Transaction::single_write(write);
     let answer = state.store.transact(&transaction).await;
     let outcome = match &answer {
         Ok(_) => ClaimOutcome::Decided,
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -358,7 +358,7 @@
             value: serde_json::to_vec(&row).unwrap_or_default(),
             expected: None,
         };
-        let transaction = Transaction::of(write);
+        let transaction = Transaction::single_write(write);
         let answer = state.store.transact(&transaction).await;
         if let Err(error) = &answer {
             if !failed {
