--- a/crates/ledger/tests/at_most_once/main.rs
+++ b/crates/ledger/tests/at_most_once/main.rs
@@ -43,11 +43,11 @@
 /// `INTERLEAVING_SEED` and `INTERLEAVING_CASES` override the fixed seed and number of cases, to search further. The
 /// fixed ones give the same result on every run.
 fn config() -> ProptestConfig {
-    let number = |name, usual| {
+    let number = |name, fallback| {
         std::env::var(name)
             .ok()
             .and_then(|text| text.parse().ok())
-            .unwrap_or(usual)
+            .unwrap_or(fallback)
     };
     let seed = number("INTERLEAVING_SEED", 20_261_202);
     println!("seed {seed}");
--- a/crates/membership/examples/cost/main.rs
+++ b/crates/membership/examples/cost/main.rs
@@ -161,7 +161,7 @@
     (Duration::from_millis(50) * STEPS).as_secs() as u32 / every.as_secs() as u32
 }
 
-/// The number of processes in other data centres that choose this one as a contact.
+/// The number of processes in other data centres that choose the VM `own` of the first data centre as a contact.
 fn remote_heartbeats_received(vms: u16, centres: u16, own: u16, list: &[VmEntry]) -> u32 {
     let here = &list[..usize::from(vms)];
     let mut received = 0;
@@ -223,7 +223,7 @@
     }
 }
 
-/// Prints the cost of an entry with work of every customer, whose homes grant `count` of each.
+/// Prints the cost of an entry that has work of every customer, and to which the homes grant `count` tasks of each.
 fn print_holder(vms: u16, load: &str, count: u32) {
     let mut now = Instant::now();
     let allocated_before = heap::allocated_bytes();
--- a/crates/membership/src/hashing.rs
+++ b/crates/membership/src/hashing.rs
@@ -60,8 +60,8 @@
 
 /// The score of a member for a key, from their hashes.
 pub(crate) fn score(key: u64, member: u64) -> u64 {
-    // Both hashes are already well mixed. Without the rotation, every key that equals a member would get the same
-    // value.
+    // Both hashes are already well mixed. Without the rotation, every key whose hash equals that of the member would
+    // get the same score.
     mix_bits(key ^ member.rotate_left(32))
 }
 
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -43,7 +43,9 @@
     /// Whether the settings name it. Members that neither the settings nor the VM list name are removed after they fall
     /// silent.
     seed: bool,
+    /// Whether the VM list names it.
     listed: bool,
+    /// Whether the VM list shows it as leaving.
     leaving: bool,
     live: bool,
     last_heard: Option<Instant>,
@@ -269,6 +271,7 @@
         }
     }
 
+    /// Returns the member at an address, and adds it if it is not known.
     fn member(&mut self, address: SocketAddr, data_centre: &DataCentreId) -> &mut Member {
         self.members
             .entry(address)
--- a/crates/membership/tests/grant_faults/fleet.rs
+++ b/crates/membership/tests/grant_faults/fleet.rs
@@ -59,7 +59,8 @@
     arrival_ms: u64,
     from: usize,
     to: usize,
-    /// The incarnation of the entry that sent the ask; its connection is gone with it.
+    /// The incarnation of the entry that sent the ask. If the entry has restarted since, its connection is gone and the
+    /// reply is dropped.
     entry: IncarnationId,
     body: MessageBody,
 }
--- a/crates/peer/tests/border/faults.rs
+++ b/crates/peer/tests/border/faults.rs
@@ -98,18 +98,18 @@
             &[0, 0, 0, 0, 1, 0, 0, 0, 0xff, 0xff, 0xff, 0x7f, 1, 0, 9, 0],
         ),
     ];
-    for (what, bytes) in table {
+    for (case, bytes) in table {
         let mut stream = TcpStream::connect(address).await.expect("a connection");
         // The server may close the connection before it has read everything.
         let _closed = stream.write_all(bytes).await;
         let _closed = stream.shutdown().await;
         let mut rest = Vec::new();
         let read = timeout(TEST_TIMEOUT, stream.read_to_end(&mut rest)).await;
-        assert!(read.is_ok(), "{what}: the connection stays");
-        link.client().ping(0).await.expect(what);
-        opened.session.offer(1, &[]).await.expect(what);
+        assert!(read.is_ok(), "{case}: the connection stays");
+        link.client().ping(0).await.expect(case);
+        opened.session.offer(1, &[]).await.expect(case);
         let (other, _) = open_next(&state, address).await;
-        other.client().ping(0).await.expect(what);
+        other.client().ping(0).await.expect(case);
     }
     server.abort();
 }
--- a/crates/peer/tests/border/values.rs
+++ b/crates/peer/tests/border/values.rs
@@ -30,7 +30,7 @@
 }
 
 /// A duration in whole microseconds, as the protocol carries it.
-fn span() -> impl Strategy<Value = Duration> {
+fn duration() -> impl Strategy<Value = Duration> {
     any::<u64>().prop_map(Duration::from_micros)
 }
 
@@ -47,7 +47,7 @@
 
 pub(crate) fn offer() -> impl Strategy<Value = TaskOffer> {
     let names = (NAME, NAME);
-    let rest = (any::<u32>(), span(), span(), payload());
+    let rest = (any::<u32>(), duration(), duration(), payload());
     (attempt(), names, rest).prop_map(|(attempt, (customer, kind), rest)| {
         let (share, time_left, expected_run_time, payload) = rest;
         TaskOffer {
@@ -85,7 +85,7 @@
         retry().prop_map(AttemptEnd::NotRun),
         select(UnknownReason::ALL).prop_map(AttemptEnd::Unknown),
     ];
-    (attempt(), end, span())
+    (attempt(), end, duration())
 }
 
 pub(crate) fn slots() -> impl Strategy<Value = SlotCounts> {
