--- a/crates/ledger/src/entry_link.rs
+++ b/crates/ledger/src/entry_link.rs
@@ -17,7 +17,7 @@
 pub(crate) struct UnconfirmedEnd {
     pub(crate) end: AttemptEnd,
     pub(crate) ran: Duration,
-    /// The time of the first report. The end is dropped when it is older than the retention time.
+    /// When the end was recorded, whether or not the entry was connected. It is dropped after the retention time.
     pub(crate) reported_at: Instant,
 }
 
