--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -1,4 +1,4 @@
-//! Checks the promises against the record of what customers and workers observed. Time limits apply only while no
+//! Checks the invariants against the record of what customers and workers observed. Time limits apply only while no
 //! fault is active nearby.
 
 use std::{fmt, time::Duration};
@@ -40,8 +40,8 @@
 const RECOVERY_LIMIT: Duration = Duration::from_secs(6);
 
 text_enum! {
-    /// A promise of the system.
-    Promise, "promise", UnknownVariant {
+    /// An invariant of the system. A violation is reported under the text of its variant.
+    SoakInvariant, "promise", UnknownVariant {
         /// A worker never has more concurrent runs than fit.
         Room => "room",
         /// A task never has two concurrent runs.
@@ -67,24 +67,24 @@
     }
 }
 
-/// A violation of a promise.
+/// A violation of an invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PromiseViolation {
-    /// The violated promise.
-    pub promise: Promise,
+pub struct InvariantViolation {
+    /// The violated invariant.
+    pub invariant: SoakInvariant,
     /// What was observed.
     pub details: String,
 }
 
-impl fmt::Display for PromiseViolation {
+impl fmt::Display for InvariantViolation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.promise, self.details)
+        write!(f, "{}: {}", self.invariant, self.details)
     }
 }
 
-/// Checks all promises and returns their violations.
-pub fn check_promises(record: &SoakRecord) -> Vec<PromiseViolation> {
-    let mut checker = PromiseChecker {
+/// Checks all invariants and returns their violations.
+pub fn check_invariants(record: &SoakRecord) -> Vec<InvariantViolation> {
+    let mut checker = InvariantChecker {
         record,
         violations: Vec::new(),
     };
@@ -99,14 +99,15 @@
     checker.violations
 }
 
-struct PromiseChecker<'a> {
+struct InvariantChecker<'a> {
     record: &'a SoakRecord,
-    violations: Vec<PromiseViolation>,
+    violations: Vec<InvariantViolation>,
 }
 
-impl PromiseChecker<'_> {
-    fn add_violation(&mut self, promise: Promise, details: String) {
-        self.violations.push(PromiseViolation { promise, details });
+impl InvariantChecker<'_> {
+    fn add_violation(&mut self, invariant: SoakInvariant, details: String) {
+        self.violations
+            .push(InvariantViolation { invariant, details });
     }
 
     fn check_worker_capacity(&mut self) {
@@ -116,7 +117,7 @@
             let count = concurrent.count();
             if count > MAX_WORKER_RUNS {
                 let details = format!("{count} runs on life {} at {:?}", run.life, run.began);
-                self.add_violation(Promise::Room, details);
+                self.add_violation(SoakInvariant::Room, details);
             }
         }
     }
@@ -134,7 +135,7 @@
                         "{task} as {} and {} at {:?}",
                         pair[0].run, pair[1].run, pair[1].began
                     );
-                    self.add_violation(Promise::Twice, details);
+                    self.add_violation(SoakInvariant::Twice, details);
                 }
             }
         }
@@ -159,10 +160,10 @@
         let completed = job.ended_with(200);
         if completed && done < job.tasks as usize {
             let details = format!("{} with {done} of {} tasks done", job.id, job.tasks);
-            self.add_violation(Promise::Completed, details);
+            self.add_violation(SoakInvariant::Completed, details);
         }
         if begun && job.attempts.iter().all(|attempt| is_refusal(attempt.end)) {
-            self.add_violation(Promise::Refused, format!("{} ran", job.id));
+            self.add_violation(SoakInvariant::Refused, format!("{} ran", job.id));
         }
         for attempt in &job.attempts {
             let took = attempt.ended - attempt.sent;
@@ -174,7 +175,7 @@
                     .is_node_undisturbed(attempt.node, from, attempt.ended)
             {
                 let details = format!("{} by node {} after {took:?}", job.id, attempt.node);
-                self.add_violation(Promise::InTime, details);
+                self.add_violation(SoakInvariant::InTime, details);
             }
         }
     }
@@ -189,7 +190,7 @@
             let ended = last_ends.get(&run.task.job).copied();
             if ended.is_none_or(|ended| run.began > ended + ORPHAN_START_LIMIT) {
                 let details = format!("{} began at {:?}, answered {ended:?}", run.task, run.began);
-                self.add_violation(Promise::Orphan, details);
+                self.add_violation(SoakInvariant::Orphan, details);
             }
         }
     }
@@ -204,7 +205,7 @@
             for attempt in &job.attempts {
                 if self.is_cut_by_stop(attempt, starts) {
                     let details = format!("{} cut at node {}", job.id, attempt.node);
-                    self.add_violation(Promise::Stop, details);
+                    self.add_violation(SoakInvariant::Stop, details);
                 }
             }
         }
@@ -243,7 +244,7 @@
                     )
                 {
                     let details = format!("{} on life {} at {:?}", run.task, run.life, run.began);
-                    self.add_violation(Promise::Drain, details);
+                    self.add_violation(SoakInvariant::Drain, details);
                 }
             }
         }
@@ -259,7 +260,7 @@
             }
             if probe.version <= *newest {
                 let details = format!("node {} lost version {}", probe.node, probe.version);
-                self.add_violation(Promise::ConfigBack, details);
+                self.add_violation(SoakInvariant::ConfigBack, details);
                 continue;
             }
             let late = probe.asked > probe.written + CONFIG_LIMIT;
@@ -270,7 +271,7 @@
                     .is_node_undisturbed(probe.node, from, probe.asked)
             {
                 let details = format!("node {} without version {}", probe.node, probe.version);
-                self.add_violation(Promise::Config, details);
+                self.add_violation(SoakInvariant::Config, details);
             }
         }
     }
@@ -286,7 +287,7 @@
         }
         if all == 0 || served * 10 < all * 9 {
             let details = format!("{served} of {all} jobs served");
-            self.add_violation(Promise::Recovery, details);
+            self.add_violation(SoakInvariant::Recovery, details);
         }
     }
 }
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -445,7 +445,7 @@
     let since = |at: Instant| at.saturating_duration_since(began);
     let mut traces = Vec::new();
     for run in stand_in.runs() {
-        // Skips runs whose name is not a task id. Such a name would be a fault of its own, which no promise covers.
+        // Skips runs whose name is not a task id. Such a name would be a fault of its own, which no invariant covers.
         let Ok(task) = run.task.parse() else {
             continue;
         };
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,6 +1,6 @@
 //! Randomized soak test: runs real node processes on one machine against stand-ins of the platform and injects faults
 //! from outside, one after another and overlapping. Records what customers and workers observe and checks the
-//! system's promises against that record.
+//! system's invariants against that record.
 //!
 //! The seed determines the faults and their times, but not how the processes interleave with them, so a seed that
 //! failed once is run several times. Nodes are isolated from each other only by faults of their processes (killed,
@@ -15,7 +15,7 @@
 mod run;
 
 pub use crate::{
-    checks::{check_promises, Promise, PromiseViolation},
+    checks::{check_invariants, InvariantViolation, SoakInvariant},
     plan::{FaultKind, FaultStep, SoakPlan},
     record::{
         AttemptEnd, AttemptTrace, Disturbance, DrainTrace, FaultScope, JobTrace, ProbeTrace,
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -12,7 +12,7 @@
 use thiserror::Error;
 
 use crate::{
-    checks::{check_promises, PromiseViolation},
+    checks::{check_invariants, InvariantViolation},
     customers::CustomerSimulator,
     faults::{inject_fault, run_follow_up, FollowUp},
     fleet::SoakFleet,
@@ -55,7 +55,7 @@
 /// Result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct SoakReport {
-    /// Violated promises, and processes that exited on their own or did not stop.
+    /// Violated invariants, and processes that exited on their own or did not stop.
     pub failures: Vec<String>,
     /// Number of jobs submitted.
     pub jobs: usize,
@@ -211,8 +211,8 @@
         let mut faults: Vec<String> = self.plan.steps().iter().map(|s| format!("{s:?}")).collect();
         faults.extend(record.disturbances.iter().map(|fault| format!("{fault:?}")));
         fs::write(dir.join("faults.txt"), faults.join("\n"))?;
-        let violations = check_promises(&record);
-        let violations = violations.iter().map(PromiseViolation::to_string);
+        let violations = check_invariants(&record);
+        let violations = violations.iter().map(InvariantViolation::to_string);
         let count = |status: &dyn Fn(u16) -> bool| {
             let ends = record.jobs.iter().filter_map(|job| job.attempts.last());
             let answered = ends.filter(|a| matches!(a.end, AttemptEnd::Answered(s) if status(s)));
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -1,11 +1,11 @@
-//! Each check reports a record that violates its promise and accepts one that does not.
+//! Each check reports a record that violates its invariant and accepts one that does not.
 
 use std::time::Duration;
 
 use jobs::{JobId, TaskId};
 use soak::{
-    check_promises, AttemptEnd, AttemptTrace, Disturbance, DrainTrace, FaultScope, JobTrace,
-    ProbeTrace, Promise, RunTrace, SoakRecord, StopTrace,
+    check_invariants, AttemptEnd, AttemptTrace, Disturbance, DrainTrace, FaultScope, JobTrace,
+    ProbeTrace, RunTrace, SoakInvariant, SoakRecord, StopTrace,
 };
 
 fn ms(millis: u64) -> Duration {
@@ -69,15 +69,15 @@
     }
 }
 
-fn check(change: impl FnOnce(&mut SoakRecord), expected: &[Promise]) {
+fn check(change: impl FnOnce(&mut SoakRecord), expected: &[SoakInvariant]) {
     let mut record = record_without_violations();
     change(&mut record);
-    let violations = check_promises(&record);
-    let promises: Vec<Promise> = violations
+    let violations = check_invariants(&record);
+    let invariants: Vec<SoakInvariant> = violations
         .iter()
-        .map(|violation| violation.promise)
+        .map(|violation| violation.invariant)
         .collect();
-    assert_eq!(promises, expected, "{violations:?}");
+    assert_eq!(invariants, expected, "{violations:?}");
 }
 
 fn disturbance(scope: FaultScope, from: u64, until: u64) -> Disturbance {
@@ -103,7 +103,11 @@
                 record.runs.push(run(index, 7, 1_050, 1_150));
             }
         },
-        &[Promise::Room, Promise::Room, Promise::Room],
+        &[
+            SoakInvariant::Room,
+            SoakInvariant::Room,
+            SoakInvariant::Room,
+        ],
     );
 }
 
@@ -111,14 +115,17 @@
 fn a_task_on_two_workers_at_once() {
     check(
         |record| record.runs.push(run(0, 3, 1_100, 1_180)),
-        &[Promise::Twice],
+        &[SoakInvariant::Twice],
     );
     check(|record| record.runs.push(run(0, 3, 1_150, 1_180)), &[]);
 }
 
 #[test]
 fn completed_without_all_tasks() {
-    check(|record| record.jobs[0].tasks = 2, &[Promise::Completed]);
+    check(
+        |record| record.jobs[0].tasks = 2,
+        &[SoakInvariant::Completed],
+    );
 }
 
 #[test]
@@ -126,7 +133,7 @@
     let refused = attempt(1_000, 1_200, AttemptEnd::Answered(503));
     check(
         |record| record.jobs[0].attempts = vec![refused],
-        &[Promise::Refused],
+        &[SoakInvariant::Refused],
     );
     let unanswered = attempt(500, 900, AttemptEnd::Broken);
     check(
@@ -140,7 +147,7 @@
     let late = attempt(1_000, 4_500, AttemptEnd::Answered(200));
     check(
         |record| record.jobs[0].attempts = vec![late],
-        &[Promise::InTime],
+        &[SoakInvariant::InTime],
     );
     check(
         |record| {
@@ -161,7 +168,7 @@
             exited: ms(1_400),
         }];
     };
-    check(cut, &[Promise::Stop]);
+    check(cut, &[SoakInvariant::Stop]);
     check(
         |record| {
             cut(record);
@@ -188,7 +195,7 @@
     };
     check(
         |record| record.drains = vec![drain(6_000)],
-        &[Promise::Drain],
+        &[SoakInvariant::Drain],
     );
     check(|record| record.drains = vec![drain(7_000)], &[]);
 }
@@ -209,11 +216,11 @@
     );
     check(
         |record| record.probes = vec![probe(8_000, false)],
-        &[Promise::Config],
+        &[SoakInvariant::Config],
     );
     check(
         |record| record.probes = vec![probe(5_500, true), probe(5_800, false)],
-        &[Promise::ConfigBack],
+        &[SoakInvariant::ConfigBack],
     );
 }
 
@@ -221,7 +228,7 @@
 fn a_run_started_long_after_the_answer() {
     check(
         |record| record.runs.push(run(0, 3, 2_600, 2_700)),
-        &[Promise::Orphan],
+        &[SoakInvariant::Orphan],
     );
 }
 
@@ -233,6 +240,6 @@
             record.jobs[1].attempts = vec![refused];
             record.runs.pop();
         },
-        &[Promise::Recovery],
+        &[SoakInvariant::Recovery],
     );
 }
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -25,7 +25,7 @@
     /// Measures how processor time, memory and network traffic of real processes on loopback grow with load and size
     #[bpaf(command)]
     Slopes(#[bpaf(external(slopes::slopes_options))] SlopesOptions),
-    /// Runs real nodes under random faults and checks the promises to customers and workers
+    /// Runs real nodes under random faults and checks the system's invariants
     #[bpaf(command)]
     Soak(#[bpaf(external(soak::soak_options))] SoakOptions),
 }
--- a/xtask/src/soak.rs
+++ b/xtask/src/soak.rs
@@ -57,7 +57,8 @@
     seed_columns.filter_map(|seed| seed.parse().ok())
 }
 
-/// Runs the seeds, prints a summary line for each, and fails if a promise was broken under any of them.
+/// Runs the seeds and prints a summary line for each. Fails if a seed violated an invariant, or if a node exited on its
+/// own or did not stop.
 pub(crate) async fn run(options: SoakOptions) -> Result<()> {
     build_programs()?;
     let binary = program_path("cairnpaddle")?;
@@ -104,7 +105,7 @@
         }
     }
     if !failed.is_empty() {
-        bail!("promises were broken under seeds {failed:?}");
+        bail!("soak failed with seeds {failed:?}: invariants were violated, or nodes exited or did not stop");
     }
     Ok(())
 }
