--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -3,9 +3,8 @@
 //! A scenario is a text file with one statement per line: first the set-up (data centres, contracts, settings), then
 //! the steps in order (submit, kill, freeze, cut, wait until, expect). [`run_script`] runs the steps on loopback, with
 //! `cairnpaddle` entries and dispatchers as child processes and stand-ins for the platform, the endpoints and the
-//! network. At the end of every scenario it checks every promise, that is every invariant of the system, against the
-//! endpoints' records and the answers that callers received (see [`promises`]). The language is described in
-//! `docs/SCENARIOS.md`.
+//! network. At the end of every scenario it checks every invariant of the system against the endpoints' records and the
+//! answers that callers received (see [`promises`]). The language is described in `docs/SCENARIOS.md`.
 
 mod binary;
 mod caller;
--- a/crates/scenario/src/promises.rs
+++ b/crates/scenario/src/promises.rs
@@ -1,7 +1,6 @@
-//! The promises of the system, that is the invariants that hold in every scenario, checked against the records of a
-//! run.
+//! The invariants that hold in every scenario, checked against the records of a run.
 //!
-//! The endpoints' records show which tasks really started; the answers show what callers were told.
+//! The endpoints' records show which tasks really started; the answers show what callers received.
 
 use std::{fmt, time::Duration};
 
@@ -16,15 +15,15 @@
 /// How long, in milliseconds, a leaving endpoint may still get tasks that were already on their way.
 const LEAVING_GRACE_MS: u64 = 2000;
 
-/// Tolerances of the promise checks.
+/// Tolerances of the invariant checks.
 #[derive(Clone, Copy, Debug)]
-pub struct PromiseLimits {
+pub struct InvariantLimits {
     /// How long after its deadline a submission must be answered at the latest. It covers the way to the caller and a
     /// busy test machine.
     pub answer_margin: Duration,
 }
 
-impl Default for PromiseLimits {
+impl Default for InvariantLimits {
     fn default() -> Self {
         Self {
             answer_margin: Duration::from_millis(1000),
@@ -32,9 +31,9 @@
     }
 }
 
-/// A violation of a promise.
+/// A violation of an invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum BrokenPromise {
+pub enum BrokenInvariant {
     /// A task of a submission started more than once.
     TaskStartedTwice {
         /// The submission.
@@ -128,7 +127,7 @@
     },
 }
 
-impl fmt::Display for BrokenPromise {
+impl fmt::Display for BrokenInvariant {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::TaskStartedTwice {
@@ -203,8 +202,8 @@
     }
 }
 
-/// Checks every promise and returns the violations.
-pub fn check_promises(record: &RunRecord, limits: &PromiseLimits) -> Vec<BrokenPromise> {
+/// Checks every invariant and returns the violations.
+pub fn check_invariants(record: &RunRecord, limits: &InvariantLimits) -> Vec<BrokenInvariant> {
     let starts = StartIndex::new(record);
     let mut broken = Vec::new();
     check_task_starts(&starts, &mut broken);
@@ -265,12 +264,12 @@
     Some(label.split('#').next().unwrap_or_default().to_owned())
 }
 
-fn check_task_starts(starts: &StartIndex<'_>, broken: &mut Vec<BrokenPromise>) {
+fn check_task_starts(starts: &StartIndex<'_>, broken: &mut Vec<BrokenInvariant>) {
     for ((submission, task), list) in &starts.by_task {
         if list.len() < 2 {
             continue;
         }
-        broken.push(BrokenPromise::TaskStartedTwice {
+        broken.push(BrokenInvariant::TaskStartedTwice {
             submission: *submission,
             task: *task,
             attempts: attempt_ids(list),
@@ -281,7 +280,7 @@
 fn check_request_runs(
     record: &RunRecord,
     starts: &StartIndex<'_>,
-    broken: &mut Vec<BrokenPromise>,
+    broken: &mut Vec<BrokenInvariant>,
 ) {
     let mut labels = Vec::new();
     for submission in &record.submissions {
@@ -296,7 +295,7 @@
         if list.len() < 2 {
             continue;
         }
-        broken.push(BrokenPromise::RequestRanTwice {
+        broken.push(BrokenInvariant::RequestRanTwice {
             label: label.clone(),
             attempts: attempt_ids(list),
         });
@@ -305,14 +304,14 @@
 
 fn check_answer_time(
     submission: &SubmissionRecord,
-    limits: &PromiseLimits,
-    broken: &mut Vec<BrokenPromise>,
+    limits: &InvariantLimits,
+    broken: &mut Vec<BrokenInvariant>,
 ) {
     let in_time = submission.took <= submission.deadline + limits.answer_margin;
     if submission.entry_down || (in_time && submission.answer.is_some()) {
         return;
     }
-    broken.push(BrokenPromise::LateAnswer {
+    broken.push(BrokenInvariant::LateAnswer {
         name: submission.name.clone(),
         deadline: submission.deadline,
         took: submission.took,
@@ -324,14 +323,14 @@
     record: &RunRecord,
     submission: &SubmissionRecord,
     starts: &StartIndex<'_>,
-    broken: &mut Vec<BrokenPromise>,
+    broken: &mut Vec<BrokenInvariant>,
 ) {
     let Some(answer) = &submission.answer else {
         return;
     };
     let name = submission.name.clone();
     if answer.status != AnswerStatus::Complete && !answer.results.is_empty() {
-        broken.push(BrokenPromise::PartialResults {
+        broken.push(BrokenInvariant::PartialResults {
             name: name.clone(),
             results: answer.results.len(),
         });
@@ -342,13 +341,13 @@
             let Some(start) = find_own_start(record, submission, answer.id, starts) else {
                 return;
             };
-            broken.push(BrokenPromise::RefusedButStarted {
+            broken.push(BrokenInvariant::RefusedButStarted {
                 name,
                 reason: answer.reason.clone(),
                 attempt: start.attempt,
             });
         }
-        AnswerStatus::Lost if !submission.entry_down => broken.push(BrokenPromise::LostAnswer {
+        AnswerStatus::Lost if !submission.entry_down => broken.push(BrokenInvariant::LostAnswer {
             name,
             reason: answer.reason.clone(),
         }),
@@ -360,9 +359,9 @@
     submission: &SubmissionRecord,
     results: &[Vec<u8>],
     starts: &StartIndex<'_>,
-    broken: &mut Vec<BrokenPromise>,
+    broken: &mut Vec<BrokenInvariant>,
 ) {
-    let wrong = |what| BrokenPromise::WrongResults {
+    let wrong = |what| BrokenInvariant::WrongResults {
         name: submission.name.clone(),
         what,
     };
@@ -385,7 +384,7 @@
             .iter()
             .any(|start| start.end.is_some());
         if !ran {
-            broken.push(BrokenPromise::CompleteWithoutRun {
+            broken.push(BrokenInvariant::CompleteWithoutRun {
                 name: submission.name.clone(),
                 task,
             });
@@ -421,11 +420,11 @@
     None
 }
 
-fn check_leaving_endpoints(starts: &StartIndex<'_>, broken: &mut Vec<BrokenPromise>) {
+fn check_leaving_endpoints(starts: &StartIndex<'_>, broken: &mut Vec<BrokenInvariant>) {
     for start in &starts.all {
         match start.leaving_for_ms {
             Some(leaving_for_ms) if leaving_for_ms > LEAVING_GRACE_MS => {
-                broken.push(BrokenPromise::StartWhileLeaving {
+                broken.push(BrokenInvariant::StartWhileLeaving {
                     attempt: start.attempt,
                     leaving_for_ms,
                 });
@@ -435,13 +434,13 @@
     }
 }
 
-fn check_observed_versions(record: &RunRecord, broken: &mut Vec<BrokenPromise>) {
+fn check_observed_versions(record: &RunRecord, broken: &mut Vec<BrokenInvariant>) {
     let mut newest = FastMap::default();
     for observation in &record.observations {
         let key = (&observation.vm, &observation.customer);
         let before = *newest.entry(key).or_insert(observation.version);
         if observation.version < before {
-            broken.push(BrokenPromise::VersionWentBack {
+            broken.push(BrokenInvariant::VersionWentBack {
                 vm: observation.vm.clone(),
                 customer: observation.customer.clone(),
                 before,
@@ -456,7 +455,7 @@
 /// Checks that a job sent after the answer to another job, to the same entry and for the same customer, is accepted
 /// under the same contract version or a newer one. Requests are skipped, because a repeated request gets the first
 /// answer with its old version.
-fn check_accepted_versions(record: &RunRecord, broken: &mut Vec<BrokenPromise>) {
+fn check_accepted_versions(record: &RunRecord, broken: &mut Vec<BrokenInvariant>) {
     let mut jobs = Vec::new();
     for submission in record
         .submissions
@@ -472,7 +471,7 @@
             if !same || second.sent < first.sent + first.took || after >= before {
                 continue;
             }
-            broken.push(BrokenPromise::VersionWentBack {
+            broken.push(BrokenInvariant::VersionWentBack {
                 vm: first.via.clone(),
                 customer: first.customer.clone(),
                 before: *before,
@@ -482,7 +481,7 @@
     }
 }
 
-fn check_exits(record: &RunRecord, broken: &mut Vec<BrokenPromise>) {
+fn check_exits(record: &RunRecord, broken: &mut Vec<BrokenInvariant>) {
     for exit in &record.exits {
         let expected = match exit.cause {
             ExitCause::Terminated => exit.code == Some(0),
@@ -492,7 +491,7 @@
         if expected {
             continue;
         }
-        broken.push(BrokenPromise::WrongExit {
+        broken.push(BrokenInvariant::WrongExit {
             process: exit.process.clone(),
             cause: exit.cause,
             code: exit.code,
--- a/crates/scenario/src/record.rs
+++ b/crates/scenario/src/record.rs
@@ -1,4 +1,4 @@
-//! The records of a run, on which the promises are checked.
+//! The records of a run, on which the invariants are checked.
 
 use std::time::Duration;
 
--- a/crates/scenario/src/runner/conditions.rs
+++ b/crates/scenario/src/runner/conditions.rs
@@ -145,7 +145,7 @@
     }
 
     /// Sends a probe job to every ready entry and compares the answers. The jobs are recorded like any other, so the
-    /// promises are checked for them too.
+    /// invariants are checked for them too.
     async fn check_entry_answers(
         &mut self,
         customer: &CustomerId,
--- a/crates/scenario/src/runner/expectations.rs
+++ b/crates/scenario/src/runner/expectations.rs
@@ -9,7 +9,7 @@
     script::{ChangeStatus, CountBound, Expectation, ExpectedAnswer, Label},
 };
 
-/// How long after the deadline an `expect` step still waits for an answer. The promise check reports that it was late.
+/// How long after the deadline an `expect` step still waits for an answer. The invariant checks report late answers.
 const ANSWER_GRACE: Duration = Duration::from_secs(5);
 /// How long an `expect` step waits for the outcome of an operator's change.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(20);
--- a/crates/scenario/src/runner/mod.rs
+++ b/crates/scenario/src/runner/mod.rs
@@ -1,4 +1,4 @@
-//! Runs a scenario against real processes and then checks every promise.
+//! Runs a scenario against real processes and then checks every invariant.
 
 mod conditions;
 mod expectations;
@@ -16,7 +16,7 @@
     load::{BackendState, CallerLoad, EntryBackend},
     operator,
     process::{ChildProcess, ChildSignal, ProcessName},
-    promises::{check_promises, BrokenPromise, PromiseLimits},
+    promises::{check_invariants, BrokenInvariant, InvariantLimits},
     record::RunRecord,
     script::{AnswerStatus, ContractLine, Script, ScriptLine, Setup, Statement},
     testbed::ScenarioTestbed,
@@ -38,8 +38,8 @@
     pub dir: PathBuf,
     /// The seed; overrides that of the scenario.
     pub seed: Option<u64>,
-    /// Tolerances of the promise checks.
-    pub limits: PromiseLimits,
+    /// Tolerances of the invariant checks.
+    pub limits: InvariantLimits,
 }
 
 /// A step that failed.
@@ -60,16 +60,16 @@
     pub seed: u64,
     /// The duration of the run.
     pub took: Duration,
-    /// The records on which the promises were checked.
+    /// The records on which the invariants were checked.
     pub record: RunRecord,
     /// The step that failed; the run stops at the first failure.
     pub failure: Option<StepFailure>,
-    /// The violations of promises.
-    pub broken: Vec<BrokenPromise>,
+    /// The violations of invariants.
+    pub broken: Vec<BrokenInvariant>,
 }
 
 impl RunReport {
-    /// Whether every step and every promise held.
+    /// Whether every step succeeded and every invariant held.
     pub fn passed(&self) -> bool {
         self.failure.is_none() && self.broken.is_empty()
     }
@@ -104,7 +104,7 @@
             )?;
         }
         for broken in &self.broken {
-            writeln!(f, "broken promise: {broken}")?;
+            writeln!(f, "invariant violated: {broken}")?;
         }
         Ok(())
     }
@@ -123,7 +123,7 @@
     let failure = run.run_steps(script).await;
     let record = run.finish(limits.answer_margin).await;
     contract_poll.abort();
-    let broken = check_promises(&record, &limits);
+    let broken = check_invariants(&record, &limits);
     Ok(RunReport {
         seed: run.seed,
         took: started.elapsed(),
--- a/crates/scenario/tests/promises.rs
+++ b/crates/scenario/tests/promises.rs
@@ -1,10 +1,10 @@
-//! Each promise check passes on a good record and reports a record with a violation made by hand.
+//! Each invariant check passes on a good record and reports a record with a violation made by hand.
 
 use std::time::Duration;
 
 use model::{AttemptId, ContractVersion, IncarnationId, SubmissionId};
 use scenario::{
-    promises::{check_promises, PromiseLimits},
+    promises::{check_invariants, InvariantLimits},
     record::{
         AnswerRecord, ExitCause, ExitRecord, RunRecord, SubmissionRecord, VersionObservation,
     },
@@ -118,7 +118,7 @@
     let mut record = good_record();
     change(&mut record);
     let mut found = Vec::new();
-    for broken in check_promises(&record, &PromiseLimits::default()) {
+    for broken in check_invariants(&record, &InvariantLimits::default()) {
         found.push(broken.to_string());
     }
     found.sort();
--- a/crates/scenario/tests/scenarios.rs
+++ b/crates/scenario/tests/scenarios.rs
@@ -8,7 +8,7 @@
     sync::{Mutex, PoisonError},
 };
 
-use scenario::{find_binary, parse_script, promises::PromiseLimits, run_script, RunSettings};
+use scenario::{find_binary, parse_script, promises::InvariantLimits, run_script, RunSettings};
 
 /// Held while a scenario runs. Scenarios measure answer times, so no two may run at once.
 static RUN_LOCK: Mutex<()> = Mutex::new(());
@@ -33,7 +33,7 @@
         seed: env::var("SCENARIO_SEED")
             .ok()
             .and_then(|text| text.parse().ok()),
-        limits: PromiseLimits::default(),
+        limits: InvariantLimits::default(),
     };
     let report = actix_rt::System::new()
         .block_on(run_script(&script, settings))
