--- a/crates/scenario/src/parse/step.rs
+++ b/crates/scenario/src/parse/step.rs
@@ -240,13 +240,13 @@
         change: one_of("leave, stop or fault", alt((
             keyword("leave").value(EndpointChange::Leave),
             keyword("stop").value(EndpointChange::Stop),
-            preceded(keyword("fault"), cut_err(fault_order)).map(EndpointChange::Fault),
+            preceded(keyword("fault"), cut_err(fault_request)).map(EndpointChange::Fault),
         ))),
     }}
     .parse_next(input)
 }
 
-fn fault_order(input: &mut Input<'_>) -> ModalResult<FaultRequest> {
+fn fault_request(input: &mut Input<'_>) -> ModalResult<FaultRequest> {
     seq! {FaultRequest {
         fault: fault,
         times: opt_field("next", "a number"),
--- a/crates/scenario/src/promises.rs
+++ b/crates/scenario/src/promises.rs
@@ -55,7 +55,7 @@
         /// The submission.
         name: Label,
         /// The difference, as text.
-        what: String,
+        detail: String,
     },
     /// An answer with a status other than complete contains results.
     PartialResults {
@@ -146,7 +146,7 @@
                 attempts.len(),
                 join_attempts(attempts)
             ),
-            Self::WrongResults { name, what } => write!(f, "{name} is complete, but {what}"),
+            Self::WrongResults { name, detail } => write!(f, "{name} is complete, but {detail}"),
             Self::PartialResults { name, results } => {
                 write!(f, "{name} is not complete, but gives {results} results")
             }
@@ -167,12 +167,12 @@
                 took,
                 answered,
             } => {
-                let what = if *answered {
+                let state = if *answered {
                     "was answered after"
                 } else {
                     "has no answer after"
                 };
-                write!(f, "{name}, due in {deadline:?}, {what} {took:?}")
+                write!(f, "{name}, due in {deadline:?}, {state} {took:?}")
             }
             Self::LostAnswer { name, reason } => {
                 write!(f, "{name} lost its answer without cause: {reason}")
@@ -361,17 +361,17 @@
     starts: &StartIndex<'_>,
     broken: &mut Vec<BrokenInvariant>,
 ) {
-    let wrong = |what| BrokenInvariant::WrongResults {
+    let wrong = |detail| BrokenInvariant::WrongResults {
         name: submission.name.clone(),
-        what,
+        detail,
     };
     if results.len() != submission.payloads.len() {
-        let what = format!(
+        let detail = format!(
             "gives {} results for {} tasks",
             results.len(),
             submission.payloads.len()
         );
-        broken.push(wrong(what));
+        broken.push(wrong(detail));
         return;
     }
     for (task, (result, payload)) in results.iter().zip(&submission.payloads).enumerate() {
--- a/crates/scenario/src/runner/expectations.rs
+++ b/crates/scenario/src/runner/expectations.rs
@@ -84,13 +84,13 @@
             .iter()
             .chain(&second)
             .filter_map(|record| record.answer.as_ref());
-        let Some(one) = answers.next() else {
+        let Some(reference) = answers.next() else {
             return Err(StepError::Unexpected("no answers".to_owned()));
         };
         for other in answers {
-            if (one.status, &one.results) != (other.status, &other.results) {
-                let (one, other) = (describe(one), describe(other));
-                return Err(StepError::Unexpected(format!("{one} and {other}")));
+            if (reference.status, &reference.results) != (other.status, &other.results) {
+                let (reference, other) = (describe(reference), describe(other));
+                return Err(StepError::Unexpected(format!("{reference} and {other}")));
             }
         }
         Ok(())
--- a/crates/scenario/src/runner/steps.rs
+++ b/crates/scenario/src/runner/steps.rs
@@ -163,11 +163,11 @@
     async fn change_endpoint(&mut self, step: &EndpointStep) -> Result<(), StepError> {
         let endpoint = self.testbed.endpoint(&step.name)?;
         match step.change {
-            EndpointChange::Fault(order) => endpoint.stand_in.set_fault(order),
+            EndpointChange::Fault(request) => endpoint.stand_in.set_fault(request),
             EndpointChange::Stop => endpoint.stand_in.stop().await,
             EndpointChange::Leave => {
-                let order = FaultRequest::always(Fault::LeavingSilently);
-                endpoint.stand_in.set_fault(order);
+                let request = FaultRequest::always(Fault::LeavingSilently);
+                endpoint.stand_in.set_fault(request);
                 self.testbed.mark_leaving(&step.name)?;
             }
         }
--- a/crates/scenario/src/testbed.rs
+++ b/crates/scenario/src/testbed.rs
@@ -431,8 +431,8 @@
         link: Option<String>,
         mode: LinkMode,
     ) -> Result<(), StepError> {
-        let order = LinkRequest { link, mode };
-        let result = self.forwarder.apply(order).await;
+        let request = LinkRequest { link, mode };
+        let result = self.forwarder.apply(request).await;
         result.map_err(|error| StepError::UnknownPlace(error.0))
     }
 }
