--- a/crates/scenario/src/error.rs
+++ b/crates/scenario/src/error.rs
@@ -12,20 +12,20 @@
     /// The operating system refused something that the runner needs.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// No VM of that name.
+    /// No VM of that name, or no VM with a ready entry.
     #[error("no VM {0:?}")]
     UnknownVm(Label),
     /// No endpoint of that name.
     #[error("no endpoint {0:?}")]
     UnknownEndpoint(Label),
-    /// No place of that name.
-    #[error("no VM, endpoint or data centre {0:?}")]
+    /// No place of that name, or no link between two places.
+    #[error("no VM, endpoint, data centre or link {0:?}")]
     UnknownPlace(Label),
     /// No submission group, change or ticket of that name.
     #[error("no submission group, change or ticket {0:?}")]
     UnknownName(Label),
-    /// The process cannot be signalled because it is not running or was already told to end.
-    #[error("{0} is not running")]
+    /// The process cannot be signalled because it is not running, or SIGTERM or SIGKILL was already sent to it.
+    #[error("{0} is not running or is already ending")]
     NotRunning(String),
     /// The process to start is already running.
     #[error("{0} is already running")]
@@ -39,7 +39,7 @@
         state: String,
     },
     /// The result differs from the expected one.
-    #[error("found {0}")]
+    #[error("expectation not met: found {0}")]
     Unexpected(String),
     /// The entry issued no ticket.
     #[error("ticket not issued: {0}")]
--- a/crates/scenario/src/load.rs
+++ b/crates/scenario/src/load.rs
@@ -33,7 +33,7 @@
     Ready,
     /// The entry was started but is not ready yet. A caller that addresses it directly must still get an answer.
     Unready,
-    /// The entry was not started, was told to end, or is frozen. A caller that addresses it directly need not get an
+    /// The entry was not started, got SIGTERM or SIGKILL, or is frozen. A caller that addresses it directly need not get an
     /// answer.
     Down,
 }
--- a/crates/scenario/src/process.rs
+++ b/crates/scenario/src/process.rs
@@ -48,7 +48,7 @@
     Freeze,
     /// SIGCONT: resumes the process.
     Thaw,
-    /// SIGHUP: tells the process to reload its settings file.
+    /// SIGHUP: makes the process reload its settings file.
     Reload,
 }
 
@@ -113,7 +113,7 @@
         self.frozen
     }
 
-    /// Whether the process has been told to end.
+    /// Whether SIGTERM or SIGKILL was sent to the process.
     pub(crate) fn is_ending(&self) -> bool {
         self.cause != ExitCause::Unrequested
     }
--- a/crates/scenario/src/promises.rs
+++ b/crates/scenario/src/promises.rs
@@ -120,7 +120,7 @@
     WrongExit {
         /// The process.
         process: String,
-        /// How the process was told to end.
+        /// The signal that the run sent to end the process, if any.
         cause: ExitCause,
         /// The exit code; absent if a signal ended the process or it still ran.
         code: Option<i32>,
--- a/crates/scenario/src/record.rs
+++ b/crates/scenario/src/record.rs
@@ -77,7 +77,7 @@
     pub version: ContractVersion,
 }
 
-/// The signal by which the run told a process to end, if any.
+/// The signal that the run sent to end a process, if any.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitCause {
     /// By SIGTERM: the process has to drain and exit with 0.
@@ -93,7 +93,7 @@
 pub struct ExitRecord {
     /// The name of the process, for example `rajkot-east-vm1 entry`.
     pub process: String,
-    /// How it was told to end.
+    /// The signal that the run sent to end it, if any.
     pub cause: ExitCause,
     /// The exit code; absent when a signal ended the process, or when it still ran at the end of the run.
     pub code: Option<i32>,
--- a/crates/scenario/src/runner/mod.rs
+++ b/crates/scenario/src/runner/mod.rs
@@ -24,7 +24,7 @@
 
 /// Interval at which conditions are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// How long processes may take to end once told to. It is longer than their drain limit.
+/// How long processes may take to end after SIGTERM. Longer than their drain limit.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(15);
 /// The seed if neither the settings nor the scenario set one.
 const DEFAULT_SEED: u64 = 1;
--- a/crates/scenario/src/runner/peak.rs
+++ b/crates/scenario/src/runner/peak.rs
@@ -1,4 +1,5 @@
-//! Figures from the endpoints' records: the peak of a customer's concurrent tasks, and tasks turned away.
+//! Figures from the endpoints' records: the peak of a customer's concurrent tasks, and the number of tasks refused as
+//! busy.
 
 use model::CustomerId;
 use stand_ins::endpoint::{EndpointRecord, RefusalCause, StartRecord, TaskScript};
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -403,7 +403,7 @@
         /// The bound on the count.
         bound: CountBound,
     },
-    /// The number of tasks that endpoints turned away because no slot was free.
+    /// The number of tasks that endpoints refused as busy because no slot was free.
     TurnedAway(CountBound),
     /// The most tasks of a customer that ran at once, over all endpoints.
     Peak {
--- a/crates/scenario/src/testbed.rs
+++ b/crates/scenario/src/testbed.rs
@@ -32,7 +32,8 @@
     pub(crate) data_centre: Label,
     pub(crate) caller: SocketAddr,
     peer: SocketAddr,
-    /// The address at which others reach its dispatcher: that of the shared links in front of it, or `peer`.
+    /// The address at which other processes reach the VM's dispatcher: that of the shared links in front of the
+    /// dispatcher, or `peer`.
     announced: SocketAddr,
     admin: SocketAddr,
     /// The address of the platform for this VM: behind a proxy or a link where the scenario needs one.
@@ -421,7 +422,7 @@
             }
         }
         if links.is_empty() {
-            return Err(StepError::UnknownPlace(format!("link between {a} and {b}")));
+            return Err(StepError::UnknownPlace(format!("between {a} and {b}")));
         }
         Ok(links)
     }
--- a/crates/scenario/tests/promises.rs
+++ b/crates/scenario/tests/promises.rs
@@ -154,8 +154,8 @@
     );
 }
 
-// Two submissions with the same key reach two entries and both start, so one hold is placed twice. Each task of each
-// submission started once, so only the label in the payload shows it.
+// Two submissions with the same key reach two entries and both start, so a non-idempotent request runs twice. Each task
+// of each submission started once, so only the label in the payload shows the second run.
 #[test]
 fn a_request_that_ran_under_two_submissions_is_found() {
     check(
