--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -112,11 +112,18 @@
 
     fn check_worker_capacity(&mut self) {
         for run in &self.record.runs {
-            let on_worker = self.record.runs.iter().filter(|r| r.life == run.life);
+            let on_worker = self
+                .record
+                .runs
+                .iter()
+                .filter(|r| r.instance == run.instance);
             let concurrent = on_worker.filter(|r| r.began <= run.began && !has_ended(r, run.began));
             let count = concurrent.count();
             if count > MAX_WORKER_RUNS {
-                let details = format!("{count} runs on life {} at {:?}", run.life, run.began);
+                let details = format!(
+                    "{count} runs on worker instance {} at {:?}",
+                    run.instance, run.began
+                );
                 self.add_violation(SoakInvariant::Room, details);
             }
         }
@@ -236,14 +243,17 @@
         for drain in &self.record.drains {
             let limit = drain.announced + DRAIN_LIMIT;
             for run in &self.record.runs {
-                let late = run.life == drain.life && run.began > limit;
+                let late = run.instance == drain.instance && run.began > limit;
                 if late
                     && self.record.has_no_unplanned_fault(
                         drain.announced.saturating_sub(FAULT_AFTERMATH),
                         run.began,
                     )
                 {
-                    let details = format!("{} on life {} at {:?}", run.task, run.life, run.began);
+                    let details = format!(
+                        "{} started on worker instance {} at {:?}",
+                        run.task, run.instance, run.began
+                    );
                     self.add_violation(SoakInvariant::Drain, details);
                 }
             }
@@ -253,7 +263,9 @@
     fn check_config(&mut self) {
         let mut newest_versions: FastMap<(usize, usize), u64> = FastMap::default();
         for probe in &self.record.probes {
-            let newest = newest_versions.entry((probe.node, probe.life)).or_default();
+            let newest = newest_versions
+                .entry((probe.node, probe.start_count))
+                .or_default();
             if probe.known {
                 *newest = probe.version.max(*newest);
                 continue;
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -22,7 +22,7 @@
 /// How long the entry of a crashed worker remains: three heartbeats of the platform, shortened.
 const ENTRY_TIME: Duration = Duration::from_millis(1_500);
 
-/// How long the entry of a restarted worker still describes its former life.
+/// How long the store entry of a restarted worker still describes the worker before the restart.
 const HEARTBEAT_TIME: Duration = Duration::from_millis(700);
 
 /// How long it takes until nodes use a newly started worker, and until a newly started node serves.
@@ -127,9 +127,9 @@
                 false,
                 length + ENTRY_TIME + START_TIME,
             );
-            if let Some(life) = fleet.worker_life(worker) {
+            if let Some(instance) = fleet.worker_instance(worker) {
                 fleet.crash_worker(worker);
-                follow_ups.push((ENTRY_TIME, FollowUp::RemoveEntry(life)));
+                follow_ups.push((ENTRY_TIME, FollowUp::RemoveEntry(instance)));
                 follow_ups.push((length, FollowUp::StartWorker(worker)));
             }
         }
@@ -143,10 +143,13 @@
             follow_ups.push((HEARTBEAT_TIME, FollowUp::WriteEntry(worker)));
         }
         FaultKind::Drain(worker) => {
-            if let Some(life) = fleet.worker_life(worker) {
+            if let Some(instance) = fleet.worker_instance(worker) {
                 fleet.announce_draining(worker);
                 let announced = now;
-                drains.push(DrainTrace { life, announced });
+                drains.push(DrainTrace {
+                    instance,
+                    announced,
+                });
                 follow_ups.push((DRAIN_TIME, FollowUp::FinishDrain(worker)));
                 follow_ups.push((DRAIN_TIME + START_TIME, FollowUp::StartWorker(worker)));
             }
@@ -173,11 +176,11 @@
         }
         FollowUp::Store => fleet.set_store_fault(StoreFault::None),
         FollowUp::Worker(worker) => fleet.set_worker_fault(worker, ExecutorFault::None),
-        FollowUp::RemoveEntry(life) => fleet.remove_entry(life),
+        FollowUp::RemoveEntry(instance) => fleet.remove_entry(instance),
         FollowUp::FinishDrain(worker) => {
-            if let Some(life) = fleet.worker_life(worker) {
+            if let Some(instance) = fleet.worker_instance(worker) {
                 fleet.crash_worker(worker);
-                fleet.remove_entry(life);
+                fleet.remove_entry(instance);
             }
         }
         FollowUp::StartWorker(worker) => fleet.start_worker(worker).await?,
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -59,7 +59,7 @@
 pub(crate) struct SoakNode {
     process: Option<ChildProcess<String>>,
     /// How many times the node has been started.
-    pub(crate) life: usize,
+    pub(crate) start_count: usize,
     settings: PathBuf,
     log: PathBuf,
     pub(crate) customer_address: SocketAddr,
@@ -70,9 +70,10 @@
     down_until: Duration,
 }
 
-/// The current life of a worker, if it has one; a replacement takes its place.
+/// The current instance of a worker. Its replacement is a new instance under another id.
 struct WorkerInstance {
-    life: usize,
+    /// Counted across all workers; 0 before the first start.
+    number: usize,
     stand_in: Option<ExecutorStandIn>,
 }
 
@@ -86,7 +87,7 @@
     store_views: Vec<StoreView>,
     pub(crate) nodes: Vec<SoakNode>,
     workers: Vec<WorkerInstance>,
-    life_count: usize,
+    instance_count: usize,
     /// The number of worker restarts under the same id.
     restart_count: u64,
     runs: Vec<RunTrace>,
@@ -112,7 +113,7 @@
             store_views: Vec::new(),
             nodes: Vec::new(),
             workers: Vec::new(),
-            life_count: 0,
+            instance_count: 0,
             restart_count: 0,
             runs: Vec::new(),
             routes: vec![route(PREFIX)],
@@ -128,7 +129,7 @@
         }
         for _ in 0..plan.workers {
             fleet.workers.push(WorkerInstance {
-                life: 0,
+                number: 0,
                 stand_in: None,
             });
         }
@@ -179,7 +180,7 @@
         )?;
         Ok(SoakNode {
             process: None,
-            life: 0,
+            start_count: 0,
             settings: path,
             log: dir.join(format!("{}.log", node_name(number))),
             customer_address,
@@ -199,7 +200,7 @@
         };
         let process = ChildProcess::start(node_name(number), plan)?;
         node.process = Some(process);
-        node.life += 1;
+        node.start_count += 1;
         node.stop_requested = None;
         node.restart_due = None;
         Ok(())
@@ -278,8 +279,8 @@
 
     /// Sets the mode of the link between a worker and a node.
     pub(crate) async fn set_worker_link(&self, worker: usize, node: usize, mode: LinkMode) {
-        let life = self.workers[worker].life;
-        self.set_link(worker_link(life, node), mode).await;
+        let number = self.workers[worker].number;
+        self.set_link(worker_link(number, node), mode).await;
     }
 
     async fn set_link(&self, name: String, mode: LinkMode) {
@@ -287,7 +288,7 @@
             link: Some(name),
             mode,
         };
-        // The link may no longer exist if it belonged to a former life of a worker; nothing needs to change then.
+        // The link may no longer exist if it belonged to a replaced worker instance; nothing needs to change then.
         let _gone = self.forwarder.apply(request).await;
     }
 
@@ -308,10 +309,10 @@
         }
     }
 
-    /// Returns the current life of a worker, if it is running.
-    pub(crate) fn worker_life(&self, worker: usize) -> Option<usize> {
+    /// Returns the number of the current instance of a worker, if it is running.
+    pub(crate) fn worker_instance(&self, worker: usize) -> Option<usize> {
         let instance = &self.workers[worker];
-        instance.stand_in.as_ref().map(|_| instance.life)
+        instance.stand_in.as_ref().map(|_| instance.number)
     }
 
     /// Crashes a worker and ends the runs on it. Its entry in the store is removed later.
@@ -320,7 +321,7 @@
         let began = self.began;
         let instance = &mut self.workers[worker];
         if let Some(stand_in) = instance.stand_in.take() {
-            let runs = run_traces(&stand_in, worker, instance.life, began);
+            let runs = run_traces(&stand_in, worker, instance.number, began);
             self.runs.extend(runs.into_iter().map(|run| RunTrace {
                 ended: run.ended.or(Some(now)),
                 ..run
@@ -351,13 +352,14 @@
         let instance = &self.workers[worker];
         if let Some(stand_in) = &instance.stand_in {
             let entry = stand_in.entry(SERVICE, data_centre(worker), state);
-            self.store.put("servers", &life_name(instance.life), &entry);
+            self.store
+                .put("servers", &instance_id(instance.number), &entry);
         }
     }
 
     /// Removes the entry of a worker that has ended.
-    pub(crate) fn remove_entry(&self, life: usize) {
-        self.store.remove("servers", &life_name(life));
+    pub(crate) fn remove_entry(&self, instance: usize) {
+        self.store.remove("servers", &instance_id(instance));
     }
 
     /// Announces in its entry that a worker is draining.
@@ -365,28 +367,28 @@
         self.write_entry(worker, "draining");
     }
 
-    /// Starts a new life of a worker, under a new id, unless it is running.
+    /// Starts a new instance of a worker, under a new id, unless the worker is running.
     pub(crate) async fn start_worker(&mut self, worker: usize) -> Result<(), SoakError> {
         if self.workers[worker].stand_in.is_some() {
             return Ok(());
         }
-        self.life_count += 1;
-        let life = self.life_count;
+        self.instance_count += 1;
+        let number = self.instance_count;
         let plan = ExecutorPlan {
-            id: life_name(life),
+            id: instance_id(number),
             run_time: Duration::from_millis(RUN_TIMES_MS[worker % RUN_TIMES_MS.len()]),
-            initial_clock_ms: 400_000 + 10_000 * life as u64,
-            clock_rate: CLOCK_RATES[life % CLOCK_RATES.len()],
-            born: Some(FIRST_START_MS + life as u64),
+            initial_clock_ms: 400_000 + 10_000 * number as u64,
+            clock_rate: CLOCK_RATES[number % CLOCK_RATES.len()],
+            born: Some(FIRST_START_MS + number as u64),
         };
         let stand_in = ExecutorStandIn::start(plan).await;
         for (node, view) in self.store_views.iter().enumerate() {
-            let link = worker_link(life, node);
+            let link = worker_link(number, node);
             let address = self.forwarder.add_link(&link, stand_in.address())?;
-            view.override_address(&life_name(life), address);
+            view.override_address(&instance_id(number), address);
         }
         self.workers[worker] = WorkerInstance {
-            life,
+            number,
             stand_in: Some(stand_in),
         };
         self.write_ready_entry(worker);
@@ -410,12 +412,12 @@
         self.store.put("op", "config", &row);
     }
 
-    /// Takes all runs so far, including those of ended lives.
+    /// Takes all runs so far, including those of ended instances.
     pub(crate) fn take_runs(&mut self) -> Vec<RunTrace> {
         let mut runs = std::mem::take(&mut self.runs);
         for (worker, instance) in self.workers.iter().enumerate() {
             if let Some(stand_in) = &instance.stand_in {
-                runs.extend(run_traces(stand_in, worker, instance.life, self.began));
+                runs.extend(run_traces(stand_in, worker, instance.number, self.began));
             }
         }
         runs
@@ -439,7 +441,7 @@
 fn run_traces(
     stand_in: &ExecutorStandIn,
     worker: usize,
-    life: usize,
+    instance: usize,
     began: Instant,
 ) -> Vec<RunTrace> {
     let since = |at: Instant| at.saturating_duration_since(began);
@@ -453,7 +455,7 @@
             task,
             run: run.run,
             worker,
-            life,
+            instance,
             began: since(run.began),
             ended: run.ended.map(|(at, _)| since(at)),
             done: run.ended.is_some_and(|(_, how)| how == "done"),
@@ -470,16 +472,16 @@
     format!("node-{number}")
 }
 
-fn life_name(life: usize) -> String {
-    format!("i-{life}")
+fn instance_id(instance: usize) -> String {
+    format!("i-{instance}")
 }
 
 fn store_link(node: usize) -> String {
     format!("store {}", node_name(node))
 }
 
-fn worker_link(life: usize, node: usize) -> String {
-    format!("{} {}", life_name(life), node_name(node))
+fn worker_link(instance: usize, node: usize) -> String {
+    format!("{} {}", instance_id(instance), node_name(node))
 }
 
 /// Returns a loopback address of the node's own, derived from the process id, so that the ports of concurrent soaks
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -74,8 +74,9 @@
     pub run: u64,
     /// The index of the worker, which its replacements share.
     pub worker: usize,
-    /// The life (incarnation) of the worker, numbered across all workers.
-    pub life: usize,
+    /// The number of the worker instance, counted across all workers. A replacement is a new instance; a restart under
+    /// the same id is not.
+    pub instance: usize,
     /// When the run began.
     pub began: Duration,
     /// When the run ended; `None` if it was still running at the end of the soak.
@@ -90,7 +91,7 @@
     /// The node.
     pub node: usize,
     /// How many times the process of the node had been started.
-    pub life: usize,
+    pub start_count: usize,
     /// The configuration version that added the route.
     pub version: u64,
     /// When the version was written to the store.
@@ -104,8 +105,8 @@
 /// A worker that was announced as draining.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DrainTrace {
-    /// The worker's life.
-    pub life: usize,
+    /// The number of the worker instance.
+    pub instance: usize,
     /// When its entry in the store was set to `draining`.
     pub announced: Duration,
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -185,13 +185,13 @@
         let newest = self.versions.iter().rev().take(2);
         for (version, written) in newest.copied() {
             for (node, process) in self.fleet.nodes.iter().enumerate() {
-                let (simulator, life) = (self.simulator.clone(), process.life);
+                let (simulator, start_count) = (self.simulator.clone(), process.start_count);
                 let asked = self.fleet.now();
                 actix_rt::spawn(async move {
                     if let Some(known) = simulator.probe(node, version).await {
                         simulator.record_probe(ProbeTrace {
                             node,
-                            life,
+                            start_count,
                             version,
                             written,
                             asked,
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -21,12 +21,12 @@
     }
 }
 
-fn run(index: u32, life: usize, began: u64, ended: u64) -> RunTrace {
+fn run(index: u32, instance: usize, began: u64, ended: u64) -> RunTrace {
     RunTrace {
         task: task(index),
         run: began,
-        worker: life,
-        life,
+        worker: instance,
+        instance,
         began: ms(began),
         ended: Some(ms(ended)),
         done: true,
@@ -190,7 +190,7 @@
 #[test]
 fn work_for_a_draining_worker() {
     let drain = |announced| DrainTrace {
-        life: 2,
+        instance: 2,
         announced: ms(announced),
     };
     check(
@@ -204,7 +204,7 @@
 fn a_configuration_that_is_late_or_reverted() {
     let probe = |asked, known| ProbeTrace {
         node: 0,
-        life: 1,
+        start_count: 1,
         version: 4,
         written: ms(5_000),
         asked: ms(asked),
