--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -48,7 +48,7 @@
         Twice => "twice",
         /// A job is reported as completed only after all its tasks were done.
         Completed => "completed",
-        /// No task runs of a job that was refused, which tells the customer that nothing was run.
+        /// No task of a refused job runs: the customer takes a refusal to mean that nothing was run.
         Refused => "refused",
         /// Each answer arrives before its deadline.
         InTime => "in_time",
@@ -121,7 +121,7 @@
             let count = concurrent.count();
             if count > MAX_WORKER_RUNS {
                 let details = format!(
-                    "{count} runs on worker instance {} at {:?}",
+                    "{count} concurrent runs on worker instance {} at {:?}",
                     run.instance, run.began
                 );
                 self.add_violation(SoakInvariant::Room, details);
@@ -139,7 +139,7 @@
             for pair in runs.windows(2) {
                 if !has_ended(pair[0], pair[1].began + CLOCK_SLACK) {
                     let details = format!(
-                        "{task} as {} and {} at {:?}",
+                        "task {task} in runs {} and {} at {:?}",
                         pair[0].run, pair[1].run, pair[1].began
                     );
                     self.add_violation(SoakInvariant::Twice, details);
@@ -166,11 +166,11 @@
     fn check_job(&mut self, job: &JobTrace, done: usize, begun: bool) {
         let completed = job.ended_with(200);
         if completed && done < job.tasks as usize {
-            let details = format!("{} with {done} of {} tasks done", job.id, job.tasks);
+            let details = format!("job {} with {done} of {} tasks done", job.id, job.tasks);
             self.add_violation(SoakInvariant::Completed, details);
         }
         if begun && job.attempts.iter().all(|attempt| is_refusal(attempt.end)) {
-            self.add_violation(SoakInvariant::Refused, format!("{} ran", job.id));
+            self.add_violation(SoakInvariant::Refused, format!("job {} ran", job.id));
         }
         for attempt in &job.attempts {
             let took = attempt.ended - attempt.sent;
@@ -181,7 +181,10 @@
                     .record
                     .is_node_undisturbed(attempt.node, from, attempt.ended)
             {
-                let details = format!("{} by node {} after {took:?}", job.id, attempt.node);
+                let details = format!(
+                    "request for job {} to node {} ended after {took:?}",
+                    job.id, attempt.node
+                );
                 self.add_violation(SoakInvariant::InTime, details);
             }
         }
@@ -196,7 +199,10 @@
         for run in &self.record.runs {
             let ended = last_ends.get(&run.task.job).copied();
             if ended.is_none_or(|ended| run.began > ended + ORPHAN_START_LIMIT) {
-                let details = format!("{} began at {:?}, answered {ended:?}", run.task, run.began);
+                let details = format!(
+                    "task {} began at {:?}, the last request for its job ended at {ended:?}",
+                    run.task, run.began
+                );
                 self.add_violation(SoakInvariant::Orphan, details);
             }
         }
@@ -211,7 +217,8 @@
             let starts = begun.get(&job.id).map_or(&[][..], Vec::as_slice);
             for attempt in &job.attempts {
                 if self.is_cut_by_stop(attempt, starts) {
-                    let details = format!("{} cut at node {}", job.id, attempt.node);
+                    let details =
+                        format!("request for job {} cut at node {}", job.id, attempt.node);
                     self.add_violation(SoakInvariant::Stop, details);
                 }
             }
@@ -251,7 +258,7 @@
                     )
                 {
                     let details = format!(
-                        "{} started on worker instance {} at {:?}",
+                        "task {} started on worker instance {} at {:?}",
                         run.task, run.instance, run.began
                     );
                     self.add_violation(SoakInvariant::Drain, details);
@@ -271,7 +278,10 @@
                 continue;
             }
             if probe.version <= *newest {
-                let details = format!("node {} lost version {}", probe.node, probe.version);
+                let details = format!(
+                    "node {} no longer has the route of version {}",
+                    probe.node, probe.version
+                );
                 self.add_violation(SoakInvariant::ConfigBack, details);
                 continue;
             }
@@ -282,7 +292,10 @@
                     .record
                     .is_node_undisturbed(probe.node, from, probe.asked)
             {
-                let details = format!("node {} without version {}", probe.node, probe.version);
+                let details = format!(
+                    "node {} does not have the route of version {}",
+                    probe.node, probe.version
+                );
                 self.add_violation(SoakInvariant::Config, details);
             }
         }
@@ -311,7 +324,7 @@
     }
 }
 
-/// Returns whether the status says that no part of the job has run or will run.
+/// Returns whether the answer means that no part of the job has run or will run.
 fn is_refusal(end: AttemptEnd) -> bool {
     matches!(end, AttemptEnd::Answered(404 | 429 | 503))
 }
--- a/crates/soak/src/customers.rs
+++ b/crates/soak/src/customers.rs
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Asks a node whether it knows the route added by `version`. Returns `None` if the answer does not tell.
+    /// Asks a node whether it knows the route added by `version`. Returns `None` if the answer does not show it.
     pub(crate) async fn probe(&self, node: usize, version: u64) -> Option<bool> {
         let prefix = added_prefix(version);
         let request = self.clients[node][0]
