--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -16,14 +16,14 @@
 /// The longest that a planned stop takes, including the restart.
 const STOP_TIME: Duration = Duration::from_millis(7_500);
 
-/// How long a worker keeps serving after it was announced as draining.
+/// How long a worker keeps serving after its store entry was set to `draining`.
 const DRAIN_TIME: Duration = Duration::from_millis(3_500);
 
-/// How long the entry of a crashed worker remains: three heartbeats of the platform, shortened.
-const ENTRY_TIME: Duration = Duration::from_millis(1_500);
+/// How long the store entry of a crashed worker remains: three heartbeats of the platform, shortened.
+const STALE_ENTRY_TIME: Duration = Duration::from_millis(1_500);
 
 /// How long the store entry of a restarted worker still describes the worker before the restart.
-const HEARTBEAT_TIME: Duration = Duration::from_millis(700);
+const ENTRY_UPDATE_TIME: Duration = Duration::from_millis(700);
 
 /// How long it takes until nodes use a newly started worker, and until a newly started node serves.
 const START_TIME: Duration = Duration::from_millis(1_500);
@@ -36,10 +36,10 @@
     WorkerLink(usize, usize),
     Store,
     Worker(usize),
-    RemoveEntry(usize),
+    RemoveStoreEntry(usize),
     FinishDrain(usize),
     StartWorker(usize),
-    WriteEntry(usize),
+    WriteReadyEntry(usize),
 }
 
 /// The records and follow-ups of an injected fault.
@@ -125,11 +125,11 @@
             add_disturbance(
                 FaultScope::Worker(worker),
                 false,
-                length + ENTRY_TIME + START_TIME,
+                length + STALE_ENTRY_TIME + START_TIME,
             );
             if let Some(instance) = fleet.worker_instance(worker) {
                 fleet.crash_worker(worker);
-                follow_ups.push((ENTRY_TIME, FollowUp::RemoveEntry(instance)));
+                follow_ups.push((STALE_ENTRY_TIME, FollowUp::RemoveStoreEntry(instance)));
                 follow_ups.push((length, FollowUp::StartWorker(worker)));
             }
         }
@@ -137,10 +137,10 @@
             add_disturbance(
                 FaultScope::Worker(worker),
                 false,
-                HEARTBEAT_TIME + START_TIME,
+                ENTRY_UPDATE_TIME + START_TIME,
             );
             fleet.restart_worker(worker);
-            follow_ups.push((HEARTBEAT_TIME, FollowUp::WriteEntry(worker)));
+            follow_ups.push((ENTRY_UPDATE_TIME, FollowUp::WriteReadyEntry(worker)));
         }
         FaultKind::Drain(worker) => {
             if let Some(instance) = fleet.worker_instance(worker) {
@@ -176,15 +176,15 @@
         }
         FollowUp::Store => fleet.set_store_fault(StoreFault::None),
         FollowUp::Worker(worker) => fleet.set_worker_fault(worker, ExecutorFault::None),
-        FollowUp::RemoveEntry(instance) => fleet.remove_entry(instance),
+        FollowUp::RemoveStoreEntry(instance) => fleet.remove_store_entry(instance),
         FollowUp::FinishDrain(worker) => {
             if let Some(instance) = fleet.worker_instance(worker) {
                 fleet.crash_worker(worker);
-                fleet.remove_entry(instance);
+                fleet.remove_store_entry(instance);
             }
         }
         FollowUp::StartWorker(worker) => fleet.start_worker(worker).await?,
-        FollowUp::WriteEntry(worker) => fleet.write_ready_entry(worker),
+        FollowUp::WriteReadyEntry(worker) => fleet.write_ready_entry(worker),
     }
     Ok(())
 }
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -343,12 +343,12 @@
         }
     }
 
-    /// Writes the `ready` entry of a worker to the store.
+    /// Sets the store entry of a worker to `ready`.
     pub(crate) fn write_ready_entry(&self, worker: usize) {
-        self.write_entry(worker, "ready");
+        self.write_store_entry(worker, "ready");
     }
 
-    fn write_entry(&self, worker: usize, state: &str) {
+    fn write_store_entry(&self, worker: usize, state: &str) {
         let instance = &self.workers[worker];
         if let Some(stand_in) = &instance.stand_in {
             let entry = stand_in.entry(SERVICE, data_centre(worker), state);
@@ -358,13 +358,13 @@
     }
 
     /// Removes the entry of a worker that has ended.
-    pub(crate) fn remove_entry(&self, instance: usize) {
+    pub(crate) fn remove_store_entry(&self, instance: usize) {
         self.store.remove("servers", &instance_id(instance));
     }
 
-    /// Announces in its entry that a worker is draining.
+    /// Sets the store entry of a worker to `draining`.
     pub(crate) fn announce_draining(&self, worker: usize) {
-        self.write_entry(worker, "draining");
+        self.write_store_entry(worker, "draining");
     }
 
     /// Starts a new instance of a worker, under a new id, unless the worker is running.
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -64,7 +64,8 @@
     Crash(usize, Duration),
     /// Restarts a worker at once under the same id.
     StartAgain(usize),
-    /// Announces that a worker is draining, then stops it; a new one under another id replaces it later.
+    /// Sets the store entry of a worker to `draining`, then stops the worker; a new one under another id replaces it
+    /// later.
     Drain(usize),
     /// Adds a route to the configuration.
     Configure,
