--- a/crates/cairnctl/src/explain.rs
+++ b/crates/cairnctl/src/explain.rs
@@ -35,11 +35,11 @@
     let id = options
         .id
         .as_deref()
-        .ok_or_else(|| eyre!("name the submission ID"))?;
+        .ok_or_else(|| eyre!("no submission ID given"))?;
     Ok(id.parse()?)
 }
 
-/// Builds the query. The options must give exactly one of an id and the lists.
+/// Builds the query. The options must give exactly one of a job id and a list of jobs.
 fn log_query(options: &ExplainOptions) -> Result<LogQuery, Report> {
     let mut queries = Vec::new();
     queries.extend(options.id.clone().map(LogQuery::Job));
@@ -49,7 +49,7 @@
     match queries.len() {
         1 => Ok(queries.remove(0)),
         _ => Err(eyre!(
-            "name one of a job's ID, --slowest, --failed and --reason"
+            "give exactly one of a job ID, --slowest, --failed and --reason"
         )),
     }
 }
--- a/crates/cairnctl/src/main.rs
+++ b/crates/cairnctl/src/main.rs
@@ -41,7 +41,7 @@
     }
     let allows_several = matches!(options.command, CtlCommand::Load(_));
     if entries.len() > 1 && !allows_several {
-        let fault = eyre::eyre!("only load takes several entries");
+        let fault = eyre::eyre!("only `cairnctl load` accepts several --entry options");
         return Err(CommandError::UsageError(fault));
     }
     let client = EntryClient::new(entries[0]);
--- a/crates/cairnctl/src/options.rs
+++ b/crates/cairnctl/src/options.rs
@@ -10,11 +10,11 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version, footer(EXAMPLES), generate(ctl_options))]
 pub(crate) struct CtlOptions {
-    /// Print JSON for programs in place of text for people
+    /// Print JSON instead of text
     pub(crate) json: bool,
-    /// After an error, print the whole report
+    /// After an error, print its causes on separate lines
     pub(crate) verbose: bool,
-    /// Any entry's address, as IP and port, 127.0.0.1:8080 without it; `load` takes several
+    /// Address of an entry, as IP:PORT; 127.0.0.1:8080 by default. Only `load` accepts several
     #[bpaf(argument("ADDRESS"), many)]
     pub(crate) entry: Vec<SocketAddr>,
     #[bpaf(external(ctl_command))]
@@ -36,10 +36,10 @@
     /// Check a settings file without starting anything
     #[bpaf(command("check-settings"))]
     CheckSettings {
-        /// The role that the file is for; without it, any will do
+        /// Role that the settings are for; by default, they must be valid for any one role
         #[bpaf(argument("ROLE"), optional)]
         role: Option<RoleName>,
-        /// The settings, a JSON file
+        /// JSON file with the settings
         #[bpaf(positional("FILE"), complete_shell(ShellComp::File { mask: Some("*.json") }))]
         file: PathBuf,
     },
@@ -55,71 +55,71 @@
     /// Print the JSON schema of a role's settings
     #[bpaf(command("schema"))]
     Schema {
-        /// entry, dispatcher or node
+        /// Role: entry, dispatcher or node
         #[bpaf(positional("ROLE"))]
         role: RoleName,
     },
 }
 
-/// What is to be explained, and from where.
+/// The submission or job to explain, or the jobs to list.
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) struct ExplainOptions {
-    /// A node's log; may be given again. Without it, an entry is asked
+    /// Log file of a node; may be repeated. Without it, the history is read from the entry
     #[bpaf(argument("FILE"), many, complete_shell(ShellComp::File { mask: None }))]
     pub(crate) logs: Vec<PathBuf>,
-    /// List the N jobs that took longest, from the logs
+    /// List the N jobs in the logs that took longest
     #[bpaf(argument("N"), optional)]
     pub(crate) slowest: Option<usize>,
-    /// List the jobs that were not completed, from the logs
+    /// List the jobs in the logs that were not completed
     pub(crate) failed: bool,
-    /// List the jobs that were refused for this reason, from the logs
+    /// List the jobs in the logs that were refused for this reason
     #[bpaf(argument("REASON"), optional)]
     pub(crate) reason: Option<String>,
-    /// The submission, as its answer named it, or with --logs the job's id
+    /// Id of the submission, from its answer; with --logs, id of the job
     #[bpaf(positional("ID"), optional)]
     pub(crate) id: Option<String>,
 }
 
-/// What is to be done with contracts.
+/// The contract command to run.
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) enum ContractCommand {
     /// Create the contract of a customer that has none
     #[bpaf(command("create"))]
     Create {
-        /// The contract, a JSON file, or - for standard input
+        /// JSON file with the contract, or - for standard input
         #[bpaf(argument("FILE"), complete_shell(ShellComp::File { mask: Some("*.json") }))]
         file: PathBuf,
-        /// The customer
+        /// Id of the customer
         #[bpaf(positional("CUSTOMER"))]
         customer: CustomerId,
     },
     /// Change a contract; refused if another operator has changed it since
     #[bpaf(command("change"))]
     Change {
-        /// The version that the change starts from, as `show` prints it
+        /// Version that is changed, as printed by `contract show`
         #[bpaf(argument("VERSION"))]
         version: ContractVersion,
-        /// The fields to change, a JSON file, or - for standard input; the others stay
+        /// JSON file with the fields to change, or - for standard input; other fields keep their values
         #[bpaf(argument("FILE"), complete_shell(ShellComp::File { mask: Some("*.json") }))]
         file: PathBuf,
-        /// The customer
+        /// Id of the customer
         #[bpaf(positional("CUSTOMER"))]
         customer: CustomerId,
     },
     /// Retire a contract: new work is refused, accepted work is answered
     #[bpaf(command("retire"))]
     Retire {
-        /// The version to retire, as `show` prints it
+        /// Version that is retired, as printed by `contract show`
         #[bpaf(argument("VERSION"))]
         version: ContractVersion,
-        /// The customer
+        /// Id of the customer
         #[bpaf(positional("CUSTOMER"))]
         customer: CustomerId,
     },
     /// Show the contract of a customer
     #[bpaf(command("show"))]
     Show {
-        /// The customer
+        /// Id of the customer
         #[bpaf(positional("CUSTOMER"))]
         customer: CustomerId,
     },
@@ -129,7 +129,7 @@
     /// Show what each change of a contract changed
     #[bpaf(command("history"))]
     History {
-        /// The customer
+        /// Id of the customer
         #[bpaf(positional("CUSTOMER"))]
         customer: CustomerId,
     },
@@ -138,37 +138,37 @@
 /// The load to send.
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) struct LoadOptions {
-    /// A dispatcher's admin address, for its counters; may be given again
+    /// Admin address of a dispatcher whose counters are read; may be repeated
     #[bpaf(argument("ADDRESS"), many)]
     pub(crate) dispatcher_admin: Vec<SocketAddr>,
-    /// An endpoint stand-in's address, for its starts; may be given again
+    /// Address of an endpoint stand-in whose task starts are read; may be repeated
     #[bpaf(argument("ADDRESS"), many)]
     pub(crate) endpoint: Vec<SocketAddr>,
-    /// Whose load: trust or utility
+    /// Load shape: trust or utility
     #[bpaf(argument("SHAPE"), fallback(LoadShape::Trust), display_fallback)]
     pub(crate) shape: LoadShape,
-    /// The same seed plans the same calls
+    /// Seed of the load plan; the same seed gives the same calls
     #[bpaf(argument("SEED"), fallback(1), display_fallback)]
     pub(crate) seed: u64,
-    /// Task starts a second; without it, --percent counts
+    /// Task starts per second; overrides --percent
     #[bpaf(argument("RATE"), optional)]
     pub(crate) rate: Option<f64>,
-    /// The load as a percentage of what --slots can run
+    /// Load as a percentage of what --slots can run
     #[bpaf(argument("PERCENT"), fallback(50.0), display_fallback)]
     pub(crate) percent: f64,
-    /// The slots of all endpoints
+    /// Number of slots of all endpoints together
     #[bpaf(argument("COUNT"), optional)]
     pub(crate) slots: Option<u32>,
-    /// How long calls are sent
+    /// How long calls are sent, in seconds
     #[bpaf(argument("SECONDS"), fallback(10), display_fallback)]
     pub(crate) seconds: u64,
-    /// How many customers call: PREFIX-1, PREFIX-2 and so on, each with a contract
+    /// Number of customers that submit calls: PREFIX-1, PREFIX-2 and so on; each must have a contract
     #[bpaf(argument("COUNT"), fallback(3), display_fallback)]
     pub(crate) customers: usize,
-    /// What the customers' names begin with
+    /// Prefix of the customer ids
     #[bpaf(argument("PREFIX"), fallback("customer".to_owned()), display_fallback)]
     pub(crate) prefix: String,
-    /// Ten times the rate in a tenth of the run, as in the morning rush
+    /// Send ten times the rate during a tenth of the run, as in a morning rush
     pub(crate) burst: bool,
     /// Draw the response curves into this SVG file
     #[bpaf(argument("FILE"), optional)]
@@ -178,32 +178,33 @@
 /// The stand-in to run.
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) enum StandInCommand {
-    /// The table service, the object store and the VM list
+    /// The platform: its table service, object store and VM list
     #[bpaf(command("platform"))]
     Platform {
-        /// Where to listen, as IP and port
+        /// Address to listen on, as IP:PORT
         #[bpaf(argument("ADDRESS"), fallback(default_platform()), display_fallback)]
         listen: SocketAddr,
-        /// The VM list, a JSON file
+        /// JSON file with the VM list
         #[bpaf(argument("FILE"), complete_shell(ShellComp::File { mask: Some("*.json") }))]
         vms: PathBuf,
     },
     /// An endpoint that answers each task with its payload
     #[bpaf(command("endpoint"))]
     Endpoint {
-        /// Where to listen, as IP and port
+        /// Address to listen on, as IP:PORT
         #[bpaf(argument("ADDRESS"))]
         listen: SocketAddr,
-        /// Tasks at once
+        /// Number of slots, which is the most tasks that run at once
         #[bpaf(argument("COUNT"), fallback(8), display_fallback)]
         slots: u32,
-        /// How long a task runs, in milliseconds
+        /// Run time of a task whose payload sets none, in milliseconds
         #[bpaf(argument("MS"), fallback(100), display_fallback)]
         run_ms: u64,
-        /// How many to run in this process, at ports that follow each other; their names then end in -1, -2 and so on
+        /// Number of endpoints to run in this process, on consecutive ports; if more than one, -1, -2 and so on is appended
+        /// to the id
         #[bpaf(argument("COUNT"), fallback(1), display_fallback)]
         count: u16,
-        /// Its name in the VM list
+        /// Id of the endpoint in the VM list
         #[bpaf(positional("ID"))]
         id: EndpointId,
     },
