--- a/crates/cairnctl/src/explain_logs.rs
+++ b/crates/cairnctl/src/explain_logs.rs
@@ -48,7 +48,7 @@
 /// One event line of a log.
 struct LogLine {
     node: String,
-    at: u64,
+    at_ms: u64,
     value: Value,
 }
 
@@ -99,7 +99,7 @@
             lines.extend(read_line(&name, line));
         }
     }
-    lines.sort_by_key(|line| line.at);
+    lines.sort_by_key(|line| line.at_ms);
     Ok(lines)
 }
 
@@ -109,8 +109,8 @@
     let (before, json) = line.split_at(line.find(r#"{"at_ms""#)?);
     let value: Value = serde_json::from_str(json).ok()?;
     let node = before.split_whitespace().last().unwrap_or(file).to_owned();
-    let at = value["at_ms"].as_u64()?;
-    Some(LogLine { node, at, value })
+    let at_ms = value["at_ms"].as_u64()?;
+    Some(LogLine { node, at_ms, value })
 }
 
 fn job_events<'a>(lines: &'a [LogLine], job: &str) -> Result<Vec<&'a LogLine>, CommandError> {
@@ -120,18 +120,18 @@
             "no line of job {job} in these logs"
         )));
     };
-    let from = first.at.saturating_sub(CONTEXT_MS);
-    let to = last.at + CONTEXT_MS;
+    let from = first.at_ms.saturating_sub(CONTEXT_MS);
+    let to = last.at_ms + CONTEXT_MS;
     let nodes: Vec<&str> = own.iter().map(|line| line.node.as_str()).collect();
     let workers: Vec<&str> = own.iter().map(|line| line.text("worker")).collect();
     let is_relevant = |line: &&LogLine| {
-        let about = line.text("worker");
-        let known = about.is_empty() || workers.contains(&about);
+        let worker = line.text("worker");
+        let is_own_worker = worker.is_empty() || workers.contains(&worker);
         line.belongs_to(job)
-            || (from..=to).contains(&line.at)
+            || (from..=to).contains(&line.at_ms)
                 && nodes.contains(&line.node.as_str())
                 && CONTEXT_EVENTS.contains(&line.event())
-                && known
+                && is_own_worker
     };
     Ok(lines.iter().filter(is_relevant).collect())
 }
@@ -155,15 +155,15 @@
 
 fn events_text(lines: &Value) -> String {
     let lines = lines.as_array().map(Vec::as_slice).unwrap_or_default();
-    let begin = lines
+    let begin_ms = lines
         .first()
         .and_then(|line| line["at_ms"].as_u64())
         .unwrap_or(0);
     let mut rows = Vec::new();
     for line in lines {
-        let at = line["at_ms"].as_u64().unwrap_or(begin);
+        let at_ms = line["at_ms"].as_u64().unwrap_or(begin_ms);
         rows.push(vec![
-            format!("{:>7} ms", at.saturating_sub(begin)),
+            format!("{:>7} ms", at_ms.saturating_sub(begin_ms)),
             cell(&line["node"]),
             cell(&line["event"]),
             fields(line),
