--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -472,8 +472,9 @@
     format!("node-{number}")
 }
 
-fn instance_id(instance: usize) -> String {
-    format!("i-{instance}")
+/// Returns the id under which a worker instance, given by its number, is listed in the store.
+fn instance_id(life: usize) -> String {
+    format!("i-{life}")
 }
 
 fn store_link(node: usize) -> String {
