--- a/crates/stand-ins/src/endpoint/mod.rs
+++ b/crates/stand-ins/src/endpoint/mod.rs
@@ -28,7 +28,7 @@
 pub struct EndpointSettings {
     /// The id of the endpoint in the VM list.
     pub id: EndpointId,
-    /// The address to listen on; with port 0 the system chooses a port.
+    /// The address to listen on; with port 0 the operating system chooses a port.
     pub address: SocketAddr,
     /// The most concurrent tasks; further ones are answered `busy`.
     pub slots: u32,
--- a/crates/stand-ins/src/forwarder/shared.rs
+++ b/crates/stand-ins/src/forwarder/shared.rs
@@ -88,9 +88,9 @@
 
 /// Waits until the sender of a flow is dropped. Those of all flows are dropped together.
 async fn wait_for_close(flows: &FastMap<String, SourceFlow>) {
-    let Some(one) = flows.values().next() else {
+    let Some(source_flow) = flows.values().next() else {
         return std::future::pending().await;
     };
-    let mut flow = one.flow.clone();
+    let mut flow = source_flow.flow.clone();
     while flow.changed().await.is_ok() {}
 }
--- a/crates/stand-ins/src/platform/mod.rs
+++ b/crates/stand-ins/src/platform/mod.rs
@@ -36,7 +36,7 @@
 /// Settings of a [`PlatformStandIn`].
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
-    /// The address to listen on; with port 0 the system chooses a port.
+    /// The address to listen on; with port 0 the operating system chooses a port.
     pub address: SocketAddr,
     /// How long reads and writes take.
     pub times: ServiceTimes,
--- a/crates/stand-ins/tests/forwarder.rs
+++ b/crates/stand-ins/tests/forwarder.rs
@@ -271,9 +271,9 @@
     assert_eq!(error, UnknownLink("a-x".to_owned()));
 }
 
-// Everybody knows a dispatcher by the same address, yet a partition may separate only two dispatchers. So with two
-// sources that connect to one address, a cut of the link of one must silence its open and new connections until the
-// link heals, and must not affect those of the other.
+// All processes use the same address for a dispatcher, but a partition may separate only two dispatchers. So with two
+// sources that connect to one address, a cut of the link of one source must silence its open and new connections until
+// the link heals, and must not affect the connections of the other source.
 #[actix_rt::test]
 async fn shared_links_are_cut_by_source() {
     let forwarder = NetForwarder::start().unwrap();
