--- a/xtask/src/fleet.rs
+++ b/xtask/src/fleet.rs
@@ -170,7 +170,7 @@
         while http::status(&self.client, self.platform, "/control/stats").await != Some(200) {
             ensure!(
                 Instant::now() < deadline,
-                "the platform stand-in does not answer"
+                "the platform stand-in does not answer within {READY_TIMEOUT:?}"
             );
             actix_rt::time::sleep(POLL_INTERVAL).await;
         }
@@ -309,7 +309,7 @@
             while !self.has_version(entry, customer, version).await? {
                 ensure!(
                     started.elapsed() < READY_TIMEOUT,
-                    "the contract of {customer} is not in force in time"
+                    "version {version} of the contract of {customer} is not in force at {entry} within {READY_TIMEOUT:?}"
                 );
                 actix_rt::time::sleep(Duration::from_millis(10)).await;
             }
@@ -380,7 +380,10 @@
         .args(["build", "--release", "--locked", "-j6"])
         .args(["-p", "cairnpaddle", "-p", "cairnctl"])
         .status()?;
-    ensure!(status.success(), "cannot build the programs");
+    ensure!(
+        status.success(),
+        "cargo build of cairnpaddle and cairnctl failed: {status}"
+    );
     Ok(())
 }
 
--- a/xtask/src/ports.rs
+++ b/xtask/src/ports.rs
@@ -4,8 +4,8 @@
 
 use eyre::{eyre, Result};
 
-/// First port to try. The range lies below the ports that the system gives to outgoing connections, which could
-/// otherwise take a port between the check and the start of its process.
+/// Lowest port to try. The range lies below the ports that the operating system gives to outgoing connections, which
+/// could otherwise take a port between the check and the start of its process.
 const LOWEST_PORT: u16 = 12_000;
 const HIGHEST_PORT: u16 = 30_000;
 
@@ -42,6 +42,8 @@
                 return Ok(SocketAddr::from((Ipv4Addr::LOCALHOST, first)));
             }
         }
-        Err(eyre!("there are no {count} consecutive free ports"))
+        Err(eyre!(
+            "no {count} consecutive free ports were found below port {HIGHEST_PORT}"
+        ))
     }
 }
--- a/xtask/src/slopes.rs
+++ b/xtask/src/slopes.rs
@@ -1,6 +1,6 @@
 //! Measures how processor time, memory and network traffic of an entry and a dispatcher grow, with one table for each
-//! parameter, on real processes. The system counts processor time and memory per process, so a busy machine lengthens
-//! responses but hardly changes these figures.
+//! parameter, on real processes. The operating system counts processor time and memory per process, so a busy
+//! machine lengthens responses but hardly changes these figures.
 
 use std::{
     collections::BTreeMap,
@@ -341,8 +341,8 @@
     Ok(rows)
 }
 
-/// Bytes exchanged between entries and dispatchers, entries and the platform, dispatchers and all peers, and
-/// dispatchers and the platform.
+/// Bytes exchanged so far between entries and dispatchers, entries and the platform, dispatchers and all peers, and
+/// dispatchers and the platform, in this order.
 fn read_link_bytes(fleet: &ProcessFleet) -> Result<[f64; 4]> {
     let mut bytes = [0.0; 4];
     let (entries, dispatchers) = (fleet.entry_pids(), fleet.dispatcher_pids());
--- a/xtask/src/usage.rs
+++ b/xtask/src/usage.rs
@@ -1,4 +1,4 @@
-//! Processor time, memory and network traffic of processes, as counted by the system.
+//! Processor time, memory and network traffic of processes, as counted by the operating system.
 
 use std::{collections::HashSet, fs, process::Command};
 
