--- a/crates/load/src/driver.rs
+++ b/crates/load/src/driver.rs
@@ -115,7 +115,8 @@
     Ok((LoadReport::new(&input), input.calls))
 }
 
-/// Builds a client without a connection limit. A call that waited for a free connection would make the loop closed.
+/// Builds a client without a connection limit. If calls waited for a free connection, the load would no longer be
+/// open-loop.
 fn build_client(answer_timeout: Duration) -> Client {
     let connector = Connector::new().limit(0).conn_keep_alive(KEEP_ALIVE);
     Client::builder()
--- a/crates/load/src/starts.rs
+++ b/crates/load/src/starts.rs
@@ -20,7 +20,8 @@
     pub customer: CustomerId,
     /// Start time in milliseconds, on one timeline for all endpoints.
     pub from_ms: i64,
-    /// End time in milliseconds, on the same timeline.
+    /// End time in milliseconds, on the same timeline. For starts read from an endpoint it is the start time plus the
+    /// run time that the payload sets.
     pub to_ms: i64,
 }
 
--- a/crates/telemetry/src/explain/event.rs
+++ b/crates/telemetry/src/explain/event.rs
@@ -74,7 +74,7 @@
     },
     /// The caller cancelled the submission.
     Cancelled,
-    /// The only answer to the caller was given.
+    /// The caller was answered. A submission has only one answer.
     Answered {
         /// The outcome in the answer.
         #[serde(flatten)]
--- a/crates/telemetry/tests/limiter.rs
+++ b/crates/telemetry/tests/limiter.rs
@@ -49,7 +49,8 @@
     assert!(limiter.take_all_counts().is_empty());
 }
 
-/// No count may be lost while the clock stands still, nor for a call site that never logs again.
+/// Beyond the maximum number of call sites, further ones share one limit. Every suppressed message must still be
+/// counted, also while the clock stands still and for a call site that never logs again.
 #[test]
 fn call_sites_beyond_the_bound_share_one_limit() {
     let mut limiter = LogLimiter::new(1);
