--- a/crates/cairnctl/src/contract.rs
+++ b/crates/cairnctl/src/contract.rs
@@ -109,7 +109,7 @@
 
 /// Changes a contract and returns the new version.
 ///
-/// The answer can be lost after the write may have taken effect. The operator then cannot tell whether the change is
+/// The answer can be lost after the write may have taken effect. The operator then does not know whether the change is
 /// in force, and repeating it conflicts with the operator's own change. The precondition leaves only one version that
 /// the change can have written, so the change has succeeded if that version is in force with the content that was
 /// sent. Any other state is reported as unknown, never as "not changed", since the write may still take effect.
--- a/crates/cairnctl/tests/commands.rs
+++ b/crates/cairnctl/tests/commands.rs
@@ -77,7 +77,7 @@
     .concat());
 }
 
-/// Two operators change a contract at once. The losing one must be told that nothing was changed, whether the program
+/// Two operators change a contract at once. The losing operator must see that nothing was changed, whether the program
 /// sees the other change before it sends its own or only by the entry's refusal.
 #[test]
 fn a_conflicting_change_changes_nothing() {
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -104,7 +104,7 @@
 /// One step of a scenario.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// Starts processes and waits until they are ready, unless told not to.
+    /// Starts processes and waits until they are ready, unless `unready` is set.
     Start {
         /// The processes to start.
         target: ProcessTarget,
