--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -32,10 +32,10 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum FollowUp {
     Thaw(usize),
-    StoreLink(usize),
-    WorkerLink(usize, usize),
-    Store,
-    Worker(usize),
+    HealStoreLink(usize),
+    HealWorkerLink(usize, usize),
+    HealStore,
+    HealWorker(usize),
     RemoveStoreEntry(usize),
     FinishDrain(usize),
     StartWorker(usize),
@@ -95,17 +95,17 @@
         FaultKind::StoreLink(node, mode, length) => {
             add_disturbance(FaultScope::Node(node), false, length);
             fleet.set_store_link(node, mode).await;
-            follow_ups.push((length, FollowUp::StoreLink(node)));
+            follow_ups.push((length, FollowUp::HealStoreLink(node)));
         }
         FaultKind::WorkerLink(worker, node, mode, length) => {
             add_disturbance(FaultScope::Worker(worker), false, length);
             fleet.set_worker_link(worker, node, mode).await;
-            follow_ups.push((length, FollowUp::WorkerLink(worker, node)));
+            follow_ups.push((length, FollowUp::HealWorkerLink(worker, node)));
         }
         FaultKind::Store(fault, length) => {
             add_disturbance(FaultScope::Store, false, length);
             fleet.set_store_fault(fault);
-            follow_ups.push((length, FollowUp::Store));
+            follow_ups.push((length, FollowUp::HealStore));
         }
         FaultKind::Forget => {
             add_disturbance(FaultScope::Store, false, Duration::ZERO);
@@ -119,7 +119,7 @@
                 length + Duration::from_secs(2),
             );
             fleet.set_worker_fault(worker, fault);
-            follow_ups.push((length, FollowUp::Worker(worker)));
+            follow_ups.push((length, FollowUp::HealWorker(worker)));
         }
         FaultKind::Crash(worker, length) => {
             add_disturbance(
@@ -170,12 +170,12 @@
 ) -> Result<(), SoakError> {
     match follow_up {
         FollowUp::Thaw(node) => fleet.signal_node(node, ChildSignal::Thaw)?,
-        FollowUp::StoreLink(node) => fleet.set_store_link(node, LinkMode::Pass).await,
-        FollowUp::WorkerLink(worker, node) => {
+        FollowUp::HealStoreLink(node) => fleet.set_store_link(node, LinkMode::Pass).await,
+        FollowUp::HealWorkerLink(worker, node) => {
             fleet.set_worker_link(worker, node, LinkMode::Pass).await;
         }
-        FollowUp::Store => fleet.set_store_fault(StoreFault::None),
-        FollowUp::Worker(worker) => fleet.set_worker_fault(worker, ExecutorFault::None),
+        FollowUp::HealStore => fleet.set_store_fault(StoreFault::None),
+        FollowUp::HealWorker(worker) => fleet.set_worker_fault(worker, ExecutorFault::None),
         FollowUp::RemoveStoreEntry(instance) => fleet.remove_store_entry(instance),
         FollowUp::FinishDrain(worker) => {
             if let Some(instance) = fleet.worker_instance(worker) {
