--- a/crates/scenario/src/runner/expectations.rs
+++ b/crates/scenario/src/runner/expectations.rs
@@ -9,7 +9,7 @@
     script::{ChangeStatus, CountBound, Expectation, ExpectedAnswer, Label},
 };
 
-/// How long after the deadline an `expect` step still waits for an answer. The promise check reports that it was late.
+/// How long after the deadline an `expect` step still waits for an answer. The invariant checks report late answers.
 const ANSWER_GRACE: Duration = Duration::from_secs(5);
 /// How long an `expect` step waits for the outcome of an operator's change.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(20);
@@ -84,13 +84,13 @@
             .iter()
             .chain(&second)
             .filter_map(|record| record.answer.as_ref());
-        let Some(one) = answers.next() else {
+        let Some(reference) = answers.next() else {
             return Err(StepError::Unexpected("no answers".to_owned()));
         };
         for other in answers {
-            if (one.status, &one.results) != (other.status, &other.results) {
-                let (one, other) = (describe(one), describe(other));
-                return Err(StepError::Unexpected(format!("{one} and {other}")));
+            if (reference.status, &reference.results) != (other.status, &other.results) {
+                let (reference, other) = (describe(reference), describe(other));
+                return Err(StepError::Unexpected(format!("{reference} and {other}")));
             }
         }
         Ok(())
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -1,4 +1,4 @@
-//! Checks the promises against the record of what customers and workers observed. Time limits apply only while no
+//! Checks the invariants against the record of what customers and workers observed. Time limits apply only while no
 //! fault is active nearby.
 
 use std::{fmt, time::Duration};
@@ -40,15 +40,15 @@
 const RECOVERY_LIMIT: Duration = Duration::from_secs(6);
 
 text_enum! {
-    /// A promise of the system.
-    Promise, "promise", UnknownVariant {
+    /// An invariant of the system. A violation is reported under the text of its variant.
+    SoakInvariant, "promise", UnknownVariant {
         /// A worker never has more concurrent runs than fit.
         Room => "room",
         /// A task never has two concurrent runs.
         Twice => "twice",
         /// A job is reported as completed only after all its tasks were done.
         Completed => "completed",
-        /// No task runs of a job that was refused, which tells the customer that nothing was run.
+        /// No task of a refused job runs: the customer takes a refusal to mean that nothing was run.
         Refused => "refused",
         /// Each answer arrives before its deadline.
         InTime => "in_time",
@@ -67,24 +67,24 @@
     }
 }
 
-/// A violation of a promise.
+/// A violation of an invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PromiseViolation {
-    /// The violated promise.
-    pub promise: Promise,
+pub struct InvariantViolation {
+    /// The violated invariant.
+    pub invariant: SoakInvariant,
     /// What was observed.
     pub details: String,
 }
 
-impl fmt::Display for PromiseViolation {
+impl fmt::Display for InvariantViolation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.promise, self.details)
+        write!(f, "{}: {}", self.invariant, self.details)
     }
 }
 
-/// Checks all promises and returns their violations.
-pub fn check_promises(record: &SoakRecord) -> Vec<PromiseViolation> {
-    let mut checker = PromiseChecker {
+/// Checks all invariants and returns their violations.
+pub fn check_invariants(record: &SoakRecord) -> Vec<InvariantViolation> {
+    let mut checker = InvariantChecker {
         record,
         violations: Vec::new(),
     };
@@ -99,24 +99,32 @@
     checker.violations
 }
 
-struct PromiseChecker<'a> {
+struct InvariantChecker<'a> {
     record: &'a SoakRecord,
-    violations: Vec<PromiseViolation>,
+    violations: Vec<InvariantViolation>,
 }
 
-impl PromiseChecker<'_> {
-    fn add_violation(&mut self, promise: Promise, details: String) {
-        self.violations.push(PromiseViolation { promise, details });
+impl InvariantChecker<'_> {
+    fn add_violation(&mut self, invariant: SoakInvariant, details: String) {
+        self.violations
+            .push(InvariantViolation { invariant, details });
     }
 
     fn check_worker_capacity(&mut self) {
         for run in &self.record.runs {
-            let on_worker = self.record.runs.iter().filter(|r| r.life == run.life);
+            let on_worker = self
+                .record
+                .runs
+                .iter()
+                .filter(|r| r.instance == run.instance);
             let concurrent = on_worker.filter(|r| r.began <= run.began && !has_ended(r, run.began));
             let count = concurrent.count();
             if count > MAX_WORKER_RUNS {
-                let details = format!("{count} runs on life {} at {:?}", run.life, run.began);
-                self.add_violation(Promise::Room, details);
+                let details = format!(
+                    "{count} concurrent runs on worker instance {} at {:?}",
+                    run.instance, run.began
+                );
+                self.add_violation(SoakInvariant::Room, details);
             }
         }
     }
@@ -131,10 +139,10 @@
             for pair in runs.windows(2) {
                 if !has_ended(pair[0], pair[1].began + CLOCK_SLACK) {
                     let details = format!(
-                        "{task} as {} and {} at {:?}",
+                        "task {task} in runs {} and {} at {:?}",
                         pair[0].run, pair[1].run, pair[1].began
                     );
-                    self.add_violation(Promise::Twice, details);
+                    self.add_violation(SoakInvariant::Twice, details);
                 }
             }
         }
@@ -158,11 +166,11 @@
     fn check_job(&mut self, job: &JobTrace, done: usize, begun: bool) {
         let completed = job.ended_with(200);
         if completed && done < job.tasks as usize {
-            let details = format!("{} with {done} of {} tasks done", job.id, job.tasks);
-            self.add_violation(Promise::Completed, details);
+            let details = format!("job {} with {done} of {} tasks done", job.id, job.tasks);
+            self.add_violation(SoakInvariant::Completed, details);
         }
         if begun && job.attempts.iter().all(|attempt| is_refusal(attempt.end)) {
-            self.add_violation(Promise::Refused, format!("{} ran", job.id));
+            self.add_violation(SoakInvariant::Refused, format!("job {} ran", job.id));
         }
         for attempt in &job.attempts {
             let took = attempt.ended - attempt.sent;
@@ -173,8 +181,11 @@
                     .record
                     .is_node_undisturbed(attempt.node, from, attempt.ended)
             {
-                let details = format!("{} by node {} after {took:?}", job.id, attempt.node);
-                self.add_violation(Promise::InTime, details);
+                let details = format!(
+                    "request for job {} to node {} ended after {took:?}",
+                    job.id, attempt.node
+                );
+                self.add_violation(SoakInvariant::InTime, details);
             }
         }
     }
@@ -188,8 +199,11 @@
         for run in &self.record.runs {
             let ended = last_ends.get(&run.task.job).copied();
             if ended.is_none_or(|ended| run.began > ended + ORPHAN_START_LIMIT) {
-                let details = format!("{} began at {:?}, answered {ended:?}", run.task, run.began);
-                self.add_violation(Promise::Orphan, details);
+                let details = format!(
+                    "task {} began at {:?}, the last request for its job ended at {ended:?}",
+                    run.task, run.began
+                );
+                self.add_violation(SoakInvariant::Orphan, details);
             }
         }
     }
@@ -203,8 +217,9 @@
             let starts = begun.get(&job.id).map_or(&[][..], Vec::as_slice);
             for attempt in &job.attempts {
                 if self.is_cut_by_stop(attempt, starts) {
-                    let details = format!("{} cut at node {}", job.id, attempt.node);
-                    self.add_violation(Promise::Stop, details);
+                    let details =
+                        format!("request for job {} cut at node {}", job.id, attempt.node);
+                    self.add_violation(SoakInvariant::Stop, details);
                 }
             }
         }
@@ -235,15 +250,18 @@
         for drain in &self.record.drains {
             let limit = drain.announced + DRAIN_LIMIT;
             for run in &self.record.runs {
-                let late = run.life == drain.life && run.began > limit;
+                let late = run.instance == drain.instance && run.began > limit;
                 if late
                     && self.record.has_no_unplanned_fault(
                         drain.announced.saturating_sub(FAULT_AFTERMATH),
                         run.began,
                     )
                 {
-                    let details = format!("{} on life {} at {:?}", run.task, run.life, run.began);
-                    self.add_violation(Promise::Drain, details);
+                    let details = format!(
+                        "task {} started on worker instance {} at {:?}",
+                        run.task, run.instance, run.began
+                    );
+                    self.add_violation(SoakInvariant::Drain, details);
                 }
             }
         }
@@ -252,14 +270,19 @@
     fn check_config(&mut self) {
         let mut newest_versions: FastMap<(usize, usize), u64> = FastMap::default();
         for probe in &self.record.probes {
-            let newest = newest_versions.entry((probe.node, probe.life)).or_default();
+            let newest = newest_versions
+                .entry((probe.node, probe.start_count))
+                .or_default();
             if probe.known {
                 *newest = probe.version.max(*newest);
                 continue;
             }
             if probe.version <= *newest {
-                let details = format!("node {} lost version {}", probe.node, probe.version);
-                self.add_violation(Promise::ConfigBack, details);
+                let details = format!(
+                    "node {} no longer has the route of version {}",
+                    probe.node, probe.version
+                );
+                self.add_violation(SoakInvariant::ConfigBack, details);
                 continue;
             }
             let late = probe.asked > probe.written + CONFIG_LIMIT;
@@ -269,8 +292,11 @@
                     .record
                     .is_node_undisturbed(probe.node, from, probe.asked)
             {
-                let details = format!("node {} without version {}", probe.node, probe.version);
-                self.add_violation(Promise::Config, details);
+                let details = format!(
+                    "node {} does not have the route of version {}",
+                    probe.node, probe.version
+                );
+                self.add_violation(SoakInvariant::Config, details);
             }
         }
     }
@@ -286,7 +312,7 @@
         }
         if all == 0 || served * 10 < all * 9 {
             let details = format!("{served} of {all} jobs served");
-            self.add_violation(Promise::Recovery, details);
+            self.add_violation(SoakInvariant::Recovery, details);
         }
     }
 }
@@ -298,7 +324,7 @@
     }
 }
 
-/// Returns whether the status says that no part of the job has run or will run.
+/// Returns whether the answer means that no part of the job has run or will run.
 fn is_refusal(end: AttemptEnd) -> bool {
     matches!(end, AttemptEnd::Answered(404 | 429 | 503))
 }
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -16,14 +16,14 @@
 /// The longest that a planned stop takes, including the restart.
 const STOP_TIME: Duration = Duration::from_millis(7_500);
 
-/// How long a worker keeps serving after it was announced as draining.
+/// How long a worker keeps serving after its store entry was set to `draining`.
 const DRAIN_TIME: Duration = Duration::from_millis(3_500);
 
-/// How long the entry of a crashed worker remains: three heartbeats of the platform, shortened.
-const ENTRY_TIME: Duration = Duration::from_millis(1_500);
+/// How long the store entry of a crashed worker remains: three heartbeats of the platform, shortened.
+const STALE_ENTRY_TIME: Duration = Duration::from_millis(1_500);
 
-/// How long the entry of a restarted worker still describes its former life.
-const HEARTBEAT_TIME: Duration = Duration::from_millis(700);
+/// How long the store entry of a restarted worker still describes the worker before the restart.
+const ENTRY_UPDATE_TIME: Duration = Duration::from_millis(700);
 
 /// How long it takes until nodes use a newly started worker, and until a newly started node serves.
 const START_TIME: Duration = Duration::from_millis(1_500);
@@ -32,14 +32,14 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum FollowUp {
     Thaw(usize),
-    StoreLink(usize),
-    WorkerLink(usize, usize),
-    Store,
-    Worker(usize),
-    RemoveEntry(usize),
+    HealStoreLink(usize),
+    HealWorkerLink(usize, usize),
+    HealStore,
+    HealWorker(usize),
+    RemoveStoreEntry(usize),
     FinishDrain(usize),
     StartWorker(usize),
-    WriteEntry(usize),
+    WriteReadyEntry(usize),
 }
 
 /// The records and follow-ups of an injected fault.
@@ -95,17 +95,17 @@
         FaultKind::StoreLink(node, mode, length) => {
             add_disturbance(FaultScope::Node(node), false, length);
             fleet.set_store_link(node, mode).await;
-            follow_ups.push((length, FollowUp::StoreLink(node)));
+            follow_ups.push((length, FollowUp::HealStoreLink(node)));
         }
         FaultKind::WorkerLink(worker, node, mode, length) => {
             add_disturbance(FaultScope::Worker(worker), false, length);
             fleet.set_worker_link(worker, node, mode).await;
-            follow_ups.push((length, FollowUp::WorkerLink(worker, node)));
+            follow_ups.push((length, FollowUp::HealWorkerLink(worker, node)));
         }
         FaultKind::Store(fault, length) => {
             add_disturbance(FaultScope::Store, false, length);
             fleet.set_store_fault(fault);
-            follow_ups.push((length, FollowUp::Store));
+            follow_ups.push((length, FollowUp::HealStore));
         }
         FaultKind::Forget => {
             add_disturbance(FaultScope::Store, false, Duration::ZERO);
@@ -119,17 +119,17 @@
                 length + Duration::from_secs(2),
             );
             fleet.set_worker_fault(worker, fault);
-            follow_ups.push((length, FollowUp::Worker(worker)));
+            follow_ups.push((length, FollowUp::HealWorker(worker)));
         }
         FaultKind::Crash(worker, length) => {
             add_disturbance(
                 FaultScope::Worker(worker),
                 false,
-                length + ENTRY_TIME + START_TIME,
+                length + STALE_ENTRY_TIME + START_TIME,
             );
-            if let Some(life) = fleet.worker_life(worker) {
+            if let Some(instance) = fleet.worker_instance(worker) {
                 fleet.crash_worker(worker);
-                follow_ups.push((ENTRY_TIME, FollowUp::RemoveEntry(life)));
+                follow_ups.push((STALE_ENTRY_TIME, FollowUp::RemoveStoreEntry(instance)));
                 follow_ups.push((length, FollowUp::StartWorker(worker)));
             }
         }
@@ -137,16 +137,19 @@
             add_disturbance(
                 FaultScope::Worker(worker),
                 false,
-                HEARTBEAT_TIME + START_TIME,
+                ENTRY_UPDATE_TIME + START_TIME,
             );
             fleet.restart_worker(worker);
-            follow_ups.push((HEARTBEAT_TIME, FollowUp::WriteEntry(worker)));
+            follow_ups.push((ENTRY_UPDATE_TIME, FollowUp::WriteReadyEntry(worker)));
         }
         FaultKind::Drain(worker) => {
-            if let Some(life) = fleet.worker_life(worker) {
+            if let Some(instance) = fleet.worker_instance(worker) {
                 fleet.announce_draining(worker);
                 let announced = now;
-                drains.push(DrainTrace { life, announced });
+                drains.push(DrainTrace {
+                    instance,
+                    announced,
+                });
                 follow_ups.push((DRAIN_TIME, FollowUp::FinishDrain(worker)));
                 follow_ups.push((DRAIN_TIME + START_TIME, FollowUp::StartWorker(worker)));
             }
@@ -167,21 +170,21 @@
 ) -> Result<(), SoakError> {
     match follow_up {
         FollowUp::Thaw(node) => fleet.signal_node(node, ChildSignal::Thaw)?,
-        FollowUp::StoreLink(node) => fleet.set_store_link(node, LinkMode::Pass).await,
-        FollowUp::WorkerLink(worker, node) => {
+        FollowUp::HealStoreLink(node) => fleet.set_store_link(node, LinkMode::Pass).await,
+        FollowUp::HealWorkerLink(worker, node) => {
             fleet.set_worker_link(worker, node, LinkMode::Pass).await;
         }
-        FollowUp::Store => fleet.set_store_fault(StoreFault::None),
-        FollowUp::Worker(worker) => fleet.set_worker_fault(worker, ExecutorFault::None),
-        FollowUp::RemoveEntry(life) => fleet.remove_entry(life),
+        FollowUp::HealStore => fleet.set_store_fault(StoreFault::None),
+        FollowUp::HealWorker(worker) => fleet.set_worker_fault(worker, ExecutorFault::None),
+        FollowUp::RemoveStoreEntry(instance) => fleet.remove_store_entry(instance),
         FollowUp::FinishDrain(worker) => {
-            if let Some(life) = fleet.worker_life(worker) {
+            if let Some(instance) = fleet.worker_instance(worker) {
                 fleet.crash_worker(worker);
-                fleet.remove_entry(life);
+                fleet.remove_store_entry(instance);
             }
         }
         FollowUp::StartWorker(worker) => fleet.start_worker(worker).await?,
-        FollowUp::WriteEntry(worker) => fleet.write_ready_entry(worker),
+        FollowUp::WriteReadyEntry(worker) => fleet.write_ready_entry(worker),
     }
     Ok(())
 }
