--- a/crates/model/src/reason.rs
+++ b/crates/model/src/reason.rs
@@ -7,10 +7,10 @@
 
 /// The error for a text that is not the text of any variant of an enum made with [`text_enum!`](crate::text_enum).
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("not a {set}: {text:?}")]
+#[error("not a {expected}: {text:?}")]
 pub struct UnknownVariant {
-    /// What the enum's variants are, for example "refusal reason".
-    pub set: &'static str,
+    /// What the text should name, for example "refusal reason".
+    pub expected: &'static str,
     /// The rejected text.
     pub text: String,
 }
--- a/crates/model/src/text_enum.rs
+++ b/crates/model/src/text_enum.rs
@@ -1,13 +1,13 @@
 //! A macro for enums whose variants each have one stable text.
 
 /// Defines an enum whose variants each have one stable text, which is used in answers to callers, metric labels, logs
-/// and settings. The error type must have the fields `set` and `text`. Further attributes, such as derives for
-/// serialisation, go before the name.
+/// and settings. `$error` is the error of `FromStr`, with a field `expected` for what the text should name and a field
+/// `text` for the rejected text. Further attributes, such as derives for serialisation, go before the name.
 #[macro_export]
 macro_rules! text_enum {
     (
         $(#[$meta:meta])*
-        $name:ident, $set:literal, $error:ident {
+        $name:ident, $expected:literal, $error:ident {
             $($(#[$vmeta:meta])* $variant:ident => $text:literal,)+
         }
     ) => {
@@ -44,7 +44,7 @@
                         return Ok(*value);
                     }
                 }
-                Err($error { set: $set, text: s.to_owned() })
+                Err($error { expected: $expected, text: s.to_owned() })
             }
         }
     };
--- a/crates/settings/src/log.rs
+++ b/crates/settings/src/log.rs
@@ -106,10 +106,10 @@
 
 /// The error for a text that names no log level or log part.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("not a {set}: {text:?}")]
+#[error("not a {expected}: {text:?}")]
 pub struct InvalidLogName {
-    /// What was expected, for example "log level".
-    pub set: &'static str,
+    /// What the text should name, for example "log level".
+    pub expected: &'static str,
     /// The rejected text.
     pub text: String,
 }
