--- a/crates/caller-api/src/input.rs
+++ b/crates/caller-api/src/input.rs
@@ -68,7 +68,7 @@
 /// Names the first invalid field.
 pub fn read_request(raw: &[u8], key: Option<&str>) -> Result<(SubmissionBody, u64), InputError> {
     let input: RequestInput = read_json(raw)?;
-    let run = match (input.ticket, key) {
+    let detection = match (input.ticket, key) {
         (Some(_), Some(_)) => {
             return Err(InputError::new(
                 "ticket",
@@ -81,7 +81,7 @@
     };
     let body = SubmissionBody {
         customer: input.customer,
-        kind: SubmissionKind::Request(run),
+        kind: SubmissionKind::Request(detection),
         deadline: read_deadline(input.deadline_ms)?,
         tasks: vec![input.task.0.read("task")?],
     };
--- a/crates/caller-api/src/operators/error.rs
+++ b/crates/caller-api/src/operators/error.rs
@@ -142,21 +142,21 @@
 }
 
 impl From<InvalidContract> for OperatorError {
-    fn from(wrong: InvalidContract) -> Self {
-        Self::bad_field(wrong.field, &wrong.rule)
+    fn from(invalid: InvalidContract) -> Self {
+        Self::bad_field(invalid.field, &invalid.rule)
     }
 }
 
 impl From<EditError> for OperatorError {
     fn from(error: EditError) -> Self {
         match error {
-            EditError::InvalidContract(wrong) => wrong.into(),
+            EditError::InvalidContract(invalid) => invalid.into(),
             EditError::NotFound => Self::NotFound,
             EditError::Conflict(row) => Self::Conflict {
                 current: row.version,
             },
             EditError::Contended => Self::Contended,
-            EditError::Unavailable(why) => Self::Unavailable(why),
+            EditError::Unavailable(reason) => Self::Unavailable(reason),
             EditError::Uncertain { version, change } => Self::Unknown {
                 version: Some(version),
                 change: Some(change),
--- a/crates/contracts/src/editor.rs
+++ b/crates/contracts/src/editor.rs
@@ -410,10 +410,10 @@
 /// Counts a conflict on the head row, which a change of another contract causes. A conflict on the contract itself is
 /// detected by the next read instead.
 fn count_head_conflict(pending: &mut PendingChange, conflicts: &[RowConflict]) {
-    let contract = conflicts
+    let contract_conflict = conflicts
         .iter()
         .any(|conflict| conflict.table == TableName::Contracts);
-    if !contract {
+    if !contract_conflict {
         pending.head_conflicts += 1;
     }
 }
--- a/crates/demo/tests/border/good_calls.rs
+++ b/crates/demo/tests/border/good_calls.rs
@@ -92,8 +92,8 @@
         let reply = post_with(entry, "/v1/requests", headers, &body).await;
         check_complete(&reply, &payload);
     }
-    let head = call(entry, "GET", "/live").await;
-    assert_eq!(head.status, 204);
+    let live = call(entry, "GET", "/live").await;
+    assert_eq!(live.status, 204);
     let metrics = call(entry, "GET", "/metrics").await;
     assert_eq!(metrics.status, 200);
     assert!(metrics.body.contains("# TYPE "), "{metrics:?}");
--- a/crates/endpoint-client/tests/contract.rs
+++ b/crates/endpoint-client/tests/contract.rs
@@ -371,7 +371,7 @@
     first.time_left = Duration::from_millis(500);
     let cut = async {
         wait_until("the start", || stand_in.record().running == 1).await;
-        order(
+        set_link_mode(
             &forwarder,
             LinkMode::Cut {
                 connects: CutConnect::Hang,
@@ -383,14 +383,15 @@
     let (first, second) = futures::join!(client.run(&endpoint, &first, || ()), cut);
     assert_eq!(first, AttemptEnd::Unknown(UnknownReason::DeadlinePassed));
     assert_eq!(second, AttemptEnd::NotRun(RetryReason::EndpointUnreachable));
-    order(&forwarder, LinkMode::Pass).await;
+    set_link_mode(&forwarder, LinkMode::Pass).await;
     let third = client.run(&endpoint, &offer(3, QUICK), || ()).await;
     assert_eq!(third, done("kept"));
     let record = stand_in.record();
     assert_eq!(record.starts.len(), 2);
 }
 
-async fn order(forwarder: &NetForwarder, mode: LinkMode) {
-    let order = LinkRequest { link: None, mode };
-    forwarder.apply(order).await.unwrap();
+/// Sets the mode of every link of the forwarder.
+async fn set_link_mode(forwarder: &NetForwarder, mode: LinkMode) {
+    let request = LinkRequest { link: None, mode };
+    forwarder.apply(request).await.unwrap();
 }
