--- a/crates/caller-api/src/answer.rs
+++ b/crates/caller-api/src/answer.rs
@@ -7,12 +7,12 @@
 
 use crate::{CallerAnswer, SubmissionAnswer};
 
-/// A rendered answer.
+/// An answer as an HTTP response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RenderedAnswer {
     /// The HTTP status.
     pub status: u16,
-    /// The body.
+    /// The JSON body.
     pub json: Vec<u8>,
     /// The delay before a retry, for the `Retry-After` header.
     pub retry_after: Option<Duration>,
--- a/crates/caller-api/src/command.rs
+++ b/crates/caller-api/src/command.rs
@@ -13,11 +13,13 @@
 #[derive(Clone, Debug, Message)]
 #[rtype(result = "CallerAnswer")]
 pub struct SubmitCommand {
-    /// The submission.
+    /// The parsed and validated submission.
     pub body: SubmissionBody,
-    /// The digest of the body, which shows whether a ticket or key is reused with another body.
+    /// The hash of the customer and of each task's kind and payload, which shows whether a ticket or key is reused with
+    /// another body.
     pub digest: u64,
-    /// The body as received, for forwarding when another entry is responsible for the ticket or key.
+    /// The body as received, for forwarding when another entry is responsible for the ticket or key. Empty for a job,
+    /// which has neither.
     pub raw: Vec<u8>,
 }
 
@@ -33,7 +35,7 @@
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "CallerAnswer")]
 pub struct OutcomeCommand {
-    /// The submission.
+    /// The submission whose answer is requested.
     pub id: SubmissionId,
 }
 
@@ -41,7 +43,7 @@
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "CancelResult")]
 pub struct CancelCommand {
-    /// The submission.
+    /// The submission to cancel.
     pub id: SubmissionId,
 }
 
@@ -49,7 +51,7 @@
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "Option<serde_json::Value>")]
 pub struct ExplainCommand {
-    /// The submission.
+    /// The submission whose history is requested.
     pub id: SubmissionId,
 }
 
@@ -72,9 +74,9 @@
 /// One contract in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ContractInForce {
-    /// The customer.
+    /// The customer whose contract this is.
     pub customer: CustomerId,
-    /// The version.
+    /// The version that the entry serves.
     pub version: ContractVersion,
 }
 
@@ -86,9 +88,9 @@
 /// The status of an entry, for operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, MessageResponse)]
 pub struct EntryStatus {
-    /// The VM.
+    /// The VM that the entry runs on.
     pub vm: VmId,
-    /// Its data centre.
+    /// The data centre that the VM is in.
     pub data_centre: DataCentreId,
     /// The incarnation of the entry process.
     pub incarnation: IncarnationId,
@@ -96,7 +98,8 @@
     pub ready: bool,
     /// The number of the newest contract change that this entry knows.
     pub contract_head: u64,
-    /// The time since `contract_head` was last known to be the newest change, in milliseconds.
+    /// The time since `contract_head` was last known to be the newest change, in milliseconds; absent before the first
+    /// read.
     pub contract_age_ms: Option<u64>,
     /// The number of submissions without an answer.
     pub open_submissions: usize,
@@ -111,9 +114,9 @@
 /// A dispatcher as an entry sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct DispatcherStatus {
-    /// Its peer address.
+    /// The dispatcher's peer address.
     pub address: SocketAddr,
-    /// Its data centre.
+    /// The data centre that the dispatcher is in.
     pub data_centre: DataCentreId,
     /// The state of the session: open, connecting or idle.
     pub session: &'static str,
@@ -122,7 +125,7 @@
 /// A customer's use of this entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct CustomerStatus {
-    /// The customer.
+    /// The customer whose tasks are counted.
     pub customer: CustomerId,
     /// The number of tasks at dispatchers.
     pub in_flight: u32,
@@ -152,7 +155,7 @@
     Forwarded {
         /// The HTTP status.
         status: u16,
-        /// The body.
+        /// The JSON body.
         json: Vec<u8>,
     },
 }
@@ -160,7 +163,7 @@
 /// The answer of a submission.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SubmissionAnswer {
-    /// The submission; absent when it was refused before it had an id.
+    /// The id of the submission; absent if the submission was refused before it got one.
     pub id: Option<SubmissionId>,
     /// Whether the submission is a job, whose results are a list.
     pub job: bool,
--- a/crates/caller-api/src/input.rs
+++ b/crates/caller-api/src/input.rs
@@ -173,7 +173,8 @@
     Ok(value)
 }
 
-/// The path of a field, or of its parent where the text ends before the field's name.
+/// The path of a field, for an error. `serde_path_to_error` ends a path with `?` if the text ended before the field's
+/// name, and writes `.` for the whole document; the result is then the path of the parent, or `body`.
 fn field_name(path: &str) -> &str {
     match path.trim_end_matches('?').trim_end_matches('.') {
         "" => "body",
--- a/crates/caller-api/src/operators/command.rs
+++ b/crates/caller-api/src/operators/command.rs
@@ -12,7 +12,7 @@
 pub enum OperatorCommand {
     /// Reads a contract.
     Show {
-        /// The customer.
+        /// The customer whose contract is read.
         customer: CustomerId,
     },
     /// Lists contracts, ordered by customer.
@@ -24,7 +24,7 @@
     },
     /// Lists the versions of a contract, oldest first.
     History {
-        /// The customer.
+        /// The customer whose contract is read.
         customer: CustomerId,
         /// The listing starts after this version.
         after: ContractVersion,
@@ -33,23 +33,23 @@
     },
     /// Writes the first version of a contract.
     Create {
-        /// The customer.
+        /// The customer, who must not have a contract yet.
         customer: CustomerId,
-        /// The contract.
+        /// The first version.
         contract: Contract,
     },
     /// Writes the next version of a contract.
     Change {
-        /// The customer.
+        /// The customer whose contract is changed.
         customer: CustomerId,
         /// The version to replace.
         expected: ContractVersion,
-        /// The contract.
+        /// The next version.
         contract: Contract,
     },
     /// Writes a next version under which new work is refused.
     Retire {
-        /// The customer.
+        /// The customer whose contract is retired.
         customer: CustomerId,
         /// The version to replace.
         expected: ContractVersion,
@@ -75,7 +75,7 @@
 pub struct HistoryEntry {
     /// The change's id.
     pub change: contracts::ChangeId,
-    /// The version.
+    /// The contract at this version.
     #[serde(flatten)]
     pub row: ContractRow,
 }
--- a/crates/caller-api/tests/operators.rs
+++ b/crates/caller-api/tests/operators.rs
@@ -282,7 +282,7 @@
 async fn a_failed_write_reports_whether_it_may_have_taken_effect() {
     // The change fails in the control actor, or the actor stops while the change is in progress. 503 says that nothing
     // was written and when to retry; 504 says that the outcome is unknown, and names the version and change to look
-    // for. If the two were mixed up, an operator would make a change twice or take a lost change for made.
+    // for. If the two were mixed up, an operator would make a change twice or believe that a lost change was made.
     let unknown = OperatorError::Unknown {
         version: Some(ContractVersion(7)),
         change: Some(ChangeId(0xab)),
