--- a/crates/contracts/src/editor.rs
+++ b/crates/contracts/src/editor.rs
@@ -340,10 +340,11 @@
         Ok(Prepared::Write(prepared))
     }
 
-    /// Tells an earlier attempt of this change whose answer was lost from a change of another operator. The contract
-    /// may have changed again since, so the history row of the version decides and not the newest row. If the history
-    /// row belongs to another change, an attempt of unknown outcome can no longer take effect, since the contract row
-    /// that it expects is gone: the conflict is definite.
+    /// Finds out whether a conflict is with an earlier attempt of this change, whose answer was lost, or with a change
+    /// of another operator. The contract may have changed again since, so the change id is compared with that of the
+    /// version's history row and not with that of the newest row. If the history row belongs to another change, an
+    /// attempt of unknown outcome can no longer take effect, since the contract row that the attempt expects is gone:
+    /// the conflict is definite.
     async fn resolve_conflict(
         &self,
         pending: &PendingChange,
@@ -407,8 +408,8 @@
     Write(Box<(StoredContract, ExpectedVersion, ExpectedVersion)>),
 }
 
-/// Counts a conflict on the head row, which a change of another contract causes. A conflict on the contract itself is
-/// detected by the next read instead.
+/// Counts a conflict on the head row, which a change of another contract causes. A conflict on the contract row is not
+/// counted, since the next attempt detects it when it reads the row.
 fn count_head_conflict(pending: &mut PendingChange, conflicts: &[RowConflict]) {
     let contract_conflict = conflicts
         .iter()
--- a/crates/contracts/src/reader.rs
+++ b/crates/contracts/src/reader.rs
@@ -12,8 +12,8 @@
 /// Rows per page of a listing.
 const PAGE_ROWS: usize = 500;
 
-/// The most changes that are read from the log. A view that is further behind reads all contracts instead: the log
-/// has a row for each change ever made, so that it then takes longer to read than the contracts.
+/// The most changes that are read from the log. A view that is further behind gets all contracts instead: the log has a
+/// row for each change ever made, so reading that many rows takes longer than reading the contracts.
 const MAX_LOG_ROWS: u64 = 2_000;
 
 /// Why a poll failed. The view stays unchanged, and its growing age shows the failure.
@@ -41,11 +41,12 @@
     }
 
     /// Reads the head row and, if the head has moved past `known` ([`crate::ContractView::loaded_head`]), the changes
-    /// in between. Costs one read when nothing changed and two for any change; `None` reads all contracts.
+    /// in between. Returns `None` if the head has not moved, at the cost of one read; up to 500 changes, which is one
+    /// page of the log, cost two reads. If `known` is `None`, reads all contracts.
     ///
     /// # Errors
     ///
-    /// Fails when the platform does not answer or a row cannot be decoded. The next poll does not depend on it.
+    /// Fails when the platform does not answer or a row cannot be decoded. A failed poll does not affect the next one.
     pub async fn poll(
         &self,
         known: Option<HeadNumber>,
--- a/crates/contracts/src/rows.rs
+++ b/crates/contracts/src/rows.rs
@@ -36,8 +36,8 @@
     }
 }
 
-/// The id of one change of one contract, drawn at random by the editor that makes the change. When the platform's
-/// answer was lost, the id tells the editor's own change from another operator's.
+/// The id of one change of one contract, drawn at random by the editor that makes the change. After the platform's
+/// answer was lost, the editor recognises its own change by the id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct ChangeId(pub u64);
@@ -73,24 +73,25 @@
 /// One version of one customer's contract.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ContractRow {
-    /// The customer.
+    /// The customer whose contract this is.
     pub customer: CustomerId,
     /// The version, which counts the changes of this contract.
     pub version: ContractVersion,
     /// The sequence number, among the changes of all contracts, of the change that wrote this version.
     pub head: HeadNumber,
-    /// The contract.
+    /// The terms at this version.
     pub contract: Contract,
 }
 
-/// An update from one process to another: every row that is newer than a head.
+/// The rows that bring a view up to date, as read from the platform or sent by a peer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ContractUpdate {
-    /// The head that a view needs at least for this update to be complete; 0 means that any view can use it.
+    /// The lowest head of a view for which this update has every newer row; 0 if it is complete for any view.
     pub since: HeadNumber,
     /// The head after the update.
     pub head: HeadNumber,
-    /// The newest row of each customer whose contract changed between the two heads.
+    /// The rows written between the two heads. An update that was read from the log has each changed version; others
+    /// have only the newest row of each customer.
     pub rows: Vec<ContractRow>,
 }
 
@@ -98,7 +99,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("row {key} of {table} cannot be read: {reason}")]
 pub struct BrokenRow {
-    /// The table.
+    /// The table that holds the row.
     pub table: TableName,
     /// The row's key.
     pub key: StoreKey,
@@ -122,8 +123,9 @@
 }
 
 impl StoredContract {
-    /// The writes of the change, which form one transaction. The history row is expected to be absent too, so that a
-    /// delayed write that lost the race can never take effect, whatever happened to the other rows since.
+    /// The writes of the change, which form one transaction. The rows of the history and the log are expected to be
+    /// absent. For the history row this ensures that a delayed write can never take effect after another change has
+    /// created the same version, whatever has happened to the other rows since.
     pub(crate) fn writes(
         &self,
         contract_expect: ExpectedVersion,
--- a/crates/contracts/tests/editing.rs
+++ b/crates/contracts/tests/editing.rs
@@ -163,8 +163,8 @@
 #[actix_rt::test]
 async fn a_change_with_a_lost_response_is_applied_once() {
     // The platform's answer is lost after the write took effect, before it, or with the write taking effect only after
-    // the editor has read back. The operator must see one confirmed change. Reading back the change id tells the
-    // editor's own write from another one; a second attempt conflicts with the rows of the first and has no effect.
+    // the editor has read back. The operator must see one confirmed change. The editor recognises its own write by the
+    // change id that it reads back; a second attempt conflicts with the rows of the first and has no effect.
     let cases = [
         ("after the write", 1, LossTime::AfterWrite),
         ("before the write", 1, LossTime::BeforeWrite),
