--- a/crates/endpoint-client/src/lib.rs
+++ b/crates/endpoint-client/src/lib.rs
@@ -24,8 +24,8 @@
     /// How long an idle connection is kept open. It must be shorter than the endpoint's keep-alive time: a request that
     /// is written to a connection while the endpoint closes it has an unknown outcome.
     pub keep_alive: Duration,
-    /// How long after the task's deadline the client still waits for the answer. The entry has decided by then, but the
-    /// answer still tells that the slot is free.
+    /// How long after the task's deadline the client still waits for the answer. The entry has answered the submission
+    /// by then, but the endpoint's answer still shows that the slot is free.
     pub answer_grace: Duration,
 }
 
@@ -54,7 +54,7 @@
             .timeout(settings.connect_timeout)
             .limit(settings.pool_size)
             .conn_keep_alive(settings.keep_alive)
-            // Connections in use live long; only idle connections are closed.
+            // A connection is reused for up to an hour unless it is idle for `keep_alive`.
             .conn_lifetime(Duration::from_secs(3600));
         // Following a redirect would send the task a second time although the first endpoint may have run it.
         let client = Client::builder()
--- a/crates/endpoint-client/src/send.rs
+++ b/crates/endpoint-client/src/send.rs
@@ -20,9 +20,9 @@
         .insert_header(("customer", offer.customer.as_str()))
         .insert_header(("task-kind", offer.kind.as_str()))
         .insert_header(("deadline-ms", offer.time_left.as_millis().to_string()))
-        // The caller enforces the same timeout around the whole call. This one is checked before anything is sent, so
-        // that after a freeze of this process past the deadline, a call that still waits for its connection ends
-        // unsent.
+        // `EndpointClient::run` enforces the same timeout around the whole call. This one is checked before anything is
+        // sent, so that after a freeze of this process past the deadline, a call that still waits for its connection
+        // ends unsent.
         .timeout(timeout)
         .send_body(offer.payload.0.to_vec())
         .await?;
--- a/crates/endpoint-client/tests/contract.rs
+++ b/crates/endpoint-client/tests/contract.rs
@@ -123,9 +123,9 @@
     ]
 }
 
-// Each task must end as it did at the endpoint or as unknown; only "busy" and "leaving" are a not-run, after which a
+// Each task must end as it did at the endpoint or as unknown; only "busy" and "leaving" count as not run, after which a
 // task may be placed again. If a started task were reported as not run, it could start twice. The endpoint has a fault
-// for one task and is healthy afterwards, so that a second send by the client would show.
+// for one task and is healthy afterwards, so that a second send by the client would be recorded as another start.
 #[actix_rt::test]
 async fn each_fault_is_classified_and_the_task_is_sent_once() {
     for case in fault_cases() {
@@ -171,7 +171,7 @@
 }
 
 // Guards against delivering one task's answer to another task. Two tasks run at once and the endpoint sends each the
-// other's complete answer. Only the echoed attempt id shows this, and both tasks must be unknown.
+// other's complete answer. Only the echoed attempt id shows this, and both tasks must end as unknown.
 #[actix_rt::test]
 async fn crossed_answers_are_not_delivered() {
     let stand_in = stand_in(8);
@@ -188,7 +188,7 @@
     assert_eq!(stand_in.record().starts.len(), 2);
 }
 
-// A task for an endpoint that is gone must be a not-run, so that it is placed elsewhere. Nothing listens at the
+// A task for an endpoint that is gone must end as not run, so that it is placed elsewhere. Nothing listens at the
 // address, so the connection is refused before a byte is written. Of all failed calls, only those without a connection
 // have certainly not started the task.
 #[actix_rt::test]
@@ -207,6 +207,7 @@
 struct RawCase {
     name: &'static str,
     answers: &'static [RawAnswer],
+    /// The expected end of the second task.
     second: AttemptEnd,
     /// The numbers of requests and connections that the endpoint counted.
     counts: (u32, u32),
@@ -252,7 +253,7 @@
 
 // Many HTTP libraries send again on a new connection when a reused one is lost, which would start the task twice. A
 // first task leaves an idle connection. The second task is written to it and read by the endpoint, and the connection
-// is lost before the answer. The second task must be unknown and arrive once.
+// is lost before the answer. The second task must end as unknown and arrive once.
 #[actix_rt::test]
 async fn broken_reused_connection_is_not_sent_again() {
     for case in raw_cases() {
@@ -271,7 +272,7 @@
     }
 }
 
-// A task that runs when its endpoint is killed must be unknown, never a not-run. The endpoint's listener and
+// A task that runs when its endpoint is killed must end as unknown, never as not run. The endpoint's listener and
 // connections close after the task has started. The HTTP library reports the lost answer as a failure to connect, and
 // the task must not be classified as never sent.
 #[actix_rt::test]
@@ -354,8 +355,8 @@
     );
 }
 
-// A task that was sent before a link is cut is unknown once its time is over, even if its answer would arrive after the
-// link is restored. A task that needs a connection during the cut is a not-run. The first task runs over an open
+// A task that was sent before a link is cut ends as unknown at its timeout, even if its answer would arrive after the
+// link is restored. A task that needs a connection during the cut ends as not run. The first task runs over an open
 // connection when the link is cut, and its time passes. The second task's connection hangs, so that certainly no byte
 // of it was sent. Then the link is restored and a third task is served.
 #[actix_rt::test]
