--- a/crates/cairnpaddle/src/options.rs
+++ b/crates/cairnpaddle/src/options.rs
@@ -6,7 +6,7 @@
 
 /// Runs one role of the dispatcher for sub-second tasks.
 ///
-/// The process runs until it is told to stop by SIGTERM or SIGINT, then drains.
+/// The process runs until it receives SIGTERM or SIGINT, then drains.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version, footer(EXAMPLES), generate(process_options))]
 pub(crate) struct ProcessOptions {
--- a/crates/demo/tests/border/good_calls.rs
+++ b/crates/demo/tests/border/good_calls.rs
@@ -119,9 +119,9 @@
     assert_eq!(fleet.starts(), starts + 1, "ran twice");
 }
 
-// Guards against running a retried request twice, which would book twice. The caller, or a proxy on its behalf, sends a
-// request with the same key or ticket again, concurrently or after the answer, through either entry. Each attempt must
-// get the same answer.
+// Guards against running a retried request twice, which could make a booking twice. The caller, or a proxy on its
+// behalf, sends a request with the same key or ticket again, concurrently or after the answer, through either entry.
+// Each attempt must get the same answer.
 #[actix_rt::test]
 async fn a_repeated_request_runs_once_across_entries() {
     let fleet = start_fleet(FleetSettings::default()).await;
--- a/crates/model/src/mechanism.rs
+++ b/crates/model/src/mechanism.rs
@@ -1,12 +1,12 @@
-//! The mechanisms that decide under load and faults, each of which can be disabled separately.
+//! The mechanisms for overload and faults, each of which can be disabled separately.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
 use crate::FastSet;
 
-/// A mechanism that works independently of the others. Disabling one in an experiment shows its effect; in production
-/// all are enabled.
+/// A mechanism for overload or faults that works independently of the others. Disabling one in an experiment shows its
+/// effect; in production all are enabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Mechanism {
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -24,7 +24,7 @@
     NotJson {
         /// The line, from 1.
         line: usize,
-        /// The column, from 1.
+        /// The column, from 1; 0 if nothing was read on the line.
         column: usize,
         /// The parser's message.
         reason: String,
@@ -35,7 +35,7 @@
     /// A field is unknown, of the wrong type or out of range.
     #[error("{path}: {reason}")]
     InvalidField {
-        /// The path of the field, for example `drain.notice_ms`.
+        /// The path of the field, for example `drain.notice_ms`; `.` for the whole document.
         path: String,
         /// The line, from 1.
         line: usize,
--- a/crates/settings/src/node.rs
+++ b/crates/settings/src/node.rs
@@ -56,8 +56,8 @@
     /// The owner of a pool sends the orders in calls to the workers.
     #[default]
     Call,
-    /// The orders are sent in the answers to the workers' heartbeats. The platform does not specify this path, so it is
-    /// rejected at the start.
+    /// The orders are sent in the answers to the workers' heartbeats. The platform does not specify this path, so
+    /// settings that choose it are rejected.
     Heartbeat,
 }
 
