--- a/crates/caller-api/src/callers.rs
+++ b/crates/caller-api/src/callers.rs
@@ -233,7 +233,8 @@
     match api.control.send(ExplainCommand { id }).await {
         Ok(Some(report)) => response_builder(&api, 200).json(report),
         Ok(None) => {
-            let message = "no history of it is kept at this entry; ask the entry that its id names";
+            let message =
+                "this entry keeps no history of the submission; ask the entry that issued its id";
             response_builder(&api, 404).json(json!({ "id": id, "message": message }))
         }
         Err(_) => refuse(&api, RefusalReason::Stopping),
@@ -271,7 +272,7 @@
         return Ok(None);
     };
     if keys.next().is_some() {
-        return Err(InputError::new(KEY_HEADER, "must not come twice"));
+        return Err(InputError::new(KEY_HEADER, "must not be given twice"));
     }
     key.to_str()
         .map(Some)
--- a/crates/caller-api/src/operators/error.rs
+++ b/crates/caller-api/src/operators/error.rs
@@ -101,7 +101,9 @@
     #[error("{0}; nothing was written")]
     Unavailable(String),
     /// The outcome of the change is unknown.
-    #[error("the change may have been made or may yet be: look for it in the contract's history")]
+    #[error(
+        "the change may have been made or may still be made: look for it in the contract's history"
+    )]
     Unknown {
         /// The version that the change creates if it takes effect.
         version: Option<ContractVersion>,
--- a/crates/caller-api/src/operators/precondition.rs
+++ b/crates/caller-api/src/operators/precondition.rs
@@ -24,7 +24,7 @@
             (None, None) => Err(OperatorError::PreconditionRequired),
             (Some(_), Some(_)) => Err(OperatorError::bad_field(
                 "If-Match",
-                &"cannot go with If-None-Match",
+                &"cannot be combined with If-None-Match",
             )),
             (None, Some("*")) => Ok(Self::Absent),
             (None, Some(_)) => Err(OperatorError::bad_field(
--- a/crates/demo/src/lib.rs
+++ b/crates/demo/src/lib.rs
@@ -19,7 +19,7 @@
 /// # Errors
 ///
 /// A process or stand-in could not be started or did not become ready, a call got no answer, a complete answer did not
-/// match the tasks' payloads, or stopping the fleet cut submissions.
+/// match the tasks' payloads, or stopping the fleet cut submissions or tasks.
 pub async fn run(settings: FleetSettings) -> Result<DemoReport> {
     let fleet = DemoFleet::start(settings).await?;
     let customer: CustomerId = "demo-school".parse()?;
@@ -31,7 +31,7 @@
     let report = DemoReport { cut, ..report? };
     ensure!(
         report.cut == 0,
-        "stopping the fleet cut {} submissions",
+        "stopping the fleet cut {} submissions and tasks",
         report.cut
     );
     Ok(report)
--- a/crates/demo/src/report.rs
+++ b/crates/demo/src/report.rs
@@ -56,7 +56,7 @@
         }
         writeln!(
             f,
-            "the endpoints started {} tasks; stopping the fleet cut {}",
+            "the endpoints started {} tasks; stopping the fleet cut {} submissions and tasks",
             self.starts, self.cut
         )
     }
--- a/crates/demo/tests/border/bad_input.rs
+++ b/crates/demo/tests/border/bad_input.rs
@@ -171,13 +171,13 @@
             "Idempotency-Key",
         ),
         bad_call(
-            "id of nothing",
+            "malformed id",
             http_message("GET", "/v1/jobs/garbage", "", b""),
             400,
             "id",
         ),
         bad_call(
-            "id of nothing",
+            "malformed id",
             http_message("GET", "/v1/requests/-", "", b""),
             400,
             "id",
--- a/crates/demo/tests/border/caller.rs
+++ b/crates/demo/tests/border/caller.rs
@@ -64,7 +64,10 @@
     for name in [CUSTOMER, OTHER_CUSTOMER, RETIRED_CUSTOMER] {
         let customer: CustomerId = name.parse().expect("customer");
         fleet.create_contract(&customer).await.expect("contract");
-        fleet.wait_until_in_force(&customer).await.expect("force");
+        fleet
+            .wait_until_in_force(&customer)
+            .await
+            .expect("contract in force");
     }
     let retired: CustomerId = RETIRED_CUSTOMER.parse().expect("customer");
     fleet.retire_contract(&retired).await.expect("retired");
--- a/crates/demo/tests/border/page.rs
+++ b/crates/demo/tests/border/page.rs
@@ -86,7 +86,10 @@
         .await;
         let customer: CustomerId = "trust".parse().expect("a name");
         fleet.create_contract(&customer).await.expect("contract");
-        fleet.wait_until_in_force(&customer).await.expect("force");
+        fleet
+            .wait_until_in_force(&customer)
+            .await
+            .expect("contract in force");
         let entries = fleet.caller_addresses();
         let ticket_body = r#"{"customer":"trust"}"#;
         let issued = send(
--- a/crates/kernel/src/directory.rs
+++ b/crates/kernel/src/directory.rs
@@ -27,7 +27,7 @@
     #[error("no service is named {0}")]
     NoSuchService(ServiceName),
     /// The service registered under that name is an actor of another type.
-    #[error("service {0} is of another type")]
+    #[error("service {0} is not an actor of the requested type")]
     WrongType(ServiceName),
 }
 
--- a/crates/settings/src/shared.rs
+++ b/crates/settings/src/shared.rs
@@ -62,7 +62,7 @@
 
 /// Checks that the VM and the data centre of a process are set.
 pub(crate) fn check_identity(vm: &VmId, data_centre: &DataCentreId) -> Result<(), RuleViolation> {
-    let rule = "must name this VM's own; there is no default for it";
+    let rule = "must be set for this VM; there is no default";
     if vm.as_str() == UNSET_NAME {
         return Err(RuleViolation { path: "vm", rule });
     }
