--- a/crates/settings/src/dispatcher.rs
+++ b/crates/settings/src/dispatcher.rs
@@ -17,7 +17,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct EndpointCallSettings {
-    /// The timeout for establishing a connection. After it the task has definitely not run. Default 250.
+    /// The timeout for establishing a connection. A task whose connection times out has definitely not run. Default
+    /// 250.
     #[serde(deserialize_with = "bounded::<_, _, 1, 60_000>")]
     #[schemars(range(min = 1, max = 60_000))]
     pub connect_timeout_ms: DurationMs,
@@ -54,8 +55,8 @@
     #[serde(deserialize_with = "bounded::<_, _, 1, 256>")]
     #[schemars(range(min = 1, max = 256))]
     pub traffic_threads: usize,
-    /// How long a free slot waits for the body of a queued task after asking an entry for it. A later body is refused
-    /// as not run. Default 200.
+    /// How long a free slot is kept for a queued task after the dispatcher has asked the entry for the task's body. A
+    /// later body is refused as not run. Default 200.
     #[serde(deserialize_with = "bounded::<_, _, 1, 60_000>")]
     #[schemars(range(min = 1, max = 60_000))]
     pub claim_limit_ms: DurationMs,
--- a/crates/settings/src/entry.rs
+++ b/crates/settings/src/entry.rs
@@ -45,7 +45,8 @@
     #[serde(deserialize_with = "bounded::<_, _, 1, 256>")]
     #[schemars(range(min = 1, max = 256))]
     pub caller_threads: usize,
-    /// How long before its deadline a submission is answered, whatever is still unconfirmed then. Default 20.
+    /// How long before its deadline a submission is answered, even if ends of its tasks are still unconfirmed. Default
+    /// 20.
     #[serde(deserialize_with = "bounded::<_, _, 0, 60_000>")]
     #[schemars(range(min = 0, max = 60_000))]
     pub answer_margin_ms: DurationMs,
--- a/crates/settings/src/shared.rs
+++ b/crates/settings/src/shared.rs
@@ -30,8 +30,8 @@
     #[serde(deserialize_with = "bounded::<_, _, 0, 600_000>")]
     #[schemars(range(min = 0, max = 600_000))]
     pub notice_ms: DurationMs,
-    /// How long accepted work may take to finish after that. Work that is unfinished then is answered as failed or
-    /// unknown. Default 30000.
+    /// How long accepted work may take to finish after the notice. Work that is unfinished then is answered as failed
+    /// or unknown. Default 30000.
     #[serde(deserialize_with = "bounded::<_, _, 1, 3_600_000>")]
     #[schemars(range(min = 1, max = 3_600_000))]
     pub limit_ms: DurationMs,
