--- a/crates/settings/src/shared.rs
+++ b/crates/settings/src/shared.rs
@@ -30,8 +30,8 @@
     #[serde(deserialize_with = "bounded::<_, _, 0, 600_000>")]
     #[schemars(range(min = 0, max = 600_000))]
     pub notice_ms: DurationMs,
-    /// How long accepted work may take to finish after that. Work that is unfinished then is answered as failed or
-    /// unknown. Default 30000.
+    /// How long accepted work may take to finish after the notice. Work that is unfinished then is answered as failed
+    /// or unknown. Default 30000.
     #[serde(deserialize_with = "bounded::<_, _, 1, 3_600_000>")]
     #[schemars(range(min = 1, max = 3_600_000))]
     pub limit_ms: DurationMs,
@@ -62,7 +62,7 @@
 
 /// Checks that the VM and the data centre of a process are set.
 pub(crate) fn check_identity(vm: &VmId, data_centre: &DataCentreId) -> Result<(), RuleViolation> {
-    let rule = "must name this VM's own; there is no default for it";
+    let rule = "must be set for this VM; there is no default";
     if vm.as_str() == UNSET_NAME {
         return Err(RuleViolation { path: "vm", rule });
     }
