--- a/crates/claims/src/controller/reason.rs
+++ b/crates/claims/src/controller/reason.rs
@@ -12,6 +12,7 @@
 use crate::action::ClaimReason;
 
 impl ClaimController {
+    /// The reason for which a pool can be claimed now; `None` if its owner is to keep it.
     pub(super) fn claim_reason(&self, now: Instant, pool: &PoolId) -> Option<ClaimReason> {
         let Some(claim) = self.pools.get(pool).and_then(|state| state.claim.as_ref()) else {
             return Some(ClaimReason::Unowned);
@@ -68,8 +69,8 @@
     /// Whether this process may be cut off itself: it hears no peer while the owner refreshes its row.
     fn may_be_cut_off(&self, now: Instant, claim: &Claim) -> bool {
         let member = self.members.get(&claim.row.node);
-        // A claim is as good as a row here: a process that has just become an owner has not written its row
-        // lately.
+        // A claim counts like a refresh of the owner's row: a process that has just become an owner may not
+        // have written its row lately.
         let last_seen = member.map(|member| member.refreshed).max(Some(claim.since));
         let fresh_row = last_seen.is_some_and(|at| now < at + self.settings.isolated_claim_delay);
         fresh_row && self.is_isolated(now)
--- a/crates/claims/tests/beats.rs
+++ b/crates/claims/tests/beats.rs
@@ -14,7 +14,7 @@
 
 const CENTRES: usize = 5;
 
-/// One of this many processes owns a pool.
+/// One of so many processes owns a pool.
 const PROCESSES_PER_OWNER: usize = 6;
 
 fn centre(number: usize) -> DataCentreId {
@@ -91,7 +91,7 @@
     }
     let count = count as f64;
     println!(
-        "{count} processes: {:.1} a second each of {:.1}",
+        "{count} processes send {:.1} heartbeats a second each, {:.1} in a full mesh",
         all / count,
         full_mesh / count
     );
@@ -150,7 +150,7 @@
 }
 
 /// Guards against late detection of a silent owner, or of a silent entry whose jobs an owner runs: its caller
-/// comes back elsewhere after 1.3 s, when no part of the job may run any more. Between two processes without
+/// retries at another node after 1.3 s, when no part of the job may run any more. Between two processes without
 /// pools, detection may take longer but must not come too soon.
 #[test]
 fn silent_owners_and_entries_are_detected_at_once() {
--- a/crates/claims/tests/reading.rs
+++ b/crates/claims/tests/reading.rs
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Checks how far the lists of all processes lag that are neither frozen nor refused by the store.
+    /// Checks how far the lists lag of those processes that are neither frozen nor refused by the store.
     fn check_age(&self, limit: Duration) {
         for node in self.nodes.iter().filter(|n| !n.frozen && !n.refused) {
             let age = self.now.saturating_duration_since(node.known.at);
@@ -137,7 +137,8 @@
         }
     }
 
-    /// Changes the list and returns how long it takes until all processes know.
+    /// Changes the list and returns how long it takes until the change has reached all processes that are neither
+    /// frozen nor refused by the store.
     fn time_to_propagate(&mut self) -> Duration {
         self.version += 1;
         self.digest += 1;
@@ -232,8 +233,8 @@
     }
 }
 
-/// Guards against a data centre that is never divided because the store refuses its standbys: further
-/// processes follow them.
+/// Guards against a data centre whose workers are never divided into groups because the store refuses its
+/// standbys: further processes read the workers then.
 #[test]
 fn further_processes_read_while_workers_are_not_grouped() {
     let now = Instant::now();
@@ -247,10 +248,8 @@
 fn member_row_writes_do_not_grow_with_the_fleet() {
     for count in [30, 100, 300] {
         let now = Instant::now();
-        let heartbeats = (0..count).map(|number| controller(number, count, now).refresh_interval());
-        let writes: f64 = heartbeats
-            .map(|heartbeat| 1.0 / heartbeat.as_secs_f64())
-            .sum();
+        let intervals = (0..count).map(|number| controller(number, count, now).refresh_interval());
+        let writes: f64 = intervals.map(|interval| 1.0 / interval.as_secs_f64()).sum();
         let owners = (OWNERS_PER_CENTRE * CENTRES) as f64 / 4.0;
         assert!(writes <= owners + 2.5, "{count}: {writes}");
     }
@@ -267,8 +266,8 @@
     }
 }
 
-/// Guards against a lost reader: one that the store refuses, or one that freezes after a last report and
-/// wakes up with an outdated one.
+/// Guards against a lost reader: one that the store refuses, or one that freezes after a last report and resumes
+/// with an outdated one.
 #[test]
 fn a_reader_that_fails_is_replaced() {
     for fault in [
@@ -276,7 +275,7 @@
         |node: &mut SimNode| node.frozen = true,
     ] {
         let mut sim = ListSim::new(100);
-        let reader = (0..sim.nodes.len()).max_by_key(|place| sim.nodes[*place].read);
+        let reader = (0..sim.nodes.len()).max_by_key(|index| sim.nodes[*index].read);
         let reader = reader.unwrap();
         fault(&mut sim.nodes[reader]);
         for _ in 0..20 {
@@ -290,7 +289,7 @@
         let digest = sim.digest;
         sim.run(Duration::from_millis(200));
         let others = sim.nodes.iter().enumerate();
-        let mut others = others.filter(|(place, _)| *place != reader);
+        let mut others = others.filter(|(index, _)| *index != reader);
         assert!(others.all(|(_, node)| node.known.digest == digest));
         sim.reads = 0;
         sim.run(Duration::from_secs(10));
