--- a/crates/pool/src/pool/admit.rs
+++ b/crates/pool/src/pool/admit.rs
@@ -27,7 +27,7 @@
 /// parts of its job within some milliseconds.
 const OFFER_LIFETIME: Duration = Duration::from_millis(12);
 
-/// The time within which a run ends after it was told to stop, as workers guarantee.
+/// The time after an order to stop a run within which workers guarantee that it ends.
 const STOP_TIME: Duration = Duration::from_millis(50);
 
 /// The minimum share of a pool's capacity that must be free to admit a job that will be late.
@@ -57,35 +57,35 @@
     ) -> Option<JobOutcome> {
         let objective = self.objective(request, terms);
         let tasks = usize::try_from(request.task_count()).unwrap_or(usize::MAX);
-        let lag = self.start_lag(tasks);
-        let too_late = objective.mul_f64(self.settings.refusal_factor);
-        let too_late = too_late.min(terms.waited + terms.time_left);
+        let delay = self.start_delay(tasks);
+        let limit = objective.mul_f64(self.settings.refusal_factor);
+        let limit = limit.min(terms.waited + terms.time_left);
         let worth_simulating =
-            self.can_be_in_time(request, terms, lag, too_late) || self.has_idle_share(now);
-        let trial = match worth_simulating {
-            true => self.build_trial(now, request, terms, objective),
+            self.can_be_in_time(request, terms, delay, limit) || self.has_idle_share(now);
+        let simulation = match worth_simulating {
+            true => self.build_simulation(now, request, terms, objective),
             false => None,
         };
-        let forecast = match &trial {
-            Some(trial) => trial.forecast(),
+        let forecast = match &simulation {
+            Some(simulation) => simulation.forecast(),
             None => AdmissionForecast::QUEUE_TOO_LONG,
         };
         let predicted = terms
             .waited
             .saturating_add(forecast.end)
-            .saturating_add(lag);
+            .saturating_add(delay);
         let queued = self.waiting_task_count();
-        let late = predicted > too_late && self.is_enabled(Mechanism::LateRefusal);
+        let late = predicted > limit && self.is_enabled(Mechanism::LateRefusal);
         let late =
             late && !self.may_serve_late(now, request, terms, &forecast, predicted, objective);
-        let harms = forecast.delays_admitted && self.is_enabled(Mechanism::HarmCheck);
+        let delays_others = forecast.delays_admitted && self.is_enabled(Mechanism::HarmCheck);
         let kind = if !self.accepting {
             Some(RefusalKind::NotServing)
         } else if self.evacuated {
             Some(RefusalKind::Evacuated)
         } else if !self.can_ever_hold(request, terms) {
             Some(RefusalKind::NoRoomEver)
-        } else if !terms.firm && (late || harms || forecast.takes_reserved) {
+        } else if !terms.firm && (late || delays_others || forecast.takes_reserved) {
             Some(RefusalKind::TooLate)
         } else if queued + request.steps.len() > self.settings.max_queued_tasks {
             Some(RefusalKind::QueueFull)
@@ -97,7 +97,7 @@
             job: request.id,
             refusal: kind,
             predicted,
-            start_delay: lag,
+            start_delay: delay,
             objective,
             queued,
             delays_admitted: forecast.delays_admitted,
@@ -105,8 +105,8 @@
         });
         let kind = kind?;
         let fits = match kind {
-            RefusalKind::TooLate => trial.map_or(0, |trial| {
-                self.count_in_time(&trial, request, terms, objective)
+            RefusalKind::TooLate => simulation.map_or(0, |simulation| {
+                self.count_in_time(&simulation, request, terms, objective)
             }),
             _ => 0,
         };
@@ -128,21 +128,21 @@
         }
         let objective = self.objective(request, terms);
         let limit = objective.mul_f64(self.settings.refusal_factor);
-        if !self.can_be_in_time(request, terms, self.start_lag(1), limit) {
+        if !self.can_be_in_time(request, terms, self.start_delay(1), limit) {
             return 0;
         }
-        let Some(trial) = self.build_trial(now, request, terms, objective) else {
+        let Some(simulation) = self.build_simulation(now, request, terms, objective) else {
             return 0;
         };
-        let forecast = trial.forecast();
+        let forecast = simulation.forecast();
         let fits = match self.is_in_time(&forecast, request.task_count(), terms, limit) {
             true => u32::try_from(request.task_count()).unwrap_or(u32::MAX),
-            false => self.count_in_time(&trial, request, terms, objective),
+            false => self.count_in_time(&simulation, request, terms, objective),
         };
         self.reserve_offer(now, fits)
     }
 
-    /// Reduces an offer by the other offers of the last moments, whose jobs may arrive at any time,
+    /// Reduces an offer by the other recent offers, whose jobs may arrive at any time,
     /// and records the rest. Otherwise entries that divide jobs by the same offers would send the
     /// pool several times as many tasks as it has capacity for, and tasks without capacity wait
     /// until their jobs are useless.
@@ -164,17 +164,17 @@
         terms: &JobTerms,
         limit: Duration,
     ) -> bool {
-        let lag = self.start_lag(usize::try_from(tasks).unwrap_or(usize::MAX));
+        let delay = self.start_delay(usize::try_from(tasks).unwrap_or(usize::MAX));
         let end = terms.waited.saturating_add(forecast.end);
-        end.saturating_add(lag) <= limit && !forecast.delays_admitted && !forecast.takes_reserved
+        end.saturating_add(delay) <= limit && !forecast.delays_admitted && !forecast.takes_reserved
     }
 
-    /// Whether a job that will be late is admitted all the same: its start need not wait for
-    /// capacity, a large share of the pool is idle, and its answer is still useful to its customer.
+    /// Whether a job is admitted although it will be late: its start need not wait for capacity, a
+    /// large share of the pool is idle, and its answer is still useful to its customer.
     ///
-    /// This covers an outage of all processes, after which the customers who waited for them come
-    /// at once. If they were refused because of the time they have already waited, they would come
-    /// back even later while capacity stays idle.
+    /// This matters after an outage of all processes, when all waiting customers submit at once. If
+    /// their jobs were refused because of the time already waited, the customers would submit them
+    /// again even later, while capacity stays idle.
     fn may_serve_late(
         &self,
         now: Instant,
@@ -204,7 +204,7 @@
         &self,
         request: &JobRequest,
         terms: &JobTerms,
-        lag: Duration,
+        delay: Duration,
         limit: Duration,
     ) -> bool {
         if terms.firm || !self.is_enabled(Mechanism::LateRefusal) {
@@ -212,7 +212,7 @@
         }
         let chain = self.predict_chain(request, terms);
         let soonest = chain.mul_f64(SLOWNESS_BOUNDS.0);
-        terms.waited.saturating_add(soonest).saturating_add(lag) <= limit
+        terms.waited.saturating_add(soonest).saturating_add(delay) <= limit
     }
 
     fn record_arrival(
@@ -231,7 +231,7 @@
             priority: terms.priority,
             tasks: spec.count,
             cpu: spec.demand.cpu.0,
-            work: self.predict_run_time(terms, spec),
+            run_time: self.predict_run_time(terms, spec),
             objective: self.objective(request, terms),
             refused: refusal == Some(RefusalKind::TooLate),
         };
@@ -243,7 +243,7 @@
     /// once, while all pools together have it.
     fn count_in_time(
         &self,
-        trial: &AdmissionSimulation,
+        simulation: &AdmissionSimulation,
         request: &JobRequest,
         terms: &JobTerms,
         objective: Duration,
@@ -253,7 +253,7 @@
         };
         let limit = objective.mul_f64(self.settings.refusal_factor);
         let in_time = |count: u32| {
-            let forecast = trial.forecast_tasks_per_step(count as usize);
+            let forecast = simulation.forecast_tasks_per_step(count as usize);
             self.is_in_time(&forecast, u64::from(count), terms, limit)
         };
         // When capacity is scarce, mostly not even one task fits, so that is checked first.
@@ -302,7 +302,7 @@
 
     pub(super) fn can_ever_hold(&self, request: &JobRequest, terms: &JobTerms) -> bool {
         request.steps.iter().all(|spec| {
-            let ask = PlacementRequest {
+            let placement = PlacementRequest {
                 job: request.id,
                 step: 0,
                 spec,
@@ -313,13 +313,15 @@
                 exclusive: false,
                 reserved: &[],
             };
-            self.workers.values().any(|worker| can_hold(worker, &ask))
+            self.workers
+                .values()
+                .any(|worker| can_hold(worker, &placement))
         })
     }
 
     /// Builds the simulation of the pool with the new job inserted among the waiting jobs. Returns
     /// `None` if too many jobs are ahead of it.
-    fn build_trial(
+    fn build_simulation(
         &self,
         now: Instant,
         request: &JobRequest,
@@ -356,9 +358,9 @@
             limit: None,
         };
         // While the path to the workers is congested, jobs of the first priority are late because
-        // of the path and not for lack of capacity, so room kept for them would stay empty.
-        let keeps_room = self.is_enabled(Mechanism::KeptRoom) && !self.is_congested();
-        let expected = match keeps_room {
+        // of the path and not for lack of capacity, so room reserved for them would stay empty.
+        let reserves_room = self.is_enabled(Mechanism::KeptRoom) && !self.is_congested();
+        let expected = match reserves_room {
             true => self.arrivals.expected_above(now, terms.priority),
             false => Vec::new(),
         };
@@ -410,7 +412,7 @@
             waiting: WaitingGroup {
                 count,
                 cpu: spec.demand.cpu.0,
-                work: self.predict_run_time(terms, spec),
+                run_time: self.predict_run_time(terms, spec),
             },
             running: Duration::ZERO,
             after: spec.after.clone(),
@@ -440,14 +442,14 @@
     }
 
     fn pool_forecast(&self, now: Instant, service: &ServiceId) -> PoolForecast {
-        let workers = self.usable_or_trial_workers(now).into_iter();
+        let workers = self.usable_or_probe_workers(now).into_iter();
         let workers = workers.filter(|worker| worker.record.service == *service);
-        let (sluggish, sound): (Vec<_>, Vec<_>) =
+        let (sluggish, others): (Vec<_>, Vec<_>) =
             workers.partition(|worker| is_sluggish(worker, self.median_slowness));
         // The median is as of the last tick, so a pool's only worker may seem slower than its pool
-        // until the next one. In that case sluggish workers count, since a job must not be refused
-        // as if there were no worker.
-        let counted = if sound.is_empty() { sluggish } else { sound };
+        // until the next tick. If all workers seem sluggish, they count, since a job must not be
+        // refused as if there were no worker.
+        let counted = if others.is_empty() { sluggish } else { others };
         let workers = counted.into_iter();
         PoolForecast {
             workers: workers.map(|worker| worker_forecast(worker, now)).collect(),
--- a/crates/pool/src/queue.rs
+++ b/crates/pool/src/queue.rs
@@ -1,8 +1,8 @@
 //! The order in which waiting jobs get free room.
 //!
-//! It is made for a burst on top of lost workers, when there is not enough room for all jobs. In order of arrival, a short job
-//! that waits behind long ones is late, then the next one, and soon all are. In order of the latest start alone, jobs that have
-//! become late wait behind all new ones, and the work already done on them, which may be most of it, is lost.
+//! The order matters when there is not enough room for all jobs, as in a burst while workers are lost. In order of arrival, a
+//! short job that waits behind long ones is late, then the next one, and soon all are. In order of the latest start alone, jobs
+//! that have become late wait behind all new ones, and the work already done on them, which may be most of it, is lost.
 
 use std::{
     collections::BTreeMap,
@@ -29,7 +29,8 @@
 pub(crate) struct QueueRank {
     class: QueueClass,
     priority: u32,
-    at: Instant,
+    /// The latest start of a job that can still be in time, unless such jobs are ordered by arrival. Otherwise the arrival.
+    sort_time: Instant,
     job: JobId,
 }
 
@@ -68,7 +69,7 @@
             } else {
                 0
             },
-            at: if in_time && !self.by_arrival {
+            sort_time: if in_time && !self.by_arrival {
                 self.latest_start
             } else {
                 self.arrived
@@ -87,7 +88,7 @@
 
 impl JobQueue {
     /// Inserts a job, or moves it to its present rank.
-    pub(crate) fn put(&mut self, now: Instant, entry: QueueEntry) {
+    pub(crate) fn upsert(&mut self, now: Instant, entry: QueueEntry) {
         self.remove(entry.job);
         let rank = entry.rank(now);
         self.ranks.insert(entry.job, rank);
@@ -109,7 +110,7 @@
             .filter(|(rank, entry)| entry.rank(now).class != rank.class);
         let moved: Vec<QueueEntry> = moved.map(|(_, entry)| *entry).collect();
         for entry in moved {
-            self.put(now, entry);
+            self.upsert(now, entry);
         }
     }
 
@@ -124,7 +125,7 @@
     }
 }
 
-/// The latest start with which a job of this much work still ends in time.
-pub(crate) fn latest_start(arrived: Instant, objective: Duration, work: Duration) -> Instant {
-    arrived + objective.saturating_sub(work)
+/// The latest start with which a job that takes `run_time` from its start still ends in time.
+pub(crate) fn latest_start(arrived: Instant, objective: Duration, run_time: Duration) -> Instant {
+    arrived + objective.saturating_sub(run_time)
 }
--- a/crates/pool/tests/narrow_link.rs
+++ b/crates/pool/tests/narrow_link.rs
@@ -25,7 +25,8 @@
     }
 }
 
-/// The credit earned per second at `factor` times the usual traffic, and the number of starts sent per completed task.
+/// The credit earned per second at `factor` times the usual traffic with the mechanisms in `off` disabled, and the number of
+/// starts sent per completed task.
 fn goodput(factor: f64, off: &[Mechanism]) -> (f64, f64) {
     let (mut earned, mut starts, mut done) = (0.0, 0, 0);
     for seed in 0..2 {
@@ -54,9 +55,9 @@
     for factor in [0.5, 1.0, 1.5, 2.0, 3.0] {
         let (earned, copies) = goodput(factor, &[]);
         let off = [Mechanism::AnswerLimits, Mechanism::StartWindow];
-        let (before, copies_before) = goodput(factor, &off);
+        let (without, copies_without) = goodput(factor, &off);
         println!(
-            "offered {factor}: earned {earned:.1}/s, {copies:.2} starts a task; with neither {before:.1}/s, {copies_before:.2}"
+            "offered {factor}: earned {earned:.1}/s, {copies:.2} starts a task; with neither {without:.1}/s, {copies_without:.2}"
         );
         peak = peak.max(earned);
         assert!(earned >= 0.9 * peak, "{earned:.1} of {peak:.1} at {factor}");
