--- a/crates/entry/src/control/contract_updates.rs
+++ b/crates/entry/src/control/contract_updates.rs
@@ -8,8 +8,8 @@
 use super::{EntryControl, LinkState};
 
 impl EntryControl {
-    /// Handles the contract head that a dispatcher reported, and fetches the rows from it if its head is newer or no
-    /// contracts are loaded yet.
+    /// Handles the contract head that a dispatcher reported, which is the number of the latest contract change that it
+    /// knows. Fetches the rows from it if its head is newer or no contracts are loaded yet.
     pub(super) fn on_dispatcher_head(
         &mut self,
         ctx: &mut Context<Self>,
@@ -33,7 +33,7 @@
     pub(super) fn is_stale(&self) -> bool {
         let age = self
             .contracts_confirmed_at
-            .map(|heard| self.clock.now().saturating_duration_since(heard));
+            .map(|confirmed_at| self.clock.now().saturating_duration_since(confirmed_at));
         age.is_none_or(|age| age > self.settings.freshness_ms.duration())
     }
 
--- a/crates/entry/src/control/sessions.rs
+++ b/crates/entry/src/control/sessions.rs
@@ -91,8 +91,8 @@
     }
 
     /// Restarts the timeout of every session after this process was frozen, which a gap between its own ticks shows.
-    /// Answers lay unread in its sockets meanwhile, so without this it would take every dispatcher for silent and close
-    /// healthy sessions.
+    /// Answers that arrived during the freeze are still unread in its sockets, so without this it would treat every
+    /// dispatcher as silent and close healthy sessions.
     pub(super) fn detect_own_pause(&mut self, now: Instant) {
         let gap = now.saturating_duration_since(self.last_tick);
         self.last_tick = now;
@@ -177,15 +177,15 @@
             reply
                 .into_actor(self)
                 .map(move |reply, control, ctx| match reply {
-                    Ok((verdicts, slots)) => {
+                    Ok((replies, slots)) => {
                         control.record_activity(dispatcher, session);
-                        let verdicts: Vec<_> = attempts.into_iter().zip(verdicts).collect();
+                        let replies: Vec<_> = attempts.into_iter().zip(replies).collect();
                         control
                             .authority
                             .on_slots(control.clock.now(), dispatcher, slots);
                         control
                             .authority
-                            .on_offer_replies(control.clock.now(), &verdicts);
+                            .on_offer_replies(control.clock.now(), &replies);
                         control.flush(ctx);
                     }
                     Err(error) => control.on_call_failed(ctx, dispatcher, session, &error),
@@ -211,15 +211,15 @@
             reply
                 .into_actor(self)
                 .map(move |reply, control, ctx| match reply {
-                    Ok((verdicts, slots)) => {
+                    Ok((replies, slots)) => {
                         control.record_activity(dispatcher, session);
-                        let verdicts: Vec<_> = attempts.into_iter().zip(verdicts).collect();
+                        let replies: Vec<_> = attempts.into_iter().zip(replies).collect();
                         control
                             .authority
                             .on_slots(control.clock.now(), dispatcher, slots);
                         control
                             .authority
-                            .on_withdrawn(control.clock.now(), &verdicts);
+                            .on_withdrawn(control.clock.now(), &replies);
                         control.flush(ctx);
                     }
                     Err(error) => control.on_call_failed(ctx, dispatcher, session, &error),
@@ -246,8 +246,8 @@
         }
     }
 
-    /// Closes the session after a failed call. If the connection is still open, the call's tasks would otherwise never
-    /// get a verdict; the next session finds out what became of them.
+    /// Closes the session after a failed call. If the connection is still open, no reply about the call's tasks would
+    /// ever arrive otherwise; the next session finds out their state.
     fn on_call_failed(
         &mut self,
         ctx: &mut Context<Self>,
