--- a/crates/ledger/src/ledger/queueing.rs
+++ b/crates/ledger/src/ledger/queueing.rs
@@ -22,7 +22,7 @@
 }
 
 impl SlotLedger {
-    /// Handles tasks that an entry offers with their bodies. Returns one verdict per offer, in the same order.
+    /// Handles tasks that an entry offers with their bodies. Returns one reply per offer, in the same order.
     pub fn offer(
         &mut self,
         now: Instant,
@@ -36,11 +36,11 @@
             // them now could run a task twice.
             return vec![OfferReply::NotRun(RetryReason::DispatcherLost); offers.len()];
         }
-        let mut verdicts = Vec::with_capacity(offers.len());
+        let mut replies = Vec::with_capacity(offers.len());
         for offer in offers {
-            verdicts.push(self.offer_one(now, entry, session, offer));
+            replies.push(self.offer_one(now, entry, session, offer));
         }
-        verdicts
+        replies
     }
 
     /// Handles an entry's withdrawal of attempts. `NotRun` guarantees that the attempt was not started and never will
@@ -54,12 +54,12 @@
         attempts: &[AttemptId],
     ) -> Vec<WithdrawalReply> {
         let all_received = self.has_received_all(entry, session, after_batch);
-        let mut verdicts = Vec::with_capacity(attempts.len());
+        let mut replies = Vec::with_capacity(attempts.len());
         for attempt in attempts {
-            verdicts.push(self.withdraw_one(entry, *attempt, all_received));
+            replies.push(self.withdraw_one(entry, *attempt, all_received));
         }
         self.fill_slots(now);
-        verdicts
+        replies
     }
 
     /// Handles an entry's answer to a claim: the body, or `None` if the entry no longer has the attempt.
@@ -76,7 +76,7 @@
             .is_some_and(|pending| pending.number == claim);
         if !current {
             // The slot went to the next reservation, or the attempt was withdrawn. A body that arrives now must not
-            // start: the task has certainly not run, and the entry is told so.
+            // start: the task has certainly not run, which is reported to the entry.
             if body.is_some() {
                 self.report_not_run(now, attempt, RetryReason::ClaimLate);
             }
@@ -85,7 +85,7 @@
         let Some(pending) = self.claims.remove(&attempt) else {
             return;
         };
-        self.release(&pending.endpoint);
+        self.release_slot(&pending.endpoint);
         let Some(payload) = body else {
             self.refund(&pending.reservation);
             self.fill_slots(now);
@@ -179,7 +179,7 @@
         }
         if let Some(pending) = self.claims.remove(&attempt) {
             // The body may be in flight; `on_claim_answered` will then find no claim and reject it.
-            self.release(&pending.endpoint);
+            self.release_slot(&pending.endpoint);
             self.refund(&pending.reservation);
             return WithdrawalReply::NotRun;
         }
@@ -258,13 +258,13 @@
             let Some(pending) = self.claims.remove(&attempt) else {
                 continue;
             };
-            self.release(&pending.endpoint);
+            self.release_slot(&pending.endpoint);
             self.refund(&pending.reservation);
         }
     }
 
-    /// Drops reservations whose deadline has passed. The entry has already given them up by its own clock, which
-    /// started earlier, so no report is needed.
+    /// Drops reservations whose deadline has passed. No report is needed: the entry counts the same time from before it
+    /// sent the offer, and has already given the tasks up.
     pub(super) fn drop_overdue(&mut self, now: Instant) {
         for entry in self.queue.take_overdue(now) {
             self.reservations.remove(&entry.attempt);
@@ -298,7 +298,7 @@
         );
     }
 
-    pub(super) fn release(&mut self, endpoint: &EndpointId) {
+    pub(super) fn release_slot(&mut self, endpoint: &EndpointId) {
         self.endpoints.update(endpoint, |record| {
             record.running = record.running.saturating_sub(1)
         });
--- a/crates/ledger/src/ledger/running.rs
+++ b/crates/ledger/src/ledger/running.rs
@@ -22,7 +22,7 @@
         };
         let ran = now.saturating_duration_since(task.started);
         self.record_run(now, &task, &end, ran);
-        self.release(&task.endpoint);
+        self.release_slot(&task.endpoint);
         let charged = if matches!(end, AttemptEnd::NotRun(_)) {
             Duration::ZERO
         } else {
@@ -170,8 +170,8 @@
             }
             record.address = address.clone();
             record.owned = true;
-            // If the endpoint itself has reported that it is leaving, that stands although the list does not say so
-            // yet.
+            // An endpoint that has itself reported that it is leaving stays so, although the list may still show it as
+            // live.
             if state == EndpointState::Leaving {
                 record.state = state;
             }
--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     convert::{
-        read_slots, read_verdict, read_view, read_withdrawal, write_attempt, write_attempts,
+        read_offer_reply, read_slots, read_view, read_withdrawal, write_attempt, write_attempts,
         write_end, write_offers, write_slots, write_view,
     },
     convert_grants::{read_centre, read_replies, write_asks, write_handover},
@@ -224,7 +224,8 @@
 }
 
 impl SessionClient {
-    /// Offers tasks with their bodies.
+    /// Offers tasks with their bodies. Returns one reply per offer, in the same order, and the dispatcher's slot
+    /// counts. The batches of a session are numbered from 1.
     ///
     /// # Errors
     ///
@@ -242,11 +243,11 @@
         async move {
             let reply = reply.await?;
             let reply = reply.get()?;
-            let mut verdicts = Vec::new();
-            for verdict in reply.get_verdicts()? {
-                verdicts.push(read_verdict(verdict)?);
+            let mut replies = Vec::new();
+            for offer_reply in reply.get_verdicts()? {
+                replies.push(read_offer_reply(offer_reply)?);
             }
-            Ok((verdicts, read_slots(reply.get_slots()?)))
+            Ok((replies, read_slots(reply.get_slots()?)))
         }
     }
 
@@ -268,11 +269,11 @@
         async move {
             let reply = reply.await?;
             let reply = reply.get()?;
-            let mut verdicts = Vec::new();
-            for verdict in reply.get_withdrawals()? {
-                verdicts.push(read_withdrawal(verdict)?);
+            let mut replies = Vec::new();
+            for withdrawal in reply.get_withdrawals()? {
+                replies.push(read_withdrawal(withdrawal)?);
             }
-            Ok((verdicts, read_slots(reply.get_slots()?)))
+            Ok((replies, read_slots(reply.get_slots()?)))
         }
     }
 }
@@ -365,11 +366,12 @@
         }
     }
 
-    /// Returns the current answer to the caller of a submission of this entry; `None` if the entry does not know it.
+    /// Returns the current answer to the caller of a submission of this entry; `None` if the entry does not know the
+    /// submission.
     ///
     /// # Errors
     ///
-    /// The connection broke on either side.
+    /// A connection broke: that to the dispatcher, or that between the dispatcher and the entry.
     pub fn outcome(
         &self,
         serial: u64,
@@ -395,7 +397,7 @@
     ///
     /// # Errors
     ///
-    /// The connection broke on either side: the outcome is unknown.
+    /// A connection broke, that to the dispatcher or that between the dispatcher and the entry. The outcome is unknown.
     pub fn run(
         &self,
         serial: u64,
--- a/crates/peer/tests/border/faults.rs
+++ b/crates/peer/tests/border/faults.rs
@@ -98,18 +98,18 @@
             &[0, 0, 0, 0, 1, 0, 0, 0, 0xff, 0xff, 0xff, 0x7f, 1, 0, 9, 0],
         ),
     ];
-    for (what, bytes) in table {
+    for (case, bytes) in table {
         let mut stream = TcpStream::connect(address).await.expect("a connection");
         // The server may close the connection before it has read everything.
         let _closed = stream.write_all(bytes).await;
         let _closed = stream.shutdown().await;
         let mut rest = Vec::new();
         let read = timeout(TEST_TIMEOUT, stream.read_to_end(&mut rest)).await;
-        assert!(read.is_ok(), "{what}: the connection stays");
-        link.client().ping(0).await.expect(what);
-        opened.session.offer(1, &[]).await.expect(what);
+        assert!(read.is_ok(), "{case}: the connection stays");
+        link.client().ping(0).await.expect(case);
+        opened.session.offer(1, &[]).await.expect(case);
         let (other, _) = open_next(&state, address).await;
-        other.client().ping(0).await.expect(what);
+        other.client().ping(0).await.expect(case);
     }
     server.abort();
 }
@@ -179,7 +179,7 @@
 
 // The peer's process is frozen: its system accepts the connection, but the process never reads from it. The call must
 // stay open, without answer or error, until the entry's own timeout ends it: silence does not show what the peer did,
-// so it must not look like a refusal or a lost connection.
+// so the call must not fail as refused or lost.
 #[actix_rt::test]
 async fn a_silent_peer_leaves_the_call_open() {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -195,9 +195,9 @@
     assert!(answer.is_err(), "an answer from nobody");
 }
 
-// An open call that was delayed in a socket is read after a later one of the same entry. The older session must be
-// refused and the newer one keep working: the entry has given up the tasks offered on the older session, so they must
-// not start any more.
+// A call that opens a session is delayed in a socket and read after a later one of the same entry. The older session
+// must be refused and the newer one keep working: the entry has given up the tasks offered on the older session, so
+// they must not start any more.
 #[actix_rt::test]
 async fn a_stale_session_is_refused_and_the_newer_one_stays_open() {
     let state = FakeState::new();
@@ -217,7 +217,7 @@
     let state = FakeState::new();
     {
         let mut answers = state.answers.borrow_mut();
-        answers.verdicts = vec![OfferReply::Queued];
+        answers.offer_replies = vec![OfferReply::Queued];
         answers.withdrawals = vec![WithdrawalReply::NotRun];
     }
     let (address, server) = fakes::serve(&state).await;
