--- a/crates/scenario/src/testbed.rs
+++ b/crates/scenario/src/testbed.rs
@@ -32,7 +32,8 @@
     pub(crate) data_centre: Label,
     pub(crate) caller: SocketAddr,
     peer: SocketAddr,
-    /// The address at which others reach its dispatcher: that of the shared links in front of it, or `peer`.
+    /// The address at which other processes reach the VM's dispatcher: that of the shared links in front of the
+    /// dispatcher, or `peer`.
     announced: SocketAddr,
     admin: SocketAddr,
     /// The address of the platform for this VM: behind a proxy or a link where the scenario needs one.
@@ -421,7 +422,7 @@
             }
         }
         if links.is_empty() {
-            return Err(StepError::UnknownPlace(format!("link between {a} and {b}")));
+            return Err(StepError::UnknownPlace(format!("between {a} and {b}")));
         }
         Ok(links)
     }
@@ -431,8 +432,8 @@
         link: Option<String>,
         mode: LinkMode,
     ) -> Result<(), StepError> {
-        let order = LinkRequest { link, mode };
-        let result = self.forwarder.apply(order).await;
+        let request = LinkRequest { link, mode };
+        let result = self.forwarder.apply(request).await;
         result.map_err(|error| StepError::UnknownPlace(error.0))
     }
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -12,7 +12,7 @@
 use thiserror::Error;
 
 use crate::{
-    checks::{check_promises, PromiseViolation},
+    checks::{check_invariants, InvariantViolation},
     customers::CustomerSimulator,
     faults::{inject_fault, run_follow_up, FollowUp},
     fleet::SoakFleet,
@@ -55,7 +55,7 @@
 /// Result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct SoakReport {
-    /// Violated promises, and processes that exited on their own or did not stop.
+    /// Violated invariants, and processes that exited on their own or did not stop.
     pub failures: Vec<String>,
     /// Number of jobs submitted.
     pub jobs: usize,
@@ -185,13 +185,13 @@
         let newest = self.versions.iter().rev().take(2);
         for (version, written) in newest.copied() {
             for (node, process) in self.fleet.nodes.iter().enumerate() {
-                let (simulator, life) = (self.simulator.clone(), process.life);
+                let (simulator, start_count) = (self.simulator.clone(), process.start_count);
                 let asked = self.fleet.now();
                 actix_rt::spawn(async move {
                     if let Some(known) = simulator.probe(node, version).await {
                         simulator.record_probe(ProbeTrace {
                             node,
-                            life,
+                            start_count,
                             version,
                             written,
                             asked,
@@ -211,8 +211,8 @@
         let mut faults: Vec<String> = self.plan.steps().iter().map(|s| format!("{s:?}")).collect();
         faults.extend(record.disturbances.iter().map(|fault| format!("{fault:?}")));
         fs::write(dir.join("faults.txt"), faults.join("\n"))?;
-        let violations = check_promises(&record);
-        let violations = violations.iter().map(PromiseViolation::to_string);
+        let violations = check_invariants(&record);
+        let violations = violations.iter().map(InvariantViolation::to_string);
         let count = |status: &dyn Fn(u16) -> bool| {
             let ends = record.jobs.iter().filter_map(|job| job.attempts.last());
             let answered = ends.filter(|a| matches!(a.end, AttemptEnd::Answered(s) if status(s)));
