--- a/crates/caller-api/src/input.rs
+++ b/crates/caller-api/src/input.rs
@@ -68,11 +68,11 @@
 /// Names the first invalid field.
 pub fn read_request(raw: &[u8], key: Option<&str>) -> Result<(SubmissionBody, u64), InputError> {
     let input: RequestInput = read_json(raw)?;
-    let run = match (input.ticket, key) {
+    let detection = match (input.ticket, key) {
         (Some(_), Some(_)) => {
             return Err(InputError::new(
                 "ticket",
-                "cannot go with an Idempotency-Key header",
+                "cannot be combined with an Idempotency-Key header",
             ));
         }
         (Some(ticket), None) => DuplicateDetection::Ticket(ticket),
@@ -81,7 +81,7 @@
     };
     let body = SubmissionBody {
         customer: input.customer,
-        kind: SubmissionKind::Request(run),
+        kind: SubmissionKind::Request(detection),
         deadline: read_deadline(input.deadline_ms)?,
         tasks: vec![input.task.0.read("task")?],
     };
@@ -173,7 +173,8 @@
     Ok(value)
 }
 
-/// The path of a field, or of its parent where the text ends before the field's name.
+/// The path of a field, for an error. `serde_path_to_error` ends a path with `?` if the text ended before the field's
+/// name, and writes `.` for the whole document; the result is then the path of the parent, or `body`.
 fn field_name(path: &str) -> &str {
     match path.trim_end_matches('?').trim_end_matches('.') {
         "" => "body",
