--- a/crates/pool/src/crash.rs
+++ b/crates/pool/src/crash.rs
@@ -68,7 +68,7 @@
     pub(crate) address: Option<SocketAddr>,
     pub(crate) labels: Vec<Arc<str>>,
     pub(crate) tasks: Vec<LostTask>,
-    /// Whether the worker had a single run.
+    /// Whether a single run that may have begun was lost with the worker.
     pub(crate) was_alone: bool,
     pub(crate) lost_at: Instant,
     /// Whether the worker is known to have died, rather than possibly being out of reach.
--- a/crates/pool/src/pool/admit.rs
+++ b/crates/pool/src/pool/admit.rs
@@ -19,8 +19,8 @@
     worker::{RunPhase, TrackedRun, TrackedWorker, SLOWNESS_BOUNDS},
 };
 
-/// The remaining time expected of a run that takes longer than predicted, as a share of its
-/// predicted time. Estimates are off by 40%.
+/// The minimum remaining time expected of a run, as a share of its predicted time, but no more than
+/// the run has taken so far. Estimates are off by 40%, so a run may take longer than predicted.
 const MIN_REMAINING_SHARE: f64 = 0.25;
 
 /// How long an offer reserves capacity. The entry collects the offers of other pools and sends the
