--- a/crates/pool/tests/load.rs
+++ b/crates/pool/tests/load.rs
@@ -102,7 +102,7 @@
 
 /// Jobs of three steps arrive at 1.6 times the rate that the workers can serve. Each later step waits for room again, so that an
 /// admitted job needs room three times. A pool that counts only the first step admits twice what it can end in time, and nearly
-/// all jobs then end late.
+/// all jobs then end late. Admitted jobs must end in time, and the room must be used for them.
 #[test]
 fn later_steps_of_admitted_jobs_are_counted() {
     let mut total = 0.0;
