--- a/crates/claims/src/controller/handover.rs
+++ b/crates/claims/src/controller/handover.rs
@@ -7,8 +7,9 @@
 use super::ClaimController;
 use crate::capacity::VmCapacity;
 
-/// A pool is handed over only if its owner has more than this many times as many pools per capacity as the
-/// other process would have with it. A handover costs about ten calls per worker.
+/// A pool whose owner is in the pool's data centre is handed over only if the owner has more than this many
+/// times as many pools per capacity as the other process would have with it. A handover costs about ten calls
+/// per worker.
 const MIN_IMBALANCE_RATIO: f64 = 1.5;
 
 impl ClaimController {
