--- a/crates/claims/tests/beats.rs
+++ b/crates/claims/tests/beats.rs
@@ -99,8 +99,8 @@
 }
 
 /// Each datagram costs some tens of microseconds at each end. Guards against heartbeats that grow with the
-/// fleet as in a full mesh: from a few dozen processes on, at least a third of them is saved, and more than
-/// half among hundreds.
+/// fleet as in a full mesh: among 100 processes at least a third of them must be saved, and among 300 at least
+/// half.
 #[test]
 fn heartbeats_do_not_grow_with_the_square_of_the_fleet() {
     check(30, 1.0);
