--- a/crates/pool/src/pool/polls.rs
+++ b/crates/pool/src/pool/polls.rs
@@ -40,7 +40,8 @@
 const STALL_TIME: Duration = Duration::from_millis(110);
 
 /// The minimum number of failures of one task before its job fails, even if its route allows fewer
-/// attempts: one or two failures may be the fault of workers that fail every run.
+/// attempts: one or two failures may be the fault of workers that fail every run. Kept jobs fail
+/// after the attempts of their route.
 const MIN_JOB_FAILURES: u32 = 3;
 
 /// The minimum progress at which a run's speed is computed. Below it, most of the time is the transit
