--- a/crates/node/src/feeds.rs
+++ b/crates/node/src/feeds.rs
@@ -18,24 +18,24 @@
 /// How long the feed of any other table waits for a change.
 const FEED_WAIT_TIME: Duration = Duration::from_millis(3_000);
 
-/// The interval between two reads of the members' table. Heartbeats report changes of members sooner.
+/// The shortest time between two reads of the members' table. Heartbeats report changes of members sooner.
 const MEMBERS_READ_INTERVAL: Duration = Duration::from_millis(4_000);
 
-/// The interval between two reads of the members' table while no heartbeats arrive: only the rows then show which
+/// The shortest time between two reads of the members' table while no heartbeats arrive: only the rows then show which
 /// processes are alive.
 const ISOLATED_MEMBERS_READ_INTERVAL: Duration = Duration::from_millis(900);
 
-/// The interval between two reads of the members' table while the first members are being discovered. Heartbeats
+/// The shortest time between two reads of the members' table while the first members are being discovered. Heartbeats
 /// can be exchanged only with known members.
 const STARTUP_MEMBERS_READ_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How long after the start the members' table is read at the startup interval.
 const STARTUP_MEMBERS_PERIOD: Duration = Duration::from_millis(2_700);
 
-/// The interval between two reads of cancelled jobs, which have to be stopped within 3 s.
+/// The shortest time between two reads of cancelled jobs, which have to be stopped within 3 s.
 const CANCELLED_JOBS_READ_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The interval between two reads of any other table.
+/// The shortest time between two reads of any other table.
 const FEED_READ_INTERVAL: Duration = Duration::from_millis(15);
 
 /// The backoff after a read that returns rows older than those already known. A store that has lost its history
@@ -130,7 +130,7 @@
     }
 }
 
-/// Waits until the next read of a table is due.
+/// Waits until the next read of a table may begin. That read then waits for a change by itself.
 async fn wait_for_next_read(state: &Rc<NodeState>, table: StoreTable, age: Duration) {
     let gap = match table {
         StoreTable::Workers => return list_schedule::wait_after_read(state, age).await,
--- a/crates/node/src/list_schedule.rs
+++ b/crates/node/src/list_schedule.rs
@@ -17,8 +17,8 @@
 
 use crate::{metrics::count_list_source, state::NodeState};
 
-/// The interval between two reads. Some 30 rows a second change at 48 workers, and a worker that drains must get no
-/// more starts within 2 s.
+/// The shortest time between two reads, and how long a read waits for a change. Some 30 rows a second change at 48
+/// workers, and a worker that drains must get no more starts within 2 s.
 const LIST_READ_INTERVAL: Duration = Duration::from_millis(250);
 
 /// The interval at which this process checks what others have read.
