--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -197,7 +197,7 @@
     }
 
     /// The dispatchers of this data centre that may own endpoints or be a customer's home: those that are live and not
-    /// stopping, including this process. Sorted by address.
+    /// stopping, including this process unless it is stopping. Sorted by address.
     pub fn owners(&self) -> Vec<LiveOwner> {
         let own = self.own_view();
         let mut owners = Vec::new();
