--- a/crates/node/src/customer_server.rs
+++ b/crates/node/src/customer_server.rs
@@ -44,7 +44,7 @@
 const MAX_DEADLINE: Duration = Duration::from_secs(3_600);
 
 /// The retry delay for customers whose request was refused because this process is starting or stopping or has
-/// paused.
+/// paused, because the store cannot be reached, or because the job needs something that this build does not support.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// The size at which an answer to a customer is counted as traffic, in bytes: its head and a body of a few bytes.
