--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -40,7 +40,7 @@
 /// The interval of the periodic work. Waits that matter to customers end by events, not by this tick.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The tick interval of a process without pools: half of the heartbeat interval.
+/// The tick interval of a process without pools: half of the shortest heartbeat interval.
 const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The timeout of a call to the store. The store answers in 4 to 16 ms; beyond this limit the connection counts as
