--- a/crates/membership/tests/grants.rs
+++ b/crates/membership/tests/grants.rs
@@ -455,7 +455,8 @@
 }
 
 // An operator lowers a contract's concurrency while grants are out. The entry learns it with the contract and scales
-// its grant down without waiting for the home or for the end of the term.
+// its grant down without waiting for the home or for the end of the term, so that the change takes effect within
+// seconds.
 #[test]
 fn a_lower_share_binds_at_once() {
     let check = |share: u32, expect: u32| {
