--- a/crates/caller-api/src/command.rs
+++ b/crates/caller-api/src/command.rs
@@ -94,7 +94,8 @@
     pub data_centre: DataCentreId,
     /// The incarnation of the entry process.
     pub incarnation: IncarnationId,
-    /// Whether the entry accepts new work.
+    /// Whether the entry's readiness probe succeeds. A stopping entry is not ready, but still accepts submissions until
+    /// it closes its listener.
     pub ready: bool,
     /// The number of the newest contract change that this entry knows.
     pub contract_head: u64,
--- a/crates/model/src/reason.rs
+++ b/crates/model/src/reason.rs
@@ -48,7 +48,7 @@
         KeyNotRecorded => "key_not_recorded",
         /// The idempotency key or ticket was used before with another body.
         KeyReused => "key_reused",
-        /// The contracts read so far are older than those of the peers.
+        /// No complete set of contracts that is as new as those of the peers has been read yet.
         ConfigNotReady => "config_not_ready",
         /// The caller cancelled before any task had started.
         Cancelled => "cancelled",
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -50,7 +50,8 @@
         Completed => "completed",
         /// No task of a refused job runs: the customer takes a refusal to mean that nothing was run.
         Refused => "refused",
-        /// Each answer arrives before its deadline.
+        /// Each answer arrives by its deadline, with some slack, unless a fault or planned work affects the node or the
+        /// store during the request or shortly before.
         InTime => "in_time",
         /// A planned stop cuts no request.
         Stop => "stop",
