--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -115,7 +115,7 @@
     Ticket(TicketStep),
     /// Submits jobs or requests; goes on without waiting for answers.
     Submit(SubmitStep),
-    /// Cancels every job of a group.
+    /// Cancels the submissions of a group that have no answer yet and of which a task has started.
     Cancel(Label),
     /// Ends processes by SIGKILL.
     Kill(ProcessTarget),
