--- a/crates/endpoint-client/src/read.rs
+++ b/crates/endpoint-client/src/read.rs
@@ -64,9 +64,9 @@
     }
 }
 
-/// Reads the body's size from the `content-length` header, which every answer must have. Without it a truncated answer
-/// could not be told from a complete one, because the HTTP library ends a body without an error when the connection
-/// closes.
+/// Reads the body's size from the `content-length` header, which every answer with a result must have. Without it a
+/// truncated answer could not be told from a complete one, because the HTTP library ends a body without an error when
+/// the connection closes.
 fn read_content_length<S>(response: &ClientResponse<S>) -> Result<usize, CallError> {
     if response.headers().contains_key(TRANSFER_ENCODING) {
         return Err(CallError::BrokenAnswer("no content length"));
