--- a/crates/caller-api/src/callers.rs
+++ b/crates/caller-api/src/callers.rs
@@ -233,8 +233,7 @@
     match api.control.send(ExplainCommand { id }).await {
         Ok(Some(report)) => response_builder(&api, 200).json(report),
         Ok(None) => {
-            let message =
-                "this entry keeps no history of the submission; ask the entry that issued its id";
+            let message = "no history of it is kept at this entry; ask the entry that its id names";
             response_builder(&api, 404).json(json!({ "id": id, "message": message }))
         }
         Err(_) => refuse(&api, RefusalReason::Stopping),
@@ -272,7 +271,7 @@
         return Ok(None);
     };
     if keys.next().is_some() {
-        return Err(InputError::new(KEY_HEADER, "must not be given twice"));
+        return Err(InputError::new(KEY_HEADER, "must not come twice"));
     }
     key.to_str()
         .map(Some)
--- a/crates/caller-api/src/input.rs
+++ b/crates/caller-api/src/input.rs
@@ -72,7 +72,7 @@
         (Some(_), Some(_)) => {
             return Err(InputError::new(
                 "ticket",
-                "cannot be combined with an Idempotency-Key header",
+                "cannot go with an Idempotency-Key header",
             ));
         }
         (Some(ticket), None) => DuplicateDetection::Ticket(ticket),
--- a/crates/caller-api/src/operators/error.rs
+++ b/crates/caller-api/src/operators/error.rs
@@ -101,9 +101,7 @@
     #[error("{0}; nothing was written")]
     Unavailable(String),
     /// The outcome of the change is unknown.
-    #[error(
-        "the change may have been made or may still be made: look for it in the contract's history"
-    )]
+    #[error("the change may have been made or may yet be: look for it in the contract's history")]
     Unknown {
         /// The version that the change creates if it takes effect.
         version: Option<ContractVersion>,
@@ -139,7 +137,7 @@
 
     /// The error when a read gets the reply type of another command.
     pub(super) fn unexpected_reply() -> Self {
-        Self::Unavailable("the control thread sent the reply of another command".into())
+        Self::Unavailable("the control thread gave a reply of another command".into())
     }
 }
 
--- a/crates/caller-api/src/operators/precondition.rs
+++ b/crates/caller-api/src/operators/precondition.rs
@@ -24,7 +24,7 @@
             (None, None) => Err(OperatorError::PreconditionRequired),
             (Some(_), Some(_)) => Err(OperatorError::bad_field(
                 "If-Match",
-                &"cannot be combined with If-None-Match",
+                &"cannot go with If-None-Match",
             )),
             (None, Some("*")) => Ok(Self::Absent),
             (None, Some(_)) => Err(OperatorError::bad_field(
@@ -70,15 +70,12 @@
     let mut values = request.headers().get_all(&name);
     let first = values.next();
     if values.next().is_some() {
-        return Err(OperatorError::bad_field(
-            name.as_str(),
-            &"must not be given twice",
-        ));
+        return Err(OperatorError::bad_field(name.as_str(), &"given twice"));
     }
     let Some(value) = first else {
         return Ok(None);
     };
     let text = value.to_str();
-    let text = text.map_err(|_| OperatorError::bad_field(name.as_str(), &"must be plain ASCII"))?;
+    let text = text.map_err(|_| OperatorError::bad_field(name.as_str(), &"not plain text"))?;
     Ok(Some(text.trim()))
 }
