--- a/crates/jobs/src/ids.rs
+++ b/crates/jobs/src/ids.rs
@@ -175,7 +175,7 @@
 
 /// The error for a text that is not a pool id.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("not a pool id of the form DATA_CENTRE/GROUP")]
+#[error("not a pool id")]
 pub struct InvalidPoolId;
 
 impl fmt::Display for PoolId {
--- a/crates/platform/src/error.rs
+++ b/crates/platform/src/error.rs
@@ -16,7 +16,7 @@
     #[error("request not built: {0}")]
     InvalidRequest(String),
     /// This process has used up its share of the platform's rate, so no byte was sent.
-    #[error("over this process's rate limit, retry in {} ms", .retry_after.as_millis())]
+    #[error("over this process's rate, next turn in {} ms", .retry_after.as_millis())]
     RateLimited {
         /// The wait after which a permit is available.
         retry_after: Duration,
@@ -25,13 +25,13 @@
     #[error("no answer in time")]
     TimedOut,
     /// The connection was lost after it had been established.
-    #[error("connection lost: {0}")]
+    #[error("connection broke: {0}")]
     ConnectionLost(String),
     /// The answer has a status that the platform's interface does not specify, such as 503.
-    #[error("unexpected status {0}")]
+    #[error("status {0}")]
     UnexpectedStatus(u16),
     /// The answer's body is invalid.
-    #[error("invalid answer: {0}")]
+    #[error("broken answer: {0}")]
     BrokenAnswer(String),
 }
 
