--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -4,11 +4,12 @@
 //! the steps in order (submit, kill, freeze, cut, wait until, expect). [`run_script`] runs the steps on loopback, with
 //! `cairnpaddle` entries and dispatchers as child processes and stand-ins for the platform, the endpoints and the
 //! network. At the end of every scenario it checks every invariant of the system against the endpoints' records and the
-//! answers that callers received (see [`promises`]). The language is described in `docs/SCENARIOS.md`.
+//! answers that callers received (see [`invariants`]). The language is described in `docs/SCENARIOS.md`.
 
 mod binary;
 mod caller;
 mod error;
+pub mod invariants;
 mod load;
 mod operator;
 mod parse;
@@ -16,7 +17,6 @@
 mod platform_view;
 mod process;
 mod process_settings;
-pub mod promises;
 pub mod record;
 mod runner;
 pub mod script;
--- a/crates/scenario/src/runner/mod.rs
+++ b/crates/scenario/src/runner/mod.rs
@@ -13,10 +13,10 @@
 
 use crate::{
     error::StepError,
+    invariants::{check_invariants, BrokenInvariant, InvariantLimits},
     load::{BackendState, CallerLoad, EntryBackend},
     operator,
     process::{ChildProcess, ChildSignal, ProcessName},
-    promises::{check_invariants, BrokenInvariant, InvariantLimits},
     record::RunRecord,
     script::{AnswerStatus, ContractLine, Script, ScriptLine, Setup, Statement},
     testbed::ScenarioTestbed,
--- a/crates/scenario/tests/promises.rs
+++ b/crates/scenario/tests/invariants.rs
@@ -4,7 +4,7 @@
 
 use model::{AttemptId, ContractVersion, IncarnationId, SubmissionId};
 use scenario::{
-    promises::{check_invariants, InvariantLimits},
+    invariants::{check_invariants, InvariantLimits},
     record::{
         AnswerRecord, ExitCause, ExitRecord, RunRecord, SubmissionRecord, VersionObservation,
     },
--- a/crates/scenario/tests/scenarios.rs
+++ b/crates/scenario/tests/scenarios.rs
@@ -8,7 +8,7 @@
     sync::{Mutex, PoisonError},
 };
 
-use scenario::{find_binary, parse_script, promises::InvariantLimits, run_script, RunSettings};
+use scenario::{find_binary, invariants::InvariantLimits, parse_script, run_script, RunSettings};
 
 /// Held while a scenario runs. Scenarios measure answer times, so no two may run at once.
 static RUN_LOCK: Mutex<()> = Mutex::new(());
