--- a/crates/claims/src/controller/handover.rs
+++ b/crates/claims/src/controller/handover.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use jobs::{LifeId, PoolId};
+use jobs::{InstanceId, PoolId};
 
 use super::ClaimController;
 use crate::capacity::VmCapacity;
@@ -14,7 +14,7 @@
 impl ClaimController {
     /// The workers that a former owner still uses while it hands the pool over; none once the former owner is
     /// silent.
-    pub fn held_workers(&self, now: Instant, pool: &PoolId) -> Vec<LifeId> {
+    pub fn held_workers(&self, now: Instant, pool: &PoolId) -> Vec<InstanceId> {
         let mut held = Vec::new();
         for peer in self
             .heard_peers
--- a/crates/claims/src/rows.rs
+++ b/crates/claims/src/rows.rs
@@ -5,7 +5,7 @@
     sync::Arc,
 };
 
-use jobs::LifeId;
+use jobs::InstanceId;
 use model::{DataCentreId, FastMap};
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
@@ -74,7 +74,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum GroupSpread {
-    /// The hash of the worker's life id.
+    /// The hash of the worker's instance id.
     #[default]
     Life,
     /// The IP address as a number.
@@ -93,11 +93,11 @@
 
 impl GroupRow {
     /// The group of a worker.
-    pub fn group_of(&self, life: &LifeId, address: SocketAddr) -> u32 {
+    pub fn group_of(&self, instance: &InstanceId, address: SocketAddr) -> u32 {
         let number = match (self.spread, address.ip()) {
             (GroupSpread::Address, IpAddr::V4(ip)) => u64::from(ip.to_bits()),
             (GroupSpread::Address, IpAddr::V6(ip)) => ip.to_bits() as u64,
-            (GroupSpread::Life, _) => xxh3_64(life.as_str().as_bytes()),
+            (GroupSpread::Life, _) => xxh3_64(instance.as_str().as_bytes()),
         };
         u32::try_from(number % u64::from(self.groups.max(1))).unwrap_or(0)
     }
@@ -106,13 +106,13 @@
     /// are equal.
     pub fn balanced<'a>(
         groups: u32,
-        workers: impl Iterator<Item = (&'a LifeId, SocketAddr)> + Clone,
+        workers: impl Iterator<Item = (&'a InstanceId, SocketAddr)> + Clone,
     ) -> Self {
         let largest = |spread| {
             let row = Self { groups, spread };
             let mut sizes: FastMap<u32, usize> = FastMap::default();
-            for (life, address) in workers.clone() {
-                *sizes.entry(row.group_of(life, address)).or_default() += 1;
+            for (instance, address) in workers.clone() {
+                *sizes.entry(row.group_of(instance, address)).or_default() += 1;
             }
             sizes.into_values().max()
         };
--- a/crates/claims/src/view.rs
+++ b/crates/claims/src/view.rs
@@ -2,7 +2,7 @@
 
 use std::{fmt, sync::Arc, time::Duration};
 
-use jobs::{FenceToken, LifeId, PoolId};
+use jobs::{FenceToken, InstanceId, PoolId};
 use model::DataCentreId;
 use pool::PoolLoad;
 use serde::{Deserialize, Serialize};
@@ -70,7 +70,7 @@
     pub yielding: bool,
     /// The workers that the owner still uses while it hands the pool over. Its successor already takes the
     /// others.
-    pub held: Vec<LifeId>,
+    pub held: Vec<InstanceId>,
 }
 
 /// A process's own reading of the list of workers in the store, as opposed to a confirmation by a peer's
--- a/crates/claims/tests/claim_controller.rs
+++ b/crates/claims/tests/claim_controller.rs
@@ -9,7 +9,7 @@
     ClaimAction, ClaimController, ClaimOutcome, ClaimRow, ClaimSettings, Heartbeat, LinkRate,
     MemberRow, NodeId, PoolNews,
 };
-use jobs::{FenceToken, LifeId, PoolId};
+use jobs::{FenceToken, InstanceId, PoolId};
 use model::DataCentreId;
 use pool::PoolLoad;
 
@@ -257,7 +257,7 @@
 #[test]
 fn a_pool_reachable_again_stays_with_a_live_owner() {
     let (owner, peer) = (member("west-1", 1), member("east-2", 2));
-    for lives in [true, false] {
+    for instances in [true, false] {
         let mut sim = ControllerSim::new(&member("east-1", 3));
         sim.controller.on_member(sim.now, owner.clone());
         sim.controller.on_member(sim.now, peer.clone());
@@ -274,9 +274,13 @@
         assert_eq!(sim.claims, []);
         sim.run_for(
             millis(5_000),
-            if lives { &heartbeats } else { &heartbeats[..1] },
+            if instances {
+                &heartbeats
+            } else {
+                &heartbeats[..1]
+            },
         );
-        assert_eq!(sim.claims.is_empty(), lives);
+        assert_eq!(sim.claims.is_empty(), instances);
     }
 }
 
@@ -310,12 +314,12 @@
         leaving: true,
         ..serving
     };
-    leaving.pools[0].held = vec![LifeId::from("i-3")];
+    leaving.pools[0].held = vec![InstanceId::from("i-3")];
     sim.run_for(millis(300), std::slice::from_ref(&leaving));
     assert!(sim.first_claim().is_some());
     assert_eq!(
         sim.controller.held_workers(sim.now, &pool("east")),
-        [LifeId::from("i-3")]
+        [InstanceId::from("i-3")]
     );
     sim.run_for(millis(600), &[]);
     assert_eq!(
--- a/crates/claims/tests/groups.rs
+++ b/crates/claims/tests/groups.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, net::SocketAddr};
 
 use claims::{is_outgrown, plan_groups, GroupRow, GroupSpread, LinkRate, VmCapacity};
-use jobs::LifeId;
+use jobs::InstanceId;
 
 fn vms(count: usize, cores: f64, megabits: f64) -> Vec<VmCapacity> {
     vec![VmCapacity::new(cores, LinkRate::from_megabits(megabits)); count]
@@ -68,18 +68,18 @@
     check(1, &vms(9, 0.01, 0.1), 1);
 }
 
-fn sizes(row: GroupRow, workers: &[(LifeId, SocketAddr)]) -> Vec<usize> {
+fn sizes(row: GroupRow, workers: &[(InstanceId, SocketAddr)]) -> Vec<usize> {
     let mut sizes: BTreeMap<u32, usize> = BTreeMap::new();
-    for (life, address) in workers {
-        *sizes.entry(row.group_of(life, *address)).or_default() += 1;
+    for (instance, address) in workers {
+        *sizes.entry(row.group_of(instance, *address)).or_default() += 1;
     }
     sizes.into_values().collect()
 }
 
-fn workers(step: u8) -> Vec<(LifeId, SocketAddr)> {
+fn workers(step: u8) -> Vec<(InstanceId, SocketAddr)> {
     let workers = (0..24_u8).map(|number| {
-        let life = LifeId::from(format!("i-{:x}", u32::from(number) * 7_919).as_str());
-        (life, ([10, 128, 0, 9 + number * step], 8_080).into())
+        let instance = InstanceId::from(format!("i-{:x}", u32::from(number) * 7_919).as_str());
+        (instance, ([10, 128, 0, 9 + number * step], 8_080).into())
     });
     workers.collect()
 }
@@ -89,7 +89,7 @@
 #[test]
 fn consecutive_addresses_are_grouped_evenly() {
     let workers = workers(1);
-    let row = GroupRow::balanced(4, workers.iter().map(|(life, at)| (life, *at)));
+    let row = GroupRow::balanced(4, workers.iter().map(|(instance, at)| (instance, *at)));
     assert_eq!(row.spread, GroupSpread::Address);
     assert_eq!(sizes(row, &workers), [6, 6, 6, 6]);
 }
@@ -98,7 +98,7 @@
 #[test]
 fn unbalanced_addresses_fall_back_to_hashes() {
     let workers = workers(4);
-    let row = GroupRow::balanced(4, workers.iter().map(|(life, at)| (life, *at)));
+    let row = GroupRow::balanced(4, workers.iter().map(|(instance, at)| (instance, *at)));
     assert_eq!(row.spread, GroupSpread::Life);
     assert!(sizes(row, &workers).len() > 1);
 }
--- a/crates/jobs/src/ids.rs
+++ b/crates/jobs/src/ids.rs
@@ -154,10 +154,10 @@
 }
 
 text_id!(
-    /// The id under which a life (incarnation) of a worker process is listed. A restarted worker is a new life,
-    /// which remembers neither runs nor fencing tokens. It may keep its id; then its
-    /// [`BirthTime`](crate::BirthTime) tells the lives apart.
-    LifeId
+    /// The id under which a worker process is listed. A restarted worker is a new incarnation, which remembers
+    /// neither runs nor fencing tokens. It may keep its id; then its [`BirthTime`](crate::BirthTime) tells the
+    /// incarnations apart.
+    InstanceId
 );
 text_id!(
     /// The id of a service: the kind of work that a set of workers does.
--- a/crates/jobs/src/kept.rs
+++ b/crates/jobs/src/kept.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{BirthTime, JobId, JobRequest, JobTerms, LifeId, ServiceId, StepSpec, TaskText};
+use crate::{BirthTime, InstanceId, JobId, JobRequest, JobTerms, ServiceId, StepSpec, TaskText};
 
 /// The state of a kept job, as reported to its customer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -40,15 +40,15 @@
     }
 }
 
-/// The death of a worker while it ran a task. The worker's life is recorded so that no death counts twice,
+/// The death of a worker while it ran a task. The worker's incarnation is recorded so that no death counts twice,
 /// whichever process saw it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskDeath {
     /// The index of the task within its step.
     pub task: u32,
-    /// The life of the worker that died.
-    pub life: LifeId,
-    /// The start time of the worker process, which tells lives with the same id apart; `None` if the worker
+    /// The id of the worker instance that died.
+    pub life: InstanceId,
+    /// The start time of the worker process, which tells incarnations with the same id apart; `None` if the worker
     /// did not report it.
     pub born: Option<BirthTime>,
 }
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -13,7 +13,7 @@
 pub use crate::{
     demand::{CpuMillis, MemoryMegabytes, ResourceDemand},
     ids::{
-        FenceToken, InvalidJobId, InvalidPoolId, JobId, LifeId, PoolId, RunNumber, ServiceId,
+        FenceToken, InstanceId, InvalidJobId, InvalidPoolId, JobId, PoolId, RunNumber, ServiceId,
         TaskId,
     },
     kept::{KeptRow, KeptState, StepRecord, TaskDeath},
--- a/crates/jobs/src/worker.rs
+++ b/crates/jobs/src/worker.rs
@@ -5,7 +5,7 @@
 use model::{text_enum, DataCentreId, UnknownVariant};
 use serde::{Deserialize, Serialize};
 
-use crate::{LifeId, ResourceDemand, RunNumber, ServiceId, TaskId};
+use crate::{InstanceId, ResourceDemand, RunNumber, ServiceId, TaskId};
 
 /// The state of a worker, according to the directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -16,7 +16,7 @@
     Draining,
 }
 
-/// The start time of a worker process, in milliseconds since 1970 by a clock that may jump. It tells lives
+/// The start time of a worker process, in milliseconds since 1970 by a clock that may jump. It tells incarnations
 /// with the same id apart, but not which of them is later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
@@ -39,9 +39,9 @@
 /// A worker's entry in the directory.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct WorkerRecord {
-    /// The id of the worker's life.
-    pub life: LifeId,
-    /// The start time of the worker process, which tells lives with the same id apart; `None` if the worker
+    /// The id of the worker instance.
+    pub instance: InstanceId,
+    /// The start time of the worker process, which tells incarnations with the same id apart; `None` if the worker
     /// does not report it.
     pub born: Option<BirthTime>,
     /// The service whose tasks it runs.
@@ -100,7 +100,7 @@
 /// A run that ended on a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndedRun {
-    /// The number of the end within the worker's life, from 1.
+    /// The number of the end within the worker's incarnation, from 1.
     pub number: u64,
     /// The task; `None` if the run's name is not a task id.
     pub task: Option<TaskId>,
@@ -115,7 +115,7 @@
 pub struct WorkerListing {
     /// The worker's clock when it answered.
     pub clock: WorkerClock,
-    /// The start time of the worker process that answered, which tells lives with the same id apart; `None`
+    /// The start time of the worker process that answered, which tells incarnations with the same id apart; `None`
     /// if it did not report it.
     pub born: Option<BirthTime>,
     /// The active runs.
--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -6,7 +6,7 @@
 };
 
 use claims::{GroupRow, KnownList, ListReading};
-use jobs::{LifeId, PoolId, WorkerRecord};
+use jobs::{InstanceId, PoolId, WorkerRecord};
 use model::{DataCentreId, FastMap, FastSet};
 use xxhash_rust::xxh3::Xxh3;
 
@@ -39,12 +39,12 @@
 /// The directory of workers that the platform lists.
 #[derive(Default)]
 pub(crate) struct WorkerDirectory {
-    workers: FastMap<LifeId, WorkerRecord>,
+    workers: FastMap<InstanceId, WorkerRecord>,
     /// Entries that do not name a usable worker, for as long as they are listed.
-    unusable: FastMap<LifeId, UnusableEntry>,
+    unusable: FastMap<InstanceId, UnusableEntry>,
     /// Workers whose entries were removed soon after a failure of the store, with the time at which they count as
     /// gone.
-    unconfirmed_removals: FastMap<LifeId, Instant>,
+    unconfirmed_removals: FastMap<InstanceId, Instant>,
     /// When the store last failed a call of this process, on any table: a read of the workers' table may have
     /// waited all through an outage without noticing it.
     last_failure: Option<Instant>,
@@ -166,23 +166,23 @@
     }
 
     pub(crate) fn upsert(&mut self, record: WorkerRecord) {
-        self.unconfirmed_removals.remove(&record.life);
-        self.unusable.remove(&record.life);
+        self.unconfirmed_removals.remove(&record.instance);
+        self.unusable.remove(&record.instance);
         // Most changes are heartbeats that leave the worker's record unchanged.
-        if self.workers.get(&record.life) == Some(&record) {
+        if self.workers.get(&record.instance) == Some(&record) {
             return;
         }
-        self.remove_record(&record.life);
+        self.remove_record(&record.instance);
         self.digest = self.digest.wrapping_add(digest_of(&record));
         match self.worker_counts.get_mut(&record.data_centre) {
             Some(count) => *count += 1,
             None => drop(self.worker_counts.insert(record.data_centre.clone(), 1)),
         }
-        self.workers.insert(record.life.clone(), record);
+        self.workers.insert(record.instance.clone(), record);
     }
 
-    fn remove_record(&mut self, life: &LifeId) -> Option<WorkerRecord> {
-        let record = self.workers.remove(life)?;
+    fn remove_record(&mut self, instance: &InstanceId) -> Option<WorkerRecord> {
+        let record = self.workers.remove(instance)?;
         self.digest = self.digest.wrapping_sub(digest_of(&record));
         if let Some(count) = self.worker_counts.get_mut(&record.data_centre) {
             *count -= 1;
@@ -193,18 +193,20 @@
     /// Marks an entry as unusable. Returns the worker that it named before.
     pub(crate) fn mark_unusable(
         &mut self,
-        life: LifeId,
+        instance: InstanceId,
         entry: UnusableEntry,
     ) -> Option<WorkerRecord> {
-        self.unconfirmed_removals.remove(&life);
-        let former = self.remove_record(&life);
-        self.unusable.insert(life, entry);
+        self.unconfirmed_removals.remove(&instance);
+        let former = self.remove_record(&instance);
+        self.unusable.insert(instance, entry);
         former
     }
 
     /// Returns whether the entry was already logged as unusable.
-    pub(crate) fn is_logged(&self, life: &LifeId) -> bool {
-        self.unusable.get(life).is_some_and(|entry| entry.logged)
+    pub(crate) fn is_logged(&self, instance: &InstanceId) -> bool {
+        self.unusable
+            .get(instance)
+            .is_some_and(|entry| entry.logged)
     }
 
     /// Returns the readable records of unusable entries, which may be usable under another configuration.
@@ -220,17 +222,17 @@
 
     /// Removes an entry. Returns the worker if it counts as gone at once, and None if its entry may still come
     /// back.
-    pub(crate) fn remove(&mut self, now: Instant, life: &LifeId) -> Option<WorkerRecord> {
-        self.unusable.remove(life);
+    pub(crate) fn remove(&mut self, now: Instant, instance: &InstanceId) -> Option<WorkerRecord> {
+        self.unusable.remove(instance);
         let until = self.last_failure.map(|at| at + LAPSED_ENTRY_GRACE);
         if let Some(until) = until.filter(|until| now < *until) {
-            if self.workers.contains_key(life) {
-                self.unconfirmed_removals.insert(life.clone(), until);
+            if self.workers.contains_key(instance) {
+                self.unconfirmed_removals.insert(instance.clone(), until);
             }
             return None;
         }
-        self.unconfirmed_removals.remove(life);
-        self.remove_record(life)
+        self.unconfirmed_removals.remove(instance);
+        self.remove_record(instance)
     }
 
     /// Removes and returns the workers whose entry did not come back in time.
@@ -242,21 +244,21 @@
             .unconfirmed_removals
             .iter()
             .filter(|(_, until)| now >= **until);
-        let due: Vec<LifeId> = due.map(|(life, _)| life.clone()).collect();
+        let due: Vec<InstanceId> = due.map(|(instance, _)| instance.clone()).collect();
         let mut gone = Vec::new();
-        for life in due {
-            self.unconfirmed_removals.remove(&life);
-            gone.extend(self.remove_record(&life));
+        for instance in due {
+            self.unconfirmed_removals.remove(&instance);
+            gone.extend(self.remove_record(&instance));
         }
         gone
     }
 
-    /// Returns the lives that a full read does not contain.
-    pub(crate) fn missing_from(&self, seen: &FastSet<LifeId>) -> Vec<LifeId> {
+    /// Returns the worker instances that a full read does not contain.
+    pub(crate) fn missing_from(&self, seen: &FastSet<InstanceId>) -> Vec<InstanceId> {
         self.workers
             .keys()
             .chain(self.unusable.keys())
-            .filter(|life| !seen.contains(*life))
+            .filter(|instance| !seen.contains(*instance))
             .cloned()
             .collect()
     }
@@ -282,7 +284,7 @@
         let groups = self.groups(&record.data_centre)?;
         Some(PoolId {
             data_centre: record.data_centre.clone(),
-            group: groups.group_of(&record.life, record.address),
+            group: groups.group_of(&record.instance, record.address),
         })
     }
 
--- a/crates/node/src/event_lines.rs
+++ b/crates/node/src/event_lines.rs
@@ -84,8 +84,12 @@
                 .number("window", *window as u64);
             (EventKind::Important, line)
         }
-        PoolEvent::WorkerRestarted { life, born, runs } => {
-            let line = EventLine::new("worker_reborn").text("worker", life);
+        PoolEvent::WorkerRestarted {
+            instance,
+            born,
+            runs,
+        } => {
+            let line = EventLine::new("worker_reborn").text("worker", instance);
             let line = match born {
                 Some(born) => line.text("born", born),
                 None => line,
@@ -93,13 +97,13 @@
             (EventKind::Important, line.number("runs", *runs as u64))
         }
         PoolEvent::WorkerResized {
-            life,
+            instance,
             former_room,
             room,
             withdrawn,
         } => {
             let line = EventLine::new("worker_resized")
-                .text("worker", life)
+                .text("worker", instance)
                 .text("cpu", room.cpu)
                 .text("memory", room.memory)
                 .number("accelerators", room.accelerators)
@@ -111,13 +115,13 @@
             )
         }
         PoolEvent::CrashSuspected {
-            life,
+            instance,
             died,
             common,
             suspects,
         } => {
             let line = EventLine::new("crash_suspected")
-                .text("worker", life)
+                .text("worker", instance)
                 .text("died", died)
                 .text("common", common);
             (
@@ -125,8 +129,8 @@
                 line.number("suspects", *suspects as u64),
             )
         }
-        PoolEvent::CrashCleared { life } => {
-            let line = EventLine::new("crash_cleared").text("worker", life);
+        PoolEvent::CrashCleared { instance } => {
+            let line = EventLine::new("crash_cleared").text("worker", instance);
             (EventKind::Important, line)
         }
         PoolEvent::CrashCulprit { task } => {
@@ -162,7 +166,7 @@
         PoolEvent::RunPlaced {
             task,
             run,
-            life,
+            instance,
             waited,
         } => {
             let line = EventLine::new("run_placed")
@@ -170,13 +174,13 @@
                 .number("run", run.0);
             (
                 EventKind::Routine,
-                line.text("worker", life).millis("waited_ms", *waited),
+                line.text("worker", instance).millis("waited_ms", *waited),
             )
         }
         PoolEvent::StartFailed {
             task,
             run,
-            life,
+            instance,
             answer,
             starts_sent,
         } => {
@@ -184,27 +188,27 @@
                 .text("task", task)
                 .number("run", run.0);
             let line = line
-                .text("worker", life)
+                .text("worker", instance)
                 .text("answer", start_answer_label(*answer));
             (EventKind::Important, line.number("tries", *starts_sent))
         }
         PoolEvent::RunEnded {
             task,
             run,
-            life,
+            instance,
             cause,
             took,
         } => {
             let line = EventLine::new("run_ended")
                 .text("task", task)
                 .number("run", run.0);
-            let line = line.text("worker", life).text("cause", cause.as_str());
+            let line = line.text("worker", instance).text("cause", cause.as_str());
             (EventKind::Routine, line.millis("took_ms", *took))
         }
         PoolEvent::RunLost {
             task,
             run,
-            life,
+            instance,
             loss,
         } => {
             let line = EventLine::new("run_lost")
@@ -212,53 +216,64 @@
                 .number("run", run.0);
             (
                 EventKind::Important,
-                line.text("worker", life).text("cause", loss.as_str()),
+                line.text("worker", instance).text("cause", loss.as_str()),
             )
         }
         PoolEvent::RunStalled {
             task,
             run,
-            life,
+            instance,
             took,
             percent,
         } => {
             let line = EventLine::new("run_stalled")
                 .text("task", task)
                 .number("run", run.0);
-            let line = line.text("worker", life).millis("took_ms", *took);
+            let line = line.text("worker", instance).millis("took_ms", *took);
             (EventKind::Important, line.number("percent", *percent))
         }
-        PoolEvent::ForeignRun { task, run, life } => {
+        PoolEvent::ForeignRun {
+            task,
+            run,
+            instance,
+        } => {
             let line = EventLine::new("foreign_run")
                 .number("run", run.0)
-                .text("worker", life);
+                .text("worker", instance);
             let line = match task {
                 Some(task) => line.text("task", task),
                 None => line,
             };
             (EventKind::Important, line)
         }
-        PoolEvent::WorkerSuspended { life, cause, pause } => {
-            let line = EventLine::new("worker_suspended").text("worker", life);
+        PoolEvent::WorkerSuspended {
+            instance,
+            cause,
+            pause,
+        } => {
+            let line = EventLine::new("worker_suspended").text("worker", instance);
             (
                 EventKind::Important,
                 line.text("cause", cause.as_str())
                     .millis("pause_ms", *pause),
             )
         }
-        PoolEvent::WorkerSilent { life, runs } => {
-            let line = EventLine::new("worker_silent").text("worker", life);
+        PoolEvent::WorkerSilent { instance, runs } => {
+            let line = EventLine::new("worker_silent").text("worker", instance);
             (EventKind::Important, line.number("runs", *runs as u64))
         }
-        PoolEvent::WorkerAnswers { life, clock_offset } => {
-            let line = EventLine::new("worker_answers").text("worker", life);
+        PoolEvent::WorkerAnswers {
+            instance,
+            clock_offset,
+        } => {
+            let line = EventLine::new("worker_answers").text("worker", instance);
             (
                 EventKind::Important,
                 line.number("clock_offset_ms", *clock_offset),
             )
         }
-        PoolEvent::WorkerChanged { life, change } => {
-            let line = EventLine::new("worker_changed").text("worker", life);
+        PoolEvent::WorkerChanged { instance, change } => {
+            let line = EventLine::new("worker_changed").text("worker", instance);
             (EventKind::Important, line.text("change", change.as_str()))
         }
         PoolEvent::JobEnded {
--- a/crates/node/src/groups.rs
+++ b/crates/node/src/groups.rs
@@ -74,7 +74,7 @@
     state.directory.borrow_mut().set_groups(centre, row);
     for (pool, worker) in former_pools {
         if let Some(pool) = pool {
-            owner::unlist_worker(state, &pool, &worker.life);
+            owner::unlist_worker(state, &pool, &worker.instance);
         }
     }
     for worker in workers {
@@ -229,7 +229,7 @@
         .copied()
         .unwrap_or_default();
     let workers = state.directory.borrow().workers_of_centre(centre);
-    let row = GroupRow::balanced(groups, workers.iter().map(|w| (&w.life, w.address)));
+    let row = GroupRow::balanced(groups, workers.iter().map(|w| (&w.instance, w.address)));
     let Ok(value) = serde_json::to_vec(&row) else {
         return;
     };
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -8,7 +8,7 @@
 
 use claims::{ClaimAction, ClaimOutcome, ClaimRow, NodeId};
 use futures::future::{select, Either, LocalBoxFuture};
-use jobs::{FenceToken, JobId, JobOutcome, LifeId, PoolId, RefusalKind, WorkerRecord};
+use jobs::{FenceToken, InstanceId, JobId, JobOutcome, PoolId, RefusalKind, WorkerRecord};
 use model::{FastMap, Mechanism};
 use peer::{JobCall, PoolService};
 use platform::RowVersion;
@@ -39,7 +39,7 @@
     pub(crate) pool: WorkerPool,
     waiters: FastMap<WaiterId, oneshot::Sender<JobOutcome>>,
     /// Workers that a former owner still uses. They are added to the pool once that owner has released them.
-    deferred_workers: FastMap<LifeId, WorkerRecord>,
+    deferred_workers: FastMap<InstanceId, WorkerRecord>,
 }
 
 /// Applies `update` to a pool if this node owns it, then logs the pool's events and carries out its actions.
@@ -243,7 +243,7 @@
 /// higher fencing token would make it reject that owner's orders and end its jobs.
 pub(crate) fn upsert_worker(state: &Rc<NodeState>, id: &PoolId, worker: WorkerRecord) {
     if let Some(owned) = state.pools.borrow_mut().get_mut(id) {
-        if !owned.pool.has_worker(&worker.life) {
+        if !owned.pool.has_worker(&worker.instance) {
             // A pool that is being handed over does not take back workers that it has released.
             if state.is_handing_over(id) {
                 return;
@@ -252,8 +252,10 @@
                 .claim_controller
                 .borrow()
                 .held_workers(state.now(), id);
-            if held.contains(&worker.life) {
-                owned.deferred_workers.insert(worker.life.clone(), worker);
+            if held.contains(&worker.instance) {
+                owned
+                    .deferred_workers
+                    .insert(worker.instance.clone(), worker);
                 return;
             }
         }
@@ -292,8 +294,8 @@
         .held_workers(state.now(), id);
     let mut released = Vec::new();
     if let Some(owned) = state.pools.borrow_mut().get_mut(id) {
-        owned.deferred_workers.retain(|life, worker| {
-            let still_held = held.contains(life);
+        owned.deferred_workers.retain(|instance, worker| {
+            let still_held = held.contains(instance);
             if !still_held {
                 released.push(worker.clone());
             }
@@ -355,11 +357,11 @@
 
 /// Marks a worker as unlisted in a pool if this node owns the pool: its entry is gone or unusable, or it now belongs to
 /// another pool.
-pub(crate) fn unlist_worker(state: &Rc<NodeState>, id: &PoolId, life: &LifeId) {
+pub(crate) fn unlist_worker(state: &Rc<NodeState>, id: &PoolId, instance: &InstanceId) {
     if let Some(owned) = state.pools.borrow_mut().get_mut(id) {
-        owned.deferred_workers.remove(life);
+        owned.deferred_workers.remove(instance);
     }
-    with_pool(state, id, |pool, now| pool.unlist_worker(now, life));
+    with_pool(state, id, |pool, now| pool.unlist_worker(now, instance));
 }
 
 /// Carries out the actions of the claim controller.
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -171,7 +171,7 @@
         load: owned.pool.load(now),
         yielding: !owned.pool.is_accepting(),
         held: if state.is_handing_over(id) {
-            owned.pool.worker_lives()
+            owned.pool.worker_instances()
         } else {
             Vec::new()
         },
--- a/crates/node/src/workers.rs
+++ b/crates/node/src/workers.rs
@@ -10,7 +10,7 @@
 
 use std::rc::Rc;
 
-use jobs::{LifeId, ServiceId, WorkerRecord};
+use jobs::{InstanceId, ServiceId, WorkerRecord};
 use model::FastSet;
 use platform_adapter::{decode_worker, FeedPage, RowChange, StoredRow};
 use telemetry::{EventKind, EventLine};
@@ -31,28 +31,28 @@
 
 /// Applies changes of the workers' directory.
 pub(crate) fn apply_page(state: &Rc<NodeState>, page: FeedPage, is_snapshot: bool) {
-    let mut seen: FastSet<LifeId> = FastSet::default();
+    let mut seen: FastSet<InstanceId> = FastSet::default();
     let mut removed = Vec::new();
     for change in page.changes {
-        let life = LifeId::from(change.key());
+        let instance = InstanceId::from(change.key());
         match change {
             RowChange::Put(row) => {
-                seen.insert(life.clone());
-                apply_entry(state, life, &row);
+                seen.insert(instance.clone());
+                apply_entry(state, instance, &row);
             }
             RowChange::Unreadable { reason, .. } => {
-                seen.insert(life.clone());
-                reject_entry(state, life, None, &EntryFault::Unreadable(reason));
+                seen.insert(instance.clone());
+                reject_entry(state, instance, None, &EntryFault::Unreadable(reason));
             }
-            RowChange::Removed { .. } => removed.push(life),
+            RowChange::Removed { .. } => removed.push(instance),
         }
     }
     if is_snapshot {
         removed.extend(state.directory.borrow().missing_from(&seen));
         clear_assumed_workers(state);
     }
-    for life in removed {
-        let gone = state.directory.borrow_mut().remove(state.now(), &life);
+    for instance in removed {
+        let gone = state.directory.borrow_mut().remove(state.now(), &instance);
         if let Some(record) = gone {
             unlist_worker(state, &record);
         }
@@ -97,22 +97,22 @@
         .claim_controller
         .borrow_mut()
         .on_workers(&pool, has_workers);
-    owner::unlist_worker(state, &pool, &record.life);
+    owner::unlist_worker(state, &pool, &record.instance);
 }
 
-fn apply_entry(state: &Rc<NodeState>, life: LifeId, row: &StoredRow) {
+fn apply_entry(state: &Rc<NodeState>, instance: InstanceId, row: &StoredRow) {
     match decode_worker(&row.key, &row.value) {
         Ok(record) => classify_entry(state, record),
         Err(error) => {
             let fault = EntryFault::Unreadable(error.to_string());
-            reject_entry(state, life, None, &fault);
+            reject_entry(state, instance, None, &fault);
         }
     }
 }
 
 fn classify_entry(state: &Rc<NodeState>, record: WorkerRecord) {
     if let Some(fault) = find_fault(state, &record) {
-        reject_entry(state, record.life.clone(), Some(record), &fault);
+        reject_entry(state, record.instance.clone(), Some(record), &fault);
         return;
     }
     state.directory.borrow_mut().upsert(record.clone());
@@ -135,7 +135,7 @@
 /// another configuration.
 fn reject_entry(
     state: &Rc<NodeState>,
-    life: LifeId,
+    instance: InstanceId,
     record: Option<WorkerRecord>,
     fault: &EntryFault,
 ) {
@@ -145,12 +145,12 @@
         logged: !unconfigured,
     };
     let mut directory = state.directory.borrow_mut();
-    let logged = directory.is_logged(&life);
-    let former = directory.mark_unusable(life.clone(), entry);
+    let logged = directory.is_logged(&instance);
+    let former = directory.mark_unusable(instance.clone(), entry);
     drop(directory);
     if !logged && !unconfigured {
         let line = EventLine::new("worker_unusable")
-            .text("worker", &life)
+            .text("worker", &instance)
             .text("why", fault);
         state.log(EventKind::Important, line);
     }
--- a/crates/peer/src/pool_message.rs
+++ b/crates/peer/src/pool_message.rs
@@ -8,7 +8,7 @@
 };
 use claims::{Heartbeat, LinkRate, ListReading, NodeDigest, NodeId, PoolNews};
 use jobs::{
-    CpuMillis, FenceToken, JobId, JobOutcome, JobRequest, JobTerms, LifeId, MemoryMegabytes,
+    CpuMillis, FenceToken, InstanceId, JobId, JobOutcome, JobRequest, JobTerms, MemoryMegabytes,
     PoolId, ResourceDemand, ServiceId, StepSpec,
 };
 use model::DataCentreId;
@@ -52,8 +52,8 @@
         wire.set_backlog_micros(micros(news.load.backlog));
         wire.set_yielding(news.yielding);
         let mut held = wire.init_held(list_length(news.held.len()));
-        for (index, life) in news.held.iter().enumerate() {
-            held.set(list_length(index), life.as_str());
+        for (index, instance) in news.held.iter().enumerate() {
+            held.set(list_length(index), instance.as_str());
         }
     }
     let mut bytes = Vec::new();
@@ -86,8 +86,8 @@
     let mut pools = Vec::new();
     for wire in root.get_pools()? {
         let mut held = Vec::new();
-        for life in wire.get_held()? {
-            held.push(LifeId::from(read_text(life)?));
+        for instance in wire.get_held()? {
+            held.push(InstanceId::from(read_text(instance)?));
         }
         pools.push(PoolNews {
             held,
--- a/crates/pool/benches/admission.rs
+++ b/crates/pool/benches/admission.rs
@@ -8,8 +8,8 @@
 
 use criterion::{BenchmarkId, Criterion};
 use jobs::{
-    CpuMillis, FenceToken, JobId, JobRequest, JobTerms, LifeId, MemoryMegabytes, ResourceDemand,
-    ServiceId, StepSpec, WorkerClock, WorkerListing, WorkerRecord, WorkerState,
+    CpuMillis, FenceToken, InstanceId, JobId, JobRequest, JobTerms, MemoryMegabytes,
+    ResourceDemand, ServiceId, StepSpec, WorkerClock, WorkerListing, WorkerRecord, WorkerState,
 };
 use pool::{PoolAction, PoolInit, PoolSettings, WaiterId, WorkerPool};
 
@@ -27,7 +27,7 @@
 
 fn record(number: usize) -> WorkerRecord {
     WorkerRecord {
-        life: LifeId::from(format!("i-{number:03}").as_str()),
+        instance: InstanceId::from(format!("i-{number:03}").as_str()),
         born: None,
         service: ServiceId::from(SERVICE),
         address: ([127, 0, 0, 1], 9_000).into(),
--- a/crates/pool/src/action.rs
+++ b/crates/pool/src/action.rs
@@ -6,8 +6,8 @@
 };
 
 use jobs::{
-    EndCause, FenceToken, JobId, JobOutcome, KeptState, LifeId, ResourceDemand, RunNumber, TaskId,
-    TaskText, WorkerClock, WorkerListing,
+    EndCause, FenceToken, InstanceId, JobId, JobOutcome, KeptState, ResourceDemand, RunNumber,
+    TaskId, TaskText, WorkerClock, WorkerListing,
 };
 use model::{text_enum, UnknownVariant};
 
@@ -20,8 +20,8 @@
 /// An order to start a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartOrder {
-    /// The life of the worker to which the order is addressed.
-    pub life: LifeId,
+    /// The id of the worker instance to which the order is addressed.
+    pub instance: InstanceId,
     /// The address on which the worker listens.
     pub address: SocketAddr,
     /// The fencing token under which the order is sent.
@@ -45,8 +45,8 @@
 /// An order to stop a run. A run that has not started on the worker yet never starts afterwards.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StopOrder {
-    /// The life of the worker to which the order is addressed.
-    pub life: LifeId,
+    /// The id of the worker instance to which the order is addressed.
+    pub instance: InstanceId,
     /// The address on which the worker listens.
     pub address: SocketAddr,
     /// The fencing token under which the order is sent.
@@ -61,12 +61,12 @@
     pub timeout: Duration,
 }
 
-/// A poll of a worker. It renews the lease of all runs on the worker and acknowledges ended runs; the answer lists the runs
-/// that are running and those that have ended.
+/// A poll of a worker. It renews the lease of all runs on the worker and acknowledges ended runs; the answer lists the
+/// runs that are running and those that have ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PollOrder {
-    /// The life of the worker to which the order is addressed.
-    pub life: LifeId,
+    /// The id of the worker instance to which the order is addressed.
+    pub instance: InstanceId,
     /// The address on which the worker listens.
     pub address: SocketAddr,
     /// The fencing token under which the order is sent.
@@ -84,10 +84,11 @@
 text_enum! {
     /// Why a call to a worker got no valid answer.
     CallFailure, "failure of a call", UnknownVariant {
-        /// No answer came in time, or the connection broke. The worker may have carried out the call, or may still do so.
+        /// No answer came in time, or the connection broke. The worker may have carried out the call, or may still do
+        /// so.
         NoAnswer => "no_answer",
-        /// The worker is in another life than the one addressed: all runs of the addressed life are over.
-        NewLife => "new_life",
+        /// Another instance than the addressed one answered: all runs of the addressed instance are over.
+        NewInstance => "new_life",
         /// Another owner has used a higher fencing token.
         FencedOut => "fenced_out",
         /// The worker reports that it did nothing because it is unhealthy.
@@ -153,8 +154,8 @@
     RunLoss, "loss of a run", UnknownVariant {
         /// The worker rejected the start.
         Rejected => "turned_away",
-        /// The worker has started again, in a new life.
-        NewLife => "new_life",
+        /// The worker was restarted or replaced: the instance or incarnation that had the run is over.
+        NewInstance => "new_life",
         /// The worker did not answer until the lease had certainly expired.
         LeaseExpired => "lease_over",
         /// A poll that was sent later does not list the run.
@@ -205,7 +206,7 @@
         /// The number of the run.
         run: RunNumber,
         /// The worker on which the run was placed.
-        life: LifeId,
+        instance: InstanceId,
         /// The time since the customer's request.
         waited: Duration,
     },
@@ -216,7 +217,7 @@
         /// The number of the run.
         run: RunNumber,
         /// The worker to which the start was sent.
-        life: LifeId,
+        instance: InstanceId,
         /// The answer, or why there was none.
         answer: StartAnswer,
         /// How many times the start of this run was sent.
@@ -229,7 +230,7 @@
         /// The number of the run.
         run: RunNumber,
         /// The worker that reported the end.
-        life: LifeId,
+        instance: InstanceId,
         /// Why the run ended.
         cause: EndCause,
         /// The time since the run was placed.
@@ -242,7 +243,7 @@
         /// The number of the run.
         run: RunNumber,
         /// The worker on which the run was placed.
-        life: LifeId,
+        instance: InstanceId,
         /// Why the run counts as over.
         loss: RunLoss,
     },
@@ -253,7 +254,7 @@
         /// The number of the run.
         run: RunNumber,
         /// The worker on which the run stalls.
-        life: LifeId,
+        instance: InstanceId,
         /// The time since the run was placed.
         took: Duration,
         /// The progress of the run, in percent.
@@ -266,10 +267,10 @@
         /// The number of the run.
         run: RunNumber,
         /// The worker that lists the run.
-        life: LifeId,
+        instance: InstanceId,
     },
-    /// The path to the workers became congested, so that answers to starts take much longer than the shortest time seen, or
-    /// it is no longer congested.
+    /// The path to the workers became congested, so that answers to starts take much longer than the shortest time
+    /// seen, or it is no longer congested.
     Congestion {
         /// Whether the path is congested now.
         congested: bool,
@@ -283,7 +284,7 @@
     /// A worker gets no new runs for a while.
     WorkerSuspended {
         /// The suspended worker.
-        life: LifeId,
+        instance: InstanceId,
         /// Why it is suspended.
         cause: SuspensionCause,
         /// How long the worker gets no new runs.
@@ -292,21 +293,21 @@
     /// A worker no longer answers polls.
     WorkerSilent {
         /// The silent worker.
-        life: LifeId,
+        instance: InstanceId,
         /// The number of runs that were placed on the worker and are not known to be over.
         runs: usize,
     },
     /// A worker answers again, or for the first time.
     WorkerAnswers {
         /// The worker that answered a poll.
-        life: LifeId,
+        instance: InstanceId,
         /// The worker's clock minus the owner's, in milliseconds.
         clock_offset: i64,
     },
     /// A worker was added, changed in the directory, or left.
     WorkerChanged {
         /// The worker that changed.
-        life: LifeId,
+        instance: InstanceId,
         /// What changed.
         change: WorkerChange,
     },
@@ -345,8 +346,8 @@
     /// A worker has started again under its id.
     WorkerRestarted {
         /// The restarted worker.
-        life: LifeId,
-        /// When its new life began, if the worker reports it.
+        instance: InstanceId,
+        /// When its new incarnation began, if the worker reports it.
         born: Option<jobs::BirthTime>,
         /// The number of runs that were placed on the worker before the restart was noticed.
         runs: usize,
@@ -354,7 +355,7 @@
     /// The room of a worker changed.
     WorkerResized {
         /// The worker whose room changed.
-        life: LifeId,
+        instance: InstanceId,
         /// The room before the change.
         former_room: ResourceDemand,
         /// The room after the change.
@@ -365,19 +366,19 @@
     /// A worker was lost together with its runs, one of which may have crashed it.
     CrashSuspected {
         /// The lost worker.
-        life: LifeId,
+        instance: InstanceId,
         /// Whether the worker is known to have died, rather than possibly being out of reach.
         died: bool,
-        /// Whether other workers were lost at the same time from a common cause. Then only tasks of a job that ran on all of
-        /// them remain suspects.
+        /// Whether other workers were lost at the same time from a common cause. Then only tasks of a job that ran on
+        /// all of them remain suspects.
         common: bool,
         /// The number of tasks that were lost with the worker.
         suspects: usize,
     },
-    /// A worker that counted as lost answers again in the same life: it had not crashed.
+    /// A worker that counted as lost answers again in the same incarnation: it had not crashed.
     CrashCleared {
         /// The worker that answers again.
-        life: LifeId,
+        instance: InstanceId,
     },
     /// A task was identified as crashing its workers. Its job fails.
     CrashCulprit {
--- a/crates/pool/src/crash.rs
+++ b/crates/pool/src/crash.rs
@@ -1,11 +1,12 @@
 //! Identifies tasks that crash the workers on which they run.
 //!
-//! A few jobs in a thousand crash every worker that starts them. Such a task takes down worker after worker, together with all
-//! their other runs, for as long as its customer waits, and a kept job does so without end.
+//! A few jobs in a thousand crash every worker that starts them. Such a task takes down worker after worker, together
+//! with all their other runs, for as long as its customer waits, and a kept job does so without end.
 //!
-//! One death does not identify the culprit among the runs that were lost with a worker: all of them become suspects. A suspect
-//! then runs alone on a worker, so that a second death identifies it and no other task. Deaths that happen together, such as
-//! those of a rack, make no task a suspect, and neither does a silent worker that turns out to be alive.
+//! One death does not identify the culprit among the runs that were lost with a worker: all of them become suspects. A
+//! suspect then runs alone on a worker, so that a second death identifies it and no other task. Deaths that happen
+//! together, such as those of a rack, make no task a suspect, and neither does a silent worker that turns out to be
+//! alive.
 
 use std::{
     net::SocketAddr,
@@ -13,7 +14,7 @@
     time::{Duration, Instant},
 };
 
-use jobs::{BirthTime, JobId, LifeId, TaskId};
+use jobs::{BirthTime, InstanceId, JobId, TaskId};
 use model::{FastMap, FastSet};
 
 /// The number of deaths that make a task a culprit if it ran alone in one of them.
@@ -22,12 +23,12 @@
 /// The number of deaths that make a task a culprit even if it never ran alone.
 const CULPRIT_DEATHS: u32 = 3;
 
-/// Losses within this time may have a common cause. It covers the difference in time between the detection of one silent worker
-/// and of another.
+/// Losses within this time may have a common cause. It covers the difference in time between the detection of one
+/// silent worker and of another.
 const COMMON_CAUSE_WINDOW: Duration = Duration::from_millis(500);
 
-/// Losses in a pool have a common cause if there are at least this many, and at least one in `COMMON_WORKERS_DIVISOR` of the
-/// pool's workers is lost.
+/// Losses in a pool have a common cause if there are at least this many, and at least one in `COMMON_WORKERS_DIVISOR`
+/// of the pool's workers is lost.
 const MIN_COMMON_LOSSES: usize = 3;
 const COMMON_WORKERS_DIVISOR: usize = 16;
 
@@ -41,8 +42,9 @@
 /// The maximum number of losses that are remembered.
 const MAX_LOSSES: usize = 512;
 
-/// How long a task is not placed after its second loss, so that it can become known whether the lost workers died. The time
-/// doubles with each further loss, which bounds the number of workers that the task can take down before that is known.
+/// How long a task is not placed after its second loss, so that it can become known whether the lost workers died. The
+/// time doubles with each further loss, which bounds the number of workers that the task can take down before that is
+/// known.
 const INITIAL_HOLD: Duration = Duration::from_millis(2_500);
 
 /// The maximum number of times that the hold doubles.
@@ -62,7 +64,7 @@
 /// A worker that was lost with its runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct WorkerLoss {
-    pub(crate) life: LifeId,
+    pub(crate) instance: InstanceId,
     pub(crate) born: Option<BirthTime>,
     /// The address on which the worker listened, if known.
     pub(crate) address: Option<SocketAddr>,
@@ -173,12 +175,12 @@
         self.find_culprits(now)
     }
 
-    /// Discards the loss of a worker that answers again in the same life and so was only out of reach. Returns whether there was
-    /// such a loss.
-    pub(crate) fn discard_loss(&mut self, life: &LifeId, born: Option<BirthTime>) -> bool {
+    /// Discards the loss of a worker that answers again in the same incarnation and so was only out of reach. Returns
+    /// whether there was such a loss.
+    pub(crate) fn discard_loss(&mut self, instance: &InstanceId, born: Option<BirthTime>) -> bool {
         let known = self.losses.len();
         self.losses
-            .retain(|loss| loss.died || loss.life != *life || loss.born != born);
+            .retain(|loss| loss.died || loss.instance != *instance || loss.born != born);
         let cleared = self.losses.len() != known;
         if cleared {
             self.recount_losses();
@@ -186,21 +188,21 @@
         cleared
     }
 
-    /// Confirms the death of a lost worker that is now in another life. Returns the culprits that it identifies.
-    pub(crate) fn confirm_death(&mut self, now: Instant, life: &LifeId) -> Vec<TaskId> {
-        self.confirm_deaths_where(now, |loss| loss.life == *life)
+    /// Confirms the death of a lost worker that is now in another incarnation. Returns the culprits that it identifies.
+    pub(crate) fn confirm_death(&mut self, now: Instant, instance: &InstanceId) -> Vec<TaskId> {
+        self.confirm_deaths_where(now, |loss| loss.instance == *instance)
     }
 
-    /// Takes a new directory entry, which confirms the death of a lost worker of the same id or at the same address. Returns the
-    /// culprits that it identifies.
+    /// Takes a new directory entry, which confirms the death of a lost worker of the same id or at the same address.
+    /// Returns the culprits that it identifies.
     pub(crate) fn apply_directory_entry(
         &mut self,
         now: Instant,
-        life: &LifeId,
+        instance: &InstanceId,
         born: Option<BirthTime>,
         address: SocketAddr,
     ) -> Vec<TaskId> {
-        self.confirm_deaths_where(now, |loss| match loss.life == *life {
+        self.confirm_deaths_where(now, |loss| match loss.instance == *instance {
             true => born.is_some() && loss.born.is_some() && loss.born != born,
             false => loss.address == Some(address),
         })
@@ -254,18 +256,19 @@
     }
 
     /// The confirmed deaths that count against a job's tasks.
-    pub(crate) fn deaths_of(&self, job: JobId) -> Vec<(TaskId, LifeId, Option<BirthTime>)> {
+    pub(crate) fn deaths_of(&self, job: JobId) -> Vec<(TaskId, InstanceId, Option<BirthTime>)> {
         let mut deaths = Vec::new();
         for loss in self.losses.iter().filter(|loss| loss.died) {
             let of_job = loss.tasks.iter().filter(|lost| lost.task.job == job);
-            deaths.extend(of_job.map(|lost| (lost.task, loss.life.clone(), loss.born)));
+            deaths.extend(of_job.map(|lost| (lost.task, loss.instance.clone(), loss.born)));
         }
         deaths
     }
 
-    /// Adds a loss. There is one per life of a worker; a second report of it is merged into the first.
+    /// Adds a loss. There is one per incarnation of a worker; a second report of it is merged into the first.
     fn add_loss(&mut self, loss: WorkerLoss) {
-        let same = |other: &&mut WorkerLoss| other.life == loss.life && other.born == loss.born;
+        let same =
+            |other: &&mut WorkerLoss| other.instance == loss.instance && other.born == loss.born;
         if let Some(known) = self.losses.iter_mut().find(same) {
             known.died |= loss.died;
             for lost in loss.tasks {
@@ -298,8 +301,8 @@
         }
     }
 
-    /// Stops counting recent losses that have a common cause against their tasks, except against the tasks of a job that ran on
-    /// all lost workers, since that job may be the cause. Returns whether there are such losses.
+    /// Stops counting recent losses that have a common cause against their tasks, except against the tasks of a job
+    /// that ran on all lost workers, since that job may be the cause. Returns whether there are such losses.
     fn exclude_common_cause(&mut self, worker_counts: &WorkerCounts) -> bool {
         let least = MIN_COMMON_LOSSES.max(worker_counts.workers.div_ceil(COMMON_WORKERS_DIVISOR));
         let mut common: Vec<&WorkerLoss> = Vec::new();
@@ -319,12 +322,12 @@
             return false;
         }
         let common_jobs = jobs_on_all(&common);
-        let excluded: FastSet<(LifeId, Option<BirthTime>)> = common
+        let excluded: FastSet<(InstanceId, Option<BirthTime>)> = common
             .iter()
-            .map(|loss| (loss.life.clone(), loss.born))
+            .map(|loss| (loss.instance.clone(), loss.born))
             .collect();
         for loss in &mut self.losses {
-            if excluded.contains(&(loss.life.clone(), loss.born)) {
+            if excluded.contains(&(loss.instance.clone(), loss.born)) {
                 loss.tasks
                     .retain(|lost| common_jobs.contains(&lost.task.job));
             }
--- a/crates/pool/src/job.rs
+++ b/crates/pool/src/job.rs
@@ -5,7 +5,7 @@
     time::{Duration, Instant},
 };
 
-use jobs::{CpuMillis, JobRequest, JobTerms, LifeId, StepRecord, StepSpec};
+use jobs::{CpuMillis, InstanceId, JobRequest, JobTerms, StepRecord, StepSpec};
 
 use crate::{action::WaiterId, kept::KeptJobState};
 
@@ -16,7 +16,7 @@
     /// How many times the task has failed.
     pub(crate) failures: u32,
     /// The workers on which the task failed. Others are preferred.
-    pub(crate) failed_on: Vec<LifeId>,
+    pub(crate) failed_on: Vec<InstanceId>,
 }
 
 /// The progress of one step.
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Recounts the completed tasks of a kept job from its record, where each task counts once: a task may be completed both by a
-    /// run of this owner and according to what a former owner stored.
+    /// Recounts the completed tasks of a kept job from its record, where each task counts once: a task may be completed
+    /// both by a run of this owner and according to what a former owner stored.
     pub(crate) fn recount_done(&mut self) {
         let records = self.kept.as_ref().map(|kept| kept.progress.iter());
         for (step, record) in self.steps.iter_mut().zip(records.into_iter().flatten()) {
--- a/crates/pool/src/kept.rs
+++ b/crates/pool/src/kept.rs
@@ -1,23 +1,23 @@
 //! Kept jobs: what is stored of them, and what has to be stored before it may be acknowledged.
 //!
-//! A kept job is a durable job: it is stored when it is accepted, outlives the processes that run it, and is answered before
-//! its end. It runs only once its row is in the store. The end of one of its runs is acknowledged to the worker only once the
-//! row contains it: until then the worker keeps the end for the next owner.
+//! A kept job is a durable job: it is stored when it is accepted, outlives the processes that run it, and is answered
+//! before its end. It runs only once its row is in the store. The end of one of its runs is acknowledged to the worker
+//! only once the row contains it: until then the worker keeps the end for the next owner.
 
 use std::time::Duration;
 
-use jobs::{JobId, KeptRow, KeptState, LifeId, RunNumber, StepRecord};
+use jobs::{InstanceId, JobId, KeptRow, KeptState, RunNumber, StepRecord};
 
-/// How long an owner continues kept jobs without contact to the store. After that it may have been replaced without knowing it,
-/// and a second run of a task could begin. Its successor waits for this time plus a lease and a margin.
+/// How long an owner continues kept jobs without contact to the store. After that it may have been replaced without
+/// knowing it, and a second run of a task could begin. Its successor waits for this time plus a lease and a margin.
 pub(crate) const STORE_CONTACT_LIMIT: Duration = Duration::from_millis(1_000);
 
-/// How long a new owner holds back the kept jobs that it found if it cannot see that no run of its predecessor is left: the sum
-/// of `STORE_CONTACT_LIMIT`, a lease of 0.8 s, 50 ms for a stop and 350 ms for clock drift and late timers.
+/// How long a new owner holds back the kept jobs that it found if it cannot see that no run of its predecessor is left:
+/// the sum of `STORE_CONTACT_LIMIT`, a lease of 0.8 s, 50 ms for a stop and 350 ms for clock drift and late timers.
 pub(crate) const TAKEOVER_HOLD_TIME: Duration = Duration::from_millis(2_200);
 
-/// The pause between polls of a worker with ends that are being stored. The worker lists those ends in each answer and so does
-/// not wait for a run to end before it answers.
+/// The pause between polls of a worker with ends that are being stored. The worker lists those ends in each answer and
+/// so does not wait for a run to end before it answers.
 pub(crate) const STORING_POLL_PAUSE: Duration = Duration::from_millis(10);
 
 /// A write of a kept job's row.
@@ -60,7 +60,7 @@
 /// The end of a run that is known but not stored yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct UnstoredEnd {
-    pub(crate) life: LifeId,
+    pub(crate) instance: InstanceId,
     pub(crate) number: u64,
     /// The revision of the row that contains it.
     pub(crate) revision: u64,
@@ -71,8 +71,8 @@
 pub(crate) struct KeptJobState {
     /// The version of its row. None until it is stored.
     pub(crate) version: Option<u64>,
-    /// Counts the changes that have to be stored. It begins at a number that this owner uses only once, so that a row identifies
-    /// the write it came from even when the same job is submitted again.
+    /// Counts the changes that have to be stored. It begins at a number that this owner uses only once, so that a row
+    /// identifies the write it came from even when the same job is submitted again.
     pub(crate) revision: u64,
     /// The revision that is stored.
     pub(crate) stored_revision: u64,
--- a/crates/pool/src/placement.rs
+++ b/crates/pool/src/placement.rs
@@ -1,18 +1,19 @@
 //! Chooses the worker on which a task runs.
 //!
-//! Workers differ in speed and size, some have turned slow, and the load may take up most of the room. A short task
-//! on a worker that is several times slower is certain to be late. Since a job ends with its last task, one such worker among
-//! sixteen makes most wide jobs late.
+//! Workers differ in speed and size, some have turned slow, and the load may take up most of the room. A short task on
+//! a worker that is several times slower is certain to be late. Since a job ends with its last task, one such worker
+//! among sixteen makes most wide jobs late.
 
 use std::time::{Duration, Instant};
 
-use jobs::{JobId, LifeId, StepSpec};
+use jobs::{InstanceId, JobId, StepSpec};
 
 use crate::worker::TrackedWorker;
 
-/// A worker above this multiple of its pool's median slowness gets only one run at a time, to see whether it has recovered.
-/// Healthy workers differ by a factor of 1.6 from slowest to fastest. Estimates add as much again for single jobs, which the
-/// mean evens out. The bound is relative to the pool because estimates that are far too low make all workers look slow at once.
+/// A worker above this multiple of its pool's median slowness gets only one run at a time, to see whether it has
+/// recovered. Healthy workers differ by a factor of 1.6 from slowest to fastest. Estimates add as much again for single
+/// jobs, which the mean evens out. The bound is relative to the pool because estimates that are far too low make all
+/// workers look slow at once.
 const SLUGGISH_FACTOR: f64 = 2.2;
 
 /// The pause between two such probe runs on a sluggish worker.
@@ -25,7 +26,7 @@
     pub(crate) spec: &'a StepSpec,
     pub(crate) service: &'a jobs::ServiceId,
     /// The workers on which the task failed before.
-    pub(crate) failed_on: &'a [LifeId],
+    pub(crate) failed_on: &'a [InstanceId],
     /// The factor by which the task takes longer outside the rack of its data.
     pub(crate) far_factor: f64,
     /// The median slowness of the pool's workers.
@@ -33,7 +34,7 @@
     /// Whether no other run may share the worker, because workers died under the task.
     pub(crate) exclusive: bool,
     /// Workers that are being emptied for exclusive tasks.
-    pub(crate) reserved: &'a [LifeId],
+    pub(crate) reserved: &'a [InstanceId],
 }
 
 /// Whether a worker can ever hold the task, whatever runs on it now.
@@ -89,7 +90,7 @@
     let fits_beside = match request.exclusive {
         true => worker.runs.is_empty(),
         false => {
-            !request.reserved.contains(&worker.record.life)
+            !request.reserved.contains(&worker.record.instance)
                 && !worker.runs.iter().any(|run| run.exclusive)
         }
     };
@@ -112,8 +113,8 @@
     leftover_cpu: u64,
 }
 
-/// Slowness values this close count as equal, so that the tighter fit decides: leftover room that is too small for any task is
-/// wasted.
+/// Slowness values this close count as equal, so that the tighter fit decides: leftover room that is too small for any
+/// task is wasted.
 const EQUAL_SLOWNESS_MARGIN: f64 = 0.08;
 
 impl PlacementScore {
@@ -123,7 +124,7 @@
             _ => 1.0,
         };
         Self {
-            failed_there: request.failed_on.contains(&worker.record.life),
+            failed_there: request.failed_on.contains(&worker.record.instance),
             slowness: worker.slowness * far,
             leftover_cpu: worker.free_room().minus(&request.spec.demand).cpu.0,
         }
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -18,7 +18,7 @@
 };
 
 use jobs::{
-    critical_path, FenceToken, JobId, JobOutcome, JobRequest, JobTerms, LifeId, RefusalKind,
+    critical_path, FenceToken, InstanceId, JobId, JobOutcome, JobRequest, JobTerms, RefusalKind,
     RunNumber, WorkerRecord, WorkerState,
 };
 use model::{FastMap, Mechanism};
@@ -96,13 +96,13 @@
     sole_owner_since: Instant,
     /// The store version up to which no later claim of the pool was made.
     no_later_claim_until: u64,
-    workers: BTreeMap<LifeId, TrackedWorker>,
+    workers: BTreeMap<InstanceId, TrackedWorker>,
     jobs: FastMap<JobId, TrackedJob>,
     queue: JobQueue,
     /// Losses of workers, and the tasks suspected of causing them.
     crashes: CrashTracker,
     /// Workers that are being emptied so that crash suspects can run alone on them.
-    reserved_for_suspects: Vec<LifeId>,
+    reserved_for_suspects: Vec<InstanceId>,
     estimates: EstimateCorrections,
     arrivals: ArrivalStats,
     actions: Vec<PoolAction>,
@@ -214,12 +214,12 @@
     }
 
     /// Whether the pool has the worker.
-    pub fn has_worker(&self, life: &LifeId) -> bool {
-        self.workers.contains_key(life)
+    pub fn has_worker(&self, instance: &InstanceId) -> bool {
+        self.workers.contains_key(instance)
     }
 
     /// The workers of the pool.
-    pub fn worker_lives(&self) -> Vec<LifeId> {
+    pub fn worker_instances(&self) -> Vec<InstanceId> {
         self.workers.keys().cloned().collect()
     }
 
@@ -290,12 +290,14 @@
 
     /// Adds a worker from the directory, or updates its record.
     pub fn upsert_worker(&mut self, now: Instant, record: WorkerRecord) {
-        let life = record.life.clone();
-        let Some(worker) = self.workers.get_mut(&life) else {
+        let instance = record.instance.clone();
+        let Some(worker) = self.workers.get_mut(&instance) else {
             self.on_new_worker(now, &record);
-            self.workers
-                .insert(life.clone(), TrackedWorker::new(record, self.fence, now));
-            self.report_worker_change(life, WorkerChange::Added);
+            self.workers.insert(
+                instance.clone(),
+                TrackedWorker::new(record, self.fence, now),
+            );
+            self.report_worker_change(instance, WorkerChange::Added);
             self.send_polls_and_orders(now);
             return;
         };
@@ -308,10 +310,10 @@
         worker.update_record(now, record);
         worker.unlisted_since = None;
         if changed {
-            self.report_worker_change(life.clone(), change);
+            self.report_worker_change(instance.clone(), change);
         }
         if former != room {
-            self.apply_resize(now, &life, former);
+            self.apply_resize(now, &instance, former);
         }
         if changed || former != room {
             self.schedule(now);
@@ -321,13 +323,13 @@
 
     /// Marks a worker as missing from the directory. It gets no new runs, and is removed once it
     /// has no runs or after a grace period.
-    pub fn unlist_worker(&mut self, now: Instant, life: &LifeId) {
-        let Some(worker) = self.workers.get_mut(life) else {
+    pub fn unlist_worker(&mut self, now: Instant, instance: &InstanceId) {
+        let Some(worker) = self.workers.get_mut(instance) else {
             return;
         };
         if worker.unlisted_since.is_none() {
             worker.unlisted_since = Some(now);
-            self.report_worker_change(life.clone(), WorkerChange::Unlisted);
+            self.report_worker_change(instance.clone(), WorkerChange::Unlisted);
         }
         self.remove_unlisted_workers(now);
     }
@@ -498,23 +500,24 @@
         self.actions.push(PoolAction::Answer { waiter, outcome });
     }
 
-    fn report_worker_change(&mut self, life: LifeId, change: WorkerChange) {
-        self.events.push(PoolEvent::WorkerChanged { life, change });
+    fn report_worker_change(&mut self, instance: InstanceId, change: WorkerChange) {
+        self.events
+            .push(PoolEvent::WorkerChanged { instance, change });
     }
 
     fn remove_unlisted_workers(&mut self, now: Instant) {
         let mut gone = Vec::new();
-        for (life, worker) in &self.workers {
+        for (instance, worker) in &self.workers {
             let Some(since) = worker.unlisted_since else {
                 continue;
             };
             if worker.runs.is_empty() || now >= since + UNLISTED_WORKER_GRACE {
-                gone.push(life.clone());
+                gone.push(instance.clone());
             }
         }
-        for life in gone {
-            self.workers.remove(&life);
-            self.report_worker_change(life, WorkerChange::Forgotten);
+        for instance in gone {
+            self.workers.remove(&instance);
+            self.report_worker_change(instance, WorkerChange::Forgotten);
         }
     }
 
@@ -524,16 +527,16 @@
     }
 
     /// Suspends a worker, so that it gets no new runs for a while.
-    fn suspend(&mut self, now: Instant, life: &LifeId, cause: SuspensionCause) {
+    fn suspend(&mut self, now: Instant, instance: &InstanceId, cause: SuspensionCause) {
         if !self.is_enabled(Mechanism::Suspension) {
             return;
         }
-        let Some(worker) = self.workers.get_mut(life) else {
+        let Some(worker) = self.workers.get_mut(instance) else {
             return;
         };
         let pause = worker.health.suspend(now);
         self.events.push(PoolEvent::WorkerSuspended {
-            life: life.clone(),
+            instance: instance.clone(),
             cause,
             pause,
         });
--- a/crates/pool/src/pool/answers.rs
+++ b/crates/pool/src/pool/answers.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use jobs::{LifeId, RunNumber, TaskId, WorkerClock};
+use jobs::{InstanceId, RunNumber, TaskId, WorkerClock};
 use model::Mechanism;
 
 use super::{stop_run, WorkerPool};
@@ -18,16 +18,19 @@
     /// Handles the answer to a start.
     pub fn on_start_answer(&mut self, now: Instant, order: &StartOrder, answer: StartAnswer) {
         let StartOrder {
-            life, task, run, ..
+            instance,
+            task,
+            run,
+            ..
         } = order;
         let owner_millis = self.owner_millis(now);
-        let Some(worker) = self.workers.get_mut(life) else {
+        let Some(worker) = self.workers.get_mut(instance) else {
             return;
         };
         // If the order was sent before the worker's restart was noticed, the answer may come from
-        // its former life.
-        let from_current_life = order.sent >= worker.life_since;
-        if let Some(clock) = answer_clock(answer).filter(|_| from_current_life) {
+        // its former incarnation.
+        let from_current_incarnation = order.sent >= worker.incarnation_since;
+        if let Some(clock) = answer_clock(answer).filter(|_| from_current_incarnation) {
             worker.update_clock(owner_millis, clock);
         }
         let fence_raised = order.fence < worker.fence;
@@ -43,7 +46,7 @@
             self.events.push(PoolEvent::StartFailed {
                 task: *task,
                 run: *run,
-                life: life.clone(),
+                instance: instance.clone(),
                 answer,
                 starts_sent: tries,
             });
@@ -51,26 +54,30 @@
         match answer {
             // For `Superseded`, an earlier copy of this start was carried out and its run has ended;
             // its end is listed.
-            StartAnswer::Started(_) | StartAnswer::Superseded(_) if !from_current_life => (),
+            StartAnswer::Started(_) | StartAnswer::Superseded(_) if !from_current_incarnation => (),
             StartAnswer::Started(_) | StartAnswer::Superseded(_) => {
                 confirm_run(worker, *task, *run, now);
                 self.record_answer_time(now, now.saturating_duration_since(order.sent));
             }
-            StartAnswer::LeaseExpired(_) => self.retry_start(now, life, *task, *run),
+            StartAnswer::LeaseExpired(_) => self.retry_start(now, instance, *task, *run),
             StartAnswer::NoRoom(_) | StartAnswer::NotAllowed(_) => {
-                self.handle_rejected_start(now, life, *task, *run);
+                self.handle_rejected_start(now, instance, *task, *run);
             }
             StartAnswer::Failed(CallFailure::Unhealthy | CallFailure::Malformed) => {
-                self.handle_rejected_start(now, life, *task, *run);
+                self.handle_rejected_start(now, instance, *task, *run);
             }
             // Another copy of the start may still be answered.
             StartAnswer::Failed(CallFailure::NoAnswer) if in_flight > 0 => (),
-            StartAnswer::Failed(CallFailure::NoAnswer) => self.retry_start(now, life, *task, *run),
-            StartAnswer::Failed(CallFailure::NewLife) => self.forget_life(now, life),
+            StartAnswer::Failed(CallFailure::NoAnswer) => {
+                self.retry_start(now, instance, *task, *run)
+            }
+            StartAnswer::Failed(CallFailure::NewInstance) => self.forget_instance(now, instance),
             StartAnswer::Failed(CallFailure::FencedOut) if fence_raised => {
-                self.retry_start(now, life, *task, *run);
+                self.retry_start(now, instance, *task, *run);
+            }
+            StartAnswer::Failed(CallFailure::FencedOut) => {
+                self.handle_worker_takeover(now, instance)
             }
-            StartAnswer::Failed(CallFailure::FencedOut) => self.handle_worker_takeover(now, life),
         }
         self.schedule(now);
         self.send_polls_and_orders(now);
@@ -81,7 +88,7 @@
     /// are late at once, the owner's own path is congested and copies would only add to it, so
     /// resends are limited.
     pub fn on_start_overdue(&mut self, now: Instant, order: &StartOrder) {
-        let Some(worker) = self.workers.get_mut(&order.life) else {
+        let Some(worker) = self.workers.get_mut(&order.instance) else {
             return;
         };
         worker.mark_order_overdue();
@@ -98,11 +105,11 @@
         self.events.push(PoolEvent::StartFailed {
             task: order.task,
             run: order.run,
-            life: order.life.clone(),
+            instance: order.instance.clone(),
             answer: StartAnswer::Failed(CallFailure::NoAnswer),
             starts_sent: tries,
         });
-        self.retry_start(now, &order.life, order.task, order.run);
+        self.retry_start(now, &order.instance, order.task, order.run);
         self.schedule(now);
     }
 
@@ -140,18 +147,21 @@
     /// Handles the answer to a stop.
     pub fn on_stop_answer(&mut self, now: Instant, order: &StopOrder, answer: StopAnswer) {
         let StopOrder {
-            life, task, run, ..
+            instance,
+            task,
+            run,
+            ..
         } = order;
         let owner_millis = self.owner_millis(now);
-        let Some(worker) = self.workers.get_mut(life) else {
+        let Some(worker) = self.workers.get_mut(instance) else {
             return;
         };
         worker.finish_order(false);
-        let from_current_life = order.sent >= worker.life_since;
+        let from_current_incarnation = order.sent >= worker.incarnation_since;
         let fence_raised = order.fence < worker.fence;
         match answer {
-            // The answer may come from the former life, so the stop is sent again to the new one.
-            StopAnswer::Stopped(_) if !from_current_life => {
+            // The answer may come from the former incarnation, so the stop is sent again to the new one.
+            StopAnswer::Stopped(_) if !from_current_incarnation => {
                 worker
                     .queued_orders
                     .push_back(QueuedOrder::Stop(*task, *run));
@@ -162,13 +172,15 @@
                     run.stop_acked_at = Some(now);
                 }
             }
-            StopAnswer::Failed(CallFailure::NewLife) => self.forget_life(now, life),
+            StopAnswer::Failed(CallFailure::NewInstance) => self.forget_instance(now, instance),
             StopAnswer::Failed(CallFailure::FencedOut) if fence_raised => {
                 worker
                     .queued_orders
                     .push_back(QueuedOrder::Stop(*task, *run));
             }
-            StopAnswer::Failed(CallFailure::FencedOut) => self.handle_worker_takeover(now, life),
+            StopAnswer::Failed(CallFailure::FencedOut) => {
+                self.handle_worker_takeover(now, instance)
+            }
             StopAnswer::Failed(
                 CallFailure::NoAnswer | CallFailure::Unhealthy | CallFailure::Malformed,
             ) => {
@@ -183,9 +195,15 @@
 
     /// Sends a start again that went unanswered or had no effect. After `max_unanswered_starts` the
     /// run is stopped and, unless the path is congested, the worker suspended.
-    fn retry_start(&mut self, now: Instant, life: &LifeId, task: TaskId, number: RunNumber) {
+    fn retry_start(
+        &mut self,
+        now: Instant,
+        instance: &InstanceId,
+        task: TaskId,
+        number: RunNumber,
+    ) {
         let congested = self.is_congested();
-        let Some(worker) = self.workers.get_mut(life) else {
+        let Some(worker) = self.workers.get_mut(instance) else {
             return;
         };
         let Some(run) = worker.run_mut(task, number) else {
@@ -210,7 +228,7 @@
         }
         stop_run(worker, task, number);
         if !congested {
-            self.suspend(now, life, SuspensionCause::Silent);
+            self.suspend(now, instance, SuspensionCause::Silent);
         }
     }
 
@@ -219,11 +237,11 @@
     fn handle_rejected_start(
         &mut self,
         now: Instant,
-        life: &LifeId,
+        instance: &InstanceId,
         task: TaskId,
         number: RunNumber,
     ) {
-        let Some(worker) = self.workers.get_mut(life) else {
+        let Some(worker) = self.workers.get_mut(instance) else {
             return;
         };
         let only_try = worker
@@ -235,9 +253,9 @@
             stop_run(worker, task, number);
             None
         };
-        self.suspend(now, life, SuspensionCause::Unhealthy);
+        self.suspend(now, instance, SuspensionCause::Unhealthy);
         if let Some(run) = lost {
-            self.record_lost_run(&run, life, RunLoss::Rejected);
+            self.record_lost_run(&run, instance, RunLoss::Rejected);
             self.requeue(now, run);
         }
     }
--- a/crates/pool/src/pool/crash_blame.rs
+++ b/crates/pool/src/pool/crash_blame.rs
@@ -7,8 +7,8 @@
 use std::time::Instant;
 
 use jobs::{
-    BirthTime, JobId, JobOutcome, KeptState, LifeId, StepRecord, TaskDeath, TaskId, WorkerRecord,
-    WorkerState,
+    BirthTime, InstanceId, JobId, JobOutcome, KeptState, StepRecord, TaskDeath, TaskId,
+    WorkerRecord, WorkerState,
 };
 use model::{FastSet, Mechanism};
 
@@ -29,11 +29,11 @@
     pub(super) fn record_worker_loss(
         &mut self,
         now: Instant,
-        life: &LifeId,
+        instance: &InstanceId,
         begun: impl Iterator<Item = TaskId>,
         died: bool,
     ) -> Vec<TaskId> {
-        let Some(worker) = self.workers.get(life) else {
+        let Some(worker) = self.workers.get(instance) else {
             return Vec::new();
         };
         // A draining worker ends with all its runs, as it has announced, so no task is to blame.
@@ -46,7 +46,7 @@
             return Vec::new();
         }
         let loss = WorkerLoss {
-            life: life.clone(),
+            instance: instance.clone(),
             born: worker.born,
             address: Some(worker.record.address),
             labels: worker.record.labels.clone(),
@@ -58,7 +58,7 @@
         let suspects = loss.tasks.len();
         let findings = self.crashes.record_loss(loss, &self.count_workers());
         self.events.push(PoolEvent::CrashSuspected {
-            life: life.clone(),
+            instance: instance.clone(),
             died,
             common: findings.common,
             suspects,
@@ -68,17 +68,18 @@
     }
 
     /// Records that a lost worker is known to have died.
-    pub(super) fn confirm_crash(&mut self, now: Instant, life: &LifeId) {
-        let culprits = self.crashes.confirm_death(now, life);
+    pub(super) fn confirm_crash(&mut self, now: Instant, instance: &InstanceId) {
+        let culprits = self.crashes.confirm_death(now, instance);
         self.store_deaths();
         self.fail_culprit_jobs(now, culprits);
     }
 
-    /// Clears the loss of a worker that answers in the life in which it was lost.
-    pub(super) fn clear_crash(&mut self, life: &LifeId, born: Option<BirthTime>) {
-        if self.crashes.discard_loss(life, born) {
-            self.events
-                .push(PoolEvent::CrashCleared { life: life.clone() });
+    /// Clears the loss of a worker that answers in the incarnation in which it was lost.
+    pub(super) fn clear_crash(&mut self, instance: &InstanceId, born: Option<BirthTime>) {
+        if self.crashes.discard_loss(instance, born) {
+            self.events.push(PoolEvent::CrashCleared {
+                instance: instance.clone(),
+            });
         }
     }
 
@@ -90,7 +91,7 @@
         }
         let culprits =
             self.crashes
-                .apply_directory_entry(now, &record.life, record.born, record.address);
+                .apply_directory_entry(now, &record.instance, record.born, record.address);
         self.store_deaths();
         self.fail_culprit_jobs(now, culprits);
     }
@@ -105,7 +106,7 @@
             for death in &record.deaths {
                 let task = task_id(id, step, death.task);
                 let loss = WorkerLoss {
-                    life: death.life.clone(),
+                    instance: death.life.clone(),
                     born: death.born,
                     address: None,
                     labels: Vec::new(),
@@ -162,11 +163,13 @@
         let mut open: Vec<&TrackedWorker> = open.collect();
         let max_reserved = (open.len() / MAX_RESERVED_DIVISOR).max(1);
         open.sort_by_key(|worker| {
-            let was_reserved = former.contains(&worker.record.life);
+            let was_reserved = former.contains(&worker.record.instance);
             (worker.runs.len(), !was_reserved)
         });
         let reserved = open.iter().take(waiting.min(max_reserved));
-        self.reserved_for_suspects = reserved.map(|worker| worker.record.life.clone()).collect();
+        self.reserved_for_suspects = reserved
+            .map(|worker| worker.record.instance.clone())
+            .collect();
     }
 
     pub(super) fn is_kept(&self, id: JobId) -> bool {
--- a/crates/pool/src/pool/evacuating.rs
+++ b/crates/pool/src/pool/evacuating.rs
@@ -6,7 +6,7 @@
 
 use std::time::Instant;
 
-use jobs::{JobId, JobOutcome, LifeId, RefusalKind, RunNumber, TaskId};
+use jobs::{InstanceId, JobId, JobOutcome, RefusalKind, RunNumber, TaskId};
 
 use super::{stop_run, WorkerPool, MIN_RETRY_AFTER};
 use crate::{action::PoolEvent, worker::RunPhase};
@@ -20,10 +20,10 @@
         self.evacuated = evacuated;
         let mut unsent = Vec::new();
         let mut running = 0;
-        for (life, worker) in &self.workers {
+        for (instance, worker) in &self.workers {
             for run in &worker.runs {
                 if run.phase == RunPhase::Ordered && run.starts_sent == 0 {
-                    unsent.push((life.clone(), run.task, run.run));
+                    unsent.push((instance.clone(), run.task, run.run));
                 } else {
                     running += 1;
                 }
@@ -45,11 +45,11 @@
     pub(super) fn withdraw_starts(
         &mut self,
         now: Instant,
-        starts: Vec<(LifeId, TaskId, RunNumber)>,
+        starts: Vec<(InstanceId, TaskId, RunNumber)>,
     ) {
         let mut unsent = Vec::new();
-        for (life, task, number) in starts {
-            let Some(worker) = self.workers.get_mut(&life) else {
+        for (instance, task, number) in starts {
+            let Some(worker) = self.workers.get_mut(&instance) else {
                 continue;
             };
             let run = worker.run_mut(task, number);
--- a/crates/pool/src/pool/kept_jobs.rs
+++ b/crates/pool/src/pool/kept_jobs.rs
@@ -6,7 +6,7 @@
 };
 
 use jobs::{
-    EndCause, EndedRun, JobId, JobOutcome, JobRequest, JobTerms, KeptRow, KeptState, LifeId,
+    EndCause, EndedRun, InstanceId, JobId, JobOutcome, JobRequest, JobTerms, KeptRow, KeptState,
     RefusalKind, StepRecord, TaskId,
 };
 
@@ -109,7 +109,12 @@
     /// Records a run's end in its job, and that the worker's end must not be acknowledged before
     /// the record is stored. Returns how often the task has failed if this run failed, and 0
     /// otherwise.
-    pub(super) fn record_end(&mut self, task: TaskId, life: &LifeId, end: &EndedRun) -> u32 {
+    pub(super) fn record_end(
+        &mut self,
+        task: TaskId,
+        instance: &InstanceId,
+        end: &EndedRun,
+    ) -> u32 {
         let job = self.jobs.get_mut(&task.job);
         let kept = job.and_then(|job| job.kept.as_mut());
         // Once the job has ended, its row needs no further records.
@@ -130,11 +135,11 @@
         }
         kept.revision += 1;
         kept.unstored_ends.push(UnstoredEnd {
-            life: life.clone(),
+            instance: instance.clone(),
             number: end.number,
             revision: kept.revision,
         });
-        if let Some(worker) = self.workers.get_mut(life) {
+        if let Some(worker) = self.workers.get_mut(instance) {
             worker.unstored_ends.insert(end.number);
         }
         failures
@@ -262,7 +267,7 @@
 
     fn release_ends(&mut self, ends: &[UnstoredEnd], up_to: u64) {
         for end in ends.iter().filter(|end| end.revision <= up_to) {
-            if let Some(worker) = self.workers.get_mut(&end.life) {
+            if let Some(worker) = self.workers.get_mut(&end.instance) {
                 worker.unstored_ends.remove(&end.number);
             }
         }
--- a/crates/pool/src/pool/polls.rs
+++ b/crates/pool/src/pool/polls.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use jobs::{
-    EndCause, EndedRun, JobId, JobOutcome, KeptState, LifeId, RunNumber, TaskId, WorkerClock,
+    EndCause, EndedRun, InstanceId, JobId, JobOutcome, KeptState, RunNumber, TaskId, WorkerClock,
     WorkerListing,
 };
 
@@ -80,8 +80,8 @@
         order: &PollOrder,
         answer: PollAnswer,
     ) {
-        let life = &order.life;
-        let Some(worker) = self.workers.get_mut(life) else {
+        let instance = &order.instance;
+        let Some(worker) = self.workers.get_mut(instance) else {
             return;
         };
         worker.polls_in_flight = worker.polls_in_flight.saturating_sub(1);
@@ -89,10 +89,10 @@
             Ok(listing) => self.apply_listing(now, sent, order, listing),
             // This owner has raised the worker's fence since the poll was sent.
             Err(CallFailure::FencedOut) if order.fence < worker.fence => (),
-            Err(CallFailure::FencedOut) => self.handle_worker_takeover(now, life),
-            Err(CallFailure::NewLife) => self.forget_life(now, life),
+            Err(CallFailure::FencedOut) => self.handle_worker_takeover(now, instance),
+            Err(CallFailure::NewInstance) => self.forget_instance(now, instance),
             Err(CallFailure::NoAnswer | CallFailure::Unhealthy | CallFailure::Malformed) => {
-                self.record_missed_poll(now, sent, life);
+                self.record_missed_poll(now, sent, instance);
             }
         }
         self.schedule(now);
@@ -126,9 +126,9 @@
             .min(settings.max_poll_margin)
     }
 
-    fn record_missed_poll(&mut self, now: Instant, sent: Instant, life: &LifeId) {
+    fn record_missed_poll(&mut self, now: Instant, sent: Instant, instance: &InstanceId) {
         self.last_missed_answer = Some(now);
-        let Some(worker) = self.workers.get_mut(life) else {
+        let Some(worker) = self.workers.get_mut(instance) else {
             return;
         };
         // A later poll was answered, so only this poll was lost and its worker is alive.
@@ -144,7 +144,7 @@
         let first = worker.missed_polls == crate::worker::MISSED_POLLS_TO_SILENCE;
         if first {
             self.events.push(PoolEvent::WorkerSilent {
-                life: life.clone(),
+                instance: instance.clone(),
                 runs,
             });
         }
@@ -157,12 +157,12 @@
         order: &PollOrder,
         listing: WorkerListing,
     ) {
-        if !self.check_life(now, sent, order, &listing) {
+        if !self.check_incarnation(now, sent, order, &listing) {
             return;
         }
         let owner_millis = self.owner_millis(now);
-        let life = &order.life;
-        let Some(worker) = self.workers.get_mut(life) else {
+        let instance = &order.instance;
+        let Some(worker) = self.workers.get_mut(instance) else {
             return;
         };
         worker.record_listing(now, order.fence);
@@ -181,26 +181,26 @@
         let born = worker.born;
         if newly_answering {
             self.events.push(PoolEvent::WorkerAnswers {
-                life: life.clone(),
+                instance: instance.clone(),
                 clock_offset,
             });
         }
         if had_misses {
-            self.clear_crash(life, born);
+            self.clear_crash(instance, born);
         }
         for end in &listing.ended {
-            self.apply_end(now, life, end);
+            self.apply_end(now, instance, end);
         }
-        self.pause_polls(now, life, &listing);
+        self.pause_polls(now, instance, &listing);
         if newest {
-            self.stop_foreign_runs(life, &listing);
-            self.update_progress(now, life, &listing);
+            self.stop_foreign_runs(instance, &listing);
+            self.update_progress(now, instance, &listing);
         }
-        self.drop_missing_runs(now, sent, life, &listing);
+        self.drop_missing_runs(now, sent, instance, &listing);
     }
 
-    fn apply_end(&mut self, now: Instant, life: &LifeId, end: &EndedRun) {
-        let Some(worker) = self.workers.get_mut(life) else {
+    fn apply_end(&mut self, now: Instant, instance: &InstanceId, end: &EndedRun) {
+        let Some(worker) = self.workers.get_mut(instance) else {
             return;
         };
         if end.number <= worker.last_seen_end {
@@ -213,7 +213,7 @@
             return;
         };
         let Some(run) = worker.remove_run(task, end.run) else {
-            self.apply_found_end(now, life, end);
+            self.apply_found_end(now, instance, end);
             return;
         };
         worker.last_end_time = now;
@@ -221,14 +221,14 @@
         self.events.push(PoolEvent::RunEnded {
             task,
             run: run.run,
-            life: life.clone(),
+            instance: instance.clone(),
             cause: end.cause,
             took,
         });
-        let failures = self.record_end(task, life, end);
+        let failures = self.record_end(task, instance, end);
         match end.cause {
-            EndCause::Done => self.complete_task(now, life, &run, took),
-            EndCause::Failed => self.fail_task(now, life, run, failures),
+            EndCause::Done => self.complete_task(now, instance, &run, took),
+            EndCause::Failed => self.fail_task(now, instance, run, failures),
             EndCause::Stopped | EndCause::Lapsed | EndCause::Gang => self.requeue(now, run),
         }
         self.store_changes(task.job);
@@ -236,8 +236,8 @@
 
     /// Pauses polls of a worker while its ends must not be acknowledged, since it lists them again
     /// and again until they are.
-    fn pause_polls(&mut self, now: Instant, life: &LifeId, listing: &WorkerListing) {
-        let Some(worker) = self.workers.get_mut(life) else {
+    fn pause_polls(&mut self, now: Instant, instance: &InstanceId, listing: &WorkerListing) {
+        let Some(worker) = self.workers.get_mut(instance) else {
             return;
         };
         let unread = !self.kept_loaded && !listing.ended.is_empty();
@@ -246,9 +246,15 @@
         }
     }
 
-    fn complete_task(&mut self, now: Instant, life: &LifeId, run: &TrackedRun, took: Duration) {
+    fn complete_task(
+        &mut self,
+        now: Instant,
+        instance: &InstanceId,
+        run: &TrackedRun,
+        took: Duration,
+    ) {
         let learning_enabled = self.is_enabled(Mechanism::Speeds);
-        if let Some(worker) = self.workers.get_mut(life) {
+        if let Some(worker) = self.workers.get_mut(instance) {
             worker.health.record_success();
             if learning_enabled {
                 worker.update_slowness(now, run.predicted, took);
@@ -285,18 +291,24 @@
 
     /// Handles a failed run. `recorded` is the number of the task's failures in the record of a kept
     /// job.
-    fn fail_task(&mut self, now: Instant, life: &LifeId, mut run: TrackedRun, recorded: u32) {
+    fn fail_task(
+        &mut self,
+        now: Instant,
+        instance: &InstanceId,
+        mut run: TrackedRun,
+        recorded: u32,
+    ) {
         let id = run.task.job;
         let mut is_task_fault = true;
-        if let Some(worker) = self.workers.get_mut(life) {
+        if let Some(worker) = self.workers.get_mut(instance) {
             // A failure on a worker that fails everything says nothing about the task.
             is_task_fault = worker.health.is_healthy();
             if worker.health.record_failure(id) {
-                self.suspend(now, life, SuspensionCause::Failing);
+                self.suspend(now, instance, SuspensionCause::Failing);
             }
         }
         run.failures += u32::from(is_task_fault);
-        run.failed_on.push(life.clone());
+        run.failed_on.push(instance.clone());
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
@@ -346,8 +358,8 @@
 
     /// Stops runs that a former owner ordered. Their demands are not known, so nothing is placed
     /// beside them.
-    fn stop_foreign_runs(&mut self, life: &LifeId, listing: &WorkerListing) {
-        let Some(worker) = self.workers.get_mut(life) else {
+    fn stop_foreign_runs(&mut self, instance: &InstanceId, listing: &WorkerListing) {
+        let Some(worker) = self.workers.get_mut(instance) else {
             return;
         };
         let mut foreign: Vec<(TaskId, RunNumber)> = Vec::new();
@@ -380,15 +392,15 @@
             self.events.push(PoolEvent::ForeignRun {
                 task: Some(known.0),
                 run: known.1,
-                life: life.clone(),
+                instance: instance.clone(),
             });
         }
         worker.foreign_runs = foreign;
     }
 
-    fn update_progress(&mut self, now: Instant, life: &LifeId, listing: &WorkerListing) {
+    fn update_progress(&mut self, now: Instant, instance: &InstanceId, listing: &WorkerListing) {
         let learning_enabled = self.is_enabled(Mechanism::Speeds);
-        let Some(worker) = self.workers.get_mut(life) else {
+        let Some(worker) = self.workers.get_mut(instance) else {
             return;
         };
         let mut stalled = Vec::new();
@@ -427,7 +439,7 @@
         if stalled.is_empty() || !self.is_enabled(Mechanism::StallStop) {
             return;
         }
-        let Some(worker) = self.workers.get_mut(life) else {
+        let Some(worker) = self.workers.get_mut(instance) else {
             return;
         };
         for (task, run, took, percent) in stalled {
@@ -435,13 +447,13 @@
             self.events.push(PoolEvent::RunStalled {
                 task,
                 run,
-                life: life.clone(),
+                instance: instance.clone(),
                 took,
                 percent,
             });
         }
         // Runs that stall together are one fault of their worker and cost one suspension.
-        self.suspend(now, life, SuspensionCause::Stalled);
+        self.suspend(now, instance, SuspensionCause::Stalled);
     }
 
     /// Removes the runs that the listing proves to be over or never to begin, and requeues their
@@ -450,10 +462,10 @@
         &mut self,
         now: Instant,
         sent: Instant,
-        life: &LifeId,
+        instance: &InstanceId,
         listing: &WorkerListing,
     ) {
-        let Some(worker) = self.workers.get_mut(life) else {
+        let Some(worker) = self.workers.get_mut(instance) else {
             return;
         };
         let mut missing = Vec::new();
@@ -469,46 +481,46 @@
             lost.extend(worker.remove_run(task, run));
         }
         for run in lost {
-            self.record_lost_run(&run, life, RunLoss::NotListed);
+            self.record_lost_run(&run, instance, RunLoss::NotListed);
             self.requeue(now, run);
         }
     }
 
     /// Treats all runs of a worker as over and requeues their tasks.
-    pub(super) fn lose_all_runs(&mut self, now: Instant, life: &LifeId, loss: RunLoss) {
-        let Some(worker) = self.workers.get_mut(life) else {
+    pub(super) fn lose_all_runs(&mut self, now: Instant, instance: &InstanceId, loss: RunLoss) {
+        let Some(worker) = self.workers.get_mut(instance) else {
             return;
         };
         let runs = std::mem::take(&mut worker.runs);
         worker.foreign_runs.clear();
         worker.queued_orders.clear();
-        let died = loss == RunLoss::NewLife;
+        let died = loss == RunLoss::NewInstance;
         let begun = runs.iter().filter(|run| run.starts_sent > 0);
-        let culprits = self.record_worker_loss(now, life, begun.map(|run| run.task), died);
+        let culprits = self.record_worker_loss(now, instance, begun.map(|run| run.task), died);
         for run in runs {
-            self.record_lost_run(&run, life, loss);
+            self.record_lost_run(&run, instance, loss);
             self.requeue(now, run);
         }
         self.fail_culprit_jobs(now, culprits);
     }
 
-    /// Removes a worker that now has another life: the runs of this one are over.
-    pub(super) fn forget_life(&mut self, now: Instant, life: &LifeId) {
-        self.lose_all_runs(now, life, RunLoss::NewLife);
-        self.confirm_crash(now, life);
-        if self.workers.remove(life).is_some() {
-            self.report_worker_change(life.clone(), WorkerChange::Forgotten);
+    /// Removes a worker instance that another one has replaced: the runs of the removed one are over.
+    pub(super) fn forget_instance(&mut self, now: Instant, instance: &InstanceId) {
+        self.lose_all_runs(now, instance, RunLoss::NewInstance);
+        self.confirm_crash(now, instance);
+        if self.workers.remove(instance).is_some() {
+            self.report_worker_change(instance.clone(), WorkerChange::Forgotten);
         }
     }
 
     /// Handles the takeover of a worker by another owner. That owner stops the runs there, but
     /// possibly not before this owner could start the same tasks elsewhere. The jobs with runs on
     /// the worker are therefore given up. The other workers and jobs continue.
-    pub(super) fn handle_worker_takeover(&mut self, now: Instant, life: &LifeId) {
-        let Some(worker) = self.workers.remove(life) else {
+    pub(super) fn handle_worker_takeover(&mut self, now: Instant, instance: &InstanceId) {
+        let Some(worker) = self.workers.remove(instance) else {
             return;
         };
-        self.report_worker_change(life.clone(), WorkerChange::TakenOver);
+        self.report_worker_change(instance.clone(), WorkerChange::TakenOver);
         let is_of_kept_job = |run: &TrackedRun| {
             let job = self.jobs.get(&run.task.job);
             job.is_some_and(|job| job.kept.is_some())
@@ -524,11 +536,16 @@
         }
     }
 
-    pub(super) fn record_lost_run(&mut self, run: &TrackedRun, life: &LifeId, loss: RunLoss) {
+    pub(super) fn record_lost_run(
+        &mut self,
+        run: &TrackedRun,
+        instance: &InstanceId,
+        loss: RunLoss,
+    ) {
         self.events.push(PoolEvent::RunLost {
             task: run.task,
             run: run.run,
-            life: life.clone(),
+            instance: instance.clone(),
             loss,
         });
     }
@@ -563,7 +580,7 @@
     worker.lease_end = worker.lease_end.max(lease_end.unwrap_or_default());
     let wait = poll_wait(worker, now, settings);
     PollOrder {
-        life: worker.record.life.clone(),
+        instance: worker.record.instance.clone(),
         address: worker.record.address,
         fence: worker.fence,
         lease_end,
--- a/crates/pool/src/pool/resizing.rs
+++ b/crates/pool/src/pool/resizing.rs
@@ -6,7 +6,7 @@
 
 use std::time::Instant;
 
-use jobs::{JobId, JobOutcome, LifeId, RefusalKind, ResourceDemand, RunNumber, TaskId};
+use jobs::{InstanceId, JobId, JobOutcome, RefusalKind, ResourceDemand, RunNumber, TaskId};
 
 use super::{WorkerPool, MIN_RETRY_AFTER};
 use crate::{action::PoolEvent, worker::TrackedWorker};
@@ -14,20 +14,25 @@
 impl WorkerPool {
     /// Handles a change of a worker's room, after which starts may have to be withdrawn and jobs
     /// refused.
-    pub(super) fn apply_resize(&mut self, now: Instant, life: &LifeId, former: ResourceDemand) {
-        let Some(worker) = self.workers.get(life) else {
+    pub(super) fn apply_resize(
+        &mut self,
+        now: Instant,
+        instance: &InstanceId,
+        former: ResourceDemand,
+    ) {
+        let Some(worker) = self.workers.get(instance) else {
             return;
         };
         let room = worker.record.room;
         let withdrawn = starts_over_room(worker);
         self.events.push(PoolEvent::WorkerResized {
-            life: life.clone(),
+            instance: instance.clone(),
             former_room: former,
             room,
             withdrawn: withdrawn.len(),
         });
         let withdrawn = withdrawn.into_iter();
-        let withdrawn = withdrawn.map(|(task, run)| (life.clone(), task, run));
+        let withdrawn = withdrawn.map(|(task, run)| (instance.clone(), task, run));
         self.withdraw_starts(now, withdrawn.collect());
         if !room.holds(&former) {
             self.refuse_unplaceable(now);
--- a/crates/pool/src/pool/restart.rs
+++ b/crates/pool/src/pool/restart.rs
@@ -1,60 +1,60 @@
 //! Workers that restart under the same id.
 //!
-//! A restarted worker has no memory of its former life, and its counts begin anew. If it were taken
-//! for the same life, its first ends would be acknowledged by the former life's numbers and never
+//! A restarted worker has no memory of its former incarnation, and its counts begin anew. If it were taken
+//! for the same incarnation, its first ends would be acknowledged by the former incarnation's numbers and never
 //! be listed, its clock would be read wrongly, runs that died with it would count as running, and a
-//! start of the former life that is still in flight would run beside its replacement.
+//! start of the former incarnation that is still in flight would run beside its replacement.
 //!
-//! Only a worker's own listing shows which life it is in. Its directory entry may be older or
-//! newer, so if the entry names another life, the worker is polled and gets no starts until it has
-//! answered. A listing of another life that answers a poll sent before the current life was noticed
-//! is from a former life.
+//! Only a worker's own listing shows which incarnation it is in. Its directory entry may be older or
+//! newer, so if the entry names another incarnation, the worker is polled and gets no starts until it has
+//! answered. A listing of another incarnation that answers a poll sent before the current incarnation was noticed
+//! is from a former incarnation.
 
 use std::time::Instant;
 
-use jobs::{JobOutcome, LifeId, RunNumber, TaskId, WorkerListing};
+use jobs::{InstanceId, JobOutcome, RunNumber, TaskId, WorkerListing};
 
 use super::WorkerPool;
 use crate::{
     action::{PollOrder, PoolEvent, RunLoss},
-    worker::{ListingLife, TrackedRun},
+    worker::{ListingIncarnation, TrackedRun},
 };
 
 /// The fate of a run that was known before its worker's restart was noticed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FormerRunFate {
-    /// The new life lists the run: its start arrived after the restart.
+    /// The new incarnation lists the run: its start arrived after the restart.
     Listed,
     /// Its start was never sent.
     Unsent,
-    /// A copy of its start has no answer and may still be carried out by the new life. An answered
+    /// A copy of its start has no answer and may still be carried out by the new incarnation. An answered
     /// stop rules that out.
     Unanswered,
     /// The run died with its worker.
     Dead,
-    /// The run died with its worker, or it has ended in the new life, which no longer lists that end:
-    /// the poll acknowledged ends of the former life, and the new life counts its ends from 1 again.
+    /// The run died with its worker, or it has ended in the new incarnation, which no longer lists that end:
+    /// the poll acknowledged ends of the former incarnation, and the new incarnation counts its ends from 1 again.
     Unknown,
 }
 
 impl WorkerPool {
-    /// Whether a listing is from the worker's current life. A life that was not known becomes the
+    /// Whether a listing is from the worker's current incarnation. An incarnation that was not known becomes the
     /// current one.
-    pub(super) fn check_life(
+    pub(super) fn check_incarnation(
         &mut self,
         now: Instant,
         sent: Instant,
         order: &PollOrder,
         listing: &WorkerListing,
     ) -> bool {
-        let Some(worker) = self.workers.get_mut(&order.life) else {
+        let Some(worker) = self.workers.get_mut(&order.instance) else {
             return false;
         };
         match worker.classify_listing(listing.born, sent) {
-            ListingLife::Known => true,
-            ListingLife::Former => false,
-            ListingLife::New => {
-                self.begin_life(now, order, listing);
+            ListingIncarnation::Known => true,
+            ListingIncarnation::Former => false,
+            ListingIncarnation::New => {
+                self.begin_incarnation(now, order, listing);
                 true
             }
         }
@@ -66,9 +66,9 @@
         self.no_later_claim_until = self.no_later_claim_until.max(version);
     }
 
-    fn begin_life(&mut self, now: Instant, order: &PollOrder, listing: &WorkerListing) {
-        let life = &order.life;
-        let Some(worker) = self.workers.get_mut(life) else {
+    fn begin_incarnation(&mut self, now: Instant, order: &PollOrder, listing: &WorkerListing) {
+        let instance = &order.instance;
+        let Some(worker) = self.workers.get_mut(instance) else {
             return;
         };
         let last_listed = worker.answered_poll_sent;
@@ -83,50 +83,51 @@
         let begun = fates
             .iter()
             .filter(|(_, _, fate)| !matches!(fate, FormerRunFate::Listed | FormerRunFate::Unsent));
-        let culprits = self.record_worker_loss(now, life, begun.map(|(task, _, _)| *task), true);
-        if let Some(worker) = self.workers.get_mut(life) {
-            worker.begin_life(now, listing.born, self.no_later_claim_until);
+        let culprits =
+            self.record_worker_loss(now, instance, begun.map(|(task, _, _)| *task), true);
+        if let Some(worker) = self.workers.get_mut(instance) {
+            worker.begin_incarnation(now, listing.born, self.no_later_claim_until);
         }
         for job in self.jobs.values_mut() {
             if let Some(kept) = &mut job.kept {
-                // The former life's ends need no acknowledgement any more.
-                kept.unstored_ends.retain(|end| end.life != *life);
+                // The former incarnation's ends need no acknowledgement any more.
+                kept.unstored_ends.retain(|end| end.instance != *instance);
             }
         }
         self.events.push(PoolEvent::WorkerRestarted {
-            life: life.clone(),
+            instance: instance.clone(),
             born: listing.born,
             runs: fates.len(),
         });
         for (task, run, fate) in fates {
-            self.resolve_former_run(now, life, task, run, fate);
+            self.resolve_former_run(now, instance, task, run, fate);
         }
-        self.confirm_crash(now, life);
+        self.confirm_crash(now, instance);
         self.fail_culprit_jobs(now, culprits);
     }
 
     fn resolve_former_run(
         &mut self,
         now: Instant,
-        life: &LifeId,
+        instance: &InstanceId,
         task: TaskId,
         number: RunNumber,
         fate: FormerRunFate,
     ) {
-        let Some(worker) = self.workers.get_mut(life) else {
+        let Some(worker) = self.workers.get_mut(instance) else {
             return;
         };
         match fate {
             FormerRunFate::Listed => (),
             FormerRunFate::Unanswered => worker.stop_stray_run(task, number),
             FormerRunFate::Unsent => {
-                self.withdraw_starts(now, vec![(life.clone(), task, number)]);
+                self.withdraw_starts(now, vec![(instance.clone(), task, number)]);
             }
             FormerRunFate::Dead | FormerRunFate::Unknown => {
                 let Some(run) = worker.remove_run(task, number) else {
                     return;
                 };
-                self.record_lost_run(&run, life, RunLoss::NewLife);
+                self.record_lost_run(&run, instance, RunLoss::NewInstance);
                 if fate == FormerRunFate::Unknown && !self.is_kept(task.job) {
                     self.finish(now, task.job, JobOutcome::GivenUp);
                 } else {
--- a/crates/pool/src/pool/schedule.rs
+++ b/crates/pool/src/pool/schedule.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-use jobs::{CpuMillis, JobId, JobOutcome, LifeId, RefusalKind, TaskId};
+use jobs::{CpuMillis, InstanceId, JobId, JobOutcome, RefusalKind, TaskId};
 use model::Mechanism;
 
 use super::{WorkerPool, MIN_RETRY_AFTER, RESEND_BURST};
@@ -86,14 +86,14 @@
                 if self.is_start_window_full() {
                     break;
                 }
-                let Some(life) = self.find_worker(now, id, step, &task) else {
+                let Some(instance) = self.find_worker(now, id, step, &task) else {
                     break;
                 };
                 if let Some(job) = self.jobs.get_mut(&id) {
                     job.steps[step].waiting.pop();
                     job.start_ordered = true;
                 }
-                self.place_task(now, id, step, task, &life);
+                self.place_task(now, id, step, task, &instance);
                 placed = true;
             }
         }
@@ -109,7 +109,7 @@
         id: JobId,
         step: usize,
         task: &WaitingTask,
-    ) -> Option<LifeId> {
+    ) -> Option<InstanceId> {
         let job = &self.jobs[&id];
         let step_number = u32::try_from(step).unwrap_or(u32::MAX);
         let alone = match self.crashes.restriction(now, task_id(id, step, task.index)) {
@@ -130,7 +130,7 @@
             reserved: &self.reserved_for_suspects,
         };
         choose_worker(self.workers.values(), &placement, now)
-            .map(|worker| worker.record.life.clone())
+            .map(|worker| worker.record.instance.clone())
     }
 
     fn place_task(
@@ -139,7 +139,7 @@
         id: JobId,
         step: usize,
         task: WaitingTask,
-        life: &LifeId,
+        instance: &InstanceId,
     ) {
         let run = self.next_run_number(now);
         let job = &self.jobs[&id];
@@ -169,10 +169,10 @@
         self.events.push(PoolEvent::RunPlaced {
             task: task_id,
             run,
-            life: life.clone(),
+            instance: instance.clone(),
             waited: now.saturating_duration_since(job.arrived),
         });
-        let Some(worker) = self.workers.get_mut(life) else {
+        let Some(worker) = self.workers.get_mut(instance) else {
             return;
         };
         worker.runs.push(tracked);
@@ -249,7 +249,7 @@
                 };
                 let action = match order {
                     QueuedOrder::Start(task, run) if self.evacuated || worker.is_over_room() => {
-                        withdrawn.push((worker.record.life.clone(), task, run));
+                        withdrawn.push((worker.record.instance.clone(), task, run));
                         continue;
                     }
                     QueuedOrder::Start(task, run) => start_action(worker, task, run, &context),
@@ -299,7 +299,7 @@
     fn expire_silent_leases(&mut self, now: Instant) {
         let owner_millis = self.owner_millis(now);
         let mut lapsed = Vec::new();
-        for (life, worker) in &self.workers {
+        for (instance, worker) in &self.workers {
             if worker.runs.is_empty() || !worker.is_silent() {
                 continue;
             }
@@ -307,11 +307,11 @@
                 continue;
             };
             if clock >= worker.lease_end.plus(self.settings.lease_expiry_margin) {
-                lapsed.push(life.clone());
+                lapsed.push(instance.clone());
             }
         }
-        for life in lapsed {
-            self.lose_all_runs(now, &life, crate::action::RunLoss::LeaseExpired);
+        for instance in lapsed {
+            self.lose_all_runs(now, &instance, crate::action::RunLoss::LeaseExpired);
         }
     }
 }
@@ -342,7 +342,7 @@
 ) -> Option<PoolAction> {
     let clock = worker.min_clock_now(context.owner_millis)?;
     let lease_end = clock.plus(context.lease);
-    let (life, address) = (worker.record.life.clone(), worker.record.address);
+    let (instance, address) = (worker.record.instance.clone(), worker.record.address);
     let run = worker.run_mut(task, number)?;
     run.starts_sent += 1;
     run.starts_in_flight += 1;
@@ -350,7 +350,7 @@
     let text = run.text.clone();
     worker.lease_end = worker.lease_end.max(lease_end);
     Some(PoolAction::Start(StartOrder {
-        life,
+        instance,
         address,
         fence: worker.fence,
         task,
@@ -374,7 +374,7 @@
         return None;
     }
     Some(PoolAction::Stop(StopOrder {
-        life: worker.record.life.clone(),
+        instance: worker.record.instance.clone(),
         address: worker.record.address,
         fence: worker.fence,
         task,
--- a/crates/pool/src/pool/takeover.rs
+++ b/crates/pool/src/pool/takeover.rs
@@ -12,7 +12,7 @@
     time::{Duration, Instant},
 };
 
-use jobs::{EndCause, EndedRun, JobId, JobOutcome, KeptState, LifeId};
+use jobs::{EndCause, EndedRun, InstanceId, JobId, JobOutcome, KeptState};
 
 use super::{kept_jobs::NO_DEADLINE, stop_run, WorkerPool};
 use crate::{
@@ -252,7 +252,7 @@
     }
 
     /// Handles the end of a run that a former owner ordered.
-    pub(super) fn apply_found_end(&mut self, now: Instant, life: &LifeId, end: &EndedRun) {
+    pub(super) fn apply_found_end(&mut self, now: Instant, instance: &InstanceId, end: &EndedRun) {
         let Some(task) = end.task else {
             return;
         };
@@ -275,13 +275,13 @@
         match end.cause {
             EndCause::Done => {
                 progress.waiting.swap_remove(waiting_index);
-                self.record_end(task, life, end);
+                self.record_end(task, instance, end);
                 self.advance_job(now, task.job);
             }
             EndCause::Failed => {
                 progress.waiting[waiting_index].failures += 1;
                 let attempts = job.terms.attempts;
-                if self.record_end(task, life, end) >= attempts {
+                if self.record_end(task, instance, end) >= attempts {
                     self.end_kept(now, task.job, KeptState::Failed);
                 }
             }
--- a/crates/pool/src/worker.rs
+++ b/crates/pool/src/worker.rs
@@ -12,17 +12,17 @@
 
 use crate::health::WorkerHealth;
 
-/// The weight of a new sample in a worker's slowness. About five samples count: a worker ends about ten runs a second and
-/// may turn slow at any moment.
+/// The weight of a new sample in a worker's slowness. About five samples count: a worker ends about ten runs a second
+/// and may turn slow at any moment.
 const SLOWNESS_SAMPLE_WEIGHT: f64 = 0.2;
 
-/// The bounds of a worker's slowness, a ratio of run times. Above the upper bound it makes no difference how slow the worker
-/// is.
+/// The bounds of a worker's slowness, a ratio of run times. Above the upper bound it makes no difference how slow the
+/// worker is.
 pub(crate) const SLOWNESS_BOUNDS: (f64, f64) = (0.5, 12.0);
 
-/// The maximum number of former lives remembered per worker. They show when a directory entry names a
-/// former life.
-const MAX_FORMER_LIVES: usize = 8;
+/// The maximum number of former incarnations remembered per worker. They show when a directory entry names a
+/// former incarnation.
+const MAX_FORMER_INCARNATIONS: usize = 8;
 
 /// The shortest time that a worker needs to restart after it died.
 const MIN_RESTART_TIME: Duration = Duration::from_millis(50);
@@ -61,8 +61,8 @@
     pub(crate) confirmed_at: Option<Instant>,
     /// When a stop was answered with success.
     pub(crate) stop_acked_at: Option<Instant>,
-    /// The latest lease end that a start of the run carried. After it, on the worker's clock, no copy of the start is carried
-    /// out.
+    /// The latest lease end that a start of the run carried. After it, on the worker's clock, no copy of the start is
+    /// carried out.
     pub(crate) start_expires: WorkerClock,
     /// How many times the start was sent.
     pub(crate) starts_sent: u32,
@@ -83,7 +83,7 @@
     /// Whether no other run may share the worker.
     pub(crate) exclusive: bool,
     /// The workers on which the task failed before.
-    pub(crate) failed_on: Vec<jobs::LifeId>,
+    pub(crate) failed_on: Vec<jobs::InstanceId>,
 }
 
 /// An order that waits to be sent.
@@ -100,14 +100,14 @@
     pub(crate) offset: i64,
 }
 
-/// The life of a worker to which a listing belongs.
+/// The incarnation of a worker to which a listing belongs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum ListingLife {
-    /// The current life.
+pub(crate) enum ListingIncarnation {
+    /// The current incarnation.
     Known,
-    /// An earlier life: the listing says nothing about the worker's present state.
+    /// An earlier incarnation: the listing says nothing about the worker's present state.
     Former,
-    /// A life that was not known before.
+    /// An incarnation that was not known before.
     New,
 }
 
@@ -115,22 +115,22 @@
 #[derive(Clone, Debug)]
 pub(crate) struct TrackedWorker {
     pub(crate) record: WorkerRecord,
-    /// The birth time of the life that sent the last listing.
+    /// The birth time of the incarnation that sent the last listing.
     pub(crate) born: Option<BirthTime>,
-    /// When that life was found. Orders that were sent earlier may have reached a former life.
-    pub(crate) life_since: Instant,
-    /// The birth times of former lives, the latest last.
-    former_lives: Vec<Option<BirthTime>>,
-    /// Since when its directory entry names another life than its listings do.
+    /// When that incarnation was found. Orders that were sent earlier may have reached a former incarnation.
+    pub(crate) incarnation_since: Instant,
+    /// The birth times of former incarnations, the latest last.
+    former_incarnations: Vec<Option<BirthTime>>,
+    /// Since when its directory entry names another incarnation than its listings do.
     directory_mismatch_since: Option<Instant>,
-    /// The fencing token of orders to the worker: the owner's or, once the worker has restarted, a later version of the store.
-    /// The worker then rejects orders that were sent to its former life and are still in transit.
+    /// The fencing token of orders to the worker: the owner's or, once the worker has restarted, a later version of the
+    /// store. The worker then rejects orders that were sent to its former incarnation and are still in transit.
     pub(crate) fence: FenceToken,
     /// Whether the worker, after a restart, has yet to answer a poll under that fencing token.
     fence_unconfirmed: bool,
     /// When the worker disappeared from the directory.
     pub(crate) unlisted_since: Option<Instant>,
-    /// None until the current life of the worker has answered a call.
+    /// None until the current incarnation of the worker has answered a call.
     pub(crate) clock: Option<ClockEstimate>,
     pub(crate) runs: Vec<TrackedRun>,
     /// Runs of former owners that were ordered to stop.
@@ -175,8 +175,8 @@
     slowness_updated: Instant,
 }
 
-/// The number of successive polls without an answer that make a worker silent: it gets no new runs and its leases expire. A
-/// single missed poll may be one lost connection.
+/// The number of successive polls without an answer that make a worker silent: it gets no new runs and its leases
+/// expire. A single missed poll may be one lost connection.
 pub(crate) const MISSED_POLLS_TO_SILENCE: u32 = 2;
 
 /// The maximum number of polls of one worker in flight: two in a row are seldom lost.
@@ -187,8 +187,8 @@
         Self {
             record,
             born: None,
-            life_since: now,
-            former_lives: Vec::new(),
+            incarnation_since: now,
+            former_incarnations: Vec::new(),
             directory_mismatch_since: None,
             fence,
             fence_unconfirmed: false,
@@ -238,21 +238,21 @@
         !self.record.room.holds(&self.used_room())
     }
 
-    /// Determines the life to which a listing belongs that answers a poll sent at `sent`.
+    /// Determines the incarnation to which a listing belongs that answers a poll sent at `sent`.
     pub(crate) fn classify_listing(
         &mut self,
         born: Option<BirthTime>,
         sent: Instant,
-    ) -> ListingLife {
+    ) -> ListingIncarnation {
         if self.answered_poll_sent.is_none() {
             self.born = born;
         }
         if born != self.born {
-            let later = sent >= self.life_since;
+            let later = sent >= self.incarnation_since;
             return if later {
-                ListingLife::New
+                ListingIncarnation::New
             } else {
-                ListingLife::Former
+                ListingIncarnation::Former
             };
         }
         if self
@@ -260,18 +260,18 @@
             .is_some_and(|since| sent >= since)
         {
             // The directory entry is older than the listing.
-            self.add_former_life(self.record.born);
+            self.add_former_incarnation(self.record.born);
             self.directory_mismatch_since = None;
         }
-        ListingLife::Known
+        ListingIncarnation::Known
     }
 
-    /// Begins a new life of the worker, which knows nothing of the former one.
-    pub(crate) fn begin_life(&mut self, now: Instant, born: Option<BirthTime>, fence: u64) {
-        self.add_former_life(self.born);
-        self.former_lives.retain(|former| *former != born);
+    /// Begins a new incarnation of the worker, which knows nothing of the former one.
+    pub(crate) fn begin_incarnation(&mut self, now: Instant, born: Option<BirthTime>, fence: u64) {
+        self.add_former_incarnation(self.born);
+        self.former_incarnations.retain(|former| *former != born);
         self.born = born;
-        self.life_since = now;
+        self.incarnation_since = now;
         self.fence = self.fence.max(FenceToken(fence));
         self.fence_unconfirmed = true;
         self.directory_mismatch_since = None;
@@ -285,21 +285,23 @@
         self.foreign_runs.clear();
         self.health = WorkerHealth::default();
         for run in &mut self.runs {
-            // `start_expires` was on the former life's clock. Now only a listing or a stop shows that the run is over.
+            // `start_expires` was on the former incarnation's clock. Now only a listing or a stop shows that the run is
+            // over.
             run.start_expires = WorkerClock(u64::MAX);
         }
     }
 
-    /// Adds a former life and drops the oldest one beyond `MAX_FORMER_LIVES`.
-    fn add_former_life(&mut self, born: Option<BirthTime>) {
-        self.former_lives.retain(|known| *known != born);
-        if self.former_lives.len() == MAX_FORMER_LIVES {
-            self.former_lives.remove(0);
+    /// Adds a former incarnation and drops the oldest one beyond `MAX_FORMER_INCARNATIONS`.
+    fn add_former_incarnation(&mut self, born: Option<BirthTime>) {
+        self.former_incarnations.retain(|known| *known != born);
+        if self.former_incarnations.len() == MAX_FORMER_INCARNATIONS {
+            self.former_incarnations.remove(0);
         }
-        self.former_lives.push(born);
+        self.former_incarnations.push(born);
     }
 
-    /// Stops a run whose start may still arrive in the current life. Answers of the former life do not count.
+    /// Stops a run whose start may still arrive in the current incarnation. Answers of the former incarnation do not
+    /// count.
     pub(crate) fn stop_stray_run(&mut self, task: TaskId, number: RunNumber) {
         self.queued_orders
             .retain(|order| *order != QueuedOrder::Start(task, number));
@@ -317,7 +319,7 @@
     pub(crate) fn update_record(&mut self, now: Instant, record: WorkerRecord) {
         let named = record.born;
         let known = self.answered_poll_sent.is_none() || named.is_none() || named == self.born;
-        if known || self.former_lives.contains(&named) {
+        if known || self.former_incarnations.contains(&named) {
             self.directory_mismatch_since = None;
         } else if self.directory_mismatch_since.is_none() || self.record.born != named {
             self.directory_mismatch_since = Some(now);
@@ -325,7 +327,7 @@
         self.record = record;
     }
 
-    /// Notes that a listing of the current life arrived, in answer to a poll with this fencing token.
+    /// Notes that a listing of the current incarnation arrived, in answer to a poll with this fencing token.
     pub(crate) fn record_listing(&mut self, now: Instant, fence: FenceToken) {
         self.listed_at = Some(now);
         if fence == self.fence {
@@ -333,9 +335,10 @@
         }
     }
 
-    /// The number of the last ended run that the next poll acknowledges, or 0 for none. Only ends that the worker listed within
-    /// the last `MIN_RESTART_TIME` are acknowledged: a later acknowledgement may reach a new life, which would discard its own
-    /// first ends before the owner has seen them. Older ends have to be listed once more first.
+    /// The number of the last ended run that the next poll acknowledges, or 0 for none. Only ends that the worker
+    /// listed within the last `MIN_RESTART_TIME` are acknowledged: a later acknowledgement may reach a new incarnation,
+    /// which would discard its own first ends before the owner has seen them. Older ends have to be listed once more
+    /// first.
     pub(crate) fn ends_to_acknowledge(&self, now: Instant) -> u64 {
         let last_end = self.last_acknowledgeable_end();
         let fresh = self.listed_at.is_some_and(|at| now < at + MIN_RESTART_TIME);
@@ -371,9 +374,9 @@
             && self.foreign_runs.is_empty()
     }
 
-    /// Whether jobs can expect to use the worker's room. This includes workers that are being polled for the first time, as all
-    /// workers of a new owner are: they answer within milliseconds, and until then every job would be refused for lack of
-    /// workers.
+    /// Whether jobs can expect to use the worker's room. This includes workers that are being polled for the first
+    /// time, as all workers of a new owner are: they answer within milliseconds, and until then every job would be
+    /// refused for lack of workers.
     pub(crate) fn is_usable(&self) -> bool {
         let first_poll = self.answered_poll_sent.is_none() && self.is_listed_ready();
         (self.accepts_runs() || first_poll) && self.health.is_healthy()
@@ -408,9 +411,9 @@
         Some(WorkerClock(owner_millis.saturating_add_signed(offset)))
     }
 
-    /// Takes the worker's clock from an answer that just arrived. The worker reads its clock before the answer travels, so the
-    /// offset found is never too high. The highest of several offsets would be the most accurate, but the latest one is taken so
-    /// that the offset can also follow a clock that drifts backwards.
+    /// Takes the worker's clock from an answer that just arrived. The worker reads its clock before the answer travels,
+    /// so the offset found is never too high. The highest of several offsets would be the most accurate, but the latest
+    /// one is taken so that the offset can also follow a clock that drifts backwards.
     pub(crate) fn update_clock(&mut self, owner_millis: u64, clock: WorkerClock) {
         let offset = clock
             .0
@@ -430,8 +433,8 @@
         self.slowness += SLOWNESS_SAMPLE_WEIGHT * (sample - self.slowness);
     }
 
-    /// Decays the slowness of an idle worker by one step. Without this, a period of late calls makes all workers of a pool look
-    /// too slow for any job; every job is then refused, and no run can show that the workers have recovered.
+    /// Decays the slowness of an idle worker by one step. Without this, a period of late calls makes all workers of a
+    /// pool look too slow for any job; every job is then refused, and no run can show that the workers have recovered.
     pub(crate) fn decay_slowness(&mut self, now: Instant) {
         let idle = self.runs.is_empty() && now >= self.slowness_updated + SLOWNESS_DECAY_INTERVAL;
         if !idle || self.slowness <= RETAINED_SLOWNESS {
@@ -463,9 +466,9 @@
         self.runs.is_empty() && self.queued_orders.is_empty() && in_flight == 0
     }
 
-    /// Whether the worker has to be polled now. `idle_ack` is the time after which the ends of an idle worker are acknowledged,
-    /// `wants_ends` means that kept jobs wait for the ends that the worker lists, and `hedge` is the time after which a second
-    /// poll is sent beside one without an answer.
+    /// Whether the worker has to be polled now. `idle_ack` is the time after which the ends of an idle worker are
+    /// acknowledged, `wants_ends` means that kept jobs wait for the ends that the worker lists, and `hedge` is the time
+    /// after which a second poll is sent beside one without an answer.
     pub(crate) fn needs_poll(
         &self,
         now: Instant,
--- a/crates/pool/tests/at_most_once.rs
+++ b/crates/pool/tests/at_most_once.rs
@@ -1,5 +1,6 @@
-//! Random faults of workers and owners. At every millisecond, no worker may hold more than its room and no task may run twice
-//! at the same time. At the end, every job must have got an answer and no run may be left, and some jobs must have completed.
+//! Random faults of workers and owners. At every millisecond, no worker may hold more than its room and no task may run
+//! twice at the same time. At the end, every job must have got an answer and no run may be left, and some jobs must
+//! have completed.
 
 mod support;
 
@@ -26,14 +27,14 @@
         simulation.limit_link_rate(rate);
     }
     for _ in 0..6 {
-        let lives: Vec<_> = simulation.workers.keys().cloned().collect();
-        for life in lives {
+        let instances: Vec<_> = simulation.workers.keys().cloned().collect();
+        for instance in instances {
             let fault = if simulation.rng.u32(0..3) == 0 {
                 random_fault(&mut simulation)
             } else {
                 WorkerFault::default()
             };
-            simulation.workers.get_mut(&life).unwrap().fault = fault;
+            simulation.workers.get_mut(&instance).unwrap().fault = fault;
         }
         let factor = simulation.rng.f64() * 0.8;
         simulation.traffic(700, [factor, factor, factor]);
@@ -92,8 +93,8 @@
     }
 }
 
-/// The same on a link that carries less than what is sent. The link's queue delays orders and answers, so that copies of a start
-/// arrive together, and answers arrive after the owner's timeout.
+/// The same on a link that carries less than what is sent. The link's queue delays orders and answers, so that copies
+/// of a start arrive together, and answers arrive after the owner's timeout.
 #[test]
 fn no_task_runs_twice_on_a_narrow_link() {
     for seed in 100..140 {
--- a/crates/pool/tests/crash.rs
+++ b/crates/pool/tests/crash.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use jobs::{JobId, JobOutcome, KeptState, LifeId, StepRecord};
+use jobs::{InstanceId, JobId, JobOutcome, KeptState, StepRecord};
 use pool::PoolEvent;
 use support::{crashing::CrashReturn, results::credit, Simulation, KINDS};
 
@@ -127,10 +127,10 @@
     }
     simulation.run_for(200);
     let busy = simulation.workers.iter().filter(|(_, w)| w.run_count() > 0);
-    let lives: Vec<LifeId> = busy.map(|(life, _)| life.clone()).collect();
-    assert!(lives.len() >= 3);
-    for life in &lives {
-        simulation.crash(life);
+    let instances: Vec<InstanceId> = busy.map(|(instance, _)| instance.clone()).collect();
+    assert!(instances.len() >= 3);
+    for instance in &instances {
+        simulation.crash(instance);
     }
     simulation.run_for(12_000);
     assert!(common_cause_losses(&simulation) > 0);
@@ -150,12 +150,17 @@
     let job = JobId(1);
     simulation.submit_sized(1, job, vec![900.0], 900.0, WHOLE_WORKER);
     simulation.run_for(100);
-    let life = simulation.worker_running(job);
-    simulation.workers.get_mut(&life).unwrap().fault.silent = true;
+    let instance = simulation.worker_running(job);
+    simulation.workers.get_mut(&instance).unwrap().fault.silent = true;
     simulation.run_for(1_300);
-    simulation.workers.get_mut(&life).unwrap().fault.silent = false;
+    simulation.workers.get_mut(&instance).unwrap().fault.silent = false;
     simulation.run_for(6_000);
-    let cleared = |event: &PoolEvent| *event == PoolEvent::CrashCleared { life: life.clone() };
+    let cleared = |event: &PoolEvent| {
+        *event
+            == PoolEvent::CrashCleared {
+                instance: instance.clone(),
+            }
+    };
     assert!(simulation.crashes.events.iter().any(cleared));
     assert_eq!(state(&simulation, job), Some(KeptState::Completed));
     let (row, _) = &simulation.rows[&job];
--- a/crates/pool/tests/faults.rs
+++ b/crates/pool/tests/faults.rs
@@ -156,7 +156,7 @@
     let other = simulation
         .workers
         .keys()
-        .find(|life| **life != taken)
+        .find(|instance| **instance != taken)
         .unwrap()
         .clone();
     simulation.take_worker(&other);
--- a/crates/pool/tests/kept.rs
+++ b/crates/pool/tests/kept.rs
@@ -82,8 +82,8 @@
     let mut simulation = simulation(2);
     simulation.submit_sized(1, JOB, vec![900.0; 2], 900.0, 6_800);
     simulation.run_for(100);
-    let life = simulation.worker_running(JOB);
-    simulation.workers.get_mut(&life).unwrap().fault = WorkerFault {
+    let instance = simulation.worker_running(JOB);
+    simulation.workers.get_mut(&instance).unwrap().fault = WorkerFault {
         silent: true,
         ..WorkerFault::default()
     };
@@ -94,7 +94,7 @@
     let elsewhere = simulation
         .workers
         .iter()
-        .filter(|(other, _)| **other != life);
+        .filter(|(other, _)| **other != instance);
     let elsewhere: usize = elsewhere.map(|(_, worker)| worker.run_count()).sum();
     assert_eq!(elsewhere, 0);
     simulation.run_for(5_000);
@@ -147,14 +147,14 @@
 #[test]
 fn a_failed_run_counts_once_over_owners() {
     let mut simulation = simulation(1);
-    let life = simulation.workers.keys().next().unwrap().clone();
-    simulation.workers.get_mut(&life).unwrap().fault = WorkerFault {
+    let instance = simulation.workers.keys().next().unwrap().clone();
+    simulation.workers.get_mut(&instance).unwrap().fault = WorkerFault {
         fails_runs: true,
         ..WorkerFault::default()
     };
     simulation.submit_sized(1, JOB, vec![60.0], 60.0, 6_800);
     simulation.run_for(200);
-    simulation.workers.get_mut(&life).unwrap().fault = WorkerFault::default();
+    simulation.workers.get_mut(&instance).unwrap().fault = WorkerFault::default();
     for _ in 0..4 {
         simulation.replace_owner();
         simulation.run_for(5);
@@ -234,16 +234,16 @@
 fn a_task_whose_start_was_not_sent_is_requeued() {
     for late in [880, 900, 920, 940, 960, 980] {
         let mut simulation = simulation(1);
-        let life = simulation.workers.keys().next().unwrap().clone();
+        let instance = simulation.workers.keys().next().unwrap().clone();
         simulation.claim_confirmable = false;
         simulation.run_for(late);
-        simulation.workers.get_mut(&life).unwrap().fault = WorkerFault {
+        simulation.workers.get_mut(&instance).unwrap().fault = WorkerFault {
             silent: true,
             ..WorkerFault::default()
         };
         simulation.submit_sized(1, JOB, vec![100.0; 2], 100.0, 6_800);
         simulation.run_for(300);
-        simulation.workers.get_mut(&life).unwrap().fault = WorkerFault::default();
+        simulation.workers.get_mut(&instance).unwrap().fault = WorkerFault::default();
         simulation.claim_confirmable = true;
         simulation.run_for(4_000);
         assert_eq!(
--- a/crates/pool/tests/load.rs
+++ b/crates/pool/tests/load.rs
@@ -19,9 +19,9 @@
     assert!(credit > 0.97, "{}", summary(&simulation.results));
 }
 
-/// Short jobs arrive at 1.8 times their rate while 15% of the workers are lost. Guards against admitted jobs that end far too
-/// late: if the ninth task of a job with eight completed tasks waits behind jobs that arrived later, all the completed work is
-/// lost to its caller.
+/// Short jobs arrive at 1.8 times their rate while 15% of the workers are lost. Guards against admitted jobs that end
+/// far too late: if the ninth task of a job with eight completed tasks waits behind jobs that arrived later, all the
+/// completed work is lost to its caller.
 #[test]
 fn a_burst_on_lost_workers_leaves_no_begun_job_behind() {
     let mut total = 0.0;
@@ -29,15 +29,15 @@
         let mut simulation = Simulation::new(seed, 16);
         simulation.traffic(3_000, [1.0, 1.0, 1.0]);
         let lost: Vec<_> = simulation.workers.keys().take(2).cloned().collect();
-        for life in &lost {
-            simulation.workers.get_mut(life).unwrap().fault = WorkerFault {
+        for instance in &lost {
+            simulation.workers.get_mut(instance).unwrap().fault = WorkerFault {
                 silent: true,
                 ..WorkerFault::default()
             };
         }
         simulation.traffic(6_000, [1.0, 1.0, 1.8]);
-        for life in &lost {
-            simulation.workers.get_mut(life).unwrap().fault = WorkerFault::default();
+        for instance in &lost {
+            simulation.workers.get_mut(instance).unwrap().fault = WorkerFault::default();
         }
         simulation.traffic(4_000, [1.0, 1.0, 1.0]);
         simulation.run_for(8_000);
@@ -58,8 +58,8 @@
     assert!(total > 0.80, "{total:.3}");
 }
 
-/// A customer cancels and another one submits at the same moment. The tasks of the first are being stopped, which takes 50 ms.
-/// The second job must not be refused as if those tasks ran to their end.
+/// A customer cancels and another one submits at the same moment. The tasks of the first are being stopped, which takes
+/// 50 ms. The second job must not be refused as if those tasks ran to their end.
 #[test]
 fn places_that_are_being_cleared_count_as_free_soon() {
     let mut simulation = Simulation::new(1, 1);
@@ -78,8 +78,9 @@
     assert_eq!(results, [(second, JobOutcome::Completed)]);
 }
 
-/// Customers' estimates are far too low, so that a wide job is late with one task left while short jobs keep arriving whose start
-/// could still be in time. The last task must go first, since the completed part of its job is of no use without it.
+/// Customers' estimates are far too low, so that a wide job is late with one task left while short jobs keep arriving
+/// whose start could still be in time. The last task must go first, since the completed part of its job is of no use
+/// without it.
 #[test]
 fn the_last_task_of_a_begun_job_does_not_wait_behind_new_jobs() {
     let mut simulation = Simulation::new(1, 1);
@@ -100,9 +101,9 @@
     assert!(took < 900, "the last task waited until {took} ms");
 }
 
-/// Jobs of three steps arrive at 1.6 times the rate that the workers can serve. Each later step waits for room again, so that an
-/// admitted job needs room three times. A pool that counts only the first step admits twice what it can end in time, and nearly
-/// all jobs then end late.
+/// Jobs of three steps arrive at 1.6 times the rate that the workers can serve. Each later step waits for room again,
+/// so that an admitted job needs room three times. A pool that counts only the first step admits twice what it can end
+/// in time, and nearly all jobs then end late.
 #[test]
 fn later_steps_of_admitted_jobs_are_counted() {
     let mut total = 0.0;
@@ -118,9 +119,9 @@
     assert!(total > 0.45, "{total:.3}");
 }
 
-/// All kinds of jobs arrive at twice their rate for a long time. The kind of the highest priority has the shortest and widest
-/// jobs, which need room for eight tasks within a tenth of a second. Without reserved room they are the ones refused, while
-/// longer jobs of lower priority take all room that becomes free.
+/// All kinds of jobs arrive at twice their rate for a long time. The kind of the highest priority has the shortest and
+/// widest jobs, which need room for eight tasks within a tenth of a second. Without reserved room they are the ones
+/// refused, while longer jobs of lower priority take all room that becomes free.
 #[test]
 fn the_first_priority_is_served_under_lasting_overload() {
     let mut first = 0.0;
@@ -138,9 +139,9 @@
     assert!(total > 0.68, "{total:.3}");
 }
 
-/// One call in eighteen to a worker gets no answer, polls included, and one start in eighteen is carried out seconds later. The
-/// owner learns that a task has ended only when a poll is answered, so a lost poll makes the job late and leaves the room idle.
-/// A lost start is late by the time until it is missed.
+/// One call in eighteen to a worker gets no answer, polls included, and one start in eighteen is carried out seconds
+/// later. The owner learns that a task has ended only when a poll is answered, so a lost poll makes the job late and
+/// leaves the room idle. A lost start is late by the time until it is missed.
 #[test]
 fn lost_answers_delay_few_jobs() {
     let mut wide = 0.0;
@@ -166,8 +167,8 @@
     assert!(total > 0.94, "{total:.3}");
 }
 
-/// A quarter of the workers turn three times slower while all room is needed. Jobs that end in time on them must not be refused
-/// for lack of room, and no short task may be placed there, since it would make its whole job late.
+/// A quarter of the workers turn three times slower while all room is needed. Jobs that end in time on them must not be
+/// refused for lack of room, and no short task may be placed there, since it would make its whole job late.
 #[test]
 fn slow_workers_do_not_make_wide_jobs_late() {
     let mut total = 0.0;
@@ -189,8 +190,9 @@
     assert!(total > 0.87, "{total:.3}");
 }
 
-/// A pool's only worker takes several times longer for two short tasks than their customer estimated, and the next job arrives at
-/// that moment. A single worker cannot be slower than its pool, so the job must not be refused as if there were no worker.
+/// A pool's only worker takes several times longer for two short tasks than their customer estimated, and the next job
+/// arrives at that moment. A single worker cannot be slower than its pool, so the job must not be refused as if there
+/// were no worker.
 #[test]
 fn the_only_worker_is_not_avoided_as_slow() {
     let mut simulation = Simulation::new(1, 1);
@@ -208,9 +210,9 @@
     assert_eq!(outcomes, [JobOutcome::Completed, JobOutcome::Completed]);
 }
 
-/// Five entries ask at the same moment how much of a job a pool could take, each for a job that no pool takes whole. Each entry
-/// sends as many tasks as it was offered. If the same room were offered to all five, it would be used five times over, and
-/// the callers whose tasks find no room would wait long and get nothing.
+/// Five entries ask at the same moment how much of a job a pool could take, each for a job that no pool takes whole.
+/// Each entry sends as many tasks as it was offered. If the same room were offered to all five, it would be used five
+/// times over, and the callers whose tasks find no room would wait long and get nothing.
 #[test]
 fn offers_of_one_moment_do_not_exceed_the_places() {
     let mut simulation = Simulation::new(1, 4);
@@ -245,9 +247,9 @@
     );
 }
 
-/// All workers of a pool fail all their runs for a while, so that each gets no new runs until a probe run has shown that it is
-/// healthy again. Jobs have to be admitted for that: if they were refused for lack of a healthy worker, they would be refused
-/// for ever.
+/// All workers of a pool fail all their runs for a while, so that each gets no new runs until a probe run has shown
+/// that it is healthy again. Jobs have to be admitted for that: if they were refused for lack of a healthy worker, they
+/// would be refused for ever.
 #[test]
 fn a_pool_whose_workers_all_failed_serves_again() {
     let mut simulation = Simulation::new(1, 4);
@@ -262,8 +264,8 @@
     assert_narrow_jobs_complete(&mut simulation);
 }
 
-/// All workers of a pool are several times slower for a while and then as fast as before. Jobs have to be admitted for the
-/// recovery to be noticed: if they were refused because all workers look slow, they would be refused for ever.
+/// All workers of a pool are several times slower for a while and then as fast as before. Jobs have to be admitted for
+/// the recovery to be noticed: if they were refused because all workers look slow, they would be refused for ever.
 #[test]
 fn a_pool_whose_workers_all_looked_slow_serves_again() {
     let mut simulation = Simulation::new(1, 4);
@@ -278,9 +280,9 @@
     assert_narrow_jobs_complete(&mut simulation);
 }
 
-/// A worker lists a task of which a few percent are done, while most of the time since its start was ordered went into the
-/// transit of the start and of the listing. If the worker's speed were computed from that, it would seem many times too slow, and
-/// the next caller's job would be refused although the only worker is healthy and idle.
+/// A worker lists a task of which a few percent are done, while most of the time since its start was ordered went into
+/// the transit of the start and of the listing. If the worker's speed were computed from that, it would seem many times
+/// too slow, and the next caller's job would be refused although the only worker is healthy and idle.
 #[test]
 fn a_task_that_has_just_begun_does_not_make_its_worker_slow() {
     let mut simulation = Simulation::new(1, 1);
@@ -297,9 +299,9 @@
     assert_eq!(outcomes, [JobOutcome::Completed, JobOutcome::Completed]);
 }
 
-/// All processes were down for a second. A customer that waited submits to an idle pool. Its answer will be late but is still of
-/// use, so the job is served: if it were refused, it would come back a second later to the same idle pool. Where most room is
-/// taken it is refused, since it would take room that a job in time needs.
+/// All processes were down for a second. A customer that waited submits to an idle pool. Its answer will be late but is
+/// still of use, so the job is served: if it were refused, it would come back a second later to the same idle pool.
+/// Where most room is taken it is refused, since it would take room that a job in time needs.
 #[test]
 fn a_late_job_is_served_by_an_idle_pool_alone() {
     for (busy, served) in [(0, true), (7, false)] {
--- a/crates/pool/tests/room.rs
+++ b/crates/pool/tests/room.rs
@@ -4,13 +4,13 @@
 
 mod support;
 
-use jobs::{JobId, JobOutcome, LifeId, RefusalKind};
+use jobs::{InstanceId, JobId, JobOutcome, RefusalKind};
 use support::{Simulation, WorkerFault};
 
 const WHOLE_WORKER: u64 = 16_000;
 const QUARTER_WORKER: u64 = 4_000;
 
-fn first_life(simulation: &Simulation) -> LifeId {
+fn first_instance(simulation: &Simulation) -> InstanceId {
     simulation.workers.keys().next().cloned().unwrap()
 }
 
@@ -27,12 +27,12 @@
 #[test]
 fn unsent_starts_are_withdrawn_from_a_shrunk_worker() {
     let mut simulation = Simulation::new(1, 1);
-    let (job, life) = (JobId(1), first_life(&simulation));
+    let (job, instance) = (JobId(1), first_instance(&simulation));
     simulation.submit_sized(1, job, vec![300.0; 4], 300.0, QUARTER_WORKER);
-    simulation.resize(&life, QUARTER_WORKER);
+    simulation.resize(&instance, QUARTER_WORKER);
     simulation.run_for(100);
-    assert_eq!(simulation.workers[&life].run_count(), 1);
-    simulation.resize(&life, WHOLE_WORKER);
+    assert_eq!(simulation.workers[&instance].run_count(), 1);
+    simulation.resize(&instance, WHOLE_WORKER);
     simulation.run_for(800);
     assert_eq!(outcome(&simulation, job), Some(JobOutcome::Completed));
 }
@@ -43,14 +43,14 @@
 fn lost_starts_are_not_resent_beyond_the_room() {
     let mut simulation = Simulation::new(2, 1);
     let (first, second) = (JobId(1), JobId(2));
-    let life = first_life(&simulation);
+    let instance = first_instance(&simulation);
     simulation.submit_sized(1, first, vec![600.0], 600.0, 8_000);
     simulation.run_for(20);
-    simulation.workers.get_mut(&life).unwrap().fault.silent = true;
+    simulation.workers.get_mut(&instance).unwrap().fault.silent = true;
     simulation.submit_sized(1, second, vec![600.0], 600.0, 8_000);
     simulation.run_for(10);
-    simulation.resize(&life, 8_000);
-    simulation.workers.get_mut(&life).unwrap().fault.silent = false;
+    simulation.resize(&instance, 8_000);
+    simulation.workers.get_mut(&instance).unwrap().fault.silent = false;
     simulation.run_for(4_000);
     assert_eq!(outcome(&simulation, first), Some(JobOutcome::Completed));
 }
@@ -61,11 +61,11 @@
 fn a_job_that_no_worker_can_hold_any_more_is_refused() {
     let mut simulation = Simulation::new(3, 1);
     let [running, waiting, small] = [1, 2, 3].map(JobId);
-    let life = first_life(&simulation);
+    let instance = first_instance(&simulation);
     simulation.submit_sized(1, running, vec![300.0], 300.0, WHOLE_WORKER);
     simulation.submit_sized(1, waiting, vec![900.0], 900.0, WHOLE_WORKER);
     simulation.run_for(20);
-    simulation.resize(&life, 8_000);
+    simulation.resize(&instance, 8_000);
     assert!(is_refused(
         outcome(&simulation, waiting),
         RefusalKind::NoRoomEver
@@ -81,11 +81,11 @@
 #[test]
 fn room_of_an_overcommitted_worker_is_not_promised() {
     let mut simulation = Simulation::new(4, 1);
-    let life = first_life(&simulation);
+    let instance = first_instance(&simulation);
     simulation.submit_sized(1, JobId(1), vec![60.0], 60.0, 8_000);
     simulation.submit_sized(1, JobId(2), vec![900.0], 900.0, 8_000);
     simulation.run_for(20);
-    simulation.resize(&life, 8_000);
+    simulation.resize(&instance, 8_000);
     simulation.submit_sized(1, JobId(3), vec![60.0], 60.0, 8_000);
     assert!(is_refused(
         outcome(&simulation, JobId(3)),
@@ -99,8 +99,8 @@
 fn any_room_size_is_handled() {
     for cpu in [0, 1, WHOLE_WORKER, 1 << 50, u64::MAX] {
         let mut simulation = Simulation::new(5, 3);
-        let life = first_life(&simulation);
-        simulation.resize(&life, cpu);
+        let instance = first_instance(&simulation);
+        simulation.resize(&instance, cpu);
         for number in 0..20 {
             simulation.submit_sized(2, JobId(number), vec![200.0], 200.0, QUARTER_WORKER);
             simulation.run_for(120);
@@ -120,11 +120,11 @@
     for seed in 0..60 {
         let mut simulation = Simulation::new(seed, 6);
         for _ in 0..12 {
-            let lives: Vec<_> = simulation.workers.keys().cloned().collect();
-            for life in lives {
+            let instances: Vec<_> = simulation.workers.keys().cloned().collect();
+            for instance in instances {
                 if simulation.rng.bool() {
                     let cpu = simulation.rng.u64(0..24) * 1_000;
-                    simulation.resize(&life, cpu);
+                    simulation.resize(&instance, cpu);
                 }
                 let fault = WorkerFault {
                     silent: simulation.rng.u32(0..8) == 0,
@@ -137,7 +137,7 @@
                     stops_lost: simulation.rng.u32(0..8) == 0,
                     ..WorkerFault::default()
                 };
-                simulation.workers.get_mut(&life).unwrap().fault = fault;
+                simulation.workers.get_mut(&instance).unwrap().fault = fault;
                 simulation.traffic(60, [0.6, 0.6, 0.6]);
             }
             if simulation.rng.u32(0..6) == 0 {
--- a/crates/pool/tests/support/crashing.rs
+++ b/crates/pool/tests/support/crashing.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use jobs::{JobId, LifeId, TaskId};
+use jobs::{InstanceId, JobId, TaskId};
 use pool::{CallFailure, PoolEvent};
 
 use super::{Event, Simulation, ONE_WAY_MS};
@@ -27,7 +27,7 @@
     /// How long a crashed worker is away, in milliseconds.
     pub(crate) away_ms: u64,
     /// The workers that are away, and until when.
-    down: BTreeMap<LifeId, u64>,
+    down: BTreeMap<InstanceId, u64>,
     /// The number of deaths under each task that crashes workers.
     pub(crate) deaths: BTreeMap<TaskId, u32>,
     /// The number of starts of each task after the third death under it.
@@ -57,9 +57,9 @@
     }
 
     /// Crashes a worker: its runs are lost, its connections break, and it is away for a while.
-    pub(crate) fn crash(&mut self, life: &LifeId) {
+    pub(crate) fn crash(&mut self, instance: &InstanceId) {
         let until = self.now + self.crashes.away_ms;
-        let Some(worker) = self.workers.get_mut(life) else {
+        let Some(worker) = self.workers.get_mut(instance) else {
             return;
         };
         worker.fault.silent = true;
@@ -69,46 +69,46 @@
             let none = Err(CallFailure::NoAnswer);
             self.post(ONE_WAY_MS, Event::PollAnswer(call, order, sent, none));
         }
-        self.crashes.down.insert(life.clone(), until);
+        self.crashes.down.insert(instance.clone(), until);
     }
 
     /// Lets tasks crash their workers, and returns workers whose time away is over.
     pub(super) fn step_crashes(&mut self) {
         let mut dying = Vec::new();
-        for (life, worker) in &self.workers {
+        for (instance, worker) in &self.workers {
             for run in &worker.runs {
                 let share = self.crashes.jobs.get(&run.task.job);
                 let crashes = share.is_some_and(|share| run.done >= run.work * share);
                 if crashes && run.task.index == 0 {
-                    dying.push((life.clone(), run.task));
+                    dying.push((instance.clone(), run.task));
                 }
             }
         }
-        for (life, task) in dying {
+        for (instance, task) in dying {
             *self.crashes.deaths.entry(task).or_default() += 1;
-            self.crash(&life);
+            self.crash(&instance);
         }
         let down = self.crashes.down.iter();
         let back = down.filter(|(_, until)| self.now >= **until);
-        let back: Vec<LifeId> = back.map(|(life, _)| life.clone()).collect();
-        for life in back {
-            self.crashes.down.remove(&life);
-            self.return_worker(&life);
+        let back: Vec<InstanceId> = back.map(|(instance, _)| instance.clone()).collect();
+        for instance in back {
+            self.crashes.down.remove(&instance);
+            self.return_worker(&instance);
         }
     }
 
-    fn return_worker(&mut self, life: &LifeId) {
+    fn return_worker(&mut self, instance: &InstanceId) {
         if self.crashes.return_kind == CrashReturn::SameId {
-            self.workers.get_mut(life).unwrap().fault.silent = false;
-            self.restart_worker(life);
+            self.workers.get_mut(instance).unwrap().fault.silent = false;
+            self.restart_worker(instance);
             self.publish_records();
             return;
         }
-        let former = self.workers.remove(life).unwrap();
+        let former = self.workers.remove(instance).unwrap();
         let at = self.instant();
-        self.pool.unlist_worker(at, life);
+        self.pool.unlist_worker(at, instance);
         let mut record = former.record;
-        record.life = LifeId::from(format!("{life}+").as_str());
+        record.instance = InstanceId::from(format!("{instance}+").as_str());
         self.add_worker(record, former.speed);
     }
 
--- a/crates/pool/tests/support/mod.rs
+++ b/crates/pool/tests/support/mod.rs
@@ -16,8 +16,8 @@
 
 use fastrand::Rng;
 use jobs::{
-    BirthTime, CpuMillis, EndCause, FenceToken, JobId, JobOutcome, JobRequest, JobTerms, KeptRow,
-    LifeId, MemoryMegabytes, ResourceDemand, ServiceId, StepSpec, TaskId, WorkerClock,
+    BirthTime, CpuMillis, EndCause, FenceToken, InstanceId, JobId, JobOutcome, JobRequest,
+    JobTerms, KeptRow, MemoryMegabytes, ResourceDemand, ServiceId, StepSpec, TaskId, WorkerClock,
     WorkerRecord, WorkerState,
 };
 use pool::{
@@ -102,14 +102,14 @@
 /// A pool and its simulated workers.
 pub(crate) struct Simulation {
     pub(crate) pool: WorkerPool,
-    pub(crate) workers: BTreeMap<LifeId, SimulatedWorker>,
+    pub(crate) workers: BTreeMap<InstanceId, SimulatedWorker>,
     pub(crate) rng: Rng,
     /// The simulated time, in milliseconds.
     pub(crate) now: u64,
     pub(crate) results: Vec<JobResult>,
     open: BTreeMap<JobId, OpenJob>,
-    /// The work of the tasks, by step, and their CPU demand for every job ever submitted. A delayed start needs them after its
-    /// job has ended.
+    /// The work of the tasks, by step, and their CPU demand for every job ever submitted. A delayed start needs them
+    /// after its job has ended.
     known: BTreeMap<JobId, (Vec<Vec<f64>>, u64)>,
     origin: Instant,
     messages: BinaryHeap<Message>,
@@ -191,7 +191,7 @@
 
 pub(crate) fn worker_record(number: usize, cpu: u64) -> WorkerRecord {
     WorkerRecord {
-        life: LifeId::from(format!("i-{number:02}").as_str()),
+        instance: InstanceId::from(format!("i-{number:02}").as_str()),
         born: None,
         service: ServiceId::from(SERVICE),
         address: ([127, 0, 0, 1], 9_000 + u16::try_from(number).unwrap()).into(),
@@ -280,7 +280,7 @@
             acknowledged_end: 0,
             waiting_polls: Vec::new(),
         };
-        self.workers.insert(record.life, worker);
+        self.workers.insert(record.instance, worker);
         self.execute_actions();
     }
 
@@ -340,8 +340,8 @@
         self.submit_steps(kind, id, steps, estimate, cpu);
     }
 
-    /// Submits a job of one step. `works` are the run times of its tasks on a worker of speed 1 and `estimate` is the customer's
-    /// estimate of them, in milliseconds; `cpu` is the demand of each task, in thousandths of a core.
+    /// Submits a job of one step. `works` are the run times of its tasks on a worker of speed 1 and `estimate` is the
+    /// customer's estimate of them, in milliseconds; `cpu` is the demand of each task, in thousandths of a core.
     pub(crate) fn submit_sized(
         &mut self,
         kind: usize,
@@ -487,15 +487,15 @@
     }
 
     /// A worker on which a task of the job runs.
-    pub(crate) fn worker_running(&self, job: JobId) -> LifeId {
+    pub(crate) fn worker_running(&self, job: JobId) -> InstanceId {
         let mut workers = self.workers.iter();
         let found = workers.find(|(_, worker)| worker.runs.iter().any(|run| run.task.job == job));
-        found.map(|(life, _)| life.clone()).unwrap()
+        found.map(|(instance, _)| instance.clone()).unwrap()
     }
 
     /// Changes a worker's room, and publishes it in the directory.
-    pub(crate) fn resize(&mut self, life: &LifeId, cpu: u64) {
-        let worker = self.workers.get_mut(life).unwrap();
+    pub(crate) fn resize(&mut self, instance: &InstanceId, cpu: u64) {
+        let worker = self.workers.get_mut(instance).unwrap();
         worker.record.room.cpu = CpuMillis(cpu);
         worker.resized = true;
         let record = worker.record.clone();
@@ -505,7 +505,7 @@
         self.resize_in_flight = false;
     }
 
-    /// Makes all workers publish the birth times of their lives.
+    /// Makes all workers publish the birth times of their incarnations.
     pub(crate) fn publish_birth_times(&mut self) {
         let mut records = Vec::new();
         for worker in self.workers.values_mut() {
@@ -516,11 +516,11 @@
         self.upsert_records(records);
     }
 
-    /// Restarts a worker under the same id. Its clock may be ahead of the former one or behind. Polls that wait there fail, and
-    /// the directory does not show the new life yet.
-    pub(crate) fn restart_worker(&mut self, life: &LifeId) {
+    /// Restarts a worker under the same id. Its clock may be ahead of the former one or behind. Polls that wait there
+    /// fail, and the directory does not show the new incarnation yet.
+    pub(crate) fn restart_worker(&mut self, instance: &InstanceId) {
         let (born, clock_offset) = (self.rng.u64(1_000..9_000_000), self.rng.u64(0..900_000));
-        let worker = self.workers.get_mut(life).unwrap();
+        let worker = self.workers.get_mut(instance).unwrap();
         let broken = std::mem::take(&mut worker.waiting_polls);
         worker.restart(born, clock_offset);
         worker.first_call = self.serial + 1;
@@ -547,8 +547,8 @@
     }
 
     /// Another owner takes one worker under a higher fencing token and stops its runs.
-    pub(crate) fn take_worker(&mut self, life: &LifeId) {
-        let worker = self.workers.get_mut(life).unwrap();
+    pub(crate) fn take_worker(&mut self, instance: &InstanceId) {
+        let worker = self.workers.get_mut(instance).unwrap();
         worker.fence += 1;
         worker.runs.clear();
     }
@@ -801,22 +801,22 @@
     }
 
     /// Whether the next answer of a worker is lost.
-    fn loses_answer(&mut self, life: &LifeId) -> bool {
-        let Some(worker) = self.workers.get(life) else {
+    fn loses_answer(&mut self, instance: &InstanceId) -> bool {
+        let Some(worker) = self.workers.get(instance) else {
             return true;
         };
         worker.fault.silent || self.rng.f64() < worker.fault.answers_lost
     }
 
     fn handle_start(&mut self, call: CallNumber, order: StartOrder) {
-        let life = order.life.clone();
-        let Some(fault) = self.workers.get(&life).map(|worker| worker.fault) else {
+        let instance = order.instance.clone();
+        let Some(fault) = self.workers.get(&instance).map(|worker| worker.fault) else {
             return;
         };
         let late = &*order.text == "late";
         if fault.silent
-            || self.is_starting(&life)
-            || !late && self.was_sent_to_former_life(&life, call)
+            || self.is_starting(&instance)
+            || !late && self.was_sent_to_former_incarnation(&instance, call)
         {
             return;
         }
@@ -828,23 +828,23 @@
             return;
         }
         let answer = self.start_run(&order);
-        if &*order.text != "late" && !self.loses_answer(&life) {
+        if &*order.text != "late" && !self.loses_answer(&instance) {
             self.send_answer(ANSWER_BYTES, Event::StartAnswer(call, order, answer));
         }
     }
 
-    fn is_starting(&self, life: &LifeId) -> bool {
-        self.now < self.workers[life].starting_until
+    fn is_starting(&self, instance: &InstanceId) -> bool {
+        self.now < self.workers[instance].starting_until
     }
 
-    fn was_sent_to_former_life(&self, life: &LifeId, call: CallNumber) -> bool {
-        self.workers[life].first_call > call
+    fn was_sent_to_former_incarnation(&self, instance: &InstanceId, call: CallNumber) -> bool {
+        self.workers[instance].first_call > call
     }
 
     fn start_run(&mut self, order: &StartOrder) -> StartAnswer {
         let (steps, cpu) = self.known[&order.task.job].clone();
         let now = self.now;
-        let worker = self.workers.get_mut(&order.life).unwrap();
+        let worker = self.workers.get_mut(&order.instance).unwrap();
         let clock = WorkerClock(now + worker.clock_offset);
         if order.fence.0 < worker.fence {
             return StartAnswer::Failed(CallFailure::FencedOut);
@@ -874,14 +874,14 @@
         );
         let work = steps[order.task.step as usize][order.task.index as usize];
         self.check_starts_after_crashes(order.task);
-        let worker = self.workers.get_mut(&order.life).unwrap();
+        let worker = self.workers.get_mut(&order.instance).unwrap();
         let used: u64 = worker.runs.iter().map(|run| run.cpu).sum();
         let is_late = &*order.text == "late";
         assert!(
             is_late || self.resize_in_flight || used + cpu <= worker.record.room.cpu.0,
             "{} exceeds the room of {} at {now} ms",
             order.task,
-            order.life
+            order.instance
         );
         worker.runs.push(SimulatedRun {
             task: order.task,
@@ -894,11 +894,11 @@
     }
 
     fn handle_stop(&mut self, call: CallNumber, order: StopOrder) {
-        let life = order.life.clone();
+        let instance = order.instance.clone();
         let now = self.now;
         let Some(worker) = self
             .workers
-            .get_mut(&life)
+            .get_mut(&instance)
             .filter(|worker| !worker.fault.silent && !worker.fault.stops_lost)
             .filter(|worker| call >= worker.first_call && now >= worker.starting_until)
         else {
@@ -915,7 +915,7 @@
             worker.runs.remove(index);
         }
         worker.record_end(order.task, order.run, EndCause::Stopped);
-        if !self.loses_answer(&life) {
+        if !self.loses_answer(&instance) {
             let stopped = StopAnswer::Stopped(clock);
             self.send_answer(ANSWER_BYTES, Event::StopAnswer(call, order, stopped));
         }
@@ -926,7 +926,7 @@
         let wait = millis(order.wait);
         let Some(worker) = self
             .workers
-            .get_mut(&order.life)
+            .get_mut(&order.instance)
             .filter(|w| !w.fault.silent && call >= w.first_call && now >= w.starting_until)
         else {
             return;
@@ -952,20 +952,20 @@
 
     fn step_workers(&mut self) {
         let now = self.now;
-        let lives: Vec<LifeId> = self.workers.keys().cloned().collect();
-        for life in lives {
-            let worker = self.workers.get_mut(&life).unwrap();
+        let instances: Vec<InstanceId> = self.workers.keys().cloned().collect();
+        for instance in instances {
+            let worker = self.workers.get_mut(&instance).unwrap();
             worker.advance_runs(now);
             for poll in std::mem::take(&mut worker.waiting_polls) {
-                self.answer_poll(&life, poll);
+                self.answer_poll(&instance, poll);
             }
         }
     }
 
-    fn answer_poll(&mut self, life: &LifeId, poll: (CallNumber, PollOrder, u64, u64)) {
+    fn answer_poll(&mut self, instance: &InstanceId, poll: (CallNumber, PollOrder, u64, u64)) {
         let (call, order, sent, until) = poll;
         let now = self.now;
-        let worker = self.workers.get_mut(life).unwrap();
+        let worker = self.workers.get_mut(instance).unwrap();
         let seen = order.acknowledged_end.max(worker.acknowledged_end);
         let has_new_ends = worker.ends.iter().any(|end| end.number > seen);
         if !has_new_ends && now < until {
@@ -973,7 +973,7 @@
             return;
         }
         let listing = worker.listing(now, order.acknowledged_end);
-        if !self.loses_answer(life) {
+        if !self.loses_answer(instance) {
             self.send_answer(
                 LISTING_BYTES,
                 Event::PollAnswer(call, order, sent, Ok(listing)),
@@ -984,18 +984,18 @@
     /// Checks the invariants: no worker's runs exceed its room, and no task runs twice at the same time.
     fn check_invariants(&self) {
         let mut tasks = BTreeMap::new();
-        for (life, worker) in &self.workers {
+        for (instance, worker) in &self.workers {
             let used: u64 = worker.runs.iter().map(|run| run.cpu).sum();
             assert!(
                 worker.resized || used <= worker.record.room.cpu.0,
-                "{life} over its room at {} ms",
+                "{instance} over its room at {} ms",
                 self.now
             );
             for run in &worker.runs {
-                let other = tasks.insert(run.task, life);
+                let other = tasks.insert(run.task, instance);
                 assert!(
                     other.is_none(),
-                    "{} on {life} and {other:?} at {} ms",
+                    "{} on {instance} and {other:?} at {} ms",
                     run.task,
                     self.now
                 );
--- a/crates/pool/tests/support/worker.rs
+++ b/crates/pool/tests/support/worker.rs
@@ -47,7 +47,8 @@
     /// How much work a run does per millisecond without a fault.
     pub(crate) speed: f64,
     pub(super) born: Option<BirthTime>,
-    /// The first call sent to the present life. Earlier calls were lost with the connections of the former life.
+    /// The first call sent to the present incarnation. Earlier calls were lost with the connections of the former
+    /// incarnation.
     pub(super) first_call: CallNumber,
     /// Whether the room has changed, so that the runs may exceed it.
     pub(super) resized: bool,
@@ -55,7 +56,7 @@
     pub(super) starting_until: u64,
     /// The worker's clock minus the simulated time, in milliseconds.
     pub(super) clock_offset: u64,
-    /// The highest fencing token of the calls that the worker has received in its present life.
+    /// The highest fencing token of the calls that the worker has received in its present incarnation.
     pub(super) fence: u64,
     /// The end of the lease of all runs, on the worker's clock.
     pub(super) lease_end: u64,
@@ -68,7 +69,7 @@
 }
 
 impl SimulatedWorker {
-    /// Restarts the worker under the same id, with a new birth time and without any state of the former life.
+    /// Restarts the worker under the same id, with a new birth time and without any state of the former incarnation.
     pub(super) fn restart(&mut self, born: u64, clock_offset: u64) {
         self.born = Some(BirthTime(born));
         self.record.born = self.born;
--- a/crates/pool/tests/worker_restarts.rs
+++ b/crates/pool/tests/worker_restarts.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use jobs::{JobId, JobOutcome, LifeId};
+use jobs::{InstanceId, JobId, JobOutcome};
 use support::{Simulation, WorkerFault};
 
 const WHOLE_WORKER: u64 = 16_000;
@@ -15,7 +15,7 @@
     simulation
 }
 
-fn only_life(simulation: &Simulation) -> LifeId {
+fn only_instance(simulation: &Simulation) -> InstanceId {
     simulation.workers.keys().next().cloned().unwrap()
 }
 
@@ -39,50 +39,50 @@
 }
 
 /// A worker dies with a task and restarts at once. Its listing no longer has the run, so the task
-/// runs again in the new life. Its end has the number 1, which the former life's ends have long
+/// runs again in the new incarnation. Its end has the number 1, which the former incarnation's ends have long
 /// passed, and must be processed all the same.
 #[test]
 fn a_task_that_died_with_its_worker_runs_again() {
     let mut simulation = simulation_with_birth_times(1, 1);
     complete_some_jobs(&mut simulation, 10);
-    let (job, life) = (JobId(1), only_life(&simulation));
+    let (job, instance) = (JobId(1), only_instance(&simulation));
     simulation.submit_sized(1, job, vec![300.0], 300.0, WHOLE_WORKER);
     simulation.run_for(100);
-    simulation.restart_worker(&life);
+    simulation.restart_worker(&instance);
     simulation.run_for(1_200);
     assert_eq!(outcome(&simulation, job), Some(JobOutcome::Completed));
     complete_some_jobs(&mut simulation, 20);
 }
 
-/// An idle worker dies and restarts without notice. The next job's start reaches the new life,
-/// whose first end must be processed: if it were acknowledged by the former life's numbers, it
+/// An idle worker dies and restarts without notice. The next job's start reaches the new incarnation,
+/// whose first end must be processed: if it were acknowledged by the former incarnation's numbers, it
 /// would never be listed and the caller would wait in vain.
 #[test]
-fn the_first_ends_of_a_new_life_are_processed() {
+fn the_first_ends_of_a_new_incarnation_are_processed() {
     let mut simulation = simulation_with_birth_times(1, 1);
     for round in 1..8 {
         complete_some_jobs(&mut simulation, round * 100);
         simulation.run_for(2_000);
-        let life = only_life(&simulation);
-        simulation.restart_worker(&life);
+        let instance = only_instance(&simulation);
+        simulation.restart_worker(&instance);
     }
     complete_some_jobs(&mut simulation, 1_000);
 }
 
-/// The directory announces a new life before the worker has listed anything. Nothing is started
+/// The directory announces a new incarnation before the worker has listed anything. Nothing is started
 /// there until it has answered a poll; soon after, it runs tasks.
 #[test]
-fn a_new_life_in_the_directory_is_polled_first() {
+fn a_new_incarnation_in_the_directory_is_polled_first() {
     let mut simulation = simulation_with_birth_times(1, 1);
     complete_some_jobs(&mut simulation, 10);
-    let life = only_life(&simulation);
-    simulation.restart_worker(&life);
+    let instance = only_instance(&simulation);
+    simulation.restart_worker(&instance);
     simulation.publish_records();
     simulation.run_for(20);
     complete_some_jobs(&mut simulation, 20);
 }
 
-/// The directory still has the entry of the former life, as it may for up to a heartbeat, after the
+/// The directory still has the entry of the former incarnation, as it may for up to a heartbeat, after the
 /// worker has listed its new one. The outdated entry must not stop the worker, however often it is
 /// repeated.
 #[test]
@@ -93,8 +93,8 @@
         .values()
         .map(|w| w.record.clone())
         .collect();
-    let life = only_life(&simulation);
-    simulation.restart_worker(&life);
+    let instance = only_instance(&simulation);
+    simulation.restart_worker(&instance);
     complete_some_jobs(&mut simulation, 10);
     for round in 2..6 {
         let at = simulation.instant();
@@ -108,10 +108,10 @@
 }
 
 /// Starts go unanswered, the worker restarts, and seconds later it receives the starts that were
-/// meant for its former life, whose leases its new clock cannot judge. By then it has seen a higher
+/// meant for its former incarnation, whose leases its new clock cannot judge. By then it has seen a higher
 /// fence and ignores them.
 #[test]
-fn late_starts_of_a_former_life_are_fenced_out() {
+fn late_starts_of_a_former_incarnation_are_fenced_out() {
     for seed in 0..20 {
         let mut simulation = simulation_with_birth_times(seed, 3);
         for worker in simulation.workers.values_mut() {
@@ -122,9 +122,9 @@
         for worker in simulation.workers.values_mut() {
             worker.fault = WorkerFault::default();
         }
-        let lives: Vec<_> = simulation.workers.keys().cloned().collect();
-        for life in &lives {
-            simulation.restart_worker(life);
+        let instances: Vec<_> = simulation.workers.keys().cloned().collect();
+        for instance in &instances {
+            simulation.restart_worker(instance);
         }
         simulation.publish_records();
         simulation.run_for(14_000);
@@ -143,17 +143,17 @@
     for seed in 0..60 {
         let mut simulation = simulation_with_birth_times(seed, 6);
         for round in 0..8 {
-            let lives: Vec<_> = simulation.workers.keys().cloned().collect();
-            for life in lives {
+            let instances: Vec<_> = simulation.workers.keys().cloned().collect();
+            for instance in instances {
                 let fault = WorkerFault {
                     silent: simulation.rng.u32(0..6) == 0,
                     answers_lost: if simulation.rng.bool() { 0.2 } else { 0.0 },
                     fails_runs: simulation.rng.u32(0..8) == 0,
                     ..WorkerFault::default()
                 };
-                simulation.workers.get_mut(&life).unwrap().fault = fault;
+                simulation.workers.get_mut(&instance).unwrap().fault = fault;
                 if simulation.rng.u32(0..3) == 0 {
-                    simulation.restart_worker(&life);
+                    simulation.restart_worker(&instance);
                 }
                 let pause = simulation.rng.u64(0..40);
                 simulation.traffic(pause, [0.4, 0.4, 0.4]);
@@ -185,7 +185,7 @@
 
 /// Kept jobs, whose acknowledged ends are final, while workers restart and nothing else fails. No
 /// task starts after its end, and all jobs end. Workers restart no faster than a process can start:
-/// a faster one could receive the acknowledgement that was sent to its former life, and would never
+/// a faster one could receive the acknowledgement that was sent to its former incarnation, and would never
 /// list that many of its own ends.
 #[test]
 fn acknowledged_ends_of_kept_jobs_are_not_lost() {
@@ -195,9 +195,9 @@
         simulation.done_is_final = true;
         simulation.restart_time = 50;
         for _ in 0..10 {
-            let lives: Vec<_> = simulation.workers.keys().cloned().collect();
-            let life = &lives[simulation.rng.usize(0..lives.len())];
-            simulation.restart_worker(life);
+            let instances: Vec<_> = simulation.workers.keys().cloned().collect();
+            let instance = &instances[simulation.rng.usize(0..instances.len())];
+            simulation.restart_worker(instance);
             let pause = simulation.rng.u64(0..400);
             simulation.traffic(pause, [0.3, 0.3, 0.3]);
             if simulation.rng.bool() {
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -473,8 +473,8 @@
 }
 
 /// Returns the id under which a worker instance, given by its number, is listed in the store.
-fn instance_id(life: usize) -> String {
-    format!("i-{life}")
+fn instance_id(instance: usize) -> String {
+    format!("i-{instance}")
 }
 
 fn store_link(node: usize) -> String {
