--- a/crates/model/src/ids.rs
+++ b/crates/model/src/ids.rs
@@ -91,7 +91,7 @@
     DataCentreId, "data centre id"
 );
 name_id!(
-    /// An endpoint, an executor process that runs tasks in slots.
+    /// An endpoint, a process that runs tasks in slots.
     EndpointId, "endpoint id"
 );
 name_id!(
--- a/crates/node/tests/crash.rs
+++ b/crates/node/tests/crash.rs
@@ -6,7 +6,7 @@
 
 use awc::Client;
 use node::NodeProcess;
-use platform_stand_ins::{kept_job_body, ExecutorPlan, ExecutorStandIn, CRASH_SPEC};
+use platform_stand_ins::{kept_job_body, WorkerPlan, WorkerStandIn, CRASH_SPEC};
 use serde_json::{json, Value};
 use support::{job, post_job, send, Platform, CENTRE};
 
@@ -15,21 +15,21 @@
 
 async fn start_workers(platform: &mut Platform) {
     for number in 0..WORKERS {
-        let plan = ExecutorPlan {
+        let plan = WorkerPlan {
             id: format!("i-{number}"),
             run_time: RUN_TIME,
             born: Some(1_764_751_000_000),
-            ..ExecutorPlan::default()
+            ..WorkerPlan::default()
         };
-        platform.executors.push(ExecutorStandIn::start(plan).await);
+        platform.workers.push(WorkerStandIn::start(plan).await);
     }
     write_heartbeats(platform);
 }
 
 /// Writes the entries of all workers, as they do with each heartbeat.
 fn write_heartbeats(platform: &Platform) {
-    for (number, executor) in platform.executors.iter().enumerate() {
-        let mut entry = executor.entry("svc", CENTRE, "ready");
+    for (number, worker) in platform.workers.iter().enumerate() {
+        let mut entry = worker.entry("svc", CENTRE, "ready");
         entry["Labels"] = json!(["a", format!("r1-{number}")]);
         platform
             .store
@@ -46,11 +46,7 @@
 }
 
 fn crashes(platform: &Platform) -> u32 {
-    platform
-        .executors
-        .iter()
-        .map(ExecutorStandIn::crashes)
-        .sum()
+    platform.workers.iter().map(WorkerStandIn::crashes).sum()
 }
 
 /// Guards against a kept job that crashes one worker after another without end.
--- a/crates/node/tests/dividing.rs
+++ b/crates/node/tests/dividing.rs
@@ -5,23 +5,23 @@
 use std::time::{Duration, Instant};
 
 use node::NodeProcess;
-use platform_stand_ins::{ExecutorPlan, ExecutorStandIn};
+use platform_stand_ins::{WorkerPlan, WorkerStandIn};
 use serde_json::json;
 use settings::NodeSettings;
 use support::{job, post_job, Platform};
 
-/// Adds a data centre with a node and one executor that runs two tasks at a time.
+/// Adds a data centre with a node and one worker that runs two tasks at a time.
 async fn add_centre(platform: &mut Platform, centre: &str, run_time: Duration) -> NodeProcess {
     let id = format!("i-{centre}");
-    let plan = ExecutorPlan {
+    let plan = WorkerPlan {
         id: id.clone(),
         run_time,
-        ..ExecutorPlan::default()
+        ..WorkerPlan::default()
     };
-    let executor = ExecutorStandIn::start(plan).await;
-    let entry = executor.entry("svc", centre, "ready");
+    let worker = WorkerStandIn::start(plan).await;
+    let entry = worker.entry("svc", centre, "ready");
     platform.store.put("servers", &id, &entry);
-    platform.executors.push(executor);
+    platform.workers.push(worker);
     let settings = NodeSettings {
         data_centre: centre.parse().unwrap(),
         ..platform.node_settings(&format!("vm-{centre}"))
@@ -133,8 +133,8 @@
         started.elapsed()
     );
     let mut tasks = Vec::new();
-    for executor in &platform.executors {
-        let runs = executor.runs();
+    for worker in &platform.workers {
+        let runs = worker.runs();
         assert_eq!(runs.len(), 2);
         tasks.extend(runs.into_iter().map(|run| run.task));
     }
--- a/crates/node/tests/entries.rs
+++ b/crates/node/tests/entries.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use node::NodeProcess;
-use platform_stand_ins::{ExecutorPlan, ExecutorStandIn};
+use platform_stand_ins::{WorkerPlan, WorkerStandIn};
 use serde_json::{json, Value};
 use support::{config, job, post_job, Platform, CENTRE};
 
@@ -160,11 +160,11 @@
     let mut invalid_workers = Vec::new();
     for (number, case) in CASES.iter().enumerate() {
         let id = format!("i-strange-{number:02}");
-        let plan = ExecutorPlan {
+        let plan = WorkerPlan {
             id: id.clone(),
-            ..ExecutorPlan::default()
+            ..WorkerPlan::default()
         };
-        let worker = ExecutorStandIn::start(plan).await;
+        let worker = WorkerStandIn::start(plan).await;
         let mut entry = worker.entry("svc", CENTRE, "ready");
         (case.corrupt)(&mut entry);
         platform.store.put("servers", &id, &entry);
@@ -193,12 +193,12 @@
     let store = &platform.store;
     store.put_bytes("servers", "i-bytes", &[0xff, 0xfe, 0x00, 0x9f]);
     store.put_raw("servers", "i-code", "%%% no encoding %%%".to_owned());
-    let plan = ExecutorPlan {
+    let plan = WorkerPlan {
         id: "i-sound".to_owned(),
         run_time: Duration::from_millis(10),
-        ..ExecutorPlan::default()
+        ..WorkerPlan::default()
     };
-    let valid = ExecutorStandIn::start(plan).await;
+    let valid = WorkerStandIn::start(plan).await;
     let entry = valid.entry("svc", CENTRE, "ready");
     platform.store.put("servers", "i-sound", &entry);
     let node = platform.start_node(platform.node_settings("vm-1")).await;
@@ -219,20 +219,20 @@
     let platform = Platform::start(2, Duration::from_millis(10)).await;
     let node = platform.start_node(platform.node_settings("vm-1")).await;
     wait_for_feed().await;
-    let valid = platform.executors[0].entry("svc", CENTRE, "ready");
+    let valid = platform.workers[0].entry("svc", CENTRE, "ready");
     let mut corrupted = valid.clone();
     (case.corrupt)(&mut corrupted);
     platform.store.put("servers", "i-0", &corrupted);
     wait_for_feed().await;
-    let before = platform.executors[0].runs().len();
+    let before = platform.workers[0].runs().len();
     complete_jobs(&node, "00000000000003").await;
-    let run_count = platform.executors[0].runs().len();
+    let run_count = platform.workers[0].runs().len();
     assert_eq!(run_count, before, "used while corrupted: {}", case.name);
     platform.store.put("servers", "i-0", &valid);
     wait_for_feed().await;
     let status = post_job(&node, "00000000000004ff", &job(4, 10)).await.0;
     assert_eq!(status, 200, "{}", case.name);
-    let run_count = platform.executors[0].runs().len();
+    let run_count = platform.workers[0].runs().len();
     assert!(run_count > before, "not used again: {}", case.name);
 }
 
@@ -241,12 +241,12 @@
 #[actix_rt::test]
 async fn a_worker_is_used_only_while_its_service_is_configured() {
     let platform = Platform::start(1, Duration::from_millis(10)).await;
-    let plan = ExecutorPlan {
+    let plan = WorkerPlan {
         id: "i-other".to_owned(),
         run_time: Duration::from_millis(10),
-        ..ExecutorPlan::default()
+        ..WorkerPlan::default()
     };
-    let other = ExecutorStandIn::start(plan).await;
+    let other = WorkerStandIn::start(plan).await;
     let entry = other.entry("svc-2", CENTRE, "ready");
     platform.store.put("servers", "i-other", &entry);
     let node = platform.start_node(platform.node_settings("vm-1")).await;
@@ -273,7 +273,7 @@
     let node = platform.start_node(platform.node_settings("vm-1")).await;
     let addresses = [platform.store.address(), node.customer_address()];
     for (number, address) in addresses.iter().enumerate() {
-        let mut entry = platform.executors[0].entry("svc", CENTRE, "ready");
+        let mut entry = platform.workers[0].entry("svc", CENTRE, "ready");
         entry["Addr"] = json!(address.to_string());
         let id = format!("i-system-{number}");
         platform.store.put("servers", &id, &entry);
--- a/crates/node/tests/evacuation.rs
+++ b/crates/node/tests/evacuation.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use node::NodeProcess;
-use platform_stand_ins::{ExecutorPlan, ExecutorStandIn, StoreFault};
+use platform_stand_ins::{StoreFault, WorkerPlan, WorkerStandIn};
 use serde_json::{json, Value};
 use support::{job, post_job, spawn_post_job, start_node, Platform, CENTRE};
 
@@ -18,13 +18,13 @@
 const EVACUATION_DELAY: Duration = Duration::from_millis(1_000);
 
 /// Adds a worker in the other data centre.
-async fn add_west_worker(platform: &Platform) -> ExecutorStandIn {
-    let plan = ExecutorPlan {
+async fn add_west_worker(platform: &Platform) -> WorkerStandIn {
+    let plan = WorkerPlan {
         id: "i-west".to_owned(),
         run_time: RUN_TIME,
-        ..ExecutorPlan::default()
+        ..WorkerPlan::default()
     };
-    let west_worker = ExecutorStandIn::start(plan).await;
+    let west_worker = WorkerStandIn::start(plan).await;
     let entry = west_worker.entry("svc", OTHER_CENTRE, "ready");
     platform.store.put("servers", "i-west", &entry);
     west_worker
@@ -64,8 +64,8 @@
     statuses
 }
 
-fn runs_started_after(executor: &ExecutorStandIn, moment: Instant) -> usize {
-    let runs = executor.runs();
+fn runs_started_after(worker: &WorkerStandIn, moment: Instant) -> usize {
+    let runs = worker.runs();
     runs.iter().filter(|run| run.began > moment).count()
 }
 
@@ -89,12 +89,12 @@
         node.log_lines()
     );
     assert_eq!(long.await.unwrap().0, 200);
-    assert_eq!(runs_started_after(&platform.executors[0], evacuated_at), 0);
+    assert_eq!(runs_started_after(&platform.workers[0], evacuated_at), 0);
     assert_eq!(west_worker.runs().len(), 12);
     end_evacuation(&platform, CENTRE);
     wait_for_evacuation().await;
     post_six_jobs(&node, 20).await;
-    assert!(runs_started_after(&platform.executors[0], evacuated_at) > 0);
+    assert!(runs_started_after(&platform.workers[0], evacuated_at) > 0);
 }
 
 /// All data centres are evacuated. Callers are refused at once and told when to retry, and nothing runs. The node stays
@@ -113,14 +113,14 @@
     assert!(started.elapsed() < Duration::from_millis(500));
     assert!(support::is_ready(&node).await);
     assert_eq!(
-        west_worker.runs().len() + platform.executors[0].runs().len(),
+        west_worker.runs().len() + platform.workers[0].runs().len(),
         0
     );
     assert!(node.log_lines().contains("evacuated"));
     end_evacuation(&platform, OTHER_CENTRE);
     wait_for_evacuation().await;
     assert_eq!(post_six_jobs(&node, 20).await, [200; 6]);
-    assert_eq!(platform.executors[0].runs().len(), 0);
+    assert_eq!(platform.workers[0].runs().len(), 0);
 }
 
 /// A node is started during an evacuation. It has to know of the evacuation before it starts its first task.
@@ -135,7 +135,7 @@
         post_job(&node, &id, &job(1, 200)).await;
         actix_rt::time::sleep(Duration::from_millis(50)).await;
     }
-    assert_eq!(platform.executors[0].runs().len(), 0);
+    assert_eq!(platform.workers[0].runs().len(), 0);
     wait_for_pools(&node, 2).await;
     assert_eq!(post_six_jobs(&node, 100).await, [200; 6]);
     assert!(!west_worker.runs().is_empty());
--- a/crates/node/tests/kept.rs
+++ b/crates/node/tests/kept.rs
@@ -33,7 +33,7 @@
 }
 
 fn done_runs(platform: &Platform) -> usize {
-    let runs = platform.executors.iter().flat_map(|e| e.runs());
+    let runs = platform.workers.iter().flat_map(|e| e.runs());
     runs.filter(|run| run.ended.is_some_and(|(_, how)| how == "done"))
         .count()
 }
@@ -79,7 +79,7 @@
     assert_eq!(send_empty(&node, "DELETE", ID).await.0, 200);
     wait_for(&node, ID, "canceled").await;
     actix_rt::time::sleep(Duration::from_millis(800)).await;
-    let runs = platform.executors[0].runs();
+    let runs = platform.workers[0].runs();
     assert_eq!(runs.len(), 2);
     let stopped =
         |run: &platform_stand_ins::RunRecord| run.ended.is_some_and(|(_, how)| how == "stopped");
@@ -98,7 +98,7 @@
     assert_eq!(send_empty(&node, "DELETE", ID).await.0, 503);
     platform.store.set_fault(StoreFault::None);
     actix_rt::time::sleep(Duration::from_millis(500)).await;
-    assert!(platform.executors[0].runs().is_empty());
+    assert!(platform.workers[0].runs().is_empty());
     assert_eq!(send_empty(&node, "GET", ID).await.0, 410);
 }
 
--- a/crates/node/tests/reading.rs
+++ b/crates/node/tests/reading.rs
@@ -39,8 +39,8 @@
 async fn heartbeat_for(platform: &Platform, duration: Duration) {
     let end = std::time::Instant::now() + duration;
     while std::time::Instant::now() < end {
-        for (number, executor) in platform.executors.iter().enumerate() {
-            let entry = executor.entry("svc", CENTRE, "ready");
+        for (number, worker) in platform.workers.iter().enumerate() {
+            let entry = worker.entry("svc", CENTRE, "ready");
             platform
                 .store
                 .put("servers", &format!("i-{number}"), &entry);
@@ -75,13 +75,13 @@
     for round in 0..2 {
         for number in 0..3 {
             let draining = round * 3 + number;
-            let entry = platform.executors[draining].entry("svc", CENTRE, "draining");
+            let entry = platform.workers[draining].entry("svc", CENTRE, "draining");
             platform
                 .store
                 .put("servers", &format!("i-{draining}"), &entry);
         }
         actix_rt::time::sleep(Duration::from_millis(1_000)).await;
-        let draining_workers = &platform.executors[round * 3..round * 3 + 3];
+        let draining_workers = &platform.workers[round * 3..round * 3 + 3];
         let before: Vec<usize> = draining_workers.iter().map(|e| e.runs().len()).collect();
         for number in 0..12 {
             let id = format!("5c0e7a21d94b{round:02x}{number:02x}");
--- a/crates/node/tests/serving.rs
+++ b/crates/node/tests/serving.rs
@@ -22,9 +22,9 @@
     let answer = post_job(&node, ID, &job(5, 40)).await;
     assert_eq!(answer, (200, json!({ "State": "completed" })));
     let runs: Vec<_> = platform
-        .executors
+        .workers
         .iter()
-        .flat_map(|executor| executor.runs())
+        .flat_map(|worker| worker.runs())
         .collect();
     assert_eq!(runs.len(), 5);
     assert!(runs
@@ -61,7 +61,7 @@
         let (got, _) = send(&client, node.customer_address(), method, path, body).await;
         assert_eq!(got, status, "{method} {path} {body}");
     }
-    assert!(platform.executors[0].runs().is_empty());
+    assert!(platform.workers[0].runs().is_empty());
     let pending = send(
         &client,
         node.customer_address(),
@@ -84,7 +84,7 @@
     let node = platform.start_node(platform.node_settings("vm-1")).await;
     assert_eq!(post_job(&node, ID, &job(1, 10)).await.0, 503);
     assert!(node.log_lines().contains(r#""event":"need_not_served""#));
-    assert!(platform.executors[0].runs().is_empty());
+    assert!(platform.workers[0].runs().is_empty());
 }
 
 /// A node that has just started does not know the configuration yet. It has to refuse jobs with a time for the retry, and
@@ -110,7 +110,7 @@
     let left = tokio::time::timeout(Duration::from_millis(300), call).await;
     assert!(left.is_err());
     actix_rt::time::sleep(Duration::from_millis(300)).await;
-    let runs = platform.executors[0].runs();
+    let runs = platform.workers[0].runs();
     assert_eq!(runs.len(), 2);
     assert!(
         runs.iter()
--- a/crates/node/tests/starting.rs
+++ b/crates/node/tests/starting.rs
@@ -33,6 +33,6 @@
     let started = std::time::Instant::now();
     let answer = post_job(&node, "00000000000000a1", &job(2, 200)).await;
     assert_eq!(answer.0, 503);
-    assert!(platform.executors.is_empty());
+    assert!(platform.workers.is_empty());
     assert!(started.elapsed() < Duration::from_millis(600));
 }
--- a/crates/node/tests/stopping.rs
+++ b/crates/node/tests/stopping.rs
@@ -66,7 +66,7 @@
     stopping.await.unwrap();
     drop(node);
     assert_eq!(late.0, 503);
-    assert_eq!(platform.executors[0].runs().len(), 1);
+    assert_eq!(platform.workers[0].runs().len(), 1);
 }
 
 /// A job takes far longer than estimated and is still running at the end of the node's grace period. Its customer has to get
@@ -101,9 +101,9 @@
     assert_eq!(long.await.unwrap(), completed);
     stopping.await.unwrap();
     let runs: Vec<_> = platform
-        .executors
+        .workers
         .iter()
-        .flat_map(|executor| executor.runs())
+        .flat_map(|worker| worker.runs())
         .collect();
     assert_eq!(runs.len(), 2, "nothing was stopped and run again: {runs:?}");
 }
@@ -139,7 +139,7 @@
         drop(node);
         for (id, call) in sending.await.unwrap() {
             let (status, _) = call.await.unwrap();
-            let runs = platform.executors.iter().flat_map(|e| e.runs());
+            let runs = platform.workers.iter().flat_map(|e| e.runs());
             let ran = runs.filter(|run| run.task.starts_with(&id)).count();
             assert!(status != 0 || ran == 0, "job {id} ran and got no answer");
         }
--- a/crates/node/tests/store.rs
+++ b/crates/node/tests/store.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use platform_stand_ins::{ExecutorPlan, ExecutorStandIn, StoreFault};
+use platform_stand_ins::{StoreFault, WorkerPlan, WorkerStandIn};
 use serde_json::{json, Value};
 use support::{config, job, post_job, start_node, Platform};
 
@@ -74,15 +74,15 @@
 async fn a_draining_worker_gets_no_new_tasks() {
     let platform = Platform::start(2, Duration::from_millis(10)).await;
     let node = platform.start_node(platform.node_settings("vm-1")).await;
-    let draining = platform.executors[0].entry("svc", support::CENTRE, "draining");
+    let draining = platform.workers[0].entry("svc", support::CENTRE, "draining");
     platform.store.put("servers", "i-0", &draining);
     wait_for_feed().await;
     for number in 0..6 {
         let id = format!("000000000000000{number}");
         assert_eq!(post_job(&node, &id, &job(2, 10)).await.0, 200);
     }
-    assert!(platform.executors[0].runs().is_empty());
-    assert_eq!(platform.executors[1].runs().len(), 12);
+    assert!(platform.workers[0].runs().is_empty());
+    assert_eq!(platform.workers[1].runs().len(), 12);
 }
 
 /// The store is unavailable for seconds. Jobs that are not stored do not need it, so customers notice nothing. When it is
@@ -99,7 +99,7 @@
         post_job(&node, "00000000000000c1", &job(2, 10)).await.0,
         200
     );
-    let entry = platform.executors[0].entry("svc", support::CENTRE, "ready");
+    let entry = platform.workers[0].entry("svc", support::CENTRE, "ready");
     platform.store.remove("servers", "i-0");
     platform.store.set_fault(StoreFault::None);
     actix_rt::time::sleep(Duration::from_millis(800)).await;
@@ -163,12 +163,12 @@
     let former = platform.start_node(platform.node_settings("vm-1")).await;
     let interrupted = support::spawn_post_job(&former, "00000000000000e2", job(2, 1_500));
     actix_rt::time::sleep(Duration::from_millis(300)).await;
-    let fence = platform.executors[0].fence();
+    let fence = platform.workers[0].fence();
     drop(former);
     let next = platform.start_node(platform.node_settings("vm-1")).await;
     actix_rt::time::sleep(Duration::from_millis(200)).await;
-    assert!(platform.executors[0].fence() > fence);
-    let runs = platform.executors[0].runs();
+    assert!(platform.workers[0].fence() > fence);
+    let runs = platform.workers[0].runs();
     assert!(
         runs.iter().all(|run| run.ended.is_some()),
         "{runs:?}\n{}",
@@ -186,11 +186,11 @@
 async fn a_worker_added_later_is_used() {
     let platform = Platform::start(1, Duration::from_millis(10)).await;
     let node = platform.start_node(platform.node_settings("vm-1")).await;
-    let plan = ExecutorPlan {
+    let plan = WorkerPlan {
         id: "i-new".to_owned(),
-        ..ExecutorPlan::default()
+        ..WorkerPlan::default()
     };
-    let added = ExecutorStandIn::start(plan).await;
+    let added = WorkerStandIn::start(plan).await;
     platform.store.put(
         "servers",
         "i-new",
@@ -223,7 +223,7 @@
     let owner = platform.start_node(platform.node_settings("vm-1")).await;
     let other = platform.start_node(platform.node_settings("vm-2")).await;
     actix_rt::time::sleep(Duration::from_millis(9_500)).await;
-    let draining = platform.executors[0].entry("svc", support::CENTRE, "draining");
+    let draining = platform.workers[0].entry("svc", support::CENTRE, "draining");
     platform.store.put("servers", "i-0", &draining);
     drop(owner);
     platform.store.set_fault(fault);
@@ -235,7 +235,7 @@
         actix_rt::time::sleep(Duration::from_millis(60)).await;
     }
     assert!(served > 20, "{served} served: {}", other.log_lines());
-    assert_eq!(platform.executors[0].runs().len(), 0);
+    assert_eq!(platform.workers[0].runs().len(), 0);
     assert!(other.log_lines().contains("pool_taken"));
 }
 
@@ -245,16 +245,16 @@
 async fn a_change_after_many_others_is_found_at_once() {
     let platform = Platform::start(1, Duration::from_millis(10)).await;
     let node = platform.start_node(platform.node_settings("vm-1")).await;
-    let other = platform.executors[0].entry("unknown", support::CENTRE, "ready");
+    let other = platform.workers[0].entry("unknown", support::CENTRE, "ready");
     for number in 0..1_700 {
         platform
             .store
             .put("servers", &format!("o-{number}"), &other);
     }
-    let entry = platform.executors[0].entry("svc", support::CENTRE, "draining");
+    let entry = platform.workers[0].entry("svc", support::CENTRE, "draining");
     platform.store.put("servers", "i-0", &entry);
     wait_for_feed().await;
     let answer = post_job(&node, "00000000000000d1", &job(1, 10)).await;
     assert_ne!(answer.0, 200);
-    assert_eq!(platform.executors[0].runs(), Vec::new());
+    assert_eq!(platform.workers[0].runs(), Vec::new());
 }
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -10,7 +10,7 @@
     reason = "not every test file submits jobs that are not stored"
 )]
 pub(crate) use platform_stand_ins::job_body as job;
-use platform_stand_ins::{config_row, ExecutorPlan, ExecutorStandIn, RoutePlan, StoreStandIn};
+use platform_stand_ins::{config_row, RoutePlan, StoreStandIn, WorkerPlan, WorkerStandIn};
 use serde_json::Value;
 use settings::NodeSettings;
 use telemetry::EventLog;
@@ -18,32 +18,32 @@
 pub(crate) const CENTRE: &str = "east";
 pub(crate) const HOST: &str = "diary.example";
 
-/// A store and executors, without nodes.
+/// A store and workers, without nodes.
 pub(crate) struct Platform {
     pub(crate) store: StoreStandIn,
-    pub(crate) executors: Vec<ExecutorStandIn>,
+    pub(crate) workers: Vec<WorkerStandIn>,
 }
 
 impl Platform {
-    /// Starts a store with a configuration, and executors that are listed in it.
-    pub(crate) async fn start(executors: usize, run_time: Duration) -> Self {
+    /// Starts a store with a configuration, and workers that are listed in it.
+    pub(crate) async fn start(workers: usize, run_time: Duration) -> Self {
         let store = StoreStandIn::start().await;
         store.put("op", "config", &config(3));
         let mut started = Vec::new();
-        for number in 0..executors {
+        for number in 0..workers {
             let id = format!("i-{number}");
-            let plan = ExecutorPlan {
+            let plan = WorkerPlan {
                 id: id.clone(),
                 run_time,
-                ..ExecutorPlan::default()
+                ..WorkerPlan::default()
             };
-            let executor = ExecutorStandIn::start(plan).await;
-            store.put("servers", &id, &executor.entry("svc", CENTRE, "ready"));
-            started.push(executor);
+            let worker = WorkerStandIn::start(plan).await;
+            store.put("servers", &id, &worker.entry("svc", CENTRE, "ready"));
+            started.push(worker);
         }
         Self {
             store,
-            executors: started,
+            workers: started,
         }
     }
 
--- a/crates/node/tests/worker_restarts.rs
+++ b/crates/node/tests/worker_restarts.rs
@@ -5,26 +5,26 @@
 use std::time::Duration;
 
 use node::NodeProcess;
-use platform_stand_ins::{ExecutorPlan, ExecutorStandIn};
+use platform_stand_ins::{WorkerPlan, WorkerStandIn};
 use serde_json::json;
 use support::{job, post_job, spawn_post_job, Platform, CENTRE};
 
 const RUN_TIME: Duration = Duration::from_millis(150);
 
-async fn start_worker(platform: &Platform, id: &str) -> ExecutorStandIn {
-    let plan = ExecutorPlan {
+async fn start_worker(platform: &Platform, id: &str) -> WorkerStandIn {
+    let plan = WorkerPlan {
         id: id.to_owned(),
         run_time: RUN_TIME,
         born: Some(1_764_751_000_000),
-        ..ExecutorPlan::default()
+        ..WorkerPlan::default()
     };
-    let executor = ExecutorStandIn::start(plan).await;
-    write_heartbeat(platform, id, &executor);
-    executor
+    let worker = WorkerStandIn::start(plan).await;
+    write_heartbeat(platform, id, &worker);
+    worker
 }
 
-fn write_heartbeat(platform: &Platform, id: &str, executor: &ExecutorStandIn) {
-    let entry = executor.entry("svc", CENTRE, "ready");
+fn write_heartbeat(platform: &Platform, id: &str, worker: &WorkerStandIn) {
+    let entry = worker.entry("svc", CENTRE, "ready");
     platform.store.put("servers", id, &entry);
 }
 
@@ -73,6 +73,6 @@
     let node = platform.start_node(platform.node_settings("vm-1")).await;
     complete_jobs(&node, 0x100).await;
     assert!(!node.log_lines().contains("worker_reborn"));
-    let entry = platform.executors[0].entry("svc", CENTRE, "ready");
+    let entry = platform.workers[0].entry("svc", CENTRE, "ready");
     assert_eq!(entry["born"], json!(null));
 }
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -2,7 +2,7 @@
 
 use std::{io, time::Duration};
 
-use platform_stand_ins::{ExecutorFault, StoreFault};
+use platform_stand_ins::{StoreFault, WorkerFault};
 use scenario::ChildSignal;
 use stand_ins::forwarder::LinkMode;
 
@@ -175,7 +175,7 @@
             fleet.set_worker_link(worker, node, LinkMode::Pass).await;
         }
         FollowUp::HealStore => fleet.set_store_fault(StoreFault::None),
-        FollowUp::HealWorker(worker) => fleet.set_worker_fault(worker, ExecutorFault::None),
+        FollowUp::HealWorker(worker) => fleet.set_worker_fault(worker, WorkerFault::None),
         FollowUp::RemoveStoreEntry(instance) => fleet.remove_store_entry(instance),
         FollowUp::FinishDrain(worker) => {
             if let Some(instance) = fleet.worker_instance(worker) {
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -8,8 +8,8 @@
 };
 
 use platform_stand_ins::{
-    config_row, ExecutorFault, ExecutorPlan, ExecutorStandIn, RoutePlan, StoreFault, StoreStandIn,
-    StoreView,
+    config_row, RoutePlan, StoreFault, StoreStandIn, StoreView, WorkerFault, WorkerPlan,
+    WorkerStandIn,
 };
 use scenario::{ChildPlan, ChildProcess, ChildSignal};
 use settings::NodeSettings;
@@ -74,7 +74,7 @@
 struct WorkerInstance {
     /// Counted across all workers; 0 before the first start.
     number: usize,
-    stand_in: Option<ExecutorStandIn>,
+    stand_in: Option<WorkerStandIn>,
 }
 
 /// All processes and stand-ins of a soak.
@@ -303,7 +303,7 @@
     }
 
     /// Sets the fault of a worker, if it is running.
-    pub(crate) fn set_worker_fault(&self, worker: usize, fault: ExecutorFault) {
+    pub(crate) fn set_worker_fault(&self, worker: usize, fault: WorkerFault) {
         if let Some(stand_in) = &self.workers[worker].stand_in {
             stand_in.set_fault(fault);
         }
@@ -374,14 +374,14 @@
         }
         self.instance_count += 1;
         let number = self.instance_count;
-        let plan = ExecutorPlan {
+        let plan = WorkerPlan {
             id: instance_id(number),
             run_time: Duration::from_millis(RUN_TIMES_MS[worker % RUN_TIMES_MS.len()]),
             initial_clock_ms: 400_000 + 10_000 * number as u64,
             clock_rate: CLOCK_RATES[number % CLOCK_RATES.len()],
             born: Some(FIRST_START_MS + number as u64),
         };
-        let stand_in = ExecutorStandIn::start(plan).await;
+        let stand_in = WorkerStandIn::start(plan).await;
         for (node, view) in self.store_views.iter().enumerate() {
             let link = worker_link(number, node);
             let address = self.forwarder.add_link(&link, stand_in.address())?;
@@ -439,7 +439,7 @@
 }
 
 fn run_traces(
-    stand_in: &ExecutorStandIn,
+    stand_in: &WorkerStandIn,
     worker: usize,
     instance: usize,
     began: Instant,
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use fastrand::Rng;
-use platform_stand_ins::{ExecutorFault, StoreFault};
+use platform_stand_ins::{StoreFault, WorkerFault};
 use stand_ins::forwarder::{CutConnect, LinkMode, OpenDirection};
 
 /// Parameters of one soak run.
@@ -59,7 +59,7 @@
     /// Truncates the history of the store.
     Forget,
     /// Sets a fault of a worker for this time.
-    Worker(usize, ExecutorFault, Duration),
+    Worker(usize, WorkerFault, Duration),
     /// Crashes a worker; a new one under another id replaces it after this time.
     Crash(usize, Duration),
     /// Restarts a worker at once under the same id.
@@ -185,12 +185,12 @@
     }
 }
 
-fn draw_worker_fault(rng: &mut Rng) -> ExecutorFault {
+fn draw_worker_fault(rng: &mut Rng) -> WorkerFault {
     match rng.u32(..5) {
-        0 => ExecutorFault::Silent,
-        1 => ExecutorFault::StartsUnanswered,
-        2 => ExecutorFault::StartsLate,
-        3 => ExecutorFault::FailsAll,
-        _ => ExecutorFault::Hangs,
+        0 => WorkerFault::Silent,
+        1 => WorkerFault::StartsUnanswered,
+        2 => WorkerFault::StartsLate,
+        3 => WorkerFault::FailsAll,
+        _ => WorkerFault::Hangs,
     }
 }
