--- a/crates/jobs/src/kept.rs
+++ b/crates/jobs/src/kept.rs
@@ -4,7 +4,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{BirthTime, InstanceId, JobId, JobRequest, JobTerms, ServiceId, StepSpec, TaskText};
+use crate::{
+    InstanceId, JobId, JobRequest, JobTerms, ServiceId, StepSpec, TaskText, WorkerStartTime,
+};
 
 /// The state of a kept job, as reported to its customer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -50,7 +52,7 @@
     pub life: InstanceId,
     /// The start time of the worker process, which tells incarnations with the same id apart; `None` if the worker
     /// did not report it.
-    pub born: Option<BirthTime>,
+    pub born: Option<WorkerStartTime>,
 }
 
 /// The progress of a step.
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -23,7 +23,7 @@
     },
     route::{RequestLimits, RouteMatch, RouteRule, RouteTable, ServiceRule, TableVersion},
     worker::{
-        BirthTime, EndCause, EndedRun, RunningRun, WorkerClock, WorkerListing, WorkerRecord,
+        EndCause, EndedRun, RunningRun, WorkerClock, WorkerListing, WorkerRecord, WorkerStartTime,
         WorkerState,
     },
 };
--- a/crates/jobs/src/worker.rs
+++ b/crates/jobs/src/worker.rs
@@ -20,15 +20,15 @@
 /// with the same id apart, but not which of them is later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct BirthTime(pub u64);
+pub struct WorkerStartTime(pub u64);
 
-impl fmt::Display for BirthTime {
+impl fmt::Display for WorkerStartTime {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(f)
     }
 }
 
-impl FromStr for BirthTime {
+impl FromStr for WorkerStartTime {
     type Err = ParseIntError;
 
     fn from_str(s: &str) -> Result<Self, ParseIntError> {
@@ -43,7 +43,7 @@
     pub instance: InstanceId,
     /// The start time of the worker process, which tells incarnations with the same id apart; `None` if the worker
     /// does not report it.
-    pub born: Option<BirthTime>,
+    pub born: Option<WorkerStartTime>,
     /// The service whose tasks it runs.
     pub service: ServiceId,
     /// The address where it listens.
@@ -117,7 +117,7 @@
     pub clock: WorkerClock,
     /// The start time of the worker process that answered, which tells incarnations with the same id apart; `None`
     /// if it did not report it.
-    pub born: Option<BirthTime>,
+    pub born: Option<WorkerStartTime>,
     /// The active runs.
     pub running: Vec<RunningRun>,
     /// The runs that ended after the last acknowledged end.
--- a/crates/pool/src/action.rs
+++ b/crates/pool/src/action.rs
@@ -348,7 +348,7 @@
         /// The restarted worker.
         instance: InstanceId,
         /// When its new incarnation began, if the worker reports it.
-        born: Option<jobs::BirthTime>,
+        born: Option<jobs::WorkerStartTime>,
         /// The number of runs that were placed on the worker before the restart was noticed.
         runs: usize,
     },
--- a/crates/pool/src/crash.rs
+++ b/crates/pool/src/crash.rs
@@ -14,7 +14,7 @@
     time::{Duration, Instant},
 };
 
-use jobs::{BirthTime, InstanceId, JobId, TaskId};
+use jobs::{InstanceId, JobId, TaskId, WorkerStartTime};
 use model::{FastMap, FastSet};
 
 /// The number of deaths that make a task a culprit if it ran alone in one of them.
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct WorkerLoss {
     pub(crate) instance: InstanceId,
-    pub(crate) born: Option<BirthTime>,
+    pub(crate) born: Option<WorkerStartTime>,
     /// The address on which the worker listened, if known.
     pub(crate) address: Option<SocketAddr>,
     pub(crate) labels: Vec<Arc<str>>,
@@ -177,7 +177,11 @@
 
     /// Discards the loss of a worker that answers again in the same incarnation and so was only out of reach. Returns
     /// whether there was such a loss.
-    pub(crate) fn discard_loss(&mut self, instance: &InstanceId, born: Option<BirthTime>) -> bool {
+    pub(crate) fn discard_loss(
+        &mut self,
+        instance: &InstanceId,
+        born: Option<WorkerStartTime>,
+    ) -> bool {
         let known = self.losses.len();
         self.losses
             .retain(|loss| loss.died || loss.instance != *instance || loss.born != born);
@@ -199,7 +203,7 @@
         &mut self,
         now: Instant,
         instance: &InstanceId,
-        born: Option<BirthTime>,
+        born: Option<WorkerStartTime>,
         address: SocketAddr,
     ) -> Vec<TaskId> {
         self.confirm_deaths_where(now, |loss| match loss.instance == *instance {
@@ -256,7 +260,10 @@
     }
 
     /// The confirmed deaths that count against a job's tasks.
-    pub(crate) fn deaths_of(&self, job: JobId) -> Vec<(TaskId, InstanceId, Option<BirthTime>)> {
+    pub(crate) fn deaths_of(
+        &self,
+        job: JobId,
+    ) -> Vec<(TaskId, InstanceId, Option<WorkerStartTime>)> {
         let mut deaths = Vec::new();
         for loss in self.losses.iter().filter(|loss| loss.died) {
             let of_job = loss.tasks.iter().filter(|lost| lost.task.job == job);
@@ -322,7 +329,7 @@
             return false;
         }
         let common_jobs = jobs_on_all(&common);
-        let excluded: FastSet<(InstanceId, Option<BirthTime>)> = common
+        let excluded: FastSet<(InstanceId, Option<WorkerStartTime>)> = common
             .iter()
             .map(|loss| (loss.instance.clone(), loss.born))
             .collect();
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -4,7 +4,7 @@
 //! A job consists of steps, and a step of tasks with the same demand. A run is one execution of a task on a worker; it
 //! takes up a part of the worker's room, which is its CPU, memory and accelerators. The worker numbers the ends of its
 //! runs and lists them until the owner has acknowledged them. A worker may restart under the same id, so its
-//! incarnations are told apart by their birth times. A kept job is stored, so that it outlives the processes that run
+//! incarnations are told apart by their start times. A kept job is stored, so that it outlives the processes that run
 //! it.
 //!
 //! A pool has one owner at a time, identified by a fencing token. Every start goes through the owner, so it knows the
--- a/crates/pool/src/pool/crash_blame.rs
+++ b/crates/pool/src/pool/crash_blame.rs
@@ -7,8 +7,8 @@
 use std::time::Instant;
 
 use jobs::{
-    BirthTime, InstanceId, JobId, JobOutcome, KeptState, StepRecord, TaskDeath, TaskId,
-    WorkerRecord, WorkerState,
+    InstanceId, JobId, JobOutcome, KeptState, StepRecord, TaskDeath, TaskId, WorkerRecord,
+    WorkerStartTime, WorkerState,
 };
 use model::{FastSet, Mechanism};
 
@@ -75,7 +75,7 @@
     }
 
     /// Clears the loss of a worker that answers in the incarnation in which it was lost.
-    pub(super) fn clear_crash(&mut self, instance: &InstanceId, born: Option<BirthTime>) {
+    pub(super) fn clear_crash(&mut self, instance: &InstanceId, born: Option<WorkerStartTime>) {
         if self.crashes.discard_loss(instance, born) {
             self.events.push(PoolEvent::CrashCleared {
                 instance: instance.clone(),
--- a/crates/pool/src/worker.rs
+++ b/crates/pool/src/worker.rs
@@ -6,8 +6,8 @@
 };
 
 use jobs::{
-    BirthTime, FenceToken, JobId, ResourceDemand, RunNumber, TaskId, TaskText, WorkerClock,
-    WorkerRecord, WorkerState,
+    FenceToken, JobId, ResourceDemand, RunNumber, TaskId, TaskText, WorkerClock, WorkerRecord,
+    WorkerStartTime, WorkerState,
 };
 
 use crate::health::WorkerHealth;
@@ -115,12 +115,12 @@
 #[derive(Clone, Debug)]
 pub(crate) struct TrackedWorker {
     pub(crate) record: WorkerRecord,
-    /// The birth time of the incarnation that sent the last listing.
-    pub(crate) born: Option<BirthTime>,
+    /// The start time of the incarnation that sent the last listing.
+    pub(crate) born: Option<WorkerStartTime>,
     /// When that incarnation was found. Orders that were sent earlier may have reached a former incarnation.
     pub(crate) incarnation_since: Instant,
-    /// The birth times of former incarnations, the latest last.
-    former_incarnations: Vec<Option<BirthTime>>,
+    /// The start times of former incarnations, the latest last.
+    former_incarnations: Vec<Option<WorkerStartTime>>,
     /// Since when its directory entry names another incarnation than its listings do.
     directory_mismatch_since: Option<Instant>,
     /// The fencing token of orders to the worker: the owner's or, once the worker has restarted, a later version of the
@@ -241,7 +241,7 @@
     /// Determines the incarnation to which a listing belongs that answers a poll sent at `sent`.
     pub(crate) fn classify_listing(
         &mut self,
-        born: Option<BirthTime>,
+        born: Option<WorkerStartTime>,
         sent: Instant,
     ) -> ListingIncarnation {
         if self.answered_poll_sent.is_none() {
@@ -267,7 +267,12 @@
     }
 
     /// Begins a new incarnation of the worker, which knows nothing of the former one.
-    pub(crate) fn begin_incarnation(&mut self, now: Instant, born: Option<BirthTime>, fence: u64) {
+    pub(crate) fn begin_incarnation(
+        &mut self,
+        now: Instant,
+        born: Option<WorkerStartTime>,
+        fence: u64,
+    ) {
         self.add_former_incarnation(self.born);
         self.former_incarnations.retain(|former| *former != born);
         self.born = born;
@@ -292,7 +297,7 @@
     }
 
     /// Adds a former incarnation and drops the oldest one beyond `MAX_FORMER_INCARNATIONS`.
-    fn add_former_incarnation(&mut self, born: Option<BirthTime>) {
+    fn add_former_incarnation(&mut self, born: Option<WorkerStartTime>) {
         self.former_incarnations.retain(|known| *known != born);
         if self.former_incarnations.len() == MAX_FORMER_INCARNATIONS {
             self.former_incarnations.remove(0);
--- a/crates/pool/tests/crash.rs
+++ b/crates/pool/tests/crash.rs
@@ -15,7 +15,7 @@
 
 fn kept_simulation(seed: u64, workers: usize, returns: CrashReturn) -> Simulation {
     let mut simulation = Simulation::new(seed, workers);
-    simulation.publish_birth_times();
+    simulation.publish_start_times();
     simulation.submits_kept = true;
     simulation.crashes.return_kind = returns;
     simulation.run_for(100);
@@ -172,7 +172,7 @@
 #[test]
 fn the_next_attempt_of_a_crashing_job_fails_at_once() {
     let mut simulation = Simulation::new(6, 6);
-    simulation.publish_birth_times();
+    simulation.publish_start_times();
     simulation.crashes.away_ms = 400;
     let job = JobId(1);
     simulation.make_crashing(job, 0.1);
@@ -192,7 +192,7 @@
 /// innocent jobs earned and how many of them failed.
 fn run_crashing_traffic(seed: u64, share: f64) -> (f64, usize) {
     let mut simulation = Simulation::new(seed, 24);
-    simulation.publish_birth_times();
+    simulation.publish_start_times();
     simulation.run_for(200);
     let mut culprits = Vec::new();
     for _ in 0..12_000 {
--- a/crates/pool/tests/support/mod.rs
+++ b/crates/pool/tests/support/mod.rs
@@ -16,9 +16,9 @@
 
 use fastrand::Rng;
 use jobs::{
-    BirthTime, CpuMillis, EndCause, FenceToken, InstanceId, JobId, JobOutcome, JobRequest,
-    JobTerms, KeptRow, MemoryMegabytes, ResourceDemand, ServiceId, StepSpec, TaskId, WorkerClock,
-    WorkerRecord, WorkerState,
+    CpuMillis, EndCause, FenceToken, InstanceId, JobId, JobOutcome, JobRequest, JobTerms, KeptRow,
+    MemoryMegabytes, ResourceDemand, ServiceId, StepSpec, TaskId, WorkerClock, WorkerRecord,
+    WorkerStartTime, WorkerState,
 };
 use pool::{
     CallFailure, FoundJob, KeptWrite, KeptWriteResult, PollAnswer, PollOrder, PoolAction,
@@ -505,11 +505,11 @@
         self.resize_in_flight = false;
     }
 
-    /// Makes all workers publish the birth times of their incarnations.
-    pub(crate) fn publish_birth_times(&mut self) {
+    /// Makes all workers publish the start times of their incarnations.
+    pub(crate) fn publish_start_times(&mut self) {
         let mut records = Vec::new();
         for worker in self.workers.values_mut() {
-            worker.born = Some(BirthTime(1_000_000));
+            worker.born = Some(WorkerStartTime(1_000_000));
             worker.record.born = worker.born;
             records.push(worker.record.clone());
         }
--- a/crates/pool/tests/support/worker.rs
+++ b/crates/pool/tests/support/worker.rs
@@ -1,8 +1,8 @@
 //! A simulated worker with its runs, lease and list of ended runs.
 
 use jobs::{
-    BirthTime, EndCause, EndedRun, RunNumber, RunningRun, TaskId, WorkerClock, WorkerListing,
-    WorkerRecord,
+    EndCause, EndedRun, RunNumber, RunningRun, TaskId, WorkerClock, WorkerListing, WorkerRecord,
+    WorkerStartTime,
 };
 use pool::PollOrder;
 
@@ -46,7 +46,7 @@
     pub(crate) fault: WorkerFault,
     /// How much work a run does per millisecond without a fault.
     pub(crate) speed: f64,
-    pub(super) born: Option<BirthTime>,
+    pub(super) born: Option<WorkerStartTime>,
     /// The first call sent to the present incarnation. Earlier calls were lost with the connections of the former
     /// incarnation.
     pub(super) first_call: CallNumber,
@@ -69,9 +69,9 @@
 }
 
 impl SimulatedWorker {
-    /// Restarts the worker under the same id, with a new birth time and without any state of the former incarnation.
+    /// Restarts the worker under the same id, with a new start time and without any state of the former incarnation.
     pub(super) fn restart(&mut self, born: u64, clock_offset: u64) {
-        self.born = Some(BirthTime(born));
+        self.born = Some(WorkerStartTime(born));
         self.record.born = self.born;
         self.clock_offset = clock_offset;
         self.fence = 0;
--- a/crates/pool/tests/worker_restarts.rs
+++ b/crates/pool/tests/worker_restarts.rs
@@ -8,9 +8,9 @@
 
 const WHOLE_WORKER: u64 = 16_000;
 
-fn simulation_with_birth_times(seed: u64, workers: usize) -> Simulation {
+fn simulation_with_start_times(seed: u64, workers: usize) -> Simulation {
     let mut simulation = Simulation::new(seed, workers);
-    simulation.publish_birth_times();
+    simulation.publish_start_times();
     simulation.run_for(100);
     simulation
 }
@@ -43,7 +43,7 @@
 /// passed, and must be processed all the same.
 #[test]
 fn a_task_that_died_with_its_worker_runs_again() {
-    let mut simulation = simulation_with_birth_times(1, 1);
+    let mut simulation = simulation_with_start_times(1, 1);
     complete_some_jobs(&mut simulation, 10);
     let (job, instance) = (JobId(1), only_instance(&simulation));
     simulation.submit_sized(1, job, vec![300.0], 300.0, WHOLE_WORKER);
@@ -59,7 +59,7 @@
 /// would never be listed and the caller would wait in vain.
 #[test]
 fn the_first_ends_of_a_new_incarnation_are_processed() {
-    let mut simulation = simulation_with_birth_times(1, 1);
+    let mut simulation = simulation_with_start_times(1, 1);
     for round in 1..8 {
         complete_some_jobs(&mut simulation, round * 100);
         simulation.run_for(2_000);
@@ -73,7 +73,7 @@
 /// there until it has answered a poll; soon after, it runs tasks.
 #[test]
 fn a_new_incarnation_in_the_directory_is_polled_first() {
-    let mut simulation = simulation_with_birth_times(1, 1);
+    let mut simulation = simulation_with_start_times(1, 1);
     complete_some_jobs(&mut simulation, 10);
     let instance = only_instance(&simulation);
     simulation.restart_worker(&instance);
@@ -87,7 +87,7 @@
 /// repeated.
 #[test]
 fn an_outdated_entry_does_not_stop_a_worker() {
-    let mut simulation = simulation_with_birth_times(1, 1);
+    let mut simulation = simulation_with_start_times(1, 1);
     let older: Vec<_> = simulation
         .workers
         .values()
@@ -113,7 +113,7 @@
 #[test]
 fn late_starts_of_a_former_incarnation_are_fenced_out() {
     for seed in 0..20 {
-        let mut simulation = simulation_with_birth_times(seed, 3);
+        let mut simulation = simulation_with_start_times(seed, 3);
         for worker in simulation.workers.values_mut() {
             worker.fault.late_starts = 0.6;
         }
@@ -141,7 +141,7 @@
 #[test]
 fn no_task_runs_twice_while_workers_restart() {
     for seed in 0..60 {
-        let mut simulation = simulation_with_birth_times(seed, 6);
+        let mut simulation = simulation_with_start_times(seed, 6);
         for round in 0..8 {
             let instances: Vec<_> = simulation.workers.keys().cloned().collect();
             for instance in instances {
@@ -190,7 +190,7 @@
 #[test]
 fn acknowledged_ends_of_kept_jobs_are_not_lost() {
     for seed in 0..40 {
-        let mut simulation = simulation_with_birth_times(seed, 4);
+        let mut simulation = simulation_with_start_times(seed, 4);
         simulation.submits_kept = true;
         simulation.done_is_final = true;
         simulation.restart_time = 50;
