--- a/crates/authority/src/authority/replies.rs
+++ b/crates/authority/src/authority/replies.rs
@@ -359,7 +359,7 @@
 
     /// Backoff that doubles with each attempt, with jitter so that tasks refused together do not come back together.
     fn backoff(&mut self, attempts: u32) -> Duration {
-        let doubled = self.settings.retry_backoff * 2u32.saturating_pow(attempts.min(10));
+        let doubled = self.settings.initial_retry_backoff * 2u32.saturating_pow(attempts.min(10));
         let longest = doubled.min(self.settings.max_retry_backoff);
         longest.mul_f64(0.5 + self.rng.f64() / 2.0)
     }
--- a/crates/authority/src/settings.rs
+++ b/crates/authority/src/settings.rs
@@ -47,8 +47,8 @@
     pub retries: RetrySettings,
     /// Base of the exponential backoff before a task is placed again after a refusal that is caused by overload. The
     /// first backoff lasts between one and two times this value.
-    pub retry_backoff: Duration,
-    /// Upper bound of the backoff that starts with `retry_backoff`.
+    pub initial_retry_backoff: Duration,
+    /// Upper bound of the backoff that starts with `initial_retry_backoff`.
     pub max_retry_backoff: Duration,
     /// How long submissions are still accepted after the last slot became unreachable. The endpoints of a dead
     /// dispatcher get another owner within its suspect time, so work refused in the meantime could have been done in
@@ -78,7 +78,7 @@
                 initial_tokens: INITIAL_RETRIES,
                 ..RetrySettings::default()
             },
-            retry_backoff: Duration::from_millis(5),
+            initial_retry_backoff: Duration::from_millis(5),
             max_retry_backoff: Duration::from_millis(200),
             capacity_grace: Duration::from_secs(3),
             reconnect_wait: Duration::from_secs(5),
--- a/crates/claims/src/controller.rs
+++ b/crates/claims/src/controller.rs
@@ -324,7 +324,7 @@
             }
             ClaimOutcome::Undecided => {
                 let factor = 2_u32.saturating_pow(state.undecided_claims.min(8));
-                let backoff = self.settings.min_claim_backoff * factor;
+                let backoff = self.settings.initial_claim_backoff * factor;
                 let backoff = backoff.min(self.settings.max_claim_backoff);
                 state.attempt = ClaimAttempt::BackingOff(now + backoff);
                 state.undecided_claims += 1;
--- a/crates/claims/src/settings.rs
+++ b/crates/claims/src/settings.rs
@@ -31,7 +31,7 @@
     /// The delay before a pool's workers are probed again after none of them could be reached.
     pub probe_retry_delay: Duration,
     /// The backoff after the store has left a claim undecided; doubled with each such claim in a row.
-    pub min_claim_backoff: Duration,
+    pub initial_claim_backoff: Duration,
     /// The longest backoff. Outages last seconds, and a pool must not lack an owner for much longer than an
     /// outage.
     pub max_claim_backoff: Duration,
@@ -62,7 +62,7 @@
             startup_listen_time: Duration::from_millis(1_500),
             settle_time: Duration::from_millis(4_000),
             probe_retry_delay: Duration::from_millis(1_000),
-            min_claim_backoff: Duration::from_millis(100),
+            initial_claim_backoff: Duration::from_millis(100),
             max_claim_backoff: Duration::from_millis(800),
             rank_delay: Duration::from_millis(120),
             far_delay: Duration::from_millis(700),
--- a/crates/node/src/feeds.rs
+++ b/crates/node/src/feeds.rs
@@ -38,17 +38,17 @@
 /// The interval between two reads of any other table.
 const FEED_READ_INTERVAL: Duration = Duration::from_millis(15);
 
-/// The backoff after a read that returns rows older than those already known. A store that has lost its history
+/// The delay after a read that returns rows older than those already known. A store that has lost its history
 /// returns such rows for seconds, and the workers' table is large.
-const STALE_READ_BACKOFF: Duration = Duration::from_millis(400);
+const STALE_READ_RETRY_DELAY: Duration = Duration::from_millis(400);
 
 /// The number of changes from which on an answer counts as partial: the store returns some hundreds of changes at a
 /// time. The rest is read at once, and the table counts as current only when little is left. When a partial answer
 /// was taken for a complete one, starts were sent to workers that were about to leave.
 const PARTIAL_PAGE_CHANGES: usize = 250;
 
-/// The backoff after a failed read.
-const FAILED_READ_BACKOFF: Duration = Duration::from_millis(120);
+/// The delay before a failed read is repeated.
+const FAILED_READ_RETRY_DELAY: Duration = Duration::from_millis(120);
 
 /// Follows a table for as long as the process runs. When the store no longer has the history that the feed needs,
 /// the whole table is read again.
@@ -96,7 +96,7 @@
                 let is_snapshot = after.is_none();
                 if page.version < newest {
                     log_stale_rows(&state, table, page.version, newest);
-                    actix_rt::time::sleep(STALE_READ_BACKOFF).await;
+                    actix_rt::time::sleep(STALE_READ_RETRY_DELAY).await;
                     continue;
                 }
                 newest = page.version;
@@ -124,7 +124,7 @@
                     lost_since = Some(now);
                     log_store_lost(&state, table, &error);
                 }
-                actix_rt::time::sleep(FAILED_READ_BACKOFF).await;
+                actix_rt::time::sleep(FAILED_READ_RETRY_DELAY).await;
             }
         }
     }
--- a/crates/node/src/kept_jobs.rs
+++ b/crates/node/src/kept_jobs.rs
@@ -35,8 +35,8 @@
 /// again on each retry.
 const MAX_JOBS_PER_TRANSACTION: usize = 25;
 
-/// The backoff after a write that was rejected or got no answer, and between tries to read a pool's rows.
-const STORE_RETRY_BACKOFF: Duration = Duration::from_millis(80);
+/// The delay after a write that was rejected or got no answer, and between tries to read a pool's rows.
+const STORE_RETRY_DELAY: Duration = Duration::from_millis(80);
 
 /// How long the write of a new job is retried before the job is refused, if the store rejects each try.
 const NEW_JOB_RETRY_TIME: Duration = Duration::from_millis(400);
@@ -148,7 +148,7 @@
         Err(error) => {
             let rejected = matches!(error, StoreError::Rejected(_));
             log_write_failure(state, &batch, &error);
-            actix_rt::time::sleep(STORE_RETRY_BACKOFF).await;
+            actix_rt::time::sleep(STORE_RETRY_DELAY).await;
             for write in batch {
                 requeue_write(state, partition, write, rejected);
             }
@@ -253,7 +253,7 @@
         Ok(None) => report_result(state, &write, KeptWriteResult::Gone),
         Err(error) => {
             log_write_failure(state, std::slice::from_ref(&write), &error);
-            actix_rt::time::sleep(STORE_RETRY_BACKOFF).await;
+            actix_rt::time::sleep(STORE_RETRY_DELAY).await;
             requeue_write(state, partition, write, false);
         }
     }
--- a/crates/node/src/kept_jobs/maintenance.rs
+++ b/crates/node/src/kept_jobs/maintenance.rs
@@ -12,7 +12,7 @@
 use platform_adapter::{RowWrite, StoreError, StoreTable, Transaction};
 use telemetry::{EventKind, EventLine};
 
-use super::{decode_row, partition_name, PARTITION_COUNT, STORE_RETRY_BACKOFF};
+use super::{decode_row, partition_name, PARTITION_COUNT, STORE_RETRY_DELAY};
 use crate::{
     feeds::{log_unreadable_row, stored_row},
     owner::with_fenced_pool,
@@ -83,7 +83,7 @@
     }
     let due = |last: Option<Instant>, interval| last.is_none_or(|at| now >= at + interval);
     let periodic = state.has_kept_jobs.get() && due(times.last_read, JOBS_READ_INTERVAL);
-    if periodic || (wants_rows && due(times.last_read, STORE_RETRY_BACKOFF)) {
+    if periodic || (wants_rows && due(times.last_read, STORE_RETRY_DELAY)) {
         times.last_read = Some(now);
         actix_rt::spawn(read_jobs(state.clone(), id.clone(), fence));
     }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -18,9 +18,9 @@
 /// The largest heartbeat that can be received, in bytes.
 const MAX_HEARTBEAT_BYTES: usize = 8 * 1024;
 
-/// The backoff after a socket error. Such errors come from ports without a listener or from a lack of file
+/// The delay after a socket error. Such errors come from ports without a listener or from a lack of file
 /// descriptors.
-const SOCKET_ERROR_BACKOFF: Duration = Duration::from_millis(20);
+const SOCKET_ERROR_DELAY: Duration = Duration::from_millis(20);
 
 /// An open connection to the owner of a pool.
 pub(crate) struct OwnerLink {
@@ -194,7 +194,7 @@
     let mut buffer = vec![0; MAX_HEARTBEAT_BYTES];
     loop {
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
-            actix_rt::time::sleep(SOCKET_ERROR_BACKOFF).await;
+            actix_rt::time::sleep(SOCKET_ERROR_DELAY).await;
             continue;
         };
         state
