--- a/crates/jobs/src/worker.rs
+++ b/crates/jobs/src/worker.rs
@@ -53,7 +53,7 @@
     /// Whether it takes new runs.
     pub state: WorkerState,
     /// The resources that its runs can use at the same time.
-    pub room: ResourceDemand,
+    pub capacity: ResourceDemand,
     /// Labels, among them its kind and its rack.
     pub labels: Vec<Arc<str>>,
 }
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -42,9 +42,9 @@
 /// tasks.
 const OFFER_TIMEOUT: Duration = Duration::from_millis(80);
 
-/// The expected room of all pools that are asked for offers, as a multiple of the room that the job needs. It is
-/// above one because the known loads of pools are up to half a second old.
-const OFFER_ROOM_FACTOR: u64 = 2;
+/// The expected capacity of all pools that are asked for offers, as a multiple of the capacity that the job needs. It
+/// is above one because the known loads of pools are up to half a second old.
+const OFFER_CAPACITY_FACTOR: u64 = 2;
 
 /// The share of the link in use above which fewer offers are requested. On links that could carry hundreds of times
 /// the offer requests that are sent, all pools are asked, because fewer jobs are then refused.
@@ -77,7 +77,7 @@
     /// Whether the pool is in this data centre.
     near: bool,
     /// The pool's expected free processor capacity, in thousandths of a core.
-    room: i64,
+    free_capacity: i64,
 }
 
 /// A part of a job for one pool.
@@ -159,9 +159,9 @@
     }
 }
 
-/// Selects the pools to ask for offers, separated into those of this data centre and the others. If the link is
-/// busy, only pools that seem to have room are selected, and only until their expected room is [`OFFER_ROOM_FACTOR`]
-/// times what the job needs: the others would most likely offer nothing or not be needed.
+/// Selects the pools to ask for offers, separated into those of this data centre and the others. If the link is busy,
+/// only pools that seem to have capacity are selected, and only until their expected capacity is
+/// [`OFFER_CAPACITY_FACTOR`] times what the job needs: the others would most likely offer nothing or not be needed.
 fn select_offer_pools(
     state: &NodeState,
     request: &JobRequest,
@@ -169,12 +169,12 @@
 ) -> (Vec<EligiblePool>, Vec<EligiblePool>) {
     let demands = request.steps.iter().map(|step| step.demand.cpu.0);
     let task_cpu = demands.min().unwrap_or_default().max(1);
-    let enough_tasks = request.task_count().saturating_mul(OFFER_ROOM_FACTOR);
+    let enough_tasks = request.task_count().saturating_mul(OFFER_CAPACITY_FACTOR);
     let link_busy = state.link_use.get().share() > BUSY_LINK_SHARE;
     let mut expected_tasks = 0;
     let mut selected = Vec::new();
     for pool in pools {
-        let fits = u64::try_from(pool.room).unwrap_or_default() / task_cpu;
+        let fits = u64::try_from(pool.free_capacity).unwrap_or_default() / task_cpu;
         let skipped = link_busy && (fits == 0 || expected_tasks >= enough_tasks);
         if skipped || selected.len() >= MAX_OFFER_POOLS {
             continue;
@@ -363,7 +363,7 @@
             pool,
             owner,
             near: candidates[index].same_data_centre,
-            room: candidates[index].expected_free_room(),
+            free_capacity: candidates[index].expected_free_capacity(),
         })
     });
     ordered.collect()
--- a/crates/node/src/event_lines.rs
+++ b/crates/node/src/event_lines.rs
@@ -98,17 +98,17 @@
         }
         PoolEvent::WorkerResized {
             instance,
-            former_room,
-            room,
+            former_capacity,
+            capacity,
             withdrawn,
         } => {
             let line = EventLine::new("worker_resized")
                 .text("worker", instance)
-                .text("cpu", room.cpu)
-                .text("memory", room.memory)
-                .number("accelerators", room.accelerators)
-                .text("former_cpu", former_room.cpu)
-                .text("former_memory", former_room.memory);
+                .text("cpu", capacity.cpu)
+                .text("memory", capacity.memory)
+                .number("accelerators", capacity.accelerators)
+                .text("former_cpu", former_capacity.cpu)
+                .text("former_memory", former_capacity.memory);
             (
                 EventKind::Important,
                 line.number("withdrawn", *withdrawn as u64),
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -16,7 +16,7 @@
 const STARTS_NOT_DONE: &str = "node_starts_not_done_total";
 const SUSPENSIONS: &str = "node_suspensions_total";
 const LIST_SOURCES: &str = "node_worker_lists_total";
-const ROOM_CHANGES: &str = "node_room_changes_total";
+const CAPACITY_CHANGES: &str = "node_room_changes_total";
 const CRASHES: &str = "node_crashes_total";
 const EVACUATIONS: &str = "node_evacuations_total";
 const CALLS: &str = "node_traffic_calls_total";
@@ -97,7 +97,7 @@
             ListSource::ALL.iter().map(|source| source.as_str()).collect(),
         ),
         family(
-            ROOM_CHANGES,
+            CAPACITY_CHANGES,
             "Changes of a worker's room while it ran, by whether it holds what it held before",
             "change",
             vec!["grown", "shrunk"],
@@ -213,10 +213,12 @@
             metrics.count(STARTS_NOT_DONE, start_answer_label(*answer));
         }
         PoolEvent::WorkerResized {
-            former_room, room, ..
+            former_capacity,
+            capacity,
+            ..
         } => {
-            let grown = room.holds(former_room);
-            metrics.count(ROOM_CHANGES, if grown { "grown" } else { "shrunk" });
+            let grown = capacity.holds(former_capacity);
+            metrics.count(CAPACITY_CHANGES, if grown { "grown" } else { "shrunk" });
         }
         PoolEvent::CrashSuspected { common, .. } => {
             let finding = if *common { "common" } else { "suspected" };
--- a/crates/node/tests/groups.rs
+++ b/crates/node/tests/groups.rs
@@ -7,10 +7,10 @@
 use serde_json::json;
 use support::{job, post_job, Platform};
 
-/// Six workers with room for two tasks each are divided among another number of pools, first three in place of two. Some of
-/// them move to a pool whose owner claimed it earlier than their former pool was claimed. That owner's fencing token is lower
-/// than the highest that these workers have seen, so they would reject its calls, and every job that needs all twelve slots
-/// would be refused although all workers are healthy.
+/// Six workers with capacity for two tasks each are divided among another number of pools, first three in place of two.
+/// Some of them move to a pool whose owner claimed it earlier than their former pool was claimed. That owner's fencing
+/// token is lower than the highest that these workers have seen, so they would reject its calls, and every job that
+/// needs all twelve slots would be refused although all workers are healthy.
 #[actix_rt::test]
 async fn all_workers_serve_after_the_number_of_pools_changes() {
     let run_time = Duration::from_millis(200);
--- a/crates/pool/benches/admission.rs
+++ b/crates/pool/benches/admission.rs
@@ -17,7 +17,7 @@
 const WAITING: [u64; 3] = [0, 20, 60];
 const SERVICE: &str = "svc";
 
-fn room(cpu: u64) -> ResourceDemand {
+fn resources(cpu: u64) -> ResourceDemand {
     ResourceDemand {
         cpu: CpuMillis(cpu),
         memory: MemoryMegabytes(64),
@@ -33,9 +33,9 @@
         address: ([127, 0, 0, 1], 9_000).into(),
         data_centre: "east".parse().expect("a name"),
         state: WorkerState::Ready,
-        room: ResourceDemand {
+        capacity: ResourceDemand {
             memory: MemoryMegabytes(65_536),
-            ..room(if number % 3 == 2 { 48_000 } else { 32_000 })
+            ..resources(if number % 3 == 2 { 48_000 } else { 32_000 })
         },
         labels: Vec::new(),
     }
@@ -47,7 +47,7 @@
         text: Arc::from(""),
         steps: vec![StepSpec {
             count,
-            demand: room(16_000),
+            demand: resources(16_000),
             estimate: Duration::from_millis(millis),
             ..StepSpec::default()
         }],
@@ -71,7 +71,7 @@
     }
 }
 
-/// A pool whose room is all taken, with `waiting` jobs waiting.
+/// A pool whose capacity is all taken, with `waiting` jobs waiting.
 fn busy_pool(now: Instant, waiting: u64) -> WorkerPool {
     let init = PoolInit {
         name: Arc::from("east/0"),
--- a/crates/pool/src/action.rs
+++ b/crates/pool/src/action.rs
@@ -107,7 +107,7 @@
     Superseded(WorkerClock),
     /// The end of the lease has passed on the worker's clock.
     LeaseExpired(WorkerClock),
-    /// The worker has no room for the task.
+    /// The worker has no capacity for the task.
     NoRoom(WorkerClock),
     /// The worker was not allowed to run the task.
     NotAllowed(WorkerClock),
@@ -196,7 +196,7 @@
         queued: usize,
         /// Whether the job would have made a job late that was admitted before.
         delays_admitted: bool,
-        /// Whether the job would have taken room that is reserved for jobs of higher priority.
+        /// Whether the job would have taken capacity that is reserved for jobs of higher priority.
         takes_reserved: bool,
     },
     /// A run was placed on a worker and its start ordered.
@@ -352,14 +352,14 @@
         /// The number of runs that were placed on the worker before the restart was noticed.
         runs: usize,
     },
-    /// The room of a worker changed.
+    /// The capacity of a worker changed.
     WorkerResized {
-        /// The worker whose room changed.
+        /// The worker whose capacity changed.
         instance: InstanceId,
-        /// The room before the change.
-        former_room: ResourceDemand,
-        /// The room after the change.
-        room: ResourceDemand,
+        /// The capacity before the change.
+        former_capacity: ResourceDemand,
+        /// The capacity after the change.
+        capacity: ResourceDemand,
         /// The number of ordered starts that are withdrawn.
         withdrawn: usize,
     },
--- a/crates/pool/src/admission.rs
+++ b/crates/pool/src/admission.rs
@@ -1,9 +1,10 @@
 //! Admission control: the forecast by which a job is admitted or refused.
 //!
-//! Refusals are needed under overload, when for some seconds more work arrives than the pool's workers can do. Without them every
-//! job waits longer, until all end too late to be of use and the work done on them is lost. A job whose predicted end is too late
-//! is therefore refused at once, so that its customer can turn elsewhere and the room serves jobs that end in time. A job that
-//! would make an already admitted job late is refused too: admitted jobs take precedence.
+//! Refusals are needed under overload, when for some seconds more work arrives than the pool's workers can do. Without
+//! them every job waits longer, until all end too late to be of use and the work done on them is lost. A job whose
+//! predicted end is too late is therefore refused at once, so that its customer can turn elsewhere and the capacity
+//! serves jobs that end in time. A job that would make an already admitted job late is refused too: admitted jobs take
+//! precedence.
 
 use std::{cell::OnceCell, time::Duration};
 
@@ -15,7 +16,7 @@
 /// The load of a pool, as published to the entries.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PoolLoad {
-    /// The CPU room of usable workers, in thousandths of a core.
+    /// The CPU capacity of usable workers, in thousandths of a core.
     pub capacity: u64,
     /// The free part of `capacity`, in thousandths of a core.
     pub free: u64,
@@ -34,7 +35,7 @@
     pub(crate) after: Vec<u32>,
 }
 
-/// A job in the forecast. Jobs are placed in the order in which they will get room.
+/// A job in the forecast. Jobs are placed in the order in which they will get capacity.
 #[derive(Clone, Debug)]
 pub(crate) struct ForecastJob {
     pub(crate) steps: Vec<ForecastStep>,
@@ -49,7 +50,7 @@
     pub(crate) end: Duration,
     /// Whether the new job would make an already admitted job late.
     pub(crate) delays_admitted: bool,
-    /// Whether the new job would make a job late for which it has to leave room.
+    /// Whether the new job would make a job late for which it has to leave capacity.
     pub(crate) takes_reserved: bool,
 }
 
@@ -64,8 +65,8 @@
 
 /// Simulates how the waiting jobs, with a new one among them, are placed on the pool's workers.
 ///
-/// The jobs before the new one are simulated once, and so are the jobs behind it without the new one. Only the new job and
-/// its effect on the jobs behind it are simulated again for each number of its tasks.
+/// The jobs before the new one are simulated once, and so are the jobs behind it without the new one. Only the new job
+/// and its effect on the jobs behind it are simulated again for each number of its tasks.
 #[derive(Debug)]
 pub(crate) struct AdmissionSimulation {
     /// The pool once the jobs before the new one are placed.
@@ -76,7 +77,7 @@
     behind: Vec<ForecastJob>,
     /// The ends of the jobs behind without the new one, computed on first use.
     ends_without: OnceCell<Vec<Duration>>,
-    /// The jobs for which the new one has to leave room.
+    /// The jobs for which the new one has to leave capacity.
     expected: Vec<ExpectedJob>,
 }
 
@@ -146,7 +147,7 @@
         false
     }
 
-    /// Whether a job for which room is reserved would be late if it were placed after the new job.
+    /// Whether a job for which capacity is reserved would be late if it were placed after the new job.
     fn takes_reserved(&self, placed: &PoolForecast) -> bool {
         let late = |job: &ExpectedJob| job.is_late_on(&mut placed.clone());
         self.expected.iter().any(late)
--- a/crates/pool/src/arrivals.rs
+++ b/crates/pool/src/arrivals.rs
@@ -1,28 +1,29 @@
-//! Reserves room for jobs of higher priority, from the statistics of past arrivals.
+//! Reserves capacity for jobs of higher priority, from the statistics of past arrivals.
 //!
-//! The reservation is needed under lasting overload. Without it, room that becomes free goes at once to admitted jobs that can
-//! wait for it, which are those of the lowest priority in their contracts. For a short, wide job of the highest priority all room
-//! of the next tenth of a second is then taken, and the job is refused.
+//! The reservation is needed under lasting overload. Without it, capacity that becomes free goes at once to admitted
+//! jobs that can wait for it, which are those of the lowest priority in their contracts. For a short, wide job of the
+//! highest priority all capacity of the next tenth of a second is then taken, and the job is refused.
 //!
-//! Room is reserved only while jobs of that priority are being refused, and more of it the larger their refused share is: a
-//! permanent reservation would cost other jobs room in every short burst.
+//! Capacity is reserved only while jobs of that priority are being refused, and more of it the larger their refused
+//! share is: a permanent reservation would cost other jobs capacity in every short burst.
 
 use std::time::{Duration, Instant};
 
 use model::FastMap;
 
-/// The share of refusals up to which no room is reserved: a job wider than one pool is refused by each pool and then divided
-/// among them.
+/// The share of refusals up to which no capacity is reserved: a job wider than one pool is refused by each pool and
+/// then divided among them.
 const USUAL_REFUSED_SHARE: f64 = 0.35;
 
-/// The share of refusals from which room is reserved for a whole job.
+/// The share of refusals from which capacity is reserved for a whole job.
 const FULL_RESERVE_REFUSED_SHARE: f64 = 0.7;
 
-/// The weight of a new job in the means of its priority. About the last ten jobs count, since the shapes of jobs differ by a factor
-/// of two.
+/// The weight of a new job in the means of its priority. About the last ten jobs count, since the shapes of jobs differ
+/// by a factor of two.
 const SAMPLE_WEIGHT: f64 = 0.1;
 
-/// The time constant with which the refused share decays while no jobs of that priority arrive. Bursts last some seconds.
+/// The time constant with which the refused share decays while no jobs of that priority arrive. Bursts last some
+/// seconds.
 const REFUSAL_MEMORY: Duration = Duration::from_millis(1_500);
 
 /// A job that arrived.
@@ -55,7 +56,7 @@
     refused: f64,
 }
 
-/// An expected job for which room is reserved.
+/// An expected job for which capacity is reserved.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ExpectedJob {
     pub(crate) tasks: usize,
@@ -97,8 +98,8 @@
         }
     }
 
-    /// The expected jobs of higher priority, for which a job of this priority has to leave room. A lower number is a higher
-    /// priority.
+    /// The expected jobs of higher priority, for which a job of this priority has to leave capacity. A lower number is
+    /// a higher priority.
     pub(crate) fn expected_above(&self, now: Instant, priority: u32) -> Vec<ExpectedJob> {
         let higher = self.means.iter().filter(|(other, _)| **other < priority);
         let expected = higher.map(|(_, mean)| mean.expected(now));
--- a/crates/pool/src/forecast.rs
+++ b/crates/pool/src/forecast.rs
@@ -1,15 +1,15 @@
 //! Forecasts when waiting tasks will end, by simulating the order in which they are placed.
 //!
-//! Each worker is a list of the times at which its free CPU room changes: when runs end, and when simulated tasks begin and end.
-//! Tasks are placed one after another on the worker that ends them first. Counting free cores over all workers instead
-//! would overlook that ten workers with 7 free cores each cannot hold a task of 8 cores.
+//! Each worker is a list of the times at which its free CPU capacity changes: when runs end, and when simulated tasks
+//! begin and end. Tasks are placed one after another on the worker that ends them first. Counting free cores over all
+//! workers instead would overlook that ten workers with 7 free cores each cannot hold a task of 8 cores.
 
 use std::time::Duration;
 
 /// A time from now, in microseconds. A plain integer, since a forecast adds and compares some ten thousand of them.
 type Micros = u64;
 
-/// A change of a worker's free CPU room.
+/// A change of a worker's free CPU capacity.
 #[derive(Clone, Copy, Debug)]
 struct CapacityChange {
     time: Micros,
@@ -20,11 +20,11 @@
 /// A worker in the forecast.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WorkerForecast {
-    /// The CPU room that is free now, in thousandths of a core. Negative on a worker whose room has shrunk, where the end of a
-    /// run does not free room at once.
+    /// The CPU capacity that is free now, in thousandths of a core. Negative on a worker whose capacity has shrunk,
+    /// where the end of a run does not free capacity at once.
     free: i64,
-    /// The total CPU room, in thousandths of a core.
-    room: u64,
+    /// The total CPU capacity, in thousandths of a core.
+    capacity: u64,
     /// The ratio of run times to those on a worker of mean speed.
     slowness: f64,
     /// The changes, ordered by time.
@@ -49,32 +49,32 @@
 }
 
 impl WorkerForecast {
-    pub(crate) fn new(room: u64, used: u64, slowness: f64) -> Self {
-        let signed = |room: u64| i64::try_from(room).unwrap_or(i64::MAX);
+    pub(crate) fn new(capacity: u64, used: u64, slowness: f64) -> Self {
+        let signed = |capacity: u64| i64::try_from(capacity).unwrap_or(i64::MAX);
         Self {
-            free: signed(room).saturating_sub(signed(used)),
-            room,
+            free: signed(capacity).saturating_sub(signed(used)),
+            capacity,
             slowness,
             changes: Vec::new(),
         }
     }
 
-    /// Adds the end of a running task, which takes room until then.
+    /// Adds the end of a running task, which takes capacity until then.
     pub(crate) fn add_running(&mut self, left: Duration, cpu: u64) {
         self.add_change(micros(left), cpu.cast_signed());
     }
 
     fn add_change(&mut self, time: Micros, delta: i64) {
-        // A task that ends frees its room before another begins at the same time.
+        // A task that ends frees its capacity before another begins at the same time.
         let before = |other: &CapacityChange| (other.time, other.delta <= 0) <= (time, delta <= 0);
         let index = self.changes.partition_point(before);
         self.changes.insert(index, CapacityChange { time, delta });
     }
 
-    /// The earliest time, not before `demand.earliest`, from which there is room for the task's whole run time. None if it
-    /// never fits.
+    /// The earliest time, not before `demand.earliest`, from which there is capacity for the task's whole run time.
+    /// None if it never fits.
     fn earliest_start(&self, demand: &TaskDemand) -> Option<Micros> {
-        if demand.cpu > self.room {
+        if demand.cpu > self.capacity {
             return None;
         }
         let (cpu, run_time) = (demand.cpu.cast_signed(), self.run_time(demand));
@@ -139,8 +139,8 @@
 }
 
 impl PoolForecast {
-    /// Places a group, with no task before `earliest`, and returns the time from now to the end of its last task. None if a task
-    /// never fits.
+    /// Places a group, with no task before `earliest`, and returns the time from now to the end of its last task. None
+    /// if a task never fits.
     pub(crate) fn place(&mut self, group: &WaitingGroup, earliest: Duration) -> Option<Duration> {
         if group.count == 0 {
             return Some(earliest);
--- a/crates/pool/src/health.rs
+++ b/crates/pool/src/health.rs
@@ -1,15 +1,16 @@
 //! Suspends unhealthy workers, which then get no new runs for a while.
 //!
-//! A worker that fails every run has free room again at once and would attract every waiting task, so that jobs use up their
-//! attempts. A worker on which runs stall keeps its room occupied and makes every task placed there late, so that jobs wait for
-//! a run that never ends. The limits are low because a false suspicion only costs a pause of one worker among dozens.
+//! A worker that fails every run has free capacity again at once and would attract every waiting task, so that jobs use
+//! up their attempts. A worker on which runs stall keeps its capacity occupied and makes every task placed there late,
+//! so that jobs wait for a run that never ends. The limits are low because a false suspicion only costs a pause of one
+//! worker among dozens.
 
 use std::time::{Duration, Instant};
 
 use jobs::JobId;
 
-/// The number of successive failed runs, of different jobs, that suspend a worker. One in 500 runs fails by its own fault, so
-/// two in a row on one worker have that cause in one of 250,000 pairs.
+/// The number of successive failed runs, of different jobs, that suspend a worker. One in 500 runs fails by its own
+/// fault, so two in a row on one worker have that cause in one of 250,000 pairs.
 const FAILURES_TO_SUSPEND: u32 = 2;
 
 /// The duration of the first suspension. Faults of workers last seconds.
@@ -45,7 +46,8 @@
 }
 
 impl WorkerHealth {
-    /// Whether the worker may get another run beside `running` ones. After a suspension it gets one run at a time as a probe.
+    /// Whether the worker may get another run beside `running` ones. After a suspension it gets one run at a time as a
+    /// probe.
     pub(crate) fn allows_run(&self, now: Instant, running: usize) -> bool {
         match self.state {
             HealthState::Healthy => true,
@@ -68,8 +70,8 @@
         *self = Self::default();
     }
 
-    /// Records a failed run. Returns whether the worker should be suspended. Successive failures of one job count once, so that a
-    /// job that always fails does not suspend a healthy worker.
+    /// Records a failed run. Returns whether the worker should be suspended. Successive failures of one job count once,
+    /// so that a job that always fails does not suspend a healthy worker.
     pub(crate) fn record_failure(&mut self, job: JobId) -> bool {
         if self.last_failed != Some(job) {
             self.failures += 1;
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -2,16 +2,16 @@
 //! when a worker that does not answer counts as lost.
 //!
 //! A job consists of steps, and a step of tasks with the same demand. A run is one execution of a task on a worker; it
-//! takes up a part of the worker's room, which is its CPU, memory and accelerators. The worker numbers the ends of its
-//! runs and lists them until the owner has acknowledged them. A worker may restart under the same id, so its
+//! takes up a part of the worker's capacity, which is its CPU, memory and accelerators. The worker numbers the ends of
+//! its runs and lists them until the owner has acknowledged them. A worker may restart under the same id, so its
 //! incarnations are told apart by their start times. A kept job is stored, so that it outlives the processes that run
 //! it.
 //!
 //! A pool has one owner at a time, identified by a fencing token. Every start goes through the owner, so it knows the
-//! free room of each worker exactly. The crate is a state machine without I/O: the caller passes the time in and
+//! free capacity of each worker exactly. The crate is a state machine without I/O: the caller passes the time in and
 //! carries out the [`PoolAction`]s that come out. These invariants always hold:
 //!
-//! - no start is sent to a worker whose runs, in any phase, demand more than its room;
+//! - no start is sent to a worker whose runs, in any phase, demand more than its capacity;
 //! - a task has at most one run record in the whole pool;
 //! - a run record is removed only when the run is certainly over or can never begin;
 //! - a job is refused only while no start of any of its tasks has been ordered;
--- a/crates/pool/src/placement.rs
+++ b/crates/pool/src/placement.rs
@@ -1,7 +1,7 @@
 //! Chooses the worker on which a task runs.
 //!
-//! Workers differ in speed and size, some have turned slow, and the load may take up most of the room. A short task on
-//! a worker that is several times slower is certain to be late. Since a job ends with its last task, one such worker
+//! Workers differ in speed and size, some have turned slow, and the load may take up most of the capacity. A short task
+//! on a worker that is several times slower is certain to be late. Since a job ends with its last task, one such worker
 //! among sixteen makes most wide jobs late.
 
 use std::time::{Duration, Instant};
@@ -41,7 +41,7 @@
 pub(crate) fn can_hold(worker: &TrackedWorker, request: &PlacementRequest<'_>) -> bool {
     let label = request.spec.required_label.as_ref();
     worker.record.service == *request.service
-        && worker.record.room.holds(&request.spec.demand)
+        && worker.record.capacity.holds(&request.spec.demand)
         && label.is_none_or(|label| worker.record.labels.contains(label))
 }
 
@@ -84,7 +84,7 @@
     {
         return false;
     }
-    if !worker.free_room().holds(&request.spec.demand) {
+    if !worker.free_capacity().holds(&request.spec.demand) {
         return false;
     }
     let fits_beside = match request.exclusive {
@@ -113,8 +113,8 @@
     leftover_cpu: u64,
 }
 
-/// Slowness values this close count as equal, so that the tighter fit decides: leftover room that is too small for any
-/// task is wasted.
+/// Slowness values this close count as equal, so that the tighter fit decides: leftover capacity that is too small for
+/// any task is wasted.
 const EQUAL_SLOWNESS_MARGIN: f64 = 0.08;
 
 impl PlacementScore {
@@ -126,7 +126,7 @@
         Self {
             failed_there: request.failed_on.contains(&worker.record.instance),
             slowness: worker.slowness * far,
-            leftover_cpu: worker.free_room().minus(&request.spec.demand).cpu.0,
+            leftover_cpu: worker.free_capacity().minus(&request.spec.demand).cpu.0,
         }
     }
 
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -306,16 +306,16 @@
             WorkerState::Ready => WorkerChange::Ready,
         };
         let changed = worker.record.state != record.state || worker.unlisted_since.is_some();
-        let (former, room) = (worker.record.room, record.room);
+        let (former, capacity) = (worker.record.capacity, record.capacity);
         worker.update_record(now, record);
         worker.unlisted_since = None;
         if changed {
             self.report_worker_change(instance.clone(), change);
         }
-        if former != room {
+        if former != capacity {
             self.apply_resize(now, &instance, former);
         }
-        if changed || former != room {
+        if changed || former != capacity {
             self.schedule(now);
         }
         self.send_polls_and_orders(now);
@@ -362,8 +362,8 @@
             return load;
         }
         for worker in self.usable_or_probe_workers(now) {
-            load.capacity = load.capacity.saturating_add(worker.record.room.cpu.0);
-            load.free = load.free.saturating_add(worker.free_room().cpu.0);
+            load.capacity = load.capacity.saturating_add(worker.record.capacity.cpu.0);
+            load.free = load.free.saturating_add(worker.free_capacity().cpu.0);
         }
         let work: f64 = self.queue.jobs().map(|job| self.waiting_work(job)).sum();
         let cores = load.capacity as f64 / 1000.0 * self.settings.packing_share;
--- a/crates/pool/src/pool/admit.rs
+++ b/crates/pool/src/pool/admit.rs
@@ -358,9 +358,9 @@
             limit: None,
         };
         // While the path to the workers is congested, jobs of the first priority are late because
-        // of the path and not for lack of capacity, so room reserved for them would stay empty.
-        let reserves_room = self.is_enabled(Mechanism::KeptRoom) && !self.is_congested();
-        let expected = match reserves_room {
+        // of the path and not for lack of capacity, so capacity reserved for them would stay empty.
+        let reserves_capacity = self.is_enabled(Mechanism::KeptRoom) && !self.is_congested();
+        let expected = match reserves_capacity {
             true => self.arrivals.expected_above(now, terms.priority),
             false => Vec::new(),
         };
@@ -458,8 +458,8 @@
 }
 
 fn worker_forecast(worker: &TrackedWorker, now: Instant) -> WorkerForecast {
-    let room = worker.record.room.cpu.0;
-    let mut forecast = WorkerForecast::new(room, worker.used_room().cpu.0, worker.slowness);
+    let capacity = worker.record.capacity.cpu.0;
+    let mut forecast = WorkerForecast::new(capacity, worker.used_capacity().cpu.0, worker.slowness);
     for run in &worker.runs {
         forecast.add_running(remaining_time(run, worker.slowness, now), run.demand.cpu.0);
     }
--- a/crates/pool/src/pool/resizing.rs
+++ b/crates/pool/src/pool/resizing.rs
@@ -1,8 +1,8 @@
-//! Workers whose room shrinks or grows while they have runs.
+//! Workers whose capacity shrinks or grows while they have runs.
 //!
 //! A start that was placed before its worker shrank and is sent afterwards would bring the worker
-//! over its room, so such starts are withdrawn. Runs that have begun continue: a worker over its
-//! room gets no new runs until its runs fit again.
+//! over its capacity, so such starts are withdrawn. Runs that have begun continue: a worker over its
+//! capacity gets no new runs until its runs fit again.
 
 use std::time::Instant;
 
@@ -12,7 +12,7 @@
 use crate::{action::PoolEvent, worker::TrackedWorker};
 
 impl WorkerPool {
-    /// Handles a change of a worker's room, after which starts may have to be withdrawn and jobs
+    /// Handles a change of a worker's capacity, after which starts may have to be withdrawn and jobs
     /// refused.
     pub(super) fn apply_resize(
         &mut self,
@@ -23,18 +23,18 @@
         let Some(worker) = self.workers.get(instance) else {
             return;
         };
-        let room = worker.record.room;
-        let withdrawn = starts_over_room(worker);
+        let capacity = worker.record.capacity;
+        let withdrawn = starts_over_capacity(worker);
         self.events.push(PoolEvent::WorkerResized {
             instance: instance.clone(),
-            former_room: former,
-            room,
+            former_capacity: former,
+            capacity,
             withdrawn: withdrawn.len(),
         });
         let withdrawn = withdrawn.into_iter();
         let withdrawn = withdrawn.map(|(task, run)| (instance.clone(), task, run));
         self.withdraw_starts(now, withdrawn.collect());
-        if !room.holds(&former) {
+        if !capacity.holds(&former) {
             self.refuse_unplaceable(now);
         }
     }
@@ -60,13 +60,13 @@
     }
 }
 
-/// The starts that were never sent and do not fit into a worker's room beside its other runs, the
+/// The starts that were never sent and do not fit into a worker's capacity beside its other runs, the
 /// latest first.
-fn starts_over_room(worker: &TrackedWorker) -> Vec<(TaskId, RunNumber)> {
-    let mut used = worker.used_room();
+fn starts_over_capacity(worker: &TrackedWorker) -> Vec<(TaskId, RunNumber)> {
+    let mut used = worker.used_capacity();
     let mut over = Vec::new();
     for run in worker.runs.iter().rev() {
-        if worker.record.room.holds(&used) {
+        if worker.record.capacity.holds(&used) {
             break;
         }
         if run.starts_sent == 0 {
--- a/crates/pool/src/pool/schedule.rs
+++ b/crates/pool/src/pool/schedule.rs
@@ -67,7 +67,7 @@
     /// The largest free processor capacity of any worker that may get runs.
     fn max_free_cpu(&self) -> CpuMillis {
         let open = self.workers.values().filter(|worker| worker.accepts_runs());
-        let free = open.map(|worker| worker.free_room().cpu);
+        let free = open.map(|worker| worker.free_capacity().cpu);
         free.max().unwrap_or_default()
     }
 
@@ -223,7 +223,7 @@
     }
 
     /// Sends each worker its next orders. Starts are withdrawn instead if the data centre is
-    /// evacuated or the worker is over its room.
+    /// evacuated or the worker is over its capacity.
     pub(super) fn send_orders(&mut self, now: Instant) {
         let overdue = self.resend_timeout();
         let max_orders_in_flight = self.max_orders_in_flight();
@@ -248,7 +248,9 @@
                     break;
                 };
                 let action = match order {
-                    QueuedOrder::Start(task, run) if self.evacuated || worker.is_over_room() => {
+                    QueuedOrder::Start(task, run)
+                        if self.evacuated || worker.is_over_capacity() =>
+                    {
                         withdrawn.push((worker.record.instance.clone(), task, run));
                         continue;
                     }
--- a/crates/pool/src/pool_choice.rs
+++ b/crates/pool/src/pool_choice.rs
@@ -1,9 +1,9 @@
 //! The order in which an entry asks pools to take a job, and the division of a job among pools.
 //!
-//! Many entries learn of a pool's free room only a few times a second. If all of them sent to the pool that last reported the
-//! most room, it would be flooded until the next report while other pools are idle. Each entry therefore takes the better of
-//! two pools drawn at random, and counts what it has itself sent since the report. Pools of other data centres come last,
-//! since traffic to them is charged and their workers are farther away.
+//! Many entries learn of a pool's free capacity only a few times a second. If all of them sent to the pool that last
+//! reported the most capacity, it would be flooded until the next report while other pools are idle. Each entry
+//! therefore takes the better of two pools drawn at random, and counts what it has itself sent since the report. Pools
+//! of other data centres come last, since traffic to them is charged and their workers are farther away.
 
 use fastrand::Rng;
 use jobs::StepSpec;
@@ -33,9 +33,9 @@
         }
     }
 
-    /// The room expected to be free minus the waiting work, in thousandths of a core. Negative where more work waits than room is
-    /// free.
-    pub fn expected_free_room(&self) -> i64 {
+    /// The capacity expected to be free minus the waiting work, in thousandths of a core. Negative where more work
+    /// waits than capacity is free.
+    pub fn expected_free_capacity(&self) -> i64 {
         let waiting = self.load.backlog.as_secs_f64() * self.load.capacity as f64;
         // The cast saturates.
         let taken = (waiting as i64).saturating_add_unsigned(self.sent_cpu);
@@ -45,23 +45,23 @@
     }
 }
 
-/// Returns the indices of the candidates in the order in which they are asked for a job that needs `demand` thousandths of a
-/// core.
+/// Returns the indices of the candidates in the order in which they are asked for a job that needs `demand` thousandths
+/// of a core.
 ///
-/// A pool of the entry's own process comes first if it has the room: its published load is exact, and the job's bytes need not
-/// cross a link.
+/// A pool of the entry's own process comes first if it has the capacity: its published load is exact, and the job's
+/// bytes need not cross a link.
 pub fn order_pools(candidates: &[PoolCandidate], demand: u64, rng: &mut Rng) -> Vec<usize> {
     let mut order: Vec<usize> = (0..candidates.len()).collect();
     order.sort_by_key(|index| {
         let candidate = &candidates[*index];
         (
             !candidate.same_data_centre,
-            std::cmp::Reverse(candidate.expected_free_room()),
+            std::cmp::Reverse(candidate.expected_free_capacity()),
         )
     });
     let fits_here = |index: &usize| {
         let candidate = &candidates[*index];
-        candidate.same_process && candidate.expected_free_room() >= demand.cast_signed()
+        candidate.same_process && candidate.expected_free_capacity() >= demand.cast_signed()
     };
     if let Some(first) = order.iter().position(fits_here) {
         let own = order.remove(first);
@@ -72,8 +72,8 @@
         .iter()
         .filter(|candidate| candidate.same_data_centre)
         .count();
-    // Without a pool in this data centre, two of the others are drawn: otherwise all entries of an evacuated data centre would
-    // flood the same pool.
+    // Without a pool in this data centre, two of the others are drawn: otherwise all entries of an evacuated data
+    // centre would flood the same pool.
     let drawn = if near > 0 { near } else { order.len() };
     if drawn < 2 {
         return order;
@@ -81,17 +81,18 @@
     let first = rng.usize(..drawn);
     let second = rng.usize(..drawn - 1);
     let second = second + usize::from(second >= first);
-    // The drawn range is sorted by room, so the earlier of the two has more.
+    // The drawn range is sorted by capacity, so the earlier of the two has more.
     let best = order.remove(first.min(second));
     order.insert(0, best);
     order
 }
 
-/// Divides the tasks of a step among pools, giving each at most the number in `fits`, which it could take in time. Returns one
-/// part per pool, which is None for a pool that gets no task, or None if the pools together cannot take all tasks.
+/// Divides the tasks of a step among pools, giving each at most the number in `fits`, which it could take in time.
+/// Returns one part per pool, which is None for a pool that gets no task, or None if the pools together cannot take all
+/// tasks.
 ///
-/// Wide jobs of short tasks may find room for only some of their tasks in each pool. Without the division they are refused while
-/// room stays free that no other job needs at the moment.
+/// Wide jobs of short tasks may find capacity for only some of their tasks in each pool. Without the division they are
+/// refused while capacity stays free that no other job needs at the moment.
 pub fn divide_step(step: &StepSpec, fits: &[u32]) -> Option<Vec<Option<StepSpec>>> {
     let mut parts = Vec::new();
     let mut first = step.first;
--- a/crates/pool/src/queue.rs
+++ b/crates/pool/src/queue.rs
@@ -1,8 +1,9 @@
-//! The order in which waiting jobs get free room.
+//! The order in which waiting jobs get free capacity.
 //!
-//! The order matters when there is not enough room for all jobs, as in a burst while workers are lost. In order of arrival, a
-//! short job that waits behind long ones is late, then the next one, and soon all are. In order of the latest start alone, jobs
-//! that have become late wait behind all new ones, and the work already done on them, which may be most of it, is lost.
+//! The order matters when there is not enough capacity for all jobs, as in a burst while workers are lost. In order of
+//! arrival, a short job that waits behind long ones is late, then the next one, and soon all are. In order of the
+//! latest start alone, jobs that have become late wait behind all new ones, and the work already done on them, which
+//! may be most of it, is lost.
 
 use std::{
     collections::BTreeMap,
@@ -11,7 +12,7 @@
 
 use jobs::JobId;
 
-/// The class of a waiting job. Earlier classes get room first.
+/// The class of a waiting job. Earlier classes get capacity first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum QueueClass {
     /// Late, but begun and still of use: little is left to do, and the completed work would otherwise be lost.
@@ -29,7 +30,8 @@
 pub(crate) struct QueueRank {
     class: QueueClass,
     priority: u32,
-    /// The latest start of a job that can still be in time, unless such jobs are ordered by arrival. Otherwise the arrival.
+    /// The latest start of a job that can still be in time, unless such jobs are ordered by arrival. Otherwise the
+    /// arrival.
     sort_time: Instant,
     job: JobId,
 }
--- a/crates/pool/src/time_budget.rs
+++ b/crates/pool/src/time_budget.rs
@@ -1,14 +1,14 @@
 //! Estimates the age of a request from what is left of its time budget.
 //!
-//! The estimate is needed when many processes return at once. All customers that were disconnected or found no process then
-//! retry, in addition to the usual load, and many of these requests are already too late to be of use. If a retried request is
-//! taken for a new one, it takes up room and ends when its customer has no use for it, while new requests are refused. On a
-//! fleet of 47 VMs that lost power for 1.4 s, 981 of 5,200 requests of the four seconds around the outage were answered too
-//! late.
+//! The estimate is needed when many processes return at once. All customers that were disconnected or found no process
+//! then retry, in addition to the usual load, and many of these requests are already too late to be of use. If a
+//! retried request is taken for a new one, it takes up capacity and ends when its customer has no use for it, while new
+//! requests are refused. On a fleet of 47 VMs that lost power for 1.4 s, 981 of 5,200 requests of the four seconds
+//! around the outage were answered too late.
 //!
-//! The remaining time of a request shows its age if the time budget is known with which requests of its route first arrive. Each
-//! process learns these budgets by route and publishes them with its row in the store, from where a process that has just started
-//! takes them over.
+//! The remaining time of a request shows its age if the time budget is known with which requests of its route first
+//! arrive. Each process learns these budgets by route and publishes them with its row in the store, from where a
+//! process that has just started takes them over.
 
 use std::{sync::Arc, time::Duration};
 
@@ -17,12 +17,12 @@
 /// The share of requests that arrive with less time than the learned budget.
 const LOW_QUANTILE: f64 = 0.01;
 
-/// The relative step by which a request moves the learned budget. It is weighted in the proportion of `LOW_QUANTILE` for moves
-/// up and down, so that a few seconds of retried requests change the budget little.
+/// The relative step by which a request moves the learned budget. It is weighted in the proportion of `LOW_QUANTILE`
+/// for moves up and down, so that a few seconds of retried requests change the budget little.
 const ADJUSTMENT_STEP: f64 = 0.02;
 
-/// A request counts as old only if it has less than this share of the learned budget left. Budgets differ with the work that is
-/// requested, and a new request that is taken for an old one is refused without need.
+/// A request counts as old only if it has less than this share of the learned budget left. Budgets differ with the work
+/// that is requested, and a new request that is taken for an old one is refused without need.
 const OLD_REQUEST_SHARE: f64 = 0.8;
 
 /// The maximum number of routes that are published, since the row is written every few seconds.
--- a/crates/pool/src/worker.rs
+++ b/crates/pool/src/worker.rs
@@ -1,4 +1,4 @@
-//! The owner's record of one worker: its room, runs, clock, health and speed, and the orders and polls sent to it.
+//! The owner's record of one worker: its capacity, runs, clock, health and speed, and the orders and polls sent to it.
 
 use std::{
     collections::{BTreeSet, VecDeque},
@@ -47,7 +47,7 @@
     Stopping,
 }
 
-/// A run that takes up room on a worker.
+/// A run that takes up capacity on a worker.
 #[derive(Clone, Debug)]
 pub(crate) struct TrackedRun {
     pub(crate) task: TaskId,
@@ -219,8 +219,8 @@
         }
     }
 
-    /// The room taken by runs, including those that are being stopped.
-    pub(crate) fn used_room(&self) -> ResourceDemand {
+    /// The capacity taken by runs, including those that are being stopped.
+    pub(crate) fn used_capacity(&self) -> ResourceDemand {
         let mut used = ResourceDemand::default();
         for run in &self.runs {
             used = used.plus(&run.demand);
@@ -228,14 +228,14 @@
         used
     }
 
-    /// The room that no run takes.
-    pub(crate) fn free_room(&self) -> ResourceDemand {
-        self.record.room.minus(&self.used_room())
+    /// The capacity that no run takes.
+    pub(crate) fn free_capacity(&self) -> ResourceDemand {
+        self.record.capacity.minus(&self.used_capacity())
     }
 
-    /// Whether the runs take more than the room, as they may after the room has shrunk.
-    pub(crate) fn is_over_room(&self) -> bool {
-        !self.record.room.holds(&self.used_room())
+    /// Whether the runs take more than the capacity, as they may after the capacity has shrunk.
+    pub(crate) fn is_over_capacity(&self) -> bool {
+        !self.record.capacity.holds(&self.used_capacity())
     }
 
     /// Determines the incarnation to which a listing belongs that answers a poll sent at `sent`.
@@ -379,7 +379,7 @@
             && self.foreign_runs.is_empty()
     }
 
-    /// Whether jobs can expect to use the worker's room. This includes workers that are being polled for the first
+    /// Whether jobs can expect to use the worker's capacity. This includes workers that are being polled for the first
     /// time, as all workers of a new owner are: they answer within milliseconds, and until then every job would be
     /// refused for lack of workers.
     pub(crate) fn is_usable(&self) -> bool {
--- a/crates/pool/tests/at_most_once.rs
+++ b/crates/pool/tests/at_most_once.rs
@@ -1,5 +1,5 @@
-//! Random faults of workers and owners. At every millisecond, no worker may hold more than its room and no task may run
-//! twice at the same time. At the end, every job must have got an answer and no run may be left, and some jobs must
+//! Random faults of workers and owners. At every millisecond, no worker may hold more than its capacity and no task may
+//! run twice at the same time. At the end, every job must have got an answer and no run may be left, and some jobs must
 //! have completed.
 
 mod support;
--- a/crates/pool/tests/faults.rs
+++ b/crates/pool/tests/faults.rs
@@ -43,7 +43,7 @@
 }
 
 /// A new owner finds runs of the former one, and its stops are lost. The runs end by their leases,
-/// which the new owner must not renew. Until then nothing may be placed beside them, since the room
+/// which the new owner must not renew. Until then nothing may be placed beside them, since the capacity
 /// they take is unknown.
 #[test]
 fn runs_of_a_former_owner_end_by_their_leases() {
--- a/crates/pool/tests/kept.rs
+++ b/crates/pool/tests/kept.rs
@@ -1,6 +1,6 @@
 //! Kept jobs: what is stored when, and what an owner may do with jobs of a former one. At each
 //! millisecond the simulation checks that no task runs twice at the same time and that no worker
-//! exceeds its room.
+//! exceeds its capacity.
 
 mod support;
 
--- a/crates/pool/tests/load.rs
+++ b/crates/pool/tests/load.rs
@@ -61,7 +61,7 @@
 /// A customer cancels and another one submits at the same moment. The tasks of the first are being stopped, which takes
 /// 50 ms. The second job must not be refused as if those tasks ran to their end.
 #[test]
-fn places_that_are_being_cleared_count_as_free_soon() {
+fn capacity_of_cancelled_tasks_counts_as_free_soon() {
     let mut simulation = Simulation::new(1, 1);
     let (first, second) = (JobId(1), JobId(2));
     simulation.submit_sized(1, first, vec![900.0, 900.0], 900.0, 6_800);
@@ -101,9 +101,9 @@
     assert!(took < 900, "the last task waited until {took} ms");
 }
 
-/// Jobs of three steps arrive at 1.6 times the rate that the workers can serve. Each later step waits for room again,
-/// so that an admitted job needs room three times. A pool that counts only the first step admits twice what it can end
-/// in time, and nearly all jobs then end late.
+/// Jobs of three steps arrive at 1.6 times the rate that the workers can serve. Each later step waits for capacity
+/// again, so that an admitted job needs capacity three times. A pool that counts only the first step admits twice what
+/// it can end in time, and nearly all jobs then end late.
 #[test]
 fn later_steps_of_admitted_jobs_are_counted() {
     let mut total = 0.0;
@@ -120,8 +120,8 @@
 }
 
 /// All kinds of jobs arrive at twice their rate for a long time. The kind of the highest priority has the shortest and
-/// widest jobs, which need room for eight tasks within a tenth of a second. Without reserved room they are the ones
-/// refused, while longer jobs of lower priority take all room that becomes free.
+/// widest jobs, which need capacity for eight tasks within a tenth of a second. Without reserved capacity they are the
+/// ones refused, while longer jobs of lower priority take all capacity that becomes free.
 #[test]
 fn the_first_priority_is_served_under_lasting_overload() {
     let mut first = 0.0;
@@ -141,7 +141,7 @@
 
 /// One call in eighteen to a worker gets no answer, polls included, and one start in eighteen is carried out seconds
 /// later. The owner learns that a task has ended only when a poll is answered, so a lost poll makes the job late and
-/// leaves the room idle. A lost start is late by the time until it is missed.
+/// leaves the capacity idle. A lost start is late by the time until it is missed.
 #[test]
 fn lost_answers_delay_few_jobs() {
     let mut wide = 0.0;
@@ -167,8 +167,8 @@
     assert!(total > 0.94, "{total:.3}");
 }
 
-/// A quarter of the workers turn three times slower while all room is needed. Jobs that end in time on them must not be
-/// refused for lack of room, and no short task may be placed there, since it would make its whole job late.
+/// A quarter of the workers turn three times slower while all capacity is needed. Jobs that end in time on them must
+/// not be refused for lack of capacity, and no short task may be placed there, since it would make its whole job late.
 #[test]
 fn slow_workers_do_not_make_wide_jobs_late() {
     let mut total = 0.0;
@@ -211,10 +211,10 @@
 }
 
 /// Five entries ask at the same moment how much of a job a pool could take, each for a job that no pool takes whole.
-/// Each entry sends as many tasks as it was offered. If the same room were offered to all five, it would be used five
-/// times over, and the callers whose tasks find no room would wait long and get nothing.
+/// Each entry sends as many tasks as it was offered. If the same capacity were offered to all five, it would be used
+/// five times over, and the callers whose tasks find no capacity would wait long and get nothing.
 #[test]
-fn offers_of_one_moment_do_not_exceed_the_places() {
+fn concurrent_offers_do_not_exceed_the_capacity() {
     let mut simulation = Simulation::new(1, 4);
     let alone = simulation.offer(40, 200, 6_800);
     assert!(alone > 4, "{alone}");
@@ -301,7 +301,7 @@
 
 /// All processes were down for a second. A customer that waited submits to an idle pool. Its answer will be late but is
 /// still of use, so the job is served: if it were refused, it would come back a second later to the same idle pool.
-/// Where most room is taken it is refused, since it would take room that a job in time needs.
+/// Where most capacity is taken it is refused, since it would take capacity that a job in time needs.
 #[test]
 fn a_late_job_is_served_by_an_idle_pool_alone() {
     for (busy, served) in [(0, true), (7, false)] {
--- a/crates/pool/tests/narrow_link.rs
+++ b/crates/pool/tests/narrow_link.rs
@@ -1,4 +1,4 @@
-//! An owner whose link is too slow for the starts that its pool has room for.
+//! An owner whose link is too slow for the starts that its pool has capacity for.
 
 mod support;
 
@@ -25,8 +25,8 @@
     }
 }
 
-/// The credit earned per second at `factor` times the usual traffic with the mechanisms in `off` disabled, and the number of
-/// starts sent per completed task.
+/// The credit earned per second at `factor` times the usual traffic with the mechanisms in `off` disabled, and the
+/// number of starts sent per completed task.
 fn goodput(factor: f64, off: &[Mechanism]) -> (f64, f64) {
     let (mut earned, mut starts, mut done) = (0.0, 0, 0);
     for seed in 0..2 {
@@ -46,9 +46,10 @@
     (earned, starts as f64 / done as f64)
 }
 
-/// More work arrives than the owner's link carries, so that each start is delayed by those sent before it. If starts were sent
-/// again after 30 ms, as on an idle path, the copies would fill the link further, workers would seem silent, and nothing would be
-/// served although the link carries as much as before. Work that the link cannot carry has to be refused, and the rest served.
+/// More work arrives than the owner's link carries, so that each start is delayed by those sent before it. If starts
+/// were sent again after 30 ms, as on an idle path, the copies would fill the link further, workers would seem silent,
+/// and nothing would be served although the link carries as much as before. Work that the link cannot carry has to be
+/// refused, and the rest served.
 #[test]
 fn goodput_holds_beyond_what_the_link_carries() {
     let mut peak: f64 = 0.0;
@@ -65,8 +66,8 @@
     }
 }
 
-/// Six seconds of three times the usual traffic, followed by the usual traffic. Two seconds later jobs must be served as before:
-/// nothing that the overload left behind may keep the link full.
+/// Six seconds of three times the usual traffic, followed by the usual traffic. Two seconds later jobs must be served
+/// as before: nothing that the overload left behind may keep the link full.
 #[test]
 fn service_is_back_two_seconds_after_an_overload() {
     let mut simulation = Simulation::with_settings(1, WORKERS, settings(&[]));
--- a/crates/pool/tests/support/mod.rs
+++ b/crates/pool/tests/support/mod.rs
@@ -144,7 +144,7 @@
     /// Whether the pool was given up.
     pub(crate) released: bool,
     pub(crate) crashes: CrashPlan,
-    /// Whether a worker's room has just changed, so that starts in transit may exceed it.
+    /// Whether a worker's capacity has just changed, so that starts in transit may exceed it.
     resize_in_flight: bool,
     /// How long a worker takes to restart, in milliseconds.
     pub(crate) restart_time: u64,
@@ -197,7 +197,7 @@
         address: ([127, 0, 0, 1], 9_000 + u16::try_from(number).unwrap()).into(),
         data_centre: "east".parse().unwrap(),
         state: WorkerState::Ready,
-        room: ResourceDemand {
+        capacity: ResourceDemand {
             cpu: CpuMillis(cpu),
             memory: MemoryMegabytes(32_768),
             accelerators: 0,
@@ -493,10 +493,10 @@
         found.map(|(instance, _)| instance.clone()).unwrap()
     }
 
-    /// Changes a worker's room, and publishes it in the directory.
+    /// Changes a worker's capacity, and publishes it in the directory.
     pub(crate) fn resize(&mut self, instance: &InstanceId, cpu: u64) {
         let worker = self.workers.get_mut(instance).unwrap();
-        worker.record.room.cpu = CpuMillis(cpu);
+        worker.record.capacity.cpu = CpuMillis(cpu);
         worker.resized = true;
         let record = worker.record.clone();
         self.upsert_records(vec![record]);
@@ -878,8 +878,8 @@
         let used: u64 = worker.runs.iter().map(|run| run.cpu).sum();
         let is_late = &*order.text == "late";
         assert!(
-            is_late || self.resize_in_flight || used + cpu <= worker.record.room.cpu.0,
-            "{} exceeds the room of {} at {now} ms",
+            is_late || self.resize_in_flight || used + cpu <= worker.record.capacity.cpu.0,
+            "{} exceeds the capacity of {} at {now} ms",
             order.task,
             order.instance
         );
@@ -981,14 +981,14 @@
         }
     }
 
-    /// Checks the invariants: no worker's runs exceed its room, and no task runs twice at the same time.
+    /// Checks the invariants: no worker's runs exceed its capacity, and no task runs twice at the same time.
     fn check_invariants(&self) {
         let mut tasks = BTreeMap::new();
         for (instance, worker) in &self.workers {
             let used: u64 = worker.runs.iter().map(|run| run.cpu).sum();
             assert!(
-                worker.resized || used <= worker.record.room.cpu.0,
-                "{instance} over its room at {} ms",
+                worker.resized || used <= worker.record.capacity.cpu.0,
+                "{instance} over its capacity at {} ms",
                 self.now
             );
             for run in &worker.runs {
--- a/crates/pool/tests/support/worker.rs
+++ b/crates/pool/tests/support/worker.rs
@@ -50,7 +50,7 @@
     /// The first call sent to the present incarnation. Earlier calls were lost with the connections of the former
     /// incarnation.
     pub(super) first_call: CallNumber,
-    /// Whether the room has changed, so that the runs may exceed it.
+    /// Whether the capacity has changed, so that the runs may exceed it.
     pub(super) resized: bool,
     /// The time until which the worker is starting, so that no call reaches it.
     pub(super) starting_until: u64,
--- a/crates/pool/tests/time_budgets.rs
+++ b/crates/pool/tests/time_budgets.rs
@@ -23,8 +23,8 @@
     tracker
 }
 
-/// All processes lose power, and customers that got no answer retry. Their requests are far too late. If they were taken for new
-/// ones, they would take up the room of requests that are in time.
+/// All processes lose power, and customers that got no answer retry. Their requests are far too late. If they were
+/// taken for new ones, they would take up the capacity of requests that are in time.
 #[test]
 fn a_retried_request_is_recognised_by_its_remaining_time() {
     let (mut rng, route) = (Rng::with_seed(1), Arc::from("r-1"));
@@ -55,8 +55,8 @@
     }
 }
 
-/// A process that has just started has learned no budgets. It takes over those that others have published, but not in place of
-/// budgets that it has learned itself.
+/// A process that has just started has learned no budgets. It takes over those that others have published, but not in
+/// place of budgets that it has learned itself.
 #[test]
 fn a_new_process_learns_from_others() {
     let (mut rng, route) = (Rng::with_seed(3), Arc::from("r-1"));
--- a/crates/pool/tests/room.rs
+++ b/crates/pool/tests/worker_capacity.rs
@@ -1,5 +1,5 @@
-//! Workers whose room shrinks and grows while they have runs. At each start the simulation checks
-//! that the worker's runs, including those being stopped, fit with the new one into the room that
+//! Workers whose capacity shrinks and grows while they have runs. At each start the simulation checks
+//! that the worker's runs, including those being stopped, fit with the new one into the capacity that
 //! the directory shows to its owner.
 
 mod support;
@@ -40,7 +40,7 @@
 /// Guards against an unanswered start that is sent again to a worker that has shrunk in the
 /// meantime.
 #[test]
-fn lost_starts_are_not_resent_beyond_the_room() {
+fn lost_starts_are_not_resent_beyond_the_capacity() {
     let mut simulation = Simulation::new(2, 1);
     let (first, second) = (JobId(1), JobId(2));
     let instance = first_instance(&simulation);
@@ -55,7 +55,7 @@
     assert_eq!(outcome(&simulation, first), Some(JobOutcome::Completed));
 }
 
-/// Guards against a job that waits until its deadline for room that no worker has any more. It is
+/// Guards against a job that waits until its deadline for capacity that no worker has any more. It is
 /// refused at once.
 #[test]
 fn a_job_that_no_worker_can_hold_any_more_is_refused() {
@@ -76,10 +76,10 @@
     assert_eq!(outcome(&simulation, small), Some(JobOutcome::Completed));
 }
 
-/// Guards against admitting a job because of runs that end on a worker that is still over its room.
+/// Guards against admitting a job because of runs that end on a worker that is still over its capacity.
 /// The job would be late.
 #[test]
-fn room_of_an_overcommitted_worker_is_not_promised() {
+fn an_overcommitted_worker_does_not_count_as_capacity() {
     let mut simulation = Simulation::new(4, 1);
     let instance = first_instance(&simulation);
     simulation.submit_sized(1, JobId(1), vec![60.0], 60.0, 8_000);
@@ -93,10 +93,10 @@
     ));
 }
 
-/// Guards against a worker with no room, or with more room than any real worker, that affects more
+/// Guards against a worker with no capacity, or with more capacity than any real worker, that affects more
 /// than its own runs.
 #[test]
-fn any_room_size_is_handled() {
+fn any_capacity_is_handled() {
     for cpu in [0, 1, WHOLE_WORKER, 1 << 50, u64::MAX] {
         let mut simulation = Simulation::new(5, 3);
         let instance = first_instance(&simulation);
@@ -113,10 +113,10 @@
     }
 }
 
-/// Guards against a start that exceeds its worker's room, over random sequences of room changes,
+/// Guards against a start that exceeds its worker's capacity, over random sequences of capacity changes,
 /// faults and changes of owner.
 #[test]
-fn no_start_exceeds_a_changing_room() {
+fn no_start_exceeds_a_changing_capacity() {
     for seed in 0..60 {
         let mut simulation = Simulation::new(seed, 6);
         for _ in 0..12 {
--- a/crates/pool/tests/worker_restarts.rs
+++ b/crates/pool/tests/worker_restarts.rs
@@ -1,5 +1,5 @@
 //! Workers die and restart under the same id. At every millisecond the simulation checks that no
-//! worker exceeds its room and that no task runs twice at the same time.
+//! worker exceeds its capacity and that no task runs twice at the same time.
 
 mod support;
 
