--- a/crates/authority/tests/held_bytes.rs
+++ b/crates/authority/tests/held_bytes.rs
@@ -75,9 +75,9 @@
 }
 
 #[test]
-fn payloads_over_the_bound_are_refused_until_an_answer_frees_room() {
-    // Callers send jobs of many MB faster than they can be answered. Jobs above the bound are refused as overloaded,
-    // and are accepted again once an answer or a cancellation has freed bytes. Without the bound, the payloads would
+fn payloads_over_the_limit_are_refused_until_an_answer_frees_memory() {
+    // Callers send jobs of many MB faster than they can be answered. Jobs above the limit are refused as overloaded,
+    // and are accepted again once an answer or a cancellation has freed bytes. Without the limit, the payloads would
     // end the process, and every caller on it would lose its answer.
     let now = Instant::now();
     let settings = AuthoritySettings {
@@ -102,9 +102,9 @@
 }
 
 #[test]
-fn the_oldest_results_are_dropped_above_the_bound() {
+fn the_oldest_results_are_dropped_above_the_limit() {
     // Large results arrive faster than their retention ends. The oldest are dropped, and a duplicate of such a request
-    // is answered "unknown" and never runs again. Without the bound, the kept results would end the process.
+    // is answered "unknown" and never runs again. Without the limit, the kept results would end the process.
     let now = Instant::now();
     let settings = AuthoritySettings {
         max_kept_bytes: ByteSize(1_000),
--- a/crates/claims/tests/claim_controller.rs
+++ b/crates/claims/tests/claim_controller.rs
@@ -287,7 +287,7 @@
 /// A partial partition: this process does not hear the owner, other processes do. After it has taken the pool
 /// and lost it again, it must rely on their reports, or the two would keep taking the pool from each other.
 #[test]
-fn a_pool_that_has_just_changed_hands_is_left_to_an_owner_that_others_hear() {
+fn a_pool_with_a_recent_change_of_owner_stays_with_an_owner_that_others_hear() {
     let (owner, far) = (member("east-1", 1), member("west-1", 2));
     let mut sim = ControllerSim::new(&member("east-2", 3));
     sim.controller.on_member(sim.now, owner.clone());
--- a/crates/membership/tests/grants.rs
+++ b/crates/membership/tests/grants.rs
@@ -138,7 +138,7 @@
 // An entry dies with its grant. The home frees the grant after term and margin by its own clock, no sooner, so callers
 // at the live entry wait a term at most.
 #[test]
-fn a_dead_holders_grant_comes_back_after_term_and_margin() {
+fn a_dead_holders_grant_is_free_after_its_term_and_margin() {
     check_home(10, &[(0, 2, 60, 0, 0, 10), (12_599, 3, 4, 0, 0, 0)]);
     check_home(10, &[(0, 2, 60, 0, 0, 10), (12_600, 3, 4, 0, 0, 4)]);
 }
--- a/crates/membership/tests/members.rs
+++ b/crates/membership/tests/members.rs
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn listed_is_not_live_until_heard() {
+fn a_listed_member_is_not_live_before_its_first_heartbeat() {
     use Input::{Advance, Heartbeat};
     check_live(&[], &[]);
     check_live(&[Advance(1000)], &[]);
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn unlisted_is_live_when_heard() {
+fn an_unlisted_member_is_live_after_its_first_heartbeat() {
     use Input::{Advance, Heartbeat, Unlist};
     check_live(&[Heartbeat(1), Unlist, Advance(5000)], &[1]);
     check_live(&[Unlist, Heartbeat(40), Advance(5000)], &[40]);
--- a/crates/pool/tests/pool_choice.rs
+++ b/crates/pool/tests/pool_choice.rs
@@ -32,7 +32,7 @@
 /// Many entries learn at the same moment that one pool has the most capacity. They must not all send to it until the
 /// next report.
 #[test]
-fn entries_that_know_the_same_do_not_all_choose_the_same() {
+fn entries_with_the_same_reports_do_not_all_choose_the_same_pool() {
     let counts = first_choices(&[
         candidate(true, 90_000, 0, 0),
         candidate(true, 80_000, 0, 0),
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn errors_name_the_place_and_the_cause() {
+fn errors_name_the_location_and_the_cause() {
     let table = [
         (r#""heartbeat_ms": "5s""#, "text for a number"),
         (r#""heartbeat_ms": 5"#, "below the range"),
