--- a/crates/claims/src/controller.rs
+++ b/crates/claims/src/controller.rs
@@ -103,7 +103,7 @@
     /// The processes that own pools, each with the time at which its oldest claim became known.
     owners: FastMap<NodeId, Instant>,
     /// The number of other members in this data centre.
-    near_members: u32,
+    local_members: u32,
     events: Vec<ClaimEvent>,
 }
 
@@ -119,7 +119,7 @@
             heard_peers: FastMap::default(),
             pools: FastMap::default(),
             owners: FastMap::default(),
-            near_members: 0,
+            local_members: 0,
             events: Vec::new(),
         }
     }
@@ -157,13 +157,13 @@
                 refreshed: now,
             },
         );
-        self.count_near_members();
+        self.count_local_members();
     }
 
     /// Records the removal of a member's row.
     pub fn on_member_gone(&mut self, node: &NodeId) {
         self.members.remove(node);
-        self.count_near_members();
+        self.count_local_members();
     }
 
     /// Records a claim that was read from the store or written to it, unless a later one is known.
@@ -250,7 +250,7 @@
                     refreshed: now,
                 },
             );
-            self.count_near_members();
+            self.count_local_members();
         }
         let known = self.heard_peers.get(&heartbeat.node);
         let node = heartbeat.node.clone();
@@ -304,10 +304,11 @@
     fn listen_time(&self, pool: &PoolId) -> Duration {
         let claim = self.pools.get(pool).and_then(|state| state.claim.as_ref());
         let peer = claim.and_then(|claim| self.heard_peers.get(&claim.row.node));
-        let near = peer.is_some_and(|peer| peer.heartbeat.data_centre == self.own_row.data_centre);
-        match near {
-            true => self.settings.near_silence_timeout,
-            false => self.far_silence_timeout(),
+        let is_local =
+            peer.is_some_and(|peer| peer.heartbeat.data_centre == self.own_row.data_centre);
+        match is_local {
+            true => self.settings.local_silence_timeout,
+            false => self.remote_silence_timeout(),
         }
     }
 
@@ -419,13 +420,13 @@
         reason: Option<ClaimReason>,
         rank: u32,
     ) -> Option<ClaimAction> {
-        let far = self.own_row.data_centre != pool.data_centre;
-        let far_delay = if far {
-            self.settings.far_delay
+        let is_remote = self.own_row.data_centre != pool.data_centre;
+        let remote_claim_delay = if is_remote {
+            self.settings.remote_claim_delay
         } else {
             Duration::ZERO
         };
-        let delay = self.settings.rank_delay * rank + far_delay;
+        let delay = self.settings.rank_delay * rank + remote_claim_delay;
         let timeout = self.settings.attempt_timeout;
         // A process claims all pools for which it ranks first at once, and other pools one at a time: each pool
         // that it gets makes it more likely that another process ranks first for the next one.
@@ -528,4 +529,4 @@
 const MAX_SOON_RANK: u32 = 2;
 
 /// Heartbeats from another data centre that may be lost before a process counts as silent.
-const MAX_MISSED_FAR_HEARTBEATS: u32 = 3;
+const MAX_MISSED_REMOTE_HEARTBEATS: u32 = 3;
--- a/crates/claims/src/controller/heartbeats.rs
+++ b/crates/claims/src/controller/heartbeats.rs
@@ -10,7 +10,7 @@
 
 use model::FastMap;
 
-use super::{ClaimController, HeardPeer, MAX_MISSED_FAR_HEARTBEATS};
+use super::{ClaimController, HeardPeer, MAX_MISSED_REMOTE_HEARTBEATS};
 use crate::{
     rows::MemberRow,
     view::{NodeDigest, NodeId},
@@ -30,21 +30,21 @@
     /// Both are in one data centre, and neither owns a pool.
     Idle,
     /// They are in different data centres.
-    Far,
+    Remote,
 }
 
 impl HeartbeatClass {
     /// All classes, in the order of their discriminants.
-    pub const ALL: [Self; 3] = [Self::Owner, Self::Idle, Self::Far];
+    pub const ALL: [Self; 3] = [Self::Owner, Self::Idle, Self::Remote];
 }
 
 impl ClaimController {
     /// The interval between two heartbeats of a class.
     pub fn heartbeat_interval(&self, class: HeartbeatClass) -> Duration {
         match class {
-            HeartbeatClass::Owner => self.settings.near_heartbeat_interval,
+            HeartbeatClass::Owner => self.settings.local_heartbeat_interval,
             HeartbeatClass::Idle => self.idle_heartbeat_interval(),
-            HeartbeatClass::Far => self.far_heartbeat_interval(),
+            HeartbeatClass::Remote => self.remote_heartbeat_interval(),
         }
     }
 
@@ -54,7 +54,7 @@
         self.members.values().map(move |member| {
             let row = &member.row;
             let class = if row.data_centre != self.own_row.data_centre {
-                HeartbeatClass::Far
+                HeartbeatClass::Remote
             } else if is_owner || self.owners.contains_key(&row.node) {
                 HeartbeatClass::Owner
             } else {
@@ -83,24 +83,24 @@
 
     /// The interval of heartbeats to other data centres. It grows with the number of members, because each
     /// process receives the heartbeats of all others.
-    fn far_heartbeat_interval(&self) -> Duration {
+    fn remote_heartbeat_interval(&self) -> Duration {
         let members = u32::try_from(self.members.len()).unwrap_or(u32::MAX);
         self.settings
-            .far_heartbeat_interval
-            .max(self.settings.far_heartbeat_interval_per_member * members)
+            .remote_heartbeat_interval
+            .max(self.settings.remote_heartbeat_interval_per_member * members)
     }
 
     /// How long a process of another data centre may be silent before it counts as gone.
-    pub(super) fn far_silence_timeout(&self) -> Duration {
-        self.far_heartbeat_interval() * MAX_MISSED_FAR_HEARTBEATS
-            + self.settings.near_heartbeat_interval
+    pub(super) fn remote_silence_timeout(&self) -> Duration {
+        self.remote_heartbeat_interval() * MAX_MISSED_REMOTE_HEARTBEATS
+            + self.settings.local_heartbeat_interval
     }
 
     fn idle_heartbeat_interval(&self) -> Duration {
         let settings = &self.settings;
-        let interval = settings.near_heartbeat_interval * self.near_members / FULL_RATE_MEMBERS;
+        let interval = settings.local_heartbeat_interval * self.local_members / FULL_RATE_MEMBERS;
         interval.clamp(
-            settings.near_heartbeat_interval,
+            settings.local_heartbeat_interval,
             settings.max_idle_heartbeat_interval,
         )
     }
@@ -109,7 +109,7 @@
     pub(super) fn silence_timeout(&self, now: Instant, peer: &HeardPeer) -> Duration {
         let settings = &self.settings;
         if peer.heartbeat.data_centre != self.own_row.data_centre {
-            return self.far_silence_timeout();
+            return self.remote_silence_timeout();
         }
         let idle = self.idle_heartbeat_interval();
         // Heartbeats of and to a new owner become frequent only once the other processes know that it is one.
@@ -121,8 +121,8 @@
         let owner_rate =
             is_settled_owner(&self.own_row.node) || is_settled_owner(&peer.heartbeat.node);
         match owner_rate {
-            true => settings.near_silence_timeout,
-            false => settings.near_silence_timeout + idle * MAX_MISSED_IDLE_HEARTBEATS,
+            true => settings.local_silence_timeout,
+            false => settings.local_silence_timeout + idle * MAX_MISSED_IDLE_HEARTBEATS,
         }
     }
 
@@ -139,9 +139,9 @@
         self.owners = owners;
     }
 
-    pub(super) fn count_near_members(&mut self) {
+    pub(super) fn count_local_members(&mut self) {
         let rows = self.members.values().map(|member| &member.row);
-        let near = rows.filter(|row| row.data_centre == self.own_row.data_centre);
-        self.near_members = u32::try_from(near.count()).unwrap_or(u32::MAX);
+        let local = rows.filter(|row| row.data_centre == self.own_row.data_centre);
+        self.local_members = u32::try_from(local.count()).unwrap_or(u32::MAX);
     }
 }
--- a/crates/claims/src/controller/polling.rs
+++ b/crates/claims/src/controller/polling.rs
@@ -111,7 +111,7 @@
     fn reader_rank(&self, now: Instant) -> u32 {
         let owners = self.members.values().map(|member| &member.row);
         let owners = owners.filter(|row| {
-            let owns = self.is_near(&row.data_centre) && self.owners.contains_key(&row.node);
+            let owns = self.is_local(&row.data_centre) && self.owners.contains_key(&row.node);
             owns && self.live_peer(now, &row.node).is_some()
         });
         let owns = self.owners.contains_key(&self.own_row.node);
@@ -151,15 +151,15 @@
     /// first.
     fn standby_rank(&self, now: Instant) -> usize {
         let own_order = capacity_order(&self.own_row);
-        let near = self.members.values().map(|member| &member.row);
-        let near = near.filter(|row| self.is_near(&row.data_centre));
-        let idle = near.filter(|row| !self.owners.contains_key(&row.node));
+        let local = self.members.values().map(|member| &member.row);
+        let local = local.filter(|row| self.is_local(&row.data_centre));
+        let idle = local.filter(|row| !self.owners.contains_key(&row.node));
         let before =
             idle.filter(|row| self.may_be_standby(now, row) && capacity_order(row) < own_order);
         before.count()
     }
 
-    fn is_near(&self, centre: &DataCentreId) -> bool {
+    fn is_local(&self, centre: &DataCentreId) -> bool {
         *centre == self.own_row.data_centre
     }
 
--- a/crates/claims/src/lib.rs
+++ b/crates/claims/src/lib.rs
@@ -6,8 +6,8 @@
 //! workers reject orders with a lower fencing token, so a false suspicion costs a claim and never runs a task
 //! twice.
 //!
-//! A process hears a peer while the peer's heartbeats arrive within the silence timeout. Near processes are in
-//! the same data centre, far ones in another.
+//! A process hears a peer while the peer's heartbeats arrive within the silence timeout. Local processes are in
+//! the same data centre, remote ones in another.
 
 mod action;
 mod capacity;
--- a/crates/claims/src/settings.rs
+++ b/crates/claims/src/settings.rs
@@ -7,23 +7,23 @@
 pub struct ClaimSettings {
     /// The interval of heartbeats between processes of a data centre of which at least one owns a pool; the
     /// shortest interval between processes without pools.
-    pub near_heartbeat_interval: Duration,
+    pub local_heartbeat_interval: Duration,
     /// The longest interval of heartbeats between processes of a data centre without pools. The interval
     /// grows with the number of processes.
     pub max_idle_heartbeat_interval: Duration,
     /// The shortest interval of heartbeats to other data centres. Traffic between data centres is charged for.
-    pub far_heartbeat_interval: Duration,
+    pub remote_heartbeat_interval: Duration,
     /// The interval of heartbeats to other data centres is at least this for each other member: with 32
     /// processes, each receives 28 heartbeats a second from other data centres.
-    pub far_heartbeat_interval_per_member: Duration,
+    pub remote_heartbeat_interval_per_member: Duration,
     /// How long a process of the same data centre may be silent before it counts as gone: three heartbeats
     /// and the delay of a slowed process.
-    pub near_silence_timeout: Duration,
+    pub local_silence_timeout: Duration,
     /// How long after its start a process treats all members as candidates, heard or not.
     pub startup_time: Duration,
     /// How long a process listens after its start before it takes a pool from an owner that it does not hear.
     /// Other processes learn about it from its first heartbeat, and owners in other data centres send theirs
-    /// within `far_heartbeat_interval`.
+    /// within `remote_heartbeat_interval`.
     pub startup_listen_time: Duration,
     /// The time after a pool's change of owner in which no process claims the pool while any of its peers hears
     /// the owner. Pools are handed over only after the same time.
@@ -40,7 +40,7 @@
     pub rank_delay: Duration,
     /// The additional delay of claims by processes of other data centres, which reach the workers over longer
     /// paths.
-    pub far_delay: Duration,
+    pub remote_claim_delay: Duration,
     /// How long an owner's row must stay unchanged before an isolated process takes its pool: a process that
     /// hears no other one is more likely to be cut off itself.
     pub isolated_claim_delay: Duration,
@@ -53,11 +53,11 @@
 impl Default for ClaimSettings {
     fn default() -> Self {
         Self {
-            near_heartbeat_interval: Duration::from_millis(100),
+            local_heartbeat_interval: Duration::from_millis(100),
             max_idle_heartbeat_interval: Duration::from_millis(1_000),
-            far_heartbeat_interval: Duration::from_millis(400),
-            far_heartbeat_interval_per_member: Duration::from_millis(25),
-            near_silence_timeout: Duration::from_millis(420),
+            remote_heartbeat_interval: Duration::from_millis(400),
+            remote_heartbeat_interval_per_member: Duration::from_millis(25),
+            local_silence_timeout: Duration::from_millis(420),
             startup_time: Duration::from_millis(1_300),
             startup_listen_time: Duration::from_millis(1_500),
             settle_time: Duration::from_millis(4_000),
@@ -65,7 +65,7 @@
             initial_claim_backoff: Duration::from_millis(100),
             max_claim_backoff: Duration::from_millis(800),
             rank_delay: Duration::from_millis(120),
-            far_delay: Duration::from_millis(700),
+            remote_claim_delay: Duration::from_millis(700),
             isolated_claim_delay: Duration::from_millis(9_500),
             row_refresh_interval: Duration::from_millis(4_000),
             attempt_timeout: Duration::from_millis(600),
--- a/crates/claims/tests/claim_controller.rs
+++ b/crates/claims/tests/claim_controller.rs
@@ -169,12 +169,12 @@
 /// for them.
 #[test]
 fn a_silent_owner_is_replaced_without_waiting_for_other_data_centres() {
-    let (owner, far) = (member("east-1", 1), member("west-1", 2));
+    let (owner, remote) = (member("east-1", 1), member("west-1", 2));
     let mut sim = ControllerSim::new(&member("east-2", 3));
     sim.controller.on_member(sim.now, owner.clone());
-    sim.controller.on_member(sim.now, far.clone());
+    sim.controller.on_member(sim.now, remote.clone());
     sim.set_owner("east", &owner, 7);
-    let hears = heartbeat(&far, &["east-1", "east-2"], &[]);
+    let hears = heartbeat(&remote, &["east-1", "east-2"], &[]);
     sim.run_for(
         millis(5_000),
         &[hears.clone(), heartbeat(&owner, &["east-2"], &["east"])],
@@ -188,12 +188,12 @@
 /// The owner's process was killed. Connections to it are refused, so no wait is necessary.
 #[test]
 fn a_refused_connection_replaces_an_owner_at_once() {
-    let (owner, far) = (member("east-1", 1), member("west-1", 2));
+    let (owner, remote) = (member("east-1", 1), member("west-1", 2));
     let mut sim = ControllerSim::new(&member("east-2", 3));
     sim.controller.on_member(sim.now, owner.clone());
     sim.set_owner("east", &owner, 7);
     let heartbeats = [
-        heartbeat(&far, &["east-1"], &[]),
+        heartbeat(&remote, &["east-1"], &[]),
         heartbeat(&owner, &["east-2"], &["east"]),
     ];
     sim.run_for(millis(5_000), &heartbeats);
@@ -288,13 +288,13 @@
 /// and lost it again, it must rely on their reports, or the two would keep taking the pool from each other.
 #[test]
 fn a_pool_with_a_recent_change_of_owner_stays_with_an_owner_that_others_hear() {
-    let (owner, far) = (member("east-1", 1), member("west-1", 2));
+    let (owner, remote) = (member("east-1", 1), member("west-1", 2));
     let mut sim = ControllerSim::new(&member("east-2", 3));
     sim.controller.on_member(sim.now, owner.clone());
-    sim.controller.on_member(sim.now, far.clone());
-    sim.run_for(millis(5_000), &[heartbeat(&far, &["east-1"], &[])]);
+    sim.controller.on_member(sim.now, remote.clone());
+    sim.run_for(millis(5_000), &[heartbeat(&remote, &["east-1"], &[])]);
     sim.set_owner("east", &owner, 9);
-    sim.run_for(millis(2_000), &[heartbeat(&far, &["east-1"], &[])]);
+    sim.run_for(millis(2_000), &[heartbeat(&remote, &["east-1"], &[])]);
     assert_eq!(sim.claims, []);
 }
 
@@ -333,16 +333,16 @@
 /// own data centre has been up for a while. Two equal processes there must not hand it back and forth.
 #[test]
 fn a_pool_goes_back_to_its_data_centre() {
-    let (own_row, near) = (member("west-1", 1), member("east-1", 2));
+    let (own_row, east_member) = (member("west-1", 1), member("east-1", 2));
     let mut sim = ControllerSim::new(&own_row);
     sim.set_owner("east", &own_row, 7);
-    sim.run_for(millis(3_000), &[heartbeat(&near, &[], &[])]);
+    sim.run_for(millis(3_000), &[heartbeat(&east_member, &[], &[])]);
     assert_eq!(
         sim.controller.pool_to_hand_over(sim.now),
         None,
         "it has just begun"
     );
-    sim.run_for(millis(3_000), &[heartbeat(&near, &[], &[])]);
+    sim.run_for(millis(3_000), &[heartbeat(&east_member, &[], &[])]);
     assert_eq!(
         sim.controller.pool_to_hand_over(sim.now),
         Some(pool("east"))
--- a/crates/claims/tests/heartbeats.rs
+++ b/crates/claims/tests/heartbeats.rs
@@ -74,19 +74,19 @@
     for own_index in 0..count {
         let controller = controller(own_index, count, now);
         all += datagrams_per_second(&controller);
-        let near = controller
+        let local = controller
             .peers()
-            .filter(|(_, class)| *class != HeartbeatClass::Far);
-        let far = controller
+            .filter(|(_, class)| *class != HeartbeatClass::Remote);
+        let remote = controller
             .peers()
-            .filter(|(_, class)| *class == HeartbeatClass::Far);
-        full_mesh += near.count() as f64
+            .filter(|(_, class)| *class == HeartbeatClass::Remote);
+        full_mesh += local.count() as f64
             / controller
                 .heartbeat_interval(HeartbeatClass::Owner)
                 .as_secs_f64();
-        full_mesh += far.count() as f64
+        full_mesh += remote.count() as f64
             / controller
-                .heartbeat_interval(HeartbeatClass::Far)
+                .heartbeat_interval(HeartbeatClass::Remote)
                 .as_secs_f64();
     }
     let count = count as f64;
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -75,7 +75,7 @@
     pool: PoolId,
     owner: OwnerView,
     /// Whether the pool is in this data centre.
-    near: bool,
+    is_local: bool,
     /// The pool's expected free processor capacity, in thousandths of a core.
     free_capacity: i64,
 }
@@ -109,8 +109,8 @@
         offers.push(PartOffer { pool, owner, fits });
         break;
     }
-    let (near, far) = select_offer_pools(state, &job.request, pools.collect());
-    for pools in [near, far] {
+    let (local, remote) = select_offer_pools(state, &job.request, pools.collect());
+    for pools in [local, remote] {
         if can_divide(state, &job.request) && offers_suffice(&job.request, &offers) {
             break;
         }
@@ -182,7 +182,7 @@
         expected_tasks += fits;
         selected.push(pool);
     }
-    selected.into_iter().partition(|pool| pool.near)
+    selected.into_iter().partition(|pool| pool.is_local)
 }
 
 fn fits_whole_job(request: &JobRequest, offer: &PartOffer) -> bool {
@@ -282,10 +282,10 @@
     };
     let mut pools = rank_pools(state, &job.request);
     pools.retain(|other| all_parts.iter().all(|part| part.pool != other.pool));
-    let (near, far) = select_offer_pools(state, &job.request, pools);
-    let mut offers = collect_offers(state, &job, near).await;
+    let (local, remote) = select_offer_pools(state, &job.request, pools);
+    let mut offers = collect_offers(state, &job, local).await;
     if !offers_suffice(&job.request, &offers) {
-        offers.extend(collect_offers(state, &job, far).await);
+        offers.extend(collect_offers(state, &job, remote).await);
     }
     let parts = divide_job(state, &job.request, offers)?;
     let runs = parts.iter().map(|part| {
@@ -362,7 +362,7 @@
         Some(EligiblePool {
             pool,
             owner,
-            near: candidates[index].same_data_centre,
+            is_local: candidates[index].same_data_centre,
             free_capacity: candidates[index].expected_free_capacity(),
         })
     });
@@ -403,11 +403,11 @@
 }
 
 fn pool_candidate(state: &NodeState, pool: &PoolId, owner: &OwnerView) -> PoolCandidate {
-    let near = pool.data_centre == state.settings.data_centre;
+    let is_local = pool.data_centre == state.settings.data_centre;
     let pools = state.pools.borrow();
     if let Some(owned) = pools.get(pool).filter(|_| owner.here) {
         return PoolCandidate {
-            same_data_centre: near,
+            same_data_centre: is_local,
             same_process: state.is_enabled(Mechanism::OwnPool),
             load: owned.pool.load(state.now()),
             sent_cpu: 0,
@@ -418,7 +418,7 @@
         .filter(|(heard, _)| Some(*heard) == owner.heard_at)
         .map_or(0, |(_, cpu)| cpu);
     PoolCandidate {
-        same_data_centre: near,
+        same_data_centre: is_local,
         same_process: false,
         load: owner.load,
         sent_cpu: sent,
--- a/crates/node/src/groups.rs
+++ b/crates/node/src/groups.rs
@@ -149,8 +149,8 @@
         }
         let counts = state.directory.borrow().worker_counts();
         for (centre, workers) in counts {
-            let near = centre == state.settings.data_centre;
-            let wait = if near {
+            let is_local = centre == state.settings.data_centre;
+            let wait = if is_local {
                 GROUPS_WRITE_DELAY
             } else {
                 GROUPS_WRITE_DELAY + REMOTE_GROUPS_EXTRA_DELAY
