--- a/crates/jobs/src/ids.rs
+++ b/crates/jobs/src/ids.rs
@@ -155,8 +155,8 @@
 
 text_id!(
     /// The id under which a worker process is listed. A restarted worker is a new incarnation, which remembers
-    /// neither runs nor fencing tokens. It may keep its id; then its [`WorkerStartTime`](crate::WorkerStartTime) tells the
-    /// incarnations apart.
+    /// neither runs nor fencing tokens. It may keep its id; then its
+    /// [`WorkerStartTime`](crate::WorkerStartTime) tells the incarnations apart.
     InstanceId
 );
 text_id!(
--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -21,8 +21,8 @@
 /// 4 to 16 ms.
 const NO_CHANGES_DELAY: Duration = Duration::from_millis(100);
 
-/// How long after a failed call the store counts as unavailable. It is longer than the retry delay and the next try of a
-/// failed feed.
+/// How long after a failed call the store counts as unavailable. It is longer than the retry delay and the next try
+/// of a failed feed.
 const STORE_FAILURE_HOLD_TIME: Duration = Duration::from_millis(800);
 
 /// How long a read is reported to other processes.
