--- a/crates/claims/tests/keeper.rs
+++ b/crates/claims/tests/claim_controller.rs
@@ -9,7 +9,7 @@
     ClaimAction, ClaimController, ClaimOutcome, ClaimRow, ClaimSettings, Heartbeat, LinkRate,
     MemberRow, NodeId, PoolNews,
 };
-use jobs::{FenceToken, LifeId, PoolId};
+use jobs::{FenceToken, InstanceId, PoolId};
 use model::DataCentreId;
 use pool::PoolLoad;
 
@@ -169,12 +169,12 @@
 /// for them.
 #[test]
 fn a_silent_owner_is_replaced_without_waiting_for_other_data_centres() {
-    let (owner, far) = (member("east-1", 1), member("west-1", 2));
+    let (owner, remote) = (member("east-1", 1), member("west-1", 2));
     let mut sim = ControllerSim::new(&member("east-2", 3));
     sim.controller.on_member(sim.now, owner.clone());
-    sim.controller.on_member(sim.now, far.clone());
+    sim.controller.on_member(sim.now, remote.clone());
     sim.set_owner("east", &owner, 7);
-    let hears = heartbeat(&far, &["east-1", "east-2"], &[]);
+    let hears = heartbeat(&remote, &["east-1", "east-2"], &[]);
     sim.run_for(
         millis(5_000),
         &[hears.clone(), heartbeat(&owner, &["east-2"], &["east"])],
@@ -188,12 +188,12 @@
 /// The owner's process was killed. Connections to it are refused, so no wait is necessary.
 #[test]
 fn a_refused_connection_replaces_an_owner_at_once() {
-    let (owner, far) = (member("east-1", 1), member("west-1", 2));
+    let (owner, remote) = (member("east-1", 1), member("west-1", 2));
     let mut sim = ControllerSim::new(&member("east-2", 3));
     sim.controller.on_member(sim.now, owner.clone());
     sim.set_owner("east", &owner, 7);
     let heartbeats = [
-        heartbeat(&far, &["east-1"], &[]),
+        heartbeat(&remote, &["east-1"], &[]),
         heartbeat(&owner, &["east-2"], &["east"]),
     ];
     sim.run_for(millis(5_000), &heartbeats);
@@ -257,7 +257,7 @@
 #[test]
 fn a_pool_reachable_again_stays_with_a_live_owner() {
     let (owner, peer) = (member("west-1", 1), member("east-2", 2));
-    for lives in [true, false] {
+    for instances in [true, false] {
         let mut sim = ControllerSim::new(&member("east-1", 3));
         sim.controller.on_member(sim.now, owner.clone());
         sim.controller.on_member(sim.now, peer.clone());
@@ -274,23 +274,27 @@
         assert_eq!(sim.claims, []);
         sim.run_for(
             millis(5_000),
-            if lives { &heartbeats } else { &heartbeats[..1] },
+            if instances {
+                &heartbeats
+            } else {
+                &heartbeats[..1]
+            },
         );
-        assert_eq!(sim.claims.is_empty(), lives);
+        assert_eq!(sim.claims.is_empty(), instances);
     }
 }
 
 /// A partial partition: this process does not hear the owner, other processes do. After it has taken the pool
 /// and lost it again, it must rely on their reports, or the two would keep taking the pool from each other.
 #[test]
-fn a_pool_that_has_just_changed_hands_is_left_to_an_owner_that_others_hear() {
-    let (owner, far) = (member("east-1", 1), member("west-1", 2));
+fn a_pool_with_a_recent_change_of_owner_stays_with_an_owner_that_others_hear() {
+    let (owner, remote) = (member("east-1", 1), member("west-1", 2));
     let mut sim = ControllerSim::new(&member("east-2", 3));
     sim.controller.on_member(sim.now, owner.clone());
-    sim.controller.on_member(sim.now, far.clone());
-    sim.run_for(millis(5_000), &[heartbeat(&far, &["east-1"], &[])]);
+    sim.controller.on_member(sim.now, remote.clone());
+    sim.run_for(millis(5_000), &[heartbeat(&remote, &["east-1"], &[])]);
     sim.set_owner("east", &owner, 9);
-    sim.run_for(millis(2_000), &[heartbeat(&far, &["east-1"], &[])]);
+    sim.run_for(millis(2_000), &[heartbeat(&remote, &["east-1"], &[])]);
     assert_eq!(sim.claims, []);
 }
 
@@ -310,12 +314,12 @@
         leaving: true,
         ..serving
     };
-    leaving.pools[0].held = vec![LifeId::from("i-3")];
+    leaving.pools[0].held = vec![InstanceId::from("i-3")];
     sim.run_for(millis(300), std::slice::from_ref(&leaving));
     assert!(sim.first_claim().is_some());
     assert_eq!(
         sim.controller.held_workers(sim.now, &pool("east")),
-        [LifeId::from("i-3")]
+        [InstanceId::from("i-3")]
     );
     sim.run_for(millis(600), &[]);
     assert_eq!(
@@ -329,16 +333,16 @@
 /// own data centre has been up for a while. Two equal processes there must not hand it back and forth.
 #[test]
 fn a_pool_goes_back_to_its_data_centre() {
-    let (own_row, near) = (member("west-1", 1), member("east-1", 2));
+    let (own_row, east_member) = (member("west-1", 1), member("east-1", 2));
     let mut sim = ControllerSim::new(&own_row);
     sim.set_owner("east", &own_row, 7);
-    sim.run_for(millis(3_000), &[heartbeat(&near, &[], &[])]);
+    sim.run_for(millis(3_000), &[heartbeat(&east_member, &[], &[])]);
     assert_eq!(
         sim.controller.pool_to_hand_over(sim.now),
         None,
         "it has just begun"
     );
-    sim.run_for(millis(3_000), &[heartbeat(&near, &[], &[])]);
+    sim.run_for(millis(3_000), &[heartbeat(&east_member, &[], &[])]);
     assert_eq!(
         sim.controller.pool_to_hand_over(sim.now),
         Some(pool("east"))
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -13,7 +13,7 @@
 pub use crate::{
     demand::{CpuMillis, MemoryMegabytes, ResourceDemand},
     ids::{
-        FenceToken, InvalidJobId, InvalidPoolId, JobId, LifeId, PoolId, RunNumber, ServiceId,
+        FenceToken, InstanceId, InvalidJobId, InvalidPoolId, JobId, PoolId, RunNumber, ServiceId,
         TaskId,
     },
     kept::{KeptRow, KeptState, StepRecord, TaskDeath},
@@ -23,7 +23,7 @@
     },
     route::{RequestLimits, RouteMatch, RouteRule, RouteTable, ServiceRule, TableVersion},
     worker::{
-        BirthTime, EndCause, EndedRun, RunningRun, WorkerClock, WorkerListing, WorkerRecord,
+        EndCause, EndedRun, RunningRun, WorkerClock, WorkerListing, WorkerRecord, WorkerStartTime,
         WorkerState,
     },
 };
--- a/crates/pool/tests/crash.rs
+++ b/crates/pool/tests/crash.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use jobs::{JobId, JobOutcome, KeptState, LifeId, StepRecord};
+use jobs::{InstanceId, JobId, JobOutcome, KeptState, StepRecord};
 use pool::PoolEvent;
 use support::{crashing::CrashReturn, results::credit, Simulation, KINDS};
 
@@ -15,7 +15,7 @@
 
 fn kept_simulation(seed: u64, workers: usize, returns: CrashReturn) -> Simulation {
     let mut simulation = Simulation::new(seed, workers);
-    simulation.publish_birth_times();
+    simulation.publish_start_times();
     simulation.submits_kept = true;
     simulation.crashes.return_kind = returns;
     simulation.run_for(100);
@@ -127,10 +127,10 @@
     }
     simulation.run_for(200);
     let busy = simulation.workers.iter().filter(|(_, w)| w.run_count() > 0);
-    let lives: Vec<LifeId> = busy.map(|(life, _)| life.clone()).collect();
-    assert!(lives.len() >= 3);
-    for life in &lives {
-        simulation.crash(life);
+    let instances: Vec<InstanceId> = busy.map(|(instance, _)| instance.clone()).collect();
+    assert!(instances.len() >= 3);
+    for instance in &instances {
+        simulation.crash(instance);
     }
     simulation.run_for(12_000);
     assert!(common_cause_losses(&simulation) > 0);
@@ -150,12 +150,17 @@
     let job = JobId(1);
     simulation.submit_sized(1, job, vec![900.0], 900.0, WHOLE_WORKER);
     simulation.run_for(100);
-    let life = simulation.worker_running(job);
-    simulation.workers.get_mut(&life).unwrap().fault.silent = true;
+    let instance = simulation.worker_running(job);
+    simulation.workers.get_mut(&instance).unwrap().fault.silent = true;
     simulation.run_for(1_300);
-    simulation.workers.get_mut(&life).unwrap().fault.silent = false;
+    simulation.workers.get_mut(&instance).unwrap().fault.silent = false;
     simulation.run_for(6_000);
-    let cleared = |event: &PoolEvent| *event == PoolEvent::CrashCleared { life: life.clone() };
+    let cleared = |event: &PoolEvent| {
+        *event
+            == PoolEvent::CrashCleared {
+                instance: instance.clone(),
+            }
+    };
     assert!(simulation.crashes.events.iter().any(cleared));
     assert_eq!(state(&simulation, job), Some(KeptState::Completed));
     let (row, _) = &simulation.rows[&job];
@@ -167,7 +172,7 @@
 #[test]
 fn the_next_attempt_of_a_crashing_job_fails_at_once() {
     let mut simulation = Simulation::new(6, 6);
-    simulation.publish_birth_times();
+    simulation.publish_start_times();
     simulation.crashes.away_ms = 400;
     let job = JobId(1);
     simulation.make_crashing(job, 0.1);
@@ -187,7 +192,7 @@
 /// innocent jobs earned and how many of them failed.
 fn run_crashing_traffic(seed: u64, share: f64) -> (f64, usize) {
     let mut simulation = Simulation::new(seed, 24);
-    simulation.publish_birth_times();
+    simulation.publish_start_times();
     simulation.run_for(200);
     let mut culprits = Vec::new();
     for _ in 0..12_000 {
