--- a/crates/claims/tests/claim_controller.rs
+++ b/crates/claims/tests/claim_controller.rs
@@ -257,7 +257,7 @@
 #[test]
 fn a_pool_reachable_again_stays_with_a_live_owner() {
     let (owner, peer) = (member("west-1", 1), member("east-2", 2));
-    for instances in [true, false] {
+    for is_alive in [true, false] {
         let mut sim = ControllerSim::new(&member("east-1", 3));
         sim.controller.on_member(sim.now, owner.clone());
         sim.controller.on_member(sim.now, peer.clone());
@@ -274,13 +274,13 @@
         assert_eq!(sim.claims, []);
         sim.run_for(
             millis(5_000),
-            if instances {
+            if is_alive {
                 &heartbeats
             } else {
                 &heartbeats[..1]
             },
         );
-        assert_eq!(sim.claims.is_empty(), instances);
+        assert_eq!(sim.claims.is_empty(), is_alive);
     }
 }
 
--- a/crates/node/tests/groups.rs
+++ b/crates/node/tests/groups.rs
@@ -31,6 +31,6 @@
         let after = post_job(&node, &id, &job(12, 200)).await;
         assert_eq!(after.0, 200, "{groups} pools: {}", node.log_lines());
     }
-    let runs = platform.workers.iter().map(|e| e.runs().len());
+    let runs = platform.workers.iter().map(|worker| worker.runs().len());
     assert_eq!(runs.sum::<usize>(), 4 * 12, "each task ran once");
 }
--- a/crates/node/tests/kept.rs
+++ b/crates/node/tests/kept.rs
@@ -33,7 +33,7 @@
 }
 
 fn done_runs(platform: &Platform) -> usize {
-    let runs = platform.workers.iter().flat_map(|e| e.runs());
+    let runs = platform.workers.iter().flat_map(|worker| worker.runs());
     runs.filter(|run| run.ended.is_some_and(|(_, how)| how == "done"))
         .count()
 }
--- a/crates/node/tests/reading.rs
+++ b/crates/node/tests/reading.rs
@@ -82,14 +82,20 @@
         }
         actix_rt::time::sleep(Duration::from_millis(1_000)).await;
         let draining_workers = &platform.workers[round * 3..round * 3 + 3];
-        let before: Vec<usize> = draining_workers.iter().map(|e| e.runs().len()).collect();
+        let before: Vec<usize> = draining_workers
+            .iter()
+            .map(|worker| worker.runs().len())
+            .collect();
         for number in 0..12 {
             let id = format!("5c0e7a21d94b{round:02x}{number:02x}");
             let node = &nodes[number % nodes.len()];
             let answer = post_job(node, &id, &job(1, 400)).await;
             assert_eq!(answer, (200, json!({ "State": "completed" })), "{id}");
         }
-        let after: Vec<usize> = draining_workers.iter().map(|e| e.runs().len()).collect();
+        let after: Vec<usize> = draining_workers
+            .iter()
+            .map(|worker| worker.runs().len())
+            .collect();
         assert_eq!(before, after, "round {round}");
         // Any node may be the one that reads the list, so the next round may have another reader.
         nodes.remove(0);
--- a/crates/node/tests/stopping.rs
+++ b/crates/node/tests/stopping.rs
@@ -139,7 +139,7 @@
         drop(node);
         for (id, call) in sending.await.unwrap() {
             let (status, _) = call.await.unwrap();
-            let runs = platform.workers.iter().flat_map(|e| e.runs());
+            let runs = platform.workers.iter().flat_map(|worker| worker.runs());
             let ran = runs.filter(|run| run.task.starts_with(&id)).count();
             assert!(status != 0 || ran == 0, "job {id} ran and got no answer");
         }
--- a/crates/pool/src/placement.rs
+++ b/crates/pool/src/placement.rs
@@ -1,6 +1,6 @@
 //! Chooses the worker on which a task runs.
 //!
-//! Workers differ in speed and size, some have turned slow, and the load may take up most of the capacity. A short task
+//! Workers differ in speed and size, some have turned slow, and the load may occupy most of the capacity. A short task
 //! on a worker that is several times slower is certain to be late. Since a job ends with its last task, one such worker
 //! among sixteen makes most wide jobs late.
 
@@ -119,13 +119,13 @@
 
 impl PlacementScore {
     fn of(worker: &TrackedWorker, request: &PlacementRequest<'_>) -> Self {
-        let far = match &request.spec.data_rack {
+        let far_factor = match &request.spec.data_rack {
             Some(rack) if !worker.record.labels.contains(rack) => request.far_factor,
             _ => 1.0,
         };
         Self {
             failed_there: request.failed_on.contains(&worker.record.instance),
-            slowness: worker.slowness * far,
+            slowness: worker.slowness * far_factor,
             leftover_cpu: worker.free_capacity().minus(&request.spec.demand).cpu.0,
         }
     }
--- a/crates/pool/src/pool_choice.rs
+++ b/crates/pool/src/pool_choice.rs
@@ -1,7 +1,7 @@
 //! The order in which an entry asks pools to take a job, and the division of a job among pools.
 //!
 //! Many entries learn of a pool's free capacity only a few times a second. If all of them sent to the pool that last
-//! reported the most capacity, it would be flooded until the next report while other pools are idle. Each entry
+//! reported the most of it, it would be flooded until the next report while other pools are idle. Each entry
 //! therefore takes the better of two pools drawn at random, and counts what it has itself sent since the report. Pools
 //! of other data centres come last, since traffic to them is charged and their workers are farther away.
 
@@ -48,8 +48,8 @@
 /// Returns the indices of the candidates in the order in which they are asked for a job that needs `demand` thousandths
 /// of a core.
 ///
-/// A pool of the entry's own process comes first if it has the capacity: its published load is exact, and the job's
-/// bytes need not cross a link.
+/// A pool of the entry's own process comes first if it has enough free capacity: its published load is exact, and
+/// the job's bytes need not cross a link.
 pub fn order_pools(candidates: &[PoolCandidate], demand: u64, rng: &mut Rng) -> Vec<usize> {
     let mut order: Vec<usize> = (0..candidates.len()).collect();
     order.sort_by_key(|index| {
@@ -68,20 +68,24 @@
         order.insert(0, own);
         return order;
     }
-    let near = candidates
+    let local_count = candidates
         .iter()
         .filter(|candidate| candidate.same_data_centre)
         .count();
     // Without a pool in this data centre, two of the others are drawn: otherwise all entries of an evacuated data
     // centre would flood the same pool.
-    let drawn = if near > 0 { near } else { order.len() };
+    let drawn = if local_count > 0 {
+        local_count
+    } else {
+        order.len()
+    };
     if drawn < 2 {
         return order;
     }
     let first = rng.usize(..drawn);
     let second = rng.usize(..drawn - 1);
     let second = second + usize::from(second >= first);
-    // The drawn range is sorted by capacity, so the earlier of the two has more.
+    // The drawn range is sorted by expected free capacity, so the earlier of the two has more.
     let best = order.remove(first.min(second));
     order.insert(0, best);
     order
@@ -91,8 +95,8 @@
 /// Returns one part per pool, which is None for a pool that gets no task, or None if the pools together cannot take all
 /// tasks.
 ///
-/// Wide jobs of short tasks may find capacity for only some of their tasks in each pool. Without the division they are
-/// refused while capacity stays free that no other job needs at the moment.
+/// Wide jobs of short tasks may find free capacity for only some of their tasks in each pool. Without the division they
+/// are refused while capacity stays free that no other job needs at the moment.
 pub fn divide_step(step: &StepSpec, fits: &[u32]) -> Option<Vec<Option<StepSpec>>> {
     let mut parts = Vec::new();
     let mut first = step.first;
