--- a/crates/jobs/src/request.rs
+++ b/crates/jobs/src/request.rs
@@ -123,7 +123,7 @@
         /// The queue is full.
         QueueFull => "queue_full",
         /// No worker can ever hold one of the tasks.
-        NoRoomEver => "no_room_ever",
+        NeverFits => "no_room_ever",
         /// The pool's owner is not ready, or it is about to stop.
         NotServing => "not_serving",
         /// The data centre is being evacuated, and no task starts there.
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -251,7 +251,7 @@
         StartAnswer::Started(_) => "started",
         StartAnswer::Superseded(_) => "outrun",
         StartAnswer::LeaseExpired(_) => "late",
-        StartAnswer::NoRoom(_) => "no_room",
+        StartAnswer::NoCapacity(_) => "no_room",
         StartAnswer::NotAllowed(_) => "not_allowed",
         StartAnswer::Failed(failure) => failure.as_str(),
     }
--- a/crates/pool/src/action.rs
+++ b/crates/pool/src/action.rs
@@ -107,8 +107,8 @@
     Superseded(WorkerClock),
     /// The end of the lease has passed on the worker's clock.
     LeaseExpired(WorkerClock),
-    /// The worker has no capacity for the task.
-    NoRoom(WorkerClock),
+    /// The worker has too little free capacity for the task.
+    NoCapacity(WorkerClock),
     /// The worker was not allowed to run the task.
     NotAllowed(WorkerClock),
     /// No valid answer came.
@@ -154,8 +154,8 @@
     RunLoss, "loss of a run", UnknownVariant {
         /// The worker rejected the start.
         Rejected => "turned_away",
-        /// The worker was restarted or replaced: the instance or incarnation that had the run is over.
-        NewInstance => "new_life",
+        /// The worker was restarted or replaced: the incarnation that had the run is over.
+        NewIncarnation => "new_life",
         /// The worker did not answer until the lease had certainly expired.
         LeaseExpired => "lease_over",
         /// A poll that was sent later does not list the run.
--- a/crates/pool/src/pool/admit.rs
+++ b/crates/pool/src/pool/admit.rs
@@ -34,7 +34,7 @@
 const MIN_IDLE_SHARE: f64 = 0.4;
 
 /// The maximum forecast time of an admitted late job, as a multiple of its predicted time. A longer
-/// forecast means that the job would have to wait for capacity.
+/// forecast means that the job would have to wait for free capacity.
 const LATE_JOB_MAX_SLOWDOWN: f64 = 1.3;
 
 /// The maximum predicted time of a late job, as a share of the time after which its answer is
@@ -84,7 +84,7 @@
         } else if self.evacuated {
             Some(RefusalKind::Evacuated)
         } else if !self.can_ever_hold(request, terms) {
-            Some(RefusalKind::NoRoomEver)
+            Some(RefusalKind::NeverFits)
         } else if !terms.firm && (late || delays_others || forecast.takes_reserved) {
             Some(RefusalKind::TooLate)
         } else if queued + request.steps.len() > self.settings.max_queued_tasks {
@@ -144,7 +144,7 @@
 
     /// Reduces an offer by the other recent offers, whose jobs may arrive at any time,
     /// and records the rest. Otherwise entries that divide jobs by the same offers would send the
-    /// pool several times as many tasks as it has capacity for, and tasks without capacity wait
+    /// pool several times as many tasks as it has free capacity for, and the rest would wait
     /// until their jobs are useless.
     fn reserve_offer(&mut self, now: Instant, fits: u32) -> u32 {
         self.recent_offers
@@ -169,7 +169,7 @@
         end.saturating_add(delay) <= limit && !forecast.delays_admitted && !forecast.takes_reserved
     }
 
-    /// Whether a job is admitted although it will be late: its start need not wait for capacity, a
+    /// Whether a job is admitted although it will be late: its start need not wait for free capacity, a
     /// large share of the pool is idle, and its answer is still useful to its customer.
     ///
     /// This matters after an outage of all processes, when all waiting customers submit at once. If
@@ -239,7 +239,7 @@
     }
 
     /// The number of tasks of a single-step job that would be in time, and zero for jobs of several
-    /// steps. A wide job of short tasks may find no single pool with capacity for all its tasks at
+    /// steps. A wide job of short tasks may find no single pool with free capacity for all its tasks at
     /// once, while all pools together have it.
     fn count_in_time(
         &self,
@@ -256,7 +256,7 @@
             let forecast = simulation.forecast_tasks_per_step(count as usize);
             self.is_in_time(&forecast, u64::from(count), terms, limit)
         };
-        // When capacity is scarce, mostly not even one task fits, so that is checked first.
+        // When free capacity is scarce, mostly not even one task fits, so that is checked first.
         if !in_time(1) {
             return 0;
         }
--- a/crates/pool/src/pool/answers.rs
+++ b/crates/pool/src/pool/answers.rs
@@ -60,7 +60,7 @@
                 self.record_answer_time(now, now.saturating_duration_since(order.sent));
             }
             StartAnswer::LeaseExpired(_) => self.retry_start(now, instance, *task, *run),
-            StartAnswer::NoRoom(_) | StartAnswer::NotAllowed(_) => {
+            StartAnswer::NoCapacity(_) | StartAnswer::NotAllowed(_) => {
                 self.handle_rejected_start(now, instance, *task, *run);
             }
             StartAnswer::Failed(CallFailure::Unhealthy | CallFailure::Malformed) => {
@@ -276,7 +276,7 @@
         StartAnswer::Started(clock)
         | StartAnswer::Superseded(clock)
         | StartAnswer::LeaseExpired(clock)
-        | StartAnswer::NoRoom(clock)
+        | StartAnswer::NoCapacity(clock)
         | StartAnswer::NotAllowed(clock) => Some(clock),
         StartAnswer::Failed(_) => None,
     }
--- a/crates/pool/src/pool/polls.rs
+++ b/crates/pool/src/pool/polls.rs
@@ -495,7 +495,7 @@
         let runs = std::mem::take(&mut worker.runs);
         worker.foreign_runs.clear();
         worker.queued_orders.clear();
-        let died = loss == RunLoss::NewInstance;
+        let died = loss == RunLoss::NewIncarnation;
         let begun = runs.iter().filter(|run| run.starts_sent > 0);
         let culprits = self.record_worker_loss(now, instance, begun.map(|run| run.task), died);
         for run in runs {
@@ -507,7 +507,7 @@
 
     /// Removes a worker instance that another one has replaced: the runs of the removed one are over.
     pub(super) fn forget_instance(&mut self, now: Instant, instance: &InstanceId) {
-        self.lose_all_runs(now, instance, RunLoss::NewInstance);
+        self.lose_all_runs(now, instance, RunLoss::NewIncarnation);
         self.confirm_crash(now, instance);
         if self.workers.remove(instance).is_some() {
             self.report_worker_change(instance.clone(), WorkerChange::Forgotten);
--- a/crates/pool/src/pool/resizing.rs
+++ b/crates/pool/src/pool/resizing.rs
@@ -51,7 +51,7 @@
         let unplaceable: Vec<JobId> = unplaceable.collect();
         for id in unplaceable {
             let outcome = JobOutcome::Refused {
-                kind: RefusalKind::NoRoomEver,
+                kind: RefusalKind::NeverFits,
                 retry_after: MIN_RETRY_AFTER,
                 fits: 0,
             };
--- a/crates/pool/src/pool/takeover.rs
+++ b/crates/pool/src/pool/takeover.rs
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Whether the tasks of a job may be placed if a worker has capacity.
+    /// Whether the tasks of a job may be placed if a worker has free capacity.
     pub(super) fn may_run(&self, now: Instant, job: &TrackedJob) -> bool {
         let Some(kept) = &job.kept else {
             return true;
--- a/crates/pool/tests/worker_capacity.rs
+++ b/crates/pool/tests/worker_capacity.rs
@@ -68,7 +68,7 @@
     simulation.resize(&instance, 8_000);
     assert!(is_refused(
         outcome(&simulation, waiting),
-        RefusalKind::NoRoomEver
+        RefusalKind::NeverFits
     ));
     simulation.submit_sized(1, small, vec![900.0], 900.0, QUARTER_WORKER);
     simulation.run_for(3_000);
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -43,7 +43,7 @@
     /// An invariant of the system. A violation is reported under the text of its variant.
     SoakInvariant, "promise", UnknownVariant {
         /// A worker never has more concurrent runs than fit.
-        Room => "room",
+        Capacity => "room",
         /// A task never has two concurrent runs.
         Twice => "twice",
         /// A job is reported as completed only after all its tasks were done.
@@ -125,7 +125,7 @@
                     "{count} concurrent runs on worker instance {} at {:?}",
                     run.instance, run.began
                 );
-                self.add_violation(SoakInvariant::Room, details);
+                self.add_violation(SoakInvariant::Capacity, details);
             }
         }
     }
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -104,9 +104,9 @@
             }
         },
         &[
-            SoakInvariant::Room,
-            SoakInvariant::Room,
-            SoakInvariant::Room,
+            SoakInvariant::Capacity,
+            SoakInvariant::Capacity,
+            SoakInvariant::Capacity,
         ],
     );
 }
