--- a/crates/authority/tests/held_bytes.rs
+++ b/crates/authority/tests/held_bytes.rs
@@ -85,7 +85,7 @@
         ..AuthoritySettings::default()
     };
     let mut authority = authority(settings, now);
-    let first = submit(&mut authority, now, &[600]).expect("room");
+    let first = submit(&mut authority, now, &[600]).expect("below the limit");
     let second = submit(&mut authority, now, &[400]).expect("exactly full");
     let table: [&[usize]; 2] = [&[1], &[0, 1]];
     for sizes in table {
@@ -113,7 +113,7 @@
     let mut authority = authority(settings, now);
     let mut serials = Vec::new();
     for _ in 0..4 {
-        let serial = submit(&mut authority, now, &[1]).expect("room");
+        let serial = submit(&mut authority, now, &[1]).expect("below the limit");
         complete(&mut authority, now, serial, 400);
         serials.push(serial);
     }
--- a/crates/authority/tests/load/admission.rs
+++ b/crates/authority/tests/load/admission.rs
@@ -153,7 +153,7 @@
     };
     let mut serials = Vec::new();
     for _ in 0..4 {
-        serials.push(simulation.submit(&small).expect("its own limit has room"));
+        serials.push(simulation.submit(&small).expect("below its own limit"));
     }
     simulation.advance(ms(4_000));
     assert_eq!(
--- a/crates/authority/tests/load/placement.rs
+++ b/crates/authority/tests/load/placement.rs
@@ -226,7 +226,7 @@
 }
 
 /// The reply to an offer comes with slot counts that include its tasks. Counted as unanswered too, they would fill
-/// twice the slots, and tasks would leave the home data centre although it has room.
+/// twice the slots, and tasks would leave the home data centre although it has free slots.
 #[test]
 fn answered_offers_count_once() {
     let mut simulation = simulation();
--- a/crates/claims/src/capacity.rs
+++ b/crates/claims/src/capacity.rs
@@ -65,7 +65,7 @@
 ///
 /// Capacities are added up because a large VM may own several pools. When the smallest owner had to carry an
 /// equal share, three large VMs that just missed it were replaced by a dozen small ones, whose small pools
-/// have no room for wide jobs of tasks half a worker wide.
+/// have too little capacity for wide jobs of tasks half a worker wide.
 pub fn plan_groups(workers: usize, vms: &[VmCapacity]) -> u32 {
     let mut vms = vms.to_vec();
     vms.sort_by(|a, b| b.0.total_cmp(&a.0));
--- a/crates/decisions/tests/queue.rs
+++ b/crates/decisions/tests/queue.rs
@@ -42,7 +42,7 @@
     assert_eq!(out.join(" "), expect, "{script}");
 }
 
-/// Runs a script on a queue with room for twelve entries. Returns the queued entries, prefixed with `+`, and the
+/// Runs a script on a queue with space for twelve entries. Returns the queued entries, prefixed with `+`, and the
 /// returned or rejected ones.
 ///
 /// `+a1.0` pushes task 0 of job 1 of customer `a`, which takes 100 ms and is due after 99 s; `/300` sets the run time,
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -137,7 +137,7 @@
 
     /// Marks a member dead whose VM refused a connection: nothing listens there.
     ///
-    /// Without this, the endpoints of a process that died while its VM lives would stay without an owner for the
+    /// Without this, the endpoints of a process that died while its VM runs would stay without an owner for the
     /// suspect time. A refusal comes from the operating system of the VM and not from the network, so it is sufficient
     /// proof; the next process there is live as soon as a heartbeat from it arrives. A broken connection or a timeout
     /// is no such proof.
--- a/crates/model/src/mechanism.rs
+++ b/crates/model/src/mechanism.rs
@@ -43,7 +43,7 @@
     AnswerLimits,
     /// A window limits the starts in flight while answers are late; further starts wait in the owner's queue.
     StartWindow,
-    /// An entry first asks a pool of its own process if that pool has capacity.
+    /// An entry first asks a pool of its own process if that pool has enough free capacity.
     OwnPool,
     /// Tasks that were running on workers that died are retried alone on a worker, and given up once identified as the
     /// cause of the crashes.
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -42,8 +42,8 @@
 /// tasks.
 const OFFER_TIMEOUT: Duration = Duration::from_millis(80);
 
-/// The expected capacity of all pools that are asked for offers, as a multiple of the capacity that the job needs. It
-/// is above one because the known loads of pools are up to half a second old.
+/// The expected free capacity of all pools that are asked for offers, as a multiple of the capacity that the job needs.
+/// It is above one because the known loads of pools are up to half a second old.
 const OFFER_CAPACITY_FACTOR: u64 = 2;
 
 /// The share of the link in use above which fewer offers are requested. On links that could carry hundreds of times
@@ -160,7 +160,7 @@
 }
 
 /// Selects the pools to ask for offers, separated into those of this data centre and the others. If the link is busy,
-/// only pools that seem to have capacity are selected, and only until their expected capacity is
+/// only pools that seem to have free capacity are selected, and only until their expected free capacity is
 /// [`OFFER_CAPACITY_FACTOR`] times what the job needs: the others would most likely offer nothing or not be needed.
 fn select_offer_pools(
     state: &NodeState,
--- a/crates/pool/src/admission.rs
+++ b/crates/pool/src/admission.rs
@@ -35,7 +35,7 @@
     pub(crate) after: Vec<u32>,
 }
 
-/// A job in the forecast. Jobs are placed in the order in which they will get capacity.
+/// A job in the forecast. The forecast places jobs in the order in which they will be placed on workers.
 #[derive(Clone, Debug)]
 pub(crate) struct ForecastJob {
     pub(crate) steps: Vec<ForecastStep>,
@@ -50,7 +50,7 @@
     pub(crate) end: Duration,
     /// Whether the new job would make an already admitted job late.
     pub(crate) delays_admitted: bool,
-    /// Whether the new job would make a job late for which it has to leave capacity.
+    /// Whether the new job would make a job late for which capacity is reserved.
     pub(crate) takes_reserved: bool,
 }
 
@@ -77,7 +77,7 @@
     behind: Vec<ForecastJob>,
     /// The ends of the jobs behind without the new one, computed on first use.
     ends_without: OnceCell<Vec<Duration>>,
-    /// The jobs for which the new one has to leave capacity.
+    /// The expected jobs for which capacity is reserved.
     expected: Vec<ExpectedJob>,
 }
 
--- a/crates/pool/src/arrivals.rs
+++ b/crates/pool/src/arrivals.rs
@@ -2,7 +2,7 @@
 //!
 //! The reservation is needed under lasting overload. Without it, capacity that becomes free goes at once to admitted
 //! jobs that can wait for it, which are those of the lowest priority in their contracts. For a short, wide job of the
-//! highest priority all capacity of the next tenth of a second is then taken, and the job is refused.
+//! highest priority all capacity of the next tenth of a second is then occupied, and the job is refused.
 //!
 //! Capacity is reserved only while jobs of that priority are being refused, and more of it the larger their refused
 //! share is: a permanent reservation would cost other jobs capacity in every short burst.
@@ -98,8 +98,8 @@
         }
     }
 
-    /// The expected jobs of higher priority, for which a job of this priority has to leave capacity. A lower number is
-    /// a higher priority.
+    /// The expected jobs of higher priority, for which capacity is reserved when a job of this priority is admitted. A
+    /// lower number is a higher priority.
     pub(crate) fn expected_above(&self, now: Instant, priority: u32) -> Vec<ExpectedJob> {
         let higher = self.means.iter().filter(|(other, _)| **other < priority);
         let expected = higher.map(|(_, mean)| mean.expected(now));
--- a/crates/pool/src/forecast.rs
+++ b/crates/pool/src/forecast.rs
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Adds the end of a running task, which takes capacity until then.
+    /// Adds the end of a running task, which occupies capacity until then.
     pub(crate) fn add_running(&mut self, left: Duration, cpu: u64) {
         self.add_change(micros(left), cpu.cast_signed());
     }
--- a/crates/pool/src/queue.rs
+++ b/crates/pool/src/queue.rs
@@ -1,4 +1,4 @@
-//! The order in which waiting jobs get free capacity.
+//! The order in which waiting jobs are placed on workers.
 //!
 //! The order matters when there is not enough capacity for all jobs, as in a burst while workers are lost. In order of
 //! arrival, a short job that waits behind long ones is late, then the next one, and soon all are. In order of the
@@ -12,7 +12,7 @@
 
 use jobs::JobId;
 
-/// The class of a waiting job. Earlier classes get capacity first.
+/// The class of a waiting job. Jobs of earlier classes are placed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum QueueClass {
     /// Late, but begun and still of use: little is left to do, and the completed work would otherwise be lost.
--- a/crates/pool/src/start_window.rs
+++ b/crates/pool/src/start_window.rs
@@ -13,7 +13,7 @@
 /// The minimum window: with fewer starts the tasks of a job would be sent one after another.
 const MIN_WINDOW_STARTS: f64 = 6.0;
 
-/// The maximum window, which is more than a pool of a few dozen workers has room for.
+/// The maximum window, which is more than a pool of a few dozen workers has capacity for.
 const MAX_WINDOW_STARTS: f64 = 512.0;
 
 /// The factor by which the window shrinks: that of CUBIC (RFC 9438), which shrinks less than other TCP congestion control.
--- a/crates/pool/src/time_budget.rs
+++ b/crates/pool/src/time_budget.rs
@@ -2,7 +2,7 @@
 //!
 //! The estimate is needed when many processes return at once. All customers that were disconnected or found no process
 //! then retry, in addition to the usual load, and many of these requests are already too late to be of use. If a
-//! retried request is taken for a new one, it takes up capacity and ends when its customer has no use for it, while new
+//! retried request is taken for a new one, it occupies capacity and ends when its customer has no use for it, while new
 //! requests are refused. On a fleet of 47 VMs that lost power for 1.4 s, 981 of 5,200 requests of the four seconds
 //! around the outage were answered too late.
 //!
--- a/crates/pool/src/worker.rs
+++ b/crates/pool/src/worker.rs
@@ -47,7 +47,7 @@
     Stopping,
 }
 
-/// A run that takes up capacity on a worker.
+/// A run that occupies capacity of a worker.
 #[derive(Clone, Debug)]
 pub(crate) struct TrackedRun {
     pub(crate) task: TaskId,
@@ -175,9 +175,9 @@
     slowness_updated: Instant,
 }
 
-/// The number of successive polls without an answer that make a worker silent, so that its runs count as over once their leases
-/// have expired. A single missed poll may be one lost connection; it already keeps the worker from getting new runs and lease
-/// renewals until the next answer.
+/// The number of successive polls without an answer that make a worker silent, so that its runs count as over once their
+/// leases have expired. A single missed poll may be one lost connection; it already keeps the worker from getting new
+/// runs and lease renewals until the next answer.
 pub(crate) const MISSED_POLLS_TO_SILENCE: u32 = 2;
 
 /// The maximum number of polls of one worker in flight: two in a row are seldom lost.
@@ -220,7 +220,7 @@
         }
     }
 
-    /// The capacity taken by runs, including those that are being stopped.
+    /// The capacity occupied by runs, including those that are being stopped.
     pub(crate) fn used_capacity(&self) -> ResourceDemand {
         let mut used = ResourceDemand::default();
         for run in &self.runs {
@@ -229,12 +229,12 @@
         used
     }
 
-    /// The capacity that no run takes.
+    /// The capacity that no run occupies.
     pub(crate) fn free_capacity(&self) -> ResourceDemand {
         self.record.capacity.minus(&self.used_capacity())
     }
 
-    /// Whether the runs take more than the capacity, as they may after the capacity has shrunk.
+    /// Whether the runs occupy more than the capacity, as they may after the capacity has shrunk.
     pub(crate) fn is_over_capacity(&self) -> bool {
         !self.record.capacity.holds(&self.used_capacity())
     }
--- a/crates/pool/tests/evacuation.rs
+++ b/crates/pool/tests/evacuation.rs
@@ -55,7 +55,7 @@
     assert_eq!(outcome(&simulation, fourth), Some(JobOutcome::Completed));
 }
 
-/// Only one of a job's two tasks has capacity when the data centre is evacuated. The second may not
+/// Only one of a job's two tasks is placed when the data centre is evacuated. The second may not
 /// start, and the first has begun, so the job must not be refused as if nothing had run. It is given
 /// up at once, which leaves the outcome open, instead of waiting for the end of the evacuation.
 #[test]
--- a/crates/pool/tests/load.rs
+++ b/crates/pool/tests/load.rs
@@ -101,9 +101,10 @@
     assert!(took < 900, "the last task waited until {took} ms");
 }
 
-/// Jobs of three steps arrive at 1.6 times the rate that the workers can serve. Each later step waits for room again, so that an
-/// admitted job needs room three times. A pool that counts only the first step admits twice what it can end in time, and nearly
-/// all jobs then end late. Admitted jobs must end in time, and the room must be used for them.
+/// Jobs of three steps arrive at 1.6 times the rate that the workers can serve. Each later step waits for free capacity
+/// again, so that an admitted job needs capacity three times. A pool that counts only the first step admits twice what
+/// it can end in time, and nearly all jobs then end late. Admitted jobs must end in time, and the capacity must be used
+/// for them.
 #[test]
 fn later_steps_of_admitted_jobs_are_counted() {
     let mut total = 0.0;
@@ -121,7 +122,7 @@
 
 /// All kinds of jobs arrive at twice their rate for a long time. The kind of the highest priority has the shortest and
 /// widest jobs, which need capacity for eight tasks within a tenth of a second. Without reserved capacity they are the
-/// ones refused, while longer jobs of lower priority take all capacity that becomes free.
+/// ones refused, while longer jobs of lower priority occupy all capacity that becomes free.
 #[test]
 fn the_first_priority_is_served_under_lasting_overload() {
     let mut first = 0.0;
@@ -212,7 +213,7 @@
 
 /// Five entries ask at the same moment how much of a job a pool could take, each for a job that no pool takes whole.
 /// Each entry sends as many tasks as it was offered. If the same capacity were offered to all five, it would be used
-/// five times over, and the callers whose tasks find no capacity would wait long and get nothing.
+/// five times over, and the callers whose tasks cannot be placed would wait long and get nothing.
 #[test]
 fn concurrent_offers_do_not_exceed_the_capacity() {
     let mut simulation = Simulation::new(1, 4);
@@ -301,7 +302,7 @@
 
 /// All processes were down for a second. A customer that waited submits to an idle pool. Its answer will be late but is
 /// still of use, so the job is served: if it were refused, it would come back a second later to the same idle pool.
-/// Where most capacity is taken it is refused, since it would take capacity that a job in time needs.
+/// A pool with little free capacity refuses it, since it would occupy capacity that a job in time needs.
 #[test]
 fn a_late_job_is_served_by_an_idle_pool_alone() {
     for (busy, served) in [(0, true), (7, false)] {
--- a/crates/pool/tests/pool_choice.rs
+++ b/crates/pool/tests/pool_choice.rs
@@ -29,8 +29,8 @@
     counts
 }
 
-/// Many entries learn at the same moment that one pool has the most capacity. They must not all send to it until the
-/// next report.
+/// Many entries learn at the same moment that one pool has the most free capacity. They must not all send to it until
+/// the next report.
 #[test]
 fn entries_with_the_same_reports_do_not_all_choose_the_same_pool() {
     let counts = first_choices(&[
@@ -88,9 +88,9 @@
     assert_eq!(counts(&[]), None);
 }
 
-/// A customer's job arrives at a process that owns a pool itself. If that pool has capacity for the job, asking another
-/// owner would only send the job's bytes over two links. If it has not, the job would wait there while other pools have
-/// capacity.
+/// A customer's job arrives at a process that owns a pool itself. If that pool has free capacity for the job, asking
+/// another owner would only send the job's bytes over two links. If it has not, the job would wait there while other
+/// pools have free capacity.
 #[test]
 fn an_own_pool_is_asked_first_if_it_has_the_capacity() {
     let own = PoolCandidate {
--- a/crates/pool/tests/time_budgets.rs
+++ b/crates/pool/tests/time_budgets.rs
@@ -24,7 +24,7 @@
 }
 
 /// All processes lose power, and customers that got no answer retry. Their requests are far too late. If they were
-/// taken for new ones, they would take up the capacity of requests that are in time.
+/// taken for new ones, they would occupy the capacity needed for requests that are in time.
 #[test]
 fn a_retried_request_is_recognised_by_its_remaining_time() {
     let (mut rng, route) = (Rng::with_seed(1), Arc::from("r-1"));
--- a/crates/telemetry/src/events.rs
+++ b/crates/telemetry/src/events.rs
@@ -2,7 +2,7 @@
 //!
 //! Logging never blocks the caller: lines are collected in a bounded buffer, which is flushed a few times a second to
 //! a separate writer thread. If the reader of standard output is slow, routine lines are dropped first, then all
-//! lines. Dropped lines are counted, and the count is logged as soon as there is room again.
+//! lines. Dropped lines are counted, and the count is logged as soon as the buffer has space again.
 
 use std::{
     fmt::{self, Write as _},
