--- a/crates/node/tests/dividing.rs
+++ b/crates/node/tests/dividing.rs
@@ -29,7 +29,8 @@
     platform.start_node(settings).await
 }
 
-/// Starts five data centres with a node each, and waits until the first node has links to the owners of the other pools.
+/// Starts five data centres with a node each, and waits until the first node has links to the owners of the other
+/// pools.
 async fn five_centres(run_time: Duration) -> (Platform, Vec<NodeProcess>) {
     let mut platform = Platform::start(0, run_time).await;
     let mut nodes = Vec::new();
@@ -53,8 +54,8 @@
     panic!("too few links were opened: {}", node.log_lines());
 }
 
-/// A job has nine parallel tasks, and each of five data centres runs two tasks at a time, so that four of them are too few.
-/// Guards against refusing the job as too late although all five together can run it at once.
+/// A job has nine parallel tasks, and each of five data centres runs two tasks at a time, so that four of them are too
+/// few. Guards against refusing the job as too late although all five together can run it at once.
 #[actix_rt::test]
 async fn a_job_is_divided_among_all_five_pools() {
     let run_time = Duration::from_millis(300);
@@ -86,9 +87,9 @@
     line.unwrap().parse().unwrap()
 }
 
-/// A job of nine tasks with a text of 3,500 bytes is divided among five pools. Its text has to be sent once to each of the
-/// four remote ones. Guards against sending the text also to pools that are only asked how many tasks they could take: on
-/// narrow links the texts of refused requests saturated the owners' links and delayed all other traffic.
+/// A job of nine tasks with a text of 3,500 bytes is divided among five pools. Its text has to be sent once to each of
+/// the four remote ones. Guards against sending the text also to pools that are only asked how many tasks they could
+/// take: on narrow links the texts of refused requests saturated the owners' links and delayed all other traffic.
 #[actix_rt::test]
 async fn a_job_text_is_sent_only_to_pools_that_run_it() {
     let run_time = Duration::from_millis(300);
@@ -104,8 +105,8 @@
     assert!(sent < 6 * 3_500, "{sent}");
 }
 
-/// A job has four parallel tasks, and each of two data centres runs two tasks at a time. In a single data centre the last
-/// two would start after the first two, which is too late for the caller; both together run all four at once.
+/// A job has four parallel tasks, and each of two data centres runs two tasks at a time. In a single data centre the
+/// last two would start after the first two, which is too late for the caller; both together run all four at once.
 #[actix_rt::test]
 async fn a_wide_job_is_divided_among_data_centres() {
     let run_time = Duration::from_millis(300);
--- a/crates/node/tests/entries.rs
+++ b/crates/node/tests/entries.rs
@@ -1,5 +1,5 @@
-//! Directory entries that another writer created or corrupted. A node does not use the worker of such an entry, logs the
-//! entry once, and goes on using all other workers.
+//! Directory entries that another writer created or corrupted. A node does not use the worker of such an entry, logs
+//! the entry once, and goes on using all other workers.
 
 mod support;
 
@@ -151,9 +151,9 @@
     }
 }
 
-/// Another writer adds invalid entries next to that of a valid worker and rewrites them again and again. The node must not
-/// call the workers of these entries, since an invalid entry does not describe its worker, and must log each entry only
-/// once. The valid worker keeps serving, so customers notice nothing.
+/// Another writer adds invalid entries next to that of a valid worker and rewrites them again and again. The node must
+/// not call the workers of these entries, since an invalid entry does not describe its worker, and must log each entry
+/// only once. The valid worker keeps serving, so customers notice nothing.
 #[actix_rt::test]
 async fn invalid_entries_are_ignored_and_logged_once() {
     let platform = Platform::start(1, Duration::from_millis(10)).await;
@@ -185,8 +185,8 @@
     }
 }
 
-/// One row is not UTF-8 and another is not valid base64. Guards against losing the other rows of the same page, among them
-/// a valid worker that follows the two.
+/// One row is not UTF-8 and another is not valid base64. Guards against losing the other rows of the same page, among
+/// them a valid worker that follows the two.
 #[actix_rt::test]
 async fn undecodable_rows_do_not_hide_valid_workers() {
     let platform = Platform::start(0, Duration::from_millis(10)).await;
@@ -208,8 +208,8 @@
     assert_eq!(unusable_lines(&node, "i-code"), 1);
 }
 
-/// The entry of a known worker is corrupted and later rewritten by the worker. In between the worker gets no new tasks and
-/// jobs run on the other worker; afterwards both are used.
+/// The entry of a known worker is corrupted and later rewritten by the worker. In between the worker gets no new tasks
+/// and jobs run on the other worker; afterwards both are used.
 #[actix_rt::test]
 async fn a_worker_is_used_again_once_its_entry_is_restored() {
     futures::future::join_all(CASES.iter().map(corrupt_and_restore)).await;
@@ -236,8 +236,9 @@
     assert!(run_count > before, "not used again: {}", case.name);
 }
 
-/// An entry names a service that the configuration does not have yet. Its worker is used as soon as a newer version of the
-/// configuration has the service, and no longer once a version drops the service, since no route sends tasks to it then.
+/// An entry names a service that the configuration does not have yet. Its worker is used as soon as a newer version of
+/// the configuration has the service, and no longer once a version drops the service, since no route sends tasks to it
+/// then.
 #[actix_rt::test]
 async fn a_worker_is_used_only_while_its_service_is_configured() {
     let platform = Platform::start(1, Duration::from_millis(10)).await;
--- a/crates/node/tests/evacuation.rs
+++ b/crates/node/tests/evacuation.rs
@@ -1,5 +1,5 @@
-//! Operators evacuate data centres. Within a second no node of any data centre starts tasks there any more, and jobs run in
-//! other data centres where that is possible.
+//! Operators evacuate data centres. Within a second no node of any data centre starts tasks there any more, and jobs
+//! run in other data centres where that is possible.
 
 mod support;
 
@@ -69,8 +69,8 @@
     runs.iter().filter(|run| run.began > moment).count()
 }
 
-/// One of two data centres is evacuated while a job runs there. The running job is finished, later jobs run in the other
-/// data centre, and after the end of the evacuation both are used.
+/// One of two data centres is evacuated while a job runs there. The running job is finished, later jobs run in the
+/// other data centre, and after the end of the evacuation both are used.
 #[actix_rt::test]
 async fn jobs_run_elsewhere_during_an_evacuation() {
     let platform = Platform::start(1, Duration::from_millis(1_500)).await;
@@ -141,9 +141,9 @@
     assert!(!west_worker.runs().is_empty());
 }
 
-/// The store becomes unreachable during an evacuation and returns with a truncated history; the evacuation ended and another
-/// began in the gap. The last known state has to stay in force meanwhile, and the changes in the gap have to be found
-/// afterwards.
+/// The store becomes unreachable during an evacuation and returns with a truncated history; the evacuation ended and
+/// another began in the gap. The last known state has to stay in force meanwhile, and the changes in the gap have to be
+/// found afterwards.
 #[actix_rt::test]
 async fn evacuations_stay_in_force_while_the_store_is_unreachable() {
     let platform = Platform::start(1, RUN_TIME).await;
@@ -174,8 +174,8 @@
     evacuates: bool,
 }
 
-/// Rows of operators may follow a later version of the interface or be invalid. Only the key decides which data centre is
-/// evacuated. A key without a known data centre has no effect, and none of these rows stops the node.
+/// Rows of operators may follow a later version of the interface or be invalid. Only the key decides which data centre
+/// is evacuated. A key without a known data centre has no effect, and none of these rows stops the node.
 #[actix_rt::test]
 async fn only_the_key_of_an_evacuation_row_counts() {
     let case = |name, key, value, evacuates| EvacuationCase {
--- a/crates/node/tests/kept.rs
+++ b/crates/node/tests/kept.rs
@@ -55,8 +55,8 @@
     wait_for(&node, ID, "completed").await;
 }
 
-/// The node that accepted a job is gone before the job ends. Another node finds the job in the store and finishes it. The
-/// customer sees it completed there, and no task is done twice.
+/// The node that accepted a job is gone before the job ends. Another node finds the job in the store and finishes it.
+/// The customer sees it completed there, and no task is done twice.
 #[actix_rt::test]
 async fn a_kept_job_survives_its_node() {
     let platform = Platform::start(2, Duration::from_millis(700)).await;
@@ -144,9 +144,9 @@
     );
 }
 
-/// Many jobs of one partition of the store end while the store is unavailable. Each of them has to be shown as completed
-/// afterwards. Guards against writing all ends in one transaction: the store rejects one with too many entries as a whole,
-/// and again at each retry.
+/// Many jobs of one partition of the store end while the store is unavailable. Each of them has to be shown as
+/// completed afterwards. Guards against writing all ends in one transaction: the store rejects one with too many
+/// entries as a whole, and again at each retry.
 #[actix_rt::test]
 async fn many_jobs_that_end_at_once_are_stored() {
     let platform = Platform::start(18, Duration::from_millis(500)).await;
--- a/crates/node/tests/reading.rs
+++ b/crates/node/tests/reading.rs
@@ -1,4 +1,5 @@
-//! In a data centre with several owners of pools, one of them reads the worker list, and changes in it reach all of them.
+//! In a data centre with several owners of pools, one of them reads the worker list, and changes in it reach all of
+//! them.
 
 mod support;
 
@@ -65,8 +66,8 @@
     );
 }
 
-/// Guards against changes that reach only the owner that reads the list. Every owner has to stop using a worker within a
-/// second after the worker reports that it drains, also after the reading owner is gone.
+/// Guards against changes that reach only the owner that reads the list. Every owner has to stop using a worker within
+/// a second after the worker reports that it drains, also after the reading owner is gone.
 #[actix_rt::test]
 async fn no_owner_starts_tasks_on_a_draining_worker() {
     let platform = Platform::start(WORKERS, Duration::from_millis(50)).await;
--- a/crates/node/tests/serving.rs
+++ b/crates/node/tests/serving.rs
@@ -73,8 +73,8 @@
     assert_eq!(pending, (200, json!({ "Pending": 0 })));
 }
 
-/// This build does not serve routes whose steps may run only where an adviser allows it. Their jobs are refused at once,
-/// nothing of them runs, and the log names the unsupported need.
+/// This build does not serve routes whose steps may run only where an adviser allows it. Their jobs are refused at
+/// once, nothing of them runs, and the log names the unsupported need.
 #[actix_rt::test]
 async fn a_job_of_an_advised_queue_is_refused_with_its_reason_in_the_log() {
     let platform = Platform::start(1, Duration::from_millis(10)).await;
@@ -87,8 +87,8 @@
     assert!(platform.workers[0].runs().is_empty());
 }
 
-/// A node that has just started does not know the configuration yet. It has to refuse jobs with a time for the retry, and
-/// must not answer that the route does not exist.
+/// A node that has just started does not know the configuration yet. It has to refuse jobs with a time for the retry,
+/// and must not answer that the route does not exist.
 #[actix_rt::test]
 async fn jobs_are_refused_before_a_configuration_is_known() {
     let platform = Platform::start(1, Duration::from_millis(10)).await;
@@ -99,8 +99,8 @@
     assert!(!support::is_ready(&node).await);
 }
 
-/// A customer disconnects while its job runs. The node cancels the job and the worker stops its runs, since nobody waits
-/// for the result any more and the customer's next attempt must not run beside them.
+/// A customer disconnects while its job runs. The node cancels the job and the worker stops its runs, since nobody
+/// waits for the result any more and the customer's next attempt must not run beside them.
 #[actix_rt::test]
 async fn a_job_is_stopped_when_its_customer_disconnects() {
     let platform = Platform::start(1, Duration::from_millis(1_500)).await;
@@ -156,8 +156,8 @@
     }
 }
 
-/// The configuration limits the size of request heads and the idle time of connections. A customer that exceeds a limit gets
-/// an error status or a closed connection, and others are still served. Changed limits apply to new connections.
+/// The configuration limits the size of request heads and the idle time of connections. A customer that exceeds a limit
+/// gets an error status or a closed connection, and others are still served. Changed limits apply to new connections.
 #[actix_rt::test]
 async fn configured_connection_limits_are_enforced() {
     let platform = Platform::start(1, Duration::from_millis(10)).await;
--- a/crates/node/tests/starting.rs
+++ b/crates/node/tests/starting.rs
@@ -6,8 +6,9 @@
 
 use support::{job, post_job, start_node, Platform};
 
-/// All nodes are gone at once and start again. A caller reaches a node that already knows the configuration, while no pool has
-/// an owner yet. Pools get owners within a tenth of a second, so the job has to wait for that and must not be refused.
+/// All nodes are gone at once and start again. A caller reaches a node that already knows the configuration, while no
+/// pool has an owner yet. Pools get owners within a tenth of a second, so the job has to wait for that and must not be
+/// refused.
 #[actix_rt::test]
 async fn a_job_waits_until_pools_have_owners() {
     let platform = Platform::start(1, Duration::from_millis(10)).await;
--- a/crates/node/tests/stopping.rs
+++ b/crates/node/tests/stopping.rs
@@ -30,9 +30,9 @@
     assert_eq!(call.await.unwrap(), (200, json!({ "State": "completed" })));
 }
 
-/// A customer sends a job on an idle connection while its node stops, so late that the job cannot end before the process
-/// does. The workers are owned by another node, which would accept the job. If the end of the process interrupted it, the
-/// customer could not know whether it ran, so it has to be refused at once.
+/// A customer sends a job on an idle connection while its node stops, so late that the job cannot end before the
+/// process does. The workers are owned by another node, which would accept the job. If the end of the process
+/// interrupted it, the customer could not know whether it ran, so it has to be refused at once.
 #[actix_rt::test]
 async fn a_job_with_too_little_time_left_in_a_stop_is_refused() {
     let platform = Platform::start(1, Duration::from_millis(900)).await;
@@ -69,8 +69,8 @@
     assert_eq!(platform.workers[0].runs().len(), 1);
 }
 
-/// A job takes far longer than estimated and is still running at the end of the node's grace period. Its customer has to get
-/// a complete answer that the outcome is unknown, and not a broken connection.
+/// A job takes far longer than estimated and is still running at the end of the node's grace period. Its customer has
+/// to get a complete answer that the outcome is unknown, and not a broken connection.
 #[actix_rt::test]
 async fn a_job_that_outlasts_the_stop_gets_an_answer() {
     let platform = Platform::start(1, Duration::from_millis(3_800)).await;
@@ -82,8 +82,8 @@
     assert_eq!(call.await.unwrap().0, 504);
 }
 
-/// The owner of two workers is told to stop while a long job runs on one of them. A second node takes over the idle worker
-/// at once and uses it, and the long job continues on the other. Neither caller notices the stop.
+/// The owner of two workers is told to stop while a long job runs on one of them. A second node takes over the idle
+/// worker at once and uses it, and the long job continues on the other. Neither caller notices the stop.
 #[actix_rt::test]
 async fn a_stopping_owner_hands_over_idle_workers_and_finishes_its_jobs() {
     let platform = Platform::start(2, Duration::from_millis(1_400)).await;
@@ -108,9 +108,9 @@
     assert_eq!(runs.len(), 2, "nothing was stopped and run again: {runs:?}");
 }
 
-/// Customers send jobs to a stopping node until its process is gone, also right after its last open request was answered.
-/// Each of them has to get a complete answer, or no task of its job runs. Guards against accepting a job in that last
-/// moment, which the end of the process would interrupt.
+/// Customers send jobs to a stopping node until its process is gone, also right after its last open request was
+/// answered. Each of them has to get a complete answer, or no task of its job runs. Guards against accepting a job in
+/// that last moment, which the end of the process would interrupt.
 #[actix_rt::test]
 async fn no_job_runs_unanswered_at_the_end_of_a_stop() {
     let platform = Platform::start(2, Duration::from_millis(45)).await;
@@ -146,9 +146,9 @@
     }
 }
 
-/// The owner of the workers is told to stop while the store is unavailable, so that no other node can take over its pool.
-/// It has to keep serving jobs from another node; if it refused them at once, there would be no owner until the store is
-/// available again.
+/// The owner of the workers is told to stop while the store is unavailable, so that no other node can take over its
+/// pool. It has to keep serving jobs from another node; if it refused them at once, there would be no owner until the
+/// store is available again.
 #[actix_rt::test]
 async fn a_stopping_owner_keeps_serving_until_it_can_be_succeeded() {
     let platform = Platform::start(2, Duration::from_millis(20)).await;
--- a/crates/node/tests/store.rs
+++ b/crates/node/tests/store.rs
@@ -50,8 +50,9 @@
     );
 }
 
-/// The store truncates its history between two reads of a node, with a change in the gap. A node that continued its feed
-/// would never see the change; the store reports that the history is gone, and the node reads the whole table again.
+/// The store truncates its history between two reads of a node, with a change in the gap. A node that continued its
+/// feed would never see the change; the store reports that the history is gone, and the node reads the whole table
+/// again.
 #[actix_rt::test]
 async fn changes_are_found_after_the_history_is_truncated() {
     let platform = Platform::start(1, Duration::from_millis(10)).await;
@@ -85,9 +86,9 @@
     assert_eq!(platform.workers[1].runs().len(), 12);
 }
 
-/// The store is unavailable for seconds. Jobs that are not stored do not need it, so customers notice nothing. When it is
-/// available again, a worker's entry has expired and is written again a second later. The worker must not be dropped in
-/// between.
+/// The store is unavailable for seconds. Jobs that are not stored do not need it, so customers notice nothing. When it
+/// is available again, a worker's entry has expired and is written again a second later. The worker must not be dropped
+/// in between.
 #[actix_rt::test]
 async fn jobs_are_served_while_the_store_is_unavailable() {
     let platform = Platform::start(1, Duration::from_millis(10)).await;
@@ -122,8 +123,8 @@
     );
 }
 
-/// The answer to a claim is lost, but the claim took effect. The node must not assume that the claim succeeded or failed; it
-/// reads the claim back and then owns the pool.
+/// The answer to a claim is lost, but the claim took effect. The node must not assume that the claim succeeded or
+/// failed; it reads the claim back and then owns the pool.
 #[actix_rt::test]
 async fn a_claim_whose_answer_is_lost_is_read_back() {
     let platform = Platform::start(1, Duration::from_millis(10)).await;
@@ -154,9 +155,9 @@
     );
 }
 
-/// A pool's new owner finds runs of the former owner, whose customers have been told to retry. It has to stop these runs
-/// before it starts others on their workers, since their resource demands are unknown and their tasks may be submitted
-/// again.
+/// A pool's new owner finds runs of the former owner, whose customers have been told to retry. It has to stop these
+/// runs before it starts others on their workers, since their resource demands are unknown and their tasks may be
+/// submitted again.
 #[actix_rt::test]
 async fn a_new_owner_stops_the_former_owners_runs() {
     let platform = Platform::start(1, Duration::from_millis(5_000)).await;
@@ -204,15 +205,16 @@
     assert_eq!(added.runs().len(), 2);
 }
 
-/// A node without pools rarely reads the workers' table. One of two workers begins to drain, and then the owner of both dies.
-/// The node that takes over the pool last read the table before that. Guards against starting tasks on the draining worker.
+/// A node without pools rarely reads the workers' table. One of two workers begins to drain, and then the owner of both
+/// dies. The node that takes over the pool last read the table before that. Guards against starting tasks on the
+/// draining worker.
 #[actix_rt::test]
 async fn a_new_owner_reads_the_workers_before_it_uses_them() {
     take_over_beside_a_draining_worker(StoreFault::None).await;
 }
 
-/// Like the test above, with a store whose answers take a third of a second. Guards against taking the lack of an answer
-/// for the lack of changes.
+/// Like the test above, with a store whose answers take a third of a second. Guards against taking the lack of an
+/// answer for the lack of changes.
 #[actix_rt::test]
 async fn a_new_owner_waits_for_a_slow_store_answer() {
     take_over_beside_a_draining_worker(StoreFault::Slow(Duration::from_millis(350))).await;
@@ -239,8 +241,8 @@
     assert!(other.log_lines().contains("pool_taken"));
 }
 
-/// Guards against taking a part of the changes for all of them. The store returns many changes in several answers, and the
-/// last change is that of a worker that began to drain.
+/// Guards against taking a part of the changes for all of them. The store returns many changes in several answers, and
+/// the last change is that of a worker that began to drain.
 #[actix_rt::test]
 async fn a_change_after_many_others_is_found_at_once() {
     let platform = Platform::start(1, Duration::from_millis(10)).await;
--- a/crates/node/tests/worker_restarts.rs
+++ b/crates/node/tests/worker_restarts.rs
@@ -36,9 +36,9 @@
     }
 }
 
-/// The only worker dies while it runs a job's tasks and restarts under the same id, with its clock far behind. The tasks run
-/// again on it and the job's caller gets its answer. Later jobs are served both before and after the directory shows the
-/// restart.
+/// The only worker dies while it runs a job's tasks and restarts under the same id, with its clock far behind. The
+/// tasks run again on it and the job's caller gets its answer. Later jobs are served both before and after the
+/// directory shows the restart.
 #[actix_rt::test]
 async fn a_restarted_worker_keeps_serving() {
     let platform = Platform::start(0, RUN_TIME).await;
--- a/crates/pool/src/answer_time.rs
+++ b/crates/pool/src/answer_time.rs
@@ -1,14 +1,15 @@
 //! Measures how long workers take to answer, and derives the timeout for an answer from it.
 //!
-//! If the owner's link or CPU is too slow for what the owner sends, one queue delays every answer. With a fixed timeout every
-//! order would then be sent again and each copy would lengthen the queue further, so that the pool would serve nothing while the
-//! load lasts and for a time after it. The timeout therefore follows the measured answer times, including those of answers
-//! that arrive after the timeout, so that it is never shorter than what the path takes at present.
+//! If the owner's link or CPU is too slow for what the owner sends, one queue delays every answer. With a fixed timeout
+//! every order would then be sent again and each copy would lengthen the queue further, so that the pool would serve
+//! nothing while the load lasts and for a time after it. The timeout therefore follows the measured answer times,
+//! including those of answers that arrive after the timeout, so that it is never shorter than what the path takes at
+//! present.
 
 use std::time::Duration;
 
-/// The weights of a new sample in the smoothed time and in its variation, and the factor of the variation in the timeout, as in
-/// RFC 6298.
+/// The weights of a new sample in the smoothed time and in its variation, and the factor of the variation in the
+/// timeout, as in RFC 6298.
 const SMOOTHED_WEIGHT: f64 = 0.125;
 const VARIATION_WEIGHT: f64 = 0.25;
 const VARIATION_FACTOR: f64 = 4.0;
@@ -17,8 +18,8 @@
 /// `MIN_CONGESTED_TIME`. On an idle path answers take 1 to 3 ms.
 const CONGESTION_FACTOR: f64 = 4.0;
 
-/// The smoothed answer time up to which a path never counts as congested: slowed processes and the batching of answers add some
-/// milliseconds.
+/// The smoothed answer time up to which a path never counts as congested: slowed processes and the batching of answers
+/// add some milliseconds.
 const MIN_CONGESTED_TIME: Duration = Duration::from_millis(25);
 
 /// The answer times of one owner's calls, in seconds.
@@ -39,8 +40,8 @@
         self.overdue = 0;
         self.add_sample(took);
         let bound = self.congestion_bound();
-        // The path counts as congested until the time falls below 80% of the bound, so that the state does not change with
-        // each answer.
+        // The path counts as congested until the time falls below 80% of the bound, so that the state does not change
+        // with each answer.
         let bound = if self.congested {
             bound.mul_f64(0.8)
         } else {
--- a/crates/pool/src/estimate.rs
+++ b/crates/pool/src/estimate.rs
@@ -4,12 +4,12 @@
 
 use model::FastMap;
 
-/// The minimum weight of a new sample. The tasks of a job share the error of its estimate, which is up to 40% either way; 100
-/// samples are about 25 jobs of four tasks, whose mean is off by 8%.
+/// The minimum weight of a new sample. The tasks of a job share the error of its estimate, which is up to 40% either
+/// way; 100 samples are about 25 jobs of four tasks, whose mean is off by 8%.
 const MIN_SAMPLE_WEIGHT: f64 = 0.01;
 
-/// The number of samples for which the customer's own estimate counts. The weight of a new sample is one divided by the number
-/// of samples so far, in which this number is included, but at least `MIN_SAMPLE_WEIGHT`.
+/// The number of samples for which the customer's own estimate counts. The weight of a new sample is one divided by the
+/// number of samples so far, in which this number is included, but at least `MIN_SAMPLE_WEIGHT`.
 const ESTIMATE_PRIOR_SAMPLES: f64 = 10.0;
 
 /// The bounds of a sample: a ratio outside them says more about the worker than about the route.
@@ -44,8 +44,8 @@
         estimate.mul_f64(known.ratio)
     }
 
-    /// Records the run time of a completed run on any worker. It is not divided by the worker's slowness, since slowness is
-    /// itself measured against the predictions made here, and the two would drift apart without bound.
+    /// Records the run time of a completed run on any worker. It is not divided by the worker's slowness, since
+    /// slowness is itself measured against the predictions made here, and the two would drift apart without bound.
     pub(crate) fn record_run(&mut self, route: &Arc<str>, estimate: Duration, took: Duration) {
         if estimate.is_zero() {
             return;
--- a/crates/pool/src/evacuation.rs
+++ b/crates/pool/src/evacuation.rs
@@ -1,8 +1,8 @@
 //! The evacuated data centres, whose workers get no new runs until the evacuation ends.
 //!
-//! A data centre is evacuated while it has a row in the store. A reading of the rows only replaces what is known up to its
-//! version: a store that has lost its history may show old rows for some seconds, and if an evacuation seemed to be over for
-//! that reason, tasks would start on machines that an operator is about to remove.
+//! A data centre is evacuated while it has a row in the store. A reading of the rows only replaces what is known up to
+//! its version: a store that has lost its history may show old rows for some seconds, and if an evacuation seemed to be
+//! over for that reason, tasks would start on machines that an operator is about to remove.
 
 use model::{DataCentreId, FastMap};
 
@@ -41,8 +41,8 @@
         self.evacuated.remove(centre).is_some()
     }
 
-    /// Applies a reading of all rows at one version of the store. Known rows that are newer than that version stay, since the
-    /// reading cannot show them yet.
+    /// Applies a reading of all rows at one version of the store. Known rows that are newer than that version stay,
+    /// since the reading cannot show them yet.
     pub fn apply_snapshot(
         &mut self,
         rows: Vec<(DataCentreId, u64)>,
--- a/crates/pool/src/start_window.rs
+++ b/crates/pool/src/start_window.rs
@@ -1,9 +1,9 @@
 //! The congestion window of an owner: the number of starts it may have in flight.
 //!
-//! The window matters when there are more starts than the owner's link or CPU can send. Without it, they would wait in the link's
-//! queue, where deadlines have no effect and nothing can be withdrawn, and would delay polls, stops and heartbeats too. Tasks
-//! therefore wait in the owner's queue until a start may be sent. The window grows while answers come quickly and shrinks when
-//! they are late.
+//! The window matters when there are more starts than the owner's link or CPU can send. Without it, they would wait in
+//! the link's queue, where deadlines have no effect and nothing can be withdrawn, and would delay polls, stops and
+//! heartbeats too. Tasks therefore wait in the owner's queue until a start may be sent. The window grows while answers
+//! come quickly and shrinks when they are late.
 
 use std::time::{Duration, Instant};
 
@@ -16,14 +16,16 @@
 /// The maximum window, which is more than a pool of a few dozen workers has capacity for.
 const MAX_WINDOW_STARTS: f64 = 512.0;
 
-/// The factor by which the window shrinks: that of CUBIC (RFC 9438), which shrinks less than other TCP congestion control.
+/// The factor by which the window shrinks: that of CUBIC (RFC 9438), which shrinks less than other TCP congestion
+/// control.
 const SHRINK_FACTOR: f64 = 0.7;
 
 /// The number of starts that may be in flight.
 #[derive(Clone, Debug)]
 pub(crate) struct StartWindow {
     size: f64,
-    /// The time until which the window does not shrink again: answers to starts sent before it last shrank are still late.
+    /// The time until which the window does not shrink again: answers to starts sent before it last shrank are still
+    /// late.
     no_shrink_until: Option<Instant>,
 }
 
@@ -43,8 +45,8 @@
         self.size as usize
     }
 
-    /// Adjusts the window after an answer, where `smoothed` is the present answer time and `in_flight` the number of starts in
-    /// flight.
+    /// Adjusts the window after an answer, where `smoothed` is the present answer time and `in_flight` the number of
+    /// starts in flight.
     pub(crate) fn on_answer(
         &mut self,
         now: Instant,
--- a/crates/pool/src/worker.rs
+++ b/crates/pool/src/worker.rs
@@ -175,9 +175,9 @@
     slowness_updated: Instant,
 }
 
-/// The number of successive polls without an answer that make a worker silent, so that its runs count as over once their
-/// leases have expired. A single missed poll may be one lost connection; it already keeps the worker from getting new
-/// runs and lease renewals until the next answer.
+/// The number of successive polls without an answer that make a worker silent, so that its runs count as over once
+/// their leases have expired. A single missed poll may be one lost connection; it already keeps the worker from getting
+/// new runs and lease renewals until the next answer.
 pub(crate) const MISSED_POLLS_TO_SILENCE: u32 = 2;
 
 /// The maximum number of polls of one worker in flight: two in a row are seldom lost.
--- a/crates/scenario/src/load.rs
+++ b/crates/scenario/src/load.rs
@@ -33,8 +33,8 @@
     Ready,
     /// The entry was started but is not ready yet. A caller that addresses it directly must still get an answer.
     Unready,
-    /// The entry was not started, got SIGTERM or SIGKILL, or is frozen. A caller that addresses it directly need not get
-    /// an answer.
+    /// The entry was not started, got SIGTERM or SIGKILL, or is frozen. A caller that addresses it directly need not
+    /// get an answer.
     Down,
 }
 
