--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -16,8 +16,8 @@
 //! - a run record is removed only when the run is certainly over or can never begin;
 //! - a job is refused only while no start of any of its tasks has been ordered;
 //! - no start is sent to a worker of an evacuated data centre;
-//! - a kept job runs only while its row is in the store, and the end of one of its runs is acknowledged to the worker only
-//!   once that end is stored.
+//! - a kept job runs only while its row is in the store, and the end of one of its runs is acknowledged to the worker
+//!   only once that end is stored.
 
 mod action;
 mod admission;
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -358,8 +358,8 @@
     }
 
     /// Removes the entry of a worker instance, given by its number, that has ended.
-    pub(crate) fn remove_store_entry(&self, number: usize) {
-        self.store.remove("servers", &instance_id(number));
+    pub(crate) fn remove_store_entry(&self, instance: usize) {
+        self.store.remove("servers", &instance_id(instance));
     }
 
     /// Sets the store entry of a worker to `draining`.
@@ -473,16 +473,16 @@
 }
 
 /// Returns the id under which a worker instance, given by its number, is listed in the store.
-fn instance_id(number: usize) -> String {
-    format!("i-{number}")
+fn instance_id(instance: usize) -> String {
+    format!("i-{instance}")
 }
 
 fn store_link(node: usize) -> String {
     format!("store {}", node_name(node))
 }
 
-fn worker_link(number: usize, node: usize) -> String {
-    format!("{} {}", instance_id(number), node_name(node))
+fn worker_link(instance: usize, node: usize) -> String {
+    format!("{} {}", instance_id(instance), node_name(node))
 }
 
 /// Returns a loopback address of the node's own, derived from the process id, so that the ports of concurrent soaks
