--- a/crates/node/tests/reading.rs
+++ b/crates/node/tests/reading.rs
@@ -1,4 +1,5 @@
-//! In a data centre with several owners of pools, one of them reads the worker list, and changes in it reach all of them.
+//! In a data centre with several owners of pools, one of them reads the worker list, and changes in it reach all of
+//! them.
 
 mod support;
 
@@ -65,8 +66,8 @@
     );
 }
 
-/// Guards against changes that reach only the owner that reads the list. Every owner has to stop using a worker within a
-/// second after the worker reports that it drains, also after the reading owner is gone.
+/// Guards against changes that reach only the owner that reads the list. Every owner has to stop using a worker within
+/// a second after the worker reports that it drains, also after the reading owner is gone.
 #[actix_rt::test]
 async fn no_owner_starts_tasks_on_a_draining_worker() {
     let platform = Platform::start(WORKERS, Duration::from_millis(50)).await;
@@ -82,14 +83,20 @@
         }
         actix_rt::time::sleep(Duration::from_millis(1_000)).await;
         let draining_workers = &platform.workers[round * 3..round * 3 + 3];
-        let before: Vec<usize> = draining_workers.iter().map(|e| e.runs().len()).collect();
+        let before: Vec<usize> = draining_workers
+            .iter()
+            .map(|worker| worker.runs().len())
+            .collect();
         for number in 0..12 {
             let id = format!("5c0e7a21d94b{round:02x}{number:02x}");
             let node = &nodes[number % nodes.len()];
             let answer = post_job(node, &id, &job(1, 400)).await;
             assert_eq!(answer, (200, json!({ "State": "completed" })), "{id}");
         }
-        let after: Vec<usize> = draining_workers.iter().map(|e| e.runs().len()).collect();
+        let after: Vec<usize> = draining_workers
+            .iter()
+            .map(|worker| worker.runs().len())
+            .collect();
         assert_eq!(before, after, "round {round}");
         // Any node may be the one that reads the list, so the next round may have another reader.
         nodes.remove(0);
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -357,7 +357,7 @@
         }
     }
 
-    /// Removes the entry of a worker that has ended.
+    /// Removes the entry of a worker instance, given by its number, that has ended.
     pub(crate) fn remove_store_entry(&self, instance: usize) {
         self.store.remove("servers", &instance_id(instance));
     }
